--- /dev/null
+++ b/proof/storedformat/fleet_test.go
@@ -0,0 +1,325 @@
+package storedformat
+
+import (
+	"maps"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"tuliprudder/core/control"
+	"tuliprudder/core/state"
+	"tuliprudder/daemon/eventloop"
+	"tuliprudder/kernel/clock"
+	"tuliprudder/kernel/machine"
+	"tuliprudder/kernel/storage"
+	"tuliprudder/ledger/shard"
+	"tuliprudder/ledger/store"
+)
+
+// fleet is a few daemons in one process, each with a data folder of its own. Messages
+// arrive at once and in order, so that the same scenario writes the same bytes.
+type fleet struct {
+	t       *testing.T
+	root    string
+	now     clock.Micros
+	cores   map[string]*control.Core // by peer address
+	stores  map[string]*store.Store  // by peer address
+	ids     map[string]string        // a store's peer address by its id
+	disks   map[string]*disk         // by peer address
+	mail    []mail
+	answers map[uint64]machine.Answer
+	calls   uint64
+	written map[string]bool // the forms of records and updates so far (forms_test.go)
+}
+
+// mail is a message on its way.
+type mail struct {
+	from, to string
+	body     any
+}
+
+// disk is the data folder of one daemon.
+type disk struct {
+	folder  *storage.Folder
+	shelf   *storage.Shelf
+	pending []machine.Effect
+}
+
+const (
+	tick       = 50 * clock.Millisecond
+	slots      = 4
+	callExpiry = 5 * clock.Second
+)
+
+// coreSeeds are the addresses of the first cores.
+var coreSeeds = []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}
+
+func newFleet(t *testing.T) *fleet {
+	return &fleet{t: t, root: t.TempDir(), now: 1_700_000_000 * clock.Second, cores: map[string]*control.Core{}, stores: map[string]*store.Store{},
+		ids: map[string]string{}, disks: map[string]*disk{}, answers: map[uint64]machine.Answer{}, written: map[string]bool{}}
+}
+
+// dataFolder is the data folder of a daemon.
+func (f *fleet) dataFolder(id string) string { return filepath.Join(f.root, id) }
+
+// openDisk makes a data folder with an identity file, as a daemon does at its start.
+func (f *fleet) openDisk(kind, id, peer string) (eventloop.Identity, *disk) {
+	f.t.Helper()
+	must(f.t, storage.MakeFolder(f.dataFolder(id)))
+	earlier := `{"kind":"` + kind + `","id":"` + id + `","life":2}`
+	must(f.t, storage.WriteAside(filepath.Join(f.dataFolder(id), "identity.json"), []byte(earlier), nil))
+	who, err := eventloop.LoadIdentity(f.dataFolder(id), kind)
+	must(f.t, err)
+	folder, _, err := storage.Open(filepath.Join(f.dataFolder(id), "records"))
+	must(f.t, err)
+	shelf, err := storage.OpenShelf(filepath.Join(f.dataFolder(id), "shelf"))
+	must(f.t, err)
+	f.disks[peer] = &disk{folder: folder, shelf: shelf}
+	return who, f.disks[peer]
+}
+
+func (f *fleet) startCore(id, peer, zone string) {
+	who, _ := f.openDisk("cairn", id, peer)
+	set := control.Defaults()
+	set.Slots, set.Bootstrap = slots, true
+	f.cores[peer] = control.New(control.CoreRef{ID: id, Peer: peer, Zone: zone}, who.Life, coreSeeds, set, nil)
+	for _, storePeer := range slices.Sorted(maps.Keys(f.stores)) {
+		f.nameCores(storePeer)
+	}
+}
+
+// nameCores tells a store the cores' addresses.
+func (f *fleet) nameCores(peer string) {
+	f.step(peer, f.stores[peer].Do(store.Cores{Peers: slices.Sorted(maps.Keys(f.cores))}, f.now))
+}
+
+func (f *fleet) startStore(id, peer, zone, name string) {
+	who, disk := f.openDisk("refuge", id, peer)
+	set := store.Defaults()
+	set.KeepDone = keepDone
+	f.stores[peer] = store.New(store.Self{ID: id, Zone: zone, Peer: peer, Life: who.Life, Name: name}, set, nil, disk.shelf)
+	f.ids[id] = peer
+	f.nameCores(peer)
+}
+
+// stop ends a daemon; its folder stays.
+func (f *fleet) stop(peer string) {
+	delete(f.cores, peer)
+	delete(f.stores, peer)
+	delete(f.disks, peer)
+}
+
+// step carries out what a machine decided.
+func (f *fleet) step(peer string, effects []machine.Effect) {
+	for _, effect := range effects {
+		switch e := effect.(type) {
+		case machine.Send:
+			f.mail = append(f.mail, mail{peer, e.To, e.Body})
+		case machine.Store, machine.Fold, machine.Shelve, machine.Unshelve:
+			f.disks[peer].pending = append(f.disks[peer].pending, effect)
+		case machine.Answer:
+			f.answers[e.Call] = e
+		case machine.Broadcast:
+			f.answers[e.Call] = machine.Answer{Call: e.Call, Body: e.Body}
+			f.publish(e.Update)
+		case machine.Publish:
+			f.publish(e.Update)
+		case machine.Halt:
+			f.t.Fatalf("%s halts: %v", peer, e.Err)
+		}
+	}
+}
+
+// publish brings an update to the stores, as the gossip does.
+func (f *fleet) publish(update machine.Update) {
+	f.notePublished(update)
+	for _, peer := range slices.Sorted(maps.Keys(f.stores)) {
+		f.step(peer, f.stores[peer].Do(store.News{Rumour: update}, f.now))
+	}
+}
+
+// deliver brings the mail that waits.
+func (f *fleet) deliver() {
+	for len(f.mail) > 0 {
+		waiting := f.mail
+		f.mail = nil
+		for _, m := range waiting {
+			switch {
+			case f.cores[m.to] != nil:
+				f.step(m.to, f.cores[m.to].Do(control.Letter{From: m.from, Body: m.body}, f.now))
+			case f.stores[m.to] != nil:
+				f.step(m.to, f.stores[m.to].Do(store.Letter{From: m.from, Body: m.body}, f.now))
+			}
+		}
+	}
+}
+
+// sync writes what waits for the disks: one commit group for each.
+func (f *fleet) sync() {
+	for _, peer := range slices.Sorted(maps.Keys(f.disks)) {
+		f.noteWritten(f.disks[peer].pending)
+		tokens := f.disks[peer].write(f.t)
+		for _, token := range tokens {
+			if core := f.cores[peer]; core != nil {
+				f.step(peer, core.Do(control.Stored{Token: token}, f.now))
+			} else {
+				f.step(peer, f.stores[peer].Do(store.Stored{Token: token}, f.now))
+			}
+		}
+	}
+}
+
+// write brings to disk what waits, in order, and tells the tokens of it.
+func (d *disk) write(t *testing.T) []uint64 {
+	t.Helper()
+	var group []machine.Record
+	var tokens []uint64
+	commit := func() {
+		if len(group) > 0 {
+			must(t, d.folder.Write(group))
+			group = nil
+		}
+	}
+	pending := d.pending
+	d.pending = nil
+	for _, effect := range pending {
+		switch e := effect.(type) {
+		case machine.Store:
+			group, tokens = append(group, e.Records...), append(tokens, e.Token)
+		case machine.Fold:
+			commit()
+			must(t, d.folder.Fold(e.Records))
+		case machine.Shelve:
+			commit()
+			must(t, d.shelf.Put(e.File, e.Records, d.folder))
+			tokens = append(tokens, e.Token)
+		case machine.Unshelve:
+			commit()
+			d.shelf.Drop(e.Files)
+		}
+	}
+	commit()
+	return tokens
+}
+
+// pass lets time go by.
+func (f *fleet) pass(span clock.Micros) {
+	for end := f.now + span; f.now < end; {
+		f.now += tick
+		for _, peer := range slices.Sorted(maps.Keys(f.cores)) {
+			f.step(peer, f.cores[peer].Do(control.Fresh{At: f.now}, f.now))
+			f.step(peer, f.cores[peer].Do(control.ClockEvent{}, f.now))
+		}
+		for _, peer := range slices.Sorted(maps.Keys(f.stores)) {
+			f.step(peer, f.stores[peer].Do(store.ClockEvent{}, f.now))
+		}
+		f.deliver()
+		f.sync()
+		f.deliver()
+	}
+}
+
+// askPrimary asks the primary core and waits for its answer.
+func (f *fleet) askPrimary(body any) any {
+	f.t.Helper()
+	for peer, core := range f.cores {
+		if core.Serving() {
+			f.calls++
+			f.step(peer, core.Do(control.Call{Number: f.calls, Body: body}, f.now))
+			return f.awaitAnswer()
+		}
+	}
+	f.t.Fatal("no core serves")
+	return nil
+}
+
+// askStore asks the store that leads a shard and waits for its answer.
+func (f *fleet) askStore(slot int, body any) any {
+	f.t.Helper()
+	peer := f.ids[f.state().Slots[slot].Primary.ID]
+	f.calls++
+	f.step(peer, f.stores[peer].Do(store.Call{Number: f.calls, Body: body}, f.now))
+	return f.awaitAnswer()
+}
+
+func (f *fleet) awaitAnswer() any {
+	f.t.Helper()
+	for range 100 {
+		if answer, ok := f.answers[f.calls]; ok {
+			must(f.t, answer.Err)
+			return answer.Body
+		}
+		f.pass(tick)
+	}
+	f.t.Fatalf("call %d got no answer", f.calls)
+	return nil
+}
+
+// state is the control state as the primary has it.
+func (f *fleet) state() *state.State {
+	for _, core := range f.cores {
+		if core.Serving() {
+			return core.State()
+		}
+	}
+	f.t.Fatal("no core serves")
+	return nil
+}
+
+// settled waits until every shard has a complete group.
+func (f *fleet) settled() {
+	f.t.Helper()
+	for range 2000 {
+		f.pass(tick)
+		serving := slices.ContainsFunc(slices.Collect(maps.Values(f.cores)), (*control.Core).Serving)
+		if serving && len(f.state().Slots) > 0 && !slices.ContainsFunc(f.state().Slots, func(a assignment) bool { return !a.Complete }) {
+			return
+		}
+	}
+	f.t.Fatal("the fleet never settled")
+}
+
+// submit hands a batch in.
+func (f *fleet) submit(batch shard.Bundle) {
+	f.t.Helper()
+	slot := shard.SlotOf(batch.ID, slots)
+	f.askStore(slot, store.EnrolAsk{Slot: slot, Bundle: batch, Expiry: callExpiry})
+}
+
+// result brings the result of one item.
+func (f *fleet) result(batch string, item int, status, output string) {
+	f.t.Helper()
+	slot := shard.SlotOf(batch, slots)
+	peer := f.ids[f.state().Slots[slot].Primary.ID]
+	f.step(peer, f.stores[peer].Do(store.Ran{Slot: slot, Bundle: batch, Item: item, Status: status, Output: output, Server: "server-a"}, f.now))
+	f.pass(tick)
+}
+
+// end ends a batch.
+func (f *fleet) end(batch, customer string) {
+	f.t.Helper()
+	slot := shard.SlotOf(batch, slots)
+	f.askStore(slot, store.EndAsk{Slot: slot, Bundle: batch, Customer: customer, Expiry: callExpiry})
+}
+
+// claim begins an idempotency claim; complete notes how it went.
+func (f *fleet) claim(customer, key string) {
+	f.t.Helper()
+	slot := shard.SlotOf(shard.ClaimID(customer, key), slots)
+	claim := shard.Claim{Customer: customer, Key: key, Hash: "hash of " + key, Order: "order-" + key}
+	f.askStore(slot, store.ClaimAsk{Slot: slot, Claim: claim, Expiry: callExpiry})
+}
+
+func (f *fleet) complete(customer, key, claimState, answer string) {
+	f.t.Helper()
+	id := shard.ClaimID(customer, key)
+	slot := shard.SlotOf(id, slots)
+	f.askStore(slot, store.SettleAsk{Slot: slot, ID: id, State: claimState, Answer: []byte(answer), Expiry: callExpiry})
+}
+
+func must(t *testing.T, err error) {
+	t.Helper()
+	if err != nil {
+		t.Fatal(err)
+	}
+}
