--- /dev/null
+++ b/cmd/tuliprudderctl/golden_test.go
@@ -0,0 +1,16 @@
+package main
+
+import (
+	"testing"
+
+	"tuliprudder/proof/goldenjson"
+)
+
+// The answers of the daemons are read by the keys that they are written under.
+func TestGoldenJSON(t *testing.T) {
+	for name, pointer := range map[string]any{"daemon.json": &daemon{}, "map.json": &fleetMap{}, "version.json": &version{}} {
+		if err := goldenjson.Check("testdata/golden/"+name, pointer); err != nil {
+			t.Errorf("%T: %v", pointer, err)
+		}
+	}
+}
--- /dev/null
+++ b/ledger/store/golden_test.go
@@ -0,0 +1,14 @@
+package store
+
+import (
+	"testing"
+
+	"tuliprudder/proof/goldenjson"
+)
+
+// What a store keeps of itself is written as the earlier build wrote it.
+func TestGoldenJSON(t *testing.T) {
+	if err := goldenjson.Check("testdata/golden/writer.json", &identity{}); err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/path/modelclient/golden_test.go
@@ -0,0 +1,16 @@
+package modelclient
+
+import (
+	"testing"
+
+	"tuliprudder/proof/goldenjson"
+)
+
+// What goes to a model server, and what comes from it, keeps its keys.
+func TestGoldenJSON(t *testing.T) {
+	for name, pointer := range map[string]any{"request.json": &body{}, "chunk.json": &chunk{}} {
+		if err := goldenjson.Check("testdata/golden/"+name, pointer); err != nil {
+			t.Errorf("%T: %v", pointer, err)
+		}
+	}
+}
--- a/proof/storedformat/scenario_test.go
+++ b/proof/storedformat/scenario_test.go
@@ -102,8 +102,8 @@
 	f.announceServer(registry.Server{Name: "server-b", Address: "10.0.2.2:8000", Slots: 4}, 0, 1_700_000_010_000_002)
 }
 
-// inputs is a batch of inputs for a model; its id comes from its key.
-func inputs(customer, key string, items ...string) shard.Bundle {
+// inputBatch is a batch of inputs for a model; its id comes from its key.
+func inputBatch(customer, key string, items ...string) shard.Bundle {
 	batch := shard.Bundle{ID: shard.BundleID(customer, key), Customer: customer, Key: key, Hash: shard.Hash(items...), Route: "nightly", Plan: 100}
 	for i, input := range items {
 		batch.Items = append(batch.Items, shard.Item{ID: "item-" + string(rune('a'+i)), Input: input})
@@ -111,8 +111,8 @@
 	return batch
 }
 
-// requests is a batch of requests that are passed on unchanged, under its own name.
-func requests(id string, bodies ...string) shard.Bundle {
+// requestBatch is a batch of requests that are passed on unchanged, under its own name.
+func requestBatch(id string, bodies ...string) shard.Bundle {
 	batch := shard.Bundle{ID: id, Customer: "forwarded", Hash: shard.Hash(bodies...), Route: "forwarded", Plan: 100}
 	for i, body := range bodies {
 		request := &shard.Request{Target: "/v1/chat?n=1", Host: "models.example", Header: map[string]string{"Content-Type": "application/json"}, Body: []byte(body), Tokens: int64(11 + i)}
@@ -128,20 +128,20 @@
 // snapshot, one of which is dropped again for its age. The customers are chosen so that
 // the batches' shards stay with the store whose folder is kept.
 func (f *fleet) writeEarlyBatches() {
-	f.submit(inputs("customer-1", "forgotten", "one"))
+	f.submit(inputBatch("customer-1", "forgotten", "one"))
 	f.result(batchID("customer-1", "forgotten"), 0, "ok", "one's result")
 	f.claim("customer-1", "forgotten-claim")
 	f.pass(61 * clock.Second) // beyond keepDone, and the next round of the clean-up
-	f.submit(inputs("customer-2", "archived-done", "first", "second"))
+	f.submit(inputBatch("customer-2", "archived-done", "first", "second"))
 	f.result(batchID("customer-2", "archived-done"), 1, "failed", "no server took it")
 	f.result(batchID("customer-2", "archived-done"), 0, "ok", "first result, a<b & c>é")
-	f.submit(inputs("customer-2", "archived-ended", "third", "fourth"))
+	f.submit(inputBatch("customer-2", "archived-ended", "third", "fourth"))
 	f.result(batchID("customer-2", "archived-ended"), 0, "ok", "third result")
 	f.end(batchID("customer-2", "archived-ended"), "customer-2")
 	f.pass(3 * clock.Second) // they are archived
-	f.submit(requests("raw-open", "{\"n\":1}", "", "\x00\xff\"}"))
+	f.submit(requestBatch("raw-open", "{\"n\":1}", "", "\x00\xff\"}"))
 	f.result("raw-open", 0, "ok", "raw result")
-	f.submit(inputs("customer-1", "open", "fifth", "sixth", "seventh"))
+	f.submit(inputBatch("customer-1", "open", "fifth", "sixth", "seventh"))
 	f.result(batchID("customer-1", "open"), 2, "ok", "seventh result")
 	f.claim("customer-1", "claim-open")
 	f.claim("customer-4", "claim-answered")
@@ -180,11 +180,11 @@
 	f.announceServer(registry.Server{Name: "server-b", Address: "10.0.2.2:8000", Slots: 4, Leaving: true}, 1, 1_700_000_020_000_001)
 	f.announceServer(registry.Server{Name: "server-c", Address: "10.0.2.3:8000", Slots: 2, Gone: true}, 2, 1_700_000_020_000_002)
 	f.result("raw-open", 1, "failed", "refused")
-	f.submit(requests("raw-after", "after the snapshot", "and another"))
+	f.submit(requestBatch("raw-after", "after the snapshot", "and another"))
 	f.claim("customer-5", "claim-after")
 	f.complete("customer-5", "claim-after", shard.Answered, `{"order":"order-claim-after","status":"ok","output":"later","server":"server-b"}`)
-	f.submit(inputs("customer-3", "done", "eighth", "ninth"))
-	f.submit(inputs("customer-3", "ended", "tenth", "eleventh"))
+	f.submit(inputBatch("customer-3", "done", "eighth", "ninth"))
+	f.submit(inputBatch("customer-3", "ended", "tenth", "eleventh"))
 	f.result(batchID("customer-3", "ended"), 1, "ok", "eleventh result")
 	f.end(batchID("customer-3", "ended"), "customer-3")
 	f.result(batchID("customer-3", "done"), 1, "ok", "ninth result")
