--- a/core/state/configurations.go
+++ b/core/state/configurations.go
@@ -47,7 +47,9 @@
 func (c *State) Configured() bool { return len(c.Versions) > 0 }
 
 // PutPlan adds the next version.
-type PutPlan struct{ Version Version }
+type PutPlan struct {
+	Version Version `json:"Version"`
+}
 
 // Apply adds the version. One whose number is not above all others is passed over:
 // a number is given to one document only.
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -121,26 +121,28 @@
 	kind() string
 }
 
-// The changes there are.
+// The changes there are. Their JSON is on the disks of the cores; the keys never change.
 type (
 	// Found begins a fleet with a fixed number of slots.
 	Found struct {
-		Fleet string
-		Slots int
+		Fleet string `json:"Fleet"`
+		Slots int    `json:"Slots"`
 	}
 	// EnrolStore gives a store its writer id, or notes its new address
 	// or name.
-	EnrolStore struct{ Store Store }
+	EnrolStore struct {
+		Store Store `json:"Store"`
+	}
 	// Retire marks a store as retiring, takes the mark back, or writes down that
 	// nothing depends on it any more.
 	Retire struct {
-		ID   string
-		Back bool
-		Done bool
+		ID   string `json:"ID"`
+		Back bool   `json:"Back"`
+		Done bool   `json:"Done"`
 	}
 	// Pair writes down new pairings of slots.
 	Pair struct {
-		Slots map[int]replication.Assignment
+		Slots map[int]replication.Assignment `json:"Slots"`
 	}
 )
 
--- a/kernel/machine/machine.go
+++ b/kernel/machine/machine.go
@@ -50,11 +50,13 @@
 	Err  error
 }
 
-// Update is one versioned value: the highest (Epoch, Seq) of a key wins.
+// Update is one versioned value: the highest (Epoch, Seq) of a key wins. Its JSON is on the
+// disks of the cores; the keys never change.
 type Update struct {
-	Key        string
-	Epoch, Seq uint64
-	Value      []byte
+	Key   string `json:"Key"`
+	Epoch uint64 `json:"Epoch"`
+	Seq   uint64 `json:"Seq"`
+	Value []byte `json:"Value"`
 }
 
 // Newer tells whether r replaces other.
--- a/ledger/shard/shard.go
+++ b/ledger/shard/shard.go
@@ -240,28 +240,35 @@
 	kind() string
 }
 
-// The changes there are.
+// The changes there are. Their JSON is on the disks of the stores; the keys never change.
 type (
 	// Enrol takes a bundle in.
-	Enrol struct{ Bundle Bundle }
+	Enrol struct {
+		Bundle Bundle `json:"Bundle"`
+	}
 	// List puts a result into its bundle's list.
-	List struct{ Row Row }
+	List struct {
+		Row Row `json:"Row"`
+	}
 	// End stops a bundle for good.
 	End struct {
-		Bundle string
-		At     clock.Micros
+		Bundle string       `json:"Bundle"`
+		At     clock.Micros `json:"At"`
 	}
 	// Claiming claims a key before its one-shot order starts.
-	Claiming struct{ Claim Claim }
+	Claiming struct {
+		Claim Claim `json:"Claim"`
+	}
 	// Settling notes how a claimed order went.
 	Settling struct {
-		ID     string
-		State  string
-		Answer []byte
+		ID     string `json:"ID"`
+		State  string `json:"State"`
+		Answer []byte `json:"Answer"`
 	}
 	// Forget drops what is past its keeping.
 	Forget struct {
-		Bundles, Claims []string
+		Bundles []string `json:"Bundles"`
+		Claims  []string `json:"Claims"`
 	}
 )
 
--- a/membership/identity/identity.go
+++ b/membership/identity/identity.go
@@ -46,18 +46,21 @@
 // String names the status.
 func (s Status) String() string { return statusNames[s] }
 
-// Member is one daemon as the directory knows it.
+// Member is one daemon as the directory knows it. It is gossiped as JSON; the keys are
+// those of the first release and never change.
 type Member struct {
-	ID, Kind, Zone string
-	Peer, HTTP     string
-	Incarnation    uint64
+	ID          string `json:"ID"`
+	Kind        string `json:"Kind"`
+	Zone        string `json:"Zone"`
+	Peer        string `json:"Peer"`
+	HTTP        string `json:"HTTP"`
+	Incarnation uint64 `json:"Incarnation"`
 	// Statement counts how often the daemon spoke for itself in this incarnation.
-	// On the wire it keeps the spelling of the first release, as Status does.
 	Statement uint64 `json:"Word"`
 	Status    Status `json:"Standing"`
-	Draining  bool
-	Version   int
-	Name      string `json:",omitempty"` // the operator's name of the machine; "": none
+	Draining  bool   `json:"Draining"`
+	Version   int    `json:"Version"`
+	Name      string `json:"Name,omitempty"` // the operator's name of the machine; "": none
 }
 
 // Seq orders the updates about one incarnation.
--- a/proof/goldenjson/goldenjson.go
+++ b/proof/goldenjson/goldenjson.go
@@ -10,6 +10,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"strings"
 
 	"github.com/pkg/errors"
 )
@@ -72,9 +73,9 @@
 	return errors.Wrap(os.WriteFile(file, append(bytes.Clone(data), '\n'), 0o644), "writing a golden file")
 }
 
-// Fill sets every exported field below a pointer to a value that is not zero and does not
-// depend on the field's Go name: texts are the field's JSON key, numbers count up. Fields
-// that are not written ("-") stay as they are.
+// Fill sets every exported field below a pointer to a value that is not zero: texts are
+// the field's JSON key, numbers count up. Fields that are not written ("-") stay as they
+// are. A field whose key no tag says is an error: its key would change with its Go name.
 func Fill(pointer any) error {
 	value := reflect.ValueOf(pointer)
 	if value.Kind() != reflect.Pointer || value.IsNil() {
@@ -151,10 +152,13 @@
 func (f *filler) fillStruct(value reflect.Value) error {
 	for i := range value.NumField() {
 		field := value.Type().Field(i)
-		key, written := Key(field)
-		if !written {
+		key, _, _ := strings.Cut(field.Tag.Get("json"), ",")
+		if !field.IsExported() || key == "-" {
 			continue
 		}
+		if key == "" && !field.Anonymous {
+			return errors.Errorf("field %s of %s has no tag that says its JSON key", field.Name, value.Type())
+		}
 		if err := f.fill(value.Field(i), key); err != nil {
 			return errors.Wrap(err, field.Name)
 		}
--- a/proof/goldenjson/goldenjson_test.go
+++ b/proof/goldenjson/goldenjson_test.go
@@ -3,16 +3,14 @@
 import (
 	"os"
 	"path/filepath"
-	"reflect"
-	"slices"
 	"strings"
 	"testing"
 )
 
-// Inner has keys that no tag says.
+// Inner is embedded, and nested besides.
 type Inner struct {
-	Untagged string
-	Omitted  int `json:",omitempty"`
+	Plain   string `json:"plain"`
+	Omitted int    `json:"omitted,omitempty"`
 }
 
 type sample struct {
@@ -23,8 +21,8 @@
 	Hidden string           `json:"-"`
 }
 
-const sampleGolden = `{"Untagged":"Untagged","Omitted":1,"text":"text","count":2,"nested":{"key of nested":{"Untagged":"Untagged","Omitted":3}}}` + "\n" +
-	`{"Untagged":"","text":"","count":null,"nested":null}` + "\n"
+const sampleGolden = `{"plain":"plain","omitted":1,"text":"text","count":2,"nested":{"key of nested":{"plain":"plain","omitted":3}}}` + "\n" +
+	`{"plain":"","text":"","count":null,"nested":null}` + "\n"
 
 // A golden file that differs in one byte is told apart.
 func TestCheckTellsAKeyApart(t *testing.T) {
@@ -61,10 +59,14 @@
 	}
 }
 
-// Fields without a key of their own are listed, also where they lie deeper.
-func TestFieldsWithoutAKeyAreListed(t *testing.T) {
-	got := WithoutKey(reflect.TypeFor[[]sample]())
-	if want := []string{"goldenjson.Inner.Untagged", "goldenjson.Inner.Omitted"}; !slices.Equal(got, want) {
-		t.Errorf("listed %q, not %q", got, want)
+// A field whose key would follow its Go name is told, also where it lies deeper.
+func TestFillTellsAFieldWithoutAKey(t *testing.T) {
+	type untagged struct {
+		Text string `json:",omitempty"`
+	}
+	for _, pointer := range []any{&untagged{}, &[]map[string]untagged{}} {
+		if err := Fill(pointer); err == nil {
+			t.Errorf("%T passed", pointer)
+		}
 	}
 }
--- a/proof/localfleet/localfleet.go
+++ b/proof/localfleet/localfleet.go
@@ -422,7 +422,9 @@
 			return errors.Wrap(err, edge)
 		}
 		if err := Until(time.Until(expiry), func() error {
-			var got struct{ Servers []any }
+			var got struct {
+				Servers []any `json:"servers"`
+			}
 			if err := c.Ask(edge, http.MethodGet, "/v1/operator/servers", nil, &got); err != nil {
 				return err
 			}
