--- a/core/control/core.go
+++ b/core/control/core.go
@@ -54,12 +54,6 @@
 // them; Settings.FoldAfter says after how many changes.
 const foldAfterBytes = 1 << 20
 
-const (
-	unitCore = "core"
-	unitVote = "oath" // as the release before wrote it
-	kindVote = "oath"
-)
-
 type heardStore struct {
 	beat  store.Beat
 	at    clock.Micros
--- a/core/control/listed.go
+++ b/core/control/listed.go
@@ -13,12 +13,7 @@
 // Each core writes them down, so that they outlive a stop of the whole fleet
 // (DESIGN §8.3): a core that starts tells them again.
 
-const (
-	unitListed = "listed"
-	kindListed = "rumour"
-	listedKeys = "server/"
-	mostListed = 10_000
-)
+const mostListed = 10_000
 
 // Listed is the platform's word on a server, as the news have it.
 type Listed struct{ Rumour machine.Update }
--- a/core/state/configurations.go
+++ b/core/state/configurations.go
@@ -81,4 +81,4 @@
 	c.Versions = slices.Clone(c.Versions[len(c.Versions)-kept:])
 }
 
-func (PutPlan) kind() string { return "put-plan" }
+func (PutPlan) kind() string { return kindPutPlan }
--- a/core/state/snapshot.go
+++ b/core/state/snapshot.go
@@ -9,11 +9,9 @@
 	"tuliprudder/kernel/errs"
 )
 
-// A snapshot is a mark that names its form, a checksum and the state in JSON. The
-// release before wrote the JSON alone.
+// A snapshot is a mark that names its form (snapshotMark), a checksum and the state in
+// JSON. The release before wrote the JSON alone.
 const (
-	snapshotMark    = "TRS1"
-	snapshotFamily  = "TRS"
 	snapshotHeader  = len(snapshotMark) + crc32.Size
 	snapshotPartMax = 64 << 10 // bytes of one part
 )
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -54,13 +54,6 @@
 	return Map{Fleet: c.Fleet, Seq: c.Seq, Stores: c.Stores, Slots: c.Slots}
 }
 
-// MapKey, PlanKey and CoreKey are the keys of the core's news.
-const (
-	MapKey  = "map"
-	PlanKey = "plan"
-	CoreKey = "core"
-)
-
 // CoreNews says who is primary.
 type CoreNews struct {
 	Fleet    string   `json:"fleet"`
@@ -261,17 +254,17 @@
 	c.forgetGoneStores()
 }
 
-func (Found) kind() string      { return "found" }
-func (EnrolStore) kind() string { return "enrol-store" }
-func (Pair) kind() string       { return "pair" }
-func (Retire) kind() string     { return "retire" }
+func (Found) kind() string      { return kindFound }
+func (EnrolStore) kind() string { return kindEnrolStore }
+func (Pair) kind() string       { return kindPair }
+func (Retire) kind() string     { return kindRetire }
 
 var entries = machine.Entries[Entry]{
-	"found":       machine.Decoder(func(e Found) Entry { return e }),
-	"put-plan":    machine.Decoder(func(e PutPlan) Entry { return e }),
-	"enrol-store": machine.Decoder(func(e EnrolStore) Entry { return e }),
-	"pair":        machine.Decoder(func(e Pair) Entry { return e }),
-	"retire":      machine.Decoder(func(e Retire) Entry { return e }),
+	kindFound:      machine.Decoder(func(e Found) Entry { return e }),
+	kindPutPlan:    machine.Decoder(func(e PutPlan) Entry { return e }),
+	kindEnrolStore: machine.Decoder(func(e EnrolStore) Entry { return e }),
+	kindPair:       machine.Decoder(func(e Pair) Entry { return e }),
+	kindRetire:     machine.Decoder(func(e Retire) Entry { return e }),
 }
 
 // Encode writes an entry for the pair.
--- a/daemon/admin/admin.go
+++ b/daemon/admin/admin.go
@@ -387,7 +387,7 @@
 // listedServers is the list of servers as the updates have it.
 func (a *Admin) listedServers() []registry.Server {
 	var out []registry.Server
-	for _, update := range a.Loop.UpdatesUnder("server/") {
+	for _, update := range a.Loop.UpdatesUnder(registry.ServerPrefix) {
 		var server registry.Server
 		if json.Unmarshal(update.Value, &server) == nil {
 			out = append(out, server)
--- a/daemon/discovery/discovery.go
+++ b/daemon/discovery/discovery.go
@@ -31,9 +31,6 @@
 	return Settings{Every: clock.Second, Late: 1600 * clock.Millisecond, Step: 300 * clock.Millisecond, Wait: 900 * clock.Millisecond}
 }
 
-// StampKey is the update key of the latest reading.
-const StampKey = "lookout"
-
 // Stamp says when the list was read last, and by whom.
 type Stamp struct {
 	By string       `json:"by"`
@@ -88,7 +85,7 @@
 		return
 	}
 	var servers []registry.Server
-	for _, one := range p.Loop.UpdatesUnder("server/") {
+	for _, one := range p.Loop.UpdatesUnder(registry.ServerPrefix) {
 		var server registry.Server
 		if json.Unmarshal(one.Value, &server) == nil {
 			servers = append(servers, server)
--- a/daemon/eventloop/identity.go
+++ b/daemon/eventloop/identity.go
@@ -38,7 +38,7 @@
 	if err := storage.MakeFolder(folder); err != nil {
 		return Identity{}, err
 	}
-	name := filepath.Join(folder, "identity.json")
+	name := filepath.Join(folder, identityFile)
 	who := Identity{Kind: kind, ID: newID(kind)}
 	data, err := os.ReadFile(name)
 	switch {
@@ -51,7 +51,7 @@
 		}
 	case os.IsNotExist(err):
 		// Records without an identity are somebody's, but nobody knows whose.
-		if left, _ := filepath.Glob(filepath.Join(folder, "records", "*.*")); len(left) > 0 {
+		if left, _ := filepath.Glob(filepath.Join(folder, recordsFolder, "*.*")); len(left) > 0 {
 			return Identity{}, errs.New(errs.Corrupt, "move the whole data folder away and start empty; the fleet copies back what the pair holds", "the data folder has records but no identity.json")
 		}
 	default:
--- a/daemon/eventloop/loop.go
+++ b/daemon/eventloop/loop.go
@@ -468,10 +468,10 @@
 
 // OpenShelf opens the shelf under a data folder.
 func OpenShelf(folder string) (*storage.Shelf, error) {
-	return storage.OpenShelf(filepath.Join(folder, "shelf"))
+	return storage.OpenShelf(filepath.Join(folder, shelfFolder))
 }
 
 // OpenRecords opens the records under a data folder.
 func OpenRecords(folder string) (*storage.Folder, []machine.Record, error) {
-	return storage.Open(filepath.Join(folder, "records"))
+	return storage.Open(filepath.Join(folder, recordsFolder))
 }
--- a/daemon/host/host.go
+++ b/daemon/host/host.go
@@ -98,7 +98,7 @@
 	if d.Common.Data == "" {
 		return nil
 	}
-	data, err := os.ReadFile(d.Folder("peers.json"))
+	data, err := os.ReadFile(d.Folder(peersFile))
 	if err != nil {
 		return nil
 	}
@@ -130,7 +130,7 @@
 		if len(peers) == 0 || string(data) == last {
 			return
 		}
-		err := storage.WriteAside(r.d.Folder("peers.json"), data, nil)
+		err := storage.WriteAside(r.d.Folder(peersFile), data, nil)
 		if err != nil && !failed {
 			r.d.Log.Warn().Err(err).Msg("the learnt addresses could not be kept; it is tried again")
 		}
--- /dev/null
+++ b/daemon/host/peers_test.go
@@ -0,0 +1,21 @@
+package host
+
+import (
+	"os"
+	"slices"
+	"testing"
+
+	"tuliprudder/kernel/settings"
+)
+
+// The addresses that an earlier build has learnt are read.
+func TestLearntAddressesOfAnEarlierBuild(t *testing.T) {
+	folder := t.TempDir()
+	if err := os.CopyFS(folder, os.DirFS("../../proof/storedformat/testdata/folders/after-snapshot/core")); err != nil {
+		t.Fatal(err)
+	}
+	d := &Daemon{Common: settings.Common{Data: folder}}
+	if got, want := d.loadPeers(), []string{"10.0.0.2:7000", "10.0.1.1:7100"}; !slices.Equal(got, want) {
+		t.Errorf("read %q, not %q", got, want)
+	}
+}
--- a/daemon/machines/machines.go
+++ b/daemon/machines/machines.go
@@ -12,6 +12,7 @@
 	"tuliprudder/kernel/clock"
 	"tuliprudder/kernel/machine"
 	"tuliprudder/membership/identity"
+	"tuliprudder/path/registry"
 )
 
 // coreDirectory holds the cores' addresses, from the directory and the cores' updates.
@@ -26,7 +27,7 @@
 	if update.Key == state.CoreKey {
 		return json.Unmarshal(update.Value, &c.core) == nil
 	}
-	if !strings.HasPrefix(update.Key, "daemon/") {
+	if !strings.HasPrefix(update.Key, identity.KeyPrefix) {
 		return false
 	}
 	member, ok := identity.Decode(update.Value)
@@ -103,12 +104,12 @@
 // Heard handles an update: addresses of other cores, status of stores.
 func (c *Core) Heard(update machine.Update, now clock.Micros) []machine.Effect {
 	var out []machine.Effect
-	if strings.HasPrefix(update.Key, "daemon/") {
+	if strings.HasPrefix(update.Key, identity.KeyPrefix) {
 		if member, ok := identity.Decode(update.Value); ok && member.Kind == identity.Store {
 			out = append(out, c.Do(control.Suspicion{ID: member.ID, Ill: member.Status != identity.Alive}, now)...)
 		}
 	}
-	if strings.HasPrefix(update.Key, "server/") {
+	if strings.HasPrefix(update.Key, registry.ServerPrefix) {
 		out = append(out, c.Do(control.Listed{Rumour: update}, now)...)
 	}
 	if c.cores.receive(update) {
--- a/daemon/machines/scheduling.go
+++ b/daemon/machines/scheduling.go
@@ -68,7 +68,7 @@
 // updateHandlers has what is done with each kind of update, by the first part of its
 // key.
 var updateHandlers = map[string]func(r *Scheduling, update machine.Update, now clock.Micros){
-	"daemon": func(r *Scheduling, update machine.Update, _ clock.Micros) {
+	identity.KeyKind: func(r *Scheduling, update machine.Update, _ clock.Micros) {
 		if member, ok := identity.Decode(update.Value); ok && member.Status >= identity.Dead {
 			delete(r.members, member.ID)
 		} else if ok {
@@ -90,16 +90,16 @@
 		r.Scheduler.SetPlan(plan, now)
 		r.Wire.Emit(machine.Explain{What: "plan in force", Fields: map[string]any{"version": version.Number}})
 	},
-	"server": func(r *Scheduling, update machine.Update, _ clock.Micros) {
+	registry.ServerKind: func(r *Scheduling, update machine.Update, _ clock.Micros) {
 		var server registry.Server
 		if json.Unmarshal(update.Value, &server) == nil {
 			r.Scheduler.SetServer(server)
 		}
 	},
-	"load": func(r *Scheduling, update machine.Update, _ clock.Micros) {
+	registry.LoadKind: func(r *Scheduling, update machine.Update, _ clock.Micros) {
 		var load registry.Load
 		if json.Unmarshal(update.Value, &load) == nil {
-			r.Scheduler.SetLoad(strings.TrimPrefix(update.Key, "load/"), update.Epoch, load)
+			r.Scheduler.SetLoad(strings.TrimPrefix(update.Key, registry.LoadPrefix), update.Epoch, load)
 		}
 	},
 }
--- a/kernel/machine/entries.go
+++ b/kernel/machine/entries.go
@@ -33,13 +33,6 @@
 	return append(append(data, body...), '}')
 }
 
-// A change is written as {"k":KIND,"b":BODY}; one in just this form is read without
-// looking through its body twice.
-const (
-	openKind = `{"k":"`
-	openBody = `","b":`
-)
-
 func split(data []byte) (kind string, body []byte, ok bool) {
 	rest, ok := bytes.CutPrefix(data, []byte(openKind))
 	if !ok {
--- a/kernel/storage/shelf.go
+++ b/kernel/storage/shelf.go
@@ -8,8 +8,6 @@
 	"tuliprudder/kernel/machine"
 )
 
-const shelfSuffix = ".shelf"
-
 // Shelf holds files of settled records beside a Folder's versions. Put and Drop
 // are the disk thread's, Get may be called by any.
 type Shelf struct {
--- a/kernel/storage/storage.go
+++ b/kernel/storage/storage.go
@@ -19,16 +19,6 @@
 	"tuliprudder/kernel/machine"
 )
 
-const (
-	groupSuffix = ".group"
-	viewSuffix  = ".view"
-	asideSuffix = ".aside"
-	// Each file begins with the form it is in. The first form's body is JSON; the
-	// second's has the records' own bodies as they are, behind their heads in JSON.
-	firstForm = "TRV1"
-	magic     = "TRV2"
-)
-
 // Folder is one data folder. It is used by one thread.
 type Folder struct {
 	files  FileSystem
--- a/ledger/replication/messages.go
+++ b/ledger/replication/messages.go
@@ -99,12 +99,3 @@
 	pieceRun   = 4         // pieces of one copy under way at a time
 	copyBudget = 16        // pieces of all copies of a daemon
 )
-
-// Kinds of record on disk.
-const (
-	KindCopy  = "copy"
-	KindEntry = "entry"
-	KindDrop  = "drop"
-	// KindAdopt carries what is on disk over into a higher epoch.
-	KindAdopt = "adopt"
-)
--- a/ledger/shard/raw.go
+++ b/ledger/shard/raw.go
@@ -10,9 +10,6 @@
 // bundle in they lie as they are behind the rest, which is JSON: text for them would
 // cost a third more bytes on two disks and a wire, and the time to turn them round.
 
-// rawMark begins such an entry; no JSON does.
-const rawMark = 0
-
 func encodeRaw(e Enrol) []byte {
 	size := 0
 	items := make([]Item, len(e.Bundle.Items))
--- a/ledger/shard/shard.go
+++ b/ledger/shard/shard.go
@@ -71,22 +71,9 @@
 	Server   string `json:"server,omitempty"`
 }
 
-// Statuses of a row.
-const (
-	StatusOK     = "ok"
-	StatusFailed = "failed"
-)
-
 // State of a bundle.
 type State string
 
-// The states of a bundle.
-const (
-	Open  State = "open"
-	Done  State = "done"
-	Ended State = "ended"
-)
-
 // Bundle is one bundle and its list. Inputs and bodies go once their row is in.
 type Bundle struct {
 	ID       string       `json:"id"`
@@ -184,13 +171,6 @@
 	At       clock.Micros `json:"at"`
 }
 
-// States of a claim.
-const (
-	Claimed  = "claimed"
-	Answered = "answered"
-	Void     = "turned-away"
-)
-
 // Tenure is one writer's run of rows in a slot; the next one's rows all lie
 // above it.
 type Tenure struct {
@@ -274,10 +254,10 @@
 
 // ClaimID is the name of a claim; BundleID of a bundle. Both come from the
 // customer and the key alone, so a repeated key meets itself at any daemon.
-func ClaimID(customer, key string) string { return "c-" + digest(customer, key) }
+func ClaimID(customer, key string) string { return claimPrefix + digest(customer, key) }
 
 // BundleID is the name of the bundle of a customer's key.
-func BundleID(customer, key string) string { return "b-" + digest(customer, key) }
+func BundleID(customer, key string) string { return bundlePrefix + digest(customer, key) }
 
 // Apply takes the bundle in.
 func (e Enrol) Apply(s *Slot) {
@@ -347,20 +327,20 @@
 	}
 }
 
-func (Enrol) kind() string    { return "enrol" }
-func (List) kind() string     { return "list" }
-func (End) kind() string      { return "end" }
-func (Claiming) kind() string { return "claim" }
-func (Settling) kind() string { return "settle" }
-func (Forget) kind() string   { return "forget" }
+func (Enrol) kind() string    { return kindEnrol }
+func (List) kind() string     { return kindList }
+func (End) kind() string      { return kindEnd }
+func (Claiming) kind() string { return kindClaim }
+func (Settling) kind() string { return kindSettle }
+func (Forget) kind() string   { return kindForget }
 
 var entries = machine.Entries[Entry]{
-	"enrol":  machine.Decoder(func(e Enrol) Entry { return e }),
-	"list":   machine.Decoder(func(e List) Entry { return e }),
-	"end":    machine.Decoder(func(e End) Entry { return e }),
-	"claim":  machine.Decoder(func(e Claiming) Entry { return e }),
-	"settle": machine.Decoder(func(e Settling) Entry { return e }),
-	"forget": machine.Decoder(func(e Forget) Entry { return e }),
+	kindEnrol:  machine.Decoder(func(e Enrol) Entry { return e }),
+	kindList:   machine.Decoder(func(e List) Entry { return e }),
+	kindEnd:    machine.Decoder(func(e End) Entry { return e }),
+	kindClaim:  machine.Decoder(func(e Claiming) Entry { return e }),
+	kindSettle: machine.Decoder(func(e Settling) Entry { return e }),
+	kindForget: machine.Decoder(func(e Forget) Entry { return e }),
 }
 
 // Encode writes an entry for the pair.
--- a/ledger/store/following.go
+++ b/ledger/store/following.go
@@ -89,7 +89,7 @@
 		return
 	}
 	var a token.Announcement
-	if strings.HasPrefix(n.Rumour.Key, "writer/") && len(k.orphans) > 0 && json.Unmarshal(n.Rumour.Value, &a) == nil {
+	if strings.HasPrefix(n.Rumour.Key, token.KeyPrefix) && len(k.orphans) > 0 && json.Unmarshal(n.Rumour.Value, &a) == nil {
 		for _, claimed := range a.Slots {
 			k.settleOrphans(claimed.Slot, claimed.Epoch)
 		}
--- a/ledger/store/shelf.go
+++ b/ledger/store/shelf.go
@@ -53,7 +53,7 @@
 	records := make([]machine.Record, len(pack))
 	for i, bundle := range pack {
 		bundle.Move()
-		records[i] = machine.Record{Unit: bundle.ID, Kind: "bundle", Body: bundle.Encode()}
+		records[i] = machine.Record{Unit: bundle.ID, Kind: kindBundle, Body: bundle.Encode()}
 	}
 	token := k.groups.Await(func(_ clock.Micros) {
 		for _, bundle := range pack {
--- a/ledger/store/store.go
+++ b/ledger/store/store.go
@@ -132,19 +132,13 @@
 }
 
 // Unit is the name of a slot's pair.
-func Unit(slot int) string { return fmt.Sprintf("slot/%03d", slot) }
+func Unit(slot int) string { return fmt.Sprintf(unitSlot+"%03d", slot) }
 
 func slotOf(unit string) int {
-	slot, _ := strconv.Atoi(strings.TrimPrefix(unit, "slot/"))
+	slot, _ := strconv.Atoi(strings.TrimPrefix(unit, unitSlot))
 	return slot
 }
 
-const (
-	unitSelf     = "self"
-	kindReserved = "reserved"
-	kindWriter   = "writer"
-)
-
 type identity struct {
 	Fleet  string `json:"fleet"`
 	Writer int    `json:"writer"`
--- a/ledger/token/token.go
+++ b/ledger/token/token.go
@@ -24,8 +24,6 @@
 	Ahead   Vector
 }
 
-const tokenVersion = 1
-
 // FleetTag marks a token as one of this fleet's.
 func FleetTag(fleet string) uint32 {
 	h := fnv.New32a()
--- a/ledger/token/view.go
+++ b/ledger/token/view.go
@@ -29,7 +29,7 @@
 }
 
 // Key is the news key of a writer.
-func Key(writer int) string { return fmt.Sprintf("writer/%d", writer) }
+func Key(writer int) string { return fmt.Sprintf(KeyPrefix+"%d", writer) }
 
 // Owner is who serves a slot by the highest epoch announced.
 type Owner struct {
--- a/membership/gossip/updates.go
+++ b/membership/gossip/updates.go
@@ -26,7 +26,7 @@
 			c.Repeated++
 			continue
 		}
-		if strings.HasPrefix(update.Key, "daemon/") {
+		if strings.HasPrefix(update.Key, identity.KeyPrefix) {
 			member, ok := identity.Decode(update.Value)
 			if !ok {
 				continue
--- a/membership/identity/identity.go
+++ b/membership/identity/identity.go
@@ -8,15 +8,6 @@
 // the messages between voters (DESIGN §3.4).
 const Release = 2
 
-// Kinds of daemon. The spellings are those of the first release: they are on the
-// wire (Member.Kind), in daemons' identifiers and in the identity file of a data
-// folder, where daemons and folders of a neighbouring release read them.
-const (
-	Edge  = "trailhead"
-	Store = "refuge"
-	Core  = "cairn"
-)
-
 var roles = map[string]string{Edge: "edge", Store: "store", Core: "core"}
 
 // Role is the name of a kind of daemon as operators read it; a kind that is not
@@ -67,7 +58,7 @@
 func (p Member) Seq() uint64 { return p.Statement*uint64(statusCount) + uint64(p.Status) }
 
 // Key is the update key of a daemon.
-func Key(id string) string { return "daemon/" + id }
+func Key(id string) string { return KeyPrefix + id }
 
 // Encode writes a member as the value of an update.
 func (p Member) Encode() []byte {
--- a/path/reader/reader.go
+++ b/path/reader/reader.go
@@ -83,7 +83,7 @@
 			epochs[i] = pairing.Epoch
 		}
 		r.view.SetMap(epochs)
-	case strings.HasPrefix(update.Key, "writer/"):
+	case strings.HasPrefix(update.Key, token.KeyPrefix):
 		if !r.view.Hear(update) {
 			return
 		}
@@ -292,7 +292,7 @@
 		back(Page{}, errs.Later(errs.NotReady, clock.Second, "ask again; the daemon has just started", "no map of the stores has arrived yet"), now)
 		return
 	}
-	from, err := token.Parse(scope(fleet, "feed/"+read.Customer), read.Token)
+	from, err := token.Parse(scope(fleet, feedPrefix+read.Customer), read.Token)
 	if err != nil {
 		back(Page{}, err, now)
 		return
@@ -326,7 +326,7 @@
 				back(Page{}, failed, now)
 				return
 			}
-			page.Next = token.NewToken(scope(fleet, "feed/"+read.Customer), Cut(&page, after, upTo, read.Most)).String()
+			page.Next = token.NewToken(scope(fleet, feedPrefix+read.Customer), Cut(&page, after, upTo, read.Most)).String()
 			back(page, nil, now)
 		})
 	}
--- a/path/registry/registry.go
+++ b/path/registry/registry.go
@@ -39,10 +39,10 @@
 }
 
 // ServerKey and LoadKey are the update keys of a server.
-func ServerKey(name string) string { return "server/" + name }
+func ServerKey(name string) string { return ServerPrefix + name }
 
 // LoadKey is the key of a server's load figures.
-func LoadKey(name string) string { return "load/" + name }
+func LoadKey(name string) string { return LoadPrefix + name }
 
 // First is the first live daemon in the agreed order for a duty: each duty has
 // an order of its own, so duties spread over the daemons.
--- a/path/requests/live.go
+++ b/path/requests/live.go
@@ -228,7 +228,7 @@
 // completed ends an order with its answer; a claimed key keeps the answer first.
 func (m *Machine) completed(o *order, ran Ran, assignment *scheduler.Assignment, now clock.Micros) {
 	assignment.Release(now-assignment.Started, true, now)
-	answer := Answer{Order: o.Order, Status: "ok", Output: ran.Output, Server: assignment.Server.Name}
+	answer := Answer{Order: o.Order, Status: answerOK, Output: ran.Output, Server: assignment.Server.Name}
 	if !o.claimed {
 		m.end(o, answer, nil, now)
 		return
--- a/path/serverpoll/serverpoll.go
+++ b/path/serverpoll/serverpoll.go
@@ -50,7 +50,7 @@
 
 // Receive notes the latest figures of a server.
 func (s *Poller) Receive(update machine.Update) {
-	if name, ok := strings.CutPrefix(update.Key, "load/"); ok {
+	if name, ok := strings.CutPrefix(update.Key, registry.LoadPrefix); ok {
 		s.versions[name] = update
 	}
 }
@@ -63,7 +63,7 @@
 	s.next = now + s.every/busyFactor
 	members := s.members()
 	for _, server := range s.scheduler.Servers() {
-		if server.Gone || s.busy[server.Name] || now < s.due[server.Name] || registry.First("load/"+server.Name, members, identity.Edge) != s.self {
+		if server.Gone || s.busy[server.Name] || now < s.due[server.Name] || registry.First(registry.LoadKey(server.Name), members, identity.Edge) != s.self {
 			continue
 		}
 		s.busy[server.Name] = true
--- a/proof/storedformat/fleet_test.go
+++ b/proof/storedformat/fleet_test.go
@@ -70,9 +70,9 @@
 	must(f.t, storage.WriteAside(filepath.Join(f.dataFolder(id), "identity.json"), []byte(earlier), nil))
 	who, err := eventloop.LoadIdentity(f.dataFolder(id), kind)
 	must(f.t, err)
-	folder, _, err := storage.Open(filepath.Join(f.dataFolder(id), "records"))
+	folder, _, err := eventloop.OpenRecords(f.dataFolder(id))
 	must(f.t, err)
-	shelf, err := storage.OpenShelf(filepath.Join(f.dataFolder(id), "shelf"))
+	shelf, err := eventloop.OpenShelf(f.dataFolder(id))
 	must(f.t, err)
 	f.disks[peer] = &disk{folder: folder, shelf: shelf}
 	return who, f.disks[peer]
--- a/proof/storedformat/folders_test.go
+++ b/proof/storedformat/folders_test.go
@@ -14,7 +14,6 @@
 	"tuliprudder/daemon/eventloop"
 	"tuliprudder/kernel/clock"
 	"tuliprudder/kernel/machine"
-	"tuliprudder/kernel/storage"
 	"tuliprudder/ledger/shard"
 	"tuliprudder/ledger/store"
 )
@@ -60,7 +59,7 @@
 // to are removed.
 func TestShelfOfAnEarlierBuild(t *testing.T) {
 	folder := copyFolder(t, "after-snapshot", "store")
-	shelf, err := storage.OpenShelf(filepath.Join(folder, "shelf"))
+	shelf, err := eventloop.OpenShelf(folder)
 	must(t, err)
 	if !slices.Equal(shelf.Held(), []uint64{1, 2}) || shelf.Top() != 2 {
 		t.Errorf("the shelf holds %v up to %d", shelf.Held(), shelf.Top())
@@ -92,7 +91,7 @@
 
 func openRecords(t *testing.T, folder string) []machine.Record {
 	t.Helper()
-	_, records, err := storage.Open(filepath.Join(folder, "records"))
+	_, records, err := eventloop.OpenRecords(folder)
 	must(t, err)
 	return records
 }
@@ -112,7 +111,7 @@
 // startStore starts a store on a folder, and gives what it does at first.
 func startStore(t *testing.T, folder string) (*store.Store, []machine.Effect) {
 	t.Helper()
-	shelf, err := storage.OpenShelf(filepath.Join(folder, "shelf"))
+	shelf, err := eventloop.OpenShelf(folder)
 	must(t, err)
 	self := store.Self{ID: keptStore, Zone: "zone-a", Peer: "10.0.1.1:7100", Life: 4, Name: "machine-1"}
 	machine := store.New(self, store.Defaults(), openRecords(t, folder), shelf)
