--- a/proof/storedformat/messages_test.go
+++ b/proof/storedformat/messages_test.go
@@ -44,9 +44,11 @@
 	must(t, os.WriteFile(filepath.Join("testdata", "messages.gob"), data.Bytes(), 0o644))
 }
 
-// Messages of an earlier build are decoded, each field into its own. (Messages carry the
-// names of Go types and fields. A build that renames them must refuse these bytes, and
-// never take them for something else: then this test says so instead.)
+// Messages of an earlier build are decoded, each field into its own. Messages carry the
+// names of Go types and fields: a type that was renamed is not known to the decoder, but a
+// field that was renamed is passed over, and its value is lost without an error. A build
+// that renames either must refuse these bytes, and never take them for something else;
+// this test says so then.
 func TestMessagesOfAnEarlierBuild(t *testing.T) {
 	data, err := os.ReadFile(filepath.Join("testdata", "messages.gob"))
 	must(t, err)
