--- a/core/state/state.go
+++ b/core/state/state.go
@@ -54,13 +54,6 @@
 	return Map{Fleet: c.Fleet, Seq: c.Seq, Stores: c.Stores, Slots: c.Slots}
 }
 
-// MapKey, PlanKey and CoreKey are the keys of the core's news.
-const (
-	MapKey  = "map"
-	PlanKey = "plan"
-	CoreKey = "core"
-)
-
 // CoreNews says who is primary.
 type CoreNews struct {
 	Fleet    string   `json:"fleet"`
@@ -121,26 +114,28 @@
 	kind() string
 }
 
-// The changes there are.
+// The changes there are. Their JSON is on the disks of the cores; the keys never change.
 type (
 	// Found begins a fleet with a fixed number of slots.
 	Found struct {
-		Fleet string
-		Slots int
+		Fleet string `json:"Fleet"`
+		Slots int    `json:"Slots"`
 	}
 	// EnrolStore gives a store its writer id, or notes its new address
 	// or name.
-	EnrolStore struct{ Store Store }
+	EnrolStore struct {
+		Store Store `json:"Store"`
+	}
 	// Retire marks a store as retiring, takes the mark back, or writes down that
 	// nothing depends on it any more.
 	Retire struct {
-		ID   string
-		Back bool
-		Done bool
+		ID   string `json:"ID"`
+		Back bool   `json:"Back"`
+		Done bool   `json:"Done"`
 	}
 	// Pair writes down new pairings of slots.
 	Pair struct {
-		Slots map[int]replication.Assignment
+		Slots map[int]replication.Assignment `json:"Slots"`
 	}
 )
 
@@ -259,17 +254,17 @@
 	c.forgetGoneStores()
 }
 
-func (Found) kind() string      { return "found" }
-func (EnrolStore) kind() string { return "enrol-store" }
-func (Pair) kind() string       { return "pair" }
-func (Retire) kind() string     { return "retire" }
+func (Found) kind() string      { return kindFound }
+func (EnrolStore) kind() string { return kindEnrolStore }
+func (Pair) kind() string       { return kindPair }
+func (Retire) kind() string     { return kindRetire }
 
 var entries = machine.Entries[Entry]{
-	"found":       machine.Decoder(func(e Found) Entry { return e }),
-	"put-plan":    machine.Decoder(func(e PutPlan) Entry { return e }),
-	"enrol-store": machine.Decoder(func(e EnrolStore) Entry { return e }),
-	"pair":        machine.Decoder(func(e Pair) Entry { return e }),
-	"retire":      machine.Decoder(func(e Retire) Entry { return e }),
+	kindFound:      machine.Decoder(func(e Found) Entry { return e }),
+	kindPutPlan:    machine.Decoder(func(e PutPlan) Entry { return e }),
+	kindEnrolStore: machine.Decoder(func(e EnrolStore) Entry { return e }),
+	kindPair:       machine.Decoder(func(e Pair) Entry { return e }),
+	kindRetire:     machine.Decoder(func(e Retire) Entry { return e }),
 }
 
 // Encode writes an entry for the pair.
--- a/membership/identity/identity.go
+++ b/membership/identity/identity.go
@@ -8,15 +8,6 @@
 // the messages between voters (DESIGN §3.4).
 const Release = 2
 
-// Kinds of daemon. The spellings are those of the first release: they are on the
-// wire (Member.Kind), in daemons' identifiers and in the identity file of a data
-// folder, where daemons and folders of a neighbouring release read them.
-const (
-	Edge  = "trailhead"
-	Store = "refuge"
-	Core  = "cairn"
-)
-
 var roles = map[string]string{Edge: "edge", Store: "store", Core: "core"}
 
 // Role is the name of a kind of daemon as operators read it; a kind that is not
@@ -46,25 +37,28 @@
 // String names the status.
 func (s Status) String() string { return statusNames[s] }
 
-// Member is one daemon as the directory knows it.
+// Member is one daemon as the directory knows it. It is gossiped as JSON; the keys are
+// those of the first release and never change.
 type Member struct {
-	ID, Kind, Zone string
-	Peer, HTTP     string
-	Incarnation    uint64
+	ID          string `json:"ID"`
+	Kind        string `json:"Kind"`
+	Zone        string `json:"Zone"`
+	Peer        string `json:"Peer"`
+	HTTP        string `json:"HTTP"`
+	Incarnation uint64 `json:"Incarnation"`
 	// Statement counts how often the daemon spoke for itself in this incarnation.
-	// On the wire it keeps the spelling of the first release, as Status does.
 	Statement uint64 `json:"Word"`
 	Status    Status `json:"Standing"`
-	Draining  bool
-	Version   int
-	Name      string `json:",omitempty"` // the operator's name of the machine; "": none
+	Draining  bool   `json:"Draining"`
+	Version   int    `json:"Version"`
+	Name      string `json:"Name,omitempty"` // the operator's name of the machine; "": none
 }
 
 // Seq orders the updates about one incarnation.
 func (p Member) Seq() uint64 { return p.Statement*uint64(statusCount) + uint64(p.Status) }
 
 // Key is the update key of a daemon.
-func Key(id string) string { return "daemon/" + id }
+func Key(id string) string { return KeyPrefix + id }
 
 // Encode writes a member as the value of an update.
 func (p Member) Encode() []byte {
