--- /dev/null
+++ b/proof/decisiondigest/digest_test.go
@@ -0,0 +1,227 @@
+package decisiondigest
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+
+	"tuliprudder/core/control"
+	"tuliprudder/kernel/clock"
+	"tuliprudder/kernel/errs"
+	"tuliprudder/kernel/machine"
+	"tuliprudder/ledger/store"
+)
+
+// taken is one effect with when and by which node.
+type taken struct {
+	at     clock.Micros
+	node   int
+	effect machine.Effect
+}
+
+func digestOf(effects ...taken) string {
+	d := New()
+	for _, e := range effects {
+		d.Add(e.at, e.node, e.effect)
+	}
+	return d.Sum()
+}
+
+func sent(body any) taken { return taken{at: 5, node: 1, effect: machine.Send{To: "a", Body: body}} }
+
+// These types say the same under other names.
+type (
+	member  struct{ ID, Zone string }
+	request struct {
+		Term    uint64
+		From    member
+		Voters  []string
+		Weights map[string]int64
+		Next    *member
+		Yes     bool
+		state   int
+	}
+
+	peer    struct{ Name, Rack string }
+	ballot  int64
+	word    string
+	details struct {
+		Granted bool
+		phase   int8
+	}
+	voteRequest struct {
+		Round      uint64
+		Name       string // what member held
+		Rack       string
+		Candidates []word
+		Shares     map[word]ballot
+		Following  *peer
+		details
+	}
+)
+
+func aRequest() request {
+	return request{Term: 4, From: member{"a", "z"}, Voters: []string{"a", "b"}, Weights: map[string]int64{"a": 1, "b": 2, "c": 3}, Next: &member{"b", "y"}, Yes: true, state: 2}
+}
+
+func TestNamesDoNotCount(t *testing.T) {
+	renamed := voteRequest{Round: 4, Name: "a", Rack: "z", Candidates: []word{"a", "b"}, Shares: map[word]ballot{"c": 3, "b": 2, "a": 1}, Following: &peer{"b", "y"}, details: details{true, 2}}
+	if digestOf(sent(aRequest())) != digestOf(sent(renamed)) {
+		t.Error("the same values under other names have another digest")
+	}
+}
+
+func TestValuesCount(t *testing.T) {
+	want := digestOf(sent(aRequest()))
+	for name, change := range map[string]func(r *request){
+		"a number":                 func(r *request) { r.Term++ },
+		"a text":                   func(r *request) { r.From.Zone = "y" },
+		"a boolean":                func(r *request) { r.Yes = false },
+		"an unexported field":      func(r *request) { r.state++ },
+		"an order":                 func(r *request) { r.Voters = []string{"b", "a"} },
+		"a shorter list":           func(r *request) { r.Voters = r.Voters[:1] },
+		"a border between texts":   func(r *request) { r.From = member{"az", ""} },
+		"a value of a map":         func(r *request) { r.Weights["b"] = 9 },
+		"a key of a map":           func(r *request) { delete(r.Weights, "b"); r.Weights["d"] = 2 },
+		"what a pointer points at": func(r *request) { r.Next.ID = "c" },
+		"a pointer to nothing":     func(r *request) { r.Next = nil },
+	} {
+		changed := aRequest()
+		if change(&changed); digestOf(sent(changed)) == want {
+			t.Errorf("%s was changed and the digest is the same", name)
+		}
+	}
+}
+
+func TestEffectsCount(t *testing.T) {
+	record := machine.Record{Unit: "core", Kind: "entry", Epoch: 1, Seq: 2, Body: []byte("body")}
+	first, second := sent(aRequest()), taken{6, 2, machine.Store{Token: 1, Records: []machine.Record{record}}}
+	want := digestOf(first, second)
+	other := record
+	other.Body = []byte("Body")
+	for name, effects := range map[string][]taken{
+		"another order":      {second, first},
+		"one missing":        {first},
+		"one more":           {first, second, second},
+		"another time":       {first, {7, 2, second.effect}},
+		"another node":       {first, {6, 1, second.effect}},
+		"another receiver":   {{5, 1, machine.Send{To: "b", Body: aRequest()}}, second},
+		"another record":     {first, {6, 2, machine.Store{Token: 1, Records: []machine.Record{other}}}},
+		"a record less":      {first, {6, 2, machine.Store{Token: 1}}},
+		"another kind of it": {first, {6, 2, machine.Shelve{Token: 1, Records: []machine.Record{record}}}},
+	} {
+		if digestOf(effects...) == want {
+			t.Errorf("%s: the digest is the same", name)
+		}
+	}
+	logged := taken{6, 1, machine.Explain{What: "voting", Fields: map[string]any{"term": 4}}}
+	if digestOf(first, logged, second) != want {
+		t.Error("an event for the log changes the digest")
+	}
+}
+
+// Each kind of effect counts as another one where the values are the same.
+func TestKindsOfEffectDiffer(t *testing.T) {
+	seen := map[effectKind]string{}
+	for _, effect := range []machine.Effect{machine.Explain{}, machine.Send{}, machine.Store{}, machine.Fold{}, machine.Shelve{}, machine.Unshelve{}, machine.Answer{},
+		machine.Publish{}, machine.Heard{}, machine.Work{}, machine.Ask{}, machine.Broadcast{}, machine.Fresh{}, machine.Halt{}} {
+		name := fmt.Sprintf("%T", effect)
+		if known := seen[kindOf(effect)]; known != "" {
+			t.Errorf("%s and %s are of one kind", known, name)
+		}
+		seen[kindOf(effect)] = name
+	}
+	if digestOf(taken{effect: machine.Publish{}}) == digestOf(taken{effect: machine.Heard{}}) {
+		t.Error("an update that is published has the digest of one that is received")
+	}
+}
+
+// Two messages that hold the same values are told apart by their types, but not by the
+// types' names.
+func TestTypesOfMessagesDiffer(t *testing.T) {
+	type (
+		yield  struct{ Epoch uint64 }
+		fenced struct{ Epoch uint64 }
+	)
+	if digestOf(sent(yield{1}), sent(fenced{1})) == digestOf(sent(yield{1}), sent(yield{1})) {
+		t.Error("messages of two types have the digest of messages of one")
+	}
+	if digestOf(sent(yield{1}), sent(fenced{1})) != digestOf(sent(fenced{1}), sent(yield{1})) {
+		t.Error("the types' names change the digest")
+	}
+}
+
+func TestWordsThatRestateDoNotCount(t *testing.T) {
+	refused := func(why string) taken { return sent(control.VoteReply{Epoch: 3, Why: why}) }
+	if digestOf(refused("a higher term"), refused("another fleet")) != digestOf(refused("stale term"), refused("wrong cluster")) {
+		t.Error("other words change the digest")
+	}
+	if digestOf(refused("a higher term"), refused("another fleet")) == digestOf(refused("a higher term"), refused("a higher term")) {
+		t.Error("another reason has the same digest")
+	}
+	if digestOf(sent(control.Heartbeat{Role: "backing"})) != digestOf(sent(control.Heartbeat{Role: "replica"})) {
+		t.Error("another word for a role changes the digest")
+	}
+	if digestOf(sent(store.Unwelcome{Why: "a copy"})) != digestOf(sent(store.Unwelcome{Why: "a clone"})) {
+		t.Error("other words for a refusal change the digest")
+	}
+	if digestOf(sent(control.VoteReply{From: "a"})) == digestOf(sent(control.VoteReply{From: "b"})) {
+		t.Error("another text of the message is left out")
+	}
+}
+
+func TestErrorsCountByTheirKind(t *testing.T) {
+	answered := func(err error) string { return digestOf(taken{effect: machine.Answer{Call: 1, Err: err}}) }
+	want := answered(errs.Later(errs.Busy, 7, "come back", "too many"))
+	if answered(errs.Later(errs.Busy, 7, "wait", "full")) != want {
+		t.Error("other words change the digest")
+	}
+	for name, err := range map[string]error{
+		"another kind":   errs.Later(errs.NotReady, 7, "come back", "too many"),
+		"another pause":  errs.Later(errs.Busy, 8, "come back", "too many"),
+		"more faults":    &errs.Error{Kind: errs.Busy, RetryAfter: 7, Faults: []string{"a"}},
+		"an untyped one": errors.New("too many"),
+		"none":           nil,
+	} {
+		if answered(err) == want {
+			t.Errorf("%s: the digest is the same", name)
+		}
+	}
+	inside := func(err *errs.Error) string { return digestOf(sent(struct{ Err *errs.Error }{err})) }
+	if inside(&errs.Error{Kind: errs.Busy, Message: "full"}) != inside(&errs.Error{Kind: errs.Busy, Message: "too many"}) || inside(nil) == inside(&errs.Error{Kind: errs.Busy}) {
+		t.Error("an error inside a message does not count by its kind")
+	}
+}
+
+// Nothing hangs on the order in which Go walks a map, the numbers of types included.
+func TestMapsAreSorted(t *testing.T) {
+	type (
+		first  struct{ N int }
+		second struct{ N int }
+	)
+	want := ""
+	for range 50 {
+		body := map[string]any{"a": first{1}, "b": second{1}, "c": first{2}, "d": second{2}, "e": 5}
+		got := digestOf(sent(body), sent(second{3}))
+		if want != "" && got != want {
+			t.Fatal("the same map has two digests")
+		}
+		want = got
+	}
+}
+
+func TestWhatCannotBeHashedPanics(t *testing.T) {
+	type ring struct{ Next *ring }
+	loop := &ring{}
+	loop.Next = loop
+	for name, body := range map[string]any{"a function": func() {}, "a value that points at itself": loop} {
+		func() {
+			defer func() {
+				if recover() == nil {
+					t.Errorf("%s is taken", name)
+				}
+			}()
+			digestOf(sent(body))
+		}()
+	}
+}
--- /dev/null
+++ b/proof/decisiondigest/flags.go
@@ -0,0 +1,64 @@
+package decisiondigest
+
+import (
+	"flag"
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// The flags of the tests that compare digests.
+const (
+	WriteFlag = "write-digests"
+	PrintFlag = "print-effects"
+)
+
+// Flags are what a person asked of the tests that compare digests.
+type Flags struct {
+	Write bool // the records are to be written anew
+	print Span
+}
+
+// AddFlags defines the flags.
+func AddFlags(flags *flag.FlagSet) *Flags {
+	set := &Flags{}
+	flags.BoolVar(&set.Write, WriteFlag, false, "write the recorded digests anew: only in a commit of its own that changes behaviour on purpose and says how; never for a renaming or a restructuring")
+	flags.Var(&set.print, PrintFlag, "print some effects of one run, as in `NAME:FROM:TO`; TO is the last of them")
+	return set
+}
+
+// Trace has a digest print the effects that were asked for, if they are this run's.
+func (f *Flags) Trace(name string, d *Digest, printLine func(format string, args ...any)) {
+	if f.print.name != name {
+		return
+	}
+	d.Trace = func(step Step) {
+		if step.Number >= f.print.from && step.Number <= f.print.to {
+			printLine("%d hash %s: at %d us node %d: %T %+v", step.Number, step.Hash, step.At, step.Node, step.Effect, step.Effect)
+		}
+	}
+}
+
+// Span is some effects of one run, by their numbers; it is read from a flag.
+type Span struct {
+	name     string
+	from, to int
+}
+
+// String writes the span as a flag has it.
+func (s *Span) String() string { return fmt.Sprintf("%s:%d:%d", s.name, s.from, s.to) }
+
+// Set reads the span.
+func (s *Span) Set(text string) error {
+	words := strings.Split(text, ":")
+	if len(words) != 3 {
+		return fmt.Errorf("%q is no span of effects; give NAME:FROM:TO", text)
+	}
+	from, errFrom := strconv.Atoi(words[1])
+	to, errTo := strconv.Atoi(words[2])
+	if errFrom != nil || errTo != nil {
+		return fmt.Errorf("%q is no span of effects; FROM and TO are whole numbers", text)
+	}
+	*s = Span{words[0], from, to}
+	return nil
+}
--- /dev/null
+++ b/proof/decisiondigest/record.go
@@ -0,0 +1,128 @@
+package decisiondigest
+
+import (
+	"fmt"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// Count is one number that a run came to.
+type Count struct {
+	Name  string
+	Value uint64
+}
+
+// Record is what one run came to, as a line of a testdata file keeps it.
+type Record struct {
+	Name        string // of the run, without spaces
+	Counts      []Count
+	Digest      string
+	Checkpoints []string
+}
+
+// NewRecord is the record of a run that has ended.
+func NewRecord(name string, d *Digest, counts ...Count) Record {
+	counts = append(counts, Count{"effects", uint64(d.Effects())})
+	return Record{Name: name, Counts: counts, Digest: d.Sum(), Checkpoints: d.Checkpoints()}
+}
+
+// The words of a line that are no counts.
+const (
+	digestWord      = "digest"
+	checkpointsWord = "checkpoints"
+)
+
+// String is the record's line.
+func (r Record) String() string {
+	words := []string{r.Name}
+	for _, count := range r.Counts {
+		words = append(words, fmt.Sprintf("%s=%d", count.Name, count.Value))
+	}
+	words = append(words, digestWord+"="+r.Digest, checkpointsWord+"="+strings.Join(r.Checkpoints, ","))
+	return strings.Join(words, " ")
+}
+
+func parseRecord(line string) (Record, error) {
+	words := strings.Fields(line)
+	record := Record{Name: words[0]}
+	for _, word := range words[1:] {
+		name, value, _ := strings.Cut(word, "=")
+		switch name {
+		case digestWord:
+			record.Digest = value
+		case checkpointsWord:
+			if value != "" {
+				record.Checkpoints = strings.Split(value, ",")
+			}
+		default:
+			number, err := strconv.ParseUint(value, 10, 64)
+			if err != nil {
+				return Record{}, fmt.Errorf("reading %q of record %s: %w", word, record.Name, err)
+			}
+			record.Counts = append(record.Counts, Count{name, number})
+		}
+	}
+	return record, nil
+}
+
+// Differences tells where a run differs from its record: a line for each count, and one
+// for the first effects that are not as recorded. It is empty where nothing differs.
+func (r Record) Differences(got Record) []string {
+	var out []string
+	if !slices.Equal(r.Counts, got.Counts) {
+		out = append(out, fmt.Sprintf("recorded are the counts %v; they are %v", r.Counts, got.Counts))
+	}
+	if r.Digest == got.Digest {
+		return out
+	}
+	alike := 0
+	for alike < min(len(r.Checkpoints), len(got.Checkpoints)) && r.Checkpoints[alike] == got.Checkpoints[alike] {
+		alike++
+	}
+	from, to := alike*CheckpointEvery+1, (alike+1)*CheckpointEvery
+	return append(out, fmt.Sprintf("recorded is the digest %s; it is %s. The first effect that is not as recorded is one of number %d to %d: "+
+		"run this test with -%s=%s:%d:%d here and on the last commit that passes, and compare the hashes",
+		r.Digest, got.Digest, from, to, PrintFlag, got.Name, from, to))
+}
+
+// fileHead begins a file of records.
+const fileHead = `# What the decisions of fixed runs came to (proof/decisiondigest), one run a line. Machine-written:
+# a commit that changes behaviour on purpose, and does nothing else, writes the file anew with
+# -write-digests and says in its message which decision changed. No renaming, move, split or merge of
+# code may do that: there a difference is a fault.
+`
+
+// ReadRecords reads a file of records.
+func ReadRecords(path string) (map[string]Record, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	records := map[string]Record{}
+	for line := range strings.Lines(string(text)) {
+		if strings.HasPrefix(line, "#") || strings.TrimSpace(line) == "" {
+			continue
+		}
+		record, err := parseRecord(line)
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", path, err)
+		}
+		if _, twice := records[record.Name]; twice {
+			return nil, fmt.Errorf("%s has two records of %s", path, record.Name)
+		}
+		records[record.Name] = record
+	}
+	return records, nil
+}
+
+// WriteRecords writes a file of records anew.
+func WriteRecords(path string, records []Record) error {
+	var text strings.Builder
+	text.WriteString(fileHead)
+	for _, record := range records {
+		text.WriteString(record.String() + "\n")
+	}
+	return os.WriteFile(path, []byte(text.String()), 0o644)
+}
--- /dev/null
+++ b/proof/decisiondigest/record_test.go
@@ -0,0 +1,106 @@
+package decisiondigest
+
+import (
+	"flag"
+	"fmt"
+	"io"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"tuliprudder/kernel/clock"
+)
+
+// runOf is the record of a run of many effects, of which one may be another.
+func runOf(effects, other int) Record {
+	d := New()
+	for i := 1; i <= effects; i++ {
+		value := 0
+		if i == other {
+			value = 1
+		}
+		d.Add(clock.Micros(i), 0, sent(value).effect)
+	}
+	return NewRecord("run", d, Count{"steps", 12})
+}
+
+func TestRecordsReadBack(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "records.txt")
+	short := runOf(3, 0)
+	short.Name = "short"
+	if err := WriteRecords(path, []Record{runOf(2500, 0), short}); err != nil {
+		t.Fatal(err)
+	}
+	records, err := ReadRecords(path)
+	if err != nil || len(records) != 2 {
+		t.Fatalf("%d records, %v", len(records), err)
+	}
+	for _, want := range []Record{runOf(2500, 0), short} {
+		if differences := records[want.Name].Differences(want); len(differences) > 0 || !slices.Equal(records[want.Name].Checkpoints, want.Checkpoints) {
+			t.Errorf("%s is read back as another one: %v", want.Name, differences)
+		}
+	}
+}
+
+func TestBrokenRecordsAreRefused(t *testing.T) {
+	if _, err := parseRecord("run steps=many digest=1"); err == nil {
+		t.Error("a count that is no number is taken")
+	}
+	path := filepath.Join(t.TempDir(), "records.txt")
+	if err := WriteRecords(path, []Record{runOf(1, 0), runOf(1, 0)}); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := ReadRecords(path); err == nil {
+		t.Error("two records of one run are taken")
+	}
+}
+
+// A difference names the thousand effects in which the first one lies that is not as
+// recorded.
+func TestDifferencesNameWhereRunsPart(t *testing.T) {
+	want := runOf(3500, 0)
+	for other, span := range map[int]string{1: "run:1:1000", 1000: "run:1:1000", 1001: "run:1001:2000", 3400: "run:3001:4000"} {
+		got := want.Differences(runOf(3500, other))
+		if len(got) != 1 || !strings.Contains(got[0], span+" ") {
+			t.Errorf("effect %d is another one: %q, without %s", other, got, span)
+		}
+	}
+	fewer := want
+	fewer.Counts = []Count{{"steps", 11}, {"effects", 3500}}
+	if got := want.Differences(fewer); len(got) != 1 {
+		t.Errorf("another count: %q", got)
+	}
+	if got := (Record{}).Differences(want); len(got) != 2 {
+		t.Errorf("a run that is not recorded: %q", got)
+	}
+}
+
+func TestEffectsArePrinted(t *testing.T) {
+	flags := flag.NewFlagSet("test", flag.ContinueOnError)
+	flags.SetOutput(io.Discard)
+	set := AddFlags(flags)
+	if set.Write {
+		t.Error("records are written without being asked for")
+	}
+	for _, wrong := range []string{"run", "run:1", "run:one:two"} {
+		if flags.Parse([]string{"-" + PrintFlag, wrong}) == nil {
+			t.Errorf("%q is taken for a span", wrong)
+		}
+	}
+	if err := flags.Parse([]string{"-" + PrintFlag, "run:2:3", "-" + WriteFlag}); err != nil || !set.Write {
+		t.Fatalf("%+v, %v", set, err)
+	}
+	var lines []string
+	keep := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
+	for _, name := range []string{"run", "another run"} {
+		d := New()
+		set.Trace(name, d, keep)
+		for i := range 5 {
+			d.Add(clock.Micros(i), 0, sent(i).effect)
+		}
+	}
+	if len(lines) != 2 || !strings.HasPrefix(lines[0], "2 hash ") || !strings.HasPrefix(lines[1], "3 hash ") {
+		t.Errorf("printed are %q", lines)
+	}
+}
