--- a/proof/explore/config.go
+++ b/proof/explore/config.go
@@ -15,6 +15,7 @@
 
 	"tuliprudder/core/control"
 	"tuliprudder/kernel/clock"
+	"tuliprudder/kernel/machine"
 )
 
 // Order is one change that an operator sends: the same each time it is sent again.
@@ -79,6 +80,9 @@
 	Limits Limits
 	// Fault names a planted fault, "" for none.
 	Fault string
+	// OnEffect sees each effect of a process, known by its place, just before it is
+	// carried out. May be nil.
+	OnEffect func(now clock.Micros, place int, effect machine.Effect)
 }
 
 // DefaultLimits is a little of every trouble.
--- a/proof/explore/world.go
+++ b/proof/explore/world.go
@@ -123,6 +123,9 @@
 		w.fail(NoPanic, "%s: %v", p.name, failed)
 	}
 	for _, effect := range effects {
+		if w.config.OnEffect != nil {
+			w.config.OnEffect(w.now, place, effect)
+		}
 		w.carryOut(place, effect)
 	}
 }
--- a/proof/simulation/day.go
+++ b/proof/simulation/day.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"tuliprudder/kernel/clock"
+	"tuliprudder/kernel/machine"
 	"tuliprudder/membership/identity"
 )
 
@@ -25,13 +26,15 @@
 	// Measure times, before the acts, how fast the fleet recovers (Recovery).
 	Measure bool
 	Plant   func(n *Node)
-	Mutate  func(from, to string, body any) (bool, bool, clock.Micros)
+
+	OnEffect func(n *Node, effect machine.Effect) // as in World
+	Mutate   func(from, to string, body any) (bool, bool, clock.Micros)
 }
 
 // Run lives the day through and gives the world back.
 func (d Day) Run() *World {
 	w := NewWorld(d.Seed, d.Size, d.Conditions)
-	w.Plant, w.Mutate, w.Forwarding = d.Plant, d.Mutate, d.Forwarding
+	w.Plant, w.Mutate, w.OnEffect, w.Forwarding = d.Plant, d.Mutate, d.OnEffect, d.Forwarding
 	v := w.Watch
 	if !w.Until(10*clock.Second, w.ready) {
 		v.breach(back, "the fleet is not ready 10 s after boot: %s", w.Describe())
--- a/proof/simulation/node.go
+++ b/proof/simulation/node.go
@@ -146,6 +146,9 @@
 func (n *Node) do(effects []machine.Effect) {
 	w := n.world
 	for _, effect := range effects {
+		if w.OnEffect != nil {
+			w.OnEffect(n, effect)
+		}
 		switch e := effect.(type) {
 		case machine.Send:
 			to := w.byPeer[e.To]
--- a/proof/simulation/world.go
+++ b/proof/simulation/world.go
@@ -9,6 +9,7 @@
 	"sort"
 
 	"tuliprudder/kernel/clock"
+	"tuliprudder/kernel/machine"
 	"tuliprudder/membership/identity"
 	"tuliprudder/path/registry"
 )
@@ -51,7 +52,9 @@
 	// synced, before its machine hears of it.
 	Spy   func(from, to *Node, body any)
 	Wrote func(n *Node)
-	Size  Size
+	// OnEffect sees each effect just before it is carried out.
+	OnEffect func(n *Node, effect machine.Effect)
+	Size     Size
 	// Forwarding adds requests and bundles of requests that are passed on unchanged.
 	Forwarding bool
 	seeds      []string
