--- a/core/state/configurations.go
+++ b/core/state/configurations.go
@@ -11,9 +11,9 @@
 // whatever their size: while the newest is on its way to the replicas, the one
 // before it is the newest that is confirmed.
 const (
-	leastDocuments    = 2
-	mostDocuments     = 8
-	mostDocumentBytes = 128 << 10
+	minDocuments     = 2
+	maxDocuments     = 8
+	maxDocumentBytes = 128 << 10
 )
 
 // Version is one configuration as it was taken.
@@ -26,16 +26,16 @@
 }
 
 // Latest is the newest configuration; false when none was ever put.
-func (c *State) Latest() (Version, bool) {
-	if len(c.Versions) == 0 {
+func (s *State) Latest() (Version, bool) {
+	if len(s.Versions) == 0 {
 		return Version{}, false
 	}
-	return c.Versions[len(c.Versions)-1], true
+	return s.Versions[len(s.Versions)-1], true
 }
 
 // Version finds a configuration whose document is kept, by its number.
-func (c *State) Version(number uint64) (Version, bool) {
-	for _, version := range slices.Backward(c.Versions) {
+func (s *State) Version(number uint64) (Version, bool) {
+	for _, version := range slices.Backward(s.Versions) {
 		if version.Number == number {
 			return version, true
 		}
@@ -44,17 +44,17 @@
 }
 
 // Configured tells whether a configuration was ever put.
-func (c *State) Configured() bool { return len(c.Versions) > 0 }
+func (s *State) Configured() bool { return len(s.Versions) > 0 }
 
-// PutPlan adds the next version.
-type PutPlan struct {
+// PutConfiguration adds the next version.
+type PutConfiguration struct {
 	Version Version `json:"Version"`
 }
 
 // Apply adds the version. One whose number is not above all others is passed over:
 // a number is given to one document only.
-func (e PutPlan) Apply(c *State) {
-	latest, ok := c.Latest()
+func (e PutConfiguration) Apply(s *State) {
+	latest, ok := s.Latest()
 	if ok && e.Version.Number <= latest.Number {
 		return
 	}
@@ -63,22 +63,22 @@
 		return // what does not read as JSON is never put
 	}
 	e.Version.Base = latest.Number
-	c.Orders.add(Order{Number: e.Version.Number, Base: latest.Number, Digest: digest})
-	c.Versions = append(slices.Clone(c.Versions), e.Version)
-	c.dropDocuments()
+	s.Requests.add(AppliedRequest{Number: e.Version.Number, Base: latest.Number, Digest: digest})
+	s.Versions = append(slices.Clone(s.Versions), e.Version)
+	s.dropDocuments()
 }
 
 // dropDocuments keeps the newest documents, up to their bounds.
-func (c *State) dropDocuments() {
+func (s *State) dropDocuments() {
 	kept, size := 0, 0
-	for _, version := range slices.Backward(c.Versions) {
+	for _, version := range slices.Backward(s.Versions) {
 		size += len(version.Body)
-		if kept >= leastDocuments && (kept >= mostDocuments || size > mostDocumentBytes) {
+		if kept >= minDocuments && (kept >= maxDocuments || size > maxDocumentBytes) {
 			break
 		}
 		kept++
 	}
-	c.Versions = slices.Clone(c.Versions[len(c.Versions)-kept:])
+	s.Versions = slices.Clone(s.Versions[len(s.Versions)-kept:])
 }
 
-func (PutPlan) kind() string { return kindPutPlan }
+func (PutConfiguration) kind() string { return kindPutConfiguration }
--- a/core/state/snapshot_test.go
+++ b/core/state/snapshot_test.go
@@ -13,47 +13,47 @@
 )
 
 // put plays one configuration as a replica does.
-func put(t *testing.T, c *State, number uint64, body string) {
+func put(t *testing.T, s *State, number uint64, body string) {
 	t.Helper()
-	if err := c.Play(Encode(PutPlan{Version{Number: number, Body: json.RawMessage(body), By: "o"}})); err != nil {
+	if err := s.ApplyEntry(Encode(PutConfiguration{Version{Number: number, Body: json.RawMessage(body), By: "o"}})); err != nil {
 		t.Fatal(err)
 	}
 }
 
 func configured(t *testing.T, versions int) *State {
 	t.Helper()
-	c := New()
-	Found{Fleet: "f", Slots: 2}.Apply(c)
+	s := New()
+	Bootstrap{Fleet: "f", Shards: 2}.Apply(s)
 	for n := 1; n <= versions; n++ {
-		put(t, c, uint64(2*n), fmt.Sprintf(`{"n":%d,"text":"a<b"}`, n))
+		put(t, s, uint64(2*n), fmt.Sprintf(`{"n":%d,"text":"a<b"}`, n))
 	}
-	return c
+	return s
 }
 
 // A snapshot reads back as it was written, whatever its size.
 func TestASnapshotReadsBack(t *testing.T) {
-	for _, versions := range []int{0, 1, 3, 100, MostOrders + 7} {
-		c := configured(t, versions)
-		EnrolStore{Store{ID: "a", Peer: "1", Zone: "z"}}.Apply(c)
-		parts := c.Snapshot()
+	for _, versions := range []int{0, 1, 3, 100, MaxRequests + 7} {
+		s := configured(t, versions)
+		RegisterStore{Store{ID: "a", Peer: "1", Zone: "z"}}.Apply(s)
+		parts := s.Snapshot()
 		back, err := Restore(parts)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !reflect.DeepEqual(back, c) && versions > 0 {
+		if !reflect.DeepEqual(back, s) && versions > 0 {
 			t.Errorf("%d versions: read back another state", versions)
 		}
 		if again := back.Snapshot(); !bytes.Equal(bytes.Join(again, nil), bytes.Join(parts, nil)) {
 			t.Errorf("%d versions: written again it differs", versions)
 		}
 		for _, part := range parts {
-			if len(part) > snapshotPartMax {
+			if len(part) > maxSnapshotPart {
 				t.Errorf("a part of %d bytes", len(part))
 			}
 		}
 	}
-	if c, err := Restore(nil); err != nil || c.Fleet != "" || c.NextWriter != 1 {
-		t.Errorf("nothing at all: %+v %v", c, err)
+	if s, err := Restore(nil); err != nil || s.Fleet != "" || s.NextWriter != 1 {
+		t.Errorf("nothing at all: %+v %v", s, err)
 	}
 }
 
@@ -87,65 +87,65 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := Restore([][]byte{data})
+	s, err := Restore([][]byte{data})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Fleet != "f-core-1" || c.Seq != 18 || c.NextWriter != 4 || len(c.Stores) != 3 || !c.Stores["c"].Retiring || c.Stores["a"].Name != "m1" {
-		t.Errorf("read %+v", c)
+	if s.Fleet != "f-core-1" || s.Seq != 18 || s.NextWriter != 4 || len(s.Stores) != 3 || !s.Stores["c"].Retiring || s.Stores["a"].Name != "m1" {
+		t.Errorf("read %+v", s)
 	}
 	for n := uint64(3); n <= 36; n += 3 {
 		digest, err := DigestOf([]byte(fmt.Sprintf(`{"ver":%d, "text":"a<b&c>é"}`, n)))
-		if order, ok := c.Orders.Find(n); err != nil || !ok || order != (Order{Number: n, Base: n - 3, Digest: digest}) {
-			t.Errorf("version %d: %+v %v", n, order, ok)
+		if request, ok := s.Requests.Find(n); err != nil || !ok || request != (AppliedRequest{Number: n, Base: n - 3, Digest: digest}) {
+			t.Errorf("version %d: %+v %v", n, request, ok)
 		}
 	}
-	if latest, ok := c.Latest(); !ok || latest.Number != 36 || len(c.Versions) > mostDocuments {
-		t.Errorf("the newest is %+v of %d", latest, len(c.Versions))
+	if latest, ok := s.Latest(); !ok || latest.Number != 36 || len(s.Versions) > maxDocuments {
+		t.Errorf("the newest is %+v of %d", latest, len(s.Versions))
 	}
-	for slot, members := range [][]string{{"a", "b"}, {"b", "a", "c"}} {
+	for shard, members := range [][]string{{"a", "b"}, {"b", "a", "c"}} {
 		for _, id := range members {
-			if !c.Slots[slot].Holds(id) {
-				t.Errorf("slot %d: %s no longer holds it", slot, id)
+			if !s.Shards[shard].MustKeep(id) {
+				t.Errorf("slot %d: %s no longer holds it", shard, id)
 			}
 		}
 	}
-	if !c.Slots[0].Complete || c.Slots[0].Epoch != 3 || c.Slots[1].Complete || !c.Slots[1].Trusts("c") {
-		t.Errorf("slots %+v", c.Slots)
+	if !s.Shards[0].Complete || s.Shards[0].Epoch != 3 || s.Shards[1].Complete || !s.Shards[1].IsTrusted("c") {
+		t.Errorf("slots %+v", s.Shards)
 	}
-	put(t, c, 39, `{}`)
-	if order, _ := c.Orders.Find(39); order.Base != 36 {
-		t.Errorf("the next one is built on %d", order.Base)
+	put(t, s, 39, `{}`)
+	if request, _ := s.Requests.Find(39); request.Base != 36 {
+		t.Errorf("the next one is built on %d", request.Base)
 	}
 }
 
 // Documents are kept by number and by size, and the newest two whatever their size;
 // orders by number.
 func TestTheStateIsBounded(t *testing.T) {
-	c := configured(t, MostOrders+50)
-	if len(c.Versions) != mostDocuments || c.Orders.Len() != MostOrders || c.Orders.Forgotten() != 100 {
-		t.Errorf("%d documents, %d orders, %d forgotten", len(c.Versions), c.Orders.Len(), c.Orders.Forgotten())
+	s := configured(t, MaxRequests+50)
+	if len(s.Versions) != maxDocuments || s.Requests.Len() != MaxRequests || s.Requests.ForgottenUpTo() != 100 {
+		t.Errorf("%d documents, %d orders, %d forgotten", len(s.Versions), s.Requests.Len(), s.Requests.ForgottenUpTo())
 	}
-	large := fmt.Sprintf(`{"text":"%s"}`, bytes.Repeat([]byte("x"), mostDocumentBytes))
-	latest, _ := c.Latest()
+	large := fmt.Sprintf(`{"text":"%s"}`, bytes.Repeat([]byte("x"), maxDocumentBytes))
+	latest, _ := s.Latest()
 	for i := uint64(1); i <= 3; i++ {
-		put(t, c, latest.Number+i, large)
+		put(t, s, latest.Number+i, large)
 	}
-	if len(c.Versions) != leastDocuments {
-		t.Errorf("%d large documents are kept", len(c.Versions))
+	if len(s.Versions) != minDocuments {
+		t.Errorf("%d large documents are kept", len(s.Versions))
 	}
-	if _, ok := c.Version(latest.Number); ok {
+	if _, ok := s.Version(latest.Number); ok {
 		t.Error("a small one behind large ones is kept")
 	}
 }
 
 // A number is given to one document only, and never goes back.
 func TestANumberIsGivenOnce(t *testing.T) {
-	c := configured(t, 3)
-	put(t, c, 6, `{"other":1}`)
-	put(t, c, 5, `{"other":1}`)
-	if latest, _ := c.Latest(); latest.Number != 6 || string(latest.Body) == `{"other":1}` || c.Orders.Len() != 3 {
-		t.Errorf("the newest is %d %s, %d orders", latest.Number, latest.Body, c.Orders.Len())
+	s := configured(t, 3)
+	put(t, s, 6, `{"other":1}`)
+	put(t, s, 5, `{"other":1}`)
+	if latest, _ := s.Latest(); latest.Number != 6 || string(latest.Body) == `{"other":1}` || s.Requests.Len() != 3 {
+		t.Errorf("the newest is %d %s, %d orders", latest.Number, latest.Body, s.Requests.Len())
 	}
 }
 
@@ -171,37 +171,37 @@
 // What every daemon is told does not grow with the stores that are gone: the newest
 // of them stay, and those that a slot refers to; no writer id is given again.
 func TestStoresThatAreGoneLeaveTheState(t *testing.T) {
-	c := New()
-	Found{Fleet: "f", Slots: 1}.Apply(c)
-	EnrolStore{Store{ID: "first", Peer: "p0"}}.Apply(c)
-	EnrolStore{Store{ID: "second", Peer: "p1"}}.Apply(c)
+	s := New()
+	Bootstrap{Fleet: "f", Shards: 1}.Apply(s)
+	RegisterStore{Store{ID: "first", Peer: "p0"}}.Apply(s)
+	RegisterStore{Store{ID: "second", Peer: "p1"}}.Apply(s)
 	var assignment replication.Assignment
 	if err := json.Unmarshal([]byte(`{"epoch":1,"owner":{"id":"first","life":1},"backup":{"id":"second","life":1},"complete":true,"trusted":["first","second"]}`), &assignment); err != nil {
 		t.Fatal(err)
 	}
-	Pair{map[int]replication.Assignment{0: assignment}}.Apply(c)
+	AssignShards{map[int]replication.Assignment{0: assignment}}.Apply(s)
 	for i := 0; i < 500; i++ {
-		EnrolStore{Store{ID: fmt.Sprint("store-", i), Peer: fmt.Sprint("p", i%5)}}.Apply(c)
+		RegisterStore{Store{ID: fmt.Sprint("store-", i), Peer: fmt.Sprint("p", i%5)}}.Apply(s)
 		if i%2 == 0 {
-			Retire{ID: fmt.Sprint("store-", i), Done: true}.Apply(c)
+			Retire{ID: fmt.Sprint("store-", i), Done: true}.Apply(s)
 		}
 	}
 	for _, id := range []string{"first", "second", "store-499", "store-498"} {
-		if _, ok := c.Stores[id]; !ok {
+		if _, ok := s.Stores[id]; !ok {
 			t.Errorf("%s left the state", id)
 		}
 	}
 	living := 0
-	for _, store := range c.Stores {
-		if !store.Struck && !store.Retired {
+	for _, store := range s.Stores {
+		if !store.Evicted && !store.Retired {
 			living++
 		}
 	}
-	if gone := len(c.Stores) - living; gone > mostGoneStores+2 || gone < mostGoneStores {
-		t.Errorf("%d stores that are gone are kept", gone)
+	if departed := len(s.Stores) - living; departed > maxDepartedStores+2 || departed < maxDepartedStores {
+		t.Errorf("%d stores that are gone are kept", departed)
 	}
-	EnrolStore{Store{ID: "store-0", Peer: "p9"}}.Apply(c)
-	if back := c.Stores["store-0"]; back.Writer != 503 || c.NextWriter != 504 {
-		t.Errorf("one that comes back writes as %d, the next as %d", back.Writer, c.NextWriter)
+	RegisterStore{Store{ID: "store-0", Peer: "p9"}}.Apply(s)
+	if back := s.Stores["store-0"]; back.Writer != 503 || s.NextWriter != 504 {
+		t.Errorf("one that comes back writes as %d, the next as %d", back.Writer, s.NextWriter)
 	}
 }
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -15,16 +15,16 @@
 
 // Store is a store daemon; its writer id is never given to another.
 type Store struct {
-	ID       string `json:"id"`
-	Writer   int    `json:"writer"`
-	Zone     string `json:"zone"`
-	Peer     string `json:"peer"`
-	Name     string `json:"name,omitempty"` // the operator's name of the machine
-	Life     uint64 `json:"life"`           // the newest life it was heard in
-	Retiring bool   `json:"retiring,omitempty"`
-	Retired  bool   `json:"retired,omitempty"`
-	// Struck from the roll: it has been silent for long (DESIGN §3.4).
-	Struck bool `json:"struck,omitempty"`
+	ID          string `json:"id"`
+	Writer      int    `json:"writer"`
+	Zone        string `json:"zone"`
+	Peer        string `json:"peer"`
+	Name        string `json:"name,omitempty"` // the operator's name of the machine
+	Incarnation uint64 `json:"life"`           // the newest life it was heard in
+	Retiring    bool   `json:"retiring,omitempty"`
+	Retired     bool   `json:"retired,omitempty"`
+	// Evicted from the roll: it has been silent for long (DESIGN §3.4).
+	Evicted bool `json:"struck,omitempty"`
 }
 
 // State is the whole of it.
@@ -32,10 +32,10 @@
 	Fleet      string                   `json:"fleet"`
 	Seq        uint64                   `json:"seq"`
 	Versions   []Version                `json:"plans"`  // the newest, with their documents
-	Orders     OrderTable               `json:"orders"` // what recognises a repeated order
+	Requests   RequestTable             `json:"orders"` // what recognises a repeated order
 	Stores     map[string]Store         `json:"stores"`
 	NextWriter int                      `json:"next_writer"`
-	Slots      []replication.Assignment `json:"slots"`
+	Shards     []replication.Assignment `json:"slots"`
 }
 
 // New is an empty state.
@@ -46,23 +46,23 @@
 	Fleet  string                   `json:"fleet"`
 	Seq    uint64                   `json:"seq"`
 	Stores map[string]Store         `json:"stores"`
-	Slots  []replication.Assignment `json:"slots"`
+	Shards []replication.Assignment `json:"slots"`
 }
 
 // Map copies that part.
-func (c *State) Map() Map {
-	return Map{Fleet: c.Fleet, Seq: c.Seq, Stores: c.Stores, Slots: c.Slots}
+func (s *State) Map() Map {
+	return Map{Fleet: s.Fleet, Seq: s.Seq, Stores: s.Stores, Shards: s.Shards}
 }
 
-// CoreNews says who is primary.
-type CoreNews struct {
-	Fleet    string   `json:"fleet"`
-	Epoch    uint64   `json:"epoch"`
-	Primary  string   `json:"primary"`
-	Peer     string   `json:"peer"`
-	Replicas []string `json:"replicas"`
-	Cores    []string `json:"cores"`
-	Seats    []string `json:"seats"` // the cores' ids
+// CoreUpdate says who is primary.
+type CoreUpdate struct {
+	Fleet      string   `json:"fleet"`
+	Epoch      uint64   `json:"epoch"`
+	Primary    string   `json:"primary"`
+	Peer       string   `json:"peer"`
+	Replicas   []string `json:"replicas"`
+	VoterPeers []string `json:"cores"`
+	VoterIDs   []string `json:"seats"` // the cores' ids
 }
 
 // What a daemon counts for when most of the fleet has to have heard of something
@@ -73,29 +73,29 @@
 	coreWeight  = 1
 )
 
-// Roll is who counts, by id, from the core's own news: the stores that are neither
+// VoterWeights is who counts, by id, from the core's own news: the stores that are neither
 // retired nor struck off, and the cores that have seats. It is empty before a
 // store was enrolled. No two halves of it weigh the same.
-func Roll(mapNews, coreNews []byte) map[string]int {
+func VoterWeights(mapUpdate, coreUpdate []byte) map[string]int {
 	var m Map
-	var c CoreNews
-	if json.Unmarshal(mapNews, &m) != nil || json.Unmarshal(coreNews, &c) != nil {
+	var s CoreUpdate
+	if json.Unmarshal(mapUpdate, &m) != nil || json.Unmarshal(coreUpdate, &s) != nil {
 		return nil
 	}
-	roll, sum, first := map[string]int{}, 0, ""
+	weights, sum, first := map[string]int{}, 0, ""
 	for id, store := range m.Stores {
-		if store.Retired || store.Struck {
+		if store.Retired || store.Evicted {
 			continue
 		}
-		roll[id] = storeWeight
+		weights[id] = storeWeight
 		sum += storeWeight
 		if first == "" || id < first {
 			first = id
 		}
 	}
-	for _, id := range c.Seats {
-		if roll[id] == 0 {
-			roll[id] = coreWeight
+	for _, id := range s.VoterIDs {
+		if weights[id] == 0 {
+			weights[id] = coreWeight
 			sum += coreWeight
 		}
 	}
@@ -103,107 +103,107 @@
 		return nil
 	}
 	if sum%2 == 0 {
-		roll[first]++
+		weights[first]++
 	}
-	return roll
+	return weights
 }
 
 // Entry is one change of the state: a command on it.
 type Entry interface {
-	Apply(c *State)
+	Apply(s *State)
 	kind() string
 }
 
 // The changes there are. Their JSON is on the disks of the cores; the keys never change.
 type (
-	// Found begins a fleet with a fixed number of slots.
-	Found struct {
-		Fleet string `json:"Fleet"`
-		Slots int    `json:"Slots"`
+	// Bootstrap begins a fleet with a fixed number of slots.
+	Bootstrap struct {
+		Fleet  string `json:"Fleet"`
+		Shards int    `json:"Slots"`
 	}
-	// EnrolStore gives a store its writer id, or notes its new address
+	// RegisterStore gives a store its writer id, or notes its new address
 	// or name.
-	EnrolStore struct {
+	RegisterStore struct {
 		Store Store `json:"Store"`
 	}
 	// Retire marks a store as retiring, takes the mark back, or writes down that
 	// nothing depends on it any more.
 	Retire struct {
-		ID   string `json:"ID"`
-		Back bool   `json:"Back"`
-		Done bool   `json:"Done"`
+		ID     string `json:"ID"`
+		Cancel bool   `json:"Back"`
+		Done   bool   `json:"Done"`
 	}
-	// Pair writes down new pairings of slots.
-	Pair struct {
-		Slots map[int]replication.Assignment `json:"Slots"`
+	// AssignShards writes down new pairings of slots.
+	AssignShards struct {
+		Shards map[int]replication.Assignment `json:"Slots"`
 	}
 )
 
 // Apply founds.
-func (e Found) Apply(c *State) {
-	if c.Fleet == "" {
-		c.Fleet, c.Slots = e.Fleet, make([]replication.Assignment, e.Slots)
+func (e Bootstrap) Apply(s *State) {
+	if s.Fleet == "" {
+		s.Fleet, s.Shards = e.Fleet, make([]replication.Assignment, e.Shards)
 	}
 }
 
 // Apply enrols, or notes a new address, name or life; a known store keeps its writer id.
-func (e EnrolStore) Apply(c *State) {
+func (e RegisterStore) Apply(s *State) {
 	store := e.Store
-	if known, ok := c.Stores[store.ID]; ok {
+	if known, ok := s.Stores[store.ID]; ok {
 		store.Writer, store.Retiring, store.Retired = known.Writer, known.Retiring, known.Retired
 	} else {
-		store.Writer = c.NextWriter
-		c.NextWriter++
+		store.Writer = s.NextWriter
+		s.NextWriter++
 		// An empty one at the address of another: that one's disk is gone for good.
-		for _, id := range c.At(store.Peer) {
-			gone := c.Stores[id]
-			gone.Struck = true
-			c.setStore(gone)
+		for _, id := range s.StoresAt(store.Peer) {
+			departed := s.Stores[id]
+			departed.Evicted = true
+			s.setStore(departed)
 		}
 	}
-	c.setStore(store)
-	c.forgetGoneStores()
+	s.setStore(store)
+	s.forgetDepartedStores()
 }
 
-// mostGoneStores is how many stores that are struck or retired, and that no slot
+// maxDepartedStores is how many stores that are struck or retired, and that no slot
 // refers to, stay in the state: their names and lives answer for them for a while.
-const mostGoneStores = 16
+const maxDepartedStores = 16
 
-// forgetGoneStores drops the oldest of the stores that are gone. Their writer ids
+// forgetDepartedStores drops the oldest of the stores that are gone. Their writer ids
 // are not given again.
-func (c *State) forgetGoneStores() {
-	var gone []Store
-	for _, store := range c.Stores {
-		if (store.Struck || store.Retired) && !c.refersTo(store.ID) {
-			gone = append(gone, store)
+func (s *State) forgetDepartedStores() {
+	var departed []Store
+	for _, store := range s.Stores {
+		if (store.Evicted || store.Retired) && !s.refersTo(store.ID) {
+			departed = append(departed, store)
 		}
 	}
-	if len(gone) <= mostGoneStores {
+	if len(departed) <= maxDepartedStores {
 		return
 	}
-	slices.SortFunc(gone, func(a, b Store) int { return a.Writer - b.Writer })
-	kept := maps.Clone(c.Stores)
-	for _, store := range gone[:len(gone)-mostGoneStores] {
+	slices.SortFunc(departed, func(a, b Store) int { return a.Writer - b.Writer })
+	kept := maps.Clone(s.Stores)
+	for _, store := range departed[:len(departed)-maxDepartedStores] {
 		delete(kept, store.ID)
 	}
-	c.Stores = kept
+	s.Stores = kept
 }
 
 // refersTo tells whether a slot's assignment names a store.
-func (c *State) refersTo(id string) bool {
-	for _, assignment := range c.Slots {
-		if assignment.Holds(id) || assignment.Trusts(id) {
+func (s *State) refersTo(id string) bool {
+	for _, assignment := range s.Shards {
+		if assignment.MustKeep(id) || assignment.IsTrusted(id) {
 			return true
 		}
 	}
 	return false
 }
 
-// At lists the stores that count and were last heard at an address.
-func (c *State) At(peer string) []string {
+// StoresAt lists the stores that count and were last heard at an address.
+func (s *State) StoresAt(peer string) []string {
 	var out []string
-	for id, store := range c.Stores {
-		if store.Peer == peer && !store.Struck {
+	for id, store := range s.Stores {
+		if store.Peer == peer && !store.Evicted {
 			out = append(out, id)
 		}
 	}
@@ -211,12 +211,12 @@
 	return out
 }
 
-// Named finds the store that has the operator's name: one that is not struck, the
+// StoreNamed finds the store that has the operator's name: one that is not struck, the
 // newest where there are several.
-func (c *State) Named(name string) (Store, bool) {
+func (s *State) StoreNamed(name string) (Store, bool) {
 	var found Store
-	for _, store := range c.Stores {
-		if name != "" && store.Name == name && !store.Struck && store.Writer > found.Writer {
+	for _, store := range s.Stores {
+		if name != "" && store.Name == name && !store.Evicted && store.Writer > found.Writer {
 			found = store
 		}
 	}
@@ -224,59 +224,59 @@
 }
 
 // setStore replaces the map, which may have been handed out.
-func (c *State) setStore(store Store) {
-	stores := make(map[string]Store, len(c.Stores)+1)
-	for id, known := range c.Stores {
+func (s *State) setStore(store Store) {
+	stores := make(map[string]Store, len(s.Stores)+1)
+	for id, known := range s.Stores {
 		stores[id] = known
 	}
 	stores[store.ID] = store
-	c.Stores = stores
+	s.Stores = stores
 }
 
 // Apply marks.
-func (e Retire) Apply(c *State) {
-	if store, ok := c.Stores[e.ID]; ok {
-		store.Retiring, store.Retired = !e.Back, e.Done && !e.Back
-		c.setStore(store)
-		c.forgetGoneStores()
+func (e Retire) Apply(s *State) {
+	if store, ok := s.Stores[e.ID]; ok {
+		store.Retiring, store.Retired = !e.Cancel, e.Done && !e.Cancel
+		s.setStore(store)
+		s.forgetDepartedStores()
 	}
 }
 
 // Apply writes pairings down; an epoch never goes back.
-func (e Pair) Apply(c *State) {
-	slots := append([]replication.Assignment(nil), c.Slots...)
-	for slot, pairing := range e.Slots {
-		if slot >= 0 && slot < len(slots) && pairing.Epoch >= slots[slot].Epoch {
-			slots[slot] = pairing
+func (e AssignShards) Apply(s *State) {
+	shards := append([]replication.Assignment(nil), s.Shards...)
+	for shard, assignment := range e.Shards {
+		if shard >= 0 && shard < len(shards) && assignment.Epoch >= shards[shard].Epoch {
+			shards[shard] = assignment
 		}
 	}
-	c.Slots = slots
-	c.forgetGoneStores()
+	s.Shards = shards
+	s.forgetDepartedStores()
 }
 
-func (Found) kind() string      { return kindFound }
-func (EnrolStore) kind() string { return kindEnrolStore }
-func (Pair) kind() string       { return kindPair }
-func (Retire) kind() string     { return kindRetire }
+func (Bootstrap) kind() string     { return kindFound }
+func (RegisterStore) kind() string { return kindEnrolStore }
+func (AssignShards) kind() string  { return kindPair }
+func (Retire) kind() string        { return kindRetire }
 
-var entries = machine.Entries[Entry]{
-	kindFound:      machine.Decoder(func(e Found) Entry { return e }),
-	kindPutPlan:    machine.Decoder(func(e PutPlan) Entry { return e }),
-	kindEnrolStore: machine.Decoder(func(e EnrolStore) Entry { return e }),
-	kindPair:       machine.Decoder(func(e Pair) Entry { return e }),
-	kindRetire:     machine.Decoder(func(e Retire) Entry { return e }),
+var entries = machine.EntryCodec[Entry]{
+	kindFound:            machine.Decoder(func(e Bootstrap) Entry { return e }),
+	kindPutConfiguration: machine.Decoder(func(e PutConfiguration) Entry { return e }),
+	kindEnrolStore:       machine.Decoder(func(e RegisterStore) Entry { return e }),
+	kindPair:             machine.Decoder(func(e AssignShards) Entry { return e }),
+	kindRetire:           machine.Decoder(func(e Retire) Entry { return e }),
 }
 
 // Encode writes an entry for the pair.
 func Encode(e Entry) []byte { return entries.Encode(e.kind(), e) }
 
-// Play applies an encoded entry.
-func (c *State) Play(data []byte) error {
+// ApplyEntry applies an encoded entry.
+func (s *State) ApplyEntry(data []byte) error {
 	entry, err := entries.Decode(data)
 	if err != nil {
 		return err
 	}
-	entry.Apply(c)
-	c.Seq++
+	entry.Apply(s)
+	s.Seq++
 	return nil
 }
--- a/core/state/stored_names.go
+++ b/core/state/stored_names.go
@@ -1,25 +1,25 @@
 package state
 
-// MapKey, PlanKey and CoreKey are the keys of the updates that the primary core publishes.
+// MapKey, ConfigurationKey and CoreKey are the keys of the updates that the primary core publishes.
 // These spellings are gossiped; they never change.
 const (
-	MapKey  = "map"
-	PlanKey = "plan"
-	CoreKey = "core"
+	MapKey           = "map"
+	ConfigurationKey = "plan"
+	CoreKey          = "core"
 )
 
 // The kinds of changes. These spellings are on disk; they never change.
 const (
-	kindFound      = "found"
-	kindPutPlan    = "put-plan"
-	kindEnrolStore = "enrol-store"
-	kindPair       = "pair"
-	kindRetire     = "retire"
+	kindFound            = "found"
+	kindPutConfiguration = "put-plan"
+	kindEnrolStore       = "enrol-store"
+	kindPair             = "pair"
+	kindRetire           = "retire"
 )
 
 // The mark that a snapshot begins with, and what the marks of all forms have in common.
 // These spellings are on disk; they never change.
 const (
-	snapshotMark   = "TRS1"
+	snapshotMagic  = "TRS1"
 	snapshotFamily = "TRS"
 )
--- a/daemon/admin/admin.go
+++ b/daemon/admin/admin.go
@@ -51,29 +51,29 @@
 	p.Handle(http.MethodGet, "/v1/operator/core", a.core)
 	p.Handle(http.MethodGet, "/v1/operator/servers", a.servers)
 	p.Handle(http.MethodPut, "/v1/operator/servers", a.putServers)
-	p.Handle(http.MethodPost, "/v1/operator/servers/:name/leaving", a.leaving)
-	p.Handle(http.MethodGet, "/v1/operator/plan", a.plan)
-	p.Handle(http.MethodPut, "/v1/operator/plan", a.putPlan)
-	p.Handle(http.MethodGet, "/v1/operator/plans", a.plans)
-	p.Handle(http.MethodGet, "/v1/operator/plans/:version", a.plans)
+	p.Handle(http.MethodPost, "/v1/operator/servers/:name/leaving", a.setDraining)
+	p.Handle(http.MethodGet, "/v1/operator/plan", a.configuration)
+	p.Handle(http.MethodPut, "/v1/operator/plan", a.putConfiguration)
+	p.Handle(http.MethodGet, "/v1/operator/plans", a.configurations)
+	p.Handle(http.MethodGet, "/v1/operator/plans/:version", a.configurations)
 	p.Handle(http.MethodGet, "/v1/operator/stores/:id", a.store)
 	p.Handle(http.MethodPost, "/v1/operator/stores/:id/retire", a.retire)
 	p.Handle(http.MethodGet, "/v1/operator/purse", a.quota)
-	p.Handle(http.MethodGet, "/v1/operator/orders", a.order)
-	p.Handle(http.MethodGet, "/v1/operator/bundles/:bundle", a.bundle)
+	p.Handle(http.MethodGet, "/v1/operator/orders", a.explainRequest)
+	p.Handle(http.MethodGet, "/v1/operator/bundles/:bundle", a.explainBatch)
 }
 
 func (a *Admin) health(w http.ResponseWriter, _ *http.Request) error {
-	out := map[string]any{"id": a.Loop.Who.ID, "life": a.Loop.Who.Life, "zone": a.Loop.Zone, "sound": true, "now_us": a.Loop.Now()}
-	if why := a.Loop.DiskTrouble(); why != "" {
-		out["sound"], out["disk"] = false, why
+	out := map[string]any{"id": a.Loop.Identity.ID, "life": a.Loop.Identity.Incarnation, "zone": a.Loop.Zone, "sound": true, "now_us": a.Loop.Now()}
+	if reason := a.Loop.DiskFault(); reason != "" {
+		out["sound"], out["disk"] = false, reason
 	}
 	return httpserver.WriteJSON(w, http.StatusOK, out)
 }
 
 func (a *Admin) ready(w http.ResponseWriter, _ *http.Request) error {
-	if why := a.Ready(); why != "" {
-		return errs.Later(errs.NotReady, clock.Second, "wait; it becomes ready by itself", "%s", why)
+	if reason := a.Ready(); reason != "" {
+		return errs.NewWithRetry(errs.NotReady, clock.Second, "wait; it becomes ready by itself", "%s", reason)
 	}
 	return httpserver.WriteJSON(w, http.StatusOK, map[string]any{"ready": true})
 }
@@ -98,10 +98,10 @@
 	return httpserver.WriteJSON(w, http.StatusOK, map[string]any{"daemons": out})
 }
 
-func (a *Admin) readUpdate(key string, into any, what string) error {
+func (a *Admin) readUpdate(key string, into any, description string) error {
 	update, ok := a.Loop.Update(key)
 	if !ok {
-		return errs.Later(errs.NotReady, clock.Second, "ask again; the daemon has just started, or none was ever put", "no %s has arrived yet", what)
+		return errs.NewWithRetry(errs.NotReady, clock.Second, "ask again; the daemon has just started, or none was ever put", "no %s has arrived yet", description)
 	}
 	return json.Unmarshal(update.Value, into)
 }
@@ -115,102 +115,102 @@
 }
 
 func (a *Admin) core(w http.ResponseWriter, _ *http.Request) error {
-	var c state.CoreNews
+	var c state.CoreUpdate
 	if err := a.readUpdate(state.CoreKey, &c, "word of the cores"); err != nil {
 		return err
 	}
 	return httpserver.WriteJSON(w, http.StatusOK, c)
 }
 
-func (a *Admin) plan(w http.ResponseWriter, _ *http.Request) error {
+func (a *Admin) configuration(w http.ResponseWriter, _ *http.Request) error {
 	var version state.Version
-	if err := a.readUpdate(state.PlanKey, &version, "plan"); err != nil {
+	if err := a.readUpdate(state.ConfigurationKey, &version, "plan"); err != nil {
 		return err
 	}
 	return httpserver.WriteJSON(w, http.StatusOK, version)
 }
 
-func (a *Admin) primary() (state.CoreNews, error) {
-	var c state.CoreNews
+func (a *Admin) primary() (state.CoreUpdate, error) {
+	var c state.CoreUpdate
 	err := a.readUpdate(state.CoreKey, &c, "word of the cores")
 	return c, err
 }
 
-// AskPrimary asks the primary core, or this daemon's own machine if that is it.
-func (a *Admin) AskPrimary(body any, expiry clock.Micros) (any, error) {
+// CallPrimary asks the primary core, or this daemon's own machine if that is it.
+func (a *Admin) CallPrimary(body any, timeout clock.Micros) (any, error) {
 	core, err := a.primary()
 	if err != nil {
 		return nil, err
 	}
-	if core.Primary == a.Loop.Who.ID {
-		return a.Loop.AskHere(body)
+	if core.Primary == a.Loop.Identity.ID {
+		return a.Loop.CallLocal(body)
 	}
-	return a.Loop.Transport.Ask(core.Peer, body, expiry)
+	return a.Loop.Transport.Call(core.Peer, body, timeout)
 }
 
-const planExpiry = 5 * clock.Second
+const configurationTimeout = 5 * clock.Second
 
-func (a *Admin) putPlan(w http.ResponseWriter, r *http.Request) error {
+func (a *Admin) putConfiguration(w http.ResponseWriter, r *http.Request) error {
 	data, err := httpserver.ReadBody(r)
 	if err != nil {
 		return err
 	}
-	if err := config.Check(data); err != nil {
+	if err := config.Validate(data); err != nil {
 		return err
 	}
-	ask := control.PutPlanAsk{Body: data, By: r.Header.Get("X-Operator"), Expiry: planExpiry}
+	request := control.PutConfigurationRequest{Body: data, By: r.Header.Get("X-Operator"), Timeout: configurationTimeout}
 	if text := r.URL.Query().Get("base"); text != "" {
 		base, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
 			return errs.New(errs.BadInput, "give the version the plan was made from, or leave base out", "base=%q is no version", text)
 		}
-		ask.Base, ask.HasBase = base, true
+		request.Base, request.HasBase = base, true
 	}
-	got, err := a.AskPrimary(ask, planExpiry+clock.Second)
+	got, err := a.CallPrimary(request, configurationTimeout+clock.Second)
 	if err != nil {
 		return err
 	}
-	receipt, ok := got.(control.PlanReceipt)
+	response, ok := got.(control.PutConfigurationResponse)
 	if !ok {
 		return errs.New(errs.ServerFault, "run the same release on all daemons", "the core answered %T", got)
 	}
-	return httpserver.WriteJSON(w, http.StatusOK, map[string]any{"version": receipt.Version})
+	return httpserver.WriteJSON(w, http.StatusOK, map[string]any{"version": response.Version})
 }
 
-func (a *Admin) plans(w http.ResponseWriter, r *http.Request) error {
-	var ask control.PlansAsk
+func (a *Admin) configurations(w http.ResponseWriter, r *http.Request) error {
+	var request control.ConfigurationsRequest
 	if text := pathvar.Vars(r)["version"]; text != "" {
 		version, err := strconv.ParseUint(text, 10, 64)
 		if err != nil || version == 0 {
 			return errs.New(errs.BadInput, "give a version from the list of plans", "%q is no version", text)
 		}
-		ask.Version = version
+		request.Version = version
 	}
-	got, err := a.AskPrimary(ask, 3*clock.Second)
+	got, err := a.CallPrimary(request, 3*clock.Second)
 	if err != nil {
 		return err
 	}
-	plans, ok := got.(control.Plans)
+	configurations, ok := got.(control.ConfigurationsResponse)
 	if !ok {
 		return errs.New(errs.ServerFault, "run the same release on all daemons", "the core answered %T", got)
 	}
-	if ask.Version > 0 && len(plans.Versions) == 1 {
-		return httpserver.WriteJSON(w, http.StatusOK, plans.Versions[0])
+	if request.Version > 0 && len(configurations.Versions) == 1 {
+		return httpserver.WriteJSON(w, http.StatusOK, configurations.Versions[0])
 	}
-	return httpserver.WriteJSON(w, http.StatusOK, listOf(plans))
+	return httpserver.WriteJSON(w, http.StatusOK, configurationList(configurations))
 }
 
-// listOf lists the versions that can be read back, and the orders that are still
+// configurationList lists the versions that can be read back, and the orders that are still
 // recognised when they are sent again, by the digest of their documents.
-func listOf(plans control.Plans) map[string]any {
-	versions, orders := []map[string]any{}, []map[string]any{}
-	for _, version := range plans.Versions {
+func configurationList(configurations control.ConfigurationsResponse) map[string]any {
+	versions, requests := []map[string]any{}, []map[string]any{}
+	for _, version := range configurations.Versions {
 		versions = append(versions, map[string]any{"version": version.Number, "base": version.Base, "by": version.By, "at_us": version.At})
 	}
-	for _, order := range plans.Orders {
-		orders = append(orders, map[string]any{"version": order.Number, "base": order.Base, "digest": order.Digest.String()})
+	for _, request := range configurations.Requests {
+		requests = append(requests, map[string]any{"version": request.Number, "base": request.Base, "digest": request.Digest.String()})
 	}
-	return map[string]any{"plans": versions, "orders": orders}
+	return map[string]any{"plans": versions, "orders": requests}
 }
 
 func (a *Admin) store(w http.ResponseWriter, r *http.Request) error {
@@ -221,10 +221,10 @@
 		}
 		var got any
 		var err error
-		if id == a.Loop.Who.ID {
-			got, err = a.Loop.AskHere(store.ShowAsk{})
+		if id == a.Loop.Identity.ID {
+			got, err = a.Loop.CallLocal(store.StatusRequest{})
 		} else {
-			got, err = a.Loop.Transport.Ask(member.Peer, store.ShowAsk{}, 2*clock.Second)
+			got, err = a.Loop.Transport.Call(member.Peer, store.StatusRequest{}, 2*clock.Second)
 		}
 		if err != nil {
 			return err
@@ -242,22 +242,22 @@
 		return err
 	}
 	var body struct {
-		Back bool `json:"back"`
+		Cancel bool `json:"back"`
 	}
 	if len(data) > 0 {
 		if err := httpserver.Decode(data, &body); err != nil {
 			return err
 		}
 	}
-	got, err := a.AskPrimary(control.RetireAsk{ID: pathvar.Vars(r)["id"], Back: body.Back, Expiry: planExpiry}, planExpiry+clock.Second)
+	got, err := a.CallPrimary(control.RetireRequest{ID: pathvar.Vars(r)["id"], Cancel: body.Cancel, Timeout: configurationTimeout}, configurationTimeout+clock.Second)
 	if err != nil {
 		return err
 	}
-	receipt, ok := got.(control.RetireReceipt)
+	response, ok := got.(control.RetireResponse)
 	if !ok {
 		return errs.New(errs.ServerFault, "run the same release on all daemons", "the core answered %T", got)
 	}
-	return httpserver.WriteJSON(w, http.StatusOK, map[string]any{"store": receipt.ID, "retired": receipt.Done, "slots_left": receipt.Left})
+	return httpserver.WriteJSON(w, http.StatusOK, map[string]any{"store": response.ID, "retired": response.Done, "slots_left": response.ShardsLeft})
 }
 
 // quota shows the shares held here and the accounts held here.
@@ -265,13 +265,13 @@
 	if a.Scheduling == nil {
 		return errs.New(errs.NotFound, "ask an edge or a store", "this daemon holds no shares")
 	}
-	var view map[string]any
-	a.Loop.WithMachine(func(now clock.Micros) { view = a.Scheduling.Quota.View(now) })
-	return httpserver.WriteJSON(w, http.StatusOK, view)
+	var snapshot map[string]any
+	a.Loop.WithMachine(func(now clock.Micros) { snapshot = a.Scheduling.Quota.Snapshot(now) })
+	return httpserver.WriteJSON(w, http.StatusOK, snapshot)
 }
 
-// order explains an order that this daemon assigned.
-func (a *Admin) order(w http.ResponseWriter, r *http.Request) error {
+// explainRequest explains an order that this daemon assigned.
+func (a *Admin) explainRequest(w http.ResponseWriter, r *http.Request) error {
 	name := r.URL.Query().Get("order")
 	if text := r.URL.Query().Get("slowest"); a.Decisions != nil && text != "" {
 		count, err := strconv.Atoi(text)
@@ -283,27 +283,27 @@
 	if a.Decisions == nil || name == "" {
 		return errs.New(errs.NotFound, "ask an edge or a store, with ?order=NAME", "this daemon assigns no orders, or no order was named")
 	}
-	story, ok := a.Decisions.Find(name)
+	entry, ok := a.Decisions.Find(name)
 	if !ok {
 		return errs.New(errs.NotFound, "ask the daemon that served it; each remembers its latest orders", "no order %q is remembered here", name)
 	}
-	return httpserver.WriteJSON(w, http.StatusOK, story)
+	return httpserver.WriteJSON(w, http.StatusOK, entry)
 }
 
-// bundle explains a bundle: who keeps it, and which server ran which item.
-func (a *Admin) bundle(w http.ResponseWriter, r *http.Request) error {
+// explainBatch explains a bundle: who keeps it, and which server ran which item.
+func (a *Admin) explainBatch(w http.ResponseWriter, r *http.Request) error {
 	if a.Reader == nil {
 		return errs.New(errs.NotFound, "ask an edge", "this daemon reads no ledgers")
 	}
 	id := pathvar.Vars(r)["bundle"]
-	var slot int
+	var shardIndex int
 	var owner token.Owner
 	var err error
-	a.Loop.WithMachine(func(clock.Micros) { slot, owner, err = a.Reader.StoreOf(id) })
+	a.Loop.WithMachine(func(clock.Micros) { shardIndex, owner, err = a.Reader.Locate(id) })
 	if err != nil {
 		return err
 	}
-	got, err := a.Loop.Transport.Ask(owner.Peer, store.StatusAsk{Slot: slot, Bundle: id, Operator: true}, 2*clock.Second)
+	got, err := a.Loop.Transport.Call(owner.Peer, store.BatchStatusRequest{Shard: shardIndex, Batch: id, Operator: true}, 2*clock.Second)
 	if err != nil {
 		return err
 	}
@@ -314,14 +314,14 @@
 	if a.Scheduling == nil {
 		return errs.New(errs.NotFound, "ask an edge or a store", "this daemon assigns no orders")
 	}
-	var servers []scheduler.ServerView
+	var servers []scheduler.ServerSnapshot
 	var waiting map[string]int
-	a.Loop.WithMachine(func(clock.Micros) { servers, waiting = a.Scheduling.Scheduler.View() })
+	a.Loop.WithMachine(func(clock.Micros) { servers, waiting = a.Scheduling.Scheduler.Snapshot() })
 	return httpserver.WriteJSON(w, http.StatusOK, map[string]any{"servers": servers, "waiting": waiting})
 }
 
-// ServersBody is the platform's whole list.
-type ServersBody struct {
+// ServersRequest is the platform's whole list.
+type ServersRequest struct {
 	Servers []registry.Server `json:"servers"`
 }
 
@@ -331,18 +331,18 @@
 	if err != nil {
 		return err
 	}
-	var body ServersBody
+	var body ServersRequest
 	if err := httpserver.Decode(data, &body); err != nil {
 		return err
 	}
-	listed, err := checkServers(body.Servers)
+	names, err := validateServers(body.Servers)
 	if err != nil {
 		return err
 	}
 	updated := body.Servers
-	for _, known := range a.listedServers() {
-		if !listed[known.Name] && !known.Gone {
-			known.Gone = true
+	for _, known := range a.knownServers() {
+		if !names[known.Name] && !known.Removed {
+			known.Removed = true
 			updated = append(updated, known)
 		}
 	}
@@ -355,39 +355,39 @@
 // maxSlots is the most slots that a server may be listed with.
 const maxSlots = 100_000
 
-// checkServers names every fault of a list of servers, or returns the names on it.
-func checkServers(servers []registry.Server) (map[string]bool, error) {
+// validateServers names every fault of a list of servers, or returns the names on it.
+func validateServers(servers []registry.Server) (map[string]bool, error) {
 	var faults []string
-	listed := map[string]bool{}
+	names := map[string]bool{}
 	for i, server := range servers {
 		at := "servers[" + strconv.Itoa(i) + "]"
 		if server.Name == "" || strings.ContainsAny(server.Name, "/ ") {
 			faults = append(faults, at+".name: must be a text without spaces and slashes")
 		}
-		if listed[server.Name] {
+		if names[server.Name] {
 			faults = append(faults, at+".name: is there twice; give each server its own")
 		}
-		listed[server.Name] = true
+		names[server.Name] = true
 		if _, err := netip.ParseAddrPort(server.Address); err != nil {
 			faults = append(faults, at+".address: not an IP number with a port")
 		}
 		if server.Slots < 1 || server.Slots > maxSlots {
 			faults = append(faults, at+".slots: must be from 1 to 100000")
 		}
-		if server.Gone {
+		if server.Removed {
 			faults = append(faults, at+".gone: leave the server out of the list instead")
 		}
 	}
 	if len(faults) > 0 {
 		return nil, &errs.Error{Kind: errs.BadInput, Message: "the list has faults; the list in force stays", Remedy: "correct each named place and put the list again", Faults: faults}
 	}
-	return listed, nil
+	return names, nil
 }
 
-// listedServers is the list of servers as the updates have it.
-func (a *Admin) listedServers() []registry.Server {
+// knownServers is the list of servers as the updates have it.
+func (a *Admin) knownServers() []registry.Server {
 	var out []registry.Server
-	for _, update := range a.Loop.UpdatesUnder(registry.ServerPrefix) {
+	for _, update := range a.Loop.UpdatesWithPrefix(registry.ServerPrefix) {
 		var server registry.Server
 		if json.Unmarshal(update.Value, &server) == nil {
 			out = append(out, server)
@@ -396,9 +396,9 @@
 	return out
 }
 
-// broadcastExpiry is how long a change of the list of servers may take until a
+// broadcastTimeout is how long a change of the list of servers may take until a
 // majority of the voters know it.
-const broadcastExpiry = 2 * clock.Second
+const broadcastTimeout = 2 * clock.Second
 
 // broadcastServers broadcasts the servers' new states, and waits until a majority of
 // the voters know each: from then on every daemon keeps to them.
@@ -410,27 +410,27 @@
 	for _, server := range servers {
 		known, _ := a.Loop.Update(registry.ServerKey(server.Name))
 		go func() {
-			updated <- a.Loop.Broadcast(registry.ServerUpdate(server, known, a.Loop.Now()), broadcastExpiry)
+			updated <- a.Loop.Broadcast(registry.ServerUpdate(server, known, a.Loop.Now()), broadcastTimeout)
 		}()
 	}
-	var failed error
+	var lastErr error
 	for range servers {
 		if err := <-updated; err != nil {
-			failed = err
+			lastErr = err
 		}
 	}
-	return failed
+	return lastErr
 }
 
-// leaving marks a server as leaving, or takes the mark back.
-func (a *Admin) leaving(w http.ResponseWriter, r *http.Request) error {
+// setDraining marks a server as leaving, or takes the mark back.
+func (a *Admin) setDraining(w http.ResponseWriter, r *http.Request) error {
 	data, err := httpserver.ReadBody(r)
 	if err != nil {
 		return err
 	}
 	body := struct {
-		Leaving bool `json:"leaving"`
-	}{Leaving: true}
+		Draining bool `json:"leaving"`
+	}{Draining: true}
 	if len(data) > 0 {
 		if err := httpserver.Decode(data, &body); err != nil {
 			return err
@@ -445,7 +445,7 @@
 	if err := json.Unmarshal(update.Value, &server); err != nil {
 		return err
 	}
-	server.Leaving = body.Leaving
+	server.Draining = body.Draining
 	if err := a.broadcastServers([]registry.Server{server}); err != nil {
 		return err
 	}
--- a/daemon/discovery/discovery.go
+++ b/daemon/discovery/discovery.go
@@ -20,42 +20,42 @@
 
 // Settings are the duty's intervals.
 type Settings struct {
-	Every clock.Micros // between two readings
-	Late  clock.Micros // silence after which the next in order reads
-	Step  clock.Micros // how much longer each one after it waits
-	Wait  clock.Micros // for one reading
+	Interval        clock.Micros // between two readings
+	TakeoverTimeout clock.Micros // silence after which the next in order reads
+	TakeoverStagger clock.Micros // how much longer each one after it waits
+	ReadTimeout     clock.Micros // for one reading
 }
 
 // Defaults are the values used where nothing is set.
 func Defaults() Settings {
-	return Settings{Every: clock.Second, Late: 1600 * clock.Millisecond, Step: 300 * clock.Millisecond, Wait: 900 * clock.Millisecond}
+	return Settings{Interval: clock.Second, TakeoverTimeout: 1600 * clock.Millisecond, TakeoverStagger: 300 * clock.Millisecond, ReadTimeout: 900 * clock.Millisecond}
 }
 
-// Stamp says when the list was read last, and by whom.
-type Stamp struct {
+// LastRead says when the list was read last, and by whom.
+type LastRead struct {
 	By string       `json:"by"`
 	At clock.Micros `json:"at"`
 }
 
 // Poller reads the list when it is this daemon's turn.
 type Poller struct {
-	Set  Settings
-	Loop *eventloop.Loop
+	Settings Settings
+	Loop     *eventloop.Loop
 	// Read reads the whole list.
 	Read func(ctx context.Context) ([]registry.Server, error)
-	// Failed counts the readings that came to nothing.
-	Failed int64
+	// FailedReads counts the readings that came to nothing.
+	FailedReads int64
 
-	heard  uint64       // sequence of the latest stamp heard
-	since  clock.Micros // when it was heard
-	next   clock.Micros
-	missed map[string]int
+	lastReadSeq     uint64       // sequence of the latest stamp heard
+	lastReadHeardAt clock.Micros // when it was heard
+	nextReadAt      clock.Micros
+	missedReads     map[string]int
 }
 
 // Start starts the duty's thread.
 func (p *Poller) Start(_ *services.Registry, ends *cleanup.Stack) error {
-	p.missed = map[string]int{}
-	p.since = p.Loop.Now()
+	p.missedReads = map[string]int{}
+	p.lastReadHeardAt = p.Loop.Now()
 	cleanup.Every(ends, 50*time.Millisecond, p.poll)
 	return nil
 }
@@ -63,113 +63,113 @@
 // poll reads the list if it is due here.
 func (p *Poller) poll() {
 	now := p.Loop.Now()
-	update, known := p.Loop.Update(StampKey)
-	if known && update.Seq > p.heard {
-		p.heard, p.since = update.Seq, now
+	update, known := p.Loop.Update(LastReadKey)
+	if known && update.Seq > p.lastReadSeq {
+		p.lastReadSeq, p.lastReadHeardAt = update.Seq, now
 	}
-	if now < p.next {
+	if now < p.nextReadAt {
 		return
 	}
-	var stamp Stamp
-	json.Unmarshal(update.Value, &stamp)
-	if !Due(p.Loop.Who.ID, stamp.By, p.Loop.Members(), now-p.since, p.Set) {
+	var lastRead LastRead
+	json.Unmarshal(update.Value, &lastRead)
+	if !IsDue(p.Loop.Identity.ID, lastRead.By, p.Loop.Members(), now-p.lastReadHeardAt, p.Settings) {
 		return
 	}
-	p.next = now + p.Set.Every
-	ctx, cancel := context.WithTimeout(context.Background(), clock.Span(p.Set.Wait))
+	p.nextReadAt = now + p.Settings.Interval
+	ctx, cancel := context.WithTimeout(context.Background(), clock.Duration(p.Settings.ReadTimeout))
 	defer cancel()
-	listed, err := p.Read(ctx)
+	current, err := p.Read(ctx)
 	if err != nil {
-		p.Failed++
+		p.FailedReads++
 		p.Loop.Log.Warn().Err(err).Msg("the platform's list can't be read; what is known serves on")
 		return
 	}
 	var servers []registry.Server
-	for _, one := range p.Loop.UpdatesUnder(registry.ServerPrefix) {
+	for _, one := range p.Loop.UpdatesWithPrefix(registry.ServerPrefix) {
 		var server registry.Server
 		if json.Unmarshal(one.Value, &server) == nil {
 			servers = append(servers, server)
 		}
 	}
-	for _, server := range Compare(servers, listed, p.missed) {
+	for _, server := range Diff(servers, current, p.missedReads) {
 		p.Loop.Publish(ServerUpdate(server, p.Loop.Now()))
 	}
-	value, _ := json.Marshal(Stamp{By: p.Loop.Who.ID, At: p.Loop.Now()})
-	p.heard, p.since = max(p.heard+1, uint64(p.Loop.Now())), p.Loop.Now()
-	p.Loop.Publish(machine.Update{Key: StampKey, Seq: p.heard, Value: value})
+	value, _ := json.Marshal(LastRead{By: p.Loop.Identity.ID, At: p.Loop.Now()})
+	p.lastReadSeq, p.lastReadHeardAt = max(p.lastReadSeq+1, uint64(p.Loop.Now())), p.Loop.Now()
+	p.Loop.Publish(machine.Update{Key: LastReadKey, Seq: p.lastReadSeq, Value: value})
 }
 
-// Due tells whether a daemon is to read the list: who read it last goes on; when
+// IsDue tells whether a daemon is to read the list: who read it last goes on; when
 // nothing has been heard for a while, the first in the agreed order takes over, the
 // ones after it a little later each.
-func Due(self, last string, members []identity.Member, silent clock.Micros, set Settings) bool {
-	if last == self {
+func IsDue(self, lastReader string, members []identity.Member, sinceLastRead clock.Micros, settings Settings) bool {
+	if lastReader == self {
 		return true
 	}
-	place := 0
+	position := 0
 	var ids []string
 	for _, member := range members {
-		if member.Kind == identity.Core && member.Status <= identity.Suspect && member.ID != last {
+		if member.Kind == identity.Core && member.Status <= identity.Suspect && member.ID != lastReader {
 			ids = append(ids, member.ID)
 		}
 	}
 	sort.Strings(ids)
 	for i, id := range ids {
 		if id == self {
-			place = i
+			position = i
 		}
 	}
-	return silent >= set.Late+clock.Micros(place)*set.Step
+	return sinceLastRead >= settings.TakeoverTimeout+clock.Micros(position)*settings.TakeoverStagger
 }
 
 // A server's states have one direction: a name stands for one life of a server.
 const (
-	wordUp = iota
-	wordLeaving
-	wordGone
+	stateUp = iota
+	stateDraining
+	stateRemoved
 )
 
 // ServerUpdate is the update of a server's state: one that leaves never comes back,
 // also where another daemon reads an older list later.
 func ServerUpdate(server registry.Server, now clock.Micros) machine.Update {
 	value, _ := json.Marshal(server)
-	state := uint64(wordUp)
+	state := uint64(stateUp)
 	switch {
-	case server.Gone:
-		state = wordGone
-	case server.Leaving:
-		state = wordLeaving
+	case server.Removed:
+		state = stateRemoved
+	case server.Draining:
+		state = stateDraining
 	}
 	return machine.Update{Key: registry.ServerKey(server.Name), Epoch: state, Seq: uint64(now), Value: value}
 }
 
-// goneAfter is how many readings in a row have to lack a server before it counts
+// removeAfterMisses is how many readings in a row have to lack a server before it counts
 // as gone: a list that is read in pages may lack one by chance.
-const goneAfter = 2
+const removeAfterMisses = 2
 
-// Compare works out what has to be told: what is new, what leaves, what is gone.
-func Compare(known, listed []registry.Server, missed map[string]int) []registry.Server {
+// Diff works out what has to be told: what is new, what leaves, what is gone.
+func Diff(known, current []registry.Server, missedReads map[string]int) []registry.Server {
 	var out []registry.Server
-	was := map[string]registry.Server{}
+	previous := map[string]registry.Server{}
 	for _, server := range known {
-		was[server.Name] = server
+		previous[server.Name] = server
 	}
 	now := map[string]bool{}
-	for _, server := range listed {
+	for _, server := range current {
 		now[server.Name] = true
-		delete(missed, server.Name)
-		old, ok := was[server.Name]
-		if !ok || (!old.Leaving && !old.Gone && server.Leaving) || (old.Address != server.Address && !old.Gone) {
+		delete(missedReads, server.Name)
+		old, ok := previous[server.Name]
+		if !ok || (!old.Draining && !old.Removed && server.Draining) || (old.Address != server.Address && !old.Removed) {
 			out = append(out, server)
 		}
 	}
 	for _, server := range known {
-		if now[server.Name] || server.Gone {
+		if now[server.Name] || server.Removed {
 			continue
 		}
-		if missed[server.Name]++; missed[server.Name] >= goneAfter {
-			delete(missed, server.Name)
-			server.Gone = true
+		if missedReads[server.Name]++; missedReads[server.Name] >= removeAfterMisses {
+			delete(missedReads, server.Name)
+			server.Removed = true
 			out = append(out, server)
 		}
 	}
--- a/daemon/discovery/stored_names.go
+++ b/daemon/discovery/stored_names.go
@@ -1,5 +1,5 @@
 package discovery
 
-// StampKey is the update key of the latest reading. This spelling is gossiped; it never
+// LastReadKey is the update key of the latest reading. This spelling is gossiped; it never
 // changes.
-const StampKey = "lookout"
+const LastReadKey = "lookout"
--- a/daemon/effects/effects.go
+++ b/daemon/effects/effects.go
@@ -23,79 +23,79 @@
 	Now    func() clock.Micros
 	// Forward passes an opaque item on and tells how that went; set before the
 	// first work comes.
-	Forward func(ctx context.Context, run execution.Run) execution.Ran
+	Forward func(ctx context.Context, attempt execution.Attempt) execution.AttemptResult
 	mu      sync.Mutex
-	runs    map[uint64]context.CancelFunc
+	cancels map[uint64]context.CancelFunc
 }
 
 // New makes an executor.
-func New(now func() clock.Micros, tell func(body any)) *Executor {
-	return &Executor{Notify: tell, Now: now, runs: map[uint64]context.CancelFunc{}}
+func New(now func() clock.Micros, notify func(body any)) *Executor {
+	return &Executor{Notify: notify, Now: now, cancels: map[uint64]context.CancelFunc{}}
 }
 
-// Take begins a piece of work; it does not block.
-func (t *Executor) Take(work any) {
+// Execute begins a piece of work; it does not block.
+func (t *Executor) Execute(work any) {
 	switch w := work.(type) {
-	case execution.Run:
+	case execution.Attempt:
 		ctx, cancel := context.WithCancel(context.Background())
 		t.mu.Lock()
-		t.runs[w.Token] = cancel
+		t.cancels[w.ID] = cancel
 		t.mu.Unlock()
 		go t.run(ctx, w)
-	case execution.Stop:
+	case execution.CancelAttempt:
 		t.mu.Lock()
-		cancel := t.runs[w.Token]
+		cancel := t.cancels[w.AttemptID]
 		t.mu.Unlock()
 		if cancel != nil {
 			cancel()
 		}
-	case serverpoll.ReadServer:
-		go t.readServer(w)
+	case serverpoll.PollTask:
+		go t.pollServer(w)
 	}
 }
 
-func (t *Executor) run(ctx context.Context, w execution.Run) {
+func (t *Executor) run(ctx context.Context, w execution.Attempt) {
 	defer func() {
 		t.mu.Lock()
-		t.runs[w.Token]()
-		delete(t.runs, w.Token)
+		t.cancels[w.ID]()
+		delete(t.cancels, w.ID)
 		t.mu.Unlock()
 	}()
-	if w.Forward != nil {
+	if w.ForwardedItem != nil {
 		t.Notify(t.forward(ctx, w))
 		return
 	}
 	var output strings.Builder
-	outcome, err := modelclient.Run(ctx, w.Request, func(piece string) error {
-		if output.Len()+len(piece) > w.MostBytes {
-			return errs.New(errs.TooLarge, "lower max_tokens of the route", "the result is over %d bytes", w.MostBytes)
+	outcome, err := modelclient.StreamCompletion(ctx, w.Request, func(chunk string) error {
+		if output.Len()+len(chunk) > w.MaxOutputBytes {
+			return errs.New(errs.TooLarge, "lower max_tokens of the route", "the result is over %d bytes", w.MaxOutputBytes)
 		}
 		if output.Len() == 0 {
-			t.Notify(execution.Began{Token: w.Token})
+			t.Notify(execution.AttemptStarted{AttemptID: w.ID})
 		}
-		output.WriteString(piece)
+		output.WriteString(chunk)
 		return nil
 	})
-	ran := execution.Ran{Token: w.Token, Outcome: outcome, Output: output.String()}
+	result := execution.AttemptResult{AttemptID: w.ID, Outcome: outcome, Output: output.String()}
 	if err != nil {
-		ran.Why = err.Error()
+		result.Reason = err.Error()
 	}
-	t.Notify(ran)
+	t.Notify(result)
 }
 
-func (t *Executor) forward(ctx context.Context, w execution.Run) execution.Ran {
+func (t *Executor) forward(ctx context.Context, w execution.Attempt) execution.AttemptResult {
 	if t.Forward == nil {
-		return execution.Ran{Token: w.Token, Outcome: modelclient.NotStarted, Why: "this daemon passes nothing on to servers; start one that does"}
+		return execution.AttemptResult{AttemptID: w.ID, Outcome: modelclient.NotStarted, Reason: "this daemon passes nothing on to servers; start one that does"}
 	}
-	ran := t.Forward(ctx, w)
-	ran.Token = w.Token
-	return ran
+	result := t.Forward(ctx, w)
+	result.AttemptID = w.ID
+	return result
 }
 
-func (t *Executor) readServer(w serverpoll.ReadServer) {
+func (t *Executor) pollServer(w serverpoll.PollTask) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	began := t.Now()
+	startedAt := t.Now()
 	running, waiting, err := modelclient.ReadLoad(ctx, w.Address)
-	t.Notify(serverpoll.ServerReading{ReadServer: w, Running: running, Waiting: waiting, Sound: err == nil, Began: began})
+	t.Notify(serverpoll.PollResult{PollTask: w, Running: running, Waiting: waiting, Healthy: err == nil, StartedAt: startedAt})
 }
--- a/daemon/effects/effects_test.go
+++ b/daemon/effects/effects_test.go
@@ -11,20 +11,20 @@
 
 // An opaque item is passed on by the function given for it, and its word comes
 // back under the run's number; without one it certainly did not start.
-func TestOpaqueItemsArePassedOn(t *testing.T) {
-	told := make(chan any, 1)
-	track := New(func() clock.Micros { return 1 }, func(body any) { told <- body })
-	work := execution.Run{Token: 7, Forward: &execution.Forwarded{ID: "i"}}
-	track.Take(work)
-	if ran := (<-told).(execution.Ran); ran.Token != 7 || ran.Outcome != modelclient.NotStarted || ran.Why == "" {
-		t.Fatalf("%+v", ran)
+func TestOpaqueItemsAreForwarded(t *testing.T) {
+	notifications := make(chan any, 1)
+	executor := New(func() clock.Micros { return 1 }, func(body any) { notifications <- body })
+	work := execution.Attempt{ID: 7, ForwardedItem: &execution.ForwardedItem{ItemID: "i"}}
+	executor.Execute(work)
+	if result := (<-notifications).(execution.AttemptResult); result.AttemptID != 7 || result.Outcome != modelclient.NotStarted || result.Reason == "" {
+		t.Fatalf("%+v", result)
 	}
-	track.Forward = func(_ context.Context, run execution.Run) execution.Ran {
-		return execution.Ran{Outcome: modelclient.Complete, Events: []string{run.Forward.ID}, LastEvent: 1}
+	executor.Forward = func(_ context.Context, attempt execution.Attempt) execution.AttemptResult {
+		return execution.AttemptResult{Outcome: modelclient.Complete, Events: []string{attempt.ForwardedItem.ItemID}, LastEventID: 1}
 	}
-	work.Token = 8 // the first one may not have ended yet
-	track.Take(work)
-	if ran := (<-told).(execution.Ran); ran.Token != 8 || ran.Outcome != modelclient.Complete || ran.Events[0] != "i" {
-		t.Fatalf("%+v", ran)
+	work.ID = 8 // the first one may not have ended yet
+	executor.Execute(work)
+	if result := (<-notifications).(execution.AttemptResult); result.AttemptID != 8 || result.Outcome != modelclient.Complete || result.Events[0] != "i" {
+		t.Fatalf("%+v", result)
 	}
 }
--- a/daemon/effects/forward.go
+++ b/daemon/effects/forward.go
@@ -12,9 +12,9 @@
 	"tuliprudder/path/upstream"
 )
 
-// itemExpiry is how long one try of an item may take before it is broken off: a
+// itemAttemptTimeout is how long one try of an item may take before it is broken off: a
 // server that says nothing for so long is taken for lost.
-const itemExpiry = 30 * time.Second
+const itemAttemptTimeout = 30 * time.Second
 
 // Forwarder passes opaque items on over a client.
 type Forwarder struct {
@@ -24,70 +24,70 @@
 
 // Forward passes an item on to its server unchanged (DESIGN §12.5) and gathers the
 // events of its answer; a later try goes on after the last one.
-func (f Forwarder) Forward(ctx context.Context, w execution.Run) (ran execution.Ran) {
-	ran = execution.Ran{Token: w.Token, Outcome: modelclient.Cut, LastEvent: w.Forward.Resume}
-	ctx, cancel := context.WithTimeout(ctx, itemExpiry)
+func (f Forwarder) Forward(ctx context.Context, w execution.Attempt) (result execution.AttemptResult) {
+	result = execution.AttemptResult{AttemptID: w.ID, Outcome: modelclient.Interrupted, LastEventID: w.ForwardedItem.LastEventID}
+	ctx, cancel := context.WithTimeout(ctx, itemAttemptTimeout)
 	defer cancel()
-	item := w.Forward.Request
+	item := w.ForwardedItem.Request
 	header := make(http.Header, len(item.Header))
 	for name, value := range item.Header {
 		header.Set(name, value)
 	}
-	request := upstream.Request{Address: w.Request.Address, Instance: w.Forward.Instance, Method: http.MethodPost, Target: item.Target, Host: item.Host,
-		ID: w.Forward.ID, Header: header, Body: item.Body}
-	if w.Forward.Resume > 0 {
-		request.LastEvent = strconv.Itoa(w.Forward.Resume)
+	request := upstream.Request{Address: w.Request.Address, Instance: w.ForwardedItem.Instance, Method: http.MethodPost, Target: item.Target, Host: item.Host,
+		ID: w.ForwardedItem.ItemID, Header: header, Body: item.Body}
+	if w.ForwardedItem.LastEventID > 0 {
+		request.LastEventID = strconv.Itoa(w.ForwardedItem.LastEventID)
 	}
-	answer, err := f.Client.Do(ctx, request)
+	response, err := f.Client.Do(ctx, request)
 	if err != nil {
-		ran.Why = err.Error()
-		if upstream.CertaintyOf(err) == upstream.NotWritten {
-			ran.Outcome = modelclient.NotStarted
+		result.Reason = err.Error()
+		if upstream.DeliveryOf(err) == upstream.NotWritten {
+			result.Outcome = modelclient.NotStarted
 		}
-		return ran
+		return result
 	}
-	defer answer.Close()
+	defer response.Close()
 	switch {
-	case answer.NotRun:
-		ran.Outcome, ran.Why = modelclient.NotStarted, "the server did not run it: "+strconv.Itoa(answer.Status)
-	case answer.Status == http.StatusUnprocessableEntity:
-		ran.Outcome, ran.Why = modelclient.Rejected, "the server says that it can never be done"
-	case answer.Status == http.StatusInternalServerError:
-		ran.Failed, ran.Why = true, "the server failed"
-	case answer.Status != http.StatusOK:
-		ran.Why = "the server answered " + strconv.Itoa(answer.Status)
+	case response.NotRun:
+		result.Outcome, result.Reason = modelclient.NotStarted, "the server did not run it: "+strconv.Itoa(response.Status)
+	case response.Status == http.StatusUnprocessableEntity:
+		result.Outcome, result.Reason = modelclient.Rejected, "the server says that it can never be done"
+	case response.Status == http.StatusInternalServerError:
+		result.ServerFailed, result.Reason = true, "the server failed"
+	case response.Status != http.StatusOK:
+		result.Reason = "the server answered " + strconv.Itoa(response.Status)
 	default:
-		ran.Outcome, ran.Why = f.gather(w, answer, &ran)
-		return ran
+		result.Outcome, result.Reason = f.collectEvents(w, response, &result)
+		return result
 	}
-	io.Copy(io.Discard, io.LimitReader(answer.Body, 64<<10))
-	return ran
+	io.Copy(io.Discard, io.LimitReader(response.Body, 64<<10))
+	return result
 }
 
-// gather collects the events of an answer. An event that is out of order belongs to
+// collectEvents collects the events of an answer. An event that is out of order belongs to
 // no run that was asked for.
-func (f Forwarder) gather(w execution.Run, answer *upstream.Answer, ran *execution.Ran) (modelclient.Outcome, string) {
-	events := upstream.NewEventReader(answer.Body)
+func (f Forwarder) collectEvents(w execution.Attempt, response *upstream.Response, result *execution.AttemptResult) (modelclient.Outcome, string) {
+	events := upstream.NewEventReader(response.Body)
 	size := 0
 	for {
 		event, err := events.Next()
-		if err == io.EOF && answer.Delimited {
+		if err == io.EOF && response.Delimited {
 			return modelclient.Complete, ""
 		}
 		if err != nil {
-			return modelclient.Cut, err.Error()
+			return modelclient.Interrupted, err.Error()
 		}
 		id, err := strconv.Atoi(event.ID)
-		if err != nil || id != ran.LastEvent+1 {
-			return modelclient.Cut, "event " + event.ID + " follows event " + strconv.Itoa(ran.LastEvent)
+		if err != nil || id != result.LastEventID+1 {
+			return modelclient.Interrupted, "event " + event.ID + " follows event " + strconv.Itoa(result.LastEventID)
 		}
-		if size += len(event.Data); size > w.MostBytes {
-			return modelclient.Cut, "the result is over " + strconv.Itoa(w.MostBytes) + " bytes"
+		if size += len(event.Data); size > w.MaxOutputBytes {
+			return modelclient.Interrupted, "the result is over " + strconv.Itoa(w.MaxOutputBytes) + " bytes"
 		}
-		if len(ran.Events) == 0 {
-			f.Executor.Notify(execution.Began{Token: w.Token})
+		if len(result.Events) == 0 {
+			f.Executor.Notify(execution.AttemptStarted{AttemptID: w.ID})
 		}
-		ran.LastEvent = id
-		ran.Events = append(ran.Events, event.Data)
+		result.LastEventID = id
+		result.Events = append(result.Events, event.Data)
 	}
 }
--- a/daemon/eventloop/disk_queue.go
+++ b/daemon/eventloop/disk_queue.go
@@ -9,8 +9,8 @@
 // Bounds of what waits for the disk. One effect may pass the second: the copy of a
 // whole unit is as large as the unit.
 const (
-	diskQueueEffects = 65536
-	diskQueueBytes   = 32 << 20
+	maxQueuedEffects = 65536
+	maxQueuedBytes   = 32 << 20
 	recordOverhead   = 128 // bytes that a record takes beside its body, about
 )
 
@@ -18,13 +18,13 @@
 // waits: a machine whose disk is that far behind stands still, like a process that
 // is frozen, rather than forget what it has decided or grow without bound.
 type diskQueue struct {
-	mu      sync.Mutex
-	changed *sync.Cond
-	waiting []queuedEffect
-	bytes   int
-	closed  bool
-	most    int // effects
-	size    int // bytes
+	mu         sync.Mutex
+	changed    *sync.Cond
+	queued     []queuedEffect
+	bytes      int
+	closed     bool
+	maxEffects int // effects
+	maxBytes   int // bytes
 }
 
 type queuedEffect struct {
@@ -32,8 +32,8 @@
 	bytes  int
 }
 
-func newDiskQueue(mostEffects, mostBytes int) *diskQueue {
-	q := &diskQueue{most: mostEffects, size: mostBytes}
+func newDiskQueue(maxEffects, maxBytes int) *diskQueue {
+	q := &diskQueue{maxEffects: maxEffects, maxBytes: maxBytes}
 	q.changed = sync.NewCond(&q.mu)
 	return q
 }
@@ -42,37 +42,37 @@
 func (q *diskQueue) put(effect machine.Effect) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for !q.closed && (len(q.waiting) >= q.most || q.bytes >= q.size) {
+	for !q.closed && (len(q.queued) >= q.maxEffects || q.bytes >= q.maxBytes) {
 		q.changed.Wait()
 	}
 	if q.closed {
 		return false
 	}
 	one := queuedEffect{effect, sizeOf(effect)}
-	q.waiting = append(q.waiting, one)
+	q.queued = append(q.queued, one)
 	q.bytes += one.bytes
 	q.changed.Broadcast()
 	return true
 }
 
 // take waits for at least one and returns up to most; nil once closed and empty.
-func (q *diskQueue) take(most int) []machine.Effect {
+func (q *diskQueue) take(limit int) []machine.Effect {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for len(q.waiting) == 0 && !q.closed {
+	for len(q.queued) == 0 && !q.closed {
 		q.changed.Wait()
 	}
-	count := min(most, len(q.waiting))
+	count := min(limit, len(q.queued))
 	if count == 0 {
 		return nil
 	}
 	out := make([]machine.Effect, count)
 	for i := range out {
-		out[i] = q.waiting[i].effect
-		q.bytes -= q.waiting[i].bytes
-		q.waiting[i] = queuedEffect{}
+		out[i] = q.queued[i].effect
+		q.bytes -= q.queued[i].bytes
+		q.queued[i] = queuedEffect{}
 	}
-	q.waiting = q.waiting[count:]
+	q.queued = q.queued[count:]
 	q.changed.Broadcast()
 	return out
 }
@@ -89,17 +89,17 @@
 func (q *diskQueue) load() (effects, bytes int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.waiting), q.bytes
+	return len(q.queued), q.bytes
 }
 
 func sizeOf(effect machine.Effect) int {
 	var records []machine.Record
 	switch e := effect.(type) {
-	case machine.Store:
+	case machine.Persist:
 		records = e.Records
-	case machine.Fold:
+	case machine.Compact:
 		records = e.Records
-	case machine.Shelve:
+	case machine.Archive:
 		records = e.Records
 	}
 	size := recordOverhead
--- a/daemon/eventloop/identity_test.go
+++ b/daemon/eventloop/identity_test.go
@@ -8,18 +8,18 @@
 	"tuliprudder/kernel/errs"
 )
 
-func TestEachStartIsANewLife(t *testing.T) {
+func TestEachStartIsANewIncarnation(t *testing.T) {
 	folder := t.TempDir()
-	first, err := LoadIdentity(folder, "refuge")
+	before, err := LoadIdentity(folder, "refuge")
 	if err != nil {
 		t.Fatal(err)
 	}
 	second, err := LoadIdentity(folder, "refuge")
-	if err != nil || second.ID != first.ID || second.Life != first.Life+1 {
-		t.Fatalf("first %+v, second %+v, %v", first, second, err)
+	if err != nil || second.ID != before.ID || second.Incarnation != before.Incarnation+1 {
+		t.Fatalf("first %+v, second %+v, %v", before, second, err)
 	}
 	other, err := LoadIdentity(t.TempDir(), "refuge")
-	if err != nil || other.ID == first.ID {
+	if err != nil || other.ID == before.ID {
 		t.Fatalf("an empty folder is %+v, %v", other, err)
 	}
 }
--- a/daemon/eventloop/start.go
+++ b/daemon/eventloop/start.go
@@ -14,11 +14,11 @@
 // again while the disk is full or fails writes, with pauses that grow. A daemon that
 // ended instead would be started again just to end again. Damage and faults in the
 // settings are handed back at once.
-func WaitForDisk(log zerolog.Logger, pause func(time.Duration), part func() error) error {
+func WaitForDisk(log zerolog.Logger, pause func(time.Duration), operation func() error) error {
 	waited := false
-	for span := firstRetry; ; span = min(2*span, mostRetry) {
-		err := part()
-		if !passing(err) {
+	for delay := initialRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
+		err := operation()
+		if !isTransient(err) {
 			if waited && err == nil {
 				log.Info().Msg("the disk takes writes; starting")
 			}
@@ -28,11 +28,11 @@
 			log.Warn().Err(err).Msg("the disk takes no writes; the start waits until it does: make room, or replace the disk")
 		}
 		waited = true
-		pause(span)
+		pause(delay)
 	}
 }
 
-// passing tells whether an error is a disk's refusal that may pass by itself.
-func passing(err error) bool {
-	return storage.CannotWrite(err) && (storage.Full(err) || errors.Is(err, syscall.EIO))
+// isTransient tells whether an error is a disk's refusal that may pass by itself.
+func isTransient(err error) bool {
+	return storage.IsWriteError(err) && (storage.IsDiskFull(err) || errors.Is(err, syscall.EIO))
 }
--- a/daemon/eventloop/start_test.go
+++ b/daemon/eventloop/start_test.go
@@ -17,22 +17,22 @@
 func TestAStartWaitsForTheDisk(t *testing.T) {
 	var log bytes.Buffer
 	var pauses []time.Duration
-	tries := 0
-	err := WaitForDisk(zerolog.New(&log), func(span time.Duration) { pauses = append(pauses, span) }, func() error {
-		tries++
+	attempts := 0
+	err := WaitForDisk(zerolog.New(&log), func(delay time.Duration) { pauses = append(pauses, delay) }, func() error {
+		attempts++
 		switch {
-		case tries < 5:
+		case attempts < 5:
 			return &storage.WriteError{Step: "write", Err: syscall.ENOSPC}
-		case tries < 10:
+		case attempts < 10:
 			return &storage.WriteError{Step: "sync", Err: syscall.EIO}
 		}
 		return nil
 	})
-	if err != nil || tries != 10 || len(pauses) != 9 || pauses[0] != firstRetry || pauses[8] != mostRetry {
-		t.Fatalf("%v after %d tries with pauses %v", err, tries, pauses)
+	if err != nil || attempts != 10 || len(pauses) != 9 || pauses[0] != initialRetryDelay || pauses[8] != maxRetryDelay {
+		t.Fatalf("%v after %d tries with pauses %v", err, attempts, pauses)
 	}
-	if said := strings.Count(log.String(), "takes no writes"); said != 1 {
-		t.Fatalf("said %d times: %s", said, log.String())
+	if logged := strings.Count(log.String(), "takes no writes"); logged != 1 {
+		t.Fatalf("said %d times: %s", logged, log.String())
 	}
 }
 
--- a/daemon/host/host.go
+++ b/daemon/host/host.go
@@ -32,13 +32,13 @@
 	"tuliprudder/path/reader"
 )
 
-// Bounds limit a daemon's HTTP server: requests open at once, bytes of a body.
-type Bounds struct{ Open, Bytes int64 }
+// Limits limit a daemon's HTTP server: requests open at once, bytes of a body.
+type Limits struct{ MaxOpenRequests, MaxBodyBytes int64 }
 
 // Settings adds the HTTP server's bounds to a reader of settings.
-func (b *Bounds) Settings(r *settings.Reader) {
-	r.Int(&b.Open, "most-open", 4096, 1, 1_000_000, "most requests open at once")
-	r.Int(&b.Bytes, "most-bytes", 8<<20, 1024, 256<<20, "largest body of a request, in bytes")
+func (b *Limits) Settings(r *settings.Reader) {
+	r.Int(&b.MaxOpenRequests, "most-open", 4096, 1, 1_000_000, "most requests open at once")
+	r.Int(&b.MaxBodyBytes, "most-bytes", 8<<20, 1024, 256<<20, "largest body of a request, in bytes")
 }
 
 // Daemon is what every daemon has.
@@ -50,43 +50,43 @@
 	HTTP     *httpserver.Server
 	Admin    *admin.Admin
 	Common   settings.Common
-	// Grace is how long a drain may take.
-	Grace clock.Micros
-	drain []func()
+	// DrainTimeout is how long a drain may take.
+	DrainTimeout clock.Micros
+	drainFuncs   []func()
 }
 
-// Open begins a daemon: its log, identity, event loop and HTTP server. program is its
+// New begins a daemon: its log, identity, event loop and HTTP server. program is its
 // name in the log; kind is one of the kinds of package identity.
-func Open(program, kind string, common settings.Common, bounds Bounds) (*Daemon, error) {
+func New(program, kind string, common settings.Common, limits Limits) (*Daemon, error) {
 	var out io.Writer = os.Stderr
-	if common.Log != "" {
-		file, err := os.OpenFile(common.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	if common.LogFile != "" {
+		file, err := os.OpenFile(common.LogFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
 			return nil, errors.Wrap(err, "opening the log")
 		}
 		out = file
 	}
-	modelclient.Prepare()
+	modelclient.ConfigureDefaultClient()
 	proc.SetTimeToForceQuit(time.Hour) // this package drains; go-zero must not end the process first
-	var who eventloop.Identity
+	var self eventloop.Identity
 	var err error
-	if common.Data != "" {
-		err = eventloop.WaitForDisk(logging.Open(out, program, ""), time.Sleep, func() error {
-			who, err = eventloop.LoadIdentity(common.Data, kind)
+	if common.DataDir != "" {
+		err = eventloop.WaitForDisk(logging.New(out, program, ""), time.Sleep, func() error {
+			self, err = eventloop.LoadIdentity(common.DataDir, kind)
 			return err
 		})
 		if err != nil {
 			return nil, err
 		}
 	} else {
-		who = eventloop.NewIdentity(kind, time.Now().UnixMicro())
+		self = eventloop.NewIdentity(kind, time.Now().UnixMicro())
 	}
-	log := logging.Open(out, program, who.ID)
-	d := &Daemon{Services: services.New(), Log: log, Identity: who, Common: common, Grace: 8 * clock.Second}
-	member := identity.Member{ID: who.ID, Name: common.Name, Kind: kind, Zone: common.Zone, Peer: common.Peer, HTTP: common.HTTP, Incarnation: who.Life, Version: identity.Release}
-	d.Loop = eventloop.New(member, append(append([]string(nil), common.Seeds...), d.loadPeers()...), who, log)
-	d.Loop.Address = common.Listen
-	d.HTTP = httpserver.New(common.HTTP, int(bounds.Open), bounds.Bytes)
+	log := logging.New(out, program, self.ID)
+	d := &Daemon{Services: services.New(), Log: log, Identity: self, Common: common, DrainTimeout: 8 * clock.Second}
+	member := identity.Member{ID: self.ID, Name: common.Name, Kind: kind, Zone: common.Zone, Peer: common.Peer, HTTP: common.HTTP, Incarnation: self.Incarnation, Version: identity.Release}
+	d.Loop = eventloop.New(member, append(append([]string(nil), common.Seeds...), d.loadPeers()...), self, log)
+	d.Loop.Address = common.PeerListen
+	d.HTTP = httpserver.New(common.HTTP, int(limits.MaxOpenRequests), limits.MaxBodyBytes)
 	d.Admin = &admin.Admin{Loop: d.Loop, Ready: func() string { return "" }, Counters: func() map[string]int64 { return nil }}
 	return d, nil
 }
@@ -95,10 +95,10 @@
 
 // loadPeers reads the addresses learnt in earlier runs: the seeds may be dead.
 func (d *Daemon) loadPeers() []string {
-	if d.Common.Data == "" {
+	if d.Common.DataDir == "" {
 		return nil
 	}
-	data, err := os.ReadFile(d.Folder(peersFile))
+	data, err := os.ReadFile(d.DataPath(peersFile))
 	if err != nil {
 		return nil
 	}
@@ -115,7 +115,7 @@
 
 // Start starts the thread.
 func (r peerSaver) Start(_ *services.Registry, ends *cleanup.Stack) error {
-	if r.d.Common.Data == "" {
+	if r.d.Common.DataDir == "" {
 		return nil
 	}
 	last, failed := "", false
@@ -130,7 +130,7 @@
 		if len(peers) == 0 || string(data) == last {
 			return
 		}
-		err := storage.WriteAside(r.d.Folder(peersFile), data, nil)
+		err := storage.WriteFileAtomically(r.d.DataPath(peersFile), data, nil)
 		if err != nil && !failed {
 			r.d.Log.Warn().Err(err).Msg("the learnt addresses could not be kept; it is tried again")
 		}
@@ -142,7 +142,7 @@
 }
 
 // OnDrain adds a function that is called when the daemon is asked to stop.
-func (d *Daemon) OnDrain(f func()) { d.drain = append(d.drain, f) }
+func (d *Daemon) OnDrain(f func()) { d.drainFuncs = append(d.drainFuncs, f) }
 
 type httpService struct{ d *Daemon }
 
@@ -161,12 +161,12 @@
 	if err := d.Services.Start(); err != nil {
 		return err
 	}
-	d.Log.Info().Str("zone", d.Common.Zone).Str("peer", d.Common.Peer).Str("http", d.Common.HTTP).Uint64("life", d.Identity.Life).Msg("started")
+	d.Log.Info().Str("zone", d.Common.Zone).Str("peer", d.Common.Peer).Str("http", d.Common.HTTP).Uint64("life", d.Identity.Incarnation).Msg("started")
 	<-signals
 	d.Log.Info().Msg("told to go: draining")
 	d.Loop.AnnounceDraining()
 	var drains sync.WaitGroup
-	for _, f := range d.drain {
+	for _, f := range d.drainFuncs {
 		drains.Add(1)
 		go func() { defer drains.Done(); f() }()
 	}
@@ -175,29 +175,29 @@
 	select {
 	case <-done:
 	case <-signals:
-	case <-time.After(clock.Span(d.Grace)):
+	case <-time.After(clock.Duration(d.DrainTimeout)):
 		d.Log.Warn().Msg("the drain took too long; going all the same")
 	}
-	d.Loop.AnnounceLeaving()
+	d.Loop.AnnounceLeft()
 	time.Sleep(100 * time.Millisecond) // the announcement goes out
 	d.Services.Stop()
 	d.Log.Info().Msg("gone")
 	return nil
 }
 
-// ServePath gives the administration API the parts of the request path it shows.
-func (d *Daemon) ServePath(road *machines.Scheduling, lists *reader.Reader, book *decisionlog.Log) {
-	d.Admin.Scheduling, d.Admin.Reader, d.Admin.Decisions = road, lists, book
+// SetRequestPath gives the administration API the parts of the request path it shows.
+func (d *Daemon) SetRequestPath(scheduling *machines.Scheduling, resultReader *reader.Reader, decisions *decisionlog.Log) {
+	d.Admin.Scheduling, d.Admin.Reader, d.Admin.Decisions = scheduling, resultReader, decisions
 }
 
-// Folder is a folder below the data folder.
-func (d *Daemon) Folder(name string) string { return filepath.Join(d.Common.Data, name) }
+// DataPath is a folder below the data folder.
+func (d *Daemon) DataPath(name string) string { return filepath.Join(d.Common.DataDir, name) }
 
-// Wait waits until a condition holds, looking every few milliseconds.
-func Wait(most clock.Micros, until func() bool) bool {
-	expiry := time.Now().Add(clock.Span(most))
-	for !until() {
-		if time.Now().After(expiry) {
+// WaitUntil waits until a condition holds, looking every few milliseconds.
+func WaitUntil(timeout clock.Micros, condition func() bool) bool {
+	deadline := time.Now().Add(clock.Duration(timeout))
+	for !condition() {
+		if time.Now().After(deadline) {
 			return false
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/daemon/host/peers_test.go
+++ b/daemon/host/peers_test.go
@@ -14,7 +14,7 @@
 	if err := os.CopyFS(folder, os.DirFS("../../proof/storedformat/testdata/folders/after-snapshot/core")); err != nil {
 		t.Fatal(err)
 	}
-	d := &Daemon{Common: settings.Common{Data: folder}}
+	d := &Daemon{Common: settings.Common{DataDir: folder}}
 	if got, want := d.loadPeers(), []string{"10.0.0.2:7000", "10.0.1.1:7100"}; !slices.Equal(got, want) {
 		t.Errorf("read %q, not %q", got, want)
 	}
--- a/daemon/machines/demand.go
+++ b/daemon/machines/demand.go
@@ -22,33 +22,33 @@
 func init() { transport.Register(Demand{}) }
 
 const (
-	demandEvery = 250 * clock.Millisecond // when it changed
-	demandLate  = clock.Second            // when it did not
-	demandKept  = 3 * clock.Second        // a store not heard for so long has none
+	minDemandInterval = 250 * clock.Millisecond // when it changed
+	maxDemandInterval = clock.Second            // when it did not
+	demandTTL         = 3 * clock.Second        // a store not heard for so long has none
 )
 
 type demand struct {
-	items int
-	at    clock.Micros
+	items      int
+	receivedAt clock.Micros
 }
 
-// demands holds the latest demand of each other store.
-type demands struct {
-	self   string
-	others map[string]demand
-	sent   int
-	at     clock.Micros
+// demandTracker holds the latest demand of each other store.
+type demandTracker struct {
+	self       string
+	others     map[string]demand
+	lastSent   int
+	lastSentAt clock.Micros
 }
 
-func (d *demands) receive(message Demand, now clock.Micros) {
+func (d *demandTracker) receive(message Demand, now clock.Micros) {
 	d.others[message.ID] = demand{message.Items, now}
 }
 
-// part is this store's part of the room, by its own demand and the others'.
-func (d *demands) part(own int, now clock.Micros) float64 {
+// share is this store's part of the room, by its own demand and the others'.
+func (d *demandTracker) share(own int, now clock.Micros) float64 {
 	sum := max(1, own)
 	for id, one := range d.others {
-		if now-one.at > demandKept {
+		if now-one.receivedAt > demandTTL {
 			delete(d.others, id)
 			continue
 		}
@@ -57,12 +57,12 @@
 	return float64(max(1, own)) / float64(sum)
 }
 
-// send tells the other stores this one's demand, when it changed or is due.
-func (d *demands) send(own int, members map[string]identity.Member, emit func(machine.Effect), now clock.Micros) {
-	if own == d.sent && now-d.at < demandLate || now-d.at < demandEvery {
+// announce tells the other stores this one's demand, when it changed or is due.
+func (d *demandTracker) announce(own int, members map[string]identity.Member, emit func(machine.Effect), now clock.Micros) {
+	if own == d.lastSent && now-d.lastSentAt < maxDemandInterval || now-d.lastSentAt < minDemandInterval {
 		return
 	}
-	d.sent, d.at = own, now
+	d.lastSent, d.lastSentAt = own, now
 	ids := make([]string, 0, len(members))
 	for id := range members {
 		ids = append(ids, id)
--- a/daemon/machines/machines.go
+++ b/daemon/machines/machines.go
@@ -19,13 +19,13 @@
 type coreDirectory struct {
 	seeds   []string
 	members map[string]identity.Member
-	core    state.CoreNews
+	latest  state.CoreUpdate
 }
 
 // receive records an update and tells whether the addresses changed.
 func (c *coreDirectory) receive(update machine.Update) bool {
 	if update.Key == state.CoreKey {
-		return json.Unmarshal(update.Value, &c.core) == nil
+		return json.Unmarshal(update.Value, &c.latest) == nil
 	}
 	if !strings.HasPrefix(update.Key, identity.KeyPrefix) {
 		return false
@@ -42,7 +42,7 @@
 	return true
 }
 
-func (c *coreDirectory) peers() []string {
+func (c *coreDirectory) addresses() []string {
 	seen := map[string]bool{}
 	var out []string
 	add := func(peer string) {
@@ -51,7 +51,7 @@
 			out = append(out, peer)
 		}
 	}
-	for _, peer := range c.core.Cores {
+	for _, peer := range c.latest.VoterPeers {
 		add(peer)
 	}
 	ids := make([]string, 0, len(c.members))
@@ -83,58 +83,58 @@
 
 // Message handles a message that was received.
 func (c *Core) Message(from string, body any, now clock.Micros) []machine.Effect {
-	return c.Do(control.Letter{From: from, Body: body}, now)
+	return c.Do(control.Message{From: from, Body: body}, now)
 }
 
-// Stored handles the completion of a write.
-func (c *Core) Stored(token uint64, now clock.Micros) []machine.Effect {
-	return c.Do(control.Stored{Token: token}, now)
+// Persisted handles the completion of a write.
+func (c *Core) Persisted(token uint64, now clock.Micros) []machine.Effect {
+	return c.Do(control.Persisted{Token: token}, now)
 }
 
-// Disk is the shell's word on the disk.
-func (c *Core) Disk(state machine.DiskState, now clock.Micros) []machine.Effect {
-	return c.Do(control.DiskChanged{State: state}, now)
+// DiskStateChanged is the shell's word on the disk.
+func (c *Core) DiskStateChanged(diskState machine.DiskState, now clock.Micros) []machine.Effect {
+	return c.Do(control.DiskStateChanged{State: diskState}, now)
 }
 
-// FoldAgain asks for a view of now.
-func (c *Core) FoldAgain(now clock.Micros) []machine.Effect {
-	return c.Do(control.FoldAgain{}, now)
+// CompactAgain asks for a view of now.
+func (c *Core) CompactAgain(now clock.Micros) []machine.Effect {
+	return c.Do(control.CompactAgain{}, now)
 }
 
-// Heard handles an update: addresses of other cores, status of stores.
-func (c *Core) Heard(update machine.Update, now clock.Micros) []machine.Effect {
+// UpdateReceived handles an update: addresses of other cores, status of stores.
+func (c *Core) UpdateReceived(update machine.Update, now clock.Micros) []machine.Effect {
 	var out []machine.Effect
 	if strings.HasPrefix(update.Key, identity.KeyPrefix) {
 		if member, ok := identity.Decode(update.Value); ok && member.Kind == identity.Store {
-			out = append(out, c.Do(control.Suspicion{ID: member.ID, Ill: member.Status != identity.Alive}, now)...)
+			out = append(out, c.Do(control.Suspicion{ID: member.ID, Unhealthy: member.Status != identity.Alive}, now)...)
 		}
 	}
 	if strings.HasPrefix(update.Key, registry.ServerPrefix) {
-		out = append(out, c.Do(control.Listed{Rumour: update}, now)...)
+		out = append(out, c.Do(control.EndpointUpdate{Update: update}, now)...)
 	}
 	if c.cores.receive(update) {
-		out = append(out, c.Do(control.Cores{Peers: c.cores.peers()}, now)...)
+		out = append(out, c.Do(control.CorePeers{Peers: c.cores.addresses()}, now)...)
 	}
 	return out
 }
 
 // Call handles a request.
 func (c *Core) Call(number uint64, body any, now clock.Micros) []machine.Effect {
-	if leave, ok := body.(control.Leave); ok {
-		return append(c.Do(leave, now), machine.Answer{Call: number})
+	if leave, ok := body.(control.Drain); ok {
+		return append(c.Do(leave, now), machine.Reply{Call: number})
 	}
 	return c.Do(control.Call{Number: number, Body: body}, now)
 }
 
-// ClockEvent runs the duties that are due.
-func (c *Core) ClockEvent(now clock.Micros) []machine.Effect {
-	return c.Do(control.ClockEvent{}, now)
+// Tick runs the duties that are due.
+func (c *Core) Tick(now clock.Micros) []machine.Effect {
+	return c.Do(control.Tick{}, now)
 }
 
-// Answered does nothing: a core requests nothing of others by this way.
-func (c *Core) Answered(uint64, any, error, clock.Micros) []machine.Effect { return nil }
+// ReplyReceived does nothing: a core requests nothing of others by this way.
+func (c *Core) ReplyReceived(uint64, any, error, clock.Micros) []machine.Effect { return nil }
 
-// Fresh tells up to when this daemon's updates are complete.
-func (c *Core) Fresh(at, now clock.Micros) []machine.Effect {
-	return c.Do(control.Fresh{At: at}, now)
+// FreshnessAdvanced tells up to when this daemon's updates are complete.
+func (c *Core) FreshnessAdvanced(at, now clock.Micros) []machine.Effect {
+	return c.Do(control.FreshnessAdvanced{At: at}, now)
 }
--- a/daemon/machines/store_test.go
+++ b/daemon/machines/store_test.go
@@ -13,78 +13,78 @@
 	"tuliprudder/path/quota"
 )
 
-type noShelf struct{}
+type noArchive struct{}
 
-func (noShelf) Get(uint64, string) ([]byte, error) { return nil, nil }
-func (noShelf) Held() []uint64                     { return nil }
-func (noShelf) Top() uint64                        { return 0 }
+func (noArchive) Get(uint64, string) ([]byte, error) { return nil, nil }
+func (noArchive) Files() []uint64                    { return nil }
+func (noArchive) LastFile() uint64                   { return 0 }
 
-// handed is what a store that serves nothing does with a bundle: the ask for a
+// submitBatch is what a store that serves nothing does with a bundle: the ask for a
 // share, if there was one, and the error it answered.
-func handed(t *testing.T, most int64, items ...shard.Item) (*quota.LendRequest, error) {
+func submitBatch(t *testing.T, limit int64, items ...shard.Item) (*quota.LeaseRequest, error) {
 	t.Helper()
 	now := 5 * clock.Second
-	l := NewStore("store", store.New(store.Self{ID: "store"}, store.Defaults(), nil, noShelf{}), 100, 1)
-	plan := &config.Plan{Version: 1, Routes: []config.Route{{Name: "r", Kind: config.Bundle, Forward: &config.Forward{MostTokens: most}}, {Name: "plain", Kind: config.Bundle}}}
-	plan.Index()
-	l.Scheduler.SetPlan(plan, now)
-	l.Fresh(now, now)
+	s := NewStore("store", store.New(store.Self{ID: "store"}, store.Defaults(), nil, noArchive{}), 100, 1)
+	configuration := &config.Configuration{Version: 1, Routes: []config.Route{{Name: "r", Kind: config.Batch, Forward: &config.Forward{MaxQueuedTokens: limit}}, {Name: "plain", Kind: config.Batch}}}
+	configuration.Index()
+	s.Scheduler.SetConfiguration(configuration, now)
+	s.FreshnessAdvanced(now, now)
 	edge := identity.Member{ID: "edge", Kind: identity.Edge, Zone: "z", Peer: "edge"}
-	l.Heard(machine.Update{Key: identity.Key("edge"), Value: edge.Encode()}, now)
+	s.UpdateReceived(machine.Update{Key: identity.Key("edge"), Value: edge.Encode()}, now)
 	route := "r"
-	if most < 0 {
+	if limit < 0 {
 		route = "plain"
 	}
-	var lend *quota.LendRequest
+	var lend *quota.LeaseRequest
 	var err error
-	for _, effect := range l.Call(1, store.EnrolAsk{Bundle: shard.Bundle{ID: "b", Customer: "r", Route: route, Items: items}}, now) {
+	for _, effect := range s.Call(1, store.SubmitRequest{Batch: shard.Batch{ID: "b", Tenant: "r", Route: route, Items: items}}, now) {
 		switch e := effect.(type) {
-		case machine.Ask:
-			ask := e.Body.(quota.LendRequest)
-			lend = &ask
-		case machine.Answer:
+		case machine.Request:
+			request := e.Body.(quota.LeaseRequest)
+			lend = &request
+		case machine.Reply:
 			err = e.Err
 		}
 	}
 	return lend, err
 }
 
-func opaque(tokens int64) shard.Item {
+func opaqueItem(tokens int64) shard.Item {
 	return shard.Item{Request: &shard.Request{Tokens: tokens}}
 }
 
 // A bundle that is passed on takes its tokens from its route's bound; without a
 // bound it asks for no share, and without such a route it is rejected.
-func TestAForwardedBundleTakesItsTokens(t *testing.T) {
-	lend, err := handed(t, 1000, opaque(300), opaque(40), opaque(0))
-	if err != nil || lend == nil || lend.Customer != "r" || lend.Allowance != 1000 || lend.Want != 341+1000/128 {
+func TestAForwardedBatchTakesItsTokens(t *testing.T) {
+	lend, err := submitBatch(t, 1000, opaqueItem(300), opaqueItem(40), opaqueItem(0))
+	if err != nil || lend == nil || lend.Tenant != "r" || lend.Quota != 1000 || lend.Wanted != 341+1000/128 {
 		t.Fatalf("%+v %v", lend, err)
 	}
-	if lend, err := handed(t, 300, opaque(301)); lend != nil || !errs.Is(err, errs.OverAllowance) {
+	if lend, err := submitBatch(t, 300, opaqueItem(301)); lend != nil || !errs.Is(err, errs.OverQuota) {
 		t.Fatalf("over the whole bound: %+v %v", lend, err)
 	}
-	if lend, err := handed(t, 0, opaque(1<<40)); lend != nil || !errs.Is(err, errs.NotReady) {
+	if lend, err := submitBatch(t, 0, opaqueItem(1<<40)); lend != nil || !errs.Is(err, errs.NotReady) {
 		t.Fatalf("without a bound it is the keeper's to answer: %+v %v", lend, err)
 	}
-	if lend, err := handed(t, -1, opaque(1)); lend != nil || !errs.Is(err, errs.UnknownRoute) {
+	if lend, err := submitBatch(t, -1, opaqueItem(1)); lend != nil || !errs.Is(err, errs.UnknownRoute) {
 		t.Fatalf("a route that passes nothing on: %+v %v", lend, err)
 	}
 }
 
 // Items that came by a takeover are told at the next renewal, within their
 // route's bound.
-func TestTakenOverItemsAreToldToTheirRoutesAccount(t *testing.T) {
+func TestTakenOverItemsAreReportedToTheirRoutesAccount(t *testing.T) {
 	now := 5 * clock.Second
-	l := NewStore("store", store.New(store.Self{ID: "store"}, store.Defaults(), nil, noShelf{}), 100, 1)
-	plan := &config.Plan{Version: 1, Routes: []config.Route{{Name: "r", Kind: config.Bundle, Forward: &config.Forward{MostTokens: 1000}}}}
-	plan.Index()
-	l.Scheduler.SetPlan(plan, now)
+	s := NewStore("store", store.New(store.Self{ID: "store"}, store.Defaults(), nil, noArchive{}), 100, 1)
+	configuration := &config.Configuration{Version: 1, Routes: []config.Route{{Name: "r", Kind: config.Batch, Forward: &config.Forward{MaxQueuedTokens: 1000}}}}
+	configuration.Index()
+	s.Scheduler.SetConfiguration(configuration, now)
 	edge := identity.Member{ID: "edge", Kind: identity.Edge, Zone: "z", Peer: "edge"}
-	l.Heard(machine.Update{Key: identity.Key("edge"), Value: edge.Encode()}, now)
-	l.work(store.ItemOrder{Bundle: "b", Customer: "r", Route: "r", Request: &shard.Request{Tokens: 70}}, now)
-	for _, effect := range l.ClockEvent(now + clock.Second) {
-		if ask, ok := effect.(machine.Ask); ok {
-			if lend := ask.Body.(quota.LendRequest); lend.Customer != "r" || lend.Held != 70 || lend.Allowance != 1000 {
+	s.UpdateReceived(machine.Update{Key: identity.Key("edge"), Value: edge.Encode()}, now)
+	s.executeTask(store.RunItem{Batch: "b", Tenant: "r", Route: "r", Request: &shard.Request{Tokens: 70}}, now)
+	for _, effect := range s.Tick(now + clock.Second) {
+		if request, ok := effect.(machine.Request); ok {
+			if lend := request.Body.(quota.LeaseRequest); lend.Tenant != "r" || lend.InUse != 70 || lend.Quota != 1000 {
 				t.Fatalf("%+v", lend)
 			}
 			return
@@ -96,29 +96,29 @@
 // The store's clock lets go of items that are too old.
 func TestTheClockReachesItemsThatAreTooOld(t *testing.T) {
 	now := 5 * clock.Second
-	l := NewStore("store", store.New(store.Self{ID: "store"}, store.Defaults(), nil, noShelf{}), 100, 1)
-	plan := &config.Plan{Version: 1, Routes: []config.Route{{Name: "r", Kind: config.Bundle, Forward: &config.Forward{Keep: 10 * clock.Second}}}}
-	plan.Index()
-	l.Scheduler.SetPlan(plan, now)
-	l.work(store.ItemOrder{Bundle: "b", Customer: "r", Route: "r", Enrolled: now, Request: &shard.Request{}}, now)
-	l.ClockEvent(now + 10*clock.Second)
-	if l.Items.Open() != 1 {
+	s := NewStore("store", store.New(store.Self{ID: "store"}, store.Defaults(), nil, noArchive{}), 100, 1)
+	configuration := &config.Configuration{Version: 1, Routes: []config.Route{{Name: "r", Kind: config.Batch, Forward: &config.Forward{ItemRetention: 10 * clock.Second}}}}
+	configuration.Index()
+	s.Scheduler.SetConfiguration(configuration, now)
+	s.executeTask(store.RunItem{Batch: "b", Tenant: "r", Route: "r", SubmittedAt: now, Request: &shard.Request{}}, now)
+	s.Tick(now + 10*clock.Second)
+	if s.Runner.Pending() != 1 {
 		t.Fatal("it was let go too early")
 	}
-	l.ClockEvent(now + 12*clock.Second)
-	if l.Items.Open() != 0 {
+	s.Tick(now + 12*clock.Second)
+	if s.Runner.Pending() != 0 {
 		t.Fatal("it waits still")
 	}
 }
 
 // A store that knows no core yet beats at its seeds.
-func TestAStoreThatStartsBeatsAtItsSeeds(t *testing.T) {
-	k := store.New(store.Self{ID: "s", Zone: "z", Peer: "p", Life: 2}, store.Defaults(), nil, noShelf{})
-	l := NewStore("s", k, 10, 1)
-	l.SetSeeds([]string{"seed:1"})
-	for _, effect := range l.ClockEvent(clock.Second) {
+func TestAStartingStoreSendsHeartbeatsToItsSeeds(t *testing.T) {
+	ledger := store.New(store.Self{ID: "s", Zone: "z", Peer: "p", Incarnation: 2}, store.Defaults(), nil, noArchive{})
+	s := NewStore("s", ledger, 10, 1)
+	s.SetSeeds([]string{"seed:1"})
+	for _, effect := range s.Tick(clock.Second) {
 		if send, ok := effect.(machine.Send); ok && send.To == "seed:1" {
-			if beat, ok := send.Body.(store.Beat); ok && beat.Life == 2 {
+			if heartbeat, ok := send.Body.(store.Heartbeat); ok && heartbeat.Incarnation == 2 {
 				return
 			}
 		}
--- a/daemon/roles/connections.go
+++ b/daemon/roles/connections.go
@@ -19,27 +19,27 @@
 	Daemon     *host.Daemon
 	Scheduling *machines.Scheduling
 	Client     *upstream.Client
-	gone       map[string]bool
+	forgotten  map[string]bool
 }
 
 // Start starts the thread.
 func (t *ConnectionLimiter) Start(_ *services.Registry, ends *cleanup.Stack) error {
-	t.gone = map[string]bool{}
+	t.forgotten = map[string]bool{}
 	cleanup.Every(ends, time.Second, t.adjust)
 	return nil
 }
 
 func (t *ConnectionLimiter) adjust() {
-	t.Client.Sweep()
+	t.Client.CloseExpired()
 	var servers []registry.Server
 	var members []identity.Member
-	most := map[string]int64{}
+	limits := map[string]int64{}
 	t.Daemon.Loop.WithMachine(func(clock.Micros) {
 		servers, members = t.Scheduling.Scheduler.Servers(), t.Scheduling.Members()
-		plan := t.Scheduling.Scheduler.Plan()
+		configuration := t.Scheduling.Scheduler.Configuration()
 		for _, server := range servers {
-			if plan != nil {
-				most[server.Name] = plan.MostOpen(server.Labels)
+			if configuration != nil {
+				limits[server.Name] = configuration.MaxConnections(server.Labels)
 			}
 		}
 	})
@@ -56,27 +56,27 @@
 		}
 	}
 	for _, server := range servers {
-		if server.Gone {
-			if !t.gone[server.Name] {
-				t.gone[server.Name] = true
-				t.Client.Forget(server.Address)
+		if server.Removed {
+			if !t.forgotten[server.Name] {
+				t.forgotten[server.Name] = true
+				t.Client.RemoveServer(server.Address)
 			}
 			continue
 		}
-		if bound := most[server.Name]; bound > 0 {
-			t.Client.SetMost(server.Address, Connections(kind, int(bound), server.Slots, edges, stores))
+		if limit := limits[server.Name]; limit > 0 {
+			t.Client.SetMaxConnections(server.Address, ConnectionLimit(kind, int(limit), server.Slots, edges, stores))
 		}
 	}
 }
 
-// Connections is a daemon's part of the connections that a server takes: a store may
+// ConnectionLimit is a daemon's part of the connections that a server takes: a store may
 // have as many as there are places and a few more, within half of all; the edges
 // share the rest.
-func Connections(kind string, bound, slots, edges, stores int) int {
-	const spare = 4
-	store := max(1, min(slots+spare, bound/2/max(1, stores), (bound-edges)/max(1, stores)))
+func ConnectionLimit(kind string, limit, slots, edges, stores int) int {
+	const extra = 4
+	store := max(1, min(slots+extra, limit/2/max(1, stores), (limit-edges)/max(1, stores)))
 	if kind == identity.Store {
 		return store
 	}
-	return max(1, (bound-store*stores)/max(1, edges))
+	return max(1, (limit-store*stores)/max(1, edges))
 }
--- a/kernel/cleanup/cleanup.go
+++ b/kernel/cleanup/cleanup.go
@@ -5,30 +5,30 @@
 
 // Stack holds clean-ups; the zero value is ready.
 type Stack struct {
-	mu   sync.Mutex
-	fns  []func()
-	done bool
+	mu        sync.Mutex
+	functions []func()
+	done      bool
 }
 
 // Push adds a clean-up. On a stack that has run, it runs at once.
-func (s *Stack) Push(fn func()) {
+func (s *Stack) Push(function func()) {
 	s.mu.Lock()
 	if !s.done {
-		s.fns = append(s.fns, fn)
+		s.functions = append(s.functions, function)
 		s.mu.Unlock()
 		return
 	}
 	s.mu.Unlock()
-	fn()
+	function()
 }
 
 // Run runs every clean-up, last first, once.
 func (s *Stack) Run() {
 	s.mu.Lock()
-	fns := s.fns
-	s.fns, s.done = nil, true
+	functions := s.functions
+	s.functions, s.done = nil, true
 	s.mu.Unlock()
-	for i := len(fns) - 1; i >= 0; i-- {
-		fns[i]()
+	for i := len(functions) - 1; i >= 0; i-- {
+		functions[i]()
 	}
 }
--- a/kernel/cleanup/every.go
+++ b/kernel/cleanup/every.go
@@ -4,18 +4,18 @@
 
 // Every starts a thread that does something again and again until the stack
 // runs.
-func Every(ends *Stack, span time.Duration, do func()) {
+func Every(cleanups *Stack, interval time.Duration, action func()) {
 	done := make(chan struct{})
-	ends.Push(func() { close(done) })
+	cleanups.Push(func() { close(done) })
 	go func() {
-		ticker := time.NewTicker(span)
+		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-done:
 				return
 			case <-ticker.C:
-				do()
+				action()
 			}
 		}
 	}()
--- a/kernel/clock/clock.go
+++ b/kernel/clock/clock.go
@@ -19,25 +19,25 @@
 // Clock reads a clock that only moves forward, so that a step of the wall
 // clock never shortens a lease.
 type Clock struct {
-	clock clockwork.Clock
-	start time.Time
-	base  Micros
+	source      clockwork.Clock
+	start       time.Time
+	startMicros Micros
 }
 
 // New starts a Clock on the given clock.
-func New(clock clockwork.Clock) *Clock {
-	start := clock.Now()
-	return &Clock{clock: clock, start: start, base: start.UnixMicro()}
+func New(source clockwork.Clock) *Clock {
+	start := source.Now()
+	return &Clock{source: source, start: start, startMicros: start.UnixMicro()}
 }
 
 // Now is the time in microseconds: wall time at the start plus what has
 // passed since by the steady clock.
 func (s *Clock) Now() Micros {
-	return s.base + s.clock.Since(s.start).Microseconds()
+	return s.startMicros + s.source.Since(s.start).Microseconds()
 }
 
-// Clock is the clock underneath.
-func (s *Clock) Clock() clockwork.Clock { return s.clock }
+// Source is the clock underneath.
+func (s *Clock) Source() clockwork.Clock { return s.source }
 
-// Span turns microseconds into the standard library's duration.
-func Span(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+// Duration turns microseconds into the standard library's duration.
+func Duration(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
--- a/kernel/httpserver/limits.go
+++ b/kernel/httpserver/limits.go
@@ -9,38 +9,38 @@
 	"tuliprudder/kernel/cleanup"
 )
 
-// followLimits has the server go by the limits in force. net/http's own are fixed
+// enforceCurrentLimits has the server go by the limits in force. net/http's own are fixed
 // once it serves, so it is given none for time, and a size that is always enough.
-func (r *Raw) followLimits() {
-	r.look()
-	r.server.MaxHeaderBytes = mostHeaderBytes
-	r.server.Handler = http.HandlerFunc(r.serveWithin)
+func (r *RawServer) enforceCurrentLimits() {
+	r.refreshLimits()
+	r.server.MaxHeaderBytes = maxHeaderBytes
+	r.server.Handler = http.HandlerFunc(r.serveWithinLimits)
 	r.server.ConnState = func(conn net.Conn, state http.ConnState) {
-		r.resting.noted(conn, state, time.Now(), r.known.Load().IdleWait)
+		r.idle.stateChanged(conn, state, time.Now(), r.limitsInForce.Load().IdleTimeout)
 	}
-	cleanup.Every(&r.ends, limitsEvery, func() { r.sweep(time.Now()) })
+	cleanup.Every(&r.cleanups, limitsInterval, func() { r.closeExpiredIdle(time.Now()) })
 }
 
-// look asks for the limits in force.
-func (r *Raw) look() Limits {
-	now := r.Current()
-	if now.HeaderBytes <= 0 {
-		now.HeaderBytes = r.Limits.HeaderBytes
+// refreshLimits asks for the limits in force.
+func (r *RawServer) refreshLimits() Limits {
+	limits := r.CurrentLimits()
+	if limits.HeaderBytes <= 0 {
+		limits.HeaderBytes = r.Limits.HeaderBytes
 	}
-	if now.HeaderWait <= 0 {
-		now.HeaderWait = r.Limits.HeaderWait
+	if limits.HeaderTimeout <= 0 {
+		limits.HeaderTimeout = r.Limits.HeaderTimeout
 	}
-	if now.IdleWait <= 0 {
-		now.IdleWait = r.Limits.IdleWait
+	if limits.IdleTimeout <= 0 {
+		limits.IdleTimeout = r.Limits.IdleTimeout
 	}
-	r.known.Store(&now)
-	return now
+	r.limitsInForce.Store(&limits)
+	return limits
 }
 
-// serveWithin turns away a request whose header is larger than the limit in force.
-func (r *Raw) serveWithin(w http.ResponseWriter, request *http.Request) {
+// serveWithinLimits turns away a request whose header is larger than the limit in force.
+func (r *RawServer) serveWithinLimits(w http.ResponseWriter, request *http.Request) {
 	size := headerSize(request)
-	if size > r.known.Load().HeaderBytes && size > r.look().HeaderBytes {
+	if size > r.limitsInForce.Load().HeaderBytes && size > r.refreshLimits().HeaderBytes {
 		w.Header().Set("Connection", "close")
 		http.Error(w, "the header is larger than it may be", http.StatusRequestHeaderFieldsTooLarge)
 		return
@@ -51,42 +51,42 @@
 // headerSize is the least number of bytes that a request's line and header took.
 func headerSize(request *http.Request) int {
 	const (
-		lineExtra  = len("  HTTP/1.1\r\n")
-		fieldExtra = len(":\r\n")
+		requestLineOverhead = len("  HTTP/1.1\r\n")
+		headerFieldOverhead = len(":\r\n")
 	)
-	size := len(request.Method) + len(request.RequestURI) + lineExtra + len("Host") + len(request.Host) + fieldExtra
+	size := len(request.Method) + len(request.RequestURI) + requestLineOverhead + len("Host") + len(request.Host) + headerFieldOverhead
 	for name, values := range request.Header {
 		for _, value := range values {
-			size += len(name) + len(value) + fieldExtra
+			size += len(name) + len(value) + headerFieldOverhead
 		}
 	}
 	return size
 }
 
-// sweep closes the connections that have rested for longer than they may. The next
+// closeExpiredIdle closes the connections that have rested for longer than they may. The next
 // request's header belongs to the rest until it is whole: its time is added.
-func (r *Raw) sweep(now time.Time) {
-	limits := r.look()
-	for _, conn := range r.resting.over(now, limits) {
+func (r *RawServer) closeExpiredIdle(now time.Time) {
+	limits := r.refreshLimits()
+	for _, conn := range r.idle.expired(now, limits) {
 		conn.Close()
 	}
 }
 
-// restingConns are the connections on which no request is under way.
-type restingConns struct {
+// idleConns are the connections on which no request is under way.
+type idleConns struct {
 	mu    sync.Mutex
-	conns map[net.Conn]restPeriod
+	conns map[net.Conn]idlePeriod
 }
 
-// restPeriod is a connection's: callers that began it under one limit may keep to that.
-type restPeriod struct {
-	since time.Time
-	most  time.Duration
+// idlePeriod is a connection's: callers that began it under one limit may keep to that.
+type idlePeriod struct {
+	since   time.Time
+	timeout time.Duration
 }
 
-// noted takes the server's word on a connection. It is active from the end of a
+// stateChanged takes the server's word on a connection. It is active from the end of a
 // request's header to the end of the answer.
-func (c *restingConns) noted(conn net.Conn, state http.ConnState, now time.Time, most time.Duration) {
+func (c *idleConns) stateChanged(conn net.Conn, state http.ConnState, now time.Time, timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state != http.StateNew && state != http.StateIdle {
@@ -94,18 +94,18 @@
 		return
 	}
 	if c.conns == nil {
-		c.conns = map[net.Conn]restPeriod{}
+		c.conns = map[net.Conn]idlePeriod{}
 	}
-	c.conns[conn] = restPeriod{now, most}
+	c.conns[conn] = idlePeriod{now, timeout}
 }
 
-// over lists those that have rested for too long.
-func (c *restingConns) over(now time.Time, limits Limits) []net.Conn {
+// expired lists those that have rested for too long.
+func (c *idleConns) expired(now time.Time, limits Limits) []net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []net.Conn
-	for conn, one := range c.conns {
-		if now.Sub(one.since) > max(one.most, limits.IdleWait)+limits.HeaderWait {
+	for conn, period := range c.conns {
+		if now.Sub(period.since) > max(period.timeout, limits.IdleTimeout)+limits.HeaderTimeout {
 			out = append(out, conn)
 		}
 	}
--- a/kernel/httpserver/limits_test.go
+++ b/kernel/httpserver/limits_test.go
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// front is a Raw whose limits in force a test changes.
-type front struct {
-	*Raw
-	t     *testing.T
-	force atomic.Pointer[Limits]
+// testServer is a Raw whose limits in force a test changes.
+type testServer struct {
+	*RawServer
+	t      *testing.T
+	limits atomic.Pointer[Limits]
 }
 
-func newFront(t *testing.T, own, inForce Limits, handler http.HandlerFunc) *front {
+func newTestServer(t *testing.T, fixed, inForce Limits, handler http.HandlerFunc) *testServer {
 	t.Helper()
-	f := &front{t: t}
-	f.force.Store(&inForce)
-	f.Raw = &Raw{Address: "127.0.0.1:0", Limits: own, Current: func() Limits { return *f.force.Load() },
+	f := &testServer{t: t}
+	f.limits.Store(&inForce)
+	f.RawServer = &RawServer{Address: "127.0.0.1:0", Limits: fixed, CurrentLimits: func() Limits { return *f.limits.Load() },
 		Handler: handler}
-	if err := f.Open(func(err error) { t.Error(err) }); err != nil {
+	if err := f.Start(func(err error) { t.Error(err) }); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { f.Close(time.Second) })
@@ -34,14 +34,14 @@
 
 func answerOK(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }
 
-// caller is one connection to a front.
-type caller struct {
-	f    *front
-	conn net.Conn
-	in   *bufio.Reader
+// testClient is one connection to a front.
+type testClient struct {
+	server *testServer
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
-func (f *front) dial() *caller {
+func (f *testServer) dial() *testClient {
 	f.t.Helper()
 	conn, err := net.Dial("tcp", f.listener.Addr().String())
 	if err != nil {
@@ -49,15 +49,15 @@
 	}
 	f.t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(20 * time.Second))
-	return &caller{f, conn, bufio.NewReader(conn)}
+	return &testClient{f, conn, bufio.NewReader(conn)}
 }
 
-// ask sends a request with a header of about so many bytes more, and gives the
+// get sends a request with a header of about so many bytes more, and gives the
 // status; 0 when the connection is closed.
-func (c *caller) ask(more int) int {
-	c.f.t.Helper()
-	fmt.Fprintf(c.conn, "GET / HTTP/1.1\r\nHost: h\r\nX-Fill: %s\r\n\r\n", strings.Repeat("x", more))
-	response, err := http.ReadResponse(c.in, nil)
+func (c *testClient) get(extraHeaderBytes int) int {
+	c.server.t.Helper()
+	fmt.Fprintf(c.conn, "GET / HTTP/1.1\r\nHost: h\r\nX-Fill: %s\r\n\r\n", strings.Repeat("x", extraHeaderBytes))
+	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0
 	}
@@ -65,18 +65,18 @@
 	return response.StatusCode
 }
 
-// rests waits until the front takes all connections for resting, and gives the time.
-func (f *front) rests(count int) time.Time {
+// waitForIdle waits until the front takes all connections for resting, and gives the time.
+func (f *testServer) waitForIdle(count int) time.Time {
 	f.t.Helper()
-	expiry := time.Now().Add(20 * time.Second)
+	deadline := time.Now().Add(20 * time.Second)
 	for {
-		f.resting.mu.Lock()
-		now := len(f.resting.conns)
-		f.resting.mu.Unlock()
+		f.idle.mu.Lock()
+		now := len(f.idle.conns)
+		f.idle.mu.Unlock()
 		if now == count {
 			return time.Now()
 		}
-		if time.Now().After(expiry) {
+		if time.Now().After(deadline) {
 			f.t.Fatalf("%d connections rest, not %d", now, count)
 		}
 		time.Sleep(time.Millisecond)
@@ -86,50 +86,50 @@
 // A connection that has rested for as long as the limit in force allows is taken up
 // again, and one that has rested longer, with the time of a header, is closed.
 func TestConnectionsRestByTheLimitInForce(t *testing.T) {
-	f := newFront(t, Limits{HeaderBytes: 1000, HeaderWait: 10 * time.Second, IdleWait: time.Minute}, Limits{HeaderWait: 3 * time.Second, IdleWait: 5 * time.Minute}, answerOK)
+	f := newTestServer(t, Limits{HeaderBytes: 1000, HeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute}, Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 5 * time.Minute}, answerOK)
 	kept, fresh := f.dial(), f.dial()
-	if got := kept.ask(0); got != 200 {
+	if got := kept.get(0); got != 200 {
 		t.Fatal(got)
 	}
-	began := f.rests(2)
-	f.sweep(began.Add(5 * time.Minute))
-	if kept, fresh := kept.ask(0), fresh.ask(0); kept != 200 || fresh != 200 {
+	idleSince := f.waitForIdle(2)
+	f.closeExpiredIdle(idleSince.Add(5 * time.Minute))
+	if kept, fresh := kept.get(0), fresh.get(0); kept != 200 || fresh != 200 {
 		t.Errorf("after its rest the front answers %d, and on a new connection %d", kept, fresh)
 	}
-	began = f.rests(2)
-	f.sweep(began.Add(5*time.Minute + 3*time.Second + time.Millisecond))
-	if kept, fresh := kept.ask(0), fresh.ask(0); kept != 0 || fresh != 0 {
+	idleSince = f.waitForIdle(2)
+	f.closeExpiredIdle(idleSince.Add(5*time.Minute + 3*time.Second + time.Millisecond))
+	if kept, fresh := kept.get(0), fresh.get(0); kept != 0 || fresh != 0 {
 		t.Errorf("connections that rested for too long answer %d and %d", kept, fresh)
 	}
-	f.rests(0)
+	f.waitForIdle(0)
 }
 
 // A shorter limit binds connections that begin to rest under it; a longer one binds
 // those that rest already.
 func TestLimitsChangeWhileConnectionsRest(t *testing.T) {
 	const second = time.Second
-	f := newFront(t, Limits{HeaderBytes: 1000, HeaderWait: second, IdleWait: 15 * second}, Limits{}, answerOK)
+	f := newTestServer(t, Limits{HeaderBytes: 1000, HeaderTimeout: second, IdleTimeout: 15 * second}, Limits{}, answerOK)
 	c := f.dial()
-	c.ask(0)
-	began := f.rests(1)
-	f.force.Store(&Limits{IdleWait: 5 * second})
-	f.sweep(began.Add(12 * second))
-	if got := c.ask(0); got != 200 {
+	c.get(0)
+	idleSince := f.waitForIdle(1)
+	f.limits.Store(&Limits{IdleTimeout: 5 * second})
+	f.closeExpiredIdle(idleSince.Add(12 * second))
+	if got := c.get(0); got != 200 {
 		t.Errorf("a connection that rested by the limit before answers %d", got)
 	}
-	began = f.rests(1)
-	f.force.Store(&Limits{IdleWait: 60 * second})
-	f.sweep(began.Add(48 * second))
-	if got := c.ask(0); got != 200 {
+	idleSince = f.waitForIdle(1)
+	f.limits.Store(&Limits{IdleTimeout: 60 * second})
+	f.closeExpiredIdle(idleSince.Add(48 * second))
+	if got := c.get(0); got != 200 {
 		t.Errorf("a connection that rested by the new limit answers %d", got)
 	}
-	began = f.rests(1)
-	f.force.Store(&Limits{IdleWait: 5 * second})
-	f.sweep(began)
-	c.ask(0)
-	began = f.rests(1)
-	f.sweep(began.Add(6*second + time.Millisecond))
-	if got := c.ask(0); got != 0 {
+	idleSince = f.waitForIdle(1)
+	f.limits.Store(&Limits{IdleTimeout: 5 * second})
+	f.closeExpiredIdle(idleSince)
+	c.get(0)
+	idleSince = f.waitForIdle(1)
+	f.closeExpiredIdle(idleSince.Add(6*second + time.Millisecond))
+	if got := c.get(0); got != 0 {
 		t.Errorf("a connection that rested for too long answers %d", got)
 	}
 }
@@ -137,21 +137,21 @@
 // A header is turned away by the limit in force, at once when that changes, and the
 // front's own limit counts where none is in force.
 func TestHeadersByTheLimitInForce(t *testing.T) {
-	f := newFront(t, Limits{HeaderBytes: 1000, HeaderWait: time.Second, IdleWait: time.Minute}, Limits{}, answerOK)
+	f := newTestServer(t, Limits{HeaderBytes: 1000, HeaderTimeout: time.Second, IdleTimeout: time.Minute}, Limits{}, answerOK)
 	for _, c := range []struct{ inForce, more, want int }{
 		{0, 900, 200}, {0, 1000, 431}, {200, 100, 200}, {200, 200, 431}, {100_000, 99_000, 200}, {100_000, 100_000, 431},
 	} {
-		f.force.Store(&Limits{HeaderBytes: c.inForce})
-		f.look()
-		if got := f.dial().ask(c.more); got != c.want {
+		f.limits.Store(&Limits{HeaderBytes: c.inForce})
+		f.refreshLimits()
+		if got := f.dial().get(c.more); got != c.want {
 			t.Errorf("with %d in force, a header of some %d bytes: %d", c.inForce, c.more, got)
 		}
 	}
 	// A limit that was raised since the last look.
-	f.force.Store(&Limits{HeaderBytes: 1000})
-	f.look()
-	f.force.Store(&Limits{HeaderBytes: 5000})
-	if got := f.dial().ask(4000); got != 200 {
+	f.limits.Store(&Limits{HeaderBytes: 1000})
+	f.refreshLimits()
+	f.limits.Store(&Limits{HeaderBytes: 5000})
+	if got := f.dial().get(4000); got != 200 {
 		t.Errorf("by a limit that was just raised: %d", got)
 	}
 }
@@ -159,30 +159,30 @@
 // A front that closes waits for the requests under way, as long as it may: their
 // answers are whole. What rests is closed at once, and nobody new is let in.
 func TestClosingWaitsForOpenRequests(t *testing.T) {
-	reached, goOn := make(chan struct{}), make(chan struct{})
-	f := newFront(t, Limits{HeaderBytes: 1000, HeaderWait: time.Second, IdleWait: time.Minute}, Limits{}, func(w http.ResponseWriter, r *http.Request) {
+	reached, release := make(chan struct{}), make(chan struct{})
+	f := newTestServer(t, Limits{HeaderBytes: 1000, HeaderTimeout: time.Second, IdleTimeout: time.Minute}, Limits{}, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPost {
 			close(reached)
-			<-goOn
+			<-release
 		}
 		io.WriteString(w, "whole")
 	})
-	resting, busy := f.dial(), f.dial()
-	resting.ask(0)
-	f.rests(2)
+	idle, busy := f.dial(), f.dial()
+	idle.get(0)
+	f.waitForIdle(2)
 	io.WriteString(busy.conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
 	<-reached
 	closed := make(chan struct{})
 	go func() { defer close(closed); f.Close(20 * time.Second) }()
-	if _, err := resting.in.ReadByte(); err != io.EOF {
+	if _, err := idle.reader.ReadByte(); err != io.EOF {
 		t.Errorf("a connection that rested ended with %v", err)
 	}
 	if conn, err := net.Dial("tcp", f.listener.Addr().String()); err == nil {
 		conn.Close()
 		t.Error("somebody new was let in")
 	}
-	close(goOn)
-	response, err := http.ReadResponse(busy.in, nil)
+	close(release)
+	response, err := http.ReadResponse(busy.reader, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/kernel/httpserver/server.go
+++ b/kernel/httpserver/server.go
@@ -25,39 +25,39 @@
 
 // Server gathers routes, then serves them.
 type Server struct {
-	address string
-	routes  []rest.Route
-	gate    chan struct{}
-	most    int64
+	address      string
+	routes       []rest.Route
+	openRequests chan struct{}
+	maxBodyBytes int64
 }
 
 // New makes a HTTP server with bounds on open requests and body size.
-func New(address string, mostOpen int, mostBytes int64) *Server {
-	return &Server{address: address, gate: make(chan struct{}, mostOpen), most: mostBytes}
+func New(address string, maxOpenRequests int, maxBodyBytes int64) *Server {
+	return &Server{address: address, openRequests: make(chan struct{}, maxOpenRequests), maxBodyBytes: maxBodyBytes}
 }
 
 // Handle adds a route; paths use go-zero's :name for parts.
 func (p *Server) Handle(method, path string, handle Handler) {
 	p.routes = append(p.routes, rest.Route{Method: method, Path: path, Handler: func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case p.gate <- struct{}{}:
-			defer func() { <-p.gate }()
+		case p.openRequests <- struct{}{}:
+			defer func() { <-p.openRequests }()
 		default:
-			WriteError(w, errs.Later(errs.Busy, clock.Second, "come back after the time given", "this daemon has as many open requests as it may"))
+			WriteError(w, errs.NewWithRetry(errs.Busy, clock.Second, "come back after the time given", "this daemon has as many open requests as it may"))
 			return
 		}
-		r.Body = http.MaxBytesReader(w, r.Body, p.most)
+		r.Body = http.MaxBytesReader(w, r.Body, p.maxBodyBytes)
 		if err := handle(w, r); err != nil {
 			WriteError(w, err)
 		}
 	}})
 }
 
-// Open is how many requests are open.
-func (p *Server) Open() int { return len(p.gate) }
+// OpenRequests is how many requests are open.
+func (p *Server) OpenRequests() int { return len(p.openRequests) }
 
 // Start serves until the clean-ups run.
-func (p *Server) Start(ends *cleanup.Stack) error {
+func (p *Server) Start(cleanups *cleanup.Stack) error {
 	address, err := netip.ParseAddrPort(p.address)
 	if err != nil {
 		return errors.Wrap(err, "the http address")
@@ -74,7 +74,7 @@
 	}
 	server.AddRoutes(p.routes)
 	go server.Start()
-	ends.Push(server.Stop)
+	cleanups.Push(server.Stop)
 	return nil
 }
 
@@ -94,8 +94,8 @@
 // Retry-After in whole seconds.
 func WriteError(w http.ResponseWriter, err error) {
 	m := errs.Of(err)
-	if m.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.FormatInt(int64(math.Ceil(float64(m.RetryAfter)/1e6)), 10))
+	if m.RetryAfterUS > 0 {
+		w.Header().Set("Retry-After", strconv.FormatInt(int64(math.Ceil(float64(m.RetryAfterUS)/1e6)), 10))
 	}
 	WriteJSON(w, m.Status(), map[string]any{"error": m})
 }
@@ -104,9 +104,9 @@
 func ReadBody(r *http.Request) ([]byte, error) {
 	data, err := io.ReadAll(r.Body)
 	if err != nil {
-		var large *http.MaxBytesError
-		if errors.As(err, &large) {
-			return nil, errs.New(errs.TooLarge, "send a smaller body, or several bundles", "the body is over %d bytes", large.Limit)
+		var tooLarge *http.MaxBytesError
+		if errors.As(err, &tooLarge) {
+			return nil, errs.New(errs.TooLarge, "send a smaller body, or several bundles", "the body is over %d bytes", tooLarge.Limit)
 		}
 		return nil, errs.New(errs.BadInput, "send the whole body", "the body broke off: %v", err)
 	}
--- a/kernel/logging/logging.go
+++ b/kernel/logging/logging.go
@@ -9,9 +9,9 @@
 	"github.com/zeromicro/go-zero/core/logx"
 )
 
-// Open makes the log of a daemon and keeps go-zero's own log quiet: what the
+// New makes the log of a daemon and keeps go-zero's own log quiet: what the
 // daemons decide is logged once, here.
-func Open(out io.Writer, program, id string) zerolog.Logger {
+func New(out io.Writer, program, id string) zerolog.Logger {
 	logx.Disable()
 	logx.DisableStat()
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMicro
--- a/kernel/machine/entries.go
+++ b/kernel/machine/entries.go
@@ -7,11 +7,11 @@
 	"github.com/pkg/errors"
 )
 
-// Entries is the codec of one state's changes: each kind of change by its name.
+// EntryCodec is the codec of one state's changes: each kind of change by its name.
 // A kind that this release does not know is never passed over.
-type Entries[E any] map[string]func(json.RawMessage) (E, error)
+type EntryCodec[E any] map[string]func(json.RawMessage) (E, error)
 
-type wrapped struct {
+type encodedEntry struct {
 	Kind string          `json:"k"`
 	Body json.RawMessage `json:"b"`
 }
@@ -26,31 +26,31 @@
 }
 
 // Encode writes a change under its kind.
-func (Entries[E]) Encode(kind string, change E) []byte {
+func (EntryCodec[E]) Encode(kind string, change E) []byte {
 	body, _ := json.Marshal(change)
-	data := make([]byte, 0, len(openKind)+len(kind)+len(openBody)+len(body)+1)
-	data = append(append(append(data, openKind...), kind...), openBody...)
+	data := make([]byte, 0, len(entryPrefix)+len(kind)+len(entryBodyPrefix)+len(body)+1)
+	data = append(append(append(data, entryPrefix...), kind...), entryBodyPrefix...)
 	return append(append(data, body...), '}')
 }
 
-func split(data []byte) (kind string, body []byte, ok bool) {
-	rest, ok := bytes.CutPrefix(data, []byte(openKind))
+func splitEntry(data []byte) (kind string, body []byte, ok bool) {
+	rest, ok := bytes.CutPrefix(data, []byte(entryPrefix))
 	if !ok {
 		return "", nil, false
 	}
 	end := bytes.IndexByte(rest, '"')
-	if end < 0 || !bytes.HasPrefix(rest[end:], []byte(openBody)) || rest[len(rest)-1] != '}' {
+	if end < 0 || !bytes.HasPrefix(rest[end:], []byte(entryBodyPrefix)) || rest[len(rest)-1] != '}' {
 		return "", nil, false
 	}
-	return string(rest[:end]), rest[end+len(openBody) : len(rest)-1], true
+	return string(rest[:end]), rest[end+len(entryBodyPrefix) : len(rest)-1], true
 }
 
 // Decode reads a change back.
-func (e Entries[E]) Decode(data []byte) (E, error) {
+func (e EntryCodec[E]) Decode(data []byte) (E, error) {
 	var none E
-	var w wrapped
-	if kind, body, ok := split(data); ok {
-		w = wrapped{Kind: kind, Body: body}
+	var w encodedEntry
+	if kind, body, ok := splitEntry(data); ok {
+		w = encodedEntry{Kind: kind, Body: body}
 	} else if err := json.Unmarshal(data, &w); err != nil {
 		return none, errors.Wrap(err, "reading a change")
 	}
--- a/kernel/machine/entries_test.go
+++ b/kernel/machine/entries_test.go
@@ -11,7 +11,7 @@
 // A neighbouring release may add a field: it is passed over. A kind of change
 // that this release does not know is never passed over.
 func TestNeighbouringReleases(t *testing.T) {
-	entries := Entries[change]{"old": Decoder(func(o old) change { return o })}
+	entries := EntryCodec[change]{"old": Decoder(func(o old) change { return o })}
 	got, err := entries.Decode([]byte(`{"k":"old","b":{"Text":"x","Colour":"red"}}`))
 	if err != nil || got.word() != "x" {
 		t.Fatalf("a change with one more field: %v %v", got, err)
--- a/kernel/machine/machine.go
+++ b/kernel/machine/machine.go
@@ -23,28 +23,28 @@
 	Body  []byte `json:"body,omitempty"`
 }
 
-// Store writes records and syncs; the event loop answers with Stored{Token}.
-type Store struct {
+// Persist writes records and syncs; the event loop answers with Stored{Token}.
+type Persist struct {
 	Token   uint64
 	Records []Record
 }
 
-// Fold replaces all records stored so far by these, which say the same.
-type Fold struct{ Records []Record }
+// Compact replaces all records stored so far by these, which say the same.
+type Compact struct{ Records []Record }
 
-// Shelve puts settled records away in a file of their own, to be read back one
+// Archive puts settled records away in a file of their own, to be read back one
 // by one; the event loop answers with Stored{Token}. Unshelve removes such files.
-type Shelve struct {
+type Archive struct {
 	Token   uint64
 	File    uint64
 	Records []Record
 }
 
-// Unshelve removes files that nothing refers to any more.
-type Unshelve struct{ Files []uint64 }
+// DeleteArchive removes files that nothing refers to any more.
+type DeleteArchive struct{ Files []uint64 }
 
-// Answer ends a call that came in with a call number.
-type Answer struct {
+// Reply ends a call that came in with a call number.
+type Reply struct {
 	Call uint64
 	Body any
 	Err  error
@@ -70,47 +70,47 @@
 // Publish hands an update to the gossip node.
 type Publish struct{ Update Update }
 
-// Heard tells the daemon's other machines that an update was received.
-type Heard struct{ Update Update }
+// UpdateReceived tells the daemon's other machines that an update was received.
+type UpdateReceived struct{ Update Update }
 
-// Explain is one decision for the log.
-type Explain struct {
-	What   string
-	Fields map[string]any
+// LogEvent is one decision for the log.
+type LogEvent struct {
+	Message string
+	Fields  map[string]any
 }
 
 // Halt ends the daemon: going on would put a promise at risk.
 type Halt struct{ Err error }
 
-// Work asks the request path to run something (an item of a bundle).
-type Work struct{ Order any }
+// Execute asks the request path to run something (an item of a bundle).
+type Execute struct{ Task any }
 
-func (Send) effect()     {}
-func (Store) effect()    {}
-func (Fold) effect()     {}
-func (Shelve) effect()   {}
-func (Unshelve) effect() {}
-func (Answer) effect()   {}
-func (Publish) effect()  {}
-func (Heard) effect()    {}
-func (Explain) effect()  {}
-func (Work) effect()     {}
+func (Send) effect()           {}
+func (Persist) effect()        {}
+func (Compact) effect()        {}
+func (Archive) effect()        {}
+func (DeleteArchive) effect()  {}
+func (Reply) effect()          {}
+func (Publish) effect()        {}
+func (UpdateReceived) effect() {}
+func (LogEvent) effect()       {}
+func (Execute) effect()        {}
 
 // Command is one input of a machine of type M.
 type Command[M any] interface {
 	Apply(machine M, now clock.Micros)
 }
 
-// Out collects the effects of one step.
-type Out struct{ effects []Effect }
+// Effects collects the effects of one step.
+type Effects struct{ list []Effect }
 
 // Emit adds an effect.
-func (o *Out) Emit(e Effect) { o.effects = append(o.effects, e) }
+func (o *Effects) Emit(e Effect) { o.list = append(o.list, e) }
 
 // Drain returns the effects collected and begins anew.
-func (o *Out) Drain() []Effect {
-	out := o.effects
-	o.effects = nil
+func (o *Effects) Drain() []Effect {
+	out := o.list
+	o.list = nil
 	return out
 }
 
--- a/kernel/machine/stored_names.go
+++ b/kernel/machine/stored_names.go
@@ -4,6 +4,6 @@
 // looking through its body twice. These spellings are on disk, as are the keys of wrapped;
 // they never change.
 const (
-	openKind = `{"k":"`
-	openBody = `","b":`
+	entryPrefix     = `{"k":"`
+	entryBodyPrefix = `","b":`
 )
--- a/kernel/services/services.go
+++ b/kernel/services/services.go
@@ -12,48 +12,48 @@
 // Service is a part of a daemon. Start must not block; what it started is
 // ended by the clean-ups it pushes.
 type Service interface {
-	Start(registry *Registry, ends *cleanup.Stack) error
+	Start(registry *Registry, cleanups *cleanup.Stack) error
 }
 
 // Registry holds a daemon's services.
 type Registry struct {
-	mu     sync.Mutex
-	names  []string
-	byName map[string]Service
-	ends   cleanup.Stack
+	mu       sync.Mutex
+	names    []string
+	byName   map[string]Service
+	cleanups cleanup.Stack
 }
 
 // New makes an empty registry.
 func New() *Registry { return &Registry{byName: map[string]Service{}} }
 
 // Register adds a service under a name that is not yet taken.
-func (h *Registry) Register(name string, service Service) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if _, taken := h.byName[name]; taken {
+func (r *Registry) Register(name string, service Service) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if _, taken := r.byName[name]; taken {
 		panic("almhut: service registered twice: " + name)
 	}
-	h.names = append(h.names, name)
-	h.byName[name] = service
+	r.names = append(r.names, name)
+	r.byName[name] = service
 }
 
 // Find looks up a service of the wanted type by name.
-func Find[T any](h *Registry, name string) (T, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	found, ok := h.byName[name].(T)
+func Find[T any](r *Registry, name string) (T, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	service, ok := r.byName[name].(T)
 	if !ok {
 		var none T
 		return none, errs.New(errs.BadSettings, "register it before the services that need it", "no service %q of the wanted type", name)
 	}
-	return found, nil
+	return service, nil
 }
 
 // Start starts all in the order of registration; on a fault it ends what ran.
-func (h *Registry) Start() error {
-	for _, name := range h.names {
-		if err := h.byName[name].Start(h, &h.ends); err != nil {
-			h.ends.Run()
+func (r *Registry) Start() error {
+	for _, name := range r.names {
+		if err := r.byName[name].Start(r, &r.cleanups); err != nil {
+			r.cleanups.Run()
 			return err
 		}
 	}
@@ -61,4 +61,4 @@
 }
 
 // Stop ends all in reverse.
-func (h *Registry) Stop() { h.ends.Run() }
+func (r *Registry) Stop() { r.cleanups.Run() }
--- a/kernel/settings/settings.go
+++ b/kernel/settings/settings.go
@@ -17,15 +17,15 @@
 
 // Common are the settings every daemon has.
 type Common struct {
-	Name   string // the operators' name of the machine; "" for none
-	Zone   string
-	Peer   string
-	Listen string
-	HTTP   string
-	Seeds  []string
-	Data   string
-	Log    string
-	seeds  string
+	Name       string // the operators' name of the machine; "" for none
+	Zone       string
+	Peer       string
+	PeerListen string
+	HTTP       string
+	Seeds      []string
+	DataDir    string
+	LogFile    string
+	seedList   string
 }
 
 // Reader reads settings and gathers faults.
@@ -45,84 +45,84 @@
 	return &Reader{Flags: flags, Warnings: os.Stderr}
 }
 
-// Fault notes a fault in the settings.
-func (r *Reader) Fault(format string, args ...any) {
+// Faultf notes a fault in the settings.
+func (r *Reader) Faultf(format string, args ...any) {
 	r.faults = append(r.faults, fmt.Sprintf(format, args...))
 }
 
-// Check adds a check that runs once everything is read.
-func (r *Reader) Check(check func()) { r.checks = append(r.checks, check) }
+// AddCheck adds a check that runs once everything is read.
+func (r *Reader) AddCheck(check func()) { r.checks = append(r.checks, check) }
 
-// Address checks that a setting is an IP number with a port.
-func (r *Reader) Address(name, value string) {
+// CheckAddress checks that a setting is an IP number with a port.
+func (r *Reader) CheckAddress(name, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		r.Fault("-%s %q: not an IP number with a port; write for example 127.0.0.1:7100", name, value)
+		r.Faultf("-%s %q: not an IP number with a port; write for example 127.0.0.1:7100", name, value)
 	}
 }
 
 // Int adds a whole number with its bounds.
-func (r *Reader) Int(target *int64, name string, value, least, most int64, usage string) {
+func (r *Reader) Int(target *int64, name string, value, lowest, highest int64, usage string) {
 	r.Flags.Int64Var(target, name, value, usage)
-	r.Check(func() {
-		if *target < least || *target > most {
-			r.Fault("-%s %d: out of bounds; give a whole number from %d to %d", name, *target, least, most)
+	r.AddCheck(func() {
+		if *target < lowest || *target > highest {
+			r.Faultf("-%s %d: out of bounds; give a whole number from %d to %d", name, *target, lowest, highest)
 		}
 	})
 }
 
-// formerValue is the value of a setting under its former name: it sets the setting
+// deprecatedValue is the value of a setting under its former name: it sets the setting
 // under its current name and warns.
-type formerValue struct {
-	reader          *Reader
-	former, current string
+type deprecatedValue struct {
+	reader              *Reader
+	deprecated, current string
 }
 
 // String is empty: the value is kept under the current name.
-func (formerValue) String() string { return "" }
+func (deprecatedValue) String() string { return "" }
 
 // Set sets the setting under its current name.
-func (v formerValue) Set(value string) error {
-	fmt.Fprintf(v.reader.Warnings, "%s: -%s is now -%s; the old name is read for one release\n", v.reader.Flags.Name(), v.former, v.current)
+func (v deprecatedValue) Set(value string) error {
+	fmt.Fprintf(v.reader.Warnings, "%s: -%s is now -%s; the old name is read for one release\n", v.reader.Flags.Name(), v.deprecated, v.current)
 	return v.reader.Flags.Set(v.current, value)
 }
 
-// Former reads a setting's former name for one release, with a warning.
-func (r *Reader) Former(former, current string) {
-	r.Flags.Var(formerValue{r, former, current}, former, "former name of -"+current)
+// Deprecated reads a setting's former name for one release, with a warning.
+func (r *Reader) Deprecated(deprecated, current string) {
+	r.Flags.Var(deprecatedValue{r, deprecated, current}, deprecated, "former name of -"+current)
 }
 
 // Common adds the settings every daemon has; disk says whether it needs one.
-func (r *Reader) Common(c *Common, disk bool) {
+func (r *Reader) Common(c *Common, needsDisk bool) {
 	r.Flags.StringVar(&c.Name, "name", "", "the operators' name of this machine")
 	r.Flags.StringVar(&c.Zone, "zone", "", "the zone this daemon runs in")
 	r.Flags.StringVar(&c.Peer, "peer", "", "address for the fleet's own traffic, IP:port")
-	r.Flags.StringVar(&c.Listen, "peer-listen", "", "address to listen on where it differs from -peer")
+	r.Flags.StringVar(&c.PeerListen, "peer-listen", "", "address to listen on where it differs from -peer")
 	r.Flags.StringVar(&c.HTTP, "http", "", "address for callers and operators, IP:port")
-	r.Flags.StringVar(&c.seeds, "seeds", "", "three addresses of other daemons, by comma")
-	r.Flags.StringVar(&c.Data, "data", "", "the data folder (daemons with a disk)")
-	r.Flags.StringVar(&c.Log, "log", "", "log file; standard error when empty")
-	r.Check(func() {
+	r.Flags.StringVar(&c.seedList, "seeds", "", "three addresses of other daemons, by comma")
+	r.Flags.StringVar(&c.DataDir, "data", "", "the data folder (daemons with a disk)")
+	r.Flags.StringVar(&c.LogFile, "log", "", "log file; standard error when empty")
+	r.AddCheck(func() {
 		if c.Zone == "" {
-			r.Fault("-zone is missing; name the zone, for example -zone north")
+			r.Faultf("-zone is missing; name the zone, for example -zone north")
 		}
-		r.Address("peer", c.Peer)
-		r.Address("http", c.HTTP)
-		if c.Listen == "" {
-			c.Listen = c.Peer
+		r.CheckAddress("peer", c.Peer)
+		r.CheckAddress("http", c.HTTP)
+		if c.PeerListen == "" {
+			c.PeerListen = c.Peer
 		} else {
-			r.Address("peer-listen", c.Listen)
+			r.CheckAddress("peer-listen", c.PeerListen)
 		}
-		for _, seed := range strings.Split(c.seeds, ",") {
+		for _, seed := range strings.Split(c.seedList, ",") {
 			if seed = strings.TrimSpace(seed); seed != "" {
-				r.Address("seeds", seed)
+				r.CheckAddress("seeds", seed)
 				c.Seeds = append(c.Seeds, seed)
 			}
 		}
 		if len(c.Seeds) != 3 {
-			r.Fault("-seeds names %d addresses; give exactly three, by comma", len(c.Seeds))
+			r.Faultf("-seeds names %d addresses; give exactly three, by comma", len(c.Seeds))
 		}
-		if disk && c.Data == "" {
-			r.Fault("-data is missing; give a folder on a disk of this machine")
+		if needsDisk && c.DataDir == "" {
+			r.Faultf("-data is missing; give a folder on a disk of this machine")
 		}
 	})
 }
@@ -131,14 +131,14 @@
 func (r *Reader) Parse(args []string) error {
 	err := ff.Parse(r.Flags, args, ff.WithConfigFileFlag("settings"), ff.WithConfigFileParser(ff.PlainParser))
 	if err != nil {
-		r.Fault("%v; see -help for the settings there are", err)
+		r.Faultf("%v; see -help for the settings there are", err)
 	} else {
 		for _, check := range r.checks {
 			check()
 		}
 	}
-	if extra := r.Flags.Args(); len(extra) > 0 {
-		r.Fault("words that are no settings: %s; leave them out", strings.Join(extra, " "))
+	if unexpected := r.Flags.Args(); len(unexpected) > 0 {
+		r.Faultf("words that are no settings: %s; leave them out", strings.Join(unexpected, " "))
 	}
 	if len(r.faults) == 0 {
 		return nil
--- a/kernel/settings/settings_test.go
+++ b/kernel/settings/settings_test.go
@@ -72,7 +72,7 @@
 		r, value := New("program"), int64(0)
 		r.Warnings = &warnings
 		r.Int(&value, "new", 3, 1, 10, "a number")
-		r.Former("old", "new")
+		r.Deprecated("old", "new")
 		if err := r.Parse(c.args); err != nil || value != c.want || (warnings.Len() > 0) != c.warn {
 			t.Errorf("%v: %v, value %d, warnings %q", c.args, err, value, warnings.String())
 		}
@@ -80,7 +80,7 @@
 	r, value := New("program"), int64(0)
 	r.Warnings = io.Discard
 	r.Int(&value, "new", 3, 1, 10, "a number")
-	r.Former("old", "new")
+	r.Deprecated("old", "new")
 	if err := r.Parse([]string{"-old", "11"}); err == nil {
 		t.Error("a value out of bounds is taken under the former name")
 	}
--- a/kernel/storage/aside.go
+++ b/kernel/storage/aside.go
@@ -5,27 +5,27 @@
 	"path/filepath"
 )
 
-// WriteAside makes a file durable: written aside, synced, renamed, and its
+// WriteFileAtomically makes a file durable: written aside, synced, renamed, and its
 // folder synced. step, when set, is told before each of these.
-func WriteAside(name string, data []byte, step func(string) error) error {
-	return writeAside(localFiles{}, name, data, step)
+func WriteFileAtomically(name string, data []byte, step func(string) error) error {
+	return writeFileAtomically(localFiles{}, name, data, step)
 }
 
-// writeAside leaves no half-written file: when a step fails, the room that the
+// writeFileAtomically leaves no half-written file: when a step fails, the room that the
 // file took is given back, and the name holds what it held before. Only after a
 // failed sync of the folder is the new file there already; it is whole, and the
 // next try writes it anew under the same name.
-func writeAside(files FileSystem, name string, data []byte, step func(string) error) error {
+func writeFileAtomically(files FileSystem, name string, data []byte, step func(string) error) error {
 	if step == nil {
 		step = func(string) error { return nil }
 	}
-	aside := name + asideSuffix
-	if err := writeSynced(files, aside, data, step); err != nil {
-		_ = files.Remove(aside) // if it stays, no reader takes it and the next start removes it
+	temporary := name + temporarySuffix
+	if err := writeSynced(files, temporary, data, step); err != nil {
+		_ = files.Remove(temporary) // if it stays, no reader takes it and the next start removes it
 		return err
 	}
-	if err := rename(files, aside, name, step); err != nil {
-		_ = files.Remove(aside)
+	if err := rename(files, temporary, name, step); err != nil {
+		_ = files.Remove(temporary)
 		return writeError(stepRename, err)
 	}
 	if err := step(stepFolder); err != nil {
@@ -50,7 +50,7 @@
 	if err != nil {
 		return writeError(stepWrite, err)
 	}
-	if err := fill(file, data); err != nil {
+	if err := writeAll(file, data); err != nil {
 		_ = file.Close()
 		return writeError(stepWrite, err)
 	}
@@ -64,7 +64,7 @@
 	return writeError(stepSync, err)
 }
 
-func fill(file File, data []byte) error {
+func writeAll(file File, data []byte) error {
 	count, err := file.Write(data)
 	if err == nil && count < len(data) {
 		return io.ErrShortWrite
@@ -77,10 +77,10 @@
 	return writeError(stepMakeFolder, localFiles{}.MakeFolder(name))
 }
 
-// prepareFolder makes a folder durable, and what an earlier life made, renamed or
+// syncFolderNames makes a folder durable, and what an earlier life made, renamed or
 // removed in it: a life that was killed may have left names that a loss of power
 // would still take back one by one, and nothing may be built on those.
-func prepareFolder(files FileSystem, folder string) error {
+func syncFolderNames(files FileSystem, folder string) error {
 	if err := files.MakeFolder(folder); err != nil {
 		return writeError(stepMakeFolder, err)
 	}
--- a/kernel/storage/power_loss_test.go
+++ b/kernel/storage/power_loss_test.go
@@ -49,7 +49,7 @@
 	}
 	for _, step := range p.steps {
 		if step == 'f' {
-			_ = p.folder.Fold(versionRecord("view", p.given))
+			_ = p.folder.Compact(versionRecord("view", p.given))
 			continue
 		}
 		p.given++
@@ -58,7 +58,7 @@
 			if err == nil {
 				break
 			}
-			if !CannotWrite(err) || try > 3 {
+			if !IsWriteError(err) || try > 3 {
 				return fmt.Errorf("entry %d: %w", p.given, err)
 			}
 		}
@@ -153,14 +153,14 @@
 // a later start would misread.
 func TestEveryLossAfterEveryRefusal(t *testing.T) {
 	const steps = "wwfwfw"
-	looked, most := 0, 0
+	looked, limit := 0, 0
 	for cut := 1; ; cut++ {
 		if _, _, whole := runUntil(t, steps, cut, 0, nil); whole {
-			most = cut
+			limit = cut
 			break
 		}
 	}
-	for failing := openOperations + 1; failing < most; failing++ {
+	for failing := openOperations + 1; failing < limit; failing++ {
 		// What failed is repaired by the operations right after it: cuts beyond those
 		// leave what TestEveryLossOfNamesIsReadBack has looked at.
 		for cut := failing + 1; cut < failing+18; cut++ {
@@ -196,14 +196,14 @@
 				}
 				attempt := func() error { return folder.Write(versionRecord("entry", 2)) }
 				if fold {
-					attempt = func() error { return folder.Fold(versionRecord("view", 1)) }
+					attempt = func() error { return folder.Compact(versionRecord("view", 1)) }
 				}
-				if err := attempt(); !CannotWrite(err) || !errors.Is(err, cause) || Full(err) != (cause == syscall.ENOSPC) {
+				if err := attempt(); !IsWriteError(err) || !errors.Is(err, cause) || IsDiskFull(err) != (cause == syscall.ENOSPC) {
 					t.Fatalf("%s, %v: told %v", operation, cause, err)
 				}
 				disk.before = nil
 				for name := range disk.names {
-					if len(name) > len(asideSuffix) && name[len(name)-len(asideSuffix):] == asideSuffix {
+					if len(name) > len(temporarySuffix) && name[len(name)-len(temporarySuffix):] == temporarySuffix {
 						t.Fatalf("%s, %v: %s takes room that is wanted", operation, cause, name)
 					}
 				}
@@ -233,7 +233,7 @@
 		t.Fatal(err)
 	}
 	disk.short = true
-	if err := folder.Write(versionRecord("entry", 1)); !CannotWrite(err) {
+	if err := folder.Write(versionRecord("entry", 1)); !IsWriteError(err) {
 		t.Fatalf("told %v", err)
 	}
 	if found, err := readBack(disk.afterKill()); err != nil || found != 0 {
@@ -260,10 +260,10 @@
 			return nil
 		}
 		_, _, err = OpenOn(disk, dataFolder)
-		if errs.Is(err, errs.Corrupt) != damage || CannotWrite(err) == damage {
+		if errs.Is(err, errs.Corrupt) != damage || IsWriteError(err) == damage {
 			t.Fatalf("%s: told %v", operation, err)
 		}
-		if _, err := OpenShelfOn(disk, "/data/shelf"); operation != "read" && (errs.Is(err, errs.Corrupt) != damage || CannotWrite(err) == damage) {
+		if _, err := OpenArchiveOn(disk, "/data/shelf"); operation != "read" && (errs.Is(err, errs.Corrupt) != damage || IsWriteError(err) == damage) {
 			t.Fatalf("%s of the shelf: told %v", operation, err)
 		}
 	}
@@ -305,12 +305,12 @@
 		func() {
 			defer func() { disk.before = nil; _ = recover() }()
 			counts, _, _ := OpenOn(disk, dataFolder)
-			shelf, err := OpenShelfOn(disk, "/data/shelf")
+			archive, err := OpenArchiveOn(disk, "/data/shelf")
 			if err != nil {
 				t.Error(err)
 			}
 			for file := uint64(1); file <= 2; file++ {
-				if err := shelf.Put(file, records, counts); err != nil {
+				if err := archive.Put(file, records, counts); err != nil {
 					t.Error(err)
 				}
 				put = append(put, file)
@@ -318,15 +318,15 @@
 			whole = true
 		}()
 		for at, after := range append(disk.afterPowerLoss(), disk.afterKill()) {
-			shelf, err := OpenShelfOn(after, "/data/shelf")
+			archive, err := OpenArchiveOn(after, "/data/shelf")
 			if err != nil {
 				t.Fatalf("cut %d, loss %d: %v", cut, at, err)
 			}
-			if len(shelf.Held()) < len(put) {
-				t.Fatalf("cut %d, loss %d: %v were put away, %v are there", cut, at, put, shelf.Held())
+			if len(archive.Files()) < len(put) {
+				t.Fatalf("cut %d, loss %d: %v were put away, %v are there", cut, at, put, archive.Files())
 			}
-			for _, file := range shelf.Held() {
-				if body, err := shelf.Get(file, "b-1"); err != nil || string(body) != "one" {
+			for _, file := range archive.Files() {
+				if body, err := archive.Get(file, "b-1"); err != nil || string(body) != "one" {
 					t.Fatalf("cut %d, loss %d: file %d reads %q, %v", cut, at, file, body, err)
 				}
 			}
--- a/kernel/storage/shelf.go
+++ b/kernel/storage/shelf.go
@@ -8,95 +8,95 @@
 	"tuliprudder/kernel/machine"
 )
 
-// Shelf holds files of settled records beside a Folder's versions. Put and Drop
+// Archive holds files of settled records beside a Folder's versions. Put and Drop
 // are the disk thread's, Get may be called by any.
-type Shelf struct {
-	room *Folder
-	top  uint64
-	held []uint64
-	mu   sync.Mutex
+type Archive struct {
+	folder   *Folder
+	lastFile uint64
+	files    []uint64
+	mu       sync.Mutex
 	// The file read last stays decoded: readers page through one bundle.
-	last    uint64
-	decoded map[string][]byte
+	cachedFile    uint64
+	cachedRecords map[string][]byte
 }
 
-// OpenShelf lists the files that are there; half-written ones are removed.
-func OpenShelf(folder string) (*Shelf, error) { return OpenShelfOn(localFiles{}, folder) }
+// OpenArchive lists the files that are there; half-written ones are removed.
+func OpenArchive(folder string) (*Archive, error) { return OpenArchiveOn(localFiles{}, folder) }
 
-// OpenShelfOn is OpenShelf on another file system.
-func OpenShelfOn(files FileSystem, folder string) (*Shelf, error) {
-	if err := prepareFolder(files, folder); err != nil {
+// OpenArchiveOn is OpenArchive on another file system.
+func OpenArchiveOn(files FileSystem, folder string) (*Archive, error) {
+	if err := syncFolderNames(files, folder); err != nil {
 		return nil, err
 	}
 	names, err := files.List(folder)
 	if err != nil {
-		return nil, errs.New(errs.Corrupt, remedyDamaged, "the shelf's folder can't be read: %v", err)
+		return nil, errs.New(errs.Corrupt, damagedDiskRemedy, "the shelf's folder can't be read: %v", err)
 	}
-	shelf := &Shelf{room: &Folder{files: files, folder: folder}}
+	archive := &Archive{folder: &Folder{files: files, folder: folder}}
 	for _, name := range names {
-		if filepath.Ext(name) == asideSuffix {
+		if filepath.Ext(name) == temporarySuffix {
 			_ = files.Remove(filepath.Join(folder, name))
 			continue
 		}
-		number, err := numberOf(name)
+		number, err := versionOfName(name)
 		if err != nil {
 			return nil, err
 		}
-		shelf.held = append(shelf.held, number)
-		shelf.top = max(shelf.top, number)
+		archive.files = append(archive.files, number)
+		archive.lastFile = max(archive.lastFile, number)
 	}
-	return shelf, nil
+	return archive, nil
 }
 
-// Held lists the files there were at the start; Top is the highest of them.
-func (s *Shelf) Held() []uint64 { return s.held }
+// Files lists the files there were at the start; Top is the highest of them.
+func (s *Archive) Files() []uint64 { return s.files }
 
-// Top is the highest file number there was at the start.
-func (s *Shelf) Top() uint64 { return s.top }
+// LastFile is the highest file number there was at the start.
+func (s *Archive) LastFile() uint64 { return s.lastFile }
 
 // Put makes a file durable.
-func (s *Shelf) Put(file uint64, records []machine.Record, room *Folder) error {
+func (s *Archive) Put(file uint64, records []machine.Record, folder *Folder) error {
 	data, err := encode(records)
 	if err != nil {
 		return err
 	}
-	if err := writeAside(s.room.files, s.room.path(file, shelfSuffix), data, s.room.Step); err != nil {
+	if err := writeFileAtomically(s.folder.files, s.folder.path(file, archiveSuffix), data, s.folder.BeforeStep); err != nil {
 		return err
 	}
-	room.Syncs.Add(2)
-	room.Bytes.Add(int64(len(data)))
+	folder.Syncs.Add(2)
+	folder.Bytes.Add(int64(len(data)))
 	return nil
 }
 
 // Get reads one record back.
-func (s *Shelf) Get(file uint64, unit string) ([]byte, error) {
+func (s *Archive) Get(file uint64, unit string) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.last != file || s.decoded == nil {
-		records, err := s.room.read(file, shelfSuffix)
+	if s.cachedFile != file || s.cachedRecords == nil {
+		records, err := s.folder.read(file, archiveSuffix)
 		if err != nil {
 			return nil, err
 		}
-		s.last, s.decoded = file, map[string][]byte{}
+		s.cachedFile, s.cachedRecords = file, map[string][]byte{}
 		for _, record := range records {
-			s.decoded[record.Unit] = record.Body
+			s.cachedRecords[record.Unit] = record.Body
 		}
 	}
-	body, ok := s.decoded[unit]
+	body, ok := s.cachedRecords[unit]
 	if !ok {
 		return nil, errs.New(errs.Corrupt, "this disk is damaged: move the whole data folder away and start empty", "the shelf's file %d does not hold %s", file, unit)
 	}
 	return body, nil
 }
 
-// Drop removes files.
-func (s *Shelf) Drop(files []uint64) {
+// Delete removes files.
+func (s *Archive) Delete(files []uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, file := range files {
-		if file == s.last {
-			s.decoded = nil
+		if file == s.cachedFile {
+			s.cachedRecords = nil
 		}
-		_ = s.room.files.Remove(s.room.path(file, shelfSuffix)) // one that stays is found unused at the next start
+		_ = s.folder.files.Remove(s.folder.path(file, archiveSuffix)) // one that stays is found unused at the next start
 	}
 }
--- a/kernel/storage/storage.go
+++ b/kernel/storage/storage.go
@@ -21,15 +21,15 @@
 
 // Folder is one data folder. It is used by one thread.
 type Folder struct {
-	files  FileSystem
-	folder string
-	next   uint64
-	// replaced are the files that the next view says everything of.
-	replaced []string
+	files       FileSystem
+	folder      string
+	nextVersion uint64
+	// covered are the files that the next view says everything of.
+	covered []string
 	// Syncs and Bytes count what the disk was asked for.
 	Syncs, Bytes atomic.Int64
-	// Step is called before each step of a write; tests stop a write there.
-	Step func(step string) error
+	// BeforeStep is called before each step of a write; tests stop a write there.
+	BeforeStep func(step string) error
 }
 
 // Open reads the folder back: the newest view, then the groups after it.
@@ -43,71 +43,71 @@
 // durable before anything is read or removed: the groups that a view covers must
 // not go for good while the view's own name may still be lost.
 func OpenOn(files FileSystem, folder string) (*Folder, []machine.Record, error) {
-	if err := prepareFolder(files, folder); err != nil {
+	if err := syncFolderNames(files, folder); err != nil {
 		return nil, nil, err
 	}
-	groups, views, err := listVersions(files, folder)
+	groups, snapshots, err := listVersions(files, folder)
 	if err != nil {
 		return nil, nil, err
 	}
-	room := &Folder{files: files, folder: folder, next: 1}
+	dataFolder := &Folder{files: files, folder: folder, nextVersion: 1}
 	var records []machine.Record
 	var base uint64
-	if len(views) > 0 {
-		base = views[len(views)-1]
-		room.next = base + 1
-		if records, err = room.read(base, viewSuffix); err != nil {
+	if len(snapshots) > 0 {
+		base = snapshots[len(snapshots)-1]
+		dataFolder.nextVersion = base + 1
+		if records, err = dataFolder.read(base, snapshotSuffix); err != nil {
 			return nil, nil, err
 		}
-		room.remove(views[:len(views)-1], viewSuffix)
-		room.replaced = append(room.replaced, room.path(base, viewSuffix))
+		dataFolder.remove(snapshots[:len(snapshots)-1], snapshotSuffix)
+		dataFolder.covered = append(dataFolder.covered, dataFolder.path(base, snapshotSuffix))
 	}
 	covered := sort.Search(len(groups), func(i int) bool { return groups[i] >= base })
-	room.remove(groups[:covered], groupSuffix)
+	dataFolder.remove(groups[:covered], groupSuffix)
 	for _, number := range groups[covered:] {
 		// Where a view could not be made durable, the group after it has its number.
-		if number != room.next && number != base {
-			return nil, nil, errs.New(errs.Corrupt, remedyDamaged, "version %016x is missing: %016x is the next one there", room.next, number)
+		if number != dataFolder.nextVersion && number != base {
+			return nil, nil, errs.New(errs.Corrupt, damagedDiskRemedy, "version %016x is missing: %016x is the next one there", dataFolder.nextVersion, number)
 		}
-		part, err := room.read(number, groupSuffix)
+		part, err := dataFolder.read(number, groupSuffix)
 		if err != nil {
 			return nil, nil, err
 		}
 		records = append(records, part...)
-		room.next = number + 1
-		room.replaced = append(room.replaced, room.path(number, groupSuffix))
+		dataFolder.nextVersion = number + 1
+		dataFolder.covered = append(dataFolder.covered, dataFolder.path(number, groupSuffix))
 	}
-	return room, records, nil
+	return dataFolder, records, nil
 }
 
-const remedyDamaged = "this disk is damaged: move the whole data folder away and start empty; the fleet copies back what the pair holds"
+const damagedDiskRemedy = "this disk is damaged: move the whole data folder away and start empty; the fleet copies back what the pair holds"
 
 // listVersions lists the numbers of the groups and of the views in order, and
 // removes half-written files.
-func listVersions(files FileSystem, folder string) (groups, views []uint64, err error) {
+func listVersions(files FileSystem, folder string) (groups, snapshots []uint64, err error) {
 	names, err := files.List(folder)
 	if err != nil {
-		return nil, nil, errs.New(errs.Corrupt, remedyDamaged, "the data folder can't be read: %v", err)
+		return nil, nil, errs.New(errs.Corrupt, damagedDiskRemedy, "the data folder can't be read: %v", err)
 	}
 	for _, name := range names {
 		switch filepath.Ext(name) {
-		case asideSuffix:
+		case temporarySuffix:
 			_ = files.Remove(filepath.Join(folder, name)) // one that stays is never read
-		case groupSuffix, viewSuffix:
-			number, err := numberOf(name)
+		case groupSuffix, snapshotSuffix:
+			number, err := versionOfName(name)
 			if err != nil {
 				return nil, nil, err
 			}
-			if filepath.Ext(name) == viewSuffix {
-				views = append(views, number)
+			if filepath.Ext(name) == snapshotSuffix {
+				snapshots = append(snapshots, number)
 			} else {
 				groups = append(groups, number)
 			}
 		}
 	}
 	slices.Sort(groups)
-	slices.Sort(views)
-	return groups, views, nil
+	slices.Sort(snapshots)
+	return groups, snapshots, nil
 }
 
 func (r *Folder) remove(numbers []uint64, suffix string) {
@@ -116,8 +116,8 @@
 	}
 }
 
-// numberOf reads a version's number off its file's name.
-func numberOf(name string) (number uint64, err error) {
+// versionOfName reads a version's number off its file's name.
+func versionOfName(name string) (number uint64, err error) {
 	if _, err := fmt.Sscanf(strings.TrimSuffix(name, filepath.Ext(name)), "%016x", &number); err != nil {
 		return 0, errs.New(errs.Corrupt, "move the file out of the data folder", "file %s has a name that is no version", name)
 	}
@@ -132,31 +132,31 @@
 	name := r.path(number, suffix)
 	data, err := r.files.Read(name)
 	if err != nil {
-		return nil, errs.New(errs.Corrupt, remedyDamaged, "file %s can't be read: %v", filepath.Base(name), err)
+		return nil, errs.New(errs.Corrupt, damagedDiskRemedy, "file %s can't be read: %v", filepath.Base(name), err)
 	}
-	form := ""
+	format := ""
 	if len(data) >= 12 {
-		form = string(data[:4])
+		format = string(data[:4])
 	}
-	if len(data) >= 12 && form[:3] == magic[:3] && form != magic && form != firstForm {
-		return nil, errs.New(errs.WrongFolder, "run the release that wrote it, or its neighbour", "file %s is of form %s, this release reads %s", filepath.Base(name), data[:4], magic)
+	if len(data) >= 12 && format[:3] == formatV2[:3] && format != formatV2 && format != formatV1 {
+		return nil, errs.New(errs.WrongFolder, "run the release that wrote it, or its neighbour", "file %s is of form %s, this release reads %s", filepath.Base(name), data[:4], formatV2)
 	}
-	if form != magic && form != firstForm {
-		return nil, errs.New(errs.Corrupt, remedyDamaged, "file %s is no version file", filepath.Base(name))
+	if format != formatV2 && format != formatV1 {
+		return nil, errs.New(errs.Corrupt, damagedDiskRemedy, "file %s is no version file", filepath.Base(name))
 	}
 	if int(binary.BigEndian.Uint32(data[8:12])) != len(data)-12 || crc32.ChecksumIEEE(data[12:]) != binary.BigEndian.Uint32(data[4:8]) {
-		return nil, errs.New(errs.Corrupt, remedyDamaged, "file %s does not match its checksum", filepath.Base(name))
+		return nil, errs.New(errs.Corrupt, damagedDiskRemedy, "file %s does not match its checksum", filepath.Base(name))
 	}
-	records, err := decode(form, data[12:])
+	records, err := decode(format, data[12:])
 	if err != nil {
-		return nil, errs.New(errs.Corrupt, remedyDamaged, "file %s cannot be read: %v", filepath.Base(name), err)
+		return nil, errs.New(errs.Corrupt, damagedDiskRemedy, "file %s cannot be read: %v", filepath.Base(name), err)
 	}
 	return records, nil
 }
 
 // decode reads the records of a file in either form.
-func decode(form string, body []byte) (records []machine.Record, err error) {
-	if form == firstForm {
+func decode(format string, body []byte) (records []machine.Record, err error) {
+	if format == formatV1 {
 		err = json.Unmarshal(body, &records)
 		return records, err
 	}
@@ -186,29 +186,29 @@
 	return records, nil
 }
 
-func (r *Folder) step(name string) error {
-	if r.Step == nil {
+func (r *Folder) failureHook(name string) error {
+	if r.BeforeStep == nil {
 		return nil
 	}
-	return r.Step(name)
+	return r.BeforeStep(name)
 }
 
 // Write makes one commit group durable.
 func (r *Folder) Write(records []machine.Record) error { return r.write(records, groupSuffix) }
 
-// Fold writes a view that says what all versions so far say, then removes them.
+// Compact writes a view that says what all versions so far say, then removes them.
 // Where there is no room for the view all stays as it was: the caller folds again
 // later, with the records of that time.
-func (r *Folder) Fold(records []machine.Record) error {
-	replaced := r.replaced
-	if err := r.write(records, viewSuffix); err != nil {
+func (r *Folder) Compact(records []machine.Record) error {
+	replaced := r.covered
+	if err := r.write(records, snapshotSuffix); err != nil {
 		return err
 	}
-	view := r.replaced[len(replaced):]
-	r.replaced = append([]string(nil), view...)
+	snapshot := r.covered[len(replaced):]
+	r.covered = append([]string(nil), snapshot...)
 	for _, name := range replaced {
 		if err := r.files.Remove(name); err != nil {
-			r.replaced = append(r.replaced, name) // the next view's fold tries again
+			r.covered = append(r.covered, name) // the next view's fold tries again
 		}
 	}
 	return nil
@@ -221,12 +221,12 @@
 	if err != nil {
 		return err
 	}
-	name := r.path(r.next, suffix)
-	if err := writeAside(r.files, name, data, r.step); err != nil {
+	name := r.path(r.nextVersion, suffix)
+	if err := writeFileAtomically(r.files, name, data, r.failureHook); err != nil {
 		return err
 	}
-	r.next++
-	r.replaced = append(r.replaced, name)
+	r.nextVersion++
+	r.covered = append(r.covered, name)
 	r.Syncs.Add(2)
 	r.Bytes.Add(int64(len(data)))
 	return nil
@@ -249,7 +249,7 @@
 		out = append(binary.AppendUvarint(out, uint64(len(head))), head...)
 		out = append(binary.AppendUvarint(out, uint64(len(body))), body...)
 	}
-	copy(out, magic)
+	copy(out, formatV2)
 	binary.BigEndian.PutUint32(out[4:], crc32.ChecksumIEEE(out[12:]))
 	binary.BigEndian.PutUint32(out[8:], uint32(len(out)-12))
 	return out, nil
--- a/kernel/storage/storage_test.go
+++ b/kernel/storage/storage_test.go
@@ -20,11 +20,11 @@
 
 func open(t *testing.T, folder string) (*Folder, []machine.Record) {
 	t.Helper()
-	room, records, err := Open(folder)
+	dataFolder, records, err := Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return room, records
+	return dataFolder, records
 }
 
 var errPower = errors.New("power cut")
@@ -35,13 +35,13 @@
 	for _, fold := range []bool{false, true} {
 		for _, step := range []string{"write", "sync", "rename", "folder"} {
 			folder := t.TempDir()
-			room, _ := open(t, folder)
+			dataFolder, _ := open(t, folder)
 			for seq := uint64(1); seq <= 3; seq++ {
-				if err := room.Write(entry(seq)); err != nil {
+				if err := dataFolder.Write(entry(seq)); err != nil {
 					t.Fatal(err)
 				}
 			}
-			room.Step = func(now string) error {
+			dataFolder.BeforeStep = func(now string) error {
 				if now == step {
 					return errPower
 				}
@@ -49,9 +49,9 @@
 			}
 			var err error
 			if fold {
-				err = room.Fold(entry(3))
+				err = dataFolder.Compact(entry(3))
 			} else {
-				err = room.Write(entry(4))
+				err = dataFolder.Write(entry(4))
 			}
 			if !errors.Is(err, errPower) {
 				t.Fatalf("fold %v, %s: the cut was not felt: %v", fold, step, err)
@@ -66,7 +66,7 @@
 					t.Fatalf("fold %v, %s: %d records read back", fold, step, len(records))
 				}
 			}
-			if left, _ := filepath.Glob(filepath.Join(folder, "*"+asideSuffix)); len(left) > 0 {
+			if left, _ := filepath.Glob(filepath.Join(folder, "*"+temporarySuffix)); len(left) > 0 {
 				t.Fatalf("half-written files stay: %v", left)
 			}
 			if err := again.Write(entry(5)); err != nil {
@@ -81,16 +81,16 @@
 
 func TestFoldReplacesWhatWasBefore(t *testing.T) {
 	folder := t.TempDir()
-	room, _ := open(t, folder)
+	dataFolder, _ := open(t, folder)
 	for seq := uint64(1); seq <= 20; seq++ {
-		if err := room.Write(entry(seq)); err != nil {
+		if err := dataFolder.Write(entry(seq)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := room.Fold(entry(20)); err != nil {
+	if err := dataFolder.Compact(entry(20)); err != nil {
 		t.Fatal(err)
 	}
-	if err := room.Write(entry(21)); err != nil {
+	if err := dataFolder.Write(entry(21)); err != nil {
 		t.Fatal(err)
 	}
 	_, records := open(t, folder)
@@ -112,8 +112,8 @@
 		"foreign":   func([]byte) []byte { return []byte("something else altogether") },
 	} {
 		folder := t.TempDir()
-		room, _ := open(t, folder)
-		if err := room.Write(entry(1)); err != nil {
+		dataFolder, _ := open(t, folder)
+		if err := dataFolder.Write(entry(1)); err != nil {
 			t.Fatal(err)
 		}
 		files, _ := filepath.Glob(filepath.Join(folder, "*"+groupSuffix))
@@ -133,8 +133,8 @@
 // A file of another release's form is not taken for damage, nor read.
 func TestAnotherReleasesFile(t *testing.T) {
 	folder := t.TempDir()
-	room, _ := open(t, folder)
-	if err := room.Write(entry(1)); err != nil {
+	dataFolder, _ := open(t, folder)
+	if err := dataFolder.Write(entry(1)); err != nil {
 		t.Fatal(err)
 	}
 	files, _ := filepath.Glob(filepath.Join(folder, "*"+groupSuffix))
@@ -155,27 +155,27 @@
 // damage when it sees it.
 func TestShelf(t *testing.T) {
 	folder := t.TempDir()
-	room, _ := open(t, t.TempDir())
-	shelf, err := OpenShelf(folder)
+	dataFolder, _ := open(t, t.TempDir())
+	archive, err := OpenArchive(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	records := []machine.Record{{Unit: "b-1", Body: []byte("one")}, {Unit: "b-2", Body: []byte("two")}}
-	if err := shelf.Put(7, records, room); err != nil {
+	if err := archive.Put(7, records, dataFolder); err != nil {
 		t.Fatal(err)
 	}
-	shelf.room.Step = func(step string) error {
+	archive.folder.BeforeStep = func(step string) error {
 		if step == "rename" {
 			return errPower
 		}
 		return nil
 	}
-	if err := shelf.Put(8, records, room); !errors.Is(err, errPower) {
+	if err := archive.Put(8, records, dataFolder); !errors.Is(err, errPower) {
 		t.Fatalf("the cut was not felt: %v", err)
 	}
-	again, err := OpenShelf(folder)
-	if err != nil || again.Top() != 7 || len(again.Held()) != 1 {
-		t.Fatalf("after the cut it holds %v: %v", again.Held(), err)
+	again, err := OpenArchive(folder)
+	if err != nil || again.LastFile() != 7 || len(again.Files()) != 1 {
+		t.Fatalf("after the cut it holds %v: %v", again.Files(), err)
 	}
 	if body, err := again.Get(7, "b-2"); err != nil || string(body) != "two" {
 		t.Fatalf("read back %q: %v", body, err)
@@ -183,7 +183,7 @@
 	if _, err := again.Get(7, "b-3"); !errs.Is(err, errs.Corrupt) {
 		t.Fatalf("a bundle that is not there: %v", err)
 	}
-	again.Drop([]uint64{7})
+	again.Delete([]uint64{7})
 	if _, err := again.Get(7, "b-1"); err == nil {
 		t.Fatal("a dropped file was read")
 	}
@@ -194,18 +194,18 @@
 	folder := t.TempDir()
 	want := []machine.Record{{Unit: "u", Kind: "k", Epoch: 3, Seq: 4, Body: []byte("old")}}
 	body, _ := json.Marshal(want)
-	head := append([]byte(firstForm), make([]byte, 8)...)
+	head := append([]byte(formatV1), make([]byte, 8)...)
 	binary.BigEndian.PutUint32(head[4:], crc32.ChecksumIEEE(body))
 	binary.BigEndian.PutUint32(head[8:], uint32(len(body)))
 	if err := os.WriteFile(filepath.Join(folder, "0000000000000001.group"), append(head, body...), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	room, got, err := Open(folder)
+	dataFolder, got, err := Open(folder)
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Fatalf("read %+v, %v", got, err)
 	}
 	next := machine.Record{Unit: "u", Kind: "k", Epoch: 3, Seq: 5, Body: []byte{0, 255, '"'}}
-	if err := room.Write([]machine.Record{next, {Unit: "v", Kind: "empty"}}); err != nil {
+	if err := dataFolder.Write([]machine.Record{next, {Unit: "v", Kind: "empty"}}); err != nil {
 		t.Fatal(err)
 	}
 	if _, got, err = Open(folder); err != nil || len(got) != 3 || !reflect.DeepEqual(got[1], next) || got[2].Unit != "v" {
--- a/kernel/storage/write_error.go
+++ b/kernel/storage/write_error.go
@@ -38,14 +38,14 @@
 	return errors.WithStack(&WriteError{Step: step, Err: err})
 }
 
-// CannotWrite tells whether an error is the disk's refusal of a write, which may
+// IsWriteError tells whether an error is the disk's refusal of a write, which may
 // be tried again, and not damage.
-func CannotWrite(err error) bool {
+func IsWriteError(err error) bool {
 	var refused *WriteError
 	return errors.As(err, &refused)
 }
 
-// Full tells whether an error says that there is no room left.
-func Full(err error) bool {
+// IsDiskFull tells whether an error says that there is no room left.
+func IsDiskFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
--- a/kernel/transport/transport.go
+++ b/kernel/transport/transport.go
@@ -29,14 +29,14 @@
 	Body any
 }
 
-// Batch is what one call of Deliver carries.
-type Batch struct{ Messages []Envelope }
+// MessageBatch is what one call of Deliver carries.
+type MessageBatch struct{ Messages []Envelope }
 
-// Delivered says how many messages of a batch were taken.
-type Delivered struct{ Count int }
+// DeliverReply says how many messages of a batch were taken.
+type DeliverReply struct{ Count int }
 
-// Reply is the answer to an ask.
-type Reply struct {
+// CallReply is the answer to an ask.
+type CallReply struct {
 	Body any
 	Err  *errs.Error
 }
@@ -67,61 +67,65 @@
 // expiry the asker put into its own body.
 type Receiver interface {
 	Deliver(message Envelope)
-	Ask(message Envelope) (any, error)
+	HandleCall(message Envelope) (any, error)
 }
 
 // Transport is one daemon's end of its connections. Its methods may be called by
 // several threads.
 type Transport struct {
-	self     string
-	receiver Receiver
-	mu       sync.Mutex
-	outboxes map[string]*outbox
-	requests map[string]*requestConnection
-	closed   bool
-	// Sent counts messages, Calls the calls that carried them, Lost those that
+	self        string
+	receiver    Receiver
+	mu          sync.Mutex
+	outboxes    map[string]*outbox
+	connections map[string]*callConnection
+	closed      bool
+	// MessagesSent counts messages, Calls the calls that carried them, Lost those that
 	// were dropped or expired, BytesOut what went over the wire.
-	Sent, Calls, Lost, BytesOut atomic.Int64
+	MessagesSent, Calls, MessagesLost, BytesOut atomic.Int64
 }
 
-// serviceName is the service's name on the wire; it keeps the spelling of the first
-// release.
-const serviceName = "Post"
+// serviceName is the service's name on the wire. It ends with the version of the
+// protocol: gob passes a field that it does not know over without an error, so a message
+// of a build whose fields have other names would be misread. Daemons of two versions
+// therefore find no service at each other, and their messages count as lost
+// (docs/DESIGN.md, section 3). Raise the version with every change of a message's type or
+// field; "Post" was the name of versions 1 and 2.
+const serviceName = "tuliprudder.3"
 
 const (
-	ringSize      = 4096
-	batchSize     = 256
-	deliverExpiry = time.Second
-	maxOutboxes   = 256
+	outboxSize     = 4096
+	maxBatchSize   = 256
+	deliverTimeout = time.Second
+	maxOutboxes    = 256
 )
 
 type outbox struct{ ring *ring.Ring[Envelope] }
 
-type requestConnection struct {
+type callConnection struct {
 	mu     sync.Mutex
 	client *rpc.Client
 }
 
 // New makes the transport of a daemon with the given peer address.
 func New(self string, receiver Receiver) *Transport {
-	return &Transport{self: self, receiver: receiver, outboxes: map[string]*outbox{}, requests: map[string]*requestConnection{}}
+	return &Transport{self: self, receiver: receiver, outboxes: map[string]*outbox{}, connections: map[string]*callConnection{}}
 }
 
 // Service has the methods that net/rpc serves.
 type Service struct{ transport *Transport }
 
 // Deliver takes a batch of messages.
-func (p *Service) Deliver(batch Batch, delivered *Delivered) error {
+func (s *Service) Deliver(batch MessageBatch, delivered *DeliverReply) error {
 	for _, message := range batch.Messages {
-		p.transport.receiver.Deliver(message)
+		s.transport.receiver.Deliver(message)
 	}
 	delivered.Count = len(batch.Messages)
 	return nil
 }
 
 // Ask answers one question.
-func (p *Service) Ask(message Envelope, reply *Reply) error {
-	body, err := p.transport.receiver.Ask(message)
+func (s *Service) Ask(message Envelope, reply *CallReply) error {
+	body, err := s.transport.receiver.HandleCall(message)
 	if err != nil {
 		reply.Err = errs.Of(err)
 		return nil
@@ -175,15 +179,15 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closed = true
-	for _, l := range t.outboxes {
-		l.ring.Close()
+	for _, box := range t.outboxes {
+		box.ring.Close()
 	}
-	for _, a := range t.requests {
-		a.mu.Lock()
-		if a.client != nil {
-			a.client.Close()
+	for _, connection := range t.connections {
+		connection.mu.Lock()
+		if connection.client != nil {
+			connection.client.Close()
 		}
-		a.mu.Unlock()
+		connection.mu.Unlock()
 	}
 }
 
@@ -191,8 +195,8 @@
 // counted.
 func (t *Transport) Send(to string, body any) {
 	t.mu.Lock()
-	l := t.outboxes[to]
-	if l == nil && !t.closed {
+	box := t.outboxes[to]
+	if box == nil && !t.closed {
 		if len(t.outboxes) >= maxOutboxes {
 			for address, old := range t.outboxes {
 				if old.ring.Len() == 0 {
@@ -202,19 +206,19 @@
 				}
 			}
 		}
-		l = &outbox{ring: ring.New[Envelope](ringSize)}
-		t.outboxes[to] = l
-		go t.deliver(to, l.ring)
+		box = &outbox{ring: ring.New[Envelope](outboxSize)}
+		t.outboxes[to] = box
+		go t.deliver(to, box.ring)
 	}
 	t.mu.Unlock()
-	if l == nil || !l.ring.Put(Envelope{From: t.self, Body: body}) {
-		t.Lost.Add(1)
+	if box == nil || !box.ring.Put(Envelope{From: t.self, Body: body}) {
+		t.MessagesLost.Add(1)
 	}
 }
 
 // deliver is the thread of one outbox: it takes what waits and delivers it in one
 // call, so that messages of one moment share a round trip.
-func (t *Transport) deliver(to string, ring *ring.Ring[Envelope]) {
+func (t *Transport) deliver(to string, queue *ring.Ring[Envelope]) {
 	var client *rpc.Client
 	defer func() {
 		if client != nil {
@@ -222,51 +226,51 @@
 		}
 	}()
 	for {
-		messages := ring.Take(batchSize)
+		messages := queue.Take(maxBatchSize)
 		if messages == nil {
 			return
 		}
 		if client == nil {
 			var err error
 			if client, err = t.dial(to); err != nil {
-				t.Lost.Add(int64(len(messages)))
+				t.MessagesLost.Add(int64(len(messages)))
 				continue
 			}
 		}
-		if err := callWithin(client, serviceName+".Deliver", Batch{Messages: messages}, &Delivered{}, deliverExpiry); err != nil {
+		if err := callWithTimeout(client, serviceName+".Deliver", MessageBatch{Messages: messages}, &DeliverReply{}, deliverTimeout); err != nil {
 			client.Close()
 			client = nil
-			t.Lost.Add(int64(len(messages)))
+			t.MessagesLost.Add(int64(len(messages)))
 			continue
 		}
-		t.Sent.Add(int64(len(messages)))
+		t.MessagesSent.Add(int64(len(messages)))
 		t.Calls.Add(1)
 	}
 }
 
-var errExpired = errors.New("the call expired; its connection was closed")
+var errTimeout = errors.New("the call expired; its connection was closed")
 
-func callWithin(client *rpc.Client, method string, args, reply any, expiry time.Duration) error {
+func callWithTimeout(client *rpc.Client, method string, args, reply any, timeout time.Duration) error {
 	call := client.Go(method, args, reply, make(chan *rpc.Call, 1))
-	timer := time.NewTimer(expiry)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-call.Done:
 		return call.Error
 	case <-timer.C:
 		client.Close()
-		return errExpired
+		return errTimeout
 	}
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
-	out *atomic.Int64
+	bytesOut *atomic.Int64
 }
 
-func (c countedConn) Write(data []byte) (int, error) {
+func (c countingConn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
-	c.out.Add(int64(n))
+	c.bytesOut.Add(int64(n))
 	return n, err
 }
 
@@ -281,38 +285,38 @@
 	if err != nil {
 		return nil, err
 	}
-	return rpc.NewClient(countedConn{conn, &t.BytesOut}), nil
+	return rpc.NewClient(countingConn{conn, &t.BytesOut}), nil
 }
 
-// Ask calls and waits for the answer, at most until the expiry. An error that is no
+// Call calls and waits for the answer, at most until the expiry. An error that is no
 // *errs.Error means that the outcome is unknown.
-func (t *Transport) Ask(to string, body any, expiry clock.Micros) (any, error) {
+func (t *Transport) Call(to string, body any, timeout clock.Micros) (any, error) {
 	t.mu.Lock()
-	a := t.requests[to]
-	if a == nil {
-		a = &requestConnection{}
-		t.requests[to] = a
+	connection := t.connections[to]
+	if connection == nil {
+		connection = &callConnection{}
+		t.connections[to] = connection
 	}
 	t.mu.Unlock()
-	a.mu.Lock()
-	client := a.client
+	connection.mu.Lock()
+	client := connection.client
 	if client == nil {
 		var err error
 		if client, err = t.dial(to); err != nil {
-			a.mu.Unlock()
-			return nil, errs.Later(errs.NotReady, clock.Second, "ask again; another daemon may serve it by then", "daemon at %s can't be reached: %v", to, err)
+			connection.mu.Unlock()
+			return nil, errs.NewWithRetry(errs.NotReady, clock.Second, "ask again; another daemon may serve it by then", "daemon at %s can't be reached: %v", to, err)
 		}
-		a.client = client
+		connection.client = client
 	}
-	a.mu.Unlock()
-	var reply Reply
-	if err := callWithin(client, serviceName+".Ask", Envelope{From: t.self, Body: body}, &reply, clock.Span(expiry)); err != nil {
-		a.mu.Lock()
-		if a.client == client {
-			a.client = nil
+	connection.mu.Unlock()
+	var reply CallReply
+	if err := callWithTimeout(client, serviceName+".Ask", Envelope{From: t.self, Body: body}, &reply, clock.Duration(timeout)); err != nil {
+		connection.mu.Lock()
+		if connection.client == client {
+			connection.client = nil
 			client.Close()
 		}
-		a.mu.Unlock()
+		connection.mu.Unlock()
 		return nil, errors.Wrapf(err, "asking %s", to)
 	}
 	if reply.Err != nil {
--- a/kernel/transport/transport_test.go
+++ b/kernel/transport/transport_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"net"
+	"net/rpc"
+	"strings"
 	"testing"
 	"time"
 
@@ -9,27 +11,27 @@
 	"tuliprudder/kernel/errs"
 )
 
-type note struct{ Text string }
+type testMessage struct{ Text string }
 
-func init() { Register(note{}) }
+func init() { Register(testMessage{}) }
 
-type ears struct {
-	heard chan string
-	hold  chan struct{}
+type testReceiver struct {
+	received chan string
+	release  chan struct{}
 }
 
-func (e *ears) Deliver(message Envelope) { e.heard <- message.Body.(note).Text }
-func (e *ears) Ask(message Envelope) (any, error) {
-	if message.Body.(note).Text == "hold" {
-		<-e.hold
+func (r *testReceiver) Deliver(message Envelope) { r.received <- message.Body.(testMessage).Text }
+func (r *testReceiver) HandleCall(message Envelope) (any, error) {
+	if message.Body.(testMessage).Text == "hold" {
+		<-r.release
 	}
-	if message.Body.(note).Text == "fail" {
+	if message.Body.(testMessage).Text == "fail" {
 		return nil, errs.New(errs.Busy, "come back", "no room")
 	}
-	return note{"answer to " + message.Body.(note).Text}, nil
+	return testMessage{"answer to " + message.Body.(testMessage).Text}, nil
 }
 
-func listen(t *testing.T) (string, *ears, *Transport) {
+func listen(t *testing.T) (string, *testReceiver, *Transport) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,69 +39,86 @@
 	}
 	address := listener.Addr().String()
 	listener.Close()
-	e := &ears{heard: make(chan string, 100), hold: make(chan struct{})}
-	bridge := New(address, e)
-	end, err := bridge.Listen(address)
+	r := &testReceiver{received: make(chan string, 100), release: make(chan struct{})}
+	transport := New(address, r)
+	stop, err := transport.Listen(address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { close(e.hold); end() })
-	return address, e, bridge
+	t.Cleanup(func() { close(r.release); stop() })
+	return address, r, transport
 }
 
 // A peer that takes connections and says nothing holds up neither the others
 // nor, past the expiry, the asker.
-func TestASilentPeerHoldsNobodyUp(t *testing.T) {
-	silent, err := net.Listen("tcp", "127.0.0.1:0")
+func TestUnresponsivePeerDelaysNobody(t *testing.T) {
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer silent.Close()
-	there, hears, _ := listen(t)
-	_, _, here := listen(t)
+	defer unresponsive.Close()
+	remote, receiver, _ := listen(t)
+	_, _, local := listen(t)
 	for i := 0; i < 10; i++ {
-		here.Send(silent.Addr().String(), note{"lost"})
+		local.Send(unresponsive.Addr().String(), testMessage{"lost"})
 	}
-	here.Send(there, note{"hello"})
+	local.Send(remote, testMessage{"hello"})
 	select {
-	case got := <-hears.heard:
+	case got := <-receiver.received:
 		if got != "hello" {
 			t.Fatalf("heard %q", got)
 		}
 	case <-time.After(20 * time.Second):
 		t.Fatal("a silent peer held the message to another up")
 	}
-	if _, err := here.Ask(silent.Addr().String(), note{"anyone"}, 50*clock.Millisecond); !errs.Is(err, errs.OutcomeUnknown) {
+	if _, err := local.Call(unresponsive.Addr().String(), testMessage{"anyone"}, 50*clock.Millisecond); !errs.Is(err, errs.OutcomeUnknown) {
 		t.Fatalf("an ask that expired is told as %v", err)
 	}
 }
 
 // An ask that expires closes its connection; the next ask goes over a new one.
-func TestAnExpiredAskDoesNotHoldTheNext(t *testing.T) {
-	there, _, _ := listen(t)
-	_, _, here := listen(t)
-	if _, err := here.Ask(there, note{"hold"}, 50*clock.Millisecond); !errs.Is(err, errs.OutcomeUnknown) {
+func TestTimedOutCallDoesNotDelayTheNext(t *testing.T) {
+	remote, _, _ := listen(t)
+	_, _, local := listen(t)
+	if _, err := local.Call(remote, testMessage{"hold"}, 50*clock.Millisecond); !errs.Is(err, errs.OutcomeUnknown) {
 		t.Fatalf("the held ask: %v", err)
 	}
-	got, err := here.Ask(there, note{"again"}, 20*clock.Second)
-	if err != nil || got.(note).Text != "answer to again" {
+	got, err := local.Call(remote, testMessage{"again"}, 20*clock.Second)
+	if err != nil || got.(testMessage).Text != "answer to again" {
 		t.Fatalf("the next ask: %v %v", got, err)
 	}
-	if _, err := here.Ask(there, note{"fail"}, 20*clock.Second); !errs.Is(err, errs.Busy) {
+	if _, err := local.Call(remote, testMessage{"fail"}, 20*clock.Second); !errs.Is(err, errs.Busy) {
 		t.Fatalf("a typed error came over as %v", err)
 	}
 }
 
 // A daemon that can't be reached certainly did not hear the ask.
 func TestUnreachableIsNotUnknown(t *testing.T) {
-	_, _, here := listen(t)
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+	_, _, local := listen(t)
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	address := gone.Addr().String()
-	gone.Close()
-	if _, err := here.Ask(address, note{"x"}, clock.Second); !errs.Is(err, errs.NotReady) {
+	address := closed.Addr().String()
+	closed.Close()
+	if _, err := local.Call(address, testMessage{"x"}, clock.Second); !errs.Is(err, errs.NotReady) {
 		t.Fatalf("told %v", err)
 	}
 }
+
+// A daemon of another protocol version is refused with a clear error: its messages could
+// be misread.
+func TestAnotherProtocolVersionIsRejected(t *testing.T) {
+	remote, _, _ := listen(t)
+	for _, service := range []string{"Post", "tuliprudder.2"} {
+		client, err := rpc.Dial("tcp", remote)
+		if err != nil {
+			t.Fatal(err)
+		}
+		err = client.Call(service+".Deliver", MessageBatch{}, &DeliverReply{})
+		if err == nil || !strings.Contains(err.Error(), "can't find service "+service) {
+			t.Errorf("service %s: %v", service, err)
+		}
+		client.Close()
+	}
+}
--- a/ledger/replication/assignment.go
+++ b/ledger/replication/assignment.go
@@ -8,8 +8,8 @@
 // Member is one life of one daemon: its identity and its incarnation. A daemon
 // that restarted is another life and has to be assigned anew.
 type Member struct {
-	ID   string `json:"id"`
-	Life uint64 `json:"life"`
+	ID          string `json:"id"`
+	Incarnation uint64 `json:"life"`
 }
 
 // Assignment names the members of one replication group under one epoch, as the
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// Zero tells that the group was never assigned.
-func (a Assignment) Zero() bool { return a.Epoch == 0 }
+// IsZero tells that the group was never assigned.
+func (a Assignment) IsZero() bool { return a.Epoch == 0 }
 
 // Equal compares two assignments.
 func (a Assignment) Equal(b Assignment) bool {
@@ -55,7 +55,7 @@
 
 // Members lists the primary and then the replicas.
 func (a Assignment) Members() []Member {
-	if a.Zero() {
+	if a.IsZero() {
 		return nil
 	}
 	return append([]Member{a.Primary}, a.Replicas...)
@@ -70,15 +70,15 @@
 	return ids
 }
 
-// Replicates tells whether a life of a daemon is one of the replicas.
-func (a Assignment) Replicates(member Member) bool { return slices.Contains(a.Replicas, member) }
+// IsReplica tells whether a life of a daemon is one of the replicas.
+func (a Assignment) IsReplica(member Member) bool { return slices.Contains(a.Replicas, member) }
 
-// Trusts tells whether a daemon holds all that was ever confirmed.
-func (a Assignment) Trusts(id string) bool { return id != "" && slices.Contains(a.Trusted, id) }
+// IsTrusted tells whether a daemon holds all that was ever confirmed.
+func (a Assignment) IsTrusted(id string) bool { return id != "" && slices.Contains(a.Trusted, id) }
 
-// Holds tells whether a daemon must keep what it has of this group.
-func (a Assignment) Holds(id string) bool {
-	return slices.Contains(a.IDs(), id) || !a.Complete && a.Trusts(id)
+// MustKeep tells whether a daemon must keep what it has of this group.
+func (a Assignment) MustKeep(id string) bool {
+	return slices.Contains(a.IDs(), id) || !a.Complete && a.IsTrusted(id)
 }
 
 // Completed is the assignment once every member holds the whole state.
@@ -96,97 +96,97 @@
 	return a.Trusted
 }
 
-// Scene is what the authority sees of the daemons.
-type Scene struct {
-	// Life is the incarnation a daemon is living now; false when it is silent.
-	Life func(id string) (uint64, bool)
+// ClusterView is what the authority sees of the daemons.
+type ClusterView struct {
+	// Incarnation is the incarnation a daemon is living now; false when it is silent.
+	Incarnation func(id string) (uint64, bool)
 	// Copies is how many members a group should have.
 	Copies int
-	// Enough tells whether a group may go on with these members although they are
+	// AllowsDegraded tells whether a group may go on with these members although they are
 	// fewer than Copies.
-	Enough func(members []string) bool
-	// Spare picks a further member for a group, none of the shunned; "" when there is none.
-	Spare func(members, shunned []string) string
+	AllowsDegraded func(members []string) bool
+	// ChooseReplacement picks a further member for a group, none of the shunned; "" when there is none.
+	ChooseReplacement func(members, excluded []string) string
 }
 
-// Living gives a daemon its present life.
-func (s Scene) Living(id string) (Member, bool) {
-	life, ok := s.Life(id)
-	return Member{ID: id, Life: life}, ok
+// LiveMember gives a daemon its present life.
+func (s ClusterView) LiveMember(id string) (Member, bool) {
+	incarnation, ok := s.Incarnation(id)
+	return Member{ID: id, Incarnation: incarnation}, ok
 }
 
 // Next works out the assignment that should follow, with the reason, or false when
 // all is well or nothing better can be had.
-func Next(a Assignment, scene Scene) (Assignment, string, bool) {
-	whole := len(scene.lost(a)) == 0
-	if whole && len(a.Members()) >= scene.Copies {
+func Next(a Assignment, view ClusterView) (Assignment, string, bool) {
+	complete := len(view.lostMembers(a)) == 0
+	if complete && len(a.Members()) >= view.Copies {
 		return a, "", false
 	}
-	primary, reason := scene.heir(a)
+	primary, reason := view.successor(a)
 	if primary == "" {
 		return a, "", false
 	}
-	next, ok := scene.assign(a, primary, nil)
-	if !ok || whole && len(next.Members()) <= len(a.Members()) {
+	next, ok := view.fillGroup(a, primary, nil)
+	if !ok || complete && len(next.Members()) <= len(a.Members()) {
 		return a, "", false
 	}
-	if whole {
+	if complete {
 		reason = "a copy was missing"
 	}
 	return next, reason, true
 }
 
 // Reassign makes a group anew under a primary, without the shunned daemons.
-func Reassign(a Assignment, scene Scene, primary string, shunned []string) (Assignment, bool) {
-	return scene.assign(a, primary, shunned)
+func Reassign(a Assignment, view ClusterView, primary string, excluded []string) (Assignment, bool) {
+	return view.fillGroup(a, primary, excluded)
 }
 
-// lost lists the members that don't live the life they were assigned in.
-func (s Scene) lost(a Assignment) []Member {
+// lostMembers lists the members that don't live the life they were assigned in.
+func (s ClusterView) lostMembers(a Assignment) []Member {
 	var out []Member
 	for _, member := range a.Members() {
-		if now, ok := s.Living(member.ID); !ok || now != member {
+		if now, ok := s.LiveMember(member.ID); !ok || now != member {
 			out = append(out, member)
 		}
 	}
 	return out
 }
 
-// heir picks the next primary: the present one if it lives, else a replica of a
+// successor picks the next primary: the present one if it lives, else a replica of a
 // complete group that lived through, else whichever trusted daemon is back with its
 // disk. "" when none of them lives.
-func (s Scene) heir(a Assignment) (id, reason string) {
-	if now, ok := s.Living(a.Primary.ID); ok && now == a.Primary {
+func (s ClusterView) successor(a Assignment) (id, reason string) {
+	if now, ok := s.LiveMember(a.Primary.ID); ok && now == a.Primary {
 		return a.Primary.ID, "replica lost"
 	}
 	if a.Complete {
 		for _, member := range a.Replicas {
-			if now, ok := s.Living(member.ID); ok && now == member {
+			if now, ok := s.LiveMember(member.ID); ok && now == member {
 				return member.ID, "primary lost"
 			}
 		}
 	}
 	successors := a.Successors()
 	for _, id := range append([]string{a.Primary.ID}, successors...) {
-		if _, ok := s.Life(id); ok && slices.Contains(successors, id) {
+		if _, ok := s.Incarnation(id); ok && slices.Contains(successors, id) {
 			return id, "group lost, disk of a member read back"
 		}
 	}
 	return "", ""
 }
 
-// assign fills a group: the members that live stay, trusted daemons that are back
+// fillGroup fills a group: the members that live stay, trusted daemons that are back
 // come next, then spares.
-func (s Scene) assign(a Assignment, primary string, shunned []string) (Assignment, bool) {
-	first, ok := s.Living(primary)
+func (s ClusterView) fillGroup(a Assignment, primary string, excluded []string) (Assignment, bool) {
+	first, ok := s.LiveMember(primary)
 	if !ok {
 		return a, false
 	}
 	next := Assignment{Epoch: a.Epoch + 1, Primary: first, Trusted: a.Successors()}
 	ids := []string{primary}
 	add := func(id string) {
-		member, living := s.Living(id)
-		if living && len(ids) < s.Copies && !slices.Contains(ids, id) && !slices.Contains(shunned, id) {
+		member, living := s.LiveMember(id)
+		if living && len(ids) < s.Copies && !slices.Contains(ids, id) && !slices.Contains(excluded, id) {
 			next.Replicas, ids = append(next.Replicas, member), append(ids, id)
 		}
 	}
@@ -194,17 +194,17 @@
 		add(id)
 	}
 	for len(ids) < s.Copies {
-		spare := s.Spare(ids, shunned)
-		if spare == "" || slices.Contains(ids, spare) {
+		replacement := s.ChooseReplacement(ids, excluded)
+		if replacement == "" || slices.Contains(ids, replacement) {
 			break
 		}
 		before := len(ids)
-		add(spare)
+		add(replacement)
 		if len(ids) == before {
 			break
 		}
 	}
-	if len(ids) < s.Copies && !s.Enough(ids) {
+	if len(ids) < s.Copies && !s.AllowsDegraded(ids) {
 		return a, false // wait for a further member
 	}
 	return next, true
