--- a/ledger/replication/groups.go
+++ b/ledger/replication/groups.go
@@ -7,48 +7,48 @@
 	"tuliprudder/kernel/machine"
 )
 
-// Holder is the state that a unit replicates, and what to do when entries confirm.
-type Holder interface {
-	// View is the whole state in parts; Restore starts from parts.
-	View(unit string) [][]byte
-	// Brief is the same for this daemon's own disk: it may refer to what is
+// StateMachine is the state that a unit replicates, and what to do when entries confirm.
+type StateMachine interface {
+	// Snapshot is the whole state in parts; Restore starts from parts.
+	Snapshot(unit string) [][]byte
+	// LocalSnapshot is the same for this daemon's own disk: it may refer to what is
 	// shelved there already.
-	Brief(unit string) [][]byte
+	LocalSnapshot(unit string) [][]byte
 	Restore(unit string, parts [][]byte)
-	// Play applies an entry on a replica or when read back.
-	Play(unit string, entry []byte)
+	// ApplyEntry applies an entry on a replica or when read back.
+	ApplyEntry(unit string, entry []byte)
 	// Confirmed tells the primary that an entry is on every member's disk.
 	Confirmed(unit string, seq uint64, now clock.Micros)
-	// Ready tells that every member has the copy; who assigns groups has to be told.
-	Ready(unit string, epoch uint64, now clock.Micros)
+	// GroupReady tells that every member has the copy; who assigns groups has to be told.
+	GroupReady(unit string, epoch uint64, now clock.Micros)
 	// Deposed tells the primary of an epoch that it no longer is.
 	Deposed(unit string, epoch uint64, now clock.Micros)
 }
 
 // Groups is all the groups of a daemon, on one disk and one set of messages.
 type Groups struct {
-	out    *machine.Out
-	holder Holder
-	groups map[string]*Group
-	tokens map[uint64]func(now clock.Micros)
-	token  uint64
-	// started is when this life was first given the time.
-	started clock.Micros
-	// SkipFence is a fault planted by tests: old epochs are not refused.
-	SkipFence bool
-	// SkipRemote is a fault planted by tests: one disk is taken for all.
-	SkipRemote bool
-	// SkipLast is a fault planted by tests: an entry is confirmed once one replica has
+	effects       *machine.Effects
+	state         StateMachine
+	groups        map[string]*Group
+	pendingWrites map[uint64]func(now clock.Micros)
+	lastToken     uint64
+	// startedAt is when this life was first given the time.
+	startedAt clock.Micros
+	// SkipEpochCheck is a fault planted by tests: old epochs are not refused.
+	SkipEpochCheck bool
+	// SkipReplicas is a fault planted by tests: one disk is taken for all.
+	SkipReplicas bool
+	// SkipLastReplica is a fault planted by tests: an entry is confirmed once one replica has
 	// it, though the group has more.
-	SkipLast bool
-	// SkipCopy is a fault planted by tests: a group that is made anew counts as complete
+	SkipLastReplica bool
+	// SkipSnapshot is a fault planted by tests: a group that is made anew counts as complete
 	// before its replicas have the copy.
-	SkipCopy bool
+	SkipSnapshot bool
 }
 
 // NewGroups makes the groups of a daemon; their effects go to out.
-func NewGroups(out *machine.Out, holder Holder) *Groups {
-	return &Groups{out: out, holder: holder, groups: map[string]*Group{}, tokens: map[uint64]func(clock.Micros){}}
+func NewGroups(out *machine.Effects, holder StateMachine) *Groups {
+	return &Groups{effects: out, state: holder, groups: map[string]*Group{}, pendingWrites: map[uint64]func(clock.Micros){}}
 }
 
 // Group is the group of a unit; made cold when new.
@@ -71,25 +71,25 @@
 	return out
 }
 
-// Store writes records and runs done once they are synced.
-func (g *Groups) Store(records []machine.Record, done func(now clock.Micros)) {
-	token := g.Await(done)
-	g.out.Emit(machine.Store{Token: token, Records: records})
+// Persist writes records and runs done once they are synced.
+func (g *Groups) Persist(records []machine.Record, done func(now clock.Micros)) {
+	token := g.RegisterWrite(done)
+	g.effects.Emit(machine.Persist{Token: token, Records: records})
 }
 
-// Await gives a token whose store runs done; done may be nil.
-func (g *Groups) Await(done func(now clock.Micros)) uint64 {
-	g.token++
+// RegisterWrite gives a token whose store runs done; done may be nil.
+func (g *Groups) RegisterWrite(done func(now clock.Micros)) uint64 {
+	g.lastToken++
 	if done != nil {
-		g.tokens[g.token] = done
+		g.pendingWrites[g.lastToken] = done
 	}
-	return g.token
+	return g.lastToken
 }
 
-// Stored is the disk's word that a store is synced.
-func (g *Groups) Stored(token uint64, now clock.Micros) {
-	if done := g.tokens[token]; done != nil {
-		delete(g.tokens, token)
+// Persisted is the disk's word that a store is synced.
+func (g *Groups) Persisted(token uint64, now clock.Micros) {
+	if done := g.pendingWrites[token]; done != nil {
+		delete(g.pendingWrites, token)
 		done(now)
 	}
 }
@@ -98,10 +98,10 @@
 // epoch gives it a role again.
 func (g *Groups) Recover(record machine.Record) {
 	r := g.Group(record.Unit)
-	r.recovered = true
+	r.recoveredFromDisk = true
 	switch record.Kind {
-	case KindCopy:
-		g.holder.Restore(record.Unit, decodeParts(record.Body))
+	case KindSnapshot:
+		g.state.Restore(record.Unit, decodeParts(record.Body))
 		r.Epoch, r.Seq = record.Epoch, record.Seq
 	case KindAdopt:
 		if record.Seq == r.Seq {
@@ -110,21 +110,21 @@
 	case KindEntry:
 		if record.Epoch == r.Epoch && record.Seq == r.Seq+1 {
 			r.Seq = record.Seq
-			g.holder.Play(record.Unit, record.Body)
+			g.state.ApplyEntry(record.Unit, record.Body)
 		}
 	case KindDrop:
-		g.holder.Restore(record.Unit, nil)
+		g.state.Restore(record.Unit, nil)
 		r.Epoch, r.Seq = record.Epoch, 0
 	}
-	r.stateEpoch, r.Durable = r.Epoch, r.Seq
+	r.stateEpoch, r.SyncedSeq = r.Epoch, r.Seq
 }
 
-// Records is the groups' state as records that say the same as all so far.
-func (g *Groups) Records() []machine.Record {
+// CompactedRecords is the groups' state as records that say the same as all so far.
+func (g *Groups) CompactedRecords() []machine.Record {
 	var out []machine.Record
 	for _, r := range g.All() {
 		if r.stateEpoch > 0 {
-			out = append(out, machine.Record{Unit: r.Unit, Kind: KindCopy, Epoch: r.stateEpoch, Seq: r.Seq, Body: encodeParts(g.holder.Brief(r.Unit))})
+			out = append(out, machine.Record{Unit: r.Unit, Kind: KindSnapshot, Epoch: r.stateEpoch, Seq: r.Seq, Body: encodeParts(g.state.LocalSnapshot(r.Unit))})
 		}
 	}
 	return out
@@ -133,11 +133,11 @@
 // Release ends any role under a higher epoch; what is held stays on disk until Drop.
 func (g *Groups) Release(unit string, epoch uint64, now clock.Micros) {
 	r := g.Group(unit)
-	led, old := r.Leads(), r.Epoch
-	g.yield(r)
-	r.Epoch, r.Role, r.open, r.replicas = max(r.Epoch, epoch), Cold, nil, nil
+	led, old := r.IsPrimary(), r.Epoch
+	g.releaseGrantedLeases(r)
+	r.Epoch, r.Role, r.unconfirmed, r.replicas = max(r.Epoch, epoch), Idle, nil, nil
 	if led {
-		g.holder.Deposed(unit, old, now)
+		g.state.Deposed(unit, old, now)
 	}
 }
 
@@ -145,62 +145,62 @@
 func (g *Groups) Drop(unit string, epoch uint64, now clock.Micros) {
 	g.Release(unit, epoch, now)
 	r := g.Group(unit)
-	r.Seq, r.Durable, r.stateEpoch = 0, 0, epoch
-	g.holder.Restore(unit, nil)
-	g.Store([]machine.Record{{Unit: unit, Kind: KindDrop, Epoch: epoch}}, nil)
+	r.Seq, r.SyncedSeq, r.stateEpoch = 0, 0, epoch
+	g.state.Restore(unit, nil)
+	g.Persist([]machine.Record{{Unit: unit, Kind: KindDrop, Epoch: epoch}}, nil)
 }
 
-// ClockEvent renews leases and repeats what was not acknowledged.
-func (g *Groups) ClockEvent(now clock.Micros) {
-	g.begin(now)
-	g.beats(now)
+// Tick renews leases and repeats what was not acknowledged.
+func (g *Groups) Tick(now clock.Micros) {
+	g.noteStart(now)
+	g.renewLeases(now)
 	for _, r := range g.All() {
 		switch r.Role {
-		case Copying:
-			g.tryCopy(r, now)
-		case Copied:
-			if now-r.copyAt >= ResendAt {
-				r.copyAt = now
-				g.holder.Ready(r.Unit, r.Epoch, now)
+		case SendingSnapshot:
+			g.sendSnapshot(r, now)
+		case AwaitingCommit:
+			if now-r.readyToldAt >= ResendAfter {
+				r.readyToldAt = now
+				g.state.GroupReady(r.Unit, r.Epoch, now)
 			}
 		case Serving:
-			g.resend(r, now)
+			g.resendEntries(r, now)
 		}
 	}
 }
 
-// Take handles a message between members; false when it is none.
-func (g *Groups) Take(from string, body any, now clock.Micros) bool {
-	g.begin(now)
+// HandleMessage handles a message between members; false when it is none.
+func (g *Groups) HandleMessage(from string, body any, now clock.Micros) bool {
+	g.noteStart(now)
 	switch m := body.(type) {
-	case Copy:
-		g.takeCopy(from, m, now)
-	case Took:
-		g.took(from, m, now)
+	case SnapshotChunk:
+		g.handleSnapshotChunk(from, m, now)
+	case SnapshotChunkAck:
+		g.handleSnapshotChunkAck(from, m, now)
 	case Append:
-		g.takeAppend(from, m, now)
-	case Ack:
-		g.acked(from, m, now)
-	case Fenced:
-		if r := g.Group(m.Unit); m.Epoch > r.Epoch && r.Leads() {
+		g.handleAppend(from, m, now)
+	case AppendAck:
+		g.handleAppendAck(from, m, now)
+	case StaleEpoch:
+		if r := g.Group(m.Unit); m.Epoch > r.Epoch && r.IsPrimary() {
 			g.Release(m.Unit, r.Epoch, now)
 		}
-	case Beat:
-		g.grant(from, m, now)
-	case Yield:
-		g.yielded(m, now)
-	case Leased:
-		g.leased(from, m)
+	case LeaseRequest:
+		g.handleLeaseRequest(from, m, now)
+	case LeaseRelease:
+		g.handleLeaseRelease(m, now)
+	case LeaseGrant:
+		g.handleLeaseGrant(from, m)
 	default:
 		return false
 	}
 	return true
 }
 
-// begin notes when this life began: leases that a life before granted end LeaseWait
+// noteStart notes when this life began: leases that a life before granted end LeaseWait
 // after it.
-func (g *Groups) begin(now clock.Micros) {
-	if g.started == 0 {
-		g.started = now
+func (g *Groups) noteStart(now clock.Micros) {
+	if g.startedAt == 0 {
+		g.startedAt = now
 	}
 }
--- a/ledger/replication/messages.go
+++ b/ledger/replication/messages.go
@@ -15,22 +15,22 @@
 // Messages between the members of a group. Every one carries its epoch, and a
 // receiver that knows a higher one refuses it (fencing).
 type (
-	// Copy is one piece of the primary's whole state at the start of an epoch; a few
+	// SnapshotChunk is one piece of the primary's whole state at the start of an epoch; a few
 	// pieces are under way at a time. StateEpoch and Seq say which state it is: a
 	// replica that holds the same one adopts it without a copy.
-	Copy struct {
-		Unit       string
-		Epoch      uint64
-		StateEpoch uint64
-		Seq        uint64
-		At, Count  int
-		Parts      [][]byte
+	SnapshotChunk struct {
+		Unit         string
+		Epoch        uint64
+		StateEpoch   uint64
+		Seq          uint64
+		Index, Count int
+		Parts        [][]byte
 	}
-	// Took acknowledges a piece; it is not on disk before Ack says Copied.
-	Took struct {
+	// SnapshotChunkAck acknowledges a piece; it is not on disk before Ack says Copied.
+	SnapshotChunkAck struct {
 		Unit  string
 		Epoch uint64
-		At    int
+		Index int
 	}
 	// Append is one entry.
 	Append struct {
@@ -39,63 +39,63 @@
 		Seq   uint64
 		Entry []byte
 	}
-	// Ack says up to which entry the replica has synced; Copied that the copy is.
-	Ack struct {
-		Unit   string
-		Epoch  uint64
-		Seq    uint64
-		Copied bool
+	// AppendAck says up to which entry the replica has synced; Copied that the copy is.
+	AppendAck struct {
+		Unit              string
+		Epoch             uint64
+		Seq               uint64
+		SnapshotInstalled bool
 	}
-	// Fenced tells a deposed primary of the higher epoch.
-	Fenced struct {
+	// StaleEpoch tells a deposed primary of the higher epoch.
+	StaleEpoch struct {
 		Unit  string
 		Epoch uint64
 	}
-	// Beat asks a replica for leases on the units it replicates for this primary.
-	Beat struct {
-		Units []Tenancy
+	// LeaseRequest asks a replica for leases on the units it replicates for this primary.
+	LeaseRequest struct {
+		Units []UnitEpoch
 		Stamp clock.Micros
 	}
-	// Leased grants leases, counted from the time of asking on the primary's clock.
-	Leased struct {
-		Units []Tenancy
+	// LeaseGrant grants leases, counted from the time of asking on the primary's clock.
+	LeaseGrant struct {
+		Units []UnitEpoch
 		Stamp clock.Micros
 	}
-	// Tenancy is a unit under an epoch.
-	Tenancy struct {
+	// UnitEpoch is a unit under an epoch.
+	UnitEpoch struct {
 		Unit  string
 		Epoch uint64
 	}
-	// Yield gives a lease back: the primary of that epoch starts nothing more.
-	Yield struct {
+	// LeaseRelease gives a lease back: the primary of that epoch starts nothing more.
+	LeaseRelease struct {
 		Unit  string
 		Epoch uint64
 	}
 )
 
 func init() {
-	transport.Register(Copy{}, Took{}, Append{}, Ack{}, Fenced{}, Beat{}, Leased{}, Yield{})
+	transport.Register(SnapshotChunk{}, SnapshotChunkAck{}, Append{}, AppendAck{}, StaleEpoch{}, LeaseRequest{}, LeaseGrant{}, LeaseRelease{})
 }
 
 // Spans of a group. A replica's wait is longer than the primary's lease by a margin
 // for clocks that run unevenly.
 const (
-	Lease     = 1000 * clock.Millisecond
-	LeaseWait = Lease + 200*clock.Millisecond
-	BeatEvery = 250 * clock.Millisecond
-	ResendAt  = 400 * clock.Millisecond
-	// silentAfter is how long past its lease a replica may stay without an answer
+	LeaseDuration      = 1000 * clock.Millisecond
+	LeaseWait          = LeaseDuration + 200*clock.Millisecond
+	LeaseRenewInterval = 250 * clock.Millisecond
+	ResendAfter        = 400 * clock.Millisecond
+	// unreachableAfter is how long past its lease a replica may stay without an answer
 	// until it counts as silent.
-	silentAfter = 800 * clock.Millisecond
-	// copyPatience is how long a replica may take without headway in a copy.
-	copyPatience = 2 * silentAfter
+	unreachableAfter = 800 * clock.Millisecond
+	// snapshotTimeout is how long a replica may take without headway in a copy.
+	snapshotTimeout = 2 * unreachableAfter
 )
 
 // Bounds of what is under way.
 const (
-	resendCap  = 64
-	earlyCap   = 256
-	pieceSize  = 256 << 10 // bytes
-	pieceRun   = 4         // pieces of one copy under way at a time
-	copyBudget = 16        // pieces of all copies of a daemon
+	maxResent           = 64
+	maxEarlyEntries     = 256
+	chunkSize           = 256 << 10 // bytes
+	maxChunksPerReplica = 4         // pieces of one copy under way at a time
+	maxChunksInFlight   = 16        // pieces of all copies of a daemon
 )
--- a/ledger/replication/primary.go
+++ b/ledger/replication/primary.go
@@ -7,60 +7,60 @@
 
 // This file is the primary's part of a group.
 
-// Own makes this member the primary under a new epoch, with the replicas at their
+// BecomePrimary makes this member the primary under a new epoch, with the replicas at their
 // addresses. Nothing is confirmed until every member holds the state that this one
 // has, on its disk, and who assigns groups has said so (Complete).
-func (g *Groups) Own(unit string, epoch uint64, replicas []string, now clock.Micros) {
-	g.begin(now)
+func (g *Groups) BecomePrimary(unit string, epoch uint64, replicas []string, now clock.Micros) {
+	g.noteStart(now)
 	r := g.Group(unit)
-	wait := g.leaseGranted(r)
-	r.Epoch, r.Role, r.primary = epoch, Copying, ""
-	r.copyWait, r.copyLocal, r.copyAt = wait, false, 0
-	r.copySeq, r.copyBase = r.Seq, r.stateEpoch
+	wait := g.grantedLeaseEnd(r)
+	r.Epoch, r.Role, r.primary = epoch, SendingSnapshot, ""
+	r.formerLeaseEnd, r.adoptedLocally, r.readyToldAt = wait, false, 0
+	r.snapshotSeq, r.snapshotBaseEpoch = r.Seq, r.stateEpoch
 	r.stateEpoch = epoch
-	r.early, r.gathered = nil, nil
-	for i := range r.open {
-		r.open[i].local = true // the record below is written after them
+	r.earlyEntries, r.receivedChunks = nil, nil
+	for i := range r.unconfirmed {
+		r.unconfirmed[i].syncedLocally = true // the record below is written after them
 	}
-	r.cut(g.holder.View(unit))
+	r.splitSnapshot(g.state.Snapshot(unit))
 	r.replicas = nil
 	for _, peer := range replicas {
-		r.replicas = append(r.replicas, &replica{peer: peer, pieceSent: make([]clock.Micros, len(r.pieces)), pieceTook: make([]bool, len(r.pieces))})
+		r.replicas = append(r.replicas, &replica{peer: peer, chunkSentAt: make([]clock.Micros, len(r.chunks)), chunkAcked: make([]bool, len(r.chunks))})
 	}
 	copySeq := r.Seq
-	g.Store([]machine.Record{{Unit: unit, Kind: KindAdopt, Epoch: epoch, Seq: copySeq}}, func(now clock.Micros) {
-		if r.Epoch == epoch && r.Leads() {
-			r.copyLocal = true
-			r.Durable = max(r.Durable, copySeq)
-			g.copied(r, now)
+	g.Persist([]machine.Record{{Unit: unit, Kind: KindAdopt, Epoch: epoch, Seq: copySeq}}, func(now clock.Micros) {
+		if r.Epoch == epoch && r.IsPrimary() {
+			r.adoptedLocally = true
+			r.SyncedSeq = max(r.SyncedSeq, copySeq)
+			g.checkSnapshotsInstalled(r, now)
 		}
 	})
-	g.tryCopy(r, now)
+	g.sendSnapshot(r, now)
 }
 
-// leaseGranted is until when a former primary may hold a lease that this member
+// grantedLeaseEnd is until when a former primary may hold a lease that this member
 // granted, in this life or in the one before.
-func (g *Groups) leaseGranted(r *Group) clock.Micros {
+func (g *Groups) grantedLeaseEnd(r *Group) clock.Micros {
 	switch {
-	case r.Leads():
+	case r.IsPrimary():
 		return 0
-	case r.recovered:
-		return max(r.granted, g.started+LeaseWait)
+	case r.recoveredFromDisk:
+		return max(r.grantedLeaseUntil, g.startedAt+LeaseWait)
 	}
-	return r.granted
+	return r.grantedLeaseUntil
 }
 
-// Complete is the word that the group of this epoch is written down as complete.
-func (g *Groups) Complete(unit string, epoch uint64, now clock.Micros) bool {
+// CommitGroup is the word that the group of this epoch is written down as complete.
+func (g *Groups) CommitGroup(unit string, epoch uint64, now clock.Micros) bool {
 	r := g.Group(unit)
-	if r.Epoch != epoch || r.Role != Copied {
+	if r.Epoch != epoch || r.Role != AwaitingCommit {
 		return false
 	}
-	r.Role, r.servedAt = Serving, now
+	r.Role, r.servingSince = Serving, now
 	for _, member := range r.replicas {
-		g.beat(member.peer, []*Group{r}, now)
+		g.requestLeases(member.peer, []*Group{r}, now)
 	}
-	g.settle(r, now)
+	g.confirmEntries(r, now)
 	return true
 }
 
@@ -73,103 +73,103 @@
 	}
 	r.Seq++
 	seq, epoch := r.Seq, r.Epoch
-	r.open = append(r.open, entry{seq: seq, body: body, sentAt: now, at: now})
-	g.Store([]machine.Record{{Unit: unit, Kind: KindEntry, Epoch: epoch, Seq: seq, Body: body}}, func(now clock.Micros) {
+	r.unconfirmed = append(r.unconfirmed, entry{seq: seq, body: body, sentAt: now, appendedAt: now})
+	g.Persist([]machine.Record{{Unit: unit, Kind: KindEntry, Epoch: epoch, Seq: seq, Body: body}}, func(now clock.Micros) {
 		if r.Epoch == epoch {
-			g.storedHere(r, seq, now)
+			g.persistedLocally(r, seq, now)
 		}
 	})
-	if !g.SkipRemote {
+	if !g.SkipReplicas {
 		for _, member := range r.replicas {
-			g.out.Emit(machine.Send{To: member.peer, Body: Append{Unit: unit, Epoch: epoch, Seq: seq, Entry: body}})
+			g.effects.Emit(machine.Send{To: member.peer, Body: Append{Unit: unit, Epoch: epoch, Seq: seq, Entry: body}})
 		}
 	}
 	return seq, true
 }
 
-func (g *Groups) storedHere(r *Group, seq uint64, now clock.Micros) {
-	r.Durable = max(r.Durable, seq)
-	for i := range r.open {
-		if r.open[i].seq == seq {
-			r.open[i].local = true
+func (g *Groups) persistedLocally(r *Group, seq uint64, now clock.Micros) {
+	r.SyncedSeq = max(r.SyncedSeq, seq)
+	for i := range r.unconfirmed {
+		if r.unconfirmed[i].seq == seq {
+			r.unconfirmed[i].syncedLocally = true
 		}
 	}
-	g.settle(r, now)
+	g.confirmEntries(r, now)
 }
 
-// settle confirms, in order, what every member's disk holds.
-func (g *Groups) settle(r *Group, now clock.Micros) {
-	for len(r.open) > 0 && r.Role == Serving {
-		first := r.open[0]
-		if !first.local || first.seq > g.remote(r) {
+// confirmEntries confirms, in order, what every member's disk holds.
+func (g *Groups) confirmEntries(r *Group, now clock.Micros) {
+	for len(r.unconfirmed) > 0 && r.Role == Serving {
+		first := r.unconfirmed[0]
+		if !first.syncedLocally || first.seq > g.replicatedUpTo(r) {
 			return
 		}
-		r.open = r.open[1:]
-		g.holder.Confirmed(r.Unit, first.seq, now)
+		r.unconfirmed = r.unconfirmed[1:]
+		g.state.Confirmed(r.Unit, first.seq, now)
 	}
 }
 
-// remote is the last entry that counts as held by the replicas.
-func (g *Groups) remote(r *Group) uint64 {
+// replicatedUpTo is the last entry that counts as held by the replicas.
+func (g *Groups) replicatedUpTo(r *Group) uint64 {
 	switch {
-	case g.SkipRemote:
+	case g.SkipReplicas:
 		return r.Seq
-	case g.SkipLast:
-		return r.syncedSomewhere()
+	case g.SkipLastReplica:
+		return r.syncedByAny()
 	}
-	return r.synced()
+	return r.syncedByAll()
 }
 
-// resend repeats entries that a replica has not acknowledged.
-func (g *Groups) resend(r *Group, now clock.Micros) {
-	if g.SkipRemote {
+// resendEntries repeats entries that a replica has not acknowledged.
+func (g *Groups) resendEntries(r *Group, now clock.Micros) {
+	if g.SkipReplicas {
 		return
 	}
-	for i := range r.open {
-		if i >= resendCap {
+	for i := range r.unconfirmed {
+		if i >= maxResent {
 			return
 		}
-		e := &r.open[i]
-		if now-e.sentAt < ResendAt {
+		e := &r.unconfirmed[i]
+		if now-e.sentAt < ResendAfter {
 			continue
 		}
 		e.sentAt = now
 		for _, member := range r.replicas {
-			if e.seq > member.synced {
-				g.out.Emit(machine.Send{To: member.peer, Body: Append{Unit: r.Unit, Epoch: r.Epoch, Seq: e.seq, Entry: e.body}})
+			if e.seq > member.syncedSeq {
+				g.effects.Emit(machine.Send{To: member.peer, Body: Append{Unit: r.Unit, Epoch: r.Epoch, Seq: e.seq, Entry: e.body}})
 			}
 		}
 	}
 }
 
-// acked takes a replica's word of what it has synced.
-func (g *Groups) acked(from string, m Ack, now clock.Micros) {
+// handleAppendAck takes a replica's word of what it has synced.
+func (g *Groups) handleAppendAck(from string, m AppendAck, now clock.Micros) {
 	r := g.Group(m.Unit)
-	member := r.replica(from)
-	if r.Epoch != m.Epoch || !r.Leads() || member == nil {
+	member := r.findReplica(from)
+	if r.Epoch != m.Epoch || !r.IsPrimary() || member == nil {
 		return
 	}
-	member.synced = max(member.synced, m.Seq)
-	if m.Copied && !member.copied {
-		member.copied = true
-		member.synced = max(member.synced, r.copySeq)
-		g.copied(r, now)
+	member.syncedSeq = max(member.syncedSeq, m.Seq)
+	if m.SnapshotInstalled && !member.snapshotInstalled {
+		member.snapshotInstalled = true
+		member.syncedSeq = max(member.syncedSeq, r.snapshotSeq)
+		g.checkSnapshotsInstalled(r, now)
 	}
-	g.settle(r, now)
+	g.confirmEntries(r, now)
 }
 
-// beat asks a replica for leases on some units.
-func (g *Groups) beat(peer string, groups []*Group, now clock.Micros) {
-	ask := Beat{Stamp: now}
+// requestLeases asks a replica for leases on some units.
+func (g *Groups) requestLeases(peer string, groups []*Group, now clock.Micros) {
+	request := LeaseRequest{Stamp: now}
 	for _, r := range groups {
-		r.beatAt = now
-		ask.Units = append(ask.Units, Tenancy{r.Unit, r.Epoch})
+		r.leaseRequestedAt = now
+		request.Units = append(request.Units, UnitEpoch{r.Unit, r.Epoch})
 	}
-	g.out.Emit(machine.Send{To: peer, Body: ask})
+	g.effects.Emit(machine.Send{To: peer, Body: request})
 }
 
-// beats renews the leases of every replica that is due, all its units at once.
-func (g *Groups) beats(now clock.Micros) {
+// renewLeases renews the leases of every replica that is due, all its units at once.
+func (g *Groups) renewLeases(now clock.Micros) {
 	due := map[string]bool{}
 	byPeer := map[string][]*Group{}
 	var peers []string
@@ -182,33 +182,33 @@
 				peers = append(peers, member.peer)
 			}
 			byPeer[member.peer] = append(byPeer[member.peer], r)
-			due[member.peer] = due[member.peer] || now-r.beatAt >= BeatEvery
+			due[member.peer] = due[member.peer] || now-r.leaseRequestedAt >= LeaseRenewInterval
 		}
 	}
 	for _, peer := range peers {
 		if due[peer] {
-			g.beat(peer, byPeer[peer], now)
+			g.requestLeases(peer, byPeer[peer], now)
 		}
 	}
 }
 
-// leased takes a replica's leases.
-func (g *Groups) leased(from string, m Leased) {
+// handleLeaseGrant takes a replica's leases.
+func (g *Groups) handleLeaseGrant(from string, m LeaseGrant) {
 	for _, granted := range m.Units {
 		r := g.Group(granted.Unit)
-		member := r.replica(from)
+		member := r.findReplica(from)
 		if r.Epoch == granted.Epoch && r.Role == Serving && member != nil {
-			member.leaseUntil = max(member.leaseUntil, m.Stamp+Lease)
+			member.leaseUntil = max(member.leaseUntil, m.Stamp+LeaseDuration)
 		}
 	}
 }
 
-// yield tells the replicas that the leases they granted are given back.
-func (g *Groups) yield(r *Group) {
+// releaseGrantedLeases tells the replicas that the leases they granted are given back.
+func (g *Groups) releaseGrantedLeases(r *Group) {
 	if r.Role != Serving {
 		return
 	}
 	for _, member := range r.replicas {
-		g.out.Emit(machine.Send{To: member.peer, Body: Yield{Unit: r.Unit, Epoch: r.Epoch}})
+		g.effects.Emit(machine.Send{To: member.peer, Body: LeaseRelease{Unit: r.Unit, Epoch: r.Epoch}})
 	}
 }
--- a/ledger/replication/replication_test.go
+++ b/ledger/replication/replication_test.go
@@ -14,7 +14,7 @@
 
 // end is one daemon with one unit, a list of texts.
 type end struct {
-	machine.Out
+	machine.Effects
 	name      string
 	groups    *Groups
 	list      []string
@@ -26,11 +26,11 @@
 
 func newEnd(name string) *end {
 	e := &end{name: name}
-	e.groups = NewGroups(&e.Out, e)
+	e.groups = NewGroups(&e.Effects, e)
 	return e
 }
 
-func (e *end) View(string) [][]byte {
+func (e *end) Snapshot(string) [][]byte {
 	var parts [][]byte
 	for _, text := range e.list {
 		parts = append(parts, []byte(text))
@@ -38,7 +38,7 @@
 	return parts
 }
 
-func (e *end) Brief(unit string) [][]byte { return e.View(unit) }
+func (e *end) LocalSnapshot(unit string) [][]byte { return e.Snapshot(unit) }
 
 func (e *end) Restore(_ string, parts [][]byte) {
 	e.list = nil
@@ -46,12 +46,12 @@
 		e.list = append(e.list, string(part))
 	}
 }
-func (e *end) Play(_ string, body []byte) { e.list = append(e.list, string(body)) }
+func (e *end) ApplyEntry(_ string, body []byte) { e.list = append(e.list, string(body)) }
 func (e *end) Confirmed(_ string, seq uint64, _ clock.Micros) {
 	e.confirmed = append(e.confirmed, seq)
 }
-func (e *end) Ready(_ string, epoch uint64, _ clock.Micros) { e.ready = epoch }
-func (e *end) Deposed(_ string, _ uint64, _ clock.Micros)   { e.deposed++ }
+func (e *end) GroupReady(_ string, epoch uint64, _ clock.Micros) { e.ready = epoch }
+func (e *end) Deposed(_ string, _ uint64, _ clock.Micros)        { e.deposed++ }
 func (e *end) add(text string, now clock.Micros) (uint64, bool) {
 	if e.groups.Group("u").Role != Serving {
 		return 0, false
@@ -99,9 +99,9 @@
 				switch f := effect.(type) {
 				case machine.Send:
 					b.wire = append(b.wire, letter{f.To, name, f.Body})
-				case machine.Store:
+				case machine.Persist:
 					e.durable = append(e.durable, f.Records...)
-					e.groups.Stored(f.Token, b.now)
+					e.groups.Persisted(f.Token, b.now)
 				}
 			}
 		}
@@ -110,9 +110,9 @@
 		for _, l := range wire {
 			moved = true
 			b.count++
-			if piece, ok := l.body.(Copy); ok {
+			if chunk, ok := l.body.(SnapshotChunk); ok {
 				size := 0
-				for _, part := range piece.Parts {
+				for _, part := range chunk.Parts {
 					size += len(part)
 				}
 				b.largest = max(b.largest, size)
@@ -140,7 +140,7 @@
 		return
 	}
 	if to := b.ends[l.to]; to != nil {
-		to.groups.Take(l.from, l.body, b.now)
+		to.groups.HandleMessage(l.from, l.body, b.now)
 	}
 }
 
@@ -149,7 +149,7 @@
 	for end := b.now + span; b.now < end; {
 		b.now += 50 * clock.Millisecond
 		for _, e := range b.ends {
-			e.groups.ClockEvent(b.now)
+			e.groups.Tick(b.now)
 		}
 		b.pump()
 	}
@@ -164,15 +164,15 @@
 func (b *bench) group(t *testing.T, epoch uint64, owner string, replicas ...string) {
 	t.Helper()
 	for _, replica := range replicas {
-		b.ends[replica].groups.Back("u", epoch, owner, b.now)
+		b.ends[replica].groups.BecomeReplica("u", epoch, owner, b.now)
 	}
-	b.ends[owner].groups.Own("u", epoch, replicas, b.now)
+	b.ends[owner].groups.BecomePrimary("u", epoch, replicas, b.now)
 	b.pump()
 	b.pass(3 * clock.Second)
 	if b.ends[owner].ready != epoch {
 		t.Fatalf("%s never had its copy at %s", owner, replicas)
 	}
-	b.ends[owner].groups.Complete("u", epoch, b.now)
+	b.ends[owner].groups.CommitGroup("u", epoch, b.now)
 	b.pump()
 }
 
@@ -231,7 +231,7 @@
 func TestADeposedOwnerConfirmsNothing(t *testing.T) {
 	b := newBench("a", "b", "c")
 	b.pair(t, "a", "b", 1)
-	b.ends["b"].groups.Own("u", 2, []string{"c"}, b.now)
+	b.ends["b"].groups.BecomePrimary("u", 2, []string{"c"}, b.now)
 	if _, ok := b.ends["a"].add("stray", b.now); !ok {
 		t.Fatal("the old owner knows already; the test shows nothing")
 	}
@@ -255,7 +255,7 @@
 	}
 	a := b.ends["a"]
 	delete(b.ends, "a") // frozen
-	b.ends["b"].groups.Own("u", 2, []string{"c"}, b.now)
+	b.ends["b"].groups.BecomePrimary("u", 2, []string{"c"}, b.now)
 	for b.ends["b"].ready != 2 {
 		b.pass(50 * clock.Millisecond)
 		if b.ends["b"].ready == 2 && b.now < until {
@@ -272,7 +272,7 @@
 
 // A large state is copied in pieces, a few at a time, and each piece may be
 // dropped, repeated or late.
-func TestALargeCopyGoesInPieces(t *testing.T) {
+func TestALargeCopyGoesInChunks(t *testing.T) {
 	big := strings.Repeat("x", 100<<10)
 	for number := 0; number <= 24; number += 3 {
 		for _, fate := range []string{"drop", "repeat", "late"} {
@@ -306,36 +306,36 @@
 	}
 	now := clock.Micros(1000)
 	for i := 0; i < 10; i++ {
-		a.groups.Own(fmt.Sprint("u", i), 1, []string{"b"}, now)
+		a.groups.BecomePrimary(fmt.Sprint("u", i), 1, []string{"b"}, now)
 	}
-	took, most := 0, 0
+	acked, limit := 0, 0
 	for round := 0; round < 400; round++ {
 		now += 20 * clock.Millisecond
-		a.groups.ClockEvent(now)
-		var pieces []Copy
+		a.groups.Tick(now)
+		var chunks []SnapshotChunk
 		for _, effect := range a.Drain() {
 			switch f := effect.(type) {
 			case machine.Send:
-				if piece, ok := f.Body.(Copy); ok {
-					pieces = append(pieces, piece)
+				if chunk, ok := f.Body.(SnapshotChunk); ok {
+					chunks = append(chunks, chunk)
 				}
-			case machine.Store:
-				a.groups.Stored(f.Token, now)
+			case machine.Persist:
+				a.groups.Persisted(f.Token, now)
 			}
 		}
-		most = max(most, a.groups.underWay(now))
-		for _, piece := range pieces {
-			took++
-			a.groups.Take("b", Took{Unit: piece.Unit, Epoch: piece.Epoch, At: piece.At}, now)
+		limit = max(limit, a.groups.chunksInFlight(now))
+		for _, chunk := range chunks {
+			acked++
+			a.groups.HandleMessage("b", SnapshotChunkAck{Unit: chunk.Unit, Epoch: chunk.Epoch, Index: chunk.Index}, now)
 		}
 	}
-	if most > copyBudget {
-		t.Fatalf("%d pieces were under way, the budget is %d", most, copyBudget)
+	if limit > maxChunksInFlight {
+		t.Fatalf("%d pieces were under way, the budget is %d", limit, maxChunksInFlight)
 	}
 	for i := 0; i < 10; i++ {
-		for at, done := range a.groups.Group(fmt.Sprint("u", i)).replicas[0].pieceTook {
+		for at, done := range a.groups.Group(fmt.Sprint("u", i)).replicas[0].chunkAcked {
 			if !done {
-				t.Fatalf("slot %d: piece %d never had its turn (%d taken)", i, at, took)
+				t.Fatalf("slot %d: piece %d never had its turn (%d taken)", i, at, acked)
 			}
 		}
 	}
@@ -357,22 +357,22 @@
 		if fmt.Sprint(again.list) != "[0 1 2]" {
 			t.Fatalf("%s reads %v back", name, again.list)
 		}
-		if role := again.groups.Group("u").Role; role != Cold {
+		if role := again.groups.Group("u").Role; role != Idle {
 			t.Fatalf("%s is %s after its start, not cold", name, role)
 		}
 	}
 }
 
 // townsfolk is a scene of daemons in zones, with who lives in which life.
-func townsfolk(copies, least int, zones map[string]string, living map[string]uint64) Scene {
-	return Scene{Copies: copies,
-		Life:   func(id string) (uint64, bool) { life, ok := living[id]; return life, ok },
-		Enough: func(members []string) bool { return len(members) >= least },
-		Spare: func(members, shunned []string) string {
+func townsfolk(copies, least int, zones map[string]string, living map[string]uint64) ClusterView {
+	return ClusterView{Copies: copies,
+		Incarnation:    func(id string) (uint64, bool) { incarnation, ok := living[id]; return incarnation, ok },
+		AllowsDegraded: func(members []string) bool { return len(members) >= least },
+		ChooseReplacement: func(members, excluded []string) string {
 			for _, id := range slices.Sorted(maps.Keys(zones)) {
 				_, ok := living[id]
 				taken := slices.ContainsFunc(members, func(other string) bool { return zones[other] == zones[id] })
-				if ok && !taken && !slices.Contains(shunned, id) {
+				if ok && !taken && !slices.Contains(excluded, id) {
 					return id
 				}
 			}
@@ -383,20 +383,20 @@
 // Only a member of the last complete group may be primary next.
 func TestOnlyTheTrustedMayOwn(t *testing.T) {
 	living := map[string]uint64{}
-	scene := townsfolk(2, 2, map[string]string{"a": "1", "b": "2", "c": "3"}, living)
+	view := townsfolk(2, 2, map[string]string{"a": "1", "b": "2", "c": "3"}, living)
 	filling := Assignment{Epoch: 5, Primary: Member{"a", 1}, Replicas: []Member{{"c", 1}}, Trusted: []string{"a", "b"}}
 	living["c"] = 1
-	if next, _, ok := Next(filling, scene); ok {
+	if next, _, ok := Next(filling, view); ok {
 		t.Fatalf("c was being filled and becomes %+v", next)
 	}
 	living["b"] = 9
-	next, _, ok := Next(filling, scene)
+	next, _, ok := Next(filling, view)
 	if !ok || next.Primary != (Member{"b", 9}) || next.Replicas[0].ID != "c" || next.Epoch != 6 {
 		t.Fatalf("b holds all and is back: %+v %v", next, ok)
 	}
-	whole := Assignment{Epoch: 5, Primary: Member{"a", 1}, Replicas: []Member{{"b", 9}}, Complete: true, Trusted: []string{"a", "b"}}
-	next, _, ok = Next(whole, scene)
-	if !ok || next.Primary.ID != "b" || next.Complete || !next.Trusts("a") {
+	complete := Assignment{Epoch: 5, Primary: Member{"a", 1}, Replicas: []Member{{"b", 9}}, Complete: true, Trusted: []string{"a", "b"}}
+	next, _, ok = Next(complete, view)
+	if !ok || next.Primary.ID != "b" || next.Complete || !next.IsTrusted("a") {
 		t.Fatalf("a is lost: %+v %v", next, ok)
 	}
 }
@@ -406,12 +406,12 @@
 func TestAGroupOfThreeShrinksAndGrows(t *testing.T) {
 	living := map[string]uint64{"a": 1, "b": 1}
 	zones := map[string]string{"a": "1", "b": "2", "c": "3", "d": "4"}
-	whole := Assignment{Epoch: 5, Primary: Member{"a", 1}, Replicas: []Member{{"b", 1}, {"c", 1}}, Complete: true, Trusted: []string{"a", "b", "c"}}
-	if next, _, ok := Next(whole, townsfolk(3, 3, zones, living)); ok {
+	complete := Assignment{Epoch: 5, Primary: Member{"a", 1}, Replicas: []Member{{"b", 1}, {"c", 1}}, Complete: true, Trusted: []string{"a", "b", "c"}}
+	if next, _, ok := Next(complete, townsfolk(3, 3, zones, living)); ok {
 		t.Fatalf("two are not enough, and yet %+v follows", next)
 	}
-	next, _, ok := Next(whole, townsfolk(3, 2, zones, living))
-	if !ok || fmt.Sprint(next.IDs()) != "[a b]" || !next.Trusts("c") {
+	next, _, ok := Next(complete, townsfolk(3, 2, zones, living))
+	if !ok || fmt.Sprint(next.IDs()) != "[a b]" || !next.IsTrusted("c") {
 		t.Fatalf("two are enough: %+v %v", next, ok)
 	}
 	next = next.Completed()
@@ -431,7 +431,7 @@
 	for _, planted := range []bool{false, true} {
 		b := newBench("a", "b", "c")
 		b.group(t, 1, "a", "b", "c")
-		b.ends["a"].groups.SkipLast = planted
+		b.ends["a"].groups.SkipLastReplica = planted
 		b.cut = func(_, to string) bool { return to == "c" }
 		b.ends["a"].add("x", b.now)
 		b.pass(500 * clock.Millisecond)
@@ -456,7 +456,7 @@
 		t.Fatalf("the lease runs to %d without c, now is %d", until, b.now)
 	}
 	b.pass(clock.Second)
-	if silent := b.ends["a"].groups.Group("u").Silent(b.now); fmt.Sprint(silent) != "[c]" {
+	if silent := b.ends["a"].groups.Group("u").UnreachableReplicas(b.now); fmt.Sprint(silent) != "[c]" {
 		t.Fatalf("silent are %v", silent)
 	}
 }
@@ -478,7 +478,7 @@
 		before := len(b.ends["c"].durable)
 		b.group(t, 2, "b", "c")
 		last := b.ends["c"].durable[before]
-		if copied := last.Kind == KindCopy; copied != behind {
+		if copied := last.Kind == KindSnapshot; copied != behind {
 			t.Fatalf("behind %v: c wrote a record of kind %s", behind, last.Kind)
 		}
 		again := newEnd("c")
@@ -504,8 +504,8 @@
 	}
 	b.ends["b"] = again
 	delete(b.ends, "a") // frozen: it can't give its lease back
-	again.groups.ClockEvent(b.now)
-	again.groups.Own("u", 2, []string{"c"}, b.now)
+	again.groups.Tick(b.now)
+	again.groups.BecomePrimary("u", 2, []string{"c"}, b.now)
 	for again.ready != 2 {
 		b.pass(50 * clock.Millisecond)
 		if again.ready == 2 && b.now < until {
--- a/ledger/shard/raw.go
+++ b/ledger/shard/raw.go
@@ -10,10 +10,10 @@
 // bundle in they lie as they are behind the rest, which is JSON: text for them would
 // cost a third more bytes on two disks and a wire, and the time to turn them round.
 
-func encodeRaw(e Enrol) []byte {
+func encodeRaw(e SubmitBatch) []byte {
 	size := 0
-	items := make([]Item, len(e.Bundle.Items))
-	copy(items, e.Bundle.Items)
+	items := make([]Item, len(e.Batch.Items))
+	copy(items, e.Batch.Items)
 	for i, item := range items {
 		if item.Request != nil {
 			request := *item.Request
@@ -25,11 +25,11 @@
 	if size == 0 {
 		return entries.Encode(e.kind(), e)
 	}
-	bodies := e.Bundle.Items
-	e.Bundle.Items = items
+	bodies := e.Batch.Items
+	e.Batch.Items = items
 	head := entries.Encode(e.kind(), e)
 	out := make([]byte, 0, len(head)+size+1+binary.MaxVarintLen64)
-	out = binary.AppendUvarint(append(out, rawMark), uint64(len(head)))
+	out = binary.AppendUvarint(append(out, rawFormat), uint64(len(head)))
 	out = append(out, head...)
 	for _, item := range bodies {
 		if item.Request != nil {
@@ -49,13 +49,13 @@
 	if err != nil {
 		return nil, err
 	}
-	enrol, ok := entry.(Enrol)
+	submit, ok := entry.(SubmitBatch)
 	if !ok {
 		return nil, errors.Errorf("a change of kind %T has no bodies", entry)
 	}
 	rest = rest[length:]
-	for i := range enrol.Bundle.Items {
-		request := enrol.Bundle.Items[i].Request
+	for i := range submit.Batch.Items {
+		request := submit.Batch.Items[i].Request
 		if request == nil {
 			continue
 		}
@@ -68,5 +68,5 @@
 	if len(rest) > 0 {
 		return nil, errors.New("something follows the bodies of a change")
 	}
-	return enrol, nil
+	return submit, nil
 }
--- a/ledger/shard/shard.go
+++ b/ledger/shard/shard.go
@@ -13,15 +13,15 @@
 	"tuliprudder/kernel/machine"
 )
 
-// SlotOf is the slot a bundle or claim belongs to.
-func SlotOf(id string, slots int) int {
+// ShardOf is the slot a bundle or claim belongs to.
+func ShardOf(id string, shards int) int {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	sum := h.Sum64()
 	sum ^= sum >> 33
 	sum *= 0xff51afd7ed558ccd
 	sum ^= sum >> 33
-	return int(sum % uint64(slots))
+	return int(sum % uint64(shards))
 }
 
 // Item is one order of a bundle: an input for the route's model, or a request to
@@ -50,20 +50,20 @@
 	return int(r.Tokens)
 }
 
-// letGo drops what only a run needs. The request is replaced, not changed: a run
+// releaseInput drops what only a run needs. The request is replaced, not changed: a run
 // that is under way still holds it.
-func (i *Item) letGo() {
+func (i *Item) releaseInput() {
 	i.Input = ""
 	if r := i.Request; r != nil {
 		i.Request = &Request{Target: r.Target, Host: r.Host, Tokens: r.Tokens}
 	}
 }
 
-// Row is one result with its position and its writer.
-type Row struct {
+// Result is one result with its position and its writer.
+type Result struct {
 	Writer   int    `json:"writer"`
 	Position int64  `json:"position"`
-	Bundle   string `json:"bundle"`
+	Batch    string `json:"bundle"`
 	Item     int    `json:"item"`
 	ItemID   string `json:"item_id"`
 	Status   string `json:"status"`
@@ -71,89 +71,89 @@
 	Server   string `json:"server,omitempty"`
 }
 
-// State of a bundle.
-type State string
-
-// Bundle is one bundle and its list. Inputs and bodies go once their row is in.
-type Bundle struct {
-	ID       string       `json:"id"`
-	Customer string       `json:"customer"`
-	Key      string       `json:"key"`
-	Hash     string       `json:"hash"`
-	Route    string       `json:"route"`
-	Plan     uint64       `json:"plan,omitempty"` // version of the plan it was handed in under
-	Items    []Item       `json:"items"`
-	State    State        `json:"state"`
-	Enrolled clock.Micros `json:"enrolled"`
-	Changed  clock.Micros `json:"changed"`
-	Rows     []Row        `json:"rows"`
-	Shelved  *Place       `json:"shelved,omitempty"`
-	listed   map[int]bool
-	moving   bool
-}
-
-// Place is where a settled bundle's rows lie on this daemon's own disk, and what
+// BatchState of a bundle.
+type BatchState string
+
+// Batch is one bundle and its list. Inputs and bodies go once their row is in.
+type Batch struct {
+	ID                   string           `json:"id"`
+	Tenant               string           `json:"customer"`
+	Key                  string           `json:"key"`
+	Hash                 string           `json:"hash"`
+	Route                string           `json:"route"`
+	ConfigurationVersion uint64           `json:"plan,omitempty"` // version of the plan it was handed in under
+	Items                []Item           `json:"items"`
+	State                BatchState       `json:"state"`
+	SubmittedAt          clock.Micros     `json:"enrolled"`
+	ChangedAt            clock.Micros     `json:"changed"`
+	Results              []Result         `json:"rows"`
+	Archived             *ArchiveLocation `json:"shelved,omitempty"`
+	hasResult            map[int]bool
+	archiving            bool
+}
+
+// ArchiveLocation is where a settled bundle's rows lie on this daemon's own disk, and what
 // has to be known of them without looking.
-type Place struct {
-	File  uint64        `json:"file"`
-	Items int           `json:"items"`
-	Rows  int           `json:"rows"`
-	Last  map[int]int64 `json:"last"` // highest position of each writer
+type ArchiveLocation struct {
+	File          uint64        `json:"file"`
+	Items         int           `json:"items"`
+	Results       int           `json:"rows"`
+	LastPositions map[int]int64 `json:"last"` // highest position of each writer
 }
 
 // Counts are the bundle's items and rows, shelved or not.
-func (b *Bundle) Counts() (items, rows int) {
-	if b.Shelved != nil {
-		return b.Shelved.Items, b.Shelved.Rows
+func (b *Batch) Counts() (items, results int) {
+	if b.Archived != nil {
+		return b.Archived.Items, b.Archived.Results
 	}
-	return len(b.Items), len(b.Rows)
+	return len(b.Items), len(b.Results)
 }
 
-// Settled tells whether the bundle may be shelved.
-func (b *Bundle) Settled() bool { return b.State != Open && b.Shelved == nil && !b.moving }
+// IsArchivable tells whether the bundle may be shelved.
+func (b *Batch) IsArchivable() bool { return b.State != Open && b.Archived == nil && !b.archiving }
 
-// Move marks the bundle as on its way to the shelf.
-func (b *Bundle) Move() { b.moving = true }
+// MarkArchiving marks the bundle as on its way to the shelf.
+func (b *Batch) MarkArchiving() { b.archiving = true }
 
-// Moving tells whether it is on its way there.
-func (b *Bundle) Moving() bool { return b.moving }
+// IsArchiving tells whether it is on its way there.
+func (b *Batch) IsArchiving() bool { return b.archiving }
 
 // Encode is the whole bundle, for the shelf.
-func (b *Bundle) Encode() []byte {
-	whole := *b
-	whole.Shelved = nil
-	data, _ := json.Marshal(whole)
+func (b *Batch) Encode() []byte {
+	unarchive := *b
+	unarchive.Archived = nil
+	data, _ := json.Marshal(unarchive)
 	return data
 }
 
-// Shelve lets go of rows and items that are on the shelf now.
-func (b *Bundle) Shelve(file uint64) {
-	place := &Place{File: file, Items: len(b.Items), Rows: len(b.Rows), Last: map[int]int64{}}
-	for _, row := range b.Rows {
-		place.Last[row.Writer] = max(place.Last[row.Writer], row.Position)
+// MarkArchived lets go of rows and items that are on the shelf now.
+func (b *Batch) MarkArchived(file uint64) {
+	location := &ArchiveLocation{File: file, Items: len(b.Items), Results: len(b.Results), LastPositions: map[int]int64{}}
+	for _, result := range b.Results {
+		location.LastPositions[result.Writer] = max(location.LastPositions[result.Writer], result.Position)
 	}
-	b.Shelved, b.moving, b.Rows, b.Items, b.listed = place, false, nil, nil, nil
+	b.Archived, b.archiving, b.Results, b.Items, b.hasResult = location, false, nil, nil, nil
 }
 
-// Unshelved reads a whole bundle from what the shelf holds.
-func Unshelved(data []byte) (*Bundle, error) {
-	var b Bundle
+// DecodeArchived reads a whole bundle from what the shelf holds.
+func DecodeArchived(data []byte) (*Batch, error) {
+	var b Batch
 	if err := json.Unmarshal(data, &b); err != nil {
 		return nil, errors.Wrap(err, "reading a shelved bundle")
 	}
 	return &b, nil
 }
 
-// Listed tells whether an item has its row.
-func (b *Bundle) Listed(item int) bool { return b.listed[item] }
+// HasResult tells whether an item has its row.
+func (b *Batch) HasResult(item int) bool { return b.hasResult[item] }
 
-// Waiting finds an item by its id that has no row yet and may still get one.
-func (b *Bundle) Waiting(id string) (*Item, bool) {
+// PendingItem finds an item by its id that has no row yet and may still get one.
+func (b *Batch) PendingItem(id string) (*Item, bool) {
 	if b.State != Open {
 		return nil, false
 	}
 	for i := range b.Items {
-		if b.Items[i].ID == id && !b.listed[i] {
+		if b.Items[i].ID == id && !b.hasResult[i] {
 			return &b.Items[i], true
 		}
 	}
@@ -162,53 +162,53 @@
 
 // Claim is one caller's key on a one-shot order.
 type Claim struct {
-	Customer string       `json:"customer"`
-	Key      string       `json:"key"`
-	Hash     string       `json:"hash"`
-	Order    string       `json:"order"`
-	State    string       `json:"state"` // claimed, answered, turned-away
-	Answer   []byte       `json:"answer,omitempty"`
-	At       clock.Micros `json:"at"`
+	Tenant    string       `json:"customer"`
+	Key       string       `json:"key"`
+	Hash      string       `json:"hash"`
+	RequestID string       `json:"order"`
+	State     string       `json:"state"` // claimed, answered, turned-away
+	Response  []byte       `json:"answer,omitempty"`
+	At        clock.Micros `json:"at"`
 }
 
-// Tenure is one writer's run of rows in a slot; the next one's rows all lie
+// Ownership is one writer's run of rows in a slot; the next one's rows all lie
 // above it.
-type Tenure struct {
+type Ownership struct {
 	Writer int   `json:"writer"`
 	First  int64 `json:"first"`
 	Last   int64 `json:"last"`
 }
 
-// mostTenures is how many runs are kept; older ones were settled long ago.
-const mostTenures = 12
+// maxOwnerships is how many runs are kept; older ones were settled long ago.
+const maxOwnerships = 12
 
-// Slot is the state one pair replicates.
-type Slot struct {
-	Bundles map[string]*Bundle
-	Claims  map[string]*Claim
-	Last    map[int]int64 // highest position of each writer in this slot
-	Tenures []Tenure      // the newest runs, in the order of their positions
+// State is the state one pair replicates.
+type State struct {
+	Batches       map[string]*Batch
+	Claims        map[string]*Claim
+	LastPositions map[int]int64 // highest position of each writer in this slot
+	Ownerships    []Ownership   // the newest runs, in the order of their positions
 }
 
-// NewSlot is an empty slot.
-func NewSlot() *Slot {
-	return &Slot{Bundles: map[string]*Bundle{}, Claims: map[string]*Claim{}, Last: map[int]int64{}}
+// New is an empty slot.
+func New() *State {
+	return &State{Batches: map[string]*Batch{}, Claims: map[string]*Claim{}, LastPositions: map[int]int64{}}
 }
 
-// Open tells whether any bundle of the slot is open.
-func (s *Slot) Open() bool {
-	for _, bundle := range s.Bundles {
-		if bundle.State == Open {
+// HasOpenBatch tells whether any bundle of the slot is open.
+func (s *State) HasOpenBatch() bool {
+	for _, batch := range s.Batches {
+		if batch.State == Open {
 			return true
 		}
 	}
 	return false
 }
 
-// Top is the highest position any row of the slot holds.
-func (s *Slot) Top() int64 {
+// HighestPosition is the highest position any row of the slot holds.
+func (s *State) HighestPosition() int64 {
 	top := int64(0)
-	for _, position := range s.Last {
+	for _, position := range s.LastPositions {
 		top = max(top, position)
 	}
 	return top
@@ -216,198 +216,198 @@
 
 // Entry is one change of a slot: a command on it.
 type Entry interface {
-	Apply(slot *Slot)
+	Apply(s *State)
 	kind() string
 }
 
 // The changes there are. Their JSON is on the disks of the stores; the keys never change.
 type (
-	// Enrol takes a bundle in.
-	Enrol struct {
-		Bundle Bundle `json:"Bundle"`
+	// SubmitBatch takes a bundle in.
+	SubmitBatch struct {
+		Batch Batch `json:"Bundle"`
 	}
-	// List puts a result into its bundle's list.
-	List struct {
-		Row Row `json:"Row"`
+	// ListResult puts a result into its bundle's list.
+	ListResult struct {
+		Result Result `json:"Row"`
 	}
-	// End stops a bundle for good.
-	End struct {
-		Bundle string       `json:"Bundle"`
-		At     clock.Micros `json:"At"`
+	// EndBatch stops a bundle for good.
+	EndBatch struct {
+		Batch string       `json:"Bundle"`
+		At    clock.Micros `json:"At"`
 	}
-	// Claiming claims a key before its one-shot order starts.
-	Claiming struct {
+	// BeginClaim claims a key before its one-shot order starts.
+	BeginClaim struct {
 		Claim Claim `json:"Claim"`
 	}
-	// Settling notes how a claimed order went.
-	Settling struct {
-		ID     string `json:"ID"`
-		State  string `json:"State"`
-		Answer []byte `json:"Answer"`
+	// CompleteClaim notes how a claimed order went.
+	CompleteClaim struct {
+		ID       string `json:"ID"`
+		State    string `json:"State"`
+		Response []byte `json:"Answer"`
 	}
 	// Forget drops what is past its keeping.
 	Forget struct {
-		Bundles []string `json:"Bundles"`
+		Batches []string `json:"Bundles"`
 		Claims  []string `json:"Claims"`
 	}
 )
 
-// ClaimID is the name of a claim; BundleID of a bundle. Both come from the
+// ClaimID is the name of a claim; BatchID of a bundle. Both come from the
 // customer and the key alone, so a repeated key meets itself at any daemon.
-func ClaimID(customer, key string) string { return claimPrefix + digest(customer, key) }
+func ClaimID(tenant, key string) string { return claimPrefix + digest(tenant, key) }
 
-// BundleID is the name of the bundle of a customer's key.
-func BundleID(customer, key string) string { return bundlePrefix + digest(customer, key) }
+// BatchID is the name of the bundle of a customer's key.
+func BatchID(tenant, key string) string { return batchPrefix + digest(tenant, key) }
 
 // Apply takes the bundle in.
-func (e Enrol) Apply(s *Slot) {
-	bundle := e.Bundle
-	bundle.listed = map[int]bool{}
-	s.Bundles[bundle.ID] = &bundle
+func (e SubmitBatch) Apply(s *State) {
+	batch := e.Batch
+	batch.hasResult = map[int]bool{}
+	s.Batches[batch.ID] = &batch
 }
 
 // Apply lists the row, unless its item already has one or the bundle is gone.
-func (e List) Apply(s *Slot) {
-	s.Last[e.Row.Writer] = max(s.Last[e.Row.Writer], e.Row.Position)
-	s.tenure(e.Row.Writer, e.Row.Position)
-	bundle := s.Bundles[e.Row.Bundle]
-	if bundle == nil || bundle.State != Open || bundle.listed[e.Row.Item] {
+func (e ListResult) Apply(s *State) {
+	s.LastPositions[e.Result.Writer] = max(s.LastPositions[e.Result.Writer], e.Result.Position)
+	s.recordOwnership(e.Result.Writer, e.Result.Position)
+	batch := s.Batches[e.Result.Batch]
+	if batch == nil || batch.State != Open || batch.hasResult[e.Result.Item] {
 		return
 	}
-	bundle.Rows = append(bundle.Rows, e.Row)
-	bundle.listed[e.Row.Item] = true
-	bundle.Items[e.Row.Item].letGo()
-	if len(bundle.Rows) == len(bundle.Items) {
-		bundle.State = Done
+	batch.Results = append(batch.Results, e.Result)
+	batch.hasResult[e.Result.Item] = true
+	batch.Items[e.Result.Item].releaseInput()
+	if len(batch.Results) == len(batch.Items) {
+		batch.State = Done
 	}
 }
 
-// tenure goes on with the newest run or begins the next one.
-func (s *Slot) tenure(writer int, position int64) {
-	if n := len(s.Tenures); n > 0 && s.Tenures[n-1].Writer == writer {
-		s.Tenures[n-1].Last = position
+// recordOwnership goes on with the newest run or begins the next one.
+func (s *State) recordOwnership(writer int, position int64) {
+	if n := len(s.Ownerships); n > 0 && s.Ownerships[n-1].Writer == writer {
+		s.Ownerships[n-1].Last = position
 		return
 	}
-	s.Tenures = append(s.Tenures, Tenure{Writer: writer, First: position, Last: position})
-	if extra := len(s.Tenures) - mostTenures; extra > 0 {
-		s.Tenures = append([]Tenure(nil), s.Tenures[extra:]...)
+	s.Ownerships = append(s.Ownerships, Ownership{Writer: writer, First: position, Last: position})
+	if extra := len(s.Ownerships) - maxOwnerships; extra > 0 {
+		s.Ownerships = append([]Ownership(nil), s.Ownerships[extra:]...)
 	}
 }
 
 // Apply ends the bundle; results listed so far stay.
-func (e End) Apply(s *Slot) {
-	if bundle := s.Bundles[e.Bundle]; bundle != nil && bundle.State == Open {
-		bundle.State, bundle.Changed = Ended, e.At
-		for i := range bundle.Items {
-			bundle.Items[i].letGo()
+func (e EndBatch) Apply(s *State) {
+	if batch := s.Batches[e.Batch]; batch != nil && batch.State == Open {
+		batch.State, batch.ChangedAt = Ended, e.At
+		for i := range batch.Items {
+			batch.Items[i].releaseInput()
 		}
 	}
 }
 
 // Apply notes the claim.
-func (e Claiming) Apply(s *Slot) {
+func (e BeginClaim) Apply(s *State) {
 	claim := e.Claim
-	s.Claims[ClaimID(claim.Customer, claim.Key)] = &claim
+	s.Claims[ClaimID(claim.Tenant, claim.Key)] = &claim
 }
 
 // Apply settles the claim once.
-func (e Settling) Apply(s *Slot) {
+func (e CompleteClaim) Apply(s *State) {
 	if claim := s.Claims[e.ID]; claim != nil && claim.State == Claimed {
-		claim.State, claim.Answer = e.State, e.Answer
+		claim.State, claim.Response = e.State, e.Response
 	}
 }
 
 // Apply drops what is named.
-func (e Forget) Apply(s *Slot) {
-	for _, id := range e.Bundles {
-		delete(s.Bundles, id)
+func (e Forget) Apply(s *State) {
+	for _, id := range e.Batches {
+		delete(s.Batches, id)
 	}
 	for _, id := range e.Claims {
 		delete(s.Claims, id)
 	}
 }
 
-func (Enrol) kind() string    { return kindEnrol }
-func (List) kind() string     { return kindList }
-func (End) kind() string      { return kindEnd }
-func (Claiming) kind() string { return kindClaim }
-func (Settling) kind() string { return kindSettle }
-func (Forget) kind() string   { return kindForget }
+func (SubmitBatch) kind() string   { return kindEnrol }
+func (ListResult) kind() string    { return kindList }
+func (EndBatch) kind() string      { return kindEnd }
+func (BeginClaim) kind() string    { return kindClaim }
+func (CompleteClaim) kind() string { return kindSettle }
+func (Forget) kind() string        { return kindForget }
 
-var entries = machine.Entries[Entry]{
-	kindEnrol:  machine.Decoder(func(e Enrol) Entry { return e }),
-	kindList:   machine.Decoder(func(e List) Entry { return e }),
-	kindEnd:    machine.Decoder(func(e End) Entry { return e }),
-	kindClaim:  machine.Decoder(func(e Claiming) Entry { return e }),
-	kindSettle: machine.Decoder(func(e Settling) Entry { return e }),
+var entries = machine.EntryCodec[Entry]{
+	kindEnrol:  machine.Decoder(func(e SubmitBatch) Entry { return e }),
+	kindList:   machine.Decoder(func(e ListResult) Entry { return e }),
+	kindEnd:    machine.Decoder(func(e EndBatch) Entry { return e }),
+	kindClaim:  machine.Decoder(func(e BeginClaim) Entry { return e }),
+	kindSettle: machine.Decoder(func(e CompleteClaim) Entry { return e }),
 	kindForget: machine.Decoder(func(e Forget) Entry { return e }),
 }
 
 // Encode writes an entry for the pair.
 func Encode(e Entry) []byte {
-	if enrol, ok := e.(Enrol); ok {
-		return encodeRaw(enrol)
+	if submit, ok := e.(SubmitBatch); ok {
+		return encodeRaw(submit)
 	}
 	return entries.Encode(e.kind(), e)
 }
 
 // Decode reads an entry.
 func Decode(data []byte) (Entry, error) {
-	if len(data) > 0 && data[0] == rawMark {
+	if len(data) > 0 && data[0] == rawFormat {
 		return decodeRaw(data)
 	}
 	return entries.Decode(data)
 }
 
-type part struct {
-	Bundle *Bundle       `json:"bundle,omitempty"`
-	Claim  *Claim        `json:"claim,omitempty"`
-	Last   map[int]int64 `json:"last,omitempty"`
-	Runs   []Tenure      `json:"tenures,omitempty"`
+type snapshotPart struct {
+	Batch         *Batch        `json:"bundle,omitempty"`
+	Claim         *Claim        `json:"claim,omitempty"`
+	LastPositions map[int]int64 `json:"last,omitempty"`
+	Ownerships    []Ownership   `json:"tenures,omitempty"`
 }
 
-// View is the whole slot in parts, in a fixed order; whole brings in what is
+// Snapshot is the whole slot in parts, in a fixed order; whole brings in what is
 // shelved, or is nil to leave it where it lies.
-func (s *Slot) View(whole func(*Bundle) *Bundle) [][]byte {
+func (s *State) Snapshot(unarchive func(*Batch) *Batch) [][]byte {
 	var out [][]byte
-	add := func(p part) {
+	add := func(p snapshotPart) {
 		data, _ := json.Marshal(p)
 		out = append(out, data)
 	}
-	add(part{Last: s.Last, Runs: s.Tenures})
-	for _, id := range sortedKeys(s.Bundles) {
-		bundle := s.Bundles[id]
-		if bundle.Shelved != nil && whole != nil {
-			bundle = whole(bundle)
+	add(snapshotPart{LastPositions: s.LastPositions, Ownerships: s.Ownerships})
+	for _, id := range sortedKeys(s.Batches) {
+		batch := s.Batches[id]
+		if batch.Archived != nil && unarchive != nil {
+			batch = unarchive(batch)
 		}
-		add(part{Bundle: bundle})
+		add(snapshotPart{Batch: batch})
 	}
 	for _, id := range sortedKeys(s.Claims) {
-		add(part{Claim: s.Claims[id]})
+		add(snapshotPart{Claim: s.Claims[id]})
 	}
 	return out
 }
 
 // Restore makes a slot from parts.
-func Restore(parts [][]byte) (*Slot, error) {
-	s := NewSlot()
+func Restore(parts [][]byte) (*State, error) {
+	s := New()
 	for _, data := range parts {
-		var p part
+		var p snapshotPart
 		if err := json.Unmarshal(data, &p); err != nil {
 			return nil, errors.Wrap(err, "reading a part of a slot")
 		}
-		if p.Last != nil {
-			s.Last, s.Tenures = p.Last, p.Runs
+		if p.LastPositions != nil {
+			s.LastPositions, s.Ownerships = p.LastPositions, p.Ownerships
 		}
-		if p.Bundle != nil {
-			p.Bundle.listed = map[int]bool{}
-			for _, row := range p.Bundle.Rows {
-				p.Bundle.listed[row.Item] = true
+		if p.Batch != nil {
+			p.Batch.hasResult = map[int]bool{}
+			for _, result := range p.Batch.Results {
+				p.Batch.hasResult[result.Item] = true
 			}
-			s.Bundles[p.Bundle.ID] = p.Bundle
+			s.Batches[p.Batch.ID] = p.Batch
 		}
 		if p.Claim != nil {
-			s.Claims[ClaimID(p.Claim.Customer, p.Claim.Key)] = p.Claim
+			s.Claims[ClaimID(p.Claim.Tenant, p.Claim.Key)] = p.Claim
 		}
 	}
 	return s, nil
--- a/ledger/shard/stored_names.go
+++ b/ledger/shard/stored_names.go
@@ -10,9 +10,9 @@
 	kindForget = "forget"
 )
 
-// rawMark begins a change with the bodies of requests behind it (raw.go); no JSON does.
+// rawFormat begins a change with the bodies of requests behind it (raw.go); no JSON does.
 // This byte is on disk; it never changes.
-const rawMark = 0
+const rawFormat = 0
 
 // Statuses of a row. These spellings are on disk; they never change.
 const (
@@ -22,21 +22,21 @@
 
 // The states of a bundle. These spellings are on disk; they never change.
 const (
-	Open  State = "open"
-	Done  State = "done"
-	Ended State = "ended"
+	Open  BatchState = "open"
+	Done  BatchState = "done"
+	Ended BatchState = "ended"
 )
 
 // States of a claim. These spellings are on disk; they never change.
 const (
 	Claimed  = "claimed"
 	Answered = "answered"
-	Void     = "turned-away"
+	Voided   = "turned-away"
 )
 
 // What the names of claims and of bundles begin with. These spellings are on disk, and
 // callers hold them; they never change.
 const (
-	claimPrefix  = "c-"
-	bundlePrefix = "b-"
+	claimPrefix = "c-"
+	batchPrefix = "b-"
 )
--- a/ledger/store/beat_test.go
+++ b/ledger/store/beat_test.go
@@ -8,13 +8,13 @@
 
 // A store tells the cores the operator's name of its machine.
 func TestABeatCarriesTheName(t *testing.T) {
-	k := New(Self{ID: "s", Zone: "z", Peer: "p", Life: 1, Name: "machine"}, Defaults(), nil, shelf{})
-	k.Do(Cores{Peers: []string{"c"}}, 1000)
+	k := New(Self{ID: "s", Zone: "z", Peer: "p", Incarnation: 1, Name: "machine"}, Defaults(), nil, shelf{})
+	k.Do(CorePeers{Peers: []string{"c"}}, 1000)
 	told := false
-	for _, effect := range k.Do(ClockEvent{}, 1_000_000) {
+	for _, effect := range k.Do(Tick{}, 1_000_000) {
 		if send, ok := effect.(machine.Send); ok {
-			beat, ok := send.Body.(Beat)
-			told = told || ok && beat.Name == "machine" && beat.ID == "s"
+			heartbeat, ok := send.Body.(Heartbeat)
+			told = told || ok && heartbeat.Name == "machine" && heartbeat.ID == "s"
 		}
 	}
 	if !told {
--- a/ledger/store/calls.go
+++ b/ledger/store/calls.go
@@ -19,342 +19,342 @@
 
 // Apply answers the ask by its type.
 func (c Call) Apply(k *Store, now clock.Micros) {
-	if k.turnedAway(c) {
+	if k.rejectsWhileUnwritable(c) {
 		return
 	}
 	switch ask := c.Body.(type) {
-	case EnrolAsk:
-		k.enrol(c.Number, ask, now)
-	case EndAsk:
-		k.end(c.Number, ask, now)
-	case StatusAsk:
-		k.status(c.Number, ask, now)
-	case ReadAsk:
+	case SubmitRequest:
+		k.submit(c.Number, ask, now)
+	case EndRequest:
+		k.endBatch(c.Number, ask, now)
+	case BatchStatusRequest:
+		k.replyBatchStatus(c.Number, ask, now)
+	case ReadRequest:
 		k.Reads++
-		k.read(c.Number, ask, now)
-	case ItemAsk:
-		k.item(c.Number, ask, now)
-	case ClaimAsk:
-		k.claim(c.Number, ask, now)
-	case SettleAsk:
-		k.settle(c.Number, ask, now)
-	case ShowAsk:
-		k.Emit(machine.Answer{Call: c.Number, Body: k.show()})
+		k.readResults(c.Number, ask, now)
+	case ItemBodyRequest:
+		k.replyItemBody(c.Number, ask, now)
+	case ClaimRequest:
+		k.beginClaim(c.Number, ask, now)
+	case CompleteClaimRequest:
+		k.completeClaim(c.Number, ask, now)
+	case StatusRequest:
+		k.Emit(machine.Reply{Call: c.Number, Body: k.status()})
 	default:
-		k.Emit(machine.Answer{Call: c.Number, Err: errs.New(errs.BadInput, "run the same release on all daemons", "a store knows no such ask: %T", ask)})
+		k.Emit(machine.Reply{Call: c.Number, Err: errs.New(errs.BadInput, "run the same release on all daemons", "a store knows no such ask: %T", ask)})
 	}
 }
 
-func (k *Store) fail(call uint64, err error) { k.Emit(machine.Answer{Call: call, Err: err}) }
+func (k *Store) replyError(call uint64, err error) { k.Emit(machine.Reply{Call: call, Err: err}) }
 
-// serving turns away what this keeper can't serve; nothing was written by then.
+// servingShard turns away what this keeper can't serve; nothing was written by then.
 // Without a fresh lease it may have been deposed without knowing: then it would
 // deny bundles that its successor has accepted.
-func (k *Store) serving(call uint64, slot int, now clock.Micros) (*place, *replication.Group, bool) {
-	unit := Unit(slot)
+func (k *Store) servingShard(call uint64, shard int, now clock.Micros) (*shardState, *replication.Group, bool) {
+	unit := Unit(shard)
 	group := k.groups.Group(unit)
 	if group.Role != replication.Serving {
-		k.fail(call, errs.Later(errs.NotReady, clock.Second, "ask again: the slot is passing to a keeper with two disks", "store %s does not serve slot %d now (%s)", k.self.ID, slot, group.Role))
+		k.replyError(call, errs.NewWithRetry(errs.NotReady, clock.Second, "ask again: the slot is passing to a keeper with two disks", "store %s does not serve slot %d now (%s)", k.self.ID, shard, group.Role))
 		return nil, nil, false
 	}
-	if now >= group.LeaseUntil() && !k.NoLease {
-		k.fail(call, errs.Later(errs.NotReady, clock.Second, "ask again: the slot passes on, or its backup answers again", "store %s has no fresh lease on slot %d", k.self.ID, slot))
+	if now >= group.LeaseUntil() && !k.SkipLease {
+		k.replyError(call, errs.NewWithRetry(errs.NotReady, clock.Second, "ask again: the slot passes on, or its backup answers again", "store %s has no fresh lease on slot %d", k.self.ID, shard))
 		return nil, nil, false
 	}
-	return k.place(unit), group, true
+	return k.shard(unit), group, true
 }
 
-func (k *Store) enrol(call uint64, ask EnrolAsk, now clock.Micros) {
-	p, group, ok := k.serving(call, ask.Slot, now)
+func (k *Store) submit(call uint64, request SubmitRequest, now clock.Micros) {
+	p, group, ok := k.servingShard(call, request.Shard, now)
 	if !ok {
 		return
 	}
-	receipt := Receipt{Bundle: ask.Bundle.ID, Items: len(ask.Bundle.Items), Store: k.self.ID}
-	if known := p.state.Bundles[ask.Bundle.ID]; known != nil {
-		if known.Hash != ask.Bundle.Hash {
-			k.fail(call, errs.New(errs.Conflict, "use a new idempotency key for another body", "the key was used for another body (bundle %s)", known.ID))
+	acknowledgement := SubmitResponse{Batch: request.Batch.ID, Items: len(request.Batch.Items), Store: k.self.ID}
+	if known := p.state.Batches[request.Batch.ID]; known != nil {
+		if known.Hash != request.Batch.Hash {
+			k.replyError(call, errs.New(errs.Conflict, "use a new idempotency key for another body", "the key was used for another body (bundle %s)", known.ID))
 			return
 		}
-		receipt.Repeated = true
+		acknowledgement.Repeated = true
 		// Its entry may still be open: the receipt waits for the last one.
-		if group.Open() > 0 {
-			k.await(group.Unit, group.Seq, call, now+ask.Expiry, receipt)
+		if group.Unconfirmed() > 0 {
+			k.replyWhenConfirmed(group.Unit, group.Seq, call, now+request.Timeout, acknowledgement)
 		} else {
-			k.Emit(machine.Answer{Call: call, Body: receipt})
+			k.Emit(machine.Reply{Call: call, Body: acknowledgement})
 		}
 		return
 	}
-	if k.drain {
-		k.fail(call, errs.Later(errs.NotReady, 2*clock.Second, "ask again: the slot passes on", "store %s is draining", k.self.ID))
+	if k.draining {
+		k.replyError(call, errs.NewWithRetry(errs.NotReady, 2*clock.Second, "ask again: the slot passes on", "store %s is draining", k.self.ID))
 		return
 	}
-	if k.openItems()+len(ask.Bundle.Items) > k.set.MostItems {
-		k.fail(call, errs.Later(errs.Busy, 5*clock.Second, "come back after the time given", "store %s has as many waiting items as it may", k.self.ID))
+	if k.openItems()+len(request.Batch.Items) > k.set.MaxItems {
+		k.replyError(call, errs.NewWithRetry(errs.Busy, 5*clock.Second, "come back after the time given", "store %s has as many waiting items as it may", k.self.ID))
 		return
 	}
-	bundle := ask.Bundle
-	bundle.State, bundle.Enrolled, bundle.Rows = shard.Open, now, nil
-	seq := k.put(group.Unit, shard.Enrol{Bundle: bundle}, now)
-	k.Enrolled++
-	if k.news[group.Unit] == nil {
-		k.news[group.Unit] = map[uint64]string{}
+	batch := request.Batch
+	batch.State, batch.SubmittedAt, batch.Results = shard.Open, now, nil
+	seq := k.appendEntry(group.Unit, shard.SubmitBatch{Batch: batch}, now)
+	k.BatchesSubmitted++
+	if k.submittedBatches[group.Unit] == nil {
+		k.submittedBatches[group.Unit] = map[uint64]string{}
 	}
-	k.news[group.Unit][seq] = bundle.ID
-	if k.RefuseLate && len(bundle.Items)%2 == 0 {
-		k.fail(call, errs.Later(errs.NotReady, clock.Second, "ask again", "turned away too late"))
+	k.submittedBatches[group.Unit][seq] = batch.ID
+	if k.RejectAfterWrite && len(batch.Items)%2 == 0 {
+		k.replyError(call, errs.NewWithRetry(errs.NotReady, clock.Second, "ask again", "turned away too late"))
 		return
 	}
-	k.await(group.Unit, seq, call, now+ask.Expiry, receipt)
+	k.replyWhenConfirmed(group.Unit, seq, call, now+request.Timeout, acknowledgement)
 }
 
-// Knows tells whether a bundle is in a slot's ledger here, confirmed or not.
-func (k *Store) Knows(slot int, bundle string) bool {
-	p := k.places[Unit(slot)]
-	return p != nil && p.state.Bundles[bundle] != nil
+// HasBatch tells whether a bundle is in a slot's ledger here, confirmed or not.
+func (k *Store) HasBatch(shard int, batch string) bool {
+	p := k.shards[Unit(shard)]
+	return p != nil && p.state.Batches[batch] != nil
 }
 
 func (k *Store) openItems() int {
 	count := 0
 	for _, group := range k.groups.All() {
-		if !group.Leads() {
+		if !group.IsPrimary() {
 			continue
 		}
-		for _, bundle := range k.place(group.Unit).state.Bundles {
-			if bundle.State == shard.Open {
-				count += len(bundle.Items) - len(bundle.Rows)
+		for _, batch := range k.shard(group.Unit).state.Batches {
+			if batch.State == shard.Open {
+				count += len(batch.Items) - len(batch.Results)
 			}
 		}
 	}
 	return count
 }
 
-// bundle finds a customer's bundle. Anyone finds one that was handed in without a
+// findBatch finds a customer's bundle. Anyone finds one that was handed in without a
 // key, by its name; a customer's stays its own.
-func (k *Store) bundle(call uint64, p *place, id, customer string, anyone bool) (*shard.Bundle, bool) {
-	found := p.state.Bundles[id]
-	if found == nil || !(anyone && found.Key == "") && found.Customer != customer {
-		k.fail(call, errs.New(errs.NotFound, "check the bundle's name and the customer's key", "no bundle %s of this customer", id))
+func (k *Store) findBatch(call uint64, p *shardState, id, tenant string, anyTenant bool) (*shard.Batch, bool) {
+	batch := p.state.Batches[id]
+	if batch == nil || !(anyTenant && batch.Key == "") && batch.Tenant != tenant {
+		k.replyError(call, errs.New(errs.NotFound, "check the bundle's name and the customer's key", "no bundle %s of this customer", id))
 		return nil, false
 	}
-	return found, true
+	return batch, true
 }
 
-func (k *Store) end(call uint64, ask EndAsk, now clock.Micros) {
-	p, group, ok := k.serving(call, ask.Slot, now)
+func (k *Store) endBatch(call uint64, request EndRequest, now clock.Micros) {
+	p, group, ok := k.servingShard(call, request.Shard, now)
 	if !ok {
 		return
 	}
-	bundle, ok := k.bundle(call, p, ask.Bundle, ask.Customer, ask.Anyone)
+	batch, ok := k.findBatch(call, p, request.Batch, request.Tenant, request.AnyTenant)
 	if !ok {
 		return
 	}
 	seq := group.Seq
-	if bundle.State == shard.Open {
-		seq = k.put(group.Unit, shard.End{Bundle: ask.Bundle, At: now}, now)
-		k.Emit(machine.Work{Order: Revoke{Bundle: ask.Bundle, Slot: -1}})
+	if batch.State == shard.Open {
+		seq = k.appendEntry(group.Unit, shard.EndBatch{Batch: request.Batch, At: now}, now)
+		k.Emit(machine.Execute{Task: CancelItems{Batch: request.Batch, Shard: -1}})
 	}
-	answer := k.statusOf(p, group, bundle)
-	if group.Open() > 0 {
-		k.await(group.Unit, seq, call, now+ask.Expiry, answer)
+	answer := k.batchStatus(p, group, batch)
+	if group.Unconfirmed() > 0 {
+		k.replyWhenConfirmed(group.Unit, seq, call, now+request.Timeout, answer)
 		return
 	}
-	k.Emit(machine.Answer{Call: call, Body: answer})
+	k.Emit(machine.Reply{Call: call, Body: answer})
 }
 
-func (k *Store) statusOf(p *place, group *replication.Group, b *shard.Bundle) Status {
-	items, rows := b.Counts()
-	return Status{Bundle: b.ID, Route: b.Route, State: string(b.State), Items: items, Listed: rows,
-		Store: k.self.ID, Writer: k.writer, Slot: p.slot, Epoch: group.Epoch, Replicas: group.Peers(), Enrolled: b.Enrolled, Customer: b.Customer}
+func (k *Store) batchStatus(p *shardState, group *replication.Group, b *shard.Batch) BatchStatus {
+	items, results := b.Counts()
+	return BatchStatus{Batch: b.ID, Route: b.Route, State: string(b.State), Items: items, Finished: results,
+		Store: k.self.ID, Writer: k.writer, Shard: p.shard, Epoch: group.Epoch, Replicas: group.Peers(), SubmittedAt: b.SubmittedAt, Tenant: b.Tenant}
 }
 
-func (k *Store) status(call uint64, ask StatusAsk, now clock.Micros) {
-	p, group, ok := k.serving(call, ask.Slot, now)
+func (k *Store) replyBatchStatus(call uint64, request BatchStatusRequest, now clock.Micros) {
+	p, group, ok := k.servingShard(call, request.Shard, now)
 	if !ok {
 		return
 	}
-	if known := p.state.Bundles[ask.Bundle]; ask.Operator && known != nil {
-		ask.Customer = known.Customer
+	if known := p.state.Batches[request.Batch]; request.Operator && known != nil {
+		request.Tenant = known.Tenant
 	}
-	if bundle, ok := k.bundle(call, p, ask.Bundle, ask.Customer, ask.Anyone); ok {
-		status := k.statusOf(p, group, bundle)
-		if ask.Operator {
-			for _, row := range k.rows(bundle, func(int) int64 { return 0 }) {
-				row.Output = ""
-				status.Rows = append(status.Rows, row)
+	if batch, ok := k.findBatch(call, p, request.Batch, request.Tenant, request.AnyTenant); ok {
+		status := k.batchStatus(p, group, batch)
+		if request.Operator {
+			for _, result := range k.resultsAfter(batch, func(int) int64 { return 0 }) {
+				result.Output = ""
+				status.Results = append(status.Results, result)
 			}
 		}
-		k.Emit(machine.Answer{Call: call, Body: status})
+		k.Emit(machine.Reply{Call: call, Body: status})
 	}
 }
 
-// item answers with the body of an item that may still run; once it is listed, or
+// replyItemBody answers with the body of an item that may still run; once it is listed, or
 // its bundle has ended, the body is let go.
-func (k *Store) item(call uint64, ask ItemAsk, now clock.Micros) {
-	p, _, ok := k.serving(call, ask.Slot, now)
+func (k *Store) replyItemBody(call uint64, request ItemBodyRequest, now clock.Micros) {
+	p, _, ok := k.servingShard(call, request.Shard, now)
 	if !ok {
 		return
 	}
-	if found := p.state.Bundles[ask.Bundle]; found != nil {
-		if item, waits := found.Waiting(ask.Item); waits && item.Request != nil {
-			k.Emit(machine.Answer{Call: call, Body: ItemAnswer{Body: item.Request.Body}})
+	if batch := p.state.Batches[request.Batch]; batch != nil {
+		if item, waits := batch.PendingItem(request.Item); waits && item.Request != nil {
+			k.Emit(machine.Reply{Call: call, Body: ItemBodyResponse{Body: item.Request.Body}})
 			return
 		}
 	}
-	k.fail(call, errs.New(errs.NotFound, "nothing to do: it has its result, its bundle has ended, or there never was such an item", "no item %s of bundle %s waits", ask.Item, ask.Bundle))
+	k.replyError(call, errs.New(errs.NotFound, "nothing to do: it has its result, its bundle has ended, or there never was such an item", "no item %s of bundle %s waits", request.Item, request.Batch))
 }
 
-// read answers "all rows after the token", within the reader's bounds. The
+// readResults answers "all rows after the token", within the reader's bounds. The
 // slots' epochs have to be the reader's: a deposed keeper would leave rows out.
-func (k *Store) read(call uint64, ask ReadAsk, now clock.Micros) {
-	var out Rows
-	upTo := k.positions.UpTo()
-	slots := make([]int, 0, len(ask.Slots))
-	for slot := range ask.Slots {
-		slots = append(slots, slot)
-	}
-	sort.Ints(slots)
-	for _, slot := range slots {
-		p, group, ok := k.serving(call, slot, now)
+func (k *Store) readResults(call uint64, request ReadRequest, now clock.Micros) {
+	var out ReadResponse
+	upTo := k.positions.PersistedUpTo()
+	shards := make([]int, 0, len(request.Shards))
+	for shard := range request.Shards {
+		shards = append(shards, shard)
+	}
+	sort.Ints(shards)
+	for _, shardIndex := range shards {
+		p, group, ok := k.servingShard(call, shardIndex, now)
 		if !ok {
 			return
 		}
-		if group.Epoch != ask.Slots[slot] {
-			k.fail(call, errs.Later(errs.NotReady, 200*clock.Millisecond, "ask again: the reader hears of the new epoch soon", "slot %d is at epoch %d, not %d", slot, group.Epoch, ask.Slots[slot]))
+		if group.Epoch != request.Shards[shardIndex] {
+			k.replyError(call, errs.NewWithRetry(errs.NotReady, 200*clock.Millisecond, "ask again: the reader hears of the new epoch soon", "slot %d is at epoch %d, not %d", shardIndex, group.Epoch, request.Shards[shardIndex]))
 			return
 		}
-		if ask.Bundle != "" {
-			bundle, ok := k.bundle(call, p, ask.Bundle, ask.Customer, ask.Anyone)
+		if request.Batch != "" {
+			batch, ok := k.findBatch(call, p, request.Batch, request.Tenant, request.AnyTenant)
 			if !ok {
 				return
 			}
-			if ask.Indexed {
-				k.list(bundle, ask, slot, upTo, &out)
+			if request.Indexed {
+				k.readByIndex(batch, request, shardIndex, upTo, &out)
 			} else {
-				k.collect(bundle, ask, slot, upTo, &out)
+				k.readAfterToken(batch, request, shardIndex, upTo, &out)
 			}
-			out.State = string(bundle.State)
-			out.Items, _ = bundle.Counts()
-			if k.hidden(bundle, ask, slot, upTo) {
+			out.State = string(batch.State)
+			out.Items, _ = batch.Counts()
+			if k.hasHiddenResults(batch, request, shardIndex, upTo) {
 				out.State = string(shard.Open) // not whole to this reader yet
 			}
 			continue
 		}
-		for _, id := range sortedBundles(p.state) {
-			if bundle := p.state.Bundles[id]; bundle.Customer == ask.Customer {
-				k.collect(bundle, ask, slot, upTo, &out)
+		for _, id := range sortedBatches(p.state) {
+			if batch := p.state.Batches[id]; batch.Tenant == request.Tenant {
+				k.readAfterToken(batch, request, shardIndex, upTo, &out)
 			}
 		}
 	}
-	if !ask.Indexed { // a list read by index is in its own order, and cut already
-		sort.SliceStable(out.Rows, func(i, j int) bool { return out.Rows[i].Position < out.Rows[j].Position })
+	if !request.Indexed { // a list read by index is in its own order, and cut already
+		sort.SliceStable(out.Results, func(i, j int) bool { return out.Results[i].Position < out.Results[j].Position })
 	}
-	if !ask.Indexed && ask.Most > 0 && len(out.Rows) > ask.Most {
-		out.Rows, out.More = out.Rows[:ask.Most], true
+	if !request.Indexed && request.Limit > 0 && len(out.Results) > request.Limit {
+		out.Results, out.More = out.Results[:request.Limit], true
 	}
-	k.Emit(machine.Answer{Call: call, Body: out})
+	k.Emit(machine.Reply{Call: call, Body: out})
 }
 
-// hidden tells whether the list has rows that the reader may not read yet.
-func (k *Store) hidden(bundle *shard.Bundle, ask ReadAsk, slot int, upTo int64) bool {
-	if bundle.Shelved != nil {
-		for writer, last := range bundle.Shelved.Last {
-			if last > ask.Bound[slot][writer] {
+// hasHiddenResults tells whether the list has rows that the reader may not read yet.
+func (k *Store) hasHiddenResults(batch *shard.Batch, request ReadRequest, shardIndex int, upTo int64) bool {
+	if batch.Archived != nil {
+		for writer, last := range batch.Archived.LastPositions {
+			if last > request.Bound[shardIndex][writer] {
 				return true
 			}
 		}
 		return false
 	}
-	for _, row := range bundle.Rows {
-		if !k.readable(row, ask.Bound[slot], upTo) {
+	for _, result := range batch.Results {
+		if !k.isReadable(result, request.Bound[shardIndex], upTo) {
 			return true
 		}
 	}
 	return false
 }
 
-// readable tells whether the reader may have a row: it never reads past the last
+// isReadable tells whether the reader may have a row: it never reads past the last
 // position it has seen of a writer.
-func (k *Store) readable(row shard.Row, bound token.Vector, upTo int64) bool {
-	return row.Position <= bound[row.Writer] && (row.Writer != k.writer || row.Position <= upTo)
+func (k *Store) isReadable(result shard.Result, bound token.Vector, upTo int64) bool {
+	return result.Position <= bound[result.Writer] && (result.Writer != k.writer || result.Position <= upTo)
 }
 
-// list reads a bundle's list from an index on: an index stays the same row's for
+// readByIndex reads a bundle's list from an index on: an index stays the same row's for
 // good, so it stops at the first row that the reader may not have yet (DESIGN §12.5).
-func (k *Store) list(bundle *shard.Bundle, ask ReadAsk, slot int, upTo int64, out *Rows) {
-	from := max(0, ask.From)
+func (k *Store) readByIndex(batch *shard.Batch, request ReadRequest, shardIndex int, upTo int64, out *ReadResponse) {
+	from := max(0, request.From)
 	out.Index = from
-	if _, count := bundle.Counts(); from >= count {
+	if _, count := batch.Counts(); from >= count {
 		return
 	}
-	rows := bundle.Rows
-	if bundle.Shelved != nil {
-		rows = k.whole(bundle).Rows
+	results := batch.Results
+	if batch.Archived != nil {
+		results = k.unarchive(batch).Results
 	}
 	size := 0
-	for i, row := range rows {
-		if !k.readable(row, ask.Bound[slot], upTo) {
+	for i, result := range results {
+		if !k.isReadable(result, request.Bound[shardIndex], upTo) {
 			return
 		}
 		if i < from {
 			continue
 		}
-		size += len(row.Output)
-		if n := len(out.Rows); ask.Most > 0 && n >= ask.Most || ask.MostBytes > 0 && n > 0 && size > ask.MostBytes {
+		size += len(result.Output)
+		if n := len(out.Results); request.Limit > 0 && n >= request.Limit || request.MaxBytes > 0 && n > 0 && size > request.MaxBytes {
 			out.More = true
 			return
 		}
-		out.Rows = append(out.Rows, row)
+		out.Results = append(out.Results, result)
 	}
 }
 
-func (k *Store) collect(bundle *shard.Bundle, ask ReadAsk, slot int, upTo int64, out *Rows) {
-	bound := ask.Bound[slot]
-	for _, row := range k.rows(bundle, func(writer int) int64 { return ask.After[writer] }) {
-		if row.Position > ask.After[row.Writer] && k.readable(row, bound, upTo) {
-			out.Rows = append(out.Rows, row)
+func (k *Store) readAfterToken(batch *shard.Batch, request ReadRequest, shardIndex int, upTo int64, out *ReadResponse) {
+	bound := request.Bound[shardIndex]
+	for _, result := range k.resultsAfter(batch, func(writer int) int64 { return request.After[writer] }) {
+		if result.Position > request.After[result.Writer] && k.isReadable(result, bound, upTo) {
+			out.Results = append(out.Results, result)
 		}
 	}
 }
 
-func (k *Store) claim(call uint64, ask ClaimAsk, now clock.Micros) {
-	p, group, ok := k.serving(call, ask.Slot, now)
+func (k *Store) beginClaim(call uint64, request ClaimRequest, now clock.Micros) {
+	p, group, ok := k.servingShard(call, request.Shard, now)
 	if !ok {
 		return
 	}
-	id := shard.ClaimID(ask.Claim.Customer, ask.Claim.Key)
-	if known := p.state.Claims[id]; known != nil && known.State != shard.Void {
-		if known.Hash != ask.Claim.Hash {
-			k.fail(call, errs.New(errs.Conflict, "use a new idempotency key for another body", "the key was used for another body"))
+	id := shard.ClaimID(request.Claim.Tenant, request.Claim.Key)
+	if known := p.state.Claims[id]; known != nil && known.State != shard.Voided {
+		if known.Hash != request.Claim.Hash {
+			k.replyError(call, errs.New(errs.Conflict, "use a new idempotency key for another body", "the key was used for another body"))
 			return
 		}
-		answer := ClaimAnswer{Yours: known.Order == ask.Claim.Order, Claim: *known}
-		if group.Open() > 0 {
-			k.await(group.Unit, group.Seq, call, now+ask.Expiry, answer)
+		answer := ClaimResponse{Yours: known.RequestID == request.Claim.RequestID, Claim: *known}
+		if group.Unconfirmed() > 0 {
+			k.replyWhenConfirmed(group.Unit, group.Seq, call, now+request.Timeout, answer)
 		} else {
-			k.Emit(machine.Answer{Call: call, Body: answer})
+			k.Emit(machine.Reply{Call: call, Body: answer})
 		}
 		return
 	}
-	claim := ask.Claim
+	claim := request.Claim
 	claim.State, claim.At = shard.Claimed, now
-	seq := k.put(group.Unit, shard.Claiming{Claim: claim}, now)
-	k.await(group.Unit, seq, call, now+ask.Expiry, ClaimAnswer{Yours: true, Claim: claim})
+	seq := k.appendEntry(group.Unit, shard.BeginClaim{Claim: claim}, now)
+	k.replyWhenConfirmed(group.Unit, seq, call, now+request.Timeout, ClaimResponse{Yours: true, Claim: claim})
 }
 
-func (k *Store) settle(call uint64, ask SettleAsk, now clock.Micros) {
-	_, group, ok := k.serving(call, ask.Slot, now)
+func (k *Store) completeClaim(call uint64, request CompleteClaimRequest, now clock.Micros) {
+	_, group, ok := k.servingShard(call, request.Shard, now)
 	if !ok {
 		return
 	}
-	seq := k.put(group.Unit, shard.Settling{ID: ask.ID, State: ask.State, Answer: ask.Answer}, now)
-	k.await(group.Unit, seq, call, now+ask.Expiry, Settled{})
+	seq := k.appendEntry(group.Unit, shard.CompleteClaim{ID: request.ID, State: request.State, Response: request.Response}, now)
+	k.replyWhenConfirmed(group.Unit, seq, call, now+request.Timeout, CompleteClaimResponse{})
 }
 
-func (k *Store) show() Shown {
-	shown := Shown{Store: k.self.ID, Zone: k.self.Zone, Writer: k.writer, Life: k.self.Life,
-		UpTo: k.positions.UpTo(), Next: k.positions.Next(), Unfinished: k.positions.Open()}
+func (k *Store) status() StatusResponse {
+	response := StatusResponse{Store: k.self.ID, Zone: k.self.Zone, Writer: k.writer, Incarnation: k.self.Incarnation,
+		PersistedUpTo: k.positions.PersistedUpTo(), Next: k.positions.Next(), Unfinished: k.positions.Unfinished()}
 	for _, group := range k.groups.All() {
-		shown.Slots = append(shown.Slots, SlotShown{Slot: slotOf(group.Unit), Role: group.Role.String(), Epoch: group.Epoch, Seq: group.Seq, Open: group.Open(), Bundles: len(k.place(group.Unit).state.Bundles), Peer: group.Peer()})
+		response.Shards = append(response.Shards, ShardStatus{Shard: shardOfUnit(group.Unit), Role: group.Role.String(), Epoch: group.Epoch, Seq: group.Seq, Open: group.Unconfirmed(), Batches: len(k.shard(group.Unit).state.Batches), Peer: group.Peer()})
 	}
-	return shown
+	return response
 }
--- a/ledger/store/disk_test.go
+++ b/ledger/store/disk_test.go
@@ -10,15 +10,15 @@
 	"tuliprudder/ledger/shard"
 )
 
-var diskFull = DiskChanged{machine.DiskState{Reason: "the disk is full"}}
-var diskWell = DiskChanged{machine.DiskState{Writable: true}}
+var diskFull = DiskStateChanged{machine.DiskState{Reason: "the disk is full"}}
+var diskWell = DiskStateChanged{machine.DiskState{Writable: true}}
 
-// stalledBeat is what the last beat among some effects says of the disk.
-func stalledBeat(effects []machine.Effect) (stalled, told bool) {
+// stalledHeartbeat is what the last beat among some effects says of the disk.
+func stalledHeartbeat(effects []machine.Effect) (stalled, told bool) {
 	for _, effect := range effects {
 		if send, ok := effect.(machine.Send); ok {
-			if beat, ok := send.Body.(Beat); ok {
-				stalled, told = beat.Stalled, true
+			if heartbeat, ok := send.Body.(Heartbeat); ok {
+				stalled, told = heartbeat.Stalled, true
 			}
 		}
 	}
@@ -28,21 +28,21 @@
 // A keeper whose disk is full tells the cores at once that its slots should pass on,
 // and takes them again once the disk has kept up for a while.
 func TestAFullDiskIsToldAtOnce(t *testing.T) {
-	k := New(Self{ID: "s", Zone: "z", Peer: "p", Life: 1}, Defaults(), nil, shelf{})
-	k.Do(Cores{Peers: []string{"c"}}, clock.Second)
+	k := New(Self{ID: "s", Zone: "z", Peer: "p", Incarnation: 1}, Defaults(), nil, shelf{})
+	k.Do(CorePeers{Peers: []string{"c"}}, clock.Second)
 	now := clock.Micros(2 * clock.Second)
-	if stalled, told := stalledBeat(k.Do(diskFull, now)); !told || !stalled {
+	if stalled, told := stalledHeartbeat(k.Do(diskFull, now)); !told || !stalled {
 		t.Fatalf("told %v, stalled %v", told, stalled)
 	}
 	now += 60 * clock.Second
-	if stalled, told := stalledBeat(k.Do(ClockEvent{}, now)); !told || !stalled {
+	if stalled, told := stalledHeartbeat(k.Do(Tick{}, now)); !told || !stalled {
 		t.Fatalf("a minute later: told %v, stalled %v", told, stalled)
 	}
-	if stalled, told := stalledBeat(k.Do(diskWell, now)); !told || !stalled {
+	if stalled, told := stalledHeartbeat(k.Do(diskWell, now)); !told || !stalled {
 		t.Fatalf("the disk is well only now: told %v, stalled %v", told, stalled)
 	}
-	now += Defaults().DiskProof + 1
-	if stalled, told := stalledBeat(k.Do(ClockEvent{}, now)); !told || stalled {
+	now += Defaults().DiskProbation + 1
+	if stalled, told := stalledHeartbeat(k.Do(Tick{}, now)); !told || stalled {
 		t.Fatalf("after the proof: told %v, stalled %v", told, stalled)
 	}
 }
@@ -53,13 +53,13 @@
 	b := newBench(t)
 	b.must(lot("one", 1))
 	b.do("a", diskFull)
-	for _, ask := range []any{lot("two", 1), EndAsk{Bundle: "one", Anyone: true, Expiry: clock.Second}} {
-		b.refused(errs.NotReady, ask)
+	for _, request := range []any{lot("two", 1), EndRequest{Batch: "one", AnyTenant: true, Timeout: clock.Second}} {
+		b.refused(errs.NotReady, request)
 	}
-	if b.keepers["a"].place(Unit(0)).state.Bundles["two"] != nil {
+	if b.keepers["a"].shard(Unit(0)).state.Batches["two"] != nil {
 		t.Fatal("a bundle that was turned away is there")
 	}
-	if status := b.must(StatusAsk{Bundle: "one", Anyone: true}).(Status); status.Items != 1 {
+	if status := b.must(BatchStatusRequest{Batch: "one", AnyTenant: true}).(BatchStatus); status.Items != 1 {
 		t.Fatalf("it stands so: %+v", status)
 	}
 	b.do("a", diskWell)
@@ -88,12 +88,12 @@
 
 // A copy of a whole unit is not taken either.
 func TestNoCopyIsTakenByAFullDisk(t *testing.T) {
-	k := New(Self{ID: "s", Zone: "z", Peer: "p", Life: 1}, Defaults(), nil, shelf{})
+	k := New(Self{ID: "s", Zone: "z", Peer: "p", Incarnation: 1}, Defaults(), nil, shelf{})
 	k.Do(diskFull, clock.Second)
-	view := shard.NewSlot().View(nil)
-	for _, effect := range k.Do(Letter{From: "o", Body: replication.Copy{Unit: Unit(0), Epoch: 3, Seq: 1, Count: 1, Parts: view}}, 2*clock.Second) {
+	view := shard.New().Snapshot(nil)
+	for _, effect := range k.Do(Message{From: "o", Body: replication.SnapshotChunk{Unit: Unit(0), Epoch: 3, Seq: 1, Count: 1, Parts: view}}, 2*clock.Second) {
 		switch effect.(type) {
-		case machine.Store, machine.Send:
+		case machine.Persist, machine.Send:
 			t.Fatalf("it has %T", effect)
 		}
 	}
@@ -103,8 +103,8 @@
 func TestAViewIsMadeAgain(t *testing.T) {
 	b := newBench(t)
 	folds := 0
-	for _, effect := range b.keepers["a"].Do(FoldAgain{}, b.now) {
-		if _, ok := effect.(machine.Fold); ok {
+	for _, effect := range b.keepers["a"].Do(CompactAgain{}, b.now) {
+		if _, ok := effect.(machine.Compact); ok {
 			folds++
 		}
 	}
--- a/ledger/store/following.go
+++ b/ledger/store/following.go
@@ -14,145 +14,145 @@
 
 // This file follows the map: which shards this store leads or replicates (DESIGN §6.1, §6.6).
 
-// Stored is the disk's word.
-type Stored struct{ Token uint64 }
+// Persisted is the disk's word.
+type Persisted struct{ Token uint64 }
 
 // Apply passes the word on to the pair.
-func (s Stored) Apply(k *Store, now clock.Micros) {
-	delete(k.writes, s.Token)
-	k.groups.Stored(s.Token, now)
-	k.flush(now)
+func (s Persisted) Apply(k *Store, now clock.Micros) {
+	delete(k.writesInFlight, s.Token)
+	k.groups.Persisted(s.Token, now)
+	k.listPendingResults(now)
 }
 
-// Letter is a message that came in.
-type Letter struct {
+// Message is a message that came in.
+type Message struct {
 	From string
 	Body any
 }
 
 // Apply takes the pair's messages and the core's welcome.
-func (l Letter) Apply(k *Store, now clock.Micros) {
-	if k.leftUntaken(l.Body) || k.groups.Take(l.From, l.Body, now) {
+func (l Message) Apply(k *Store, now clock.Micros) {
+	if k.ignoresWhileUnwritable(l.Body) || k.groups.HandleMessage(l.From, l.Body, now) {
 		return
 	}
-	if no, ok := l.Body.(Unwelcome); ok && no.ID == k.self.ID && no.Life == k.self.Life {
-		k.Emit(machine.Halt{Err: errs.New(errs.WrongFolder, "start with an empty data folder, which the fleet fills from the pairs, or correct -seeds", "this data folder does not belong here: %s", no.Why)})
+	if rejection, ok := l.Body.(RegistrationRejected); ok && rejection.ID == k.self.ID && rejection.Incarnation == k.self.Incarnation {
+		k.Emit(machine.Halt{Err: errs.New(errs.WrongFolder, "start with an empty data folder, which the fleet fills from the pairs, or correct -seeds", "this data folder does not belong here: %s", rejection.Reason)})
 		return
 	}
-	if welcome, ok := l.Body.(Welcome); ok && welcome.Writer > 0 {
-		if k.fleet != "" && k.fleet != welcome.Fleet {
-			k.Emit(machine.Explain{What: "a core of another fleet spoke; its word is passed over; check -seeds", Fields: map[string]any{"fleet": welcome.Fleet, "from": l.From}})
+	if registered, ok := l.Body.(Registered); ok && registered.Writer > 0 {
+		if k.fleet != "" && k.fleet != registered.Fleet {
+			k.Emit(machine.LogEvent{Message: "a core of another fleet spoke; its word is passed over; check -seeds", Fields: map[string]any{"fleet": registered.Fleet, "from": l.From}})
 			return
 		}
 		if k.writer == 0 {
-			k.fleet, k.writer = welcome.Fleet, welcome.Writer
-			body, _ := json.Marshal(identity{k.fleet, k.writer})
-			k.groups.Store([]machine.Record{{Unit: unitSelf, Kind: kindWriter, Body: body}}, nil)
-			k.reserve()
-			k.dirty = true
+			k.fleet, k.writer = registered.Fleet, registered.Writer
+			body, _ := json.Marshal(registration{k.fleet, k.writer})
+			k.groups.Persist([]machine.Record{{Unit: unitSelf, Kind: kindWriter, Body: body}}, nil)
+			k.reservePositions()
+			k.announceNeeded = true
 		}
 	}
 }
 
-func (k *Store) reserve() {
-	wanted := k.positions.Wanted()
-	if wanted == 0 || k.asking || k.writer == 0 {
+func (k *Store) reservePositions() {
+	wanted := k.positions.NextReservation()
+	if wanted == 0 || k.reserving || k.writer == 0 {
 		return
 	}
-	k.asking = true
-	k.groups.Store([]machine.Record{{Unit: unitSelf, Kind: kindReserved, Seq: uint64(wanted)}}, func(now clock.Micros) {
-		k.asking = false
-		k.positions.Reserved(wanted)
-		k.flush(now)
+	k.reserving = true
+	k.groups.Persist([]machine.Record{{Unit: unitSelf, Kind: kindReserved, Seq: uint64(wanted)}}, func(now clock.Micros) {
+		k.reserving = false
+		k.positions.ConfirmReservation(wanted)
+		k.listPendingResults(now)
 	})
 }
 
-// Cores tells the keeper the cores' addresses.
-type Cores struct{ Peers []string }
+// CorePeers tells the keeper the cores' addresses.
+type CorePeers struct{ Peers []string }
 
 // Apply notes them.
-func (c Cores) Apply(k *Store, _ clock.Micros) { k.cores = c.Peers }
+func (c CorePeers) Apply(k *Store, _ clock.Micros) { k.cores = c.Peers }
 
-// News is a rumour from the acquaintance.
-type News struct{ Rumour machine.Update }
+// UpdateReceived is a rumour from the acquaintance.
+type UpdateReceived struct{ Update machine.Update }
 
 // Apply takes a new map, and the announcements that settle orphans.
-func (n News) Apply(k *Store, now clock.Micros) {
-	if n.Rumour.Key == state.MapKey {
+func (n UpdateReceived) Apply(k *Store, now clock.Micros) {
+	if n.Update.Key == state.MapKey {
 		var m state.Map
-		if json.Unmarshal(n.Rumour.Value, &m) == nil && m.Seq > k.placement.Seq && (k.fleet == "" || m.Fleet == k.fleet) {
-			was := k.placement
-			k.placement = m
-			k.free(was)
-			k.follow(now)
+		if json.Unmarshal(n.Update.Value, &m) == nil && m.Seq > k.clusterMap.Seq && (k.fleet == "" || m.Fleet == k.fleet) {
+			was := k.clusterMap
+			k.clusterMap = m
+			k.voidEndedLeases(was)
+			k.reconcileRoles(now)
 		}
 		return
 	}
 	var a token.Announcement
-	if strings.HasPrefix(n.Rumour.Key, token.KeyPrefix) && len(k.orphans) > 0 && json.Unmarshal(n.Rumour.Value, &a) == nil {
-		for _, claimed := range a.Slots {
-			k.settleOrphans(claimed.Slot, claimed.Epoch)
+	if strings.HasPrefix(n.Update.Key, token.KeyPrefix) && len(k.orphanedPositions) > 0 && json.Unmarshal(n.Update.Value, &a) == nil {
+		for _, claimed := range a.Shards {
+			k.finishOrphans(claimed.Shard, claimed.Epoch)
 		}
 	}
 }
 
-func (k *Store) settleOrphans(slot int, epoch uint64) {
-	kept := k.orphans[:0]
-	for _, o := range k.orphans {
-		if o.slot == slot && epoch > o.epoch {
+func (k *Store) finishOrphans(shard int, epoch uint64) {
+	kept := k.orphanedPositions[:0]
+	for _, o := range k.orphanedPositions {
+		if o.shard == shard && epoch > o.epoch {
 			for _, position := range o.positions {
 				k.positions.Finish(position)
 			}
-			k.dirty = true
+			k.announceNeeded = true
 			continue
 		}
 		kept = append(kept, o)
 	}
-	k.orphans = kept
+	k.orphanedPositions = kept
 }
 
-// free gives up the leases granted to lives that have ended: a store that has started
+// voidEndedLeases gives up the leases granted to lives that have ended: a store that has started
 // again is another life, and the one before starts nothing more (DESIGN §4.4).
-func (k *Store) free(was state.Map) {
-	for slot, pairing := range was.Slots {
-		group := k.groups.Group(Unit(slot))
-		if pairing.Epoch == group.Epoch && pairing.Primary.ID != k.self.ID && k.placement.Stores[pairing.Primary.ID].Life > pairing.Primary.Life {
-			k.groups.Void(group.Unit)
+func (k *Store) voidEndedLeases(was state.Map) {
+	for shard, assignment := range was.Shards {
+		group := k.groups.Group(Unit(shard))
+		if assignment.Epoch == group.Epoch && assignment.Primary.ID != k.self.ID && k.clusterMap.Stores[assignment.Primary.ID].Incarnation > assignment.Primary.Incarnation {
+			k.groups.VoidGrantedLease(group.Unit)
 		}
 	}
 }
 
-// follow works out the difference between the map and what this keeper does.
+// reconcileRoles works out the difference between the map and what this keeper does.
 //
 //revive:disable-next-line:cyclomatic still to be split (issue 18)
-func (k *Store) follow(now clock.Micros) {
-	me := replication.Member{ID: k.self.ID, Life: k.self.Life}
-	for slot, pairing := range k.placement.Slots {
-		unit := Unit(slot)
+func (k *Store) reconcileRoles(now clock.Micros) {
+	me := replication.Member{ID: k.self.ID, Incarnation: k.self.Incarnation}
+	for shard, assignment := range k.clusterMap.Shards {
+		unit := Unit(shard)
 		group := k.groups.Group(unit)
 		switch {
-		case pairing.Epoch < group.Epoch || pairing.Zero():
-		case pairing.Epoch == group.Epoch:
-			if pairing.Primary == me && pairing.Complete && k.groups.Complete(unit, pairing.Epoch, now) {
-				k.serve(unit, now)
+		case assignment.Epoch < group.Epoch || assignment.IsZero():
+		case assignment.Epoch == group.Epoch:
+			if assignment.Primary == me && assignment.Complete && k.groups.CommitGroup(unit, assignment.Epoch, now) {
+				k.startServing(unit, now)
 			}
-			if pairing.Complete && !pairing.Holds(k.self.ID) && group.Seq > 0 {
-				k.groups.Drop(unit, pairing.Epoch, now)
+			if assignment.Complete && !assignment.MustKeep(k.self.ID) && group.Seq > 0 {
+				k.groups.Drop(unit, assignment.Epoch, now)
 			}
-		case pairing.Primary == me:
+		case assignment.Primary == me:
 			k.Takeovers++
-			k.Emit(machine.Explain{What: "owning a slot", Fields: map[string]any{"slot": slot, "epoch": pairing.Epoch, "replicas": pairing.IDs()[1:], "from_role": group.Role.String()}})
-			k.groups.Own(unit, pairing.Epoch, k.peers(pairing.Replicas), now)
-			k.dirty = true
-		case pairing.Replicates(me):
-			k.groups.Back(unit, pairing.Epoch, k.placement.Stores[pairing.Primary.ID].Peer, now)
-			k.dirty = true
-		case pairing.Holds(k.self.ID):
-			k.groups.Release(unit, pairing.Epoch, now)
-		case pairing.Complete:
-			k.groups.Drop(unit, pairing.Epoch, now)
+			k.Emit(machine.LogEvent{Message: "owning a slot", Fields: map[string]any{"slot": shard, "epoch": assignment.Epoch, "replicas": assignment.IDs()[1:], "from_role": group.Role.String()}})
+			k.groups.BecomePrimary(unit, assignment.Epoch, k.peers(assignment.Replicas), now)
+			k.announceNeeded = true
+		case assignment.IsReplica(me):
+			k.groups.BecomeReplica(unit, assignment.Epoch, k.clusterMap.Stores[assignment.Primary.ID].Peer, now)
+			k.announceNeeded = true
+		case assignment.MustKeep(k.self.ID):
+			k.groups.Release(unit, assignment.Epoch, now)
+		case assignment.Complete:
+			k.groups.Drop(unit, assignment.Epoch, now)
 		default:
-			k.groups.Release(unit, pairing.Epoch, now)
+			k.groups.Release(unit, assignment.Epoch, now)
 		}
 	}
 }
@@ -161,21 +161,21 @@
 func (k *Store) peers(members []replication.Member) []string {
 	var out []string
 	for _, member := range members {
-		out = append(out, k.placement.Stores[member.ID].Peer)
+		out = append(out, k.clusterMap.Stores[member.ID].Peer)
 	}
 	return out
 }
 
-// serve begins to confirm, list and start work under a complete pair.
-func (k *Store) serve(unit string, now clock.Micros) {
-	p := k.place(unit)
-	k.positions.Raise(p.state.Top())
-	k.reserve()
-	k.settleOrphans(p.slot, k.groups.Group(unit).Epoch)
-	k.dirty = true
-	for _, id := range sortedBundles(p.state) {
-		k.start(unit, id)
+// startServing begins to confirm, list and start work under a complete pair.
+func (k *Store) startServing(unit string, now clock.Micros) {
+	p := k.shard(unit)
+	k.positions.RaiseAbove(p.state.HighestPosition())
+	k.reservePositions()
+	k.finishOrphans(p.shard, k.groups.Group(unit).Epoch)
+	k.announceNeeded = true
+	for _, id := range sortedBatches(p.state) {
+		k.startItems(unit, id)
 	}
-	k.Emit(machine.Explain{What: "serving a slot", Fields: map[string]any{"slot": p.slot, "epoch": k.groups.Group(unit).Epoch, "first_position": k.positions.Next()}})
-	k.flush(now)
+	k.Emit(machine.LogEvent{Message: "serving a slot", Fields: map[string]any{"slot": p.shard, "epoch": k.groups.Group(unit).Epoch, "first_position": k.positions.Next()}})
+	k.listPendingResults(now)
 }
--- a/ledger/store/free_test.go
+++ b/ledger/store/free_test.go
@@ -12,23 +12,23 @@
 
 // A backup that takes over from a store that has started again need not wait for
 // the lease of the life that is over; from one that may only be cut off it does.
-func TestALeaseEndsWithTheLifeItWasGrantedTo(t *testing.T) {
+func TestALeaseEndsWithTheIncarnationItWasGrantedTo(t *testing.T) {
 	for name, c := range map[string]struct {
-		life uint64
-		free bool
+		incarnation uint64
+		free        bool
 	}{"started again": {2, true}, "perhaps cut off": {1, false}} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t)
-			m := state.Map{Fleet: "f", Seq: 3, Stores: map[string]state.Store{"a": {Peer: "a", Life: c.life}, "b": {Peer: "b", Life: 1}},
-				Slots: []replication.Assignment{{Epoch: 2, Primary: replication.Member{ID: "b", Life: 1}, Replicas: []replication.Member{{ID: "a", Life: c.life}}, Trusted: []string{"a", "b"}}}}
+			m := state.Map{Fleet: "f", Seq: 3, Stores: map[string]state.Store{"a": {Peer: "a", Incarnation: c.incarnation}, "b": {Peer: "b", Incarnation: 1}},
+				Shards: []replication.Assignment{{Epoch: 2, Primary: replication.Member{ID: "b", Incarnation: 1}, Replicas: []replication.Member{{ID: "a", Incarnation: c.incarnation}}, Trusted: []string{"a", "b"}}}}
 			value, _ := json.Marshal(m)
 			k := b.keepers["b"]
-			effects := k.Do(News{Rumour: machine.Update{Key: state.MapKey, Seq: m.Seq, Value: value}}, b.now)
-			effects = append(effects, k.Do(ClockEvent{}, b.now+10*clock.Millisecond)...)
+			effects := k.Do(UpdateReceived{Update: machine.Update{Key: state.MapKey, Seq: m.Seq, Value: value}}, b.now)
+			effects = append(effects, k.Do(Tick{}, b.now+10*clock.Millisecond)...)
 			copying := false
 			for _, effect := range effects {
 				if send, ok := effect.(machine.Send); ok {
-					_, isCopy := send.Body.(replication.Copy)
+					_, isCopy := send.Body.(replication.SnapshotChunk)
 					copying = copying || isCopy
 				}
 			}
--- a/ledger/store/group.go
+++ b/ledger/store/group.go
@@ -11,11 +11,11 @@
 
 // This file is what the replication group asks of the store that holds its state.
 
-// View is the slot's whole state for a copy.
-func (k *Store) View(unit string) [][]byte { return k.place(unit).state.View(k.whole) }
+// Snapshot is the slot's whole state for a copy.
+func (k *Store) Snapshot(unit string) [][]byte { return k.shard(unit).state.Snapshot(k.unarchive) }
 
-// Brief is its state for this daemon's own disk.
-func (k *Store) Brief(unit string) [][]byte { return k.place(unit).state.View(nil) }
+// LocalSnapshot is its state for this daemon's own disk.
+func (k *Store) LocalSnapshot(unit string) [][]byte { return k.shard(unit).state.Snapshot(nil) }
 
 // Restore replaces a slot's state.
 func (k *Store) Restore(unit string, parts [][]byte) {
@@ -24,87 +24,87 @@
 		k.BadRecord = err
 		return
 	}
-	k.place(unit).state = state
+	k.shard(unit).state = state
 }
 
-// Play applies an entry on the backup or when read back.
-func (k *Store) Play(unit string, data []byte) {
+// ApplyEntry applies an entry on the backup or when read back.
+func (k *Store) ApplyEntry(unit string, data []byte) {
 	entry, err := shard.Decode(data)
 	if err != nil {
 		k.BadRecord = err
 		return
 	}
-	entry.Apply(k.place(unit).state)
+	entry.Apply(k.shard(unit).state)
 }
 
 // Confirmed answers who waits, finishes the position and starts new work.
 func (k *Store) Confirmed(unit string, seq uint64, _ clock.Micros) {
-	k.Entries++
-	if position, ok := k.given[unit][seq]; ok {
-		delete(k.given[unit], seq)
+	k.EntriesConfirmed++
+	if position, ok := k.assignedPositions[unit][seq]; ok {
+		delete(k.assignedPositions[unit], seq)
 		k.positions.Finish(position)
-		k.dirty = true
+		k.announceNeeded = true
 	}
-	if bundle, ok := k.news[unit][seq]; ok {
-		delete(k.news[unit], seq)
-		k.start(unit, bundle)
+	if batch, ok := k.submittedBatches[unit][seq]; ok {
+		delete(k.submittedBatches[unit], seq)
+		k.startItems(unit, batch)
 	}
-	for _, w := range k.waits[unit][seq] {
-		k.Emit(machine.Answer{Call: w.call, Body: w.answer})
+	for _, w := range k.pendingCalls[unit][seq] {
+		k.Emit(machine.Reply{Call: w.call, Body: w.answer})
 	}
-	delete(k.waits[unit], seq)
+	delete(k.pendingCalls[unit], seq)
 }
 
-// start hands a bundle's open items to the path.
-func (k *Store) start(unit, id string) {
-	p := k.place(unit)
-	bundle := p.state.Bundles[id]
-	if bundle == nil || bundle.State != shard.Open {
+// startItems hands a bundle's open items to the path.
+func (k *Store) startItems(unit, id string) {
+	p := k.shard(unit)
+	batch := p.state.Batches[id]
+	if batch == nil || batch.State != shard.Open {
 		return
 	}
 	epoch := k.groups.Group(unit).Epoch
-	for i, item := range bundle.Items {
-		if !bundle.Listed(i) {
-			k.Emit(machine.Work{Order: ItemOrder{Slot: p.slot, Epoch: epoch, Bundle: id, Item: i,
-				Customer: bundle.Customer, Route: bundle.Route, ItemID: item.ID, Input: item.Input, Request: item.Request, Enrolled: bundle.Enrolled, Plan: bundle.Plan}})
+	for i, item := range batch.Items {
+		if !batch.HasResult(i) {
+			k.Emit(machine.Execute{Task: RunItem{Shard: p.shard, Epoch: epoch, Batch: id, Item: i,
+				Tenant: batch.Tenant, Route: batch.Route, ItemID: item.ID, Input: item.Input, Request: item.Request, SubmittedAt: batch.SubmittedAt, ConfigurationVersion: batch.ConfigurationVersion}})
 		}
 	}
 }
 
-// Ready tells the cores that a copy is on two disks.
-func (k *Store) Ready(_ string, _ uint64, now clock.Micros) { k.beat(now) }
+// GroupReady tells the cores that a copy is on two disks.
+func (k *Store) GroupReady(_ string, _ uint64, now clock.Micros) { k.sendHeartbeats(now) }
 
 // Deposed says "outcome unknown" to who waits and leaves the slot's unfinished
 // positions open until its new owner has settled.
 func (k *Store) Deposed(unit string, epoch uint64, now clock.Micros) {
-	k.lose(unit, "the slot passed to another keeper")
-	k.leave(unit, now)
-	slot := slotOf(unit)
+	k.failPendingCalls(unit, "the slot passed to another keeper")
+	k.rememberFormerShard(unit, now)
+	shard := shardOfUnit(unit)
 	var positions []int64
-	for _, position := range k.given[unit] {
+	for _, position := range k.assignedPositions[unit] {
 		positions = append(positions, position)
 	}
-	delete(k.given, unit)
-	delete(k.news, unit)
+	delete(k.assignedPositions, unit)
+	delete(k.submittedBatches, unit)
 	if len(positions) > 0 {
 		sort.Slice(positions, func(i, j int) bool { return positions[i] < positions[j] })
-		k.orphans = append(k.orphans, orphan{slot: slot, epoch: epoch, positions: positions})
+		k.orphanedPositions = append(k.orphanedPositions, orphanedPositions{shard: shard, epoch: epoch, positions: positions})
 	}
-	k.Emit(machine.Work{Order: Revoke{Slot: slot}})
-	k.Emit(machine.Explain{What: "slot passed on", Fields: map[string]any{"slot": slot, "unfinished": len(positions)}})
-	k.dirty = true
+	k.Emit(machine.Execute{Task: CancelItems{Shard: shard}})
+	k.Emit(machine.LogEvent{Message: "slot passed on", Fields: map[string]any{"slot": shard, "unfinished": len(positions)}})
+	k.announceNeeded = true
 }
 
-func (k *Store) lose(unit, why string) {
-	for _, seq := range sortedKeys(k.waits[unit]) {
-		for _, w := range k.waits[unit][seq] {
-			k.unknown(w.call, why)
+func (k *Store) failPendingCalls(unit, reason string) {
+	for _, seq := range sortedKeys(k.pendingCalls[unit]) {
+		for _, w := range k.pendingCalls[unit][seq] {
+			k.replyUnknown(w.call, reason)
 		}
 	}
-	delete(k.waits, unit)
+	delete(k.pendingCalls, unit)
 }
 
-func (k *Store) unknown(call uint64, why string) {
-	k.Unknown++
-	k.Emit(machine.Answer{Call: call, Err: errs.Later(errs.OutcomeUnknown, clock.Second, "ask again with the same idempotency key", "it is not known whether this was made durable: %s", why)})
+func (k *Store) replyUnknown(call uint64, reason string) {
+	k.UnknownOutcomes++
+	k.Emit(machine.Reply{Call: call, Err: errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "ask again with the same idempotency key", "it is not known whether this was made durable: %s", reason)})
 }
--- a/ledger/store/results.go
+++ b/ledger/store/results.go
@@ -11,7 +11,7 @@
 
 // This file gives results their positions and lists them (DESIGN §6.2).
 
-func sortedBundles(s *shard.Slot) []string { return sortedKeys(s.Bundles) }
+func sortedBatches(s *shard.State) []string { return sortedKeys(s.Batches) }
 
 // sortedKeys gives a map an order, so that the same inputs have the same
 // effects in the same order.
@@ -24,10 +24,10 @@
 	return keys
 }
 
-// Ran is the path's word that an item has its result.
-type Ran struct {
-	Slot   int
-	Bundle string
+// ItemFinished is the path's word that an item has its result.
+type ItemFinished struct {
+	Shard  int
+	Batch  string
 	Item   int
 	Status string
 	Output string
@@ -35,63 +35,63 @@
 }
 
 // Apply gives the result its position and lists it.
-func (r Ran) Apply(k *Store, now clock.Micros) {
-	k.held = append(k.held, finished{slot: r.Slot, row: shard.Row{Bundle: r.Bundle, Item: r.Item, Status: r.Status, Output: r.Output, Server: r.Server}})
-	k.flush(now)
+func (r ItemFinished) Apply(k *Store, now clock.Micros) {
+	k.pendingResults = append(k.pendingResults, pendingResult{shard: r.Shard, result: shard.Result{Batch: r.Batch, Item: r.Item, Status: r.Status, Output: r.Output, Server: r.Server}})
+	k.listPendingResults(now)
 }
 
-// flush lists held results as far as pairs serve and positions are reserved.
-func (k *Store) flush(now clock.Micros) {
-	if len(k.held) == 0 {
+// listPendingResults lists held results as far as pairs serve and positions are reserved.
+func (k *Store) listPendingResults(now clock.Micros) {
+	if len(k.pendingResults) == 0 {
 		return
 	}
-	held := k.held
-	k.held = nil
-	for _, f := range held {
-		unit := Unit(f.slot)
+	pending := k.pendingResults
+	k.pendingResults = nil
+	for _, f := range pending {
+		unit := Unit(f.shard)
 		group := k.groups.Group(unit)
-		bundle := k.place(unit).state.Bundles[f.row.Bundle]
-		if !group.Leads() || bundle == nil || bundle.State != shard.Open || f.row.Item < 0 || f.row.Item >= len(bundle.Items) || bundle.Listed(f.row.Item) {
+		batch := k.shard(unit).state.Batches[f.result.Batch]
+		if !group.IsPrimary() || batch == nil || batch.State != shard.Open || f.result.Item < 0 || f.result.Item >= len(batch.Items) || batch.HasResult(f.result.Item) {
 			continue // another keeper runs it, or it needs no row any more
 		}
 		if group.Role != replication.Serving {
-			k.held = append(k.held, f)
+			k.pendingResults = append(k.pendingResults, f)
 			continue
 		}
 		position, ok := k.positions.Allocate()
 		if !ok {
-			k.reserve()
-			k.held = append(k.held, f)
+			k.reservePositions()
+			k.pendingResults = append(k.pendingResults, f)
 			continue
 		}
-		row := f.row
-		row.Writer, row.Position, row.ItemID = k.writer, position, bundle.Items[row.Item].ID
-		seq := k.put(unit, shard.List{Row: row}, now)
-		if k.EarlyAnnounce {
+		result := f.result
+		result.Writer, result.Position, result.ItemID = k.writer, position, batch.Items[result.Item].ID
+		seq := k.appendEntry(unit, shard.ListResult{Result: result}, now)
+		if k.SkipDurability {
 			k.positions.Finish(position)
-			k.dirty = true
+			k.announceNeeded = true
 		} else {
-			if k.given[unit] == nil {
-				k.given[unit] = map[uint64]int64{}
+			if k.assignedPositions[unit] == nil {
+				k.assignedPositions[unit] = map[uint64]int64{}
 			}
-			k.given[unit][seq] = position
+			k.assignedPositions[unit][seq] = position
 		}
-		k.Listed++
+		k.ResultsListed++
 	}
-	k.reserve()
+	k.reservePositions()
 }
 
-// put applies an entry and appends it; the caller has seen the pair serve.
-func (k *Store) put(unit string, entry shard.Entry, now clock.Micros) uint64 {
+// appendEntry applies an entry and appends it; the caller has seen the pair serve.
+func (k *Store) appendEntry(unit string, entry shard.Entry, now clock.Micros) uint64 {
 	data := shard.Encode(entry)
-	entry.Apply(k.place(unit).state)
+	entry.Apply(k.shard(unit).state)
 	seq, _ := k.groups.Append(unit, data, now)
 	return seq
 }
 
-func (k *Store) await(unit string, seq, call uint64, expiry clock.Micros, answer any) {
-	if k.waits[unit] == nil {
-		k.waits[unit] = map[uint64][]waiting{}
+func (k *Store) replyWhenConfirmed(unit string, seq, call uint64, deadline clock.Micros, answer any) {
+	if k.pendingCalls[unit] == nil {
+		k.pendingCalls[unit] = map[uint64][]pendingCall{}
 	}
-	k.waits[unit][seq] = append(k.waits[unit][seq], waiting{call: call, expiry: expiry, answer: answer})
+	k.pendingCalls[unit][seq] = append(k.pendingCalls[unit][seq], pendingCall{call: call, deadline: deadline, answer: answer})
 }
--- a/ledger/store/shelf.go
+++ b/ledger/store/shelf.go
@@ -10,120 +10,120 @@
 // Memory is bounded by open work (DESIGN §6.7): a settled bundle's rows lie in
 // files of their own and are read back when somebody asks.
 
-// Shelf is where settled bundles lie on this daemon's disk.
-type Shelf interface {
+// Archive is where settled bundles lie on this daemon's disk.
+type Archive interface {
 	Get(file uint64, unit string) ([]byte, error)
-	Held() []uint64
-	Top() uint64
+	Files() []uint64
+	LastFile() uint64
 }
 
 const (
-	shelfPack  = 256 << 10 // bytes of bundles in one file, about
-	shelfBatch = 256       // bundles looked at in one round
+	archiveFileSize   = 256 << 10 // bytes of bundles in one file, about
+	archiveBatchLimit = 256       // bundles looked at in one round
 )
 
-// settleDown packs settled bundles of whole pairs into a file. They are let go
+// archiveFinished packs settled bundles of whole pairs into a file. They are let go
 // only once it is on disk; the entries that made them stay on disk until a view
 // refers to the file.
-func (k *Store) settleDown() {
-	var pack []*shard.Bundle
+func (k *Store) archiveFinished() {
+	var pack []*shard.Batch
 	size := 0
 	for _, group := range k.groups.All() {
-		quiet := group.Role == replication.Serving && group.Open() == 0 || group.Role == replication.Backing && group.Durable == group.Seq
+		quiet := group.Role == replication.Serving && group.Unconfirmed() == 0 || group.Role == replication.Replicating && group.SyncedSeq == group.Seq
 		if !quiet {
 			continue
 		}
-		state := k.place(group.Unit).state
-		for _, id := range sortedBundles(state) {
-			bundle := state.Bundles[id]
-			if !bundle.Settled() || len(pack) >= shelfBatch || size >= shelfPack {
+		state := k.shard(group.Unit).state
+		for _, id := range sortedBatches(state) {
+			batch := state.Batches[id]
+			if !batch.IsArchivable() || len(pack) >= archiveBatchLimit || size >= archiveFileSize {
 				continue
 			}
-			pack = append(pack, bundle)
-			for _, row := range bundle.Rows {
-				size += len(row.Output) + 128
+			pack = append(pack, batch)
+			for _, result := range batch.Results {
+				size += len(result.Output) + 128
 			}
 		}
 	}
 	if len(pack) == 0 {
 		return
 	}
-	k.file++
-	file := k.file
+	k.lastArchiveFile++
+	file := k.lastArchiveFile
 	records := make([]machine.Record, len(pack))
-	for i, bundle := range pack {
-		bundle.Move()
-		records[i] = machine.Record{Unit: bundle.ID, Kind: kindBundle, Body: bundle.Encode()}
+	for i, batch := range pack {
+		batch.MarkArchiving()
+		records[i] = machine.Record{Unit: batch.ID, Kind: kindBatch, Body: batch.Encode()}
 	}
-	token := k.groups.Await(func(_ clock.Micros) {
-		for _, bundle := range pack {
-			bundle.Shelve(file)
+	token := k.groups.RegisterWrite(func(_ clock.Micros) {
+		for _, batch := range pack {
+			batch.MarkArchived(file)
 		}
-		k.Shelved += int64(len(pack))
+		k.BatchesArchived += int64(len(pack))
 	})
-	k.Emit(machine.Shelve{Token: token, File: file, Records: records})
+	k.Emit(machine.Archive{Token: token, File: file, Records: records})
 }
 
-// whole reads a shelved bundle back. A file that can't be read is damage: the
+// unarchive reads a shelved bundle back. A file that can't be read is damage: the
 // keeper says so and stops, so that its pair's other end serves.
-func (k *Store) whole(b *shard.Bundle) *shard.Bundle {
-	data, err := k.shelf.Get(b.Shelved.File, b.ID)
+func (k *Store) unarchive(b *shard.Batch) *shard.Batch {
+	data, err := k.archive.Get(b.Archived.File, b.ID)
 	if err == nil {
-		var found *shard.Bundle
-		if found, err = shard.Unshelved(data); err == nil {
-			return found
+		var batch *shard.Batch
+		if batch, err = shard.DecodeArchived(data); err == nil {
+			return batch
 		}
 	}
 	k.BadRecord = err
-	if k.Damaged != nil {
-		k.Damaged(err)
+	if k.OnDamage != nil {
+		k.OnDamage(err)
 	}
 	return b
 }
 
-// rows are a bundle's rows after a vector, read back only where there are any.
-func (k *Store) rows(b *shard.Bundle, after func(writer int) int64) []shard.Row {
-	if b.Shelved == nil {
-		return b.Rows
+// resultsAfter are a bundle's rows after a vector, read back only where there are any.
+func (k *Store) resultsAfter(b *shard.Batch, after func(writer int) int64) []shard.Result {
+	if b.Archived == nil {
+		return b.Results
 	}
-	for writer, last := range b.Shelved.Last {
+	for writer, last := range b.Archived.LastPositions {
 		if last > after(writer) {
-			return k.whole(b).Rows
+			return k.unarchive(b).Results
 		}
 	}
 	return nil
 }
 
-// sweep removes shelf files that no bundle refers to any more. At the start it
+// deleteUnusedArchives removes shelf files that no bundle refers to any more. At the start it
 // is told what there is; later it looks only for what it put there itself.
-func (k *Store) sweep(held []uint64) {
-	for _, file := range held {
-		k.files[file] = true
+func (k *Store) deleteUnusedArchives(pending []uint64) {
+	for _, file := range pending {
+		k.archiveFiles[file] = true
 	}
 	used := map[uint64]bool{}
 	moving := false
-	for _, unit := range sortedKeys(k.places) {
-		for _, bundle := range k.places[unit].state.Bundles {
-			if bundle.Shelved != nil {
-				used[bundle.Shelved.File] = true
+	for _, unit := range sortedKeys(k.shards) {
+		for _, batch := range k.shards[unit].state.Batches {
+			if batch.Archived != nil {
+				used[batch.Archived.File] = true
 			}
-			moving = moving || bundle.Moving()
+			moving = moving || batch.IsArchiving()
 		}
 	}
 	if moving {
 		return
 	}
 	var unused []uint64
-	for _, file := range sortedKeys(k.files) {
+	for _, file := range sortedKeys(k.archiveFiles) {
 		if !used[file] {
 			unused = append(unused, file)
-			delete(k.files, file)
+			delete(k.archiveFiles, file)
 		}
 	}
 	if len(unused) > 0 {
-		k.Emit(machine.Unshelve{Files: unused})
+		k.Emit(machine.DeleteArchive{Files: unused})
 	}
 	for file := range used {
-		k.files[file] = true
+		k.archiveFiles[file] = true
 	}
 }
--- a/ledger/store/store.go
+++ b/ledger/store/store.go
@@ -19,144 +19,144 @@
 
 // Settings of a keeper; the defaults are ours.
 type Settings struct {
-	MostItems     int          // items that wait, over all its slots
-	FoldAfter     int          // stores between two views on disk
-	KeepDone      clock.Micros // how long a finished bundle stays readable
-	BeatEvery     clock.Micros
-	AnnounceEvery clock.Micros
-	DiskPatience  clock.Micros // a write that takes longer means a stalled disk
-	DiskProof     clock.Micros // how long it has to keep up before it counts again
+	MaxItems       int          // items that wait, over all its slots
+	CompactAfter   int          // stores between two views on disk
+	RetainFinished clock.Micros // how long a finished bundle stays readable
+	HeartbeatEvery clock.Micros
+	AnnounceEvery  clock.Micros
+	DiskTimeout    clock.Micros // a write that takes longer means a stalled disk
+	DiskProbation  clock.Micros // how long it has to keep up before it counts again
 }
 
 // Defaults are the starting values.
 func Defaults() Settings {
-	return Settings{MostItems: 50_000, FoldAfter: 2000, KeepDone: 48 * 3600 * clock.Second,
-		BeatEvery: 300 * clock.Millisecond, AnnounceEvery: 15 * clock.Millisecond,
-		DiskPatience: 1500 * clock.Millisecond, DiskProof: 5 * clock.Second}
+	return Settings{MaxItems: 50_000, CompactAfter: 2000, RetainFinished: 48 * 3600 * clock.Second,
+		HeartbeatEvery: 300 * clock.Millisecond, AnnounceEvery: 15 * clock.Millisecond,
+		DiskTimeout: 1500 * clock.Millisecond, DiskProbation: 5 * clock.Second}
 }
 
 // Self says who the keeper is.
 type Self struct {
 	ID, Zone, Peer string
-	Life           uint64
+	Incarnation    uint64
 	Name           string // the operator's name of the machine; "": none
 }
 
-// ItemOrder is one item to be run on a server.
-type ItemOrder struct {
-	Slot     int
-	Epoch    uint64
-	Bundle   string
-	Item     int
-	Customer string
-	Route    string
-	ItemID   string
-	Input    string
-	Request  *shard.Request // passed on unchanged; nil where there is an input
-	Enrolled clock.Micros
-	Plan     uint64 // version of the plan it was handed in under
+// RunItem is one item to be run on a server.
+type RunItem struct {
+	Shard                int
+	Epoch                uint64
+	Batch                string
+	Item                 int
+	Tenant               string
+	Route                string
+	ItemID               string
+	Input                string
+	Request              *shard.Request // passed on unchanged; nil where there is an input
+	SubmittedAt          clock.Micros
+	ConfigurationVersion uint64 // version of the plan it was handed in under
 }
 
-// Revoke tells the path to drop what it still has of a bundle, or of a slot.
-type Revoke struct {
-	Bundle string
-	Slot   int // -1 when a bundle is meant
+// CancelItems tells the path to drop what it still has of a bundle, or of a slot.
+type CancelItems struct {
+	Batch string
+	Shard int // -1 when a bundle is meant
 }
 
-type place struct {
-	slot  int
-	state *shard.Slot
+type shardState struct {
+	shard int
+	state *shard.State
 }
 
-type waiting struct {
-	call   uint64
-	expiry clock.Micros
-	answer any
+type pendingCall struct {
+	call     uint64
+	deadline clock.Micros
+	answer   any
 }
 
-type orphan struct {
-	slot      int
+type orphanedPositions struct {
+	shard     int
 	epoch     uint64
 	positions []int64
 }
 
-type finished struct {
-	slot int
-	row  shard.Row
+type pendingResult struct {
+	shard  int
+	result shard.Result
 }
 
 // Store is the machine.
 type Store struct {
-	machine.Out
-	set       Settings
-	self      Self
-	groups    *replication.Groups
-	places    map[string]*place
-	fleet     string
-	writer    int
-	positions *positions.Allocator
-	asking    bool // a reservation is being written
-	placement state.Map
-	cores     []string
-	waits     map[string]map[uint64][]waiting
-	given     map[string]map[uint64]int64 // unit, entry -> position
-	news      map[string]map[uint64]string
-	orphans   []orphan
-	left      []lingering // slots that passed on, counted for a while
-	held      []finished  // results that wait for a position or a serving pair
-	seq       uint64
-	dirty     bool
-	stores    int
-	writes    map[uint64]clock.Micros // on their way to the disk, since when
-	stalled   clock.Micros            // the disk was last seen stalled
-	disk      machine.DiskState
-	next      struct{ beat, announce, forget, resume clock.Micros }
-	drain     bool
+	machine.Effects
+	set                    Settings
+	self                   Self
+	groups                 *replication.Groups
+	shards                 map[string]*shardState
+	fleet                  string
+	writer                 int
+	positions              *positions.Allocator
+	reserving              bool // a reservation is being written
+	clusterMap             state.Map
+	cores                  []string
+	pendingCalls           map[string]map[uint64][]pendingCall
+	assignedPositions      map[string]map[uint64]int64 // unit, entry -> position
+	submittedBatches       map[string]map[uint64]string
+	orphanedPositions      []orphanedPositions
+	formerShards           []formerShard   // slots that passed on, counted for a while
+	pendingResults         []pendingResult // results that wait for a position or a serving pair
+	announcementSeq        uint64
+	announceNeeded         bool
+	recordsSinceCompaction int
+	writesInFlight         map[uint64]clock.Micros // on their way to the disk, since when
+	stalledAt              clock.Micros            // the disk was last seen stalled
+	disk                   machine.DiskState
+	next                   struct{ sendHeartbeats, announce, forgetExpired, resumeItems clock.Micros }
+	draining               bool
 	// Counters for the operators.
-	Listed, Enrolled, Unknown, Takeovers, Entries, Reads int64
-	// EarlyAnnounce is a fault planted by tests: positions count as finished
+	ResultsListed, BatchesSubmitted, UnknownOutcomes, Takeovers, EntriesConfirmed, Reads int64
+	// SkipDurability is a fault planted by tests: positions count as finished
 	// before they are durable.
-	EarlyAnnounce bool
-	// RefuseLate is a fault planted by tests: a bundle is turned away after its
+	SkipDurability bool
+	// RejectAfterWrite is a fault planted by tests: a bundle is turned away after its
 	// entry was written.
-	RefuseLate bool
-	// NoLease is a fault planted by tests: asks are answered without a lease.
-	NoLease   bool
-	BadRecord error
-	shelf     Shelf
-	file      uint64 // last file put on the shelf
-	files     map[uint64]bool
-	// Shelved counts bundles put away; Damaged is told of one that can't be read.
-	Shelved int64
-	Damaged func(error)
+	RejectAfterWrite bool
+	// SkipLease is a fault planted by tests: asks are answered without a lease.
+	SkipLease       bool
+	BadRecord       error
+	archive         Archive
+	lastArchiveFile uint64 // last file put on the shelf
+	archiveFiles    map[uint64]bool
+	// BatchesArchived counts bundles put away; Damaged is told of one that can't be read.
+	BatchesArchived int64
+	OnDamage        func(error)
 }
 
 // Unit is the name of a slot's pair.
-func Unit(slot int) string { return fmt.Sprintf(unitSlot+"%03d", slot) }
+func Unit(shard int) string { return fmt.Sprintf(unitShard+"%03d", shard) }
 
-func slotOf(unit string) int {
-	slot, _ := strconv.Atoi(strings.TrimPrefix(unit, unitSlot))
-	return slot
+func shardOfUnit(unit string) int {
+	shard, _ := strconv.Atoi(strings.TrimPrefix(unit, unitShard))
+	return shard
 }
 
-type identity struct {
+type registration struct {
 	Fleet  string `json:"fleet"`
 	Writer int    `json:"writer"`
 }
 
 // New makes a keeper from what was read back from its disk.
-func New(self Self, set Settings, records []machine.Record, shelf Shelf) *Store {
-	k := &Store{set: set, self: self, shelf: shelf, file: shelf.Top(), files: map[uint64]bool{}, places: map[string]*place{},
-		waits: map[string]map[uint64][]waiting{}, given: map[string]map[uint64]int64{},
-		news: map[string]map[uint64]string{}, writes: map[uint64]clock.Micros{}, disk: machine.DiskState{Writable: true}}
-	k.groups = replication.NewGroups(&k.Out, k)
+func New(self Self, set Settings, records []machine.Record, shelf Archive) *Store {
+	k := &Store{set: set, self: self, archive: shelf, lastArchiveFile: shelf.LastFile(), archiveFiles: map[uint64]bool{}, shards: map[string]*shardState{},
+		pendingCalls: map[string]map[uint64][]pendingCall{}, assignedPositions: map[string]map[uint64]int64{},
+		submittedBatches: map[string]map[uint64]string{}, writesInFlight: map[uint64]clock.Micros{}, disk: machine.DiskState{Writable: true}}
+	k.groups = replication.NewGroups(&k.Effects, k)
 	reserved := int64(0)
 	for _, record := range records {
 		switch {
 		case record.Unit == unitSelf && record.Kind == kindReserved:
 			reserved = max(reserved, int64(record.Seq))
 		case record.Unit == unitSelf && record.Kind == kindWriter:
-			var who identity
+			var who registration
 			if json.Unmarshal(record.Body, &who) == nil {
 				k.fleet, k.writer = who.Fleet, who.Writer
 			}
@@ -165,7 +165,7 @@
 		}
 	}
 	k.positions = positions.New(reserved)
-	k.sweep(shelf.Held())
+	k.deleteUnusedArchives(shelf.Files())
 	return k
 }
 
@@ -175,30 +175,30 @@
 // Do applies a command and hands over the effects.
 func (k *Store) Do(command Command, now clock.Micros) []machine.Effect {
 	command.Apply(k, now)
-	if k.stores >= k.set.FoldAfter {
-		k.stores = 0
-		k.Emit(machine.Fold{Records: append(k.selfRecords(), k.groups.Records()...)})
+	if k.recordsSinceCompaction >= k.set.CompactAfter {
+		k.recordsSinceCompaction = 0
+		k.Emit(machine.Compact{Records: append(k.ownRecords(), k.groups.CompactedRecords()...)})
 	}
 	out := k.Drain()
 	for _, effect := range out {
-		if store, ok := effect.(machine.Store); ok {
-			k.stores++
-			k.writes[store.Token] = now
+		if store, ok := effect.(machine.Persist); ok {
+			k.recordsSinceCompaction++
+			k.writesInFlight[store.Token] = now
 		}
 	}
 	return out
 }
 
-func (k *Store) selfRecords() []machine.Record {
-	body, _ := json.Marshal(identity{k.fleet, k.writer})
+func (k *Store) ownRecords() []machine.Record {
+	body, _ := json.Marshal(registration{k.fleet, k.writer})
 	return []machine.Record{{Unit: unitSelf, Kind: kindWriter, Body: body},
-		{Unit: unitSelf, Kind: kindReserved, Seq: uint64(max(k.positions.Next()-1, k.reservedAtLeast()))}}
+		{Unit: unitSelf, Kind: kindReserved, Seq: uint64(max(k.positions.Next()-1, k.reservedUpTo()))}}
 }
 
-func (k *Store) reservedAtLeast() int64 { return k.positions.Reservation() }
+func (k *Store) reservedUpTo() int64 { return k.positions.ReservedUpTo() }
 
-// State is the map of the stores as this one knows it.
-func (k *Store) State() state.Map { return k.placement }
+// ClusterMap is the map of the stores as this one knows it.
+func (k *Store) ClusterMap() state.Map { return k.clusterMap }
 
 // Groups is the replication groups of this store, for tests and operators.
 func (k *Store) Groups() *replication.Groups { return k.groups }
@@ -209,22 +209,22 @@
 // Fleet is the fleet the keeper belongs to.
 func (k *Store) Fleet() string { return k.fleet }
 
-// Allowed tells, right before a start on a server, whether this keeper may
+// MayStart tells, right before a start on a server, whether this keeper may
 // start work of a bundle: epoch, fresh lease, and the bundle still open.
-func (k *Store) Allowed(slot int, bundle string, item int, now clock.Micros) bool {
-	group := k.groups.Group(Unit(slot))
+func (k *Store) MayStart(shardIndex int, bundle string, item int, now clock.Micros) bool {
+	group := k.groups.Group(Unit(shardIndex))
 	if group.Role != replication.Serving || now >= group.LeaseUntil() {
 		return false
 	}
-	found := k.place(Unit(slot)).state.Bundles[bundle]
-	return found != nil && found.State == shard.Open && !found.Listed(item)
+	batch := k.shard(Unit(shardIndex)).state.Batches[bundle]
+	return batch != nil && batch.State == shard.Open && !batch.HasResult(item)
 }
 
-func (k *Store) place(unit string) *place {
-	p := k.places[unit]
+func (k *Store) shard(unit string) *shardState {
+	p := k.shards[unit]
 	if p == nil {
-		p = &place{slot: slotOf(unit), state: shard.NewSlot()}
-		k.places[unit] = p
+		p = &shardState{shard: shardOfUnit(unit), state: shard.New()}
+		k.shards[unit] = p
 	}
 	return p
 }
--- a/ledger/store/store_test.go
+++ b/ledger/store/store_test.go
@@ -26,8 +26,8 @@
 	return nil, fmt.Errorf("nothing of %s in file %d", unit, file)
 }
 
-func (s shelf) Held() []uint64 { return nil }
-func (s shelf) Top() uint64    { return 0 }
+func (s shelf) Files() []uint64  { return nil }
+func (s shelf) LastFile() uint64 { return 0 }
 
 // bench is a pair of keepers that serves the one slot there is; the disks sync at
 // once unless held.
@@ -38,7 +38,7 @@
 	shelves map[string]shelf
 	held    bool // a's disk and wire hold everything back
 	kept    []func()
-	answers map[uint64]machine.Answer
+	answers map[uint64]machine.Reply
 	orders  []any
 	said    token.Announcement
 	call    uint64
@@ -46,19 +46,19 @@
 
 func newBench(t *testing.T) *bench {
 	t.Helper()
-	b := &bench{t: t, now: clock.Second, keepers: map[string]*Store{}, shelves: map[string]shelf{}, answers: map[uint64]machine.Answer{}}
+	b := &bench{t: t, now: clock.Second, keepers: map[string]*Store{}, shelves: map[string]shelf{}, answers: map[uint64]machine.Reply{}}
 	for _, id := range []string{"a", "b"} {
 		b.shelves[id] = shelf{}
-		b.keepers[id] = New(Self{ID: id, Zone: id, Peer: id, Life: 1}, Defaults(), nil, b.shelves[id])
+		b.keepers[id] = New(Self{ID: id, Zone: id, Peer: id, Incarnation: 1}, Defaults(), nil, b.shelves[id])
 	}
-	b.do("a", Letter{Body: Welcome{Fleet: "f", Writer: 1}})
-	b.do("b", Letter{Body: Welcome{Fleet: "f", Writer: 2}})
+	b.do("a", Message{Body: Registered{Fleet: "f", Writer: 1}})
+	b.do("b", Message{Body: Registered{Fleet: "f", Writer: 2}})
 	for seq, complete := range []bool{false, true} {
 		m := state.Map{Fleet: "f", Seq: uint64(seq + 1), Stores: map[string]state.Store{"a": {Peer: "a"}, "b": {Peer: "b"}},
-			Slots: []replication.Assignment{{Epoch: 1, Primary: replication.Member{ID: "a", Life: 1}, Replicas: []replication.Member{{ID: "b", Life: 1}}, Complete: complete}}}
+			Shards: []replication.Assignment{{Epoch: 1, Primary: replication.Member{ID: "a", Incarnation: 1}, Replicas: []replication.Member{{ID: "b", Incarnation: 1}}, Complete: complete}}}
 		value, _ := json.Marshal(m)
 		for _, id := range []string{"a", "b"} {
-			b.do(id, News{Rumour: machine.Update{Key: state.MapKey, Seq: m.Seq, Value: value}})
+			b.do(id, UpdateReceived{Update: machine.Update{Key: state.MapKey, Seq: m.Seq, Value: value}})
 		}
 		b.pass(clock.Second)
 	}
@@ -74,25 +74,25 @@
 func (b *bench) carry(id string, effect machine.Effect) {
 	if b.held && id == "a" {
 		switch effect.(type) {
-		case machine.Store, machine.Shelve, machine.Send:
+		case machine.Persist, machine.Archive, machine.Send:
 			b.kept = append(b.kept, func() { b.carry(id, effect) })
 			return
 		}
 	}
 	switch e := effect.(type) {
-	case machine.Store:
-		b.do(id, Stored{Token: e.Token})
-	case machine.Shelve:
+	case machine.Persist:
+		b.do(id, Persisted{Token: e.Token})
+	case machine.Archive:
 		b.shelves[id][e.File] = e.Records
-		b.do(id, Stored{Token: e.Token})
+		b.do(id, Persisted{Token: e.Token})
 	case machine.Send:
 		if b.keepers[e.To] != nil {
-			b.do(e.To, Letter{From: id, Body: e.Body})
+			b.do(e.To, Message{From: id, Body: e.Body})
 		}
-	case machine.Answer:
+	case machine.Reply:
 		b.answers[e.Call] = e
-	case machine.Work:
-		b.orders = append(b.orders, e.Order)
+	case machine.Execute:
+		b.orders = append(b.orders, e.Task)
 	case machine.Publish:
 		if id == "a" {
 			json.Unmarshal(e.Update.Value, &b.said)
@@ -103,8 +103,8 @@
 // pass lets time go by.
 func (b *bench) pass(span clock.Micros) {
 	for end := b.now + span; b.now < end; b.now += 50 * clock.Millisecond {
-		b.do("a", ClockEvent{})
-		b.do("b", ClockEvent{})
+		b.do("a", Tick{})
+		b.do("b", Tick{})
 	}
 }
 
@@ -132,13 +132,13 @@
 }
 
 // lot is a bundle of opaque items, handed in without a key.
-func lot(id string, items int) EnrolAsk {
-	bundle := shard.Bundle{ID: id, Customer: "route", Hash: "h", Route: "route"}
+func lot(id string, items int) SubmitRequest {
+	batch := shard.Batch{ID: id, Tenant: "route", Hash: "h", Route: "route"}
 	for i := 0; i < items; i++ {
-		bundle.Items = append(bundle.Items, shard.Item{ID: fmt.Sprint("i", i), Request: &shard.Request{Target: "/x", Host: "h",
+		batch.Items = append(batch.Items, shard.Item{ID: fmt.Sprint("i", i), Request: &shard.Request{Target: "/x", Host: "h",
 			Header: map[string]string{"n": "v"}, Body: []byte(fmt.Sprint("body ", i)), Tokens: int64(10 + i)}})
 	}
-	return EnrolAsk{Bundle: bundle, Expiry: clock.Second}
+	return SubmitRequest{Batch: batch, Timeout: clock.Second}
 }
 
 // An opaque item reaches the path whole; its body is let go once it is listed or
@@ -147,23 +147,23 @@
 	b := newBench(t)
 	b.must(lot("one", 2))
 	b.must(lot("two", 1))
-	var first ItemOrder
+	var first RunItem
 	for _, order := range b.orders {
-		if item, ok := order.(ItemOrder); ok && item.Bundle == "one" && item.Item == 0 {
+		if item, ok := order.(RunItem); ok && item.Batch == "one" && item.Item == 0 {
 			first = item
 		}
 	}
 	if first.ItemID != "i0" || first.Request == nil || string(first.Request.Body) != "body 0" {
 		t.Fatalf("the path was told %+v", first)
 	}
-	if got := b.must(ItemAsk{Bundle: "one", Item: "i0"}).(ItemAnswer); string(got.Body) != "body 0" {
+	if got := b.must(ItemBodyRequest{Batch: "one", Item: "i0"}).(ItemBodyResponse); string(got.Body) != "body 0" {
 		t.Fatalf("the body is %q", got.Body)
 	}
-	b.do("a", Ran{Bundle: "one", Item: 0, Status: shard.StatusOK, Output: "x"})
-	b.must(EndAsk{Bundle: "two", Anyone: true, Expiry: clock.Second})
+	b.do("a", ItemFinished{Batch: "one", Item: 0, Status: shard.StatusOK, Output: "x"})
+	b.must(EndRequest{Batch: "two", AnyTenant: true, Timeout: clock.Second})
 	for _, k := range b.keepers {
 		for _, id := range []string{"one", "two"} {
-			request := k.place(Unit(0)).state.Bundles[id].Items[0].Request
+			request := k.shard(Unit(0)).state.Batches[id].Items[0].Request
 			if len(request.Body)+len(request.Header) > 0 || request.Tokens != 10 {
 				t.Fatalf("%s at %s keeps %+v", id, k.self.ID, request)
 			}
@@ -172,13 +172,13 @@
 	if string(first.Request.Body) != "body 0" {
 		t.Fatal("a run under way lost its body")
 	}
-	for _, ask := range []ItemAsk{{Bundle: "one", Item: "i0"}, {Bundle: "two", Item: "i0"}, {Bundle: "one", Item: "i9"}, {Bundle: "three", Item: "i0"}} {
-		b.refused(errs.NotFound, ask)
+	for _, request := range []ItemBodyRequest{{Batch: "one", Item: "i0"}, {Batch: "two", Item: "i0"}, {Batch: "one", Item: "i9"}, {Batch: "three", Item: "i0"}} {
+		b.refused(errs.NotFound, request)
 	}
-	if got := b.must(ItemAsk{Bundle: "one", Item: "i1"}).(ItemAnswer); string(got.Body) != "body 1" {
+	if got := b.must(ItemBodyRequest{Batch: "one", Item: "i1"}).(ItemBodyResponse); string(got.Body) != "body 1" {
 		t.Fatalf("the body is %q", got.Body)
 	}
-	if again := b.must(lot("one", 2)).(Receipt); !again.Repeated || again.Items != 2 {
+	if again := b.must(lot("one", 2)).(SubmitResponse); !again.Repeated || again.Items != 2 {
 		t.Fatalf("handed in again: %+v", again)
 	}
 }
@@ -186,9 +186,9 @@
 // Without a fresh lease a keeper does not deny an item: its successor may have it.
 func TestAnItemIsDeniedOnlyUnderALease(t *testing.T) {
 	b := newBench(t)
-	b.refused(errs.NotFound, ItemAsk{Bundle: "one", Item: "i0"})
+	b.refused(errs.NotFound, ItemBodyRequest{Batch: "one", Item: "i0"})
 	b.now += 10 * clock.Second
-	b.refused(errs.NotReady, ItemAsk{Bundle: "one", Item: "i0"})
+	b.refused(errs.NotReady, ItemBodyRequest{Batch: "one", Item: "i0"})
 }
 
 // A bundle without a key is anyone's who knows its name; a customer's stays its own.
@@ -196,37 +196,37 @@
 	b := newBench(t)
 	b.must(lot("one", 1))
 	mine := lot("mine", 1)
-	mine.Bundle.Customer, mine.Bundle.Key = "c", "k"
+	mine.Batch.Tenant, mine.Batch.Key = "c", "k"
 	b.must(mine)
-	b.refused(errs.NotFound, StatusAsk{Bundle: "one"})
-	if status := b.must(StatusAsk{Bundle: "one", Anyone: true}).(Status); status.Items != 1 {
+	b.refused(errs.NotFound, BatchStatusRequest{Batch: "one"})
+	if status := b.must(BatchStatusRequest{Batch: "one", AnyTenant: true}).(BatchStatus); status.Items != 1 {
 		t.Fatalf("it stands so: %+v", status)
 	}
-	b.must(ReadAsk{Slots: map[int]uint64{0: 1}, Bundle: "one", Anyone: true})
-	b.refused(errs.NotFound, StatusAsk{Bundle: "mine", Anyone: true})
-	b.refused(errs.NotFound, EndAsk{Bundle: "mine", Anyone: true, Expiry: clock.Second})
-	b.refused(errs.NotFound, ReadAsk{Slots: map[int]uint64{0: 1}, Bundle: "mine", Anyone: true})
-	b.must(StatusAsk{Bundle: "mine", Customer: "c"})
+	b.must(ReadRequest{Shards: map[int]uint64{0: 1}, Batch: "one", AnyTenant: true})
+	b.refused(errs.NotFound, BatchStatusRequest{Batch: "mine", AnyTenant: true})
+	b.refused(errs.NotFound, EndRequest{Batch: "mine", AnyTenant: true, Timeout: clock.Second})
+	b.refused(errs.NotFound, ReadRequest{Shards: map[int]uint64{0: 1}, Batch: "mine", AnyTenant: true})
+	b.must(BatchStatusRequest{Batch: "mine", Tenant: "c"})
 }
 
 // list reads by index and checks where the page begins.
-func (b *bench) list(from int, change func(*ReadAsk)) Rows {
+func (b *bench) list(from int, change func(*ReadRequest)) ReadResponse {
 	b.t.Helper()
-	ask := ReadAsk{Slots: map[int]uint64{0: 1}, Bundle: "one", Anyone: true, Indexed: true, From: from,
-		Bound: map[int]token.Vector{0: {1: b.said.UpTo}}}
+	request := ReadRequest{Shards: map[int]uint64{0: 1}, Batch: "one", AnyTenant: true, Indexed: true, From: from,
+		Bound: map[int]token.Vector{0: {1: b.said.PersistedUpTo}}}
 	if change != nil {
-		change(&ask)
+		change(&request)
 	}
-	rows := b.must(ask).(Rows)
-	if rows.Index != from {
-		b.t.Fatalf("asked from %d, the page begins at %d", from, rows.Index)
+	results := b.must(request).(ReadResponse)
+	if results.Index != from {
+		b.t.Fatalf("asked from %d, the page begins at %d", from, results.Index)
 	}
-	return rows
+	return results
 }
 
-func (r Rows) ids() (out string) {
-	for _, row := range r.Rows {
-		out += row.ItemID + " "
+func (r ReadResponse) ids() (out string) {
+	for _, result := range r.Results {
+		out += result.ItemID + " "
 	}
 	return out
 }
@@ -238,27 +238,27 @@
 	b := newBench(t)
 	b.must(lot("one", 4))
 	for _, item := range []int{2, 0, 3} {
-		b.do("a", Ran{Bundle: "one", Item: item, Status: shard.StatusOK, Output: "12345"})
+		b.do("a", ItemFinished{Batch: "one", Item: item, Status: shard.StatusOK, Output: "12345"})
 	}
 	b.pass(clock.Second)
 	if got := b.list(0, nil); got.ids() != "i2 i0 i3 " || got.More || got.Items != 4 || got.State != string(shard.Open) {
 		t.Fatalf("%+v", got)
 	}
-	if got := b.list(1, func(a *ReadAsk) { a.Most = 1 }); got.ids() != "i0 " || !got.More {
+	if got := b.list(1, func(a *ReadRequest) { a.Limit = 1 }); got.ids() != "i0 " || !got.More {
 		t.Fatalf("one row: %+v", got)
 	}
-	if got := b.list(0, func(a *ReadAsk) { a.MostBytes = 11 }); got.ids() != "i2 i0 " || !got.More {
+	if got := b.list(0, func(a *ReadRequest) { a.MaxBytes = 11 }); got.ids() != "i2 i0 " || !got.More {
 		t.Fatalf("11 bytes: %+v", got)
 	}
-	if got := b.list(1, func(a *ReadAsk) { a.MostBytes = 1 }); got.ids() != "i0 " || !got.More {
+	if got := b.list(1, func(a *ReadRequest) { a.MaxBytes = 1 }); got.ids() != "i0 " || !got.More {
 		t.Fatalf("at least one row: %+v", got)
 	}
 	if got := b.list(3, nil); got.ids() != "" || got.More || got.State != string(shard.Open) {
 		t.Fatalf("at the end: %+v", got)
 	}
 	// The reader has seen the writer only up to the second row.
-	seen := b.said.UpTo - 1
-	short := func(a *ReadAsk) { a.Bound[0] = token.Vector{1: seen} }
+	seen := b.said.PersistedUpTo - 1
+	short := func(a *ReadRequest) { a.Bound[0] = token.Vector{1: seen} }
 	if got := b.list(0, short); got.ids() != "i2 i0 " || got.More {
 		t.Fatalf("past the bound: %+v", got)
 	}
@@ -266,9 +266,9 @@
 		t.Fatalf("past the bound: %+v", got)
 	}
 	// The last row is not on two disks yet, whatever the reader claims to have seen.
-	far := func(a *ReadAsk) { a.Bound[0] = token.Vector{1: 1 << 40} }
+	far := func(a *ReadRequest) { a.Bound[0] = token.Vector{1: 1 << 40} }
 	b.held = true
-	b.do("a", Ran{Bundle: "one", Item: 1, Status: shard.StatusFailed, Output: "no"})
+	b.do("a", ItemFinished{Batch: "one", Item: 1, Status: shard.StatusFailed, Output: "no"})
 	if got := b.list(2, far); got.ids() != "i3 " || got.State != string(shard.Open) {
 		t.Fatalf("past what has finished: %+v", got)
 	}
@@ -278,14 +278,14 @@
 	}
 	// Settled and shelved: the same list, and an end that is told at once.
 	b.pass(3 * clock.Second)
-	if b.keepers["a"].Shelved != 1 {
+	if b.keepers["a"].BatchesArchived != 1 {
 		t.Fatal("the bundle was not shelved")
 	}
 	if got := b.list(1, short); got.ids() != "i0 " || got.State != string(shard.Open) || got.Items != 4 {
 		t.Fatalf("from the shelf past the bound: %+v", got)
 	}
 	got := b.list(1, nil)
-	if got.ids() != "i0 i3 i1 " || got.State != string(shard.Done) || got.Items != 4 || got.Rows[2].Status != shard.StatusFailed {
+	if got.ids() != "i0 i3 i1 " || got.State != string(shard.Done) || got.Items != 4 || got.Results[2].Status != shard.StatusFailed {
 		t.Fatalf("from the shelf: %+v", got)
 	}
 	if got := b.list(4, nil); got.ids() != "" || got.State != string(shard.Done) || got.Items != 4 {
--- a/ledger/store/waiting_test.go
+++ b/ledger/store/waiting_test.go
@@ -10,11 +10,11 @@
 	"tuliprudder/ledger/replication"
 )
 
-func mapNews(seq, epoch uint64, owner, backup string, ownerLife uint64) News {
-	m := state.Map{Fleet: "f", Seq: seq, Stores: map[string]state.Store{"a": {Peer: "a", Life: 1}, "b": {Peer: "b", Life: 1}},
-		Slots: []replication.Assignment{{Epoch: epoch, Primary: replication.Member{ID: owner, Life: ownerLife}, Replicas: []replication.Member{{ID: backup, Life: 1}}, Complete: true, Trusted: []string{owner, backup}}}}
+func mapNews(seq, epoch uint64, owner, backup string, ownerIncarnation uint64) UpdateReceived {
+	m := state.Map{Fleet: "f", Seq: seq, Stores: map[string]state.Store{"a": {Peer: "a", Incarnation: 1}, "b": {Peer: "b", Incarnation: 1}},
+		Shards: []replication.Assignment{{Epoch: epoch, Primary: replication.Member{ID: owner, Incarnation: ownerIncarnation}, Replicas: []replication.Member{{ID: backup, Incarnation: 1}}, Complete: true, Trusted: []string{owner, backup}}}}
 	value, _ := json.Marshal(m)
-	return News{Rumour: machine.Update{Key: state.MapKey, Seq: seq, Value: value}}
+	return UpdateReceived{Update: machine.Update{Key: state.MapKey, Seq: seq, Value: value}}
 }
 
 // What was accepted counts from the write on; at a store that starts again, until
@@ -23,29 +23,29 @@
 func TestAcceptedWorkCountsThroughARestart(t *testing.T) {
 	b := newBench(t)
 	b.must(lot("l", 3)) // 10, 11 and 12 tokens
-	if got := b.keepers["a"].Waiting(b.now)["route"]; got != 33 {
+	if got := b.keepers["a"].PendingWeights(b.now)["route"]; got != 33 {
 		t.Fatalf("%d tokens wait at the owner", got)
 	}
-	if got := b.keepers["b"].Waiting(b.now)["route"]; got != 0 {
+	if got := b.keepers["b"].PendingWeights(b.now)["route"]; got != 0 {
 		t.Fatalf("%d tokens wait at the backup as well", got)
 	}
-	records := append(b.keepers["a"].selfRecords(), b.keepers["a"].groups.Records()...)
-	again := New(Self{ID: "a", Zone: "a", Peer: "a", Life: 2}, Defaults(), records, shelf{})
+	records := append(b.keepers["a"].ownRecords(), b.keepers["a"].groups.CompactedRecords()...)
+	again := New(Self{ID: "a", Zone: "a", Peer: "a", Incarnation: 2}, Defaults(), records, shelf{})
 	again.Do(mapNews(9, 1, "a", "b", 1), b.now)
-	if got := again.Waiting(b.now)["route"]; got != 33 {
+	if got := again.PendingWeights(b.now)["route"]; got != 33 {
 		t.Fatalf("%d tokens wait at the owner that started again", got)
 	}
 	again.Do(mapNews(10, 2, "b", "a", 1), b.now)
-	if got := again.Waiting(b.now)["route"]; got != 0 {
+	if got := again.PendingWeights(b.now)["route"]; got != 0 {
 		t.Fatalf("%d tokens wait where another owns the slot", got)
 	}
 	// One that loses the slot while it serves counts it until the other has told.
 	owner := b.keepers["a"]
 	owner.Do(mapNews(11, 2, "b", "a", 1), b.now)
-	if got := owner.Waiting(b.now)["route"]; got != 33 {
+	if got := owner.PendingWeights(b.now)["route"]; got != 33 {
 		t.Fatalf("%d tokens linger where the slot has just been lost", got)
 	}
-	if got := owner.Waiting(b.now + lingerFor + clock.Millisecond)["route"]; got != 0 {
+	if got := owner.PendingWeights(b.now + formerShardGrace + clock.Millisecond)["route"]; got != 0 {
 		t.Fatalf("%d tokens linger for ever", got)
 	}
 }
--- a/ledger/token/token.go
+++ b/ledger/token/token.go
@@ -100,8 +100,8 @@
 	if text == "" {
 		return Token{Fleet: FleetTag(fleet), Ahead: Vector{}}, nil
 	}
-	bad := func(why string) (Token, error) {
-		return Token{}, errs.New(errs.BadToken, tokenRemedy, "the position token is %s", why)
+	bad := func(reason string) (Token, error) {
+		return Token{}, errs.New(errs.BadToken, tokenRemedy, "the position token is %s", reason)
 	}
 	if len(text) > 4096 {
 		return bad("too long")
--- a/ledger/token/token_test.go
+++ b/ledger/token/token_test.go
@@ -77,32 +77,32 @@
 	return machine.Update{Key: Key(a.Writer), Epoch: 1, Seq: seq, Value: value}
 }
 
-func twoWriters() *View {
-	v := NewView()
+func twoWriters() *PositionView {
+	v := NewPositionView()
 	v.SetMap([]uint64{1, 1})
-	v.Hear(said(1, Announcement{Writer: 1, UpTo: 10, Slots: []Claimed{{Slot: 0, Epoch: 1}}}))
-	v.Hear(said(1, Announcement{Writer: 2, UpTo: 3, Slots: []Claimed{{Slot: 1, Epoch: 1}}}))
+	v.Receive(said(1, Announcement{Writer: 1, PersistedUpTo: 10, Shards: []OwnedShard{{Shard: 0, Epoch: 1}}}))
+	v.Receive(said(1, Announcement{Writer: 2, PersistedUpTo: 3, Shards: []OwnedShard{{Shard: 1, Epoch: 1}}}))
 	return v
 }
 
 // An idle writer holds nobody back: taking the minimum over all would.
 func TestIdleWriter(t *testing.T) {
 	v := twoWriters()
-	v.Hear(said(2, Announcement{Writer: 1, UpTo: 25, Slots: []Claimed{{Slot: 0, Epoch: 1}}}))
-	upTo, whole := v.UpTo()
-	if !whole || upTo[1] != 25 || upTo[2] != 3 {
-		t.Fatalf("up to %v, whole %v", upTo, whole)
+	v.Receive(said(2, Announcement{Writer: 1, PersistedUpTo: 25, Shards: []OwnedShard{{Shard: 0, Epoch: 1}}}))
+	upTo, complete := v.ReadableUpTo()
+	if !complete || upTo[1] != 25 || upTo[2] != 3 {
+		t.Fatalf("up to %v, whole %v", upTo, complete)
 	}
 }
 
 // A lost notice is mended by the next one; one that comes late changes nothing.
 func TestLostAndLateNotices(t *testing.T) {
 	v := twoWriters()
-	v.Hear(said(4, Announcement{Writer: 1, UpTo: 40, Slots: []Claimed{{Slot: 0, Epoch: 1}}}))
-	if v.Hear(said(3, Announcement{Writer: 1, UpTo: 30})) {
+	v.Receive(said(4, Announcement{Writer: 1, PersistedUpTo: 40, Shards: []OwnedShard{{Shard: 0, Epoch: 1}}}))
+	if v.Receive(said(3, Announcement{Writer: 1, PersistedUpTo: 30})) {
 		t.Fatal("a late notice was taken")
 	}
-	if upTo, _ := v.UpTo(); upTo[1] != 40 {
+	if upTo, _ := v.ReadableUpTo(); upTo[1] != 40 {
 		t.Fatalf("writer 1 is at %d", upTo[1])
 	}
 }
@@ -115,50 +115,50 @@
 	if _, ok := v.Owner(0); ok {
 		t.Fatal("slot 0 is in passage and has an owner")
 	}
-	if _, whole := v.UpTo(); whole {
+	if _, complete := v.ReadableUpTo(); complete {
 		t.Fatal("the feed is whole while a slot is in passage")
 	}
-	v.Hear(said(2, Announcement{Writer: 2, UpTo: 30, Slots: []Claimed{{Slot: 0, Epoch: 2, Last: map[int]int64{1: 14}, Tenures: []shard.Tenure{{Writer: 1, First: 2, Last: 14}, {Writer: 2, First: 21, Last: 29}}}, {Slot: 1, Epoch: 1}}}))
-	if got := v.Effective(0); got[1] != 14 || got[2] != 30 {
+	v.Receive(said(2, Announcement{Writer: 2, PersistedUpTo: 30, Shards: []OwnedShard{{Shard: 0, Epoch: 2, LastPositions: map[int]int64{1: 14}, Ownerships: []shard.Ownership{{Writer: 1, First: 2, Last: 14}, {Writer: 2, First: 21, Last: 29}}}, {Shard: 1, Epoch: 1}}}))
+	if got := v.ReadableInShard(0); got[1] != 14 || got[2] != 30 {
 		t.Fatalf("slot 0 may be read to %v", got)
 	}
-	upTo, whole := v.UpTo()
-	if !whole || upTo[1] != 14 || upTo[2] != 30 {
-		t.Fatalf("writer 1 serves nothing any more: up to %v, whole %v", upTo, whole)
+	upTo, complete := v.ReadableUpTo()
+	if !complete || upTo[1] != 14 || upTo[2] != 30 {
+		t.Fatalf("writer 1 serves nothing any more: up to %v, whole %v", upTo, complete)
 	}
 }
 
 // While another slot of the old writer has not settled, the successor is held
 // below its first position, so that no bundle's order is turned round.
 func TestSuccessorIsHeldUntilThePredecessorIsRead(t *testing.T) {
-	v := NewView()
+	v := NewPositionView()
 	v.SetMap([]uint64{1, 1, 1})
-	v.Hear(said(1, Announcement{Writer: 1, UpTo: 10, Slots: []Claimed{{Slot: 0, Epoch: 1}, {Slot: 1, Epoch: 1}}}))
-	v.Hear(said(1, Announcement{Writer: 2, UpTo: 3, Slots: []Claimed{{Slot: 2, Epoch: 1}}}))
+	v.Receive(said(1, Announcement{Writer: 1, PersistedUpTo: 10, Shards: []OwnedShard{{Shard: 0, Epoch: 1}, {Shard: 1, Epoch: 1}}}))
+	v.Receive(said(1, Announcement{Writer: 2, PersistedUpTo: 3, Shards: []OwnedShard{{Shard: 2, Epoch: 1}}}))
 	v.SetMap([]uint64{2, 2, 1})
-	v.Hear(said(2, Announcement{Writer: 2, UpTo: 30, Slots: []Claimed{{Slot: 0, Epoch: 2, Last: map[int]int64{1: 14}, Tenures: []shard.Tenure{{Writer: 1, First: 2, Last: 14}, {Writer: 2, First: 21, Last: 29}}}, {Slot: 2, Epoch: 1}}}))
-	upTo, whole := v.UpTo()
-	if whole || upTo[1] != 10 || upTo[2] != 20 {
-		t.Fatalf("up to %v, whole %v; writer 2 has to stay below 21", upTo, whole)
+	v.Receive(said(2, Announcement{Writer: 2, PersistedUpTo: 30, Shards: []OwnedShard{{Shard: 0, Epoch: 2, LastPositions: map[int]int64{1: 14}, Ownerships: []shard.Ownership{{Writer: 1, First: 2, Last: 14}, {Writer: 2, First: 21, Last: 29}}}, {Shard: 2, Epoch: 1}}}))
+	upTo, complete := v.ReadableUpTo()
+	if complete || upTo[1] != 10 || upTo[2] != 20 {
+		t.Fatalf("up to %v, whole %v; writer 2 has to stay below 21", upTo, complete)
 	}
-	v.Hear(said(3, Announcement{Writer: 2, UpTo: 30, Slots: []Claimed{{Slot: 0, Epoch: 2, Last: map[int]int64{1: 14}, Tenures: []shard.Tenure{{Writer: 1, First: 2, Last: 14}, {Writer: 2, First: 21, Last: 29}}}, {Slot: 1, Epoch: 2, Last: map[int]int64{1: 12}, Tenures: []shard.Tenure{{Writer: 1, First: 1, Last: 12}}}, {Slot: 2, Epoch: 1}}}))
-	upTo, whole = v.UpTo()
-	if !whole || upTo[1] != 14 || upTo[2] != 30 {
-		t.Fatalf("all settled: up to %v, whole %v", upTo, whole)
+	v.Receive(said(3, Announcement{Writer: 2, PersistedUpTo: 30, Shards: []OwnedShard{{Shard: 0, Epoch: 2, LastPositions: map[int]int64{1: 14}, Ownerships: []shard.Ownership{{Writer: 1, First: 2, Last: 14}, {Writer: 2, First: 21, Last: 29}}}, {Shard: 1, Epoch: 2, LastPositions: map[int]int64{1: 12}, Ownerships: []shard.Ownership{{Writer: 1, First: 1, Last: 12}}}, {Shard: 2, Epoch: 1}}}))
+	upTo, complete = v.ReadableUpTo()
+	if !complete || upTo[1] != 14 || upTo[2] != 30 {
+		t.Fatalf("all settled: up to %v, whole %v", upTo, complete)
 	}
 }
 
 // A slot that passed on twice: the middle writer, who serves another slot, is
 // held too while the first one's rows can't be read.
 func TestEveryLaterTenureIsHeld(t *testing.T) {
-	v := NewView()
+	v := NewPositionView()
 	v.SetMap([]uint64{3, 1, 2})
-	v.Hear(said(1, Announcement{Writer: 1, UpTo: 10}))
-	v.Hear(said(1, Announcement{Writer: 2, UpTo: 90, Slots: []Claimed{{Slot: 1, Epoch: 1}}}))
-	v.Hear(said(1, Announcement{Writer: 3, UpTo: 200, Slots: []Claimed{{Slot: 0, Epoch: 3, Last: map[int]int64{1: 14, 2: 40},
-		Tenures: []shard.Tenure{{Writer: 1, First: 2, Last: 14}, {Writer: 2, First: 21, Last: 40}, {Writer: 3, First: 120, Last: 130}}}}}))
-	upTo, whole := v.UpTo()
-	if whole || upTo[1] != 10 || upTo[2] != 20 || upTo[3] != 119 {
-		t.Fatalf("slot 2 is in passage: up to %v, whole %v", upTo, whole)
+	v.Receive(said(1, Announcement{Writer: 1, PersistedUpTo: 10}))
+	v.Receive(said(1, Announcement{Writer: 2, PersistedUpTo: 90, Shards: []OwnedShard{{Shard: 1, Epoch: 1}}}))
+	v.Receive(said(1, Announcement{Writer: 3, PersistedUpTo: 200, Shards: []OwnedShard{{Shard: 0, Epoch: 3, LastPositions: map[int]int64{1: 14, 2: 40},
+		Ownerships: []shard.Ownership{{Writer: 1, First: 2, Last: 14}, {Writer: 2, First: 21, Last: 40}, {Writer: 3, First: 120, Last: 130}}}}}))
+	upTo, complete := v.ReadableUpTo()
+	if complete || upTo[1] != 10 || upTo[2] != 20 || upTo[3] != 119 {
+		t.Fatalf("slot 2 is in passage: up to %v, whole %v", upTo, complete)
 	}
 }
--- a/ledger/token/view.go
+++ b/ledger/token/view.go
@@ -8,24 +8,24 @@
 	"tuliprudder/ledger/shard"
 )
 
-// Claimed is a slot that a writer serves, as it announces it.
-type Claimed struct {
-	Slot  int           `json:"slot"`
-	Epoch uint64        `json:"epoch"`
-	Last  map[int]int64 `json:"last"` // where each former writer's rows end
-	// Tenures are the slot's newest runs of rows, writer by writer.
-	Tenures []shard.Tenure `json:"tenures,omitempty"`
+// OwnedShard is a slot that a writer serves, as it announces it.
+type OwnedShard struct {
+	Shard         int           `json:"slot"`
+	Epoch         uint64        `json:"epoch"`
+	LastPositions map[int]int64 `json:"last"` // where each former writer's rows end
+	// Ownerships are the slot's newest runs of rows, writer by writer.
+	Ownerships []shard.Ownership `json:"tenures,omitempty"`
 }
 
 // Announcement is a writer's own word: its persisted-up-to position and the
 // slots it serves. It is complete each time, so a lost one is mended by the
 // next or by a digest.
 type Announcement struct {
-	Writer int       `json:"writer"`
-	Store  string    `json:"store"`
-	Peer   string    `json:"peer"`
-	UpTo   int64     `json:"up_to"`
-	Slots  []Claimed `json:"slots"`
+	Writer        int          `json:"writer"`
+	Store         string       `json:"store"`
+	Peer          string       `json:"peer"`
+	PersistedUpTo int64        `json:"up_to"`
+	Shards        []OwnedShard `json:"slots"`
 }
 
 // Key is the news key of a writer.
@@ -35,132 +35,132 @@
 type Owner struct {
 	Writer int
 	Peer   string
-	Claimed
+	OwnedShard
 }
 
-// View is what one reading daemon knows of the writers.
-type View struct {
-	said   map[int]Announcement
-	marks  map[int]machine.Update
-	owners map[int]Owner
-	slots  int
-	floor  map[int]uint64 // epochs the map told of, whether complete or not
+// PositionView is what one reading daemon knows of the writers.
+type PositionView struct {
+	announcements map[int]Announcement
+	versions      map[int]machine.Update
+	owners        map[int]Owner
+	shards        int
+	minEpochs     map[int]uint64 // epochs the map told of, whether complete or not
 }
 
-// NewView is an empty view.
-func NewView() *View {
-	return &View{said: map[int]Announcement{}, marks: map[int]machine.Update{}, owners: map[int]Owner{}, floor: map[int]uint64{}}
+// NewPositionView is an empty view.
+func NewPositionView() *PositionView {
+	return &PositionView{announcements: map[int]Announcement{}, versions: map[int]machine.Update{}, owners: map[int]Owner{}, minEpochs: map[int]uint64{}}
 }
 
 // SetMap tells the view how many slots there are and their epochs.
-func (v *View) SetMap(epochs []uint64) {
-	v.slots = len(epochs)
-	for slot, epoch := range epochs {
-		v.floor[slot] = max(v.floor[slot], epoch)
+func (v *PositionView) SetMap(epochs []uint64) {
+	v.shards = len(epochs)
+	for shard, epoch := range epochs {
+		v.minEpochs[shard] = max(v.minEpochs[shard], epoch)
 	}
 }
 
-// Hear takes a writer's announcement; an older one changes nothing. It tells
+// Receive takes a writer's announcement; an older one changes nothing. It tells
 // whether anything changed.
-func (v *View) Hear(rumour machine.Update) bool {
+func (v *PositionView) Receive(update machine.Update) bool {
 	var a Announcement
-	if json.Unmarshal(rumour.Value, &a) != nil || a.Writer == 0 {
+	if json.Unmarshal(update.Value, &a) != nil || a.Writer == 0 {
 		return false
 	}
-	if mark, ok := v.marks[a.Writer]; ok && !rumour.Newer(mark) {
+	if version, ok := v.versions[a.Writer]; ok && !update.Newer(version) {
 		return false
 	}
-	v.marks[a.Writer] = machine.Update{Epoch: rumour.Epoch, Seq: rumour.Seq}
-	if old := v.said[a.Writer]; old.UpTo > a.UpTo {
-		a.UpTo = old.UpTo
+	v.versions[a.Writer] = machine.Update{Epoch: update.Epoch, Seq: update.Seq}
+	if old := v.announcements[a.Writer]; old.PersistedUpTo > a.PersistedUpTo {
+		a.PersistedUpTo = old.PersistedUpTo
 	}
-	v.said[a.Writer] = a
-	for _, claimed := range a.Slots {
-		if owner, ok := v.owners[claimed.Slot]; !ok || claimed.Epoch >= owner.Epoch {
-			v.owners[claimed.Slot] = Owner{Writer: a.Writer, Peer: a.Peer, Claimed: claimed}
+	v.announcements[a.Writer] = a
+	for _, owned := range a.Shards {
+		if owner, ok := v.owners[owned.Shard]; !ok || owned.Epoch >= owner.Epoch {
+			v.owners[owned.Shard] = Owner{Writer: a.Writer, Peer: a.Peer, OwnedShard: owned}
 		}
 	}
 	return true
 }
 
 // Owner is who serves a slot; false while it is in passage.
-func (v *View) Owner(slot int) (Owner, bool) {
-	owner, ok := v.owners[slot]
-	if !ok || owner.Epoch < v.floor[slot] {
+func (v *PositionView) Owner(shard int) (Owner, bool) {
+	owner, ok := v.owners[shard]
+	if !ok || owner.Epoch < v.minEpochs[shard] {
 		return owner, false
 	}
 	return owner, true
 }
 
-// Effective is how far a reader may read a writer's rows within one slot: the
+// ReadableInShard is how far a reader may read a writer's rows within one slot: the
 // writer's own word while it serves the slot; all that its successor settled
 // once the slot has passed on.
-func (v *View) Effective(slot int) Vector {
-	owner, ok := v.Owner(slot)
+func (v *PositionView) ReadableInShard(shard int) Vector {
+	owner, ok := v.Owner(shard)
 	if !ok {
 		return Vector{}
 	}
 	out := Vector{}
-	for writer, last := range owner.Last {
+	for writer, last := range owner.LastPositions {
 		out[writer] = last
 	}
-	out[owner.Writer] = v.said[owner.Writer].UpTo
+	out[owner.Writer] = v.announcements[owner.Writer].PersistedUpTo
 	return out
 }
 
-// UpTo is the vector for reading over all slots. A writer that serves none any
+// ReadableUpTo is the vector for reading over all slots. A writer that serves none any
 // more is read to its end once every slot has settled. A successor is held
 // below its first row in a slot only while a former writer's rows there can't be
 // read yet: so no bundle's order is turned round. It tells whether every slot
 // has an owner to ask.
-func (v *View) UpTo() (Vector, bool) {
-	whole := v.slots > 0
+func (v *PositionView) ReadableUpTo() (Vector, bool) {
+	complete := v.shards > 0
 	serving := map[int]bool{}
 	ends := Vector{}
-	for slot := 0; slot < v.slots; slot++ {
-		owner, ok := v.Owner(slot)
+	for shard := 0; shard < v.shards; shard++ {
+		owner, ok := v.Owner(shard)
 		if !ok {
-			whole = false
+			complete = false
 			continue
 		}
 		serving[owner.Writer] = true
-		for writer, last := range owner.Last {
+		for writer, last := range owner.LastPositions {
 			ends[writer] = max(ends[writer], last)
 		}
 	}
 	out := Vector{}
-	for writer, said := range v.said {
-		out[writer] = said.UpTo
+	for writer, announcement := range v.announcements {
+		out[writer] = announcement.PersistedUpTo
 	}
-	if whole {
+	if complete {
 		for writer, last := range ends {
 			if !serving[writer] {
 				out[writer] = max(out[writer], last)
 			}
 		}
 	}
-	for v.hold(out) {
+	for v.holdBack(out) {
 	}
-	return out, whole
+	return out, complete
 }
 
-// hold keeps each writer below its first row in a slot while an earlier run of
+// holdBack keeps each writer below its first row in a slot while an earlier run of
 // that slot can't be read to its end; it tells whether anything changed. Holding
 // one may hold others, so it is repeated until nothing changes.
-func (v *View) hold(out Vector) bool {
+func (v *PositionView) holdBack(out Vector) bool {
 	changed := false
-	for slot := 0; slot < v.slots; slot++ {
-		owner, ok := v.Owner(slot)
+	for shard := 0; shard < v.shards; shard++ {
+		owner, ok := v.Owner(shard)
 		if !ok {
 			continue
 		}
 		unread := false
-		for _, run := range owner.Tenures {
-			if unread && out[run.Writer] >= run.First {
-				out[run.Writer] = run.First - 1
+		for _, ownership := range owner.Ownerships {
+			if unread && out[ownership.Writer] >= ownership.First {
+				out[ownership.Writer] = ownership.First - 1
 				changed = true
 			}
-			unread = unread || out[run.Writer] < run.Last
+			unread = unread || out[ownership.Writer] < ownership.Last
 		}
 	}
 	return changed
--- a/membership/gossip/commands.go
+++ b/membership/gossip/commands.go
@@ -18,44 +18,44 @@
 // Apply handles the message by its type.
 //
 //revive:disable-next-line:cyclomatic one case for each type of message
-func (l Message) Apply(c *Node, now clock.Micros) {
-	c.addToView(l.From)
-	switch body := l.Body.(type) {
+func (m Message) Apply(c *Node, now clock.Micros) {
+	c.addToView(m.From)
+	switch body := m.Body.(type) {
 	case Gossip:
 		c.receive(body.Updates, now)
 	case Digest:
-		c.answerDigest(l.From, body, now)
+		c.answerDigest(m.From, body, now)
 	case DigestReply:
-		c.Repaired += int64(len(body.Updates))
+		c.UpdatesRepaired += int64(len(body.Updates))
 		c.receive(body.Updates, now)
-		c.sendUpdates(l.From, body.Missing)
-		if body.Counts && len(c.voters) > 0 && !c.NoVoters {
+		c.sendUpdates(m.From, body.Missing)
+		if body.Counts && len(c.voters) > 0 && !c.SkipVoterMajority {
 			c.learnAges(body.Ages, body.Stamp, now)
-		} else if c.inOtherZone(l.From) && body.Stamp > c.lastSwap {
-			c.lastSwap = body.Stamp
-			c.Emit(machine.Fresh{At: c.lastSwap})
+		} else if c.inOtherZone(m.From) && body.Stamp > c.freshUntil {
+			c.freshUntil = body.Stamp
+			c.Emit(machine.Freshness{At: c.freshUntil})
 		}
 	case PushUpdate:
 		c.receive([]machine.Update{body.Update}, now)
 		c.sendPending()
-		c.Emit(machine.Send{To: l.From, Body: PushAck{Nonce: body.Nonce, ID: c.self.ID}})
+		c.Emit(machine.Send{To: m.From, Body: PushAck{Nonce: body.Nonce, ID: c.self.ID}})
 	case PushAck:
 		if p := c.pushes[body.Nonce]; p != nil {
 			p.acknowledged[body.ID] = true
 			c.resendPushes(now)
 		}
 	case FetchUpdates:
-		c.sendUpdates(l.From, body.Keys)
+		c.sendUpdates(m.From, body.Keys)
 	case Announcement:
-		c.requestAnnounced(l.From, body, now)
+		c.requestAnnounced(m.From, body, now)
 	case Probe:
-		c.Emit(machine.Send{To: l.From, Body: ProbeReply(body)})
+		c.Emit(machine.Send{To: m.From, Body: ProbeReply(body)})
 	case ProbeReply:
-		c.probeAnswered(body)
+		c.handleProbeReply(body)
 	case IndirectProbe:
 		c.nonce++
-		c.indirectProbes[c.nonce] = indirectProbe{requester: l.From, nonce: body.Nonce, expiry: now + c.set.ProbeWait}
-		c.Emit(machine.Send{To: body.Target, Body: Probe{Nonce: c.nonce, For: l.From}})
+		c.indirectProbes[c.nonce] = indirectProbe{requester: m.From, nonce: body.Nonce, deadline: now + c.settings.ProbeTimeout}
+		c.Emit(machine.Send{To: body.Target, Body: Probe{Nonce: c.nonce, For: m.From}})
 	case IndirectResult:
 		if p := c.probes[body.Nonce]; p != nil {
 			if body.Reached {
@@ -65,7 +65,7 @@
 			}
 		}
 	case Shuffle:
-		c.mergeView(l.From, body)
+		c.mergeView(m.From, body)
 	}
 }
 
@@ -102,34 +102,34 @@
 	c.sendPending()
 }
 
-// ClockEvent runs the duties that are due.
-type ClockEvent struct{}
+// Tick runs the duties that are due.
+type Tick struct{}
 
 // Apply runs the duties that are due; each duty keeps its own next time.
-func (ClockEvent) Apply(c *Node, now clock.Micros) {
-	c.judgeProbes(now)
+func (Tick) Apply(c *Node, now clock.Micros) {
+	c.checkProbes(now)
 	c.resendPushes(now)
-	if now >= c.next.probe {
-		c.next.probe = now + c.set.Probe
+	if now >= c.nextDue.probe {
+		c.nextDue.probe = now + c.settings.ProbeInterval
 		c.probe(now)
 	}
-	if now >= c.next.digest {
-		c.next.digest = now + c.set.Digest
+	if now >= c.nextDue.digest {
+		c.nextDue.digest = now + c.settings.DigestInterval
 		c.exchangeDigest(now)
 	}
-	if now >= c.next.shuffle {
-		c.next.shuffle = now + c.set.Shuffle
-		if peer := c.pickOne(c.view); peer != "" {
-			c.Emit(machine.Send{To: peer, Body: Shuffle{Peers: append(c.sample(2), c.self.Peer)}})
+	if now >= c.nextDue.shuffle {
+		c.nextDue.shuffle = now + c.settings.ShuffleInterval
+		if peer := c.pickRandom(c.view); peer != "" {
+			c.Emit(machine.Send{To: peer, Body: Shuffle{Peers: append(c.samplePeers(2), c.self.Peer)}})
 		}
-		c.forget(now)
+		c.forgetDead(now)
 	}
-	if now >= c.next.seed {
-		c.next.seed = now + 3*clock.Second
-		if len(c.live()) < 2 {
-			c.next.seed = now + 200*clock.Millisecond
+	if now >= c.nextDue.seed {
+		c.nextDue.seed = now + 3*clock.Second
+		if len(c.liveMembers()) < 2 {
+			c.nextDue.seed = now + 200*clock.Millisecond
 		}
-		if seed := c.pickOne(c.seeds); seed != "" && seed != c.self.Peer {
+		if seed := c.pickRandom(c.seeds); seed != "" && seed != c.self.Peer {
 			c.Emit(machine.Send{To: seed, Body: c.digest(now)})
 		}
 		// A dead daemon may only have been partitioned: contact one from time to time.
@@ -139,7 +139,7 @@
 				dead = append(dead, p.Peer)
 			}
 		}
-		if peer := c.pickOne(dead); peer != "" {
+		if peer := c.pickRandom(dead); peer != "" {
 			c.Emit(machine.Send{To: peer, Body: c.digest(now)})
 		}
 	}
--- a/membership/gossip/digest.go
+++ b/membership/gossip/digest.go
@@ -18,19 +18,19 @@
 // exchangeDigest compares digests with one daemon; every other time with a voter in
 // another zone: from those it learns soonest what most of the voters know.
 func (c *Node) exchangeDigest(now clock.Micros) {
-	c.far = !c.far
+	c.digestOtherZone = !c.digestOtherZone
 	var peers []string
-	for _, member := range c.live() {
-		if !c.far || c.inOtherZone(member.Peer) {
+	for _, member := range c.liveMembers() {
+		if !c.digestOtherZone || c.inOtherZone(member.Peer) {
 			peers = append(peers, member.Peer)
 		}
 	}
-	if c.far {
-		if near := c.votersInOtherZones(); len(near) > 0 {
-			peers = near
+	if c.digestOtherZone {
+		if voters := c.votersInOtherZones(); len(voters) > 0 {
+			peers = voters
 		}
 	}
-	if peer := c.pickOne(peers); peer != "" {
+	if peer := c.pickRandom(peers); peer != "" {
 		c.Emit(machine.Send{To: peer, Body: c.digest(now)})
 	}
 }
@@ -39,16 +39,16 @@
 // is partitioned still hear each other: what they know does not count as fresh.
 // Where no other zone has ever been known, every daemon counts as in another one.
 func (c *Node) inOtherZone(peer string) bool {
-	elsewhere := false
+	hasOtherZones := false
 	for _, member := range c.members {
 		if member.Zone != c.self.Zone {
-			elsewhere = true
+			hasOtherZones = true
 			if member.Peer == peer {
 				return true
 			}
 		}
 	}
-	return !elsewhere
+	return !hasOtherZones
 }
 
 func (c *Node) answerDigest(from string, digest Digest, now clock.Micros) {
@@ -60,18 +60,18 @@
 			reply.Updates = append(reply.Updates, update)
 		}
 	}
-	wanted := make([]string, 0)
+	missing := make([]string, 0)
 	for key, version := range digest.Known {
 		known, ok := c.updates[key]
 		if !ok || (machine.Update{Epoch: version.Epoch, Seq: version.Seq}).Newer(known) {
-			wanted = append(wanted, key)
+			missing = append(missing, key)
 		}
 	}
-	sort.Strings(wanted)
-	reply.Missing = wanted
+	sort.Strings(missing)
+	reply.Missing = missing
 	c.Emit(machine.Send{To: from, Body: reply})
 }
 
-// LastSwap is when this daemon sent the last digest that was answered: updates up
+// FreshUntil is when this daemon sent the last digest that was answered: updates up
 // to then was within its reach.
-func (c *Node) LastSwap() clock.Micros { return c.lastSwap }
+func (c *Node) FreshUntil() clock.Micros { return c.freshUntil }
--- a/membership/gossip/freshness.go
+++ b/membership/gossip/freshness.go
@@ -38,10 +38,10 @@
 // Broadcast is an update that starts at this daemon; its call is answered once a
 // majority of the voters know it.
 type Broadcast struct {
-	Update machine.Update
-	Call   uint64
-	Body   any
-	Expiry clock.Micros
+	Update  machine.Update
+	Call    uint64
+	Body    any
+	Timeout clock.Micros
 }
 
 type outstandingPush struct {
@@ -60,7 +60,7 @@
 	c.receive([]machine.Update{s.Update}, now)
 	c.sendPending()
 	c.nonce++
-	c.pushes[c.nonce] = &outstandingPush{Broadcast: s, deadline: now + s.Expiry, acknowledged: map[string]bool{c.self.ID: true}}
+	c.pushes[c.nonce] = &outstandingPush{Broadcast: s, deadline: now + s.Timeout, acknowledged: map[string]bool{c.self.ID: true}}
 	c.resendPushes(now)
 }
 
@@ -71,11 +71,11 @@
 		switch {
 		case c.isMajority(func(id string) bool { return p.acknowledged[id] }):
 			delete(c.pushes, nonce)
-			c.Emit(machine.Answer{Call: p.Call, Body: p.Body})
+			c.Emit(machine.Reply{Call: p.Call, Body: p.Body})
 			continue
 		case now >= p.deadline:
 			delete(c.pushes, nonce)
-			c.Emit(machine.Answer{Call: p.Call, Err: errs.Later(errs.OutcomeUnknown, clock.Second, "read back what is in force, or put it again at another daemon", "it was told, but most of the fleet has not said yet that it heard")})
+			c.Emit(machine.Reply{Call: p.Call, Err: errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "read back what is in force, or put it again at another daemon", "it was told, but most of the fleet has not said yet that it heard")})
 			continue
 		case now < p.nextSend:
 			continue
@@ -97,21 +97,21 @@
 // isMajority tells whether the voters that count weigh more than half of all. Before
 // the voters are known there is nobody to wait for.
 func (c *Node) isMajority(counts func(id string) bool) bool {
-	sum, all := 0, 0
+	counted, total := 0, 0
 	for id, weight := range c.voters {
-		all += weight
+		total += weight
 		if counts(id) {
-			sum += weight
+			counted += weight
 		}
 	}
-	return 2*sum > all || all == 0
+	return 2*counted > total || total == 0
 }
 
 // updateVoters reads the voters again where an update that lists them changed.
 func (c *Node) updateVoters(key string) {
 	if key == state.MapKey || key == state.CoreKey {
-		c.voters = state.Roll(c.updates[state.MapKey].Value, c.updates[state.CoreKey].Value)
-		for _, stamps := range []map[string]clock.Micros{c.learned, c.learnedFromAll} {
+		c.voters = state.VoterWeights(c.updates[state.MapKey].Value, c.updates[state.CoreKey].Value)
+		for _, stamps := range []map[string]clock.Micros{c.knownUntil, c.knownUntilRaw} {
 			for id := range stamps {
 				if c.voters[id] == 0 {
 					delete(stamps, id)
@@ -124,15 +124,15 @@
 // currentAges is what this daemon's updates include, for another to add to its own.
 func (c *Node) currentAges(now clock.Micros) Ages {
 	out := Ages{Counted: map[string]clock.Micros{}, Raw: map[string]clock.Micros{}}
-	for id, at := range c.learned {
+	for id, at := range c.knownUntil {
 		out.Counted[id] = now - at
 	}
-	for id, at := range c.learnedFromAll {
+	for id, at := range c.knownUntilRaw {
 		out.Raw[id] = now - at
 	}
 	if c.voters[c.self.ID] > 0 {
 		out.Raw[c.self.ID] = 0
-		if c.current {
+		if c.caughtUp {
 			out.Counted[c.self.ID] = 0
 		}
 	}
@@ -141,27 +141,27 @@
 
 // learnAges adds what another's updates included when it answered a digest sent at
 // asked: by now this daemon's include it too.
-func (c *Node) learnAges(ages Ages, asked, now clock.Micros) {
+func (c *Node) learnAges(ages Ages, sentAt, now clock.Micros) {
 	if len(c.voters) == 0 {
 		return
 	}
 	add := func(to, from map[string]clock.Micros) {
 		for id, age := range from {
 			if c.voters[id] > 0 && id != c.self.ID {
-				to[id] = max(to[id], asked-age)
+				to[id] = max(to[id], sentAt-age)
 			}
 		}
 	}
-	add(c.learned, ages.Counted)
-	add(c.learnedFromAll, ages.Raw)
+	add(c.knownUntil, ages.Counted)
+	add(c.knownUntilRaw, ages.Raw)
 	// A voter that has just come back may lack what it knew before: it counts once it
 	// has heard from a majority of the voters itself.
-	c.current = c.current || c.isMajority(func(id string) bool {
-		return id == c.self.ID || now-c.learnedFromAll[id] < c.set.Suspicion && c.learnedFromAll[id] > 0
+	c.caughtUp = c.caughtUp || c.isMajority(func(id string) bool {
+		return id == c.self.ID || now-c.knownUntilRaw[id] < c.settings.SuspicionTimeout && c.knownUntilRaw[id] > 0
 	})
-	if at := c.majorityFreshness(now); at > c.lastSwap {
-		c.lastSwap = at
-		c.Emit(machine.Fresh{At: at})
+	if at := c.majorityFreshness(now); at > c.freshUntil {
+		c.freshUntil = at
+		c.Emit(machine.Freshness{At: at})
 	}
 }
 
@@ -173,20 +173,20 @@
 		weight int
 	}
 	var stamps []stamp
-	all := 0
+	total := 0
 	for id, weight := range c.voters {
-		all += weight
-		if id == c.self.ID && c.current {
+		total += weight
+		if id == c.self.ID && c.caughtUp {
 			stamps = append(stamps, stamp{now, weight})
-		} else if at := c.learned[id]; at > 0 {
+		} else if at := c.knownUntil[id]; at > 0 {
 			stamps = append(stamps, stamp{at, weight})
 		}
 	}
 	sort.Slice(stamps, func(i, j int) bool { return stamps[i].at > stamps[j].at })
-	sum := 0
-	for _, one := range stamps {
-		if sum += one.weight; 2*sum > all {
-			return one.at
+	counted := 0
+	for _, candidate := range stamps {
+		if counted += candidate.weight; 2*counted > total {
+			return candidate.at
 		}
 	}
 	return 0
@@ -196,7 +196,7 @@
 // digest goes to one of them.
 func (c *Node) votersInOtherZones() []string {
 	var out []string
-	for _, member := range c.live() {
+	for _, member := range c.liveMembers() {
 		if c.voters[member.ID] > 0 && member.Zone != c.self.Zone {
 			out = append(out, member.Peer)
 		}
--- a/membership/gossip/gossip.go
+++ b/membership/gossip/gossip.go
@@ -15,60 +15,60 @@
 
 // Settings are the protocol's intervals and sizes.
 type Settings struct {
-	Probe     clock.Micros // between probes of one daemon
-	ProbeWait clock.Micros // for a direct, then an indirect, reply
-	Suspicion clock.Micros // from suspect to dead; the suspect may refute it until then
-	Digest    clock.Micros // between digest exchanges
-	Shuffle   clock.Micros // between shuffles of the partial view
-	Fanout    int          // to how many an update is passed on
-	View      int          // size of the partial view
-	Forget    clock.Micros // after which a dead daemon leaves the directory
+	ProbeInterval    clock.Micros // between probes of one daemon
+	ProbeTimeout     clock.Micros // for a direct, then an indirect, reply
+	SuspicionTimeout clock.Micros // from suspect to dead; the suspect may refute it until then
+	DigestInterval   clock.Micros // between digest exchanges
+	ShuffleInterval  clock.Micros // between shuffles of the partial view
+	Fanout           int          // to how many an update is passed on
+	ViewSize         int          // size of the partial view
+	ForgetAfter      clock.Micros // after which a dead daemon leaves the directory
 }
 
 // Defaults are the intervals and sizes of a fleet as it is run.
 func Defaults() Settings {
-	return Settings{Probe: 200 * clock.Millisecond, ProbeWait: 300 * clock.Millisecond,
-		Suspicion: 2 * clock.Second, Digest: 300 * clock.Millisecond, Shuffle: 2 * clock.Second,
-		Fanout: 3, View: 6, Forget: 120 * clock.Second}
+	return Settings{ProbeInterval: 200 * clock.Millisecond, ProbeTimeout: 300 * clock.Millisecond,
+		SuspicionTimeout: 2 * clock.Second, DigestInterval: 300 * clock.Millisecond, ShuffleInterval: 2 * clock.Second,
+		Fanout: 3, ViewSize: 6, ForgetAfter: 120 * clock.Second}
 }
 
 // Node is one daemon's gossip state machine.
 type Node struct {
-	machine.Out
-	set            Settings
-	self           identity.Member
-	seeds          []string
-	random         *rand.Rand
-	updates        map[string]machine.Update
-	members        map[string]identity.Member
-	statusSince    map[string]clock.Micros // when the status was learnt
-	view           []string
-	probes         map[uint64]*outstandingProbe
-	indirectProbes map[uint64]indirectProbe
-	requested      map[string]outstandingRequest // large updates asked for, since when
-	nonce          uint64
-	unsent         []machine.Update
-	order          []string // round of probes
-	next           struct{ probe, digest, shuffle, seed clock.Micros }
-	lastSwap       clock.Micros
-	far            bool                    // the next digest goes to another zone
-	voters         map[string]int          // who counts, and for how much (freshness.go)
-	learned        map[string]clock.Micros // up to when the updates here include all that each voter knew
-	learnedFromAll map[string]clock.Micros // the same, voters that have only just come back included
-	current        bool                    // this daemon has heard from most of the voters in this life
-	pushes         map[uint64]*outstandingPush
-	// NoVoters is a fault planted by tests: any daemon of another zone makes updates
+	machine.Effects
+	settings        Settings
+	self            identity.Member
+	seeds           []string
+	random          *rand.Rand
+	updates         map[string]machine.Update
+	members         map[string]identity.Member
+	statusSince     map[string]clock.Micros // when the status was learnt
+	view            []string
+	probes          map[uint64]*outstandingProbe
+	indirectProbes  map[uint64]indirectProbe
+	requested       map[string]outstandingRequest // large updates asked for, since when
+	nonce           uint64
+	unsent          []machine.Update
+	probeOrder      []string // round of probes
+	nextDue         struct{ probe, digest, shuffle, seed clock.Micros }
+	freshUntil      clock.Micros
+	digestOtherZone bool                    // the next digest goes to another zone
+	voters          map[string]int          // who counts, and for how much (freshness.go)
+	knownUntil      map[string]clock.Micros // up to when the updates here include all that each voter knew
+	knownUntilRaw   map[string]clock.Micros // the same, voters that have only just come back included
+	caughtUp        bool                    // this daemon has heard from most of the voters in this life
+	pushes          map[uint64]*outstandingPush
+	// SkipVoterMajority is a fault planted by tests: any daemon of another zone makes updates
 	// fresh, whatever that daemon has received itself.
-	NoVoters bool
+	SkipVoterMajority bool
 	// Counters for the operators.
-	Received, Repeated, Repaired, Suspected, Refuted int64
+	UpdatesReceived, DuplicatesReceived, UpdatesRepaired, Suspected, Refuted int64
 }
 
 // New makes the gossip node of a daemon; the same seed makes the same choices.
-func New(self identity.Member, seeds []string, set Settings, seed int64) *Node {
-	c := &Node{set: set, self: self, seeds: seeds, random: rand.New(rand.NewSource(seed)),
+func New(self identity.Member, seeds []string, settings Settings, seed int64) *Node {
+	c := &Node{settings: settings, self: self, seeds: seeds, random: rand.New(rand.NewSource(seed)),
 		updates: map[string]machine.Update{}, members: map[string]identity.Member{}, statusSince: map[string]clock.Micros{},
-		probes: map[uint64]*outstandingProbe{}, indirectProbes: map[uint64]indirectProbe{}, requested: map[string]outstandingRequest{}, learned: map[string]clock.Micros{}, learnedFromAll: map[string]clock.Micros{}, pushes: map[uint64]*outstandingPush{}}
+		probes: map[uint64]*outstandingProbe{}, indirectProbes: map[uint64]indirectProbe{}, requested: map[string]outstandingRequest{}, knownUntil: map[string]clock.Micros{}, knownUntilRaw: map[string]clock.Micros{}, pushes: map[uint64]*outstandingPush{}}
 	c.announceSelf(0)
 	return c
 }
--- a/membership/gossip/members.go
+++ b/membership/gossip/members.go
@@ -7,30 +7,30 @@
 	"tuliprudder/membership/identity"
 )
 
-// forget drops the directory entries of daemons long dead.
-func (c *Node) forget(now clock.Micros) {
+// forgetDead drops the directory entries of daemons long dead.
+func (c *Node) forgetDead(now clock.Micros) {
 	for _, member := range c.sortedMembers() {
-		if member.Status >= identity.Dead && now-c.statusSince[member.ID] > c.set.Forget {
+		if member.Status >= identity.Dead && now-c.statusSince[member.ID] > c.settings.ForgetAfter {
 			delete(c.members, member.ID)
 			delete(c.statusSince, member.ID)
 			delete(c.updates, identity.Key(member.ID))
 		}
 	}
-	kept := c.view[:0]
+	remaining := c.view[:0]
 	for _, peer := range c.view {
-		sound := true
+		alive := true
 		for _, member := range c.members {
 			if member.Peer == peer && member.Status >= identity.Dead {
-				sound = false
+				alive = false
 			}
 		}
-		if sound {
-			kept = append(kept, peer)
+		if alive {
+			remaining = append(remaining, peer)
 		}
 	}
-	c.view = kept
-	for _, member := range c.live() {
-		if len(c.view) >= c.set.View {
+	c.view = remaining
+	for _, member := range c.liveMembers() {
+		if len(c.view) >= c.settings.ViewSize {
 			break
 		}
 		c.addToView(member.Peer)
@@ -46,7 +46,7 @@
 	return out
 }
 
-func (c *Node) live() []identity.Member {
+func (c *Node) liveMembers() []identity.Member {
 	var out []identity.Member
 	for _, member := range c.sortedMembers() {
 		if member.Status <= identity.Suspect && member.ID != c.self.ID {
--- a/membership/gossip/probes.go
+++ b/membership/gossip/probes.go
@@ -9,32 +9,32 @@
 )
 
 type outstandingProbe struct {
-	id, peer    string
-	sentAt      clock.Micros
-	askedOthers bool
-	failures    int
+	id, peer           string
+	sentAt             clock.Micros
+	indirectProbesSent bool
+	failures           int
 }
 
 type indirectProbe struct {
 	requester string
 	nonce     uint64
-	expiry    clock.Micros
+	deadline  clock.Micros
 }
 
 func (c *Node) probe(now clock.Micros) {
-	if len(c.order) == 0 {
+	if len(c.probeOrder) == 0 {
 		for _, p := range c.sortedMembers() {
 			if p.ID != c.self.ID && p.Status <= identity.Suspect {
-				c.order = append(c.order, p.ID)
+				c.probeOrder = append(c.probeOrder, p.ID)
 			}
 		}
-		c.random.Shuffle(len(c.order), func(i, j int) { c.order[i], c.order[j] = c.order[j], c.order[i] })
+		c.random.Shuffle(len(c.probeOrder), func(i, j int) { c.probeOrder[i], c.probeOrder[j] = c.probeOrder[j], c.probeOrder[i] })
 	}
-	if len(c.order) == 0 {
+	if len(c.probeOrder) == 0 {
 		return
 	}
-	id := c.order[0]
-	c.order = c.order[1:]
+	id := c.probeOrder[0]
+	c.probeOrder = c.probeOrder[1:]
 	member, ok := c.members[id]
 	if !ok || member.Status > identity.Suspect {
 		return
@@ -44,28 +44,28 @@
 	c.Emit(machine.Send{To: member.Peer, Body: Probe{Nonce: c.nonce}})
 }
 
-func (c *Node) probeAnswered(reply ProbeReply) {
+func (c *Node) handleProbeReply(reply ProbeReply) {
 	if reply.For != "" {
-		if help, ok := c.indirectProbes[reply.Nonce]; ok {
+		if indirect, ok := c.indirectProbes[reply.Nonce]; ok {
 			delete(c.indirectProbes, reply.Nonce)
-			c.Emit(machine.Send{To: help.requester, Body: IndirectResult{Nonce: help.nonce, Reached: true}})
+			c.Emit(machine.Send{To: indirect.requester, Body: IndirectResult{Nonce: indirect.nonce, Reached: true}})
 		}
 		return
 	}
 	delete(c.probes, reply.Nonce)
 }
 
-// judgeProbes asks second witnesses where the direct reply stayed out, and suspects
+// checkProbes asks second witnesses where the direct reply stayed out, and suspects
 // a daemon only when a witness could not reach it either.
-func (c *Node) judgeProbes(now clock.Micros) {
+func (c *Node) checkProbes(now clock.Micros) {
 	c.reportIndirectProbes(now)
 	for _, nonce := range sortedNonces(c.probes) {
 		p := c.probes[nonce]
 		switch {
-		case !p.askedOthers && now-p.sentAt >= c.set.ProbeWait:
-			p.askedOthers = true
-			c.askWitnesses(nonce, p.peer)
-		case p.askedOthers && now-p.sentAt >= 4*c.set.ProbeWait:
+		case !p.indirectProbesSent && now-p.sentAt >= c.settings.ProbeTimeout:
+			p.indirectProbesSent = true
+			c.sendIndirectProbes(nonce, p.peer)
+		case p.indirectProbesSent && now-p.sentAt >= 4*c.settings.ProbeTimeout:
 			delete(c.probes, nonce)
 			member, known := c.members[p.id]
 			if known && p.failures > 0 && member.Status == identity.Alive {
@@ -81,21 +81,21 @@
 // that one has not replied in time.
 func (c *Node) reportIndirectProbes(now clock.Micros) {
 	for _, nonce := range sortedNonces(c.indirectProbes) {
-		if probe := c.indirectProbes[nonce]; now >= probe.expiry {
+		if probe := c.indirectProbes[nonce]; now >= probe.deadline {
 			delete(c.indirectProbes, nonce)
 			c.Emit(machine.Send{To: probe.requester, Body: IndirectResult{Nonce: probe.nonce}})
 		}
 	}
 }
 
-// maxWitnesses is how many daemons are asked to probe one that has not replied.
-const maxWitnesses = 2
+// maxIndirectProbes is how many daemons are asked to probe one that has not replied.
+const maxIndirectProbes = 2
 
-func (c *Node) askWitnesses(nonce uint64, target string) {
-	witnesses := 0
+func (c *Node) sendIndirectProbes(nonce uint64, target string) {
+	sent := 0
 	for _, at := range c.random.Perm(len(c.view)) {
-		if peer := c.view[at]; peer != target && witnesses < maxWitnesses {
-			witnesses++
+		if peer := c.view[at]; peer != target && sent < maxIndirectProbes {
+			sent++
 			c.Emit(machine.Send{To: peer, Body: IndirectProbe{Nonce: nonce, Target: target}})
 		}
 	}
@@ -105,8 +105,8 @@
 // this daemon's own updates are old.
 func (c *Node) declareDead(now clock.Micros) {
 	for _, member := range c.sortedMembers() {
-		expired := member.Status == identity.Suspect && now-c.statusSince[member.ID] >= c.set.Suspicion
-		if expired && member.ID != c.self.ID && now-c.lastSwap < c.set.Suspicion {
+		expired := member.Status == identity.Suspect && now-c.statusSince[member.ID] >= c.settings.SuspicionTimeout
+		if expired && member.ID != c.self.ID && now-c.freshUntil < c.settings.SuspicionTimeout {
 			c.setStatus(member, identity.Dead, now)
 		}
 	}
--- a/membership/gossip/updates.go
+++ b/membership/gossip/updates.go
@@ -11,7 +11,7 @@
 
 type outstandingRequest struct {
 	version Version
-	at      clock.Micros
+	sentAt  clock.Micros
 }
 
 func (c *Node) announceSelf(now clock.Micros) {
@@ -23,7 +23,7 @@
 func (c *Node) receive(updates []machine.Update, now clock.Micros) {
 	for _, update := range updates {
 		if known, ok := c.updates[update.Key]; ok && !update.Newer(known) {
-			c.Repeated++
+			c.DuplicatesReceived++
 			continue
 		}
 		if strings.HasPrefix(update.Key, identity.KeyPrefix) {
@@ -45,17 +45,17 @@
 			}
 			if c.members[member.ID].Status != member.Status || c.members[member.ID].Incarnation != member.Incarnation {
 				c.statusSince[member.ID] = now
-				if was := c.members[member.ID].Status; was != identity.Alive || member.Status != identity.Alive {
-					c.Emit(machine.Explain{What: "standing of a daemon", Fields: map[string]any{"daemon": member.ID, "kind": member.Kind, "standing": member.Status.String(), "incarnation": member.Incarnation}})
+				if before := c.members[member.ID].Status; before != identity.Alive || member.Status != identity.Alive {
+					c.Emit(machine.LogEvent{Message: "standing of a daemon", Fields: map[string]any{"daemon": member.ID, "kind": member.Kind, "standing": member.Status.String(), "incarnation": member.Incarnation}})
 				}
 			}
 			c.members[member.ID] = member
 		}
-		c.Received++
+		c.UpdatesReceived++
 		c.updates[update.Key] = update
 		c.updateVoters(update.Key)
 		c.unsent = append(c.unsent, update)
-		c.Emit(machine.Heard{Update: update})
+		c.Emit(machine.UpdateReceived{Update: update})
 	}
 }
 
@@ -79,7 +79,7 @@
 	}
 	c.unsent = nil
 	for i, at := range c.random.Perm(len(c.view)) {
-		if i >= c.set.Fanout {
+		if i >= c.settings.Fanout {
 			break
 		}
 		if len(small) > 0 {
@@ -94,21 +94,21 @@
 // requestAnnounced asks the first daemon that announced an update that is missing
 // here, and another only if the first does not answer for a while.
 func (c *Node) requestAnnounced(from string, announcement Announcement, now clock.Micros) {
-	var wanted []string
+	var missing []string
 	for key, version := range announcement.Versions {
-		told := machine.Update{Epoch: version.Epoch, Seq: version.Seq}
-		if known, ok := c.updates[key]; ok && !told.Newer(known) {
+		announced := machine.Update{Epoch: version.Epoch, Seq: version.Seq}
+		if known, ok := c.updates[key]; ok && !announced.Newer(known) {
 			continue
 		}
-		if asked, ok := c.requested[key]; ok && asked.version == version && now-asked.at < c.set.Digest/2 {
+		if earlier, ok := c.requested[key]; ok && earlier.version == version && now-earlier.sentAt < c.settings.DigestInterval/2 {
 			continue
 		}
 		c.requested[key] = outstandingRequest{version, now}
-		wanted = append(wanted, key)
+		missing = append(missing, key)
 	}
-	if len(wanted) > 0 {
-		sort.Strings(wanted)
-		c.Emit(machine.Send{To: from, Body: FetchUpdates{Keys: wanted}})
+	if len(missing) > 0 {
+		sort.Strings(missing)
+		c.Emit(machine.Send{To: from, Body: FetchUpdates{Keys: missing}})
 	}
 }
 
@@ -139,8 +139,8 @@
 	return update, ok
 }
 
-// UpdatesUnder lists the updates whose keys begin with a prefix, in order.
-func (c *Node) UpdatesUnder(prefix string) []machine.Update {
+// UpdatesWithPrefix lists the updates whose keys begin with a prefix, in order.
+func (c *Node) UpdatesWithPrefix(prefix string) []machine.Update {
 	var out []machine.Update
 	for _, key := range c.sortedKeys() {
 		if strings.HasPrefix(key, prefix) {
--- a/membership/gossip/view.go
+++ b/membership/gossip/view.go
@@ -13,12 +13,12 @@
 			return
 		}
 	}
-	if len(c.view) < c.set.View {
+	if len(c.view) < c.settings.ViewSize {
 		c.view = append(c.view, peer)
 	}
 }
 
-func (c *Node) sample(count int) []string {
+func (c *Node) samplePeers(count int) []string {
 	var out []string
 	for _, at := range c.random.Perm(len(c.view)) {
 		if len(out) == count {
@@ -31,13 +31,13 @@
 
 func (c *Node) mergeView(from string, shuffle Shuffle) {
 	if !shuffle.Answer {
-		c.Emit(machine.Send{To: from, Body: Shuffle{Peers: c.sample(3), Answer: true}})
+		c.Emit(machine.Send{To: from, Body: Shuffle{Peers: c.samplePeers(3), Answer: true}})
 	}
 	for _, peer := range shuffle.Peers {
 		if peer == c.self.Peer || contains(c.view, peer) {
 			continue
 		}
-		if len(c.view) < c.set.View {
+		if len(c.view) < c.settings.ViewSize {
 			c.view = append(c.view, peer)
 		} else {
 			c.view[c.random.Intn(len(c.view))] = peer
@@ -45,16 +45,16 @@
 	}
 }
 
-func contains(list []string, wanted string) bool {
-	for _, one := range list {
-		if one == wanted {
+func contains(list []string, peer string) bool {
+	for _, candidate := range list {
+		if candidate == peer {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Node) pickOne(from []string) string {
+func (c *Node) pickRandom(from []string) string {
 	if len(from) == 0 {
 		return ""
 	}
--- a/path/decisionlog/decisionlog.go
+++ b/path/decisionlog/decisionlog.go
@@ -10,106 +10,106 @@
 	"tuliprudder/path/scoring"
 )
 
-// Try is one assignment of an order.
-type Try struct {
-	Server  string          `json:"server"`
-	Scores  []scoring.Score `json:"marks"`
-	At      clock.Micros    `json:"at_us"`
-	Took    clock.Micros    `json:"took_us"`
-	Outcome string          `json:"outcome"`
-	Error   string          `json:"error,omitempty"`
+// Attempt is one assignment of an order.
+type Attempt struct {
+	Server    string          `json:"server"`
+	Scores    []scoring.Score `json:"marks"`
+	StartedAt clock.Micros    `json:"at_us"`
+	Duration  clock.Micros    `json:"took_us"`
+	Outcome   string          `json:"outcome"`
+	Error     string          `json:"error,omitempty"`
 }
 
 // Entry is what happened to one order.
 type Entry struct {
-	Order    string       `json:"order"`
-	Customer string       `json:"customer"`
-	Route    string       `json:"route"`
-	Rank     int64        `json:"rank"`
-	Arrived  clock.Micros `json:"arrived_us"`
-	Tries    []Try        `json:"tries"`
-	End      string       `json:"end,omitempty"`
+	RequestID  string       `json:"order"`
+	Tenant     string       `json:"customer"`
+	Route      string       `json:"route"`
+	Priority   int64        `json:"rank"`
+	ReceivedAt clock.Micros `json:"arrived_us"`
+	Attempts   []Attempt    `json:"tries"`
+	Outcome    string       `json:"end,omitempty"`
 }
 
 // Log keeps the latest entries, a bounded number of them.
 type Log struct {
 	mu      sync.Mutex
 	entries map[string]*Entry
-	order   []string
+	ring    []string
 	next    int
 }
 
-const mostTries = 16
+const maxAttempts = 16
 
 // New makes a log for so many entries.
 func New(size int) *Log {
-	return &Log{entries: map[string]*Entry{}, order: make([]string, max(1, size))}
+	return &Log{entries: map[string]*Entry{}, ring: make([]string, max(1, size))}
 }
 
 // Begin opens an order's entry, or goes on with it; the oldest makes room.
-func (b *Log) Begin(s Entry) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.entries[s.Order] != nil {
+func (l *Log) Begin(e Entry) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.entries[e.RequestID] != nil {
 		return
 	}
-	if old := b.order[b.next]; old != "" {
-		delete(b.entries, old)
+	if oldest := l.ring[l.next]; oldest != "" {
+		delete(l.entries, oldest)
 	}
-	b.order[b.next] = s.Order
-	b.next = (b.next + 1) % len(b.order)
-	b.entries[s.Order] = &s
+	l.ring[l.next] = e.RequestID
+	l.next = (l.next + 1) % len(l.ring)
+	l.entries[e.RequestID] = &e
 }
 
-// Tried adds an assignment to an order's entry.
-func (b *Log) Tried(order string, try Try) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s := b.entries[order]; s != nil && len(s.Tries) < mostTries {
-		s.Tries = append(s.Tries, try)
+// RecordAttempt adds an assignment to an order's entry.
+func (l *Log) RecordAttempt(requestID string, attempt Attempt) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if e := l.entries[requestID]; e != nil && len(e.Attempts) < maxAttempts {
+		e.Attempts = append(e.Attempts, attempt)
 	}
 }
 
-// Ended notes how an order went.
-func (b *Log) Ended(order, end string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s := b.entries[order]; s != nil {
-		s.End = end
+// RecordOutcome notes how an order went.
+func (l *Log) RecordOutcome(requestID, outcome string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if e := l.entries[requestID]; e != nil {
+		e.Outcome = outcome
 	}
 }
 
 // Find finds an order's entry.
-func (b *Log) Find(order string) (Entry, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.entries[order]
-	if s == nil {
+func (l *Log) Find(requestID string) (Entry, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	e := l.entries[requestID]
+	if e == nil {
 		return Entry{}, false
 	}
-	out := *s
-	out.Tries = append([]Try(nil), s.Tries...)
+	out := *e
+	out.Attempts = append([]Attempt(nil), e.Attempts...)
 	return out, true
 }
 
 // Slowest lists the entries that took longest from arrival to their last try's
 // end, the slowest first.
-func (b *Log) Slowest(count int) []Entry {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := make([]Entry, 0, len(b.entries))
-	for _, s := range b.entries {
-		if len(s.Tries) > 0 {
-			one := *s
-			one.Tries = append([]Try(nil), s.Tries...)
-			out = append(out, one)
+func (l *Log) Slowest(count int) []Entry {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	out := make([]Entry, 0, len(l.entries))
+	for _, e := range l.entries {
+		if len(e.Attempts) > 0 {
+			entry := *e
+			entry.Attempts = append([]Attempt(nil), e.Attempts...)
+			out = append(out, entry)
 		}
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].span() > out[j].span() })
+	sort.Slice(out, func(i, j int) bool { return out[i].latency() > out[j].latency() })
 	return out[:min(count, len(out))]
 }
 
-func (s Entry) span() clock.Micros {
-	last := s.Tries[len(s.Tries)-1]
-	return last.At + last.Took - s.Arrived
+func (e Entry) latency() clock.Micros {
+	last := e.Attempts[len(e.Attempts)-1]
+	return last.StartedAt + last.Duration - e.ReceivedAt
 }
