--- a/path/execution/execution_test.go
+++ b/path/execution/execution_test.go
@@ -17,135 +17,135 @@
 // bench is a runner whose shell and keeper are the test.
 type bench struct {
 	*Runner
-	t      *testing.T
-	d      *scheduler.Scheduler
-	wire   *machine.Wire
-	now    clock.Micros
-	listed []store.Ran
+	t            *testing.T
+	scheduler    *scheduler.Scheduler
+	machineCalls *machine.Calls
+	now          clock.Micros
+	results      []store.ItemFinished
 }
 
 const hour = 3600 * clock.Second
 
 func newBench(t *testing.T, servers ...string) *bench {
-	b := &bench{t: t, wire: machine.NewWire(), d: scheduler.New(scheduler.Defaults(), 1), now: hour}
-	b.Runner = New(Defaults(), b.wire, b.d, func(int, string, int, clock.Micros) bool { return true },
-		func(ran store.Ran, _ clock.Micros) { b.listed = append(b.listed, ran) })
-	b.plan(1, config.Forward{Tries: 3, Keep: 24 * hour})
+	b := &bench{t: t, machineCalls: machine.NewCalls(), scheduler: scheduler.New(scheduler.Defaults(), 1), now: hour}
+	b.Runner = New(Defaults(), b.machineCalls, b.scheduler, func(int, string, int, clock.Micros) bool { return true },
+		func(result store.ItemFinished, _ clock.Micros) { b.results = append(b.results, result) })
+	b.setConfiguration(1, config.Forward{MaxAttempts: 3, ItemRetention: 24 * hour})
 	for _, name := range servers {
-		b.d.SetServer(registry.Server{Name: name, Address: name + ":1", Slots: 4})
+		b.scheduler.SetServer(registry.Server{Name: name, Address: name + ":1", Slots: 4})
 	}
 	return b
 }
 
-// plan puts a plan in force with one route that passes bundles on and one that
+// setConfiguration puts a plan in force with one route that passes bundles on and one that
 // does not.
-func (b *bench) plan(version uint64, forward config.Forward) {
-	plan := &config.Plan{Version: version, Judges: map[string]float64{"spread": 1}, Pools: []config.Pool{{Name: "p"}},
-		Routes: []config.Route{{Name: "r", Kind: config.Bundle, Forward: &forward}, {Name: "chat", Kind: config.Bundle}}}
-	plan.Index()
-	b.d.SetPlan(plan, b.now)
+func (b *bench) setConfiguration(version uint64, forward config.Forward) {
+	configuration := &config.Configuration{Version: version, ScorerWeights: map[string]float64{"spread": 1}, Pools: []config.Pool{{Name: "p"}},
+		Routes: []config.Route{{Name: "r", Kind: config.Batch, Forward: &forward}, {Name: "chat", Kind: config.Batch}}}
+	configuration.Index()
+	b.scheduler.SetConfiguration(configuration, b.now)
 }
 
-func (b *bench) take(item int, tokens int64) {
-	b.Take(store.ItemOrder{Bundle: "b", Item: item, ItemID: fmt.Sprint("i", item), Customer: "r", Route: "r", Enrolled: hour, Plan: 1,
+func (b *bench) submitItem(item int, tokens int64) {
+	b.Submit(store.RunItem{Batch: "b", Item: item, ItemID: fmt.Sprint("i", item), Tenant: "r", Route: "r", SubmittedAt: hour, ConfigurationVersion: 1,
 		Request: &shard.Request{Target: "/x", Body: []byte(fmt.Sprint("body ", item)), Tokens: tokens}}, b.now)
 }
 
-// runs are the runs the event loop is told of now.
-func (b *bench) runs() []Run {
-	b.d.SetFresh(b.now)
-	b.d.Settle(b.now)
-	var out []Run
-	for _, effect := range b.wire.Drain() {
-		if work, ok := effect.(machine.Work); ok {
-			if run, ok := work.Order.(Run); ok {
-				out = append(out, run)
+// startedAttempts are the runs the event loop is told of now.
+func (b *bench) startedAttempts() []Attempt {
+	b.scheduler.AdvanceFreshness(b.now)
+	b.scheduler.MatchUntilStable(b.now)
+	var out []Attempt
+	for _, effect := range b.machineCalls.Drain() {
+		if work, ok := effect.(machine.Execute); ok {
+			if attempt, ok := work.Task.(Attempt); ok {
+				out = append(out, attempt)
 			}
 		}
 	}
 	return out
 }
 
-// run waits out the servers' rests, for the one run there is.
-func (b *bench) run() Run {
+// nextAttempt waits out the servers' rests, for the one run there is.
+func (b *bench) nextAttempt() Attempt {
 	b.t.Helper()
 	b.now += 5 * clock.Second
-	runs := b.runs()
-	if len(runs) != 1 {
-		b.t.Fatalf("%d runs, not one: %+v", len(runs), runs)
+	attempts := b.startedAttempts()
+	if len(attempts) != 1 {
+		b.t.Fatalf("%d runs, not one: %+v", len(attempts), attempts)
 	}
-	return runs[0]
+	return attempts[0]
 }
 
 // An opaque item counts by its tokens from when it waits until a server has
 // finished it, on whichever try.
 func TestAnOpaqueItemCountsUntilItIsFinished(t *testing.T) {
 	b := newBench(t, "s")
-	b.take(0, 500)
-	if got := b.Waiting("r"); got != 500 {
+	b.submitItem(0, 500)
+	if got := b.WaitingWeight("r"); got != 500 {
 		t.Fatalf("%d wait in the backlog", got)
 	}
-	first := b.run()
-	b.Begin(Began{Token: first.Token}, b.now)
-	if got := b.Waiting("r"); got != 500 {
+	first := b.nextAttempt()
+	b.HandleAttemptStarted(AttemptStarted{AttemptID: first.ID}, b.now)
+	if got := b.WaitingWeight("r"); got != 500 {
 		t.Fatalf("%d wait while it runs", got)
 	}
-	b.Finished(Ran{Token: first.Token, Outcome: modelclient.Cut}, b.now)
-	if got := b.Waiting("r"); got != 500 {
+	b.HandleAttemptResult(AttemptResult{AttemptID: first.ID, Outcome: modelclient.Interrupted}, b.now)
+	if got := b.WaitingWeight("r"); got != 500 {
 		t.Fatalf("%d wait after a try that was cut", got)
 	}
-	second := b.run()
-	b.Finished(Ran{Token: second.Token, Outcome: modelclient.Complete}, b.now)
-	if got := b.Waiting("r"); got != 0 {
+	second := b.nextAttempt()
+	b.HandleAttemptResult(AttemptResult{AttemptID: second.ID, Outcome: modelclient.Complete}, b.now)
+	if got := b.WaitingWeight("r"); got != 0 {
 		t.Fatalf("%d wait once it is finished", got)
 	}
 	// Items with an input count one, and only until a server has begun them.
-	b.Take(store.ItemOrder{Bundle: "c", Customer: "c", Route: "chat", Input: "x", Plan: 1}, b.now)
-	third := b.run()
-	if got := b.Waiting("c"); got != 1 {
+	b.Submit(store.RunItem{Batch: "c", Tenant: "c", Route: "chat", Input: "x", ConfigurationVersion: 1}, b.now)
+	third := b.nextAttempt()
+	if got := b.WaitingWeight("c"); got != 1 {
 		t.Fatalf("%d wait for a server to begin", got)
 	}
-	b.Begin(Began{Token: third.Token}, b.now)
-	if got := b.Waiting("c"); got != 0 {
+	b.HandleAttemptStarted(AttemptStarted{AttemptID: third.ID}, b.now)
+	if got := b.WaitingWeight("c"); got != 0 {
 		t.Fatalf("%d wait once it has begun", got)
 	}
 }
 
 // A parked item counts as well.
-func TestAParkedItemCountsByItsTokens(t *testing.T) {
+func TestADeferredItemCountsByItsTokens(t *testing.T) {
 	b := newBench(t)
-	b.d.Close(b.now)
-	b.take(0, 500)
-	b.take(1, 30)
-	if got := b.Waiting("r"); got != 530 {
+	b.scheduler.Close(b.now)
+	b.submitItem(0, 500)
+	b.submitItem(1, 30)
+	if got := b.WaitingWeight("r"); got != 530 {
 		t.Fatalf("%d wait", got)
 	}
-	b.Revoke(store.Revoke{Bundle: "b", Slot: -1}, b.now)
-	if got := b.Waiting("r"); got != 0 {
+	b.Revoke(store.CancelItems{Batch: "b", Shard: -1}, b.now)
+	if got := b.WaitingWeight("r"); got != 0 {
 		t.Fatalf("%d wait once they are called back", got)
 	}
 }
 
-// went tells how the one run there is went, by its name for the item.
-func (b *bench) went(ran Ran) Run {
+// finishNext tells how the one run there is went, by its name for the item.
+func (b *bench) finishNext(result AttemptResult) Attempt {
 	b.t.Helper()
-	run := b.run()
-	ran.Token = run.Token
-	b.Finished(ran, b.now)
-	return run
+	attempt := b.nextAttempt()
+	result.AttemptID = attempt.ID
+	b.HandleAttemptResult(result, b.now)
+	return attempt
 }
 
-func (b *bench) only(status, output string) {
+func (b *bench) expectOnly(status, output string) {
 	b.t.Helper()
-	if len(b.listed) != 1 || b.listed[0].Status != status || b.listed[0].Output != output || b.Open() != 0 {
-		b.t.Fatalf("listed %+v, %d open; wanted %s %q", b.listed, b.Open(), status, output)
+	if len(b.results) != 1 || b.results[0].Status != status || b.results[0].Output != output || b.Pending() != 0 {
+		b.t.Fatalf("listed %+v, %d open; wanted %s %q", b.results, b.Pending(), status, output)
 	}
 }
 
-func (b *bench) none() {
+func (b *bench) expectNone() {
 	b.t.Helper()
-	if len(b.listed) > 0 {
-		b.t.Fatalf("listed %+v", b.listed)
+	if len(b.results) > 0 {
+		b.t.Fatalf("listed %+v", b.results)
 	}
 }
 
@@ -153,153 +153,153 @@
 // is listed with the events of all tries.
 func TestAnOpaqueItemGoesOnAfterItsLastEvent(t *testing.T) {
 	b := newBench(t, "s")
-	b.take(7, 1)
-	first := b.went(Ran{Outcome: modelclient.Cut, Events: []string{"e1", "e2"}, LastEvent: 2})
-	if f := first.Forward; f == nil || f.Bundle != "b" || f.ID != "i7" || f.Instance != "s" || f.Resume != 0 || string(f.Request.Body) != "body 7" || first.Request.Address != "s:1" {
-		t.Fatalf("the shell was told %+v %+v", first, first.Forward)
+	b.submitItem(7, 1)
+	first := b.finishNext(AttemptResult{Outcome: modelclient.Interrupted, Events: []string{"e1", "e2"}, LastEventID: 2})
+	if f := first.ForwardedItem; f == nil || f.Batch != "b" || f.ItemID != "i7" || f.Instance != "s" || f.LastEventID != 0 || string(f.Request.Body) != "body 7" || first.Request.Address != "s:1" {
+		t.Fatalf("the shell was told %+v %+v", first, first.ForwardedItem)
 	}
-	if second := b.went(Ran{Outcome: modelclient.NotStarted}); second.Forward.Resume != 2 {
-		t.Fatalf("it goes on after %d", second.Forward.Resume)
+	if second := b.finishNext(AttemptResult{Outcome: modelclient.NotStarted}); second.ForwardedItem.LastEventID != 2 {
+		t.Fatalf("it goes on after %d", second.ForwardedItem.LastEventID)
 	}
 	// What can't be gone on with comes again, and is not kept.
-	b.went(Ran{Outcome: modelclient.Cut, Events: []string{"no id"}})
-	b.went(Ran{Failed: true, Events: []string{"e3"}, LastEvent: 3})
-	b.none()
-	if last := b.went(Ran{Outcome: modelclient.Complete, Events: []string{"e4", "end"}, LastEvent: 4}); last.Forward.Resume != 3 {
-		t.Fatalf("it goes on after %d", last.Forward.Resume)
+	b.finishNext(AttemptResult{Outcome: modelclient.Interrupted, Events: []string{"no id"}})
+	b.finishNext(AttemptResult{ServerFailed: true, Events: []string{"e3"}, LastEventID: 3})
+	b.expectNone()
+	if last := b.finishNext(AttemptResult{Outcome: modelclient.Complete, Events: []string{"e4", "end"}, LastEventID: 4}); last.ForwardedItem.LastEventID != 3 {
+		t.Fatalf("it goes on after %d", last.ForwardedItem.LastEventID)
 	}
-	b.only(shard.StatusOK, "e1\ne2\ne3\ne4\nend")
+	b.expectOnly(shard.StatusOK, "e1\ne2\ne3\ne4\nend")
 }
 
 // Events between tries are bounded: beyond that the item begins anew, and is not
 // given up.
-func TestEventsBetweenTriesAreBounded(t *testing.T) {
+func TestEventsBetweenAttemptsAreBounded(t *testing.T) {
 	b := newBench(t, "s")
-	b.set.MostBytes = 5
-	b.take(0, 1)
-	b.went(Ran{Outcome: modelclient.Cut, Events: []string{"abc"}, LastEvent: 1})
-	b.went(Ran{Outcome: modelclient.Cut, Events: []string{"def"}, LastEvent: 2})
-	if run := b.went(Ran{Outcome: modelclient.Complete, Events: []string{"abc", "def", "g"}, LastEvent: 3}); run.Forward.Resume != 0 {
-		t.Fatalf("it goes on after %d", run.Forward.Resume)
-	}
-	b.only(shard.StatusOK, "abc\ndef\ng")
+	b.settings.MaxOutputBytes = 5
+	b.submitItem(0, 1)
+	b.finishNext(AttemptResult{Outcome: modelclient.Interrupted, Events: []string{"abc"}, LastEventID: 1})
+	b.finishNext(AttemptResult{Outcome: modelclient.Interrupted, Events: []string{"def"}, LastEventID: 2})
+	if attempt := b.finishNext(AttemptResult{Outcome: modelclient.Complete, Events: []string{"abc", "def", "g"}, LastEventID: 3}); attempt.ForwardedItem.LastEventID != 0 {
+		t.Fatalf("it goes on after %d", attempt.ForwardedItem.LastEventID)
+	}
+	b.expectOnly(shard.StatusOK, "abc\ndef\ng")
 }
 
 // Only failed attempts count, and only as many as the route allows.
 func TestOnlyFailedAttemptsCount(t *testing.T) {
 	b := newBench(t, "s")
-	b.take(0, 1)
-	for i := 0; i < 3*Defaults().MostTries; i++ {
-		b.went(Ran{Outcome: []modelclient.Outcome{modelclient.NotStarted, modelclient.Cut}[i%2], Why: "broken off"})
-	}
-	b.went(Ran{Failed: true, Why: "500"})
-	b.went(Ran{Failed: true, Why: "500"})
-	b.none()
-	b.went(Ran{Failed: true, Why: "500"})
-	b.only(shard.StatusFailed, "its attempts have failed: 500")
+	b.submitItem(0, 1)
+	for i := 0; i < 3*Defaults().MaxAttempts; i++ {
+		b.finishNext(AttemptResult{Outcome: []modelclient.Outcome{modelclient.NotStarted, modelclient.Interrupted}[i%2], Reason: "broken off"})
+	}
+	b.finishNext(AttemptResult{ServerFailed: true, Reason: "500"})
+	b.finishNext(AttemptResult{ServerFailed: true, Reason: "500"})
+	b.expectNone()
+	b.finishNext(AttemptResult{ServerFailed: true, Reason: "500"})
+	b.expectOnly(shard.StatusFailed, "its attempts have failed: 500")
 }
 
 // What a server rejects is listed at once.
-func TestARejectedItemIsListedAtOnce(t *testing.T) {
+func TestARejectedItemFinishesAtOnce(t *testing.T) {
 	b := newBench(t, "s")
-	b.take(0, 1)
-	b.went(Ran{Outcome: modelclient.Rejected, Why: "422"})
-	b.only(shard.StatusFailed, "the server rejected it: 422")
+	b.submitItem(0, 1)
+	b.finishNext(AttemptResult{Outcome: modelclient.Rejected, Reason: "422"})
+	b.expectOnly(shard.StatusFailed, "the server rejected it: 422")
 }
 
 // A failed attempt is followed by one elsewhere where there is an elsewhere.
 func TestAFailedAttemptIsFollowedByOneElsewhere(t *testing.T) {
 	b := newBench(t, "s1", "s2")
-	b.take(0, 1)
-	first := b.went(Ran{Failed: true})
-	if second := b.went(Ran{Failed: true}); second.Forward.Instance == first.Forward.Instance {
-		t.Fatalf("both went to %s", first.Forward.Instance)
+	b.submitItem(0, 1)
+	first := b.finishNext(AttemptResult{ServerFailed: true})
+	if second := b.finishNext(AttemptResult{ServerFailed: true}); second.ForwardedItem.Instance == first.ForwardedItem.Instance {
+		t.Fatalf("both went to %s", first.ForwardedItem.Instance)
 	}
-	b.went(Ran{Outcome: modelclient.Complete, Events: []string{"x"}, LastEvent: 1})
-	b.only(shard.StatusOK, "x")
+	b.finishNext(AttemptResult{Outcome: modelclient.Complete, Events: []string{"x"}, LastEventID: 1})
+	b.expectOnly(shard.StatusOK, "x")
 }
 
 // An item that is parked and handed over again keeps its attempts and events.
-func TestAParkedItemKeepsWhatItHas(t *testing.T) {
+func TestADeferredItemKeepsWhatItHas(t *testing.T) {
 	b := newBench(t, "s")
-	allowed := true
-	b.allowed = func(int, string, int, clock.Micros) bool { return allowed }
-	b.take(0, 1)
-	b.went(Ran{Failed: true, Events: []string{"e1"}, LastEvent: 1})
-	allowed, b.now = false, b.now+5*clock.Second
-	if runs := b.runs(); len(runs) != 0 || len(b.parked) != 1 {
-		t.Fatalf("%d runs without a lease, %d parked", len(runs), len(b.parked))
-	}
-	allowed = true
-	b.take(0, 1)
-	if run := b.went(Ran{Failed: true}); run.Forward.Resume != 1 {
-		t.Fatalf("it goes on after %d", run.Forward.Resume)
-	}
-	b.none()
-	b.went(Ran{Failed: true, Why: "500"})
-	b.only(shard.StatusFailed, "its attempts have failed: 500")
+	mayRun := true
+	b.mayRun = func(int, string, int, clock.Micros) bool { return mayRun }
+	b.submitItem(0, 1)
+	b.finishNext(AttemptResult{ServerFailed: true, Events: []string{"e1"}, LastEventID: 1})
+	mayRun, b.now = false, b.now+5*clock.Second
+	if attempts := b.startedAttempts(); len(attempts) != 0 || len(b.deferred) != 1 {
+		t.Fatalf("%d runs without a lease, %d parked", len(attempts), len(b.deferred))
+	}
+	mayRun = true
+	b.submitItem(0, 1)
+	if attempt := b.finishNext(AttemptResult{ServerFailed: true}); attempt.ForwardedItem.LastEventID != 1 {
+		t.Fatalf("it goes on after %d", attempt.ForwardedItem.LastEventID)
+	}
+	b.expectNone()
+	b.finishNext(AttemptResult{ServerFailed: true, Reason: "500"})
+	b.expectOnly(shard.StatusFailed, "its attempts have failed: 500")
 }
 
 // An item that is too old is listed as failed wherever it waits, but not while a
 // server has it; another plan may give it longer, or less.
-func TestAnItemThatIsTooOldIsListedFailed(t *testing.T) {
-	waits := map[string]func(*bench){
+func TestAnItemThatIsTooOldFinishesFailed(t *testing.T) {
+	cases := map[string]func(*bench){
 		"in the backlog": func(*bench) {},
-		"parked":         func(b *bench) { b.d.Close(b.now) },
+		"parked":         func(b *bench) { b.scheduler.Close(b.now) },
 		"in the backlog under a newer plan": func(b *bench) {
-			b.plan(2, config.Forward{Keep: 24 * hour})
+			b.setConfiguration(2, config.Forward{ItemRetention: 24 * hour})
 		},
 	}
-	for name, where := range waits {
+	for name, prepare := range cases {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t)
-			if b.take(0, 9); b.Open() != 1 {
+			if b.submitItem(0, 9); b.Pending() != 1 {
 				t.Fatal("it does not wait")
 			}
-			where(b)
+			prepare(b)
 			b.now += 24 * hour
-			b.ClockEvent(b.now)
-			b.none()
+			b.Tick(b.now)
+			b.expectNone()
 			b.now += clock.Second
-			b.ClockEvent(b.now)
-			b.only(shard.StatusFailed, late)
-			if got := b.Waiting("r"); got != 0 {
+			b.Tick(b.now)
+			b.expectOnly(shard.StatusFailed, retentionExceeded)
+			if got := b.WaitingWeight("r"); got != 0 {
 				t.Fatalf("%d wait still", got)
 			}
 		})
 	}
 	t.Run("on a server", func(t *testing.T) {
 		b := newBench(t, "s")
-		b.take(0, 9)
-		run := b.run()
+		b.submitItem(0, 9)
+		attempt := b.nextAttempt()
 		b.now += 25 * hour
-		b.ClockEvent(b.now)
-		b.none()
-		b.Finished(Ran{Token: run.Token, Outcome: modelclient.NotStarted}, b.now)
-		b.only(shard.StatusFailed, late)
+		b.Tick(b.now)
+		b.expectNone()
+		b.HandleAttemptResult(AttemptResult{AttemptID: attempt.ID, Outcome: modelclient.NotStarted}, b.now)
+		b.expectOnly(shard.StatusFailed, retentionExceeded)
 	})
 	t.Run("kept for good", func(t *testing.T) {
 		b := newBench(t)
-		b.take(0, 9)
-		b.plan(2, config.Forward{})
+		b.submitItem(0, 9)
+		b.setConfiguration(2, config.Forward{})
 		b.now += 1000 * hour
-		b.ClockEvent(b.now)
-		b.none()
+		b.Tick(b.now)
+		b.expectNone()
 	})
 }
 
 // An item whose route is gone, or passes nothing on any more, is listed as failed.
-func TestAnItemWithoutItsRouteIsListedFailed(t *testing.T) {
-	for name, routes := range map[string][]config.Route{"gone": nil, "another": {{Name: "r", Kind: config.Bundle}}} {
+func TestAnItemWithoutItsRouteFinishesFailed(t *testing.T) {
+	for name, routes := range map[string][]config.Route{"gone": nil, "another": {{Name: "r", Kind: config.Batch}}} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t)
-			b.take(0, 9)
-			plan := &config.Plan{Version: 2, Routes: routes}
-			plan.Index()
-			b.d.SetPlan(plan, b.now)
+			b.submitItem(0, 9)
+			configuration := &config.Configuration{Version: 2, Routes: routes}
+			configuration.Index()
+			b.scheduler.SetConfiguration(configuration, b.now)
 			b.now += 2 * clock.Second
-			b.ClockEvent(b.now)
-			b.only(shard.StatusFailed, gone)
+			b.Tick(b.now)
+			b.expectOnly(shard.StatusFailed, routeRemoved)
 		})
 	}
 }
@@ -307,40 +307,40 @@
 // Items do not wait behind one that can't start, and start in the order they came.
 func TestItemsDoNotWaitBehindOneThatCantStart(t *testing.T) {
 	b := newBench(t, "s1", "s2")
-	b.take(0, 1)
-	first := b.run()
-	b.Finished(Ran{Token: first.Token, Failed: true}, b.now) // waits for the other server now
-	other := map[string]string{"s1": "s2", "s2": "s1"}[first.Forward.Instance]
-	b.d.SetLoad(other, 1, registry.Load{Running: 40, Sound: true, At: b.now})
-	b.take(1, 1)
-	b.take(2, 1)
-	second := b.run()
-	if second.Forward.ID != "i1" {
-		t.Fatalf("started %v", second.Forward.ID)
-	}
-	b.Begin(Began{Token: second.Token}, b.now) // one item at a time is read in
-	if third := b.run(); third.Forward.ID != "i2" {
-		t.Fatalf("started %v", third.Forward.ID)
+	b.submitItem(0, 1)
+	first := b.nextAttempt()
+	b.HandleAttemptResult(AttemptResult{AttemptID: first.ID, ServerFailed: true}, b.now) // waits for the other server now
+	other := map[string]string{"s1": "s2", "s2": "s1"}[first.ForwardedItem.Instance]
+	b.scheduler.SetLoad(other, 1, registry.Load{Running: 40, Healthy: true, ReadAt: b.now})
+	b.submitItem(1, 1)
+	b.submitItem(2, 1)
+	second := b.nextAttempt()
+	if second.ForwardedItem.ItemID != "i1" {
+		t.Fatalf("started %v", second.ForwardedItem.ItemID)
+	}
+	b.HandleAttemptStarted(AttemptStarted{AttemptID: second.ID}, b.now) // one item at a time is read in
+	if third := b.nextAttempt(); third.ForwardedItem.ItemID != "i2" {
+		t.Fatalf("started %v", third.ForwardedItem.ItemID)
 	}
 }
 
 // A keeper's items keep to its part of a server: the first level's limit, shared by
 // the stores that live.
-func TestAKeepersItemsKeepToTheirPart(t *testing.T) {
+func TestAStoresItemsKeepToTheirShare(t *testing.T) {
 	b := newBench(t, "s") // with 4 slots, of which the lowest level may fill 0.7
-	ranked := &config.Plan{Version: 2, Classes: []config.Class{{Name: "low", Rank: 1}, {Name: "high", Rank: 2}}, Judges: map[string]float64{"spread": 1}, Pools: []config.Pool{{Name: "p"}},
-		Routes: []config.Route{{Name: "r", Kind: config.Bundle, Forward: &config.Forward{}}}}
+	ranked := &config.Configuration{Version: 2, Classes: []config.PriorityClass{{Name: "low", Priority: 1}, {Name: "high", Priority: 2}}, ScorerWeights: map[string]float64{"spread": 1}, Pools: []config.Pool{{Name: "p"}},
+		Routes: []config.Route{{Name: "r", Kind: config.Batch, Forward: &config.Forward{}}}}
 	ranked.Index()
-	b.d.SetPlan(ranked, b.now)
+	b.scheduler.SetConfiguration(ranked, b.now)
 	for i := range 6 {
-		b.take(i, 1)
+		b.submitItem(i, 1)
 	}
 	started := 0
 	for range 6 {
 		b.now += 5 * clock.Second
-		for _, run := range b.runs() {
+		for _, attempt := range b.startedAttempts() {
 			started++
-			b.Begin(Began{Token: run.Token}, b.now)
+			b.HandleAttemptStarted(AttemptStarted{AttemptID: attempt.ID}, b.now)
 		}
 	}
 	if started != 3 { // 0.7 of 4, rounded
@@ -350,36 +350,36 @@
 
 // An item that waits runs by the route of the plan in force, not by that under
 // which it began to wait.
-func TestARunGoesByThePlanInForce(t *testing.T) {
+func TestAnAttemptUsesTheCurrentConfiguration(t *testing.T) {
 	b := newBench(t, "s")
-	b.Take(store.ItemOrder{Bundle: "c", Customer: "c", Route: "chat", Input: "x", Plan: 1}, b.now)
-	plan := &config.Plan{Version: 2, Judges: map[string]float64{"spread": 1}, Pools: []config.Pool{{Name: "p"}}, Routes: []config.Route{{Name: "chat", Kind: config.Bundle, Model: "new"}}}
-	plan.Index()
-	b.d.SetPlan(plan, b.now)
-	if run := b.run(); run.Request.Model != "new" || run.Forward != nil {
-		t.Fatalf("%+v", run)
+	b.Submit(store.RunItem{Batch: "c", Tenant: "c", Route: "chat", Input: "x", ConfigurationVersion: 1}, b.now)
+	configuration := &config.Configuration{Version: 2, ScorerWeights: map[string]float64{"spread": 1}, Pools: []config.Pool{{Name: "p"}}, Routes: []config.Route{{Name: "chat", Kind: config.Batch, Model: "new"}}}
+	configuration.Index()
+	b.scheduler.SetConfiguration(configuration, b.now)
+	if attempt := b.nextAttempt(); attempt.Request.Model != "new" || attempt.ForwardedItem != nil {
+		t.Fatalf("%+v", attempt)
 	}
 }
 
 // What found no fresh lease when its slot began to serve starts as soon as there is
 // one; the store does not have to hand it over again.
-func TestAParkedItemStartsOnceItMay(t *testing.T) {
+func TestADeferredItemStartsOnceItMay(t *testing.T) {
 	b := newBench(t, "s")
 	lease := false
-	b.Runner = New(Defaults(), b.wire, b.d, func(int, string, int, clock.Micros) bool { return lease }, func(store.Ran, clock.Micros) {})
-	b.take(0, 1)
-	if runs := b.runs(); len(runs) != 0 {
-		t.Fatalf("%d runs without a lease", len(runs))
+	b.Runner = New(Defaults(), b.machineCalls, b.scheduler, func(int, string, int, clock.Micros) bool { return lease }, func(store.ItemFinished, clock.Micros) {})
+	b.submitItem(0, 1)
+	if attempts := b.startedAttempts(); len(attempts) != 0 {
+		t.Fatalf("%d runs without a lease", len(attempts))
 	}
-	b.now += retryEvery
-	b.ClockEvent(b.now)
-	if runs := b.runs(); len(runs) != 0 {
-		t.Fatalf("%d runs without a lease", len(runs))
+	b.now += retryInterval
+	b.Tick(b.now)
+	if attempts := b.startedAttempts(); len(attempts) != 0 {
+		t.Fatalf("%d runs without a lease", len(attempts))
 	}
 	lease = true
-	b.now += retryEvery
-	b.ClockEvent(b.now)
-	if runs := b.runs(); len(runs) != 1 {
-		t.Fatalf("%d runs with a lease, not one", len(runs))
+	b.now += retryInterval
+	b.Tick(b.now)
+	if attempts := b.startedAttempts(); len(attempts) != 1 {
+		t.Fatalf("%d runs with a lease, not one", len(attempts))
 	}
 }
--- a/path/gate/body.go
+++ b/path/gate/body.go
@@ -6,11 +6,11 @@
 	"tuliprudder/kernel/httpserver"
 )
 
-// Body reads a request's body whole, up to a bound.
-func Body(w http.ResponseWriter, r *http.Request, most int64) ([]byte, error) {
+// ReadBody reads a request's body whole, up to a bound.
+func ReadBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
 	}
-	r.Body = http.MaxBytesReader(w, r.Body, most)
+	r.Body = http.MaxBytesReader(w, r.Body, limit)
 	return httpserver.ReadBody(r)
 }
--- a/path/gate/bundles.go
+++ b/path/gate/bundles.go
@@ -13,26 +13,26 @@
 	"tuliprudder/path/requests"
 )
 
-// BundleBody is a bundle as handed in.
-type BundleBody struct {
+// SubmitBatchBody is a bundle as handed in.
+type SubmitBatchBody struct {
 	Items []shard.Item `json:"items"`
 }
 
-// Bundle takes a bundle in: whole and on two disks, or not at all.
-func (g *Gate) Bundle(w http.ResponseWriter, r *http.Request) error {
+// SubmitBatch takes a bundle in: whole and on two disks, or not at all.
+func (h *Handler) SubmitBatch(w http.ResponseWriter, r *http.Request) error {
 	data, err := httpserver.ReadBody(r)
 	if err != nil {
 		return err
 	}
-	var body BundleBody
+	var body SubmitBatchBody
 	if err := httpserver.Decode(data, &body); err != nil {
 		return err
 	}
 	key := r.Header.Get("Idempotency-Key")
 	if key == "" {
-		key = NewName()
+		key = NewID()
 	}
-	receipt, err := ask[store.Receipt](g, r, requests.SubmitBundle{Caller: caller(r), Route: porchVar(r, "route"), Key: key, Items: body.Items}, nil)
+	acknowledgement, err := callMachine[store.SubmitResponse](h, r, requests.SubmitBatchRequest{APIKey: apiKey(r), Route: pathParameter(r, "route"), IdempotencyKey: key, Items: body.Items}, nil)
 	if err != nil {
 		if errs.Is(err, errs.OutcomeUnknown) {
 			w.Header().Set("Idempotency-Key", key)
@@ -40,40 +40,44 @@
 		return err
 	}
 	status := http.StatusCreated
-	if receipt.Repeated {
+	if acknowledgement.Repeated {
 		status = http.StatusOK
 	}
-	return httpserver.WriteJSON(w, status, map[string]any{"bundle": receipt.Bundle, "items": receipt.Items, "idempotency_key": key,
-		"repeated": receipt.Repeated, "keeper": receipt.Store, "results": "/v1/bundles/" + receipt.Bundle + "/results"})
+	return httpserver.WriteJSON(w, status, map[string]any{"bundle": acknowledgement.Batch, "items": acknowledgement.Items, "idempotency_key": key,
+		"repeated": acknowledgement.Repeated, "keeper": acknowledgement.Store, "results": "/v1/bundles/" + acknowledgement.Batch + "/results"})
 }
 
-// Status tells how a bundle stands.
-func (g *Gate) Status(w http.ResponseWriter, r *http.Request) error { return g.look(w, r, false) }
+// BatchStatus tells how a bundle stands.
+func (h *Handler) BatchStatus(w http.ResponseWriter, r *http.Request) error {
+	return h.writeBatchStatus(w, r, false)
+}
 
-// End ends a bundle: durable before it is answered.
-func (g *Gate) End(w http.ResponseWriter, r *http.Request) error { return g.look(w, r, true) }
+// CancelBatch ends a bundle: durable before it is answered.
+func (h *Handler) CancelBatch(w http.ResponseWriter, r *http.Request) error {
+	return h.writeBatchStatus(w, r, true)
+}
 
-func (g *Gate) look(w http.ResponseWriter, r *http.Request, end bool) error {
-	status, err := ask[store.Status](g, r, requests.BundleStatus{Caller: caller(r), Bundle: porchVar(r, "bundle"), End: end}, nil)
+func (h *Handler) writeBatchStatus(w http.ResponseWriter, r *http.Request, cancel bool) error {
+	status, err := callMachine[store.BatchStatus](h, r, requests.BatchStatusRequest{APIKey: apiKey(r), Batch: pathParameter(r, "bundle"), Cancel: cancel}, nil)
 	if err != nil {
 		return err
 	}
-	return httpserver.WriteJSON(w, http.StatusOK, map[string]any{"bundle": status.Bundle, "route": status.Route, "state": status.State,
-		"items": status.Items, "listed": status.Listed, "enrolled_us": status.Enrolled,
-		"kept": map[string]any{"keeper": status.Store, "writer": status.Writer, "slot": status.Slot, "epoch": status.Epoch, "replicas": status.Replicas}})
+	return httpserver.WriteJSON(w, http.StatusOK, map[string]any{"bundle": status.Batch, "route": status.Route, "state": status.State,
+		"items": status.Items, "listed": status.Finished, "enrolled_us": status.SubmittedAt,
+		"kept": map[string]any{"keeper": status.Store, "writer": status.Writer, "slot": status.Shard, "epoch": status.Epoch, "replicas": status.Replicas}})
 }
 
-// poll reads the paging parameters.
-func (g *Gate) poll(r *http.Request) (token string, most int, wait clock.Micros, err error) {
+// pageParameters reads the paging parameters.
+func (h *Handler) pageParameters(r *http.Request) (token string, limit int, wait clock.Micros, err error) {
 	query := r.URL.Query()
-	number := func(name string, missing, top int64) int64 {
+	number := func(name string, defaultValue, upperBound int64) int64 {
 		text := query.Get(name)
 		if text == "" {
-			return missing
+			return defaultValue
 		}
-		value, bad := strconv.ParseInt(text, 10, 64)
-		if bad != nil || value < 0 || value > top {
-			err = errs.New(errs.BadInput, "give a whole number within the bound", "%s=%q is not within 0 to %d", name, text, top)
+		value, parseErr := strconv.ParseInt(text, 10, 64)
+		if parseErr != nil || value < 0 || value > upperBound {
+			err = errs.New(errs.BadInput, "give a whole number within the bound", "%s=%q is not within 0 to %d", name, text, upperBound)
 		}
 		return value
 	}
@@ -82,40 +86,40 @@
 			return "", 0, 0, errs.New(errs.BadInput, "use after, limit and wait_us", "no such parameter: %s", name)
 		}
 	}
-	most = int(number("limit", 100, 1000))
-	wait = number("wait_us", 0, int64(g.Set.MostWait))
-	if most == 0 {
-		most = 100
+	limit = int(number("limit", 100, 1000))
+	wait = number("wait_us", 0, int64(h.Settings.MaxLongPoll))
+	if limit == 0 {
+		limit = 100
 	}
-	return query.Get("after"), most, wait, err
+	return query.Get("after"), limit, wait, err
 }
 
-// Results reads one bundle's list.
-func (g *Gate) Results(w http.ResponseWriter, r *http.Request) error {
-	return g.read(w, r, porchVar(r, "bundle"))
+// BatchResults reads one bundle's list.
+func (h *Handler) BatchResults(w http.ResponseWriter, r *http.Request) error {
+	return h.writePage(w, r, pathParameter(r, "bundle"))
 }
 
 // Feed reads all of the caller's bundles as one list.
-func (g *Gate) Feed(w http.ResponseWriter, r *http.Request) error { return g.read(w, r, "") }
+func (h *Handler) Feed(w http.ResponseWriter, r *http.Request) error { return h.writePage(w, r, "") }
 
-// read reads a page; an empty one waits for rows, up to the wait the caller gave.
-func (g *Gate) read(w http.ResponseWriter, r *http.Request, bundle string) error {
-	token, most, wait, err := g.poll(r)
+// writePage reads a page; an empty one waits for rows, up to the wait the caller gave.
+func (h *Handler) writePage(w http.ResponseWriter, r *http.Request, batch string) error {
+	token, limit, wait, err := h.pageParameters(r)
 	if err != nil {
 		return err
 	}
-	read := reader.Read{Name: NewName(), Bundle: bundle, Token: token, Most: most, Wait: wait}
-	page, err := ask[reader.Page](g, r, requests.Page{Caller: caller(r), Read: read}, reader.Left{Name: read.Name})
+	read := reader.Request{ID: NewID(), BatchID: batch, Token: token, Limit: limit, MaxWait: wait}
+	page, err := callMachine[reader.Page](h, r, requests.PageRequest{APIKey: apiKey(r), Read: read}, reader.CallerLeft{RequestID: read.ID})
 	if err != nil {
 		return err
 	}
-	results := page.Rows
+	results := page.Results
 	if results == nil {
-		results = []shard.Row{}
+		results = []shard.Result{}
 	}
-	answer := map[string]any{"results": results, "next": page.Next, "more": page.More}
+	response := map[string]any{"results": results, "next": page.NextToken, "more": page.HasMore}
 	if page.State != "" {
-		answer["state"], answer["items"] = page.State, page.Items
+		response["state"], response["items"] = page.State, page.ItemCount
 	}
-	return httpserver.WriteJSON(w, http.StatusOK, answer)
+	return httpserver.WriteJSON(w, http.StatusOK, response)
 }
--- a/path/gate/forward.go
+++ b/path/gate/forward.go
@@ -18,26 +18,26 @@
 // Forwarder passes opaque requests on to servers (DESIGN §12.2): which server, and
 // whether another is tried, the edge's machine says (path/ford).
 type Forwarder struct {
-	Machine Machine
-	Word    func(body any) // tells the machine something that has no answer
-	Client  *upstream.Client
-	Words   upstream.Words
-	Clock   func() clock.Micros
-	// Refuse writes a final answer of the edge's own.
-	Refuse func(w http.ResponseWriter, err error)
-	// Bulk takes a request that hands in a bundle.
-	Bulk func(w http.ResponseWriter, r *http.Request, body []byte, bulk proxy.Bulk)
-	open atomic.Int64
+	CallMachine MachineCaller
+	Notify      func(body any) // tells the machine something that has no answer
+	Client      *upstream.Client
+	HeaderNames upstream.HeaderNames
+	Now         func() clock.Micros
+	// WriteError writes a final answer of the edge's own.
+	WriteError func(w http.ResponseWriter, err error)
+	// SubmitBatch takes a request that hands in a bundle.
+	SubmitBatch func(w http.ResponseWriter, r *http.Request, body []byte, submission proxy.BatchSubmission)
+	inFlight    atomic.Int64
 }
 
-// Open is how many requests are under way.
-func (f *Forwarder) Open() int64 { return f.open.Load() }
+// InFlight is how many requests are under way.
+func (f *Forwarder) InFlight() int64 { return f.inFlight.Load() }
 
-// hopByHop are the headers that concern one connection only (RFC 9110, 7.6.1).
-var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
+// hopByHopHeaders are the headers that concern one connection only (RFC 9110, 7.6.1).
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
 
-// endToEnd copies the headers that are passed on.
-func endToEnd(from http.Header) http.Header {
+// endToEndHeaders copies the headers that are passed on.
+func endToEndHeaders(from http.Header) http.Header {
 	out := make(http.Header, len(from))
 	for name, values := range from {
 		out[name] = values
@@ -47,44 +47,44 @@
 			delete(out, http.CanonicalHeaderKey(strings.TrimSpace(name)))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		delete(out, name)
 	}
 	delete(out, "Content-Length")
 	return out
 }
 
-// passage is one request on its way through.
-type passage struct {
-	f      *Forwarder
-	w      http.ResponseWriter
-	r      *http.Request
-	order  string
-	body   []byte
-	header http.Header
-	began  bool   // the head of an answer has gone to the caller
-	last   string // id of the last event passed on
+// proxiedRequest is one request on its way through.
+type proxiedRequest struct {
+	forwarder       *Forwarder
+	w               http.ResponseWriter
+	r               *http.Request
+	requestID       string
+	body            []byte
+	header          http.Header
+	responseStarted bool   // the head of an answer has gone to the caller
+	lastEventID     string // id of the last event passed on
 }
 
 // Forward serves one request: the machine says to which server it is sent, hears
 // how that went, and says what is next.
-func (f *Forwarder) Forward(w http.ResponseWriter, r *http.Request, arrive proxy.Arrive, body []byte) {
-	f.open.Add(1)
-	defer f.open.Add(-1)
-	arrive.Order = NewName()
-	p := &passage{f: f, w: w, r: r, order: arrive.Order, body: body, header: endToEnd(r.Header), last: r.Header.Get(f.Words.LastEvent)}
-	var next any = arrive
+func (f *Forwarder) Forward(w http.ResponseWriter, r *http.Request, request proxy.Request, body []byte) {
+	f.inFlight.Add(1)
+	defer f.inFlight.Add(-1)
+	request.ID = NewID()
+	p := &proxiedRequest{forwarder: f, w: w, r: r, requestID: request.ID, body: body, header: endToEndHeaders(r.Header), lastEventID: r.Header.Get(f.HeaderNames.LastEventID)}
+	var next any = request
 	for {
-		word, err := f.Machine(r.Context(), next, nil, patience)
+		decision, err := f.CallMachine(r.Context(), next, nil, machineTimeout)
 		if err != nil {
 			p.fail(err)
 			return
 		}
-		switch said := word.(type) {
-		case proxy.Run:
-			next = p.try(said)
-		case proxy.Bulk:
-			f.Bulk(w, r, body, said)
+		switch action := decision.(type) {
+		case proxy.Attempt:
+			next = p.runAttempt(action)
+		case proxy.BatchSubmission:
+			f.SubmitBatch(w, r, body, action)
 			return
 		default:
 			return
@@ -94,108 +94,108 @@
 
 // fail gives the edge's own final answer; an answer that has begun is broken off,
 // so that it can't look complete.
-func (p *passage) fail(err error) {
-	if p.began {
+func (p *proxiedRequest) fail(err error) {
+	if p.responseStarted {
 		panic(http.ErrAbortHandler)
 	}
-	p.f.Refuse(p.w, err)
+	p.forwarder.WriteError(p.w, err)
 }
 
-// try sends the request to one server, passes on what it answers, and tells how
+// runAttempt sends the request to one server, passes on what it answers, and tells how
 // that went.
-func (p *passage) try(said proxy.Run) proxy.Ran {
-	ran := proxy.Ran{Order: p.order, Outcome: proxy.Cut}
-	left := clock.Span(said.Expiry - p.f.Clock())
-	ctx, cancel := context.WithTimeout(p.r.Context(), left)
+func (p *proxiedRequest) runAttempt(attempt proxy.Attempt) proxy.AttemptResult {
+	result := proxy.AttemptResult{RequestID: p.requestID, Outcome: proxy.Interrupted}
+	remaining := clock.Duration(attempt.Deadline - p.forwarder.Now())
+	ctx, cancel := context.WithTimeout(p.r.Context(), remaining)
 	defer cancel()
-	answer, err := p.f.Client.Do(ctx, upstream.Request{Address: said.Address, Instance: said.Server, Method: p.r.Method, Target: p.r.RequestURI, Host: p.r.Host,
-		ID: p.r.Header.Get(p.f.Words.RequestID), Header: p.header, Body: p.body, Deadline: time.Now().Add(left), LastEvent: p.last})
+	response, err := p.forwarder.Client.Do(ctx, upstream.Request{Address: attempt.Address, Instance: attempt.Server, Method: p.r.Method, Target: p.r.RequestURI, Host: p.r.Host,
+		ID: p.r.Header.Get(p.forwarder.HeaderNames.RequestID), Header: p.header, Body: p.body, Deadline: time.Now().Add(remaining), LastEventID: p.lastEventID})
 	if err != nil {
-		ran.Why, ran.Over = err.Error(), ctx.Err() != nil
+		result.Reason, result.ContextDone = err.Error(), ctx.Err() != nil
 		switch {
 		case errs.Is(err, errs.BadInput):
-			ran.Outcome = proxy.Invalid
-		case upstream.CertaintyOf(err) == upstream.NotWritten:
-			ran.Outcome, ran.Here = proxy.Unsent, errs.Is(err, errs.Busy)
+			result.Outcome = proxy.Invalid
+		case upstream.DeliveryOf(err) == upstream.NotWritten:
+			result.Outcome, result.LocalFailure = proxy.NotSent, errs.Is(err, errs.Busy)
 		}
-		ran.Began = p.began
-		return ran
+		result.ResponseStarted = p.responseStarted
+		return result
 	}
-	defer answer.Close()
+	defer response.Close()
 	switch {
-	case answer.NotRun:
-		io.Copy(io.Discard, io.LimitReader(answer.Body, 64<<10))
-		ran.Outcome, ran.Why = proxy.NotRun, "the server did not run it: "+strconv.Itoa(answer.Status)
-	case promises(answer.Status) && !proxy.Repeatable(said.Route) && !p.began:
-		io.Copy(io.Discard, io.LimitReader(answer.Body, 64<<10))
-		ran.Outcome, ran.Why = proxy.Failed, "the server answered "+strconv.Itoa(answer.Status)+" without its word that it did not run the request"
-	case answer.Status >= 500 && !said.Last && proxy.Repeatable(said.Route), p.began && answer.Status != http.StatusOK:
-		io.Copy(io.Discard, io.LimitReader(answer.Body, 64<<10))
-		ran.Outcome, ran.Why = proxy.Failed, "the server failed: "+strconv.Itoa(answer.Status)
+	case response.NotRun:
+		io.Copy(io.Discard, io.LimitReader(response.Body, 64<<10))
+		result.Outcome, result.Reason = proxy.NotRun, "the server did not run it: "+strconv.Itoa(response.Status)
+	case impliesNotRun(response.Status) && !proxy.IsIdempotent(attempt.Route) && !p.responseStarted:
+		io.Copy(io.Discard, io.LimitReader(response.Body, 64<<10))
+		result.Outcome, result.Reason = proxy.Failed, "the server answered "+strconv.Itoa(response.Status)+" without its word that it did not run the request"
+	case response.Status >= 500 && !attempt.IsLast && proxy.IsIdempotent(attempt.Route), p.responseStarted && response.Status != http.StatusOK:
+		io.Copy(io.Discard, io.LimitReader(response.Body, 64<<10))
+		result.Outcome, result.Reason = proxy.Failed, "the server failed: "+strconv.Itoa(response.Status)
 	default:
-		err := p.pass(answer)
+		err := p.forwardResponse(response)
 		if err == nil {
-			ran.Outcome = proxy.Whole
+			result.Outcome = proxy.Complete
 		} else {
-			ran.Why, ran.Over = err.Error(), ctx.Err() != nil
+			result.Reason, result.ContextDone = err.Error(), ctx.Err() != nil
 		}
 	}
-	ran.Began = p.began
-	return ran
+	result.ResponseStarted = p.responseStarted
+	return result
 }
 
-// promises tells whether callers take a status for the word that the request has not
+// impliesNotRun tells whether callers take a status for the word that the request has not
 // run and never will. From a server it is that only beside its own word; without it,
 // what may run only once gets an answer of the edge's that promises nothing.
-func promises(status int) bool {
+func impliesNotRun(status int) bool {
 	return status == http.StatusRequestTimeout || status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
-// begin sends the head of an answer to the caller; one that goes on with a stream
+// startResponse sends the head of an answer to the caller; one that goes on with a stream
 // keeps the first server's.
-func (p *passage) begin(answer *upstream.Answer, length int) {
-	if p.began {
+func (p *proxiedRequest) startResponse(response *upstream.Response, length int) {
+	if p.responseStarted {
 		return
 	}
-	p.began = true
+	p.responseStarted = true
 	header := p.w.Header()
-	for name, values := range endToEnd(answer.Header) {
+	for name, values := range endToEndHeaders(response.Header) {
 		header[name] = values
 	}
 	if length >= 0 {
 		header.Set("Content-Length", strconv.Itoa(length))
 	}
-	p.w.WriteHeader(answer.Status)
+	p.w.WriteHeader(response.Status)
 }
 
-// pass hands an answer on. Of one that is cut before anything got out, nothing does:
+// forwardResponse hands an answer on. Of one that is cut before anything got out, nothing does:
 // not its head either.
-func (p *passage) pass(answer *upstream.Answer) error {
-	if answer.Status == http.StatusOK && strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream") {
-		return p.events(answer)
+func (p *proxiedRequest) forwardResponse(response *upstream.Response) error {
+	if response.Status == http.StatusOK && strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
+		return p.forwardEvents(response)
 	}
-	if p.began {
+	if p.responseStarted {
 		return errs.New(errs.ServerFault, "have the server go on with the stream", "the server goes on with no stream of events")
 	}
-	data, err := io.ReadAll(answer.Body)
+	data, err := io.ReadAll(response.Body)
 	if err != nil {
 		return err
 	}
-	if !answer.Delimited {
+	if !response.Delimited {
 		return errs.New(errs.ServerFault, "have the server give its answers a length", "nobody can tell whether the answer is whole")
 	}
 	length := -1
-	if answer.Length >= 0 {
+	if response.Length >= 0 {
 		length = len(data)
 	}
-	p.begin(answer, length)
+	p.startResponse(response, length)
 	_, err = p.w.Write(data)
 	return err
 }
 
-// follows tells whether an event is the one after the last that was passed on; ids
+// isNextEvent tells whether an event is the one after the last that was passed on; ids
 // that are no numbers can't be told apart.
-func follows(last, id string) bool {
+func isNextEvent(last, id string) bool {
 	before, err := strconv.ParseInt(last, 10, 64)
 	if err != nil || id == "" {
 		return true
@@ -204,38 +204,38 @@
 	return err != nil || next == before+1
 }
 
-// events passes a stream on, event by event, as they arrive.
-func (p *passage) events(answer *upstream.Answer) error {
-	reader := upstream.NewEventReader(answer.Body)
-	begun, joins := false, p.began
-	control := http.NewResponseController(p.w)
+// forwardEvents passes a stream on, event by event, as they arrive.
+func (p *proxiedRequest) forwardEvents(response *upstream.Response) error {
+	reader := upstream.NewEventReader(response.Body)
+	started, resuming := false, p.responseStarted
+	controller := http.NewResponseController(p.w)
 	for {
 		event, err := reader.Next()
 		switch {
-		case err == io.EOF && !answer.Delimited:
+		case err == io.EOF && !response.Delimited:
 			return io.ErrUnexpectedEOF
 		case err == io.EOF:
-			p.begin(answer, -1)
-			_, err = p.w.Write(reader.Rest())
+			p.startResponse(response, -1)
+			_, err = p.w.Write(reader.Trailing())
 			return err
 		case err != nil:
 			return err
-		case joins && !follows(p.last, event.ID):
-			return errs.New(errs.ServerFault, "have the server go on after the event it is told", "event %s came after event %s", event.ID, p.last)
+		case resuming && !isNextEvent(p.lastEventID, event.ID):
+			return errs.New(errs.ServerFault, "have the server go on after the event it is told", "event %s came after event %s", event.ID, p.lastEventID)
 		}
-		if !begun {
-			begun = true
-			p.f.Word(proxy.Began{Order: p.order})
+		if !started {
+			started = true
+			p.forwarder.Notify(proxy.AttemptStarted{RequestID: p.requestID})
 		}
-		p.begin(answer, -1)
+		p.startResponse(response, -1)
 		if _, err := p.w.Write(event.Raw); err != nil {
 			return err
 		}
-		if err := control.Flush(); err != nil {
+		if err := controller.Flush(); err != nil {
 			return err
 		}
 		if event.ID != "" {
-			p.last, joins = event.ID, false
+			p.lastEventID, resuming = event.ID, false
 		}
 	}
 }
--- a/path/gate/outlet.go
+++ b/path/gate/outlet.go
@@ -13,69 +13,69 @@
 	"tuliprudder/path/requests"
 )
 
-func porchVar(r *http.Request, name string) string { return pathvar.Vars(r)[name] }
+func pathParameter(r *http.Request, name string) string { return pathvar.Vars(r)[name] }
 
-// outlet is where an order's pieces go: kept for a one-shot answer, or streamed.
-type outlet struct {
-	w       http.ResponseWriter
-	order   string
-	streams bool
-	started bool
-	most    int
-	pieces  int
-	text    strings.Builder
+// chunkWriter is where an order's pieces go: kept for a one-shot answer, or streamed.
+type chunkWriter struct {
+	w          http.ResponseWriter
+	requestID  string
+	streaming  bool
+	started    bool
+	maxBytes   int
+	chunkCount int
+	text       strings.Builder
 }
 
-func (o *outlet) piece(text string) error {
-	if o.text.Len()+len(text) > o.most {
-		return errs.New(errs.TooLarge, "lower max_tokens", "the answer is over %d bytes", o.most)
+func (c *chunkWriter) writeChunk(text string) error {
+	if c.text.Len()+len(text) > c.maxBytes {
+		return errs.New(errs.TooLarge, "lower max_tokens", "the answer is over %d bytes", c.maxBytes)
 	}
-	o.text.WriteString(text)
-	o.pieces++
-	if !o.streams {
+	c.text.WriteString(text)
+	c.chunkCount++
+	if !c.streaming {
 		return nil
 	}
-	o.begin()
-	return o.event("piece", map[string]any{"text": text})
+	c.startStream()
+	return c.writeEvent("piece", map[string]any{"text": text})
 }
 
-func (o *outlet) begin() {
-	if o.started {
+func (c *chunkWriter) startStream() {
+	if c.started {
 		return
 	}
-	o.started = true
-	o.w.Header().Set("Content-Type", "text/event-stream")
-	o.w.Header().Set("Cache-Control", "no-store")
-	o.w.Header().Set("X-Order", o.order)
-	o.w.WriteHeader(http.StatusOK)
+	c.started = true
+	c.w.Header().Set("Content-Type", "text/event-stream")
+	c.w.Header().Set("Cache-Control", "no-store")
+	c.w.Header().Set("X-Order", c.requestID)
+	c.w.WriteHeader(http.StatusOK)
 }
 
-func (o *outlet) event(name string, body any) error {
+func (c *chunkWriter) writeEvent(name string, body any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
-	if _, err := fmt.Fprintf(o.w, "event: %s\ndata: %s\n\n", name, data); err != nil {
+	if _, err := fmt.Fprintf(c.w, "event: %s\ndata: %s\n\n", name, data); err != nil {
 		return err
 	}
-	return http.NewResponseController(o.w).Flush()
+	return http.NewResponseController(c.w).Flush()
 }
 
-// end gives the whole answer, or the end mark that only a whole stream has.
-func (o *outlet) end(answer requests.Answer) error {
-	if !o.streams {
-		return httpserver.WriteJSON(o.w, http.StatusOK, answer)
+// complete gives the whole answer, or the end mark that only a whole stream has.
+func (c *chunkWriter) complete(response requests.Response) error {
+	if !c.streaming {
+		return httpserver.WriteJSON(c.w, http.StatusOK, response)
 	}
-	o.begin()
-	return o.event("end", map[string]any{"order": answer.Order, "server": answer.Server, "pieces": o.pieces, "bytes": o.text.Len()})
+	c.startStream()
+	return c.writeEvent("end", map[string]any{"order": response.RequestID, "server": response.Server, "pieces": c.chunkCount, "bytes": c.text.Len()})
 }
 
-// cut tells a stream's caller that it is not whole; before its first piece it is
+// writeError tells a stream's caller that it is not whole; before its first piece it is
 // a plain error.
-func (o *outlet) cut(why error) error {
-	if !o.started {
-		return why
+func (c *chunkWriter) writeError(cause error) error {
+	if !c.started {
+		return cause
 	}
-	o.event("error", map[string]any{"error": errs.Of(why)})
+	c.writeEvent("error", map[string]any{"error": errs.Of(cause)})
 	return nil
 }
--- a/path/gate/script_linux_test.go
+++ b/path/gate/script_linux_test.go
@@ -19,32 +19,32 @@
 	"time"
 )
 
-// lastEvent is the id of the last event of each scripted stream.
-const lastEvent = 3
+// lastEventID is the id of the last event of each scripted stream.
+const lastEventID = 3
 
-// script has TCP servers that answer well, but for one fault: at one moment of the
+// scriptedServers has TCP servers that answer well, but for one fault: at one moment of the
 // first exchange that carries the tested id, in one way.
-type script struct {
-	t   *testing.T
-	at  moment
-	how way
-
-	over chan struct{} // closed at the end of the test
-
-	mu        sync.Mutex
-	failed    bool // the fault has happened
-	arrivals  []*arrival
-	idle      *scriptedConn   // the one that the first request came on
-	strangers map[string]bool // servers in whose place there is another one now
+type scriptedServers struct {
+	t    *testing.T
+	at   failurePoint
+	mode failureMode
+
+	testDone chan struct{} // closed at the end of the test
+
+	mu            sync.Mutex
+	faultInjected bool // the fault has happened
+	received      []*receivedRequest
+	idleConn      *scriptedConn   // the one that the first request came on
+	replaced      map[string]bool // servers in whose place there is another one now
 }
 
-// arrival is one request as a server got it.
-type arrival struct {
-	id   string
-	conn *scriptedConn
-	body int  // bytes of it that were read
-	ran  bool // the server began to work on it
-	done bool // the server reads no more of it
+// receivedRequest is one request as a server got it.
+type receivedRequest struct {
+	id        string
+	conn      *scriptedConn
+	bodyBytes int  // bytes of it that were read
+	executed  bool // the server began to work on it
+	done      bool // the server reads no more of it
 }
 
 // scriptedConn is a server's side of one connection.
@@ -55,15 +55,15 @@
 	pending string // of an answer, kept back until the client sends once more
 }
 
-func newScript(t *testing.T, at moment, how way) *script {
-	s := &script{t: t, at: at, how: how, over: make(chan struct{}), strangers: map[string]bool{}}
-	t.Cleanup(func() { close(s.over) })
+func newScriptedServers(t *testing.T, at failurePoint, mode failureMode) *scriptedServers {
+	s := &scriptedServers{t: t, at: at, mode: mode, testDone: make(chan struct{}), replaced: map[string]bool{}}
+	t.Cleanup(func() { close(s.testDone) })
 	return s
 }
 
 // listen starts a server and gives its address. Its receive buffer is small, so that
 // a client is still writing when a server fails partway through a large request.
-func (s *script) listen(name string) string {
+func (s *scriptedServers) listen(name string) string {
 	s.t.Helper()
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 16<<10) })
@@ -87,12 +87,12 @@
 }
 
 // serve answers the requests of one connection.
-func (s *script) serve(c *scriptedConn) {
+func (s *scriptedServers) serve(c *scriptedConn) {
 	ended := make(chan struct{})
 	defer close(ended)
 	go func() {
 		select {
-		case <-s.over:
+		case <-s.testDone:
 		case <-ended:
 		}
 		c.Close()
@@ -102,124 +102,124 @@
 		if err != nil {
 			return
 		}
-		one, fails := s.arrive(c, request)
+		one, fails := s.recordRequest(c, request)
 		switch {
-		case s.isStranger(c.server):
-			s.skip(one, request)
-			c.say(fmt.Sprintf("HTTP/1.1 421 Misdirected Request\r\nX-Request-Id: %s\r\nContent-Length: 0\r\n\r\n", one.id))
+		case s.isReplaced(c.server):
+			s.discardBody(one, request)
+			c.send(fmt.Sprintf("HTTP/1.1 421 Misdirected Request\r\nX-Request-Id: %s\r\nContent-Length: 0\r\n\r\n", one.id))
 		case fails:
 			if !s.fail(c, one, request) {
 				return
 			}
 		default:
-			s.work(one, request)
-			c.say(c.pending + s.answer(c, one.id, request, false).text())
+			s.execute(one, request)
+			c.send(c.pending + s.response(c, one.id, request, false).text())
 			c.pending = ""
 		}
 	}
 }
 
-func (s *script) arrive(c *scriptedConn, request *http.Request) (*arrival, bool) {
+func (s *scriptedServers) recordRequest(c *scriptedConn, request *http.Request) (*receivedRequest, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	one := &arrival{id: request.Header.Get(words.RequestID), conn: c}
-	s.arrivals = append(s.arrivals, one)
+	one := &receivedRequest{id: request.Header.Get(headerNames.RequestID), conn: c}
+	s.received = append(s.received, one)
 	if one.id == firstID {
-		s.idle = c
+		s.idleConn = c
 	}
-	fails := one.id == testedID && s.at != beforeFirstByte && !s.failed
-	s.failed = s.failed || fails
+	fails := one.id == testedID && s.at != beforeFirstByte && !s.faultInjected
+	s.faultInjected = s.faultInjected || fails
 	return one, fails
 }
 
-func (s *script) isStranger(server string) bool {
+func (s *scriptedServers) isReplaced(server string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.strangers[server]
+	return s.replaced[server]
 }
 
-func (s *script) replace(server string) {
+func (s *scriptedServers) replace(server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.strangers[server] = true
+	s.replaced[server] = true
 }
 
-// skip reads what is left of a request on which no work is done.
-func (s *script) skip(one *arrival, request *http.Request) {
+// discardBody reads what is left of a request on which no work is done.
+func (s *scriptedServers) discardBody(one *receivedRequest, request *http.Request) {
 	io.Copy(io.Discard, request.Body)
-	s.leave(one)
+	s.markDone(one)
 }
 
-// leave reads no more of a request.
-func (s *script) leave(one *arrival) {
+// markDone reads no more of a request.
+func (s *scriptedServers) markDone(one *receivedRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	one.done = true
 }
 
-// work begins work on a request, once all of it has come.
-func (s *script) work(one *arrival, request *http.Request) {
+// execute begins work on a request, once all of it has come.
+func (s *scriptedServers) execute(one *receivedRequest, request *http.Request) {
 	n, err := io.Copy(io.Discard, request.Body)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	one.body, one.ran, one.done = int(n), err == nil, true
+	one.bodyBytes, one.executed, one.done = int(n), err == nil, true
 }
 
-// seen counts the tested request's arrivals and runs, and tells whether the
+// tally counts the tested request's arrivals and runs, and tells whether the
 // connection of the first request carried the last one as well, and whether a
 // server worked on another body than the one that was sent.
-func (s *script) seen(size int) (sent, ran int, reused, tampered bool) {
+func (s *scriptedServers) tally(size int) (attempts, executions int, reused, tampered bool) {
 	waitFor(s.t, "the servers to be done with what they got", s.allDone)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, one := range s.arrivals {
+	for _, one := range s.received {
 		if one.id == nextID {
-			reused = reused || one.conn == s.idle
+			reused = reused || one.conn == s.idleConn
 		}
 		if one.id != testedID {
 			continue
 		}
-		sent++
-		if one.ran {
-			ran++
-			tampered = tampered || one.body != size
+		attempts++
+		if one.executed {
+			executions++
+			tampered = tampered || one.bodyBytes != size
 		}
 	}
-	return sent, ran, reused, tampered
+	return attempts, executions, reused, tampered
 }
 
-func (s *script) allDone() bool {
+func (s *scriptedServers) allDone() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !slices.ContainsFunc(s.arrivals, func(one *arrival) bool { return !one.done })
+	return !slices.ContainsFunc(s.received, func(one *receivedRequest) bool { return !one.done })
 }
 
-// parts are an answer's, to be cut between any two of them.
-type parts struct{ status, head, first, rest, end string }
+// responseParts are an answer's, to be cut between any two of them.
+type responseParts struct{ status, head, first, rest, end string }
 
-func (p parts) text() string { return p.status + p.head + p.first + p.rest + p.end }
+func (p responseParts) text() string { return p.status + p.head + p.first + p.rest + p.end }
 
-func chunk(text string) string {
+func encodeChunk(text string) string {
 	if text == "" {
 		return ""
 	}
 	return fmt.Sprintf("%x\r\n%s\r\n", len(text), text)
 }
 
-// answer is a server's whole answer to a request, under an id.
-func (s *script) answer(c *scriptedConn, id string, request *http.Request, chunked bool) parts {
-	p := parts{status: "HTTP/1.1 200 OK\r\nX-Be"}
+// response is a server's whole answer to a request, under an id.
+func (s *scriptedServers) response(c *scriptedConn, id string, request *http.Request, chunked bool) responseParts {
+	p := responseParts{status: "HTTP/1.1 200 OK\r\nX-Be"}
 	framing := "Transfer-Encoding: chunked\r\nContent-Type: text/plain"
 	text := c.server + " ran " + id
 	if strings.HasPrefix(request.URL.Path, "/"+kindStream+"/") || strings.HasPrefix(request.URL.Path, "/"+kindResumable+"/") {
 		framing = "Transfer-Encoding: chunked\r\nContent-Type: " + eventStream
-		from, _ := strconv.Atoi(request.Header.Get(words.LastEvent))
-		if from < lastEvent {
-			p.first = chunk(event(from + 1))
+		from, _ := strconv.Atoi(request.Header.Get(headerNames.LastEventID))
+		if from < lastEventID {
+			p.first = encodeChunk(eventText(from + 1))
 		}
-		p.rest, p.end = chunk(run(from+2, lastEvent)), "0\r\n\r\n"
+		p.rest, p.end = encodeChunk(eventTexts(from+2, lastEventID)), "0\r\n\r\n"
 	} else if chunked {
-		p.first, p.rest, p.end = chunk(text[:3]), chunk(text[3:]), "0\r\n\r\n"
+		p.first, p.rest, p.end = encodeChunk(text[:3]), encodeChunk(text[3:]), "0\r\n\r\n"
 	} else {
 		framing = fmt.Sprintf("Content-Length: %d\r\nContent-Type: text/plain", len(text))
 		p.first, p.rest = text[:3], text[3:]
@@ -232,85 +232,85 @@
 const garbage = "zz\x00 spoilt\r\n\r\n"
 
 // fail has the fault happen; false: the connection is no more.
-func (s *script) fail(c *scriptedConn, one *arrival, request *http.Request) bool {
-	if s.at != partway {
-		s.work(one, request)
+func (s *scriptedServers) fail(c *scriptedConn, one *receivedRequest, request *http.Request) bool {
+	if s.at != midRequest {
+		s.execute(one, request)
 	}
-	own := s.answer(c, one.id, request, s.at == inBody)
-	before, after := s.split(own)
-	c.say(before)
-	switch s.how {
-	case surplusAnswer, wrongID, spoiltBytes:
-		c.say(s.intruder(c, request))
-		if s.at == partway && s.how != spoiltBytes {
-			s.work(one, request)
+	ownResponse := s.response(c, one.id, request, s.at == inResponseBody)
+	before, after := s.splitAtFault(ownResponse)
+	c.send(before)
+	switch s.mode {
+	case surplusResponse, wrongID, corruptBytes:
+		c.send(s.faultyBytes(c, request))
+		if s.at == midRequest && s.mode != corruptBytes {
+			s.execute(one, request)
 		}
-		s.skip(one, request)
-		if s.how == surplusAnswer {
-			c.say(after)
+		s.discardBody(one, request)
+		if s.mode == surplusResponse {
+			c.send(after)
 		}
 		return true
-	case silence:
-		if s.at == partway {
-			s.leave(one)
-			<-s.over
+	case noResponse:
+		if s.at == midRequest {
+			s.markDone(one)
+			<-s.testDone
 			return false
 		}
 		c.pending = after
 		return true
 	}
-	return s.end(c, one, request)
+	return s.breakConnection(c, one, request)
 }
 
-// split parts an answer at the moment of the fault.
-func (s *script) split(own parts) (before, after string) {
+// splitAtFault parts an answer at the moment of the fault.
+func (s *scriptedServers) splitAtFault(ownResponse responseParts) (before, after string) {
 	switch s.at {
-	case partway, allSent:
-		return "", own.text()
-	case inHead:
-		return own.status, own.head + own.first + own.rest + own.end
-	case inBody:
-		return own.status + own.head + own.first, own.rest + own.end
+	case midRequest, requestSent:
+		return "", ownResponse.text()
+	case inResponseHead:
+		return ownResponse.status, ownResponse.head + ownResponse.first + ownResponse.rest + ownResponse.end
+	case inResponseBody:
+		return ownResponse.status + ownResponse.head + ownResponse.first, ownResponse.rest + ownResponse.end
 	}
-	return own.text(), ""
+	return ownResponse.text(), ""
 }
 
-// intruder is what comes in the place where the fault is: another answer, one with
+// faultyBytes is what comes in the place where the fault is: another answer, one with
 // another id, or bytes that are none.
-func (s *script) intruder(c *scriptedConn, request *http.Request) string {
-	if s.how == spoiltBytes {
+func (s *scriptedServers) faultyBytes(c *scriptedConn, request *http.Request) string {
+	if s.mode == corruptBytes {
 		return garbage
 	}
-	id := map[bool]string{true: foreignID, false: firstID}[s.how == wrongID]
-	other := s.answer(c, id, request, false)
-	own := s.answer(c, testedID, request, s.at == inBody)
+	id := map[bool]string{true: foreignID, false: firstID}[s.mode == wrongID]
+	other := s.response(c, id, request, false)
+	ownResponse := s.response(c, testedID, request, s.at == inResponseBody)
 	switch {
-	case s.how == wrongID && s.at == inHead:
+	case s.mode == wrongID && s.at == inResponseHead:
 		// The head has two ids.
-		return "gun: 1\r\nX-Request-Id: " + foreignID + "\r\nX-Be" + own.head + own.first + own.rest + own.end
-	case s.how == wrongID && s.at == inBody:
+		return "gun: 1\r\nX-Request-Id: " + foreignID + "\r\nX-Be" + ownResponse.head + ownResponse.first + ownResponse.rest + ownResponse.end
+	case s.mode == wrongID && s.at == inResponseBody:
 		// The trailer has another id than the head.
-		return own.rest + "0\r\nX-Request-Id: " + foreignID + "\r\n\r\n"
-	case s.how == surplusAnswer && s.at == afterEnd:
-		return own.text()
+		return ownResponse.rest + "0\r\nX-Request-Id: " + foreignID + "\r\n\r\n"
+	case s.mode == surplusResponse && s.at == afterResponse:
+		return ownResponse.text()
 	}
 	return other.text()
 }
 
-// end ends the connection, and with it the server if another takes its address.
-func (s *script) end(c *scriptedConn, one *arrival, request *http.Request) bool {
-	switch s.how {
-	case closed:
+// breakConnection ends the connection, and with it the server if another takes its address.
+func (s *scriptedServers) breakConnection(c *scriptedConn, one *receivedRequest, request *http.Request) bool {
+	switch s.mode {
+	case connectionClosed:
 		c.CloseWrite()
-		s.skip(one, request)
+		s.discardBody(one, request)
 		return true
-	case idleForgotten:
+	case idleConnectionDropped:
 		c.CloseWrite()
 	case addressReused:
 		s.replace(c.server)
 	}
 	c.abort()
-	s.leave(one)
+	s.markDone(one)
 	return false
 }
 
@@ -320,50 +320,50 @@
 	c.Close()
 }
 
-// say writes text; a client that is gone hears nothing.
-func (c *scriptedConn) say(text string) {
+// send writes text; a client that is gone hears nothing.
+func (c *scriptedConn) send(text string) {
 	if text != "" {
 		io.WriteString(c, text)
 	}
 }
 
-// failIdle has the fault happen on the connection that the first request left idle.
-func (s *script) failIdle() {
+// failIdleConnection has the fault happen on the connection that the first request left idle.
+func (s *scriptedServers) failIdleConnection() {
 	s.mu.Lock()
-	c := s.idle
+	c := s.idleConn
 	s.mu.Unlock()
 	request, err := http.NewRequest("POST", "/once/x", nil)
 	if err != nil {
 		s.t.Error(err)
 		return
 	}
-	switch s.how {
-	case surplusAnswer:
-		c.say(s.answer(c, firstID, request, false).text())
+	switch s.mode {
+	case surplusResponse:
+		c.send(s.response(c, firstID, request, false).text())
 	case wrongID:
-		c.say(s.answer(c, foreignID, request, false).text())
-	case spoiltBytes:
-		c.say(garbage)
+		c.send(s.response(c, foreignID, request, false).text())
+	case corruptBytes:
+		c.send(garbage)
 	default:
-		s.end(c, &arrival{}, &http.Request{Body: http.NoBody})
+		s.breakConnection(c, &receivedRequest{}, &http.Request{Body: http.NoBody})
 	}
-	s.noticed()
+	s.waitNoticed()
 }
 
-// noticed waits until the client's end of the first connection has something to read
+// waitNoticed waits until the client's end of the first connection has something to read
 // or is gone.
-func (s *script) noticed() {
+func (s *scriptedServers) waitNoticed() {
 	s.mu.Lock()
-	c := s.idle
+	c := s.idleConn
 	s.mu.Unlock()
 	waitFor(s.t, "the client's end to notice the fault", func() bool {
-		return !quietSocket(s.t, c.RemoteAddr(), c.LocalAddr())
+		return !isSocketQuiet(s.t, c.RemoteAddr(), c.LocalAddr())
 	})
 }
 
-// quietSocket tells whether the kernel has a socket between two addresses of this
+// isSocketQuiet tells whether the kernel has a socket between two addresses of this
 // machine that is open with nothing to read.
-func quietSocket(t *testing.T, local, remote net.Addr) bool {
+func isSocketQuiet(t *testing.T, local, remote net.Addr) bool {
 	table, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
 		t.Error(err)
@@ -373,7 +373,7 @@
 		established = "01"
 		nothing     = "00000000"
 	)
-	ends := []byte(socketName(local) + " " + socketName(remote) + " ")
+	ends := []byte(procNetAddress(local) + " " + procNetAddress(remote) + " ")
 	for _, line := range bytes.Split(table, []byte("\n")) {
 		if _, state, ok := bytes.Cut(line, ends); ok {
 			fields := strings.Fields(string(state))
@@ -383,8 +383,8 @@
 	return false
 }
 
-// socketName is an address as the kernel's table writes it.
-func socketName(address net.Addr) string {
+// procNetAddress is an address as the kernel's table writes it.
+func procNetAddress(address net.Addr) string {
 	tcp := address.(*net.TCPAddr)
 	return fmt.Sprintf("%08X:%04X", binary.NativeEndian.Uint32(tcp.IP.To4()), tcp.Port)
 }
--- a/path/modelclient/client.go
+++ b/path/modelclient/client.go
@@ -32,31 +32,31 @@
 const (
 	NotStarted Outcome = iota
 	Complete
-	Cut
+	Interrupted
 	Rejected
 )
 
-var outcomeNames = map[Outcome]string{NotStarted: "not started", Complete: "complete", Cut: "cut", Rejected: "rejected"}
+var outcomeNames = map[Outcome]string{NotStarted: "not started", Complete: "complete", Interrupted: "cut", Rejected: "rejected"}
 
 // String names the outcome.
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // Request is one order for a server.
 type Request struct {
-	Address   string
-	Order     string
-	Model     string
-	Prefix    string
-	Input     string
-	Partial   string // what was already produced, to be gone on with
-	MaxTokens int64
-	Priority  int          // 0 goes first on the server
-	Silence   clock.Micros // longest wait for the next piece
+	Address       string
+	RequestID     string
+	Model         string
+	Prefix        string
+	Input         string
+	PartialOutput string // what was already produced, to be gone on with
+	MaxTokens     int64
+	Priority      int          // 0 goes first on the server
+	IdleTimeout   clock.Micros // longest wait for the next piece
 }
 
-// Prepare sets the shared client up knowingly: it never retries an order, never
+// ConfigureDefaultClient sets the shared client up knowingly: it never retries an order, never
 // follows a redirect, uses no proxy, and closes what idles.
-func Prepare() {
+func ConfigureDefaultClient() {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
 		MaxIdleConnsPerHost: 64, MaxConnsPerHost: 0, IdleConnTimeout: 30 * time.Second,
@@ -70,48 +70,48 @@
 	Content string `json:"content"`
 }
 
-type body struct {
-	Model     string    `json:"model"`
-	Messages  []message `json:"messages"`
-	MaxTokens int64     `json:"max_tokens"`
-	Stream    bool      `json:"stream"`
-	User      string    `json:"user,omitempty"`
-	Priority  int       `json:"priority"`
-	Continue  bool      `json:"continue_final_message,omitempty"`
-	Generate  *bool     `json:"add_generation_prompt,omitempty"`
+type completionRequest struct {
+	Model                string    `json:"model"`
+	Messages             []message `json:"messages"`
+	MaxTokens            int64     `json:"max_tokens"`
+	Stream               bool      `json:"stream"`
+	User                 string    `json:"user,omitempty"`
+	Priority             int       `json:"priority"`
+	ContinueFinalMessage bool      `json:"continue_final_message,omitempty"`
+	AddGenerationPrompt  *bool     `json:"add_generation_prompt,omitempty"`
 }
 
-type chunk struct {
+type completionChunk struct {
 	Choices []struct {
 		Delta struct {
 			Content string `json:"content"`
 		} `json:"delta"`
-		Finish *string `json:"finish_reason"`
+		FinishReason *string `json:"finish_reason"`
 	} `json:"choices"`
 	Error *struct {
 		Message string `json:"message"`
 	} `json:"error"`
 }
 
-// Run sends one order and hands its pieces over as they come. Only a stream
+// StreamCompletion sends one order and hands its pieces over as they come. Only a stream
 // with a finish reason and the end mark is complete.
-func Run(ctx context.Context, r Request, piece func(string) error) (Outcome, error) {
+func StreamCompletion(ctx context.Context, r Request, onChunk func(string) error) (Outcome, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var wrote atomic.Bool
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaders: func() { wrote.Store(true) }})
+	var headersWritten atomic.Bool
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaders: func() { headersWritten.Store(true) }})
 	request, err := r.httpRequest(ctx)
 	if err != nil {
 		return NotStarted, err
 	}
-	silence := time.AfterFunc(clock.Span(r.Silence), cancel)
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(clock.Duration(r.IdleTimeout), cancel)
+	defer idleTimer.Stop()
 	response, err := httpc.DoRequest(request)
 	if err != nil {
-		if !wrote.Load() {
+		if !headersWritten.Load() {
 			return NotStarted, errors.Wrap(err, "reaching the server")
 		}
-		return Cut, errors.Wrap(err, "the server gave no answer")
+		return Interrupted, errors.Wrap(err, "the server gave no answer")
 	}
 	defer response.Body.Close()
 	switch {
@@ -120,23 +120,23 @@
 	case response.StatusCode >= 400 && response.StatusCode < 500:
 		return Rejected, errors.Errorf("the server rejected the order: %s", response.Status)
 	case response.StatusCode != http.StatusOK:
-		return Cut, errors.Errorf("the server failed: %s", response.Status)
+		return Interrupted, errors.Errorf("the server failed: %s", response.Status)
 	}
-	return readStream(response.Body, func() { silence.Reset(clock.Span(r.Silence)) }, piece)
+	return readStream(response.Body, func() { idleTimer.Reset(clock.Duration(r.IdleTimeout)) }, onChunk)
 }
 
 // httpRequest is the order as a server takes it.
 func (r Request) httpRequest(ctx context.Context) (*http.Request, error) {
-	ask := body{Model: r.Model, MaxTokens: r.MaxTokens, Stream: true, User: r.Order, Priority: r.Priority}
+	payload := completionRequest{Model: r.Model, MaxTokens: r.MaxTokens, Stream: true, User: r.RequestID, Priority: r.Priority}
 	if r.Prefix != "" {
-		ask.Messages = append(ask.Messages, message{"system", r.Prefix})
+		payload.Messages = append(payload.Messages, message{"system", r.Prefix})
 	}
-	ask.Messages = append(ask.Messages, message{"user", r.Input})
-	if r.Partial != "" {
-		no := false
-		ask.Messages, ask.Continue, ask.Generate = append(ask.Messages, message{"assistant", r.Partial}), true, &no
+	payload.Messages = append(payload.Messages, message{"user", r.Input})
+	if r.PartialOutput != "" {
+		addGenerationPrompt := false
+		payload.Messages, payload.ContinueFinalMessage, payload.AddGenerationPrompt = append(payload.Messages, message{"assistant", r.PartialOutput}), true, &addGenerationPrompt
 	}
-	data, err := json.Marshal(ask)
+	data, err := json.Marshal(payload)
 	if err != nil {
 		return nil, errors.Wrap(err, "encoding the order")
 	}
@@ -146,21 +146,21 @@
 	}
 	request.ContentLength = int64(len(data))
 	request.Header.Set("Content-Type", "application/json")
-	request.Header.Set("X-Request-Id", r.Order)
+	request.Header.Set("X-Request-Id", r.RequestID)
 	return request, nil
 }
 
-// longestEvent is the longest line of a stream, in bytes.
-const longestEvent = 1 << 20
+// maxLineBytes is the longest line of a stream, in bytes.
+const maxLineBytes = 1 << 20
 
 // readStream hands the pieces of an answer's events over; alive is called at every
 // line.
-func readStream(answer io.Reader, alive func(), piece func(string) error) (Outcome, error) {
-	lines := bufio.NewScanner(answer)
-	lines.Buffer(make([]byte, 4096), longestEvent)
+func readStream(stream io.Reader, onLine func(), onChunk func(string) error) (Outcome, error) {
+	lines := bufio.NewScanner(stream)
+	lines.Buffer(make([]byte, 4096), maxLineBytes)
 	finished := false
 	for lines.Scan() {
-		alive()
+		onLine()
 		text, ok := strings.CutPrefix(lines.Text(), "data:")
 		if !ok {
 			continue
@@ -170,24 +170,24 @@
 			if finished {
 				return Complete, nil
 			}
-			return Cut, errors.New("the server's end mark came without a finish reason")
+			return Interrupted, errors.New("the server's end mark came without a finish reason")
 		}
-		last, err := readEvent(text, piece)
+		eventFinished, err := readEvent(text, onChunk)
 		if err != nil {
-			return Cut, err
+			return Interrupted, err
 		}
-		finished = finished || last
+		finished = finished || eventFinished
 	}
 	if err := lines.Err(); err != nil {
-		return Cut, errors.Wrap(err, "the stream broke off")
+		return Interrupted, errors.Wrap(err, "the stream broke off")
 	}
-	return Cut, errors.New("the stream ended without its end mark")
+	return Interrupted, errors.New("the stream ended without its end mark")
 }
 
 // readEvent hands one event's pieces over; finished tells whether it has a finish
 // reason.
-func readEvent(text string, piece func(string) error) (finished bool, err error) {
-	var c chunk
+func readEvent(text string, onChunk func(string) error) (finished bool, err error) {
+	var c completionChunk
 	if err := json.Unmarshal([]byte(text), &c); err != nil {
 		return false, errors.Wrap(err, "the server sent what is no event")
 	}
@@ -196,11 +196,11 @@
 	}
 	for _, choice := range c.Choices {
 		if choice.Delta.Content != "" {
-			if err := piece(choice.Delta.Content); err != nil {
+			if err := onChunk(choice.Delta.Content); err != nil {
 				return false, err
 			}
 		}
-		if choice.Finish != nil && *choice.Finish != "" {
+		if choice.FinishReason != nil && *choice.FinishReason != "" {
 			finished = true
 		}
 	}
--- a/path/openapi/openapi.go
+++ b/path/openapi/openapi.go
@@ -20,23 +20,23 @@
 
 // Result is what an import makes.
 type Result struct {
-	Routes  []map[string]any // as a plan has them
-	Left    []string         // what was not carried over, and why
-	Names   []string
-	Plan    map[string]any // the plan with the routes in it
-	Changed []string
+	Routes        []map[string]any // as a plan has them
+	Skipped       []string         // what was not carried over, and why
+	RouteNames    []string
+	Configuration map[string]any // the plan with the routes in it
+	Changed       []string
 }
 
-const extension = "x-tuliprudder"
+const extensionName = "x-tuliprudder"
 
-var known = map[string]bool{"kind": true, "labels": true, "classes": true, "pools": true, "model": true, "adapter": true,
+var knownFields = map[string]bool{"kind": true, "labels": true, "classes": true, "pools": true, "model": true, "adapter": true,
 	"weights": true, "prefix": true, "max_tokens": true, "expiry_us": true, "most_items": true, "name": true}
 
-var unfit = regexp.MustCompile(`[^A-Za-z0-9._-]+`)
+var invalidNameChars = regexp.MustCompile(`[^A-Za-z0-9._-]+`)
 
 // Import reads the file and puts its routes into a plan: a route of the same name
 // is replaced, all others stay. The whole is checked as any plan is.
-func Import(file []byte, plan []byte) (Result, error) {
+func Import(file []byte, configuration []byte) (Result, error) {
 	loader := openapi3.NewLoader()
 	loader.IsExternalRefsAllowed = false
 	doc, err := loader.LoadFromData(file)
@@ -47,54 +47,54 @@
 		return Result{}, errs.New(errs.BadInput, "correct the OpenAPI file; the plan stays as it is", "the OpenAPI file can't be read: %v", err)
 	}
 	var out Result
-	defaults, faults := settings(doc.Extensions, "the file's "+extension)
+	defaults, faults := readExtension(doc.Extensions, "the file's "+extensionName)
 	paths := doc.Paths.Map()
 	for _, path := range sortedNames(paths) {
 		operations := paths[path].Operations()
 		for _, method := range sortedNames(operations) {
-			faults = append(faults, out.add(method, path, operations[method], defaults)...)
+			faults = append(faults, out.addOperation(method, path, operations[method], defaults)...)
 		}
 	}
 	if len(faults) > 0 {
 		return Result{}, &errs.Error{Kind: errs.BadInput, Message: "the OpenAPI file has faults; the plan stays as it is", Remedy: "correct each named place", Faults: faults}
 	}
 	if len(out.Routes) == 0 {
-		return Result{}, &errs.Error{Kind: errs.BadInput, Message: "no operation of the file becomes a route", Remedy: "give POST operations an " + extension + " with a kind", Faults: out.Left}
+		return Result{}, &errs.Error{Kind: errs.BadInput, Message: "no operation of the file becomes a route", Remedy: "give POST operations an " + extensionName + " with a kind", Faults: out.Skipped}
 	}
-	if err := out.merge(plan); err != nil {
+	if err := out.mergeInto(configuration); err != nil {
 		return Result{}, err
 	}
 	return out, nil
 }
 
-// add makes an operation a route, or notes why it is none; it returns the faults of
+// addOperation makes an operation a route, or notes why it is none; it returns the faults of
 // the operation's extension.
-func (r *Result) add(method, path string, operation *openapi3.Operation, defaults map[string]any) []string {
+func (r *Result) addOperation(method, path string, operation *openapi3.Operation, defaults map[string]any) []string {
 	at := method + " " + path
 	if method != "POST" {
-		r.Left = append(r.Left, at+": only POST operations become routes")
+		r.Skipped = append(r.Skipped, at+": only POST operations become routes")
 		return nil
 	}
-	own, faults := settings(operation.Extensions, at)
-	if own == nil && defaults["kind"] == nil {
-		r.Left = append(r.Left, at+": has no "+extension+" with a kind")
+	overrides, faults := readExtension(operation.Extensions, at)
+	if overrides == nil && defaults["kind"] == nil {
+		r.Skipped = append(r.Skipped, at+": has no "+extensionName+" with a kind")
 		return faults
 	}
 	route := maps.Clone(defaults)
 	if route == nil {
 		route = map[string]any{}
 	}
-	maps.Copy(route, own)
+	maps.Copy(route, overrides)
 	if route["name"] == nil {
-		route["name"] = nameOf(operation.OperationID, path)
+		route["name"] = routeName(operation.OperationID, path)
 	}
 	if operation.Security != nil && len(*operation.Security) > 0 {
-		r.Left = append(r.Left, at+": its security is not carried over; callers use their customer key")
+		r.Skipped = append(r.Skipped, at+": its security is not carried over; callers use their customer key")
 	}
 	if len(operation.Parameters) > 0 {
-		r.Left = append(r.Left, at+": its parameters are not carried over; an order has an input")
+		r.Skipped = append(r.Skipped, at+": its parameters are not carried over; an order has an input")
 	}
-	r.Routes, r.Names = append(r.Routes, route), append(r.Names, fmt.Sprint(route["name"]))
+	r.Routes, r.RouteNames = append(r.Routes, route), append(r.RouteNames, fmt.Sprint(route["name"]))
 	return faults
 }
 
@@ -102,66 +102,66 @@
 	return slices.Sorted(maps.Keys(m))
 }
 
-// settings reads an extension; nil when there is none.
-func settings(extensions map[string]any, at string) (map[string]any, []string) {
-	value, there := extensions[extension]
-	if !there {
+// readExtension reads an extension; nil when there is none.
+func readExtension(extensions map[string]any, at string) (map[string]any, []string) {
+	value, present := extensions[extensionName]
+	if !present {
 		return nil, nil
 	}
 	fields, ok := value.(map[string]any)
 	if !ok {
-		return nil, []string{at + ": " + extension + " must be an object"}
+		return nil, []string{at + ": " + extensionName + " must be an object"}
 	}
 	var faults []string
 	for name := range fields {
-		if !known[name] {
-			faults = append(faults, at+": "+extension+"."+name+" is no field of a route")
+		if !knownFields[name] {
+			faults = append(faults, at+": "+extensionName+"."+name+" is no field of a route")
 		}
 	}
 	sort.Strings(faults)
 	return fields, faults
 }
 
-func nameOf(id, path string) string {
+func routeName(id, path string) string {
 	if id == "" {
 		id = path
 	}
-	return strings.Trim(unfit.ReplaceAllString(id, "-"), "-")
+	return strings.Trim(invalidNameChars.ReplaceAllString(id, "-"), "-")
 }
 
-// merge puts the routes into the plan and checks the whole.
-func (r *Result) merge(plan []byte) error {
-	if err := json.Unmarshal(plan, &r.Plan); err != nil {
-		return errs.New(errs.BadPlan, "give the plan in force", "the plan can't be read: %v", err)
+// mergeInto puts the routes into the plan and checks the whole.
+func (r *Result) mergeInto(configuration []byte) error {
+	if err := json.Unmarshal(configuration, &r.Configuration); err != nil {
+		return errs.New(errs.InvalidConfiguration, "give the plan in force", "the plan can't be read: %v", err)
 	}
 	imported := map[string]map[string]any{}
 	for i, route := range r.Routes {
-		if imported[r.Names[i]] != nil {
-			return errs.New(errs.BadInput, "give each operation an operationId or a name of its own", "two operations become route %q", r.Names[i])
+		if imported[r.RouteNames[i]] != nil {
+			return errs.New(errs.BadInput, "give each operation an operationId or a name of its own", "two operations become route %q", r.RouteNames[i])
 		}
-		imported[r.Names[i]] = route
+		imported[r.RouteNames[i]] = route
 	}
 	var routes []any
-	old, _ := r.Plan["routes"].([]any)
+	old, _ := r.Configuration["routes"].([]any)
 	for _, one := range old {
 		fields, _ := one.(map[string]any)
 		name := fmt.Sprint(fields["name"])
-		if fresh, ok := imported[name]; ok {
-			routes = append(routes, fresh)
+		if replacement, ok := imported[name]; ok {
+			routes = append(routes, replacement)
 			delete(imported, name)
 			continue
 		}
 		routes = append(routes, one)
 	}
 	for i, route := range r.Routes {
-		if _, left := imported[r.Names[i]]; left {
+		if _, left := imported[r.RouteNames[i]]; left {
 			routes = append(routes, route)
 		}
 	}
-	r.Plan["routes"] = routes
-	data, err := json.Marshal(r.Plan)
+	r.Configuration["routes"] = routes
+	data, err := json.Marshal(r.Configuration)
 	if err != nil {
 		return err
 	}
-	return config.Check(data)
+	return config.Validate(data)
 }
--- a/path/openapi/openapi_test.go
+++ b/path/openapi/openapi_test.go
@@ -16,7 +16,7 @@
   "/verdicts":{"post":{"operationId":"verdict","x-tuliprudder":{"kind":"stream"},"parameters":[{"name":"q","in":"query","schema":{"type":"string"}}],"responses":{"200":{"description":"ok"}}}},
   "/other":{"post":{"responses":{"200":{"description":"ok"}}}}}}`
 
-func plan(t *testing.T) []byte {
+func loadConfiguration(t *testing.T) []byte {
 	t.Helper()
 	data, err := os.ReadFile("../../deploy/ghent.plan.json")
 	if err != nil {
@@ -26,14 +26,14 @@
 }
 
 func TestRoutesFromAFile(t *testing.T) {
-	got, err := Import([]byte(file), plan(t))
+	got, err := Import([]byte(file), loadConfiguration(t))
 	if err != nil {
 		t.Fatal(err, errs.Of(err).Faults)
 	}
-	if strings.Join(got.Names, " ") != "checkTicket verdict" {
-		t.Fatalf("routes %v", got.Names)
+	if strings.Join(got.RouteNames, " ") != "checkTicket verdict" {
+		t.Fatalf("routes %v", got.RouteNames)
 	}
-	routes := got.Plan["routes"].([]any)
+	routes := got.Configuration["routes"].([]any)
 	if len(routes) != 4 {
 		t.Fatalf("%d routes in the plan, not the 3 it had and 1 more", len(routes))
 	}
@@ -45,7 +45,7 @@
 	if kinds["verdict"] != "stream" || kinds["checkTicket"] != "one-shot" || kinds["label"] != "stream" {
 		t.Fatalf("kinds %v", kinds)
 	}
-	left := strings.Join(got.Left, "\n")
+	left := strings.Join(got.Skipped, "\n")
 	for _, word := range []string{"GET /tickets/check", "POST /other", "POST /verdicts: its parameters"} {
 		if !strings.Contains(left, word) {
 			t.Errorf("not said to be left out: %s in\n%s", word, left)
@@ -63,9 +63,9 @@
 		"same name":       strings.Replace(file, `"kind":"stream"`, `"kind":"stream","name":"checkTicket"`, 1),
 		"no such pool":    strings.Replace(file, `{"use":"all"}`, `{"use":"none"}`, 1),
 	} {
-		got, err := Import([]byte(broken), plan(t))
-		if err == nil || got.Plan != nil {
-			t.Errorf("%s: %v, %v", name, got.Names, err)
+		got, err := Import([]byte(broken), loadConfiguration(t))
+		if err == nil || got.Configuration != nil {
+			t.Errorf("%s: %v, %v", name, got.RouteNames, err)
 		} else if m := errs.Of(err); m.Remedy == "" || m.Kind == errs.OutcomeUnknown {
 			t.Errorf("%s: no typed error: %v", name, err)
 		}
--- a/path/proxy/fairness_test.go
+++ b/path/proxy/fairness_test.go
@@ -9,71 +9,71 @@
 	"tuliprudder/kernel/clock"
 )
 
-// share counts how many of the requests of one sort were served.
-type share struct{ asked, served int }
+// serviceRatio counts how many of the requests of one sort were served.
+type serviceRatio struct{ requested, served int }
 
-func (s share) part() float64 { return float64(s.served) / float64(max(1, s.asked)) }
+func (s serviceRatio) ratio() float64 { return float64(s.served) / float64(max(1, s.requested)) }
 
-// crowd is more requests than the servers have places for.
-type crowd struct {
+// contention is more requests than the servers have places for.
+type contention struct {
 	*bench
-	chance  *rand.Rand
-	waiting map[uint64]crowdRequest
+	random  *rand.Rand
+	waiting map[uint64]contentionRequest
 	running map[string]clock.Micros // by order: when it ends
-	shares  map[string]*share
+	ratios  map[string]*serviceRatio
 	next    int
 }
 
-type crowdRequest struct {
-	order string
-	size  int64
-	sorts []string
+type contentionRequest struct {
+	id         string
+	size       int64
+	categories []string
 }
 
-func (c *crowd) count(sorts []string, served bool) {
-	for _, sort := range sorts {
-		if c.shares[sort] == nil {
-			c.shares[sort] = &share{}
+func (c *contention) count(categories []string, served bool) {
+	for _, category := range categories {
+		if c.ratios[category] == nil {
+			c.ratios[category] = &serviceRatio{}
 		}
 		if served {
-			c.shares[sort].served++
+			c.ratios[category].served++
 		} else {
-			c.shares[sort].asked++
+			c.ratios[category].requested++
 		}
 	}
 }
 
 // arrive has a request come by a route, in one of many sessions; a tenth of them are
 // ten times as large as the others.
-func (c *crowd) arriveBy(route string) {
+func (c *contention) submitTo(route string) {
 	c.next++
-	order, size, sizeSort := fmt.Sprint(c.next), int64(200), "small"
-	if c.chance.Intn(10) == 0 {
-		size, sizeSort = 2000, "large"
+	requestID, size, sizeCategory := fmt.Sprint(c.next), int64(200), "small"
+	if c.random.Intn(10) == 0 {
+		size, sizeCategory = 2000, "large"
 	}
-	session := fmt.Sprint("session ", c.chance.Intn(60))
-	request := crowdRequest{order, size, []string{"all", "route " + route, sizeSort, session}}
-	c.count(request.sorts, false)
-	call := c.call(Arrive{Order: order, Host: route, Path: "/x/y", Prompt: size, Parts: []Part{{ID: "shared", Tokens: 50}, {ID: session, Tokens: size - 50}}})
+	session := fmt.Sprint("session ", c.random.Intn(60))
+	request := contentionRequest{requestID, size, []string{"all", "route " + route, sizeCategory, session}}
+	c.count(request.categories, false)
+	call := c.send(Request{ID: requestID, Host: route, Path: "/x/y", PromptTokens: size, PromptSegments: []PromptSegment{{ID: "shared", Tokens: 50}, {ID: session, Tokens: size - 50}}})
 	c.waiting[call] = request
 }
 
 // step lets a moment pass: what has run is done, and what waited starts or is refused.
-func (c *crowd) step(span clock.Micros) {
-	c.wait(span)
-	for order, end := range c.running {
+func (c *contention) step(span clock.Micros) {
+	c.advance(span)
+	for requestID, end := range c.running {
 		if end <= c.now {
-			delete(c.running, order)
-			c.call(Ran{Order: order, Outcome: Whole, Began: true})
+			delete(c.running, requestID)
+			c.send(AttemptResult{RequestID: requestID, Outcome: Complete, ResponseStarted: true})
 		}
 	}
 	for call, request := range c.waiting {
-		switch c.word(call) {
+		switch c.outcomeOf(call) {
 		case "waits":
 			continue
 		case "again":
-			c.count(request.sorts, true)
-			c.running[request.order] = c.now + 60*millisecond + clock.Micros(request.size)*100
+			c.count(request.categories, true)
+			c.running[request.id] = c.now + 60*millisecond + clock.Micros(request.size)*100
 		}
 		delete(c.waiting, call)
 	}
@@ -81,45 +81,45 @@
 
 // With half as many requests again as there are places for, no kind of request, size or
 // session is left out, nor a route that was added later.
-func TestNobodyIsStarvedInACrowd(t *testing.T) {
+func TestNobodyIsStarvedUnderContention(t *testing.T) {
 	kinds := []string{config.OneShot, config.Repeatable, config.Stream, config.Resumable}
 	var routes []config.Route
 	for _, kind := range kinds {
-		routes = append(routes, route(kind, 2))
+		routes = append(routes, newRoute(kind, 2))
 	}
-	c := &crowd{bench: newBench(t, []string{"a", "a"}, routes...), chance: rand.New(rand.NewSource(3)),
-		waiting: map[uint64]crowdRequest{}, running: map[string]clock.Micros{}, shares: map[string]*share{}}
+	c := &contention{bench: newBench(t, []string{"a", "a"}, routes...), random: rand.New(rand.NewSource(3)),
+		waiting: map[uint64]contentionRequest{}, running: map[string]clock.Micros{}, ratios: map[string]*serviceRatio{}}
 	const (
-		span    = 5 * millisecond
-		moments = 6000
+		span  = 5 * millisecond
+		steps = 6000
 	)
 	hosts := kinds
-	for moment := range moments {
-		if moment == moments/3 {
-			later := route(config.Repeatable, 2)
-			later.Name, later.Forward = "r-later", &config.Forward{Host: "later", PathPrefix: "/x/", Tries: 2, Aim: later.Forward.Aim}
-			plan := &config.Plan{Version: 2, Judges: c.d.Plan().Judges, Pools: c.d.Plan().Pools, Routes: append(append([]config.Route(nil), routes...), later)}
-			named(plan)
-			c.d.SetPlan(plan, c.now)
+	for step := range steps {
+		if step == steps/3 {
+			later := newRoute(config.Repeatable, 2)
+			later.Name, later.Forward = "r-later", &config.Forward{Host: "later", PathPrefix: "/x/", MaxAttempts: 2, LatencyTarget: later.Forward.LatencyTarget}
+			configuration := &config.Configuration{Version: 2, ScorerWeights: c.scheduler.Configuration().ScorerWeights, Pools: c.scheduler.Configuration().Pools, Routes: append(append([]config.Route(nil), routes...), later)}
+			addTenants(configuration)
+			c.scheduler.SetConfiguration(configuration, c.now)
 			hosts = append(append([]string(nil), kinds...), "later")
 		}
-		if c.chance.Intn(100) < 90 {
-			c.arriveBy(hosts[c.chance.Intn(len(hosts))])
+		if c.random.Intn(100) < 90 {
+			c.submitTo(hosts[c.random.Intn(len(hosts))])
 		}
 		c.step(span)
 	}
-	all := c.shares["all"].part()
-	t.Logf("served %.2f of all, %.2f of the large ones, %.2f on the later route", all, c.shares["large"].part(), c.shares["route later"].part())
+	all := c.ratios["all"].ratio()
+	t.Logf("served %.2f of all, %.2f of the large ones, %.2f on the later route", all, c.ratios["large"].ratio(), c.ratios["route later"].ratio())
 	if all > 0.9 || all < 0.4 {
 		t.Fatalf("%.2f of the requests are served: this is no crowd", all)
 	}
-	for sort, one := range c.shares {
-		least := 0.8 * all
-		if len(sort) > 7 && sort[:7] == "session" {
-			least = 0.5 * all // few requests each
+	for category, one := range c.ratios {
+		minRatio := 0.8 * all
+		if len(category) > 7 && category[:7] == "session" {
+			minRatio = 0.5 * all // few requests each
 		}
-		if one.part() < least {
-			t.Errorf("%s: %d of %d served, of all %.2f", sort, one.served, one.asked, all)
+		if one.ratio() < minRatio {
+			t.Errorf("%s: %d of %d served, of all %.2f", category, one.served, one.requested, all)
 		}
 	}
 }
--- a/path/proxy/proxy.go
+++ b/path/proxy/proxy.go
@@ -16,42 +16,42 @@
 
 // Settings of the passage; the defaults are ours.
 type Settings struct {
-	HoldShare int64        // a request waits for a server for at most one part in so many of its aim
-	MostHold  clock.Micros // and never longer than this
-	Back      clock.Micros // when one that was refused may come back, at the least
+	QueueTimeDivisor int64        // a request waits for a server for at most one part in so many of its aim
+	MaxQueueTime     clock.Micros // and never longer than this
+	MinRetryAfter    clock.Micros // when one that was refused may come back, at the least
 }
 
 // Defaults are the starting values.
 func Defaults() Settings {
-	return Settings{HoldShare: 5, MostHold: 200 * clock.Millisecond, Back: 30 * clock.Millisecond}
+	return Settings{QueueTimeDivisor: 5, MaxQueueTime: 200 * clock.Millisecond, MinRetryAfter: 30 * clock.Millisecond}
 }
 
 // What the shell hands in; each is a call, whose answer is the next word.
 type (
-	// Arrive is a request as it came.
-	Arrive struct {
-		Order      string // the name this edge gave it
-		Host, Path string
-		Came       clock.Micros // when its head came; 0: now
-		Wait       clock.Micros // how long the caller will wait; 0: it did not say
-		Parts      []Part       // of its prompt, in order
-		Prompt     int64        // tokens to be read
-		Output     int64        // tokens put out at the most
-		Resumes    bool         // the caller goes on with a stream that was cut
+	// Request is a request as it came.
+	Request struct {
+		ID              string // the name this edge gave it
+		Host, Path      string
+		ReceivedAt      clock.Micros    // when its head came; 0: now
+		CallerTimeout   clock.Micros    // how long the caller will wait; 0: it did not say
+		PromptSegments  []PromptSegment // of its prompt, in order
+		PromptTokens    int64           // tokens to be read
+		MaxOutputTokens int64           // tokens put out at the most
+		ResumesStream   bool            // the caller goes on with a stream that was cut
 	}
-	// Ran tells how a try on a server went.
-	Ran struct {
-		Order   string
-		Outcome Outcome
-		Began   bool // some of the answer has reached the caller
-		Over    bool // the caller has left, or its expiry passed
-		Here    bool // what went wrong says nothing of the server
-		Why     string
+	// AttemptResult tells how a try on a server went.
+	AttemptResult struct {
+		RequestID       string
+		Outcome         Outcome
+		ResponseStarted bool // some of the answer has reached the caller
+		ContextDone     bool // the caller has left, or its expiry passed
+		LocalFailure    bool // what went wrong says nothing of the server
+		Reason          string
 	}
-	// Began tells that a server has begun the request.
-	Began struct{ Order string }
-	// Part is a part of a prompt that requests may share.
-	Part struct {
+	// AttemptStarted tells that a server has begun the request.
+	AttemptStarted struct{ RequestID string }
+	// PromptSegment is a part of a prompt that requests may share.
+	PromptSegment struct {
 		ID     string
 		Tokens int64
 	}
@@ -65,273 +65,275 @@
 // server answered with a failure of its own that has not been passed on. Cut: it
 // may have run, in part or whole. Invalid: no server could be sent it.
 const (
-	Unsent Outcome = iota
+	NotSent Outcome = iota
 	NotRun
-	Whole
+	Complete
 	Failed
-	Cut
+	Interrupted
 	Invalid
 )
 
 // What the shell is told.
 type (
-	// Run says: send the request to this server, then tell how it went.
-	Run struct {
+	// Attempt says: send the request to this server, then tell how it went.
+	Attempt struct {
 		Address, Server string
 		Route           *config.Route
-		Expiry          clock.Micros
-		Last            bool // a failure of this server's own is passed on: no further try follows
+		Deadline        clock.Micros
+		IsLast          bool // a failure of this server's own is passed on: no further try follows
 	}
-	// Bulk says: the request hands in a bundle; it is no order for a server.
-	Bulk struct{ Route *config.Route }
-	// Over says: nothing more is to be done.
-	Over struct{}
+	// BatchSubmission says: the request hands in a bundle; it is no order for a server.
+	BatchSubmission struct{ Route *config.Route }
+	// Done says: nothing more is to be done.
+	Done struct{}
 )
 
 // Proxy holds the requests under way.
 type Proxy struct {
-	set      Settings
-	wire     *machine.Wire
-	dispatch *scheduler.Scheduler
-	chance   *rand.Rand
-	open     map[string]*request
+	settings  Settings
+	calls     *machine.Calls
+	scheduler *scheduler.Scheduler
+	random    *rand.Rand
+	inFlight  map[string]*activeRequest
 	// Counters for the operators.
-	Passed, Refused, Unknown, Again int64
-	// SecondRun is a fault planted by tests: a request that may have run is sent on
+	Forwarded, Rejected, UnknownOutcomes, Retries int64
+	// RetryUnsafely is a fault planted by tests: a request that may have run is sent on
 	// once more whatever its kind.
-	SecondRun bool
+	RetryUnsafely bool
 }
 
-type request struct {
-	Arrive
-	route  *config.Route
-	rank   int64
-	expiry clock.Micros
-	call   uint64
-	wanted *scheduler.Order
-	grip   *scheduler.Assignment
-	avoid  map[string]int
-	sent   int64
-	unsent int // servers that took no connection
-	here   int // servers to which no connection was free here
-	ran    bool
+type activeRequest struct {
+	Request
+	route            *config.Route
+	priority         int64
+	deadline         clock.Micros
+	call             uint64
+	schedulerRequest *scheduler.Request
+	assignment       *scheduler.Assignment
+	avoidedServers   map[string]int
+	attempts         int64
+	unsentAttempts   int // servers that took no connection
+	localFailures    int // servers to which no connection was free here
+	mayHaveRun       bool
 }
 
 // New makes the part of an edge's machine that passes requests on.
-func New(set Settings, wire *machine.Wire, d *scheduler.Scheduler, seed int64) *Proxy {
-	return &Proxy{set: set, wire: wire, dispatch: d, chance: rand.New(rand.NewSource(seed)), open: map[string]*request{}}
+func New(settings Settings, calls *machine.Calls, sched *scheduler.Scheduler, seed int64) *Proxy {
+	return &Proxy{settings: settings, calls: calls, scheduler: sched, random: rand.New(rand.NewSource(seed)), inFlight: map[string]*activeRequest{}}
 }
 
-// Open is how many requests are under way.
-func (f *Proxy) Open() int { return len(f.open) }
+// InFlight is how many requests are under way.
+func (p *Proxy) InFlight() int { return len(p.inFlight) }
 
 // Call takes what the shell hands in; false for anything else.
-func (f *Proxy) Call(number uint64, body any, now clock.Micros) bool {
-	switch ask := body.(type) {
-	case Arrive:
-		f.arrive(number, ask, now)
-	case Ran:
-		f.went(number, ask, now)
-	case Began:
-		if r := f.open[ask.Order]; r != nil && r.grip != nil {
-			r.grip.Began(now)
+func (p *Proxy) Call(call uint64, body any, now clock.Micros) bool {
+	switch request := body.(type) {
+	case Request:
+		p.handleRequest(call, request, now)
+	case AttemptResult:
+		p.handleAttemptResult(call, request, now)
+	case AttemptStarted:
+		if r := p.inFlight[request.RequestID]; r != nil && r.assignment != nil {
+			r.assignment.PrefillDone(now)
 		}
-		f.answer(number, nil, nil)
+		p.reply(call, nil, nil)
 	default:
 		return false
 	}
 	return true
 }
 
-func (f *Proxy) answer(call uint64, body any, err error) {
-	f.wire.Emit(machine.Answer{Call: call, Body: body, Err: err})
+func (p *Proxy) reply(call uint64, body any, err error) {
+	p.calls.Emit(machine.Reply{Call: call, Body: body, Err: err})
 }
 
-// Repeatable tells whether requests of a route may run more than once.
-func Repeatable(route *config.Route) bool {
+// IsIdempotent tells whether requests of a route may run more than once.
+func IsIdempotent(route *config.Route) bool {
 	return route.Kind == config.Repeatable || route.Kind == config.Resumable
 }
 
-// arrive finds the request's route; a daemon without a plan denies nothing.
-func (f *Proxy) arrive(call uint64, ask Arrive, now clock.Micros) {
-	plan := f.dispatch.Plan()
-	if plan == nil {
-		f.answer(call, nil, errs.Later(errs.NotReady, f.set.Back, "ask another daemon; this one has just started", "no plan has arrived yet"))
+// handleRequest finds the request's route; a daemon without a plan denies nothing.
+func (p *Proxy) handleRequest(call uint64, request Request, now clock.Micros) {
+	configuration := p.scheduler.Configuration()
+	if configuration == nil {
+		p.reply(call, nil, errs.NewWithRetry(errs.NotReady, p.settings.MinRetryAfter, "ask another daemon; this one has just started", "no plan has arrived yet"))
 		return
 	}
-	route := plan.Match(ask.Host, ask.Path)
+	route := configuration.MatchRoute(request.Host, request.Path)
 	switch {
 	case route == nil:
-		f.answer(call, nil, errs.New(errs.UnknownRoute, "correct host and path, or have the operators add a route", "no route for this host and path"))
+		p.reply(call, nil, errs.New(errs.UnknownRoute, "correct host and path, or have the operators add a route", "no route for this host and path"))
 		return
-	case route.Kind == config.Bundle:
-		f.answer(call, Bulk{Route: route}, nil)
+	case route.Kind == config.Batch:
+		p.reply(call, BatchSubmission{Route: route}, nil)
 		return
 	}
-	r := &request{Arrive: ask, route: route, call: call, avoid: map[string]int{}}
-	if class := plan.ClassOf(route.Name); class != nil {
-		r.rank = class.Rank
+	r := &activeRequest{Request: request, route: route, call: call, avoidedServers: map[string]int{}}
+	if class := configuration.ClassOfTenant(route.Name); class != nil {
+		r.priority = class.Priority
 	}
-	came := now
-	if ask.Came > 0 {
-		came = min(ask.Came, now)
+	received := now
+	if request.ReceivedAt > 0 {
+		received = min(request.ReceivedAt, now)
 	}
-	r.expiry = came + route.Expiry
-	if ask.Wait > 0 {
-		r.expiry = min(r.expiry, came+ask.Wait)
+	r.deadline = received + route.Timeout
+	if request.CallerTimeout > 0 {
+		r.deadline = min(r.deadline, received+request.CallerTimeout)
 	}
-	f.open[ask.Order] = r
-	f.seek(r, nil, now)
+	p.inFlight[request.ID] = r
+	p.scheduleAttempt(r, nil, now)
 }
 
-// hold is up to when a request may wait for a server: one that has waited longer
+// queueDeadline is up to when a request may wait for a server: one that has waited longer
 // is worth more to its caller as a refusal that says when to come back.
-func (f *Proxy) hold(r *request, now clock.Micros) clock.Micros {
-	until := now + f.set.MostHold
-	if aim := r.route.Forward.Aim; aim > 0 {
-		until = min(until, now+aim/f.set.HoldShare)
+func (p *Proxy) queueDeadline(r *activeRequest, now clock.Micros) clock.Micros {
+	deadline := now + p.settings.MaxQueueTime
+	if latencyTarget := r.route.Forward.LatencyTarget; latencyTarget > 0 {
+		deadline = min(deadline, now+latencyTarget/p.settings.QueueTimeDivisor)
 	}
-	return min(until, r.expiry)
+	return min(deadline, r.deadline)
 }
 
-// seek looks for a server; last is why one is needed once more.
-func (f *Proxy) seek(r *request, last error, now clock.Micros) {
-	if now >= r.expiry {
-		f.giveUp(r, errs.Later(errs.Expired, f.set.Back, "ask again with a later expiry", "the request's time is over"), now)
+// scheduleAttempt looks for a server; last is why one is needed once more.
+func (p *Proxy) scheduleAttempt(r *activeRequest, last error, now clock.Micros) {
+	if now >= r.deadline {
+		p.failRequest(r, errs.NewWithRetry(errs.DeadlineExceeded, p.settings.MinRetryAfter, "ask again with a later expiry", "the request's time is over"), now)
 		return
 	}
-	r.wanted = &scheduler.Order{ID: r.Order, Customer: r.route.Name, Route: r.route, Rank: r.rank, Prefix: prefix(r.Parts), Prompt: r.Prompt, Pools: f.pools(r.route), Expiry: f.hold(r, now), Avoid: r.avoid}
-	r.wanted.Drop = func(err error, now clock.Micros) {
+	r.schedulerRequest = &scheduler.Request{ID: r.ID, Tenant: r.route.Name, Route: r.route, Priority: r.priority, Prefix: sharedPrefix(r.PromptSegments), PromptTokens: r.PromptTokens, Pools: p.choosePools(r.route), Deadline: p.queueDeadline(r, now), AvoidedServers: r.avoidedServers}
+	r.schedulerRequest.Drop = func(err error, now clock.Micros) {
 		if last != nil {
 			err = last
 		}
-		f.giveUp(r, err, now)
+		p.failRequest(r, err, now)
 	}
-	r.wanted.Start = func(grip *scheduler.Assignment, _ clock.Micros) {
-		r.grip = grip
-		r.sent++
-		f.answer(r.call, Run{Address: grip.Server.Address, Server: grip.Server.Name, Route: r.route, Expiry: r.expiry, Last: !f.more(r)}, nil)
+	r.schedulerRequest.Start = func(assignment *scheduler.Assignment, _ clock.Micros) {
+		r.assignment = assignment
+		r.attempts++
+		p.reply(r.call, Attempt{Address: assignment.Server.Address, Server: assignment.Server.Name, Route: r.route, Deadline: r.deadline, IsLast: !p.hasAttemptsLeft(r)}, nil)
 	}
-	if err := f.dispatch.Submit(r.wanted, now); err != nil {
-		f.giveUp(r, err, now)
+	if err := p.scheduler.Submit(r.schedulerRequest, now); err != nil {
+		p.failRequest(r, err, now)
 	}
 }
 
-// pools picks the part of a split route that this request goes to.
-func (f *Proxy) pools(route *config.Route) config.Selector {
-	sum := int64(0)
-	for _, part := range route.Forward.Split {
-		sum += part.Share
+// choosePools picks the part of a split route that this request goes to.
+func (p *Proxy) choosePools(route *config.Route) config.Selector {
+	total := int64(0)
+	for _, weighted := range route.Forward.Split {
+		total += weighted.Weight
 	}
-	if sum == 0 {
+	if total == 0 {
 		return nil
 	}
-	at := f.chance.Int63n(sum)
-	for _, part := range route.Forward.Split {
-		if at -= part.Share; at < 0 {
-			return part.Pools
+	draw := p.random.Int63n(total)
+	for _, weighted := range route.Forward.Split {
+		if draw -= weighted.Weight; draw < 0 {
+			return weighted.Pools
 		}
 	}
 	return nil
 }
 
-// prefix names the part that most other requests share: the first.
-func prefix(parts []Part) string {
+// sharedPrefix names the part that most other requests share: the first.
+func sharedPrefix(parts []PromptSegment) string {
 	if len(parts) == 0 {
 		return ""
 	}
 	return parts[0].ID
 }
 
-// more tells whether the request may be sent to a further server.
-func (f *Proxy) more(r *request) bool { return r.sent < max(1, r.route.Forward.Tries) }
+// hasAttemptsLeft tells whether the request may be sent to a further server.
+func (p *Proxy) hasAttemptsLeft(r *activeRequest) bool {
+	return r.attempts < max(1, r.route.Forward.MaxAttempts)
+}
 
-// mostUnsent is how many servers that take no connection are passed over: each may
-// cost the time of one. mostHere is the same for servers to which no connection is
+// maxUnsentAttempts is how many servers that take no connection are passed over: each may
+// cost the time of one. maxLocalFailures is the same for servers to which no connection is
 // free here, which cost no time.
 const (
-	mostUnsent = 3
-	mostHere   = 32
+	maxUnsentAttempts = 3
+	maxLocalFailures  = 32
 )
 
-// went decides by how a try went.
+// handleAttemptResult decides by how a try went.
 //
 //revive:disable-next-line:cyclomatic still to be split (issue 18)
-func (f *Proxy) went(call uint64, ran Ran, now clock.Micros) {
-	r := f.open[ran.Order]
-	if r == nil || r.grip == nil {
-		f.answer(call, nil, errs.New(errs.OutcomeUnknown, "ask anew", "no request %q is under way here", ran.Order))
+func (p *Proxy) handleAttemptResult(call uint64, result AttemptResult, now clock.Micros) {
+	r := p.inFlight[result.RequestID]
+	if r == nil || r.assignment == nil {
+		p.reply(call, nil, errs.New(errs.OutcomeUnknown, "ask anew", "no request %q is under way here", result.RequestID))
 		return
 	}
-	grip := r.grip
-	r.call, r.grip, r.wanted = call, nil, nil
-	switch ran.Outcome {
-	case Whole:
-		grip.Release(now-grip.Started, true, now)
-		f.Passed++
-		f.end(r, Over{}, nil)
+	assignment := r.assignment
+	r.call, r.assignment, r.schedulerRequest = call, nil, nil
+	switch result.Outcome {
+	case Complete:
+		assignment.Release(now-assignment.AssignedAt, true, now)
+		p.Forwarded++
+		p.finish(r, Done{}, nil)
 		return
 	case Invalid:
-		grip.Abandon(now)
-		f.end(r, nil, errs.New(errs.BadInput, "correct the request", "%s", ran.Why))
+		assignment.Abandon(now)
+		p.finish(r, nil, errs.New(errs.BadInput, "correct the request", "%s", result.Reason))
 		return
-	case Unsent:
-		if ran.Here || ran.Over {
-			grip.Abandon(now)
+	case NotSent:
+		if result.LocalFailure || result.ContextDone {
+			assignment.Abandon(now)
 		} else {
-			grip.Release(0, false, now)
+			assignment.Release(0, false, now)
 		}
-		r.sent--
-		if ran.Here {
-			r.here++
+		r.attempts--
+		if result.LocalFailure {
+			r.localFailures++
 		} else {
-			r.unsent++
+			r.unsentAttempts++
 		}
 	case NotRun:
-		grip.Rejected(now)
+		assignment.Rejected(now)
 	case Failed:
-		grip.Release(0, true, now)
-		r.ran = true
-	case Cut:
-		if ran.Over {
-			grip.Abandon(now)
+		assignment.Release(0, true, now)
+		r.mayHaveRun = true
+	case Interrupted:
+		if result.ContextDone {
+			assignment.Abandon(now)
 		} else {
-			grip.Release(0, false, now)
+			assignment.Release(0, false, now)
 		}
-		r.ran = true
+		r.mayHaveRun = true
 	}
-	r.avoid[grip.Server.Name] = 3
-	why := errs.Later(errs.NotReady, f.set.Back, "ask again", "no server took the request: %s", ran.Why)
+	r.avoidedServers[assignment.Server.Name] = 3
+	cause := errs.NewWithRetry(errs.NotReady, p.settings.MinRetryAfter, "ask again", "no server took the request: %s", result.Reason)
 	switch {
-	case ran.Over:
-		f.giveUp(r, why, now)
-	case r.ran && !Repeatable(r.route) && !f.SecondRun,
-		ran.Began && r.route.Kind != config.Resumable:
-		f.giveUp(r, why, now)
-	case !f.more(r), r.unsent > mostUnsent, r.here > mostHere:
-		f.giveUp(r, why, now)
+	case result.ContextDone:
+		p.failRequest(r, cause, now)
+	case r.mayHaveRun && !IsIdempotent(r.route) && !p.RetryUnsafely,
+		result.ResponseStarted && r.route.Kind != config.Resumable:
+		p.failRequest(r, cause, now)
+	case !p.hasAttemptsLeft(r), r.unsentAttempts > maxUnsentAttempts, r.localFailures > maxLocalFailures:
+		p.failRequest(r, cause, now)
 	default:
-		f.Again++
-		f.seek(r, why, now)
+		p.Retries++
+		p.scheduleAttempt(r, cause, now)
 	}
 }
 
-// giveUp ends a request that no server answered: it is refused, with when to come
+// failRequest ends a request that no server answered: it is refused, with when to come
 // back, only if no try of it can have run.
-func (f *Proxy) giveUp(r *request, why error, now clock.Micros) {
-	if r.ran {
-		f.Unknown++
-		f.end(r, nil, errs.New(errs.ServerFault, "ask again where the request may run twice", "a try of the request may have run: %v", why))
+func (p *Proxy) failRequest(r *activeRequest, cause error, now clock.Micros) {
+	if r.mayHaveRun {
+		p.UnknownOutcomes++
+		p.finish(r, nil, errs.New(errs.ServerFault, "ask again where the request may run twice", "a try of the request may have run: %v", cause))
 		return
 	}
-	f.Refused++
-	if m := errs.Of(why); m.Kind != errs.UnknownRoute {
-		why = errs.Later(errs.NotReady, max(f.set.Back, min(m.RetryAfter, r.expiry-now)), m.Remedy, "%s", m.Message)
+	p.Rejected++
+	if typedErr := errs.Of(cause); typedErr.Kind != errs.UnknownRoute {
+		cause = errs.NewWithRetry(errs.NotReady, max(p.settings.MinRetryAfter, min(typedErr.RetryAfterUS, r.deadline-now)), typedErr.Remedy, "%s", typedErr.Message)
 	}
-	f.end(r, nil, why)
+	p.finish(r, nil, cause)
 }
 
-func (f *Proxy) end(r *request, body any, err error) {
-	delete(f.open, r.Order)
-	f.answer(r.call, body, err)
+func (p *Proxy) finish(r *activeRequest, body any, err error) {
+	delete(p.inFlight, r.ID)
+	p.reply(r.call, body, err)
 }
--- a/path/quota/holder.go
+++ b/path/quota/holder.go
@@ -8,16 +8,16 @@
 	"tuliprudder/path/registry"
 )
 
-// round is one asking of those who have not told what they hold.
-type round struct {
-	left int
-	then []func(now clock.Micros)
+// rebuildRound is one asking of those who have not told what they hold.
+type rebuildRound struct {
+	remaining int
+	callbacks []func(now clock.Micros)
 }
 
-// holder is the first live edge in the customer's agreed order.
-func (q *Quota) holder(customer string) (id, peer string) {
+// accountOwner is the first live edge in the customer's agreed order.
+func (q *Quota) accountOwner(tenant string) (id, peer string) {
 	members := q.Members()
-	id = registry.First("account/"+customer, members, identity.Edge)
+	id = registry.RendezvousOwner("account/"+tenant, members, identity.Edge)
 	for _, member := range members {
 		if member.ID == id {
 			return id, member.Peer
@@ -26,78 +26,78 @@
 	return "", ""
 }
 
-// Lend is the holder's part: it answers once it has asked those who have not
+// HandleLeaseRequest is the holder's part: it answers once it has asked those who have not
 // told what they hold, or they had time enough.
-func (q *Quota) Lend(ask LendRequest, now clock.Micros, back func(LendAnswer, clock.Micros)) {
-	a := q.accounts[ask.Customer]
-	if !q.mapped() {
-		back(LendAnswer{Epoch: ask.Epoch, Granted: ask.Held}, now)
+func (q *Quota) HandleLeaseRequest(request LeaseRequest, now clock.Micros, callback func(LeaseResponse, clock.Micros)) {
+	a := q.accounts[request.Tenant]
+	if !q.knowsShardMap() {
+		callback(LeaseResponse{Epoch: request.Epoch, Granted: request.InUse}, now)
 		return
 	}
-	if a == nil || ask.Epoch > a.Epoch {
-		a = Open(ask.Epoch+1, q.holders(), now)
-		a.SkipRebuild, a.HoldsItems = q.SkipRebuild, q.holdsItems
-		q.accounts[ask.Customer] = a
+	if a == nil || request.Epoch > a.Epoch {
+		a = OpenAccount(request.Epoch+1, q.expectedReporters(), now)
+		a.SkipRebuild, a.IsStore = q.SkipRebuild, q.isStore
+		q.accounts[request.Tenant] = a
 		// This daemon's own share is known at once.
-		own := q.share(ask.Customer)
-		own.Fence(a.Epoch)
-		a.Told(q.Self, q.held(own, ask.Customer), now)
+		ownShare := q.share(request.Tenant)
+		ownShare.Fence(a.Epoch)
+		a.RecordUsage(q.Self, q.inUse(ownShare, request.Tenant), now)
 	}
-	a.Told(ask.Borrower, ask.Held, now)
+	a.RecordUsage(request.DaemonID, request.InUse, now)
 	live := map[string]bool{}
-	for _, id := range q.borrowers() {
+	for _, id := range q.liveDaemons() {
 		live[id] = true
 	}
-	for _, id := range a.Missing() {
+	for _, id := range a.Unreported() {
 		if !live[id] {
-			a.StopWaiting(id, now)
+			a.StopWaitingFor(id, now)
 		}
 	}
-	answer := func(now clock.Micros) {
-		if terms := q.allowed[ask.Customer]; ask.Plan >= terms.Plan {
-			q.allowed[ask.Customer] = ask
+	reply := func(now clock.Micros) {
+		if last := q.latestQuotas[request.Tenant]; request.ConfigurationVersion >= last.ConfigurationVersion {
+			q.latestQuotas[request.Tenant] = request
 		}
-		granted := a.Lend(ask.Borrower, ask.Held, ask.Want, q.allowed[ask.Customer].Allowance, now)
-		q.Lent++
-		back(LendAnswer{Epoch: a.Epoch, Granted: granted, Ready: a.Ready(now)}, now)
+		granted := a.Grant(request.DaemonID, request.InUse, request.Wanted, q.latestQuotas[request.Tenant].Quota, now)
+		q.LeasesGranted++
+		callback(LeaseResponse{Epoch: a.Epoch, Granted: granted, Ready: a.IsReady(now)}, now)
 	}
-	if a.Ready(now) {
-		answer(now)
+	if a.IsReady(now) {
+		reply(now)
 		return
 	}
-	q.rebuild(ask.Customer, a, answer)
+	q.rebuild(request.Tenant, a, reply)
 }
 
-// holdsItems tells whether a borrower is a store: one that is not known any more may
+// isStore tells whether a borrower is a store: one that is not known any more may
 // have been.
-func (q *Quota) holdsItems(borrower string) bool {
+func (q *Quota) isStore(daemonID string) bool {
 	for _, member := range q.Members() {
-		if member.ID == borrower {
+		if member.ID == daemonID {
 			return member.Kind == identity.Store
 		}
 	}
-	return q.knownStores[borrower]
+	return q.knownStores[daemonID]
 }
 
-// mapped tells whether this daemon knows which stores there are.
-func (q *Quota) mapped() bool {
-	if q.Map == nil {
+// knowsShardMap tells whether this daemon knows which stores there are.
+func (q *Quota) knowsShardMap() bool {
+	if q.ShardMap == nil {
 		return true
 	}
-	_, known := q.Map()
+	_, known := q.ShardMap()
 	return known
 }
 
-// holders are all that may hold work: the daemons that live, and the stores that
+// expectedReporters are all that may hold work: the daemons that live, and the stores that
 // count, whether this daemon has heard of them in this life or not.
-func (q *Quota) holders() []string {
-	out := q.borrowers()
-	if q.Map == nil {
+func (q *Quota) expectedReporters() []string {
+	out := q.liveDaemons()
+	if q.ShardMap == nil {
 		return out
 	}
-	m, _ := q.Map()
-	for _, id := range sorted(m.Stores) {
-		if store := m.Stores[id]; !store.Struck && !store.Retired && !slices.Contains(out, id) && id != q.Self {
+	m, _ := q.ShardMap()
+	for _, id := range sortedKeys(m.Stores) {
+		if store := m.Stores[id]; !store.Evicted && !store.Retired && !slices.Contains(out, id) && id != q.Self {
 			out = append(out, id)
 			q.knownStores[id] = true
 		}
@@ -109,21 +109,21 @@
 // have had time to tell what they took over.
 const transferGrace = 1500 * clock.Millisecond
 
-// dropTransferred lets go of what is held for stores that are gone and own no slot any more:
+// releaseTransferred lets go of what is held for stores that are gone and own no slot any more:
 // those that took their slots over tell it now.
-func (q *Quota) dropTransferred(now clock.Micros) {
-	if q.Map == nil {
+func (q *Quota) releaseTransferred(now clock.Micros) {
+	if q.ShardMap == nil {
 		return
 	}
-	m, known := q.Map()
+	m, known := q.ShardMap()
 	if !known {
 		return
 	}
 	owns := map[string]bool{}
-	for _, pairing := range m.Slots {
-		owns[pairing.Primary.ID] = true
-		if !pairing.Complete {
-			for _, id := range pairing.Trusted {
+	for _, assignment := range m.Shards {
+		owns[assignment.Primary.ID] = true
+		if !assignment.Complete {
+			for _, id := range assignment.Trusted {
 				owns[id] = true
 			}
 		}
@@ -134,16 +134,16 @@
 		}
 	}
 	for _, a := range q.accounts {
-		for _, id := range a.Borrowers() {
+		for _, id := range a.LeaseHolders() {
 			if q.knownStores[id] && !owns[id] {
-				a.TransferElapsed(id, now)
+				a.ReleaseTransferred(id, now)
 			}
 		}
 	}
 }
 
-// borrowers are all daemons that may hold shares.
-func (q *Quota) borrowers() []string {
+// liveDaemons are all daemons that may hold shares.
+func (q *Quota) liveDaemons() []string {
 	var out []string
 	for _, member := range q.Members() {
 		if member.Kind == identity.Store {
@@ -158,30 +158,30 @@
 
 // rebuild asks those who have not told what they hold; who asks meanwhile waits
 // for the same round.
-func (q *Quota) rebuild(customer string, a *Account, then func(now clock.Micros)) {
-	if r := q.rounds[customer]; r != nil {
-		r.then = append(r.then, then)
+func (q *Quota) rebuild(tenant string, a *Account, then func(now clock.Micros)) {
+	if r := q.rebuilds[tenant]; r != nil {
+		r.callbacks = append(r.callbacks, then)
 		return
 	}
 	peers := map[string]string{}
 	for _, member := range q.Members() {
 		peers[member.ID] = member.Peer
 	}
-	missing := a.Missing()
-	r := &round{left: len(missing), then: []func(clock.Micros){then}}
-	q.rounds[customer] = r
-	for _, id := range missing {
-		q.Wire.Ask(peers[id], HoldingsRequest{Customer: customer, Epoch: a.Epoch}, lendExpiry/3, func(body any, err error, now clock.Micros) {
-			if told, ok := body.(Holdings); ok && err == nil && told.Stale {
-				a.Epoch = max(a.Epoch, told.Epoch+1)
+	unreported := a.Unreported()
+	r := &rebuildRound{remaining: len(unreported), callbacks: []func(clock.Micros){then}}
+	q.rebuilds[tenant] = r
+	for _, id := range unreported {
+		q.Calls.Request(peers[id], UsageRequest{Tenant: tenant, Epoch: a.Epoch}, leaseRequestTimeout/3, func(body any, err error, now clock.Micros) {
+			if usage, ok := body.(UsageResponse); ok && err == nil && usage.Stale {
+				a.Epoch = max(a.Epoch, usage.Epoch+1)
 			} else if ok && err == nil {
-				a.Told(id, told.Held, now)
+				a.RecordUsage(id, usage.InUse, now)
 			}
-			if r.left--; r.left > 0 {
+			if r.remaining--; r.remaining > 0 {
 				return
 			}
-			delete(q.rounds, customer)
-			for _, then := range r.then {
+			delete(q.rebuilds, tenant)
+			for _, then := range r.callbacks {
 				then(now)
 			}
 		})
--- a/path/quota/map_test.go
+++ b/path/quota/map_test.go
@@ -13,57 +13,57 @@
 // A holder that has just started asks every store on the map before it lends, also
 // those it has not heard of in this life; without a map it lends nothing. (Vietnam's
 // trouble-3: after all processes were killed a holder knew too few stores.)
-func TestAHolderWaitsForEveryStoreOnTheMap(t *testing.T) {
-	wire := machine.NewWire()
+func TestAnOwnerWaitsForEveryStoreInTheMap(t *testing.T) {
+	calls := machine.NewCalls()
 	members := []identity.Member{{ID: "edge", Kind: identity.Edge, Peer: "e"}}
-	p := New("edge", wire, func() []identity.Member { return members }, nil)
+	p := New("edge", calls, func() []identity.Member { return members }, nil)
 	var m state.Map
-	p.Map = func() (state.Map, bool) { return m, m.Seq > 0 }
+	p.ShardMap = func() (state.Map, bool) { return m, m.Seq > 0 }
 	now := clock.Second
-	ask := func() (answer LendAnswer) {
-		p.Lend(LendRequest{Customer: "c", Borrower: "edge", Want: 10, Allowance: 100, Plan: 1}, now, func(got LendAnswer, _ clock.Micros) { answer = got })
-		for _, effect := range wire.Drain() {
-			if asked, ok := effect.(machine.Ask); ok {
-				wire.Answered(asked.Token, nil, nil, now)
+	request := func() (reply LeaseResponse) {
+		p.HandleLeaseRequest(LeaseRequest{Tenant: "c", DaemonID: "edge", Wanted: 10, Quota: 100, ConfigurationVersion: 1}, now, func(got LeaseResponse, _ clock.Micros) { reply = got })
+		for _, effect := range calls.Drain() {
+			if sent, ok := effect.(machine.Request); ok {
+				calls.ReplyReceived(sent.Token, nil, nil, now)
 			}
 		}
-		return answer
+		return reply
 	}
-	if got := ask(); got.Ready || got.Granted != 0 {
+	if got := request(); got.Ready || got.Granted != 0 {
 		t.Fatalf("without a map it lent %+v", got)
 	}
-	m = state.Map{Seq: 1, Stores: map[string]state.Store{"store": {ID: "store"}, "old": {ID: "old", Struck: true}},
-		Slots: []replication.Assignment{{Epoch: 1, Primary: replication.Member{ID: "store"}, Complete: true}}}
-	if got := ask(); got.Ready {
+	m = state.Map{Seq: 1, Stores: map[string]state.Store{"store": {ID: "store"}, "old": {ID: "old", Evicted: true}},
+		Shards: []replication.Assignment{{Epoch: 1, Primary: replication.Member{ID: "store"}, Complete: true}}}
+	if got := request(); got.Ready {
 		t.Fatalf("it lent %+v before the store on the map had told", got)
 	}
-	p.accounts["c"].Told("store", 95, now)
-	if got := ask(); !got.Ready || got.Granted != 5 {
+	p.accounts["c"].RecordUsage("store", 95, now)
+	if got := request(); !got.Ready || got.Granted != 5 {
 		t.Fatalf("once the store had told it lent %+v", got)
 	}
 }
 
 // What a store held that is gone is let go once its slots are others', and no sooner.
-func TestALoanPassesOnWithTheSlots(t *testing.T) {
-	p := New("edge", machine.NewWire(), func() []identity.Member { return nil }, nil)
-	m := state.Map{Seq: 1, Slots: []replication.Assignment{{Epoch: 1, Primary: replication.Member{ID: "gone"}, Complete: true}}}
-	p.Map = func() (state.Map, bool) { return m, true }
+func TestALeaseMovesWithTheShards(t *testing.T) {
+	p := New("edge", machine.NewCalls(), func() []identity.Member { return nil }, nil)
+	m := state.Map{Seq: 1, Shards: []replication.Assignment{{Epoch: 1, Primary: replication.Member{ID: "gone"}, Complete: true}}}
+	p.ShardMap = func() (state.Map, bool) { return m, true }
 	now := clock.Second
-	a := Open(1, nil, now)
-	a.HoldsItems = func(string) bool { return true }
-	a.Told("gone", 40, now)
+	a := OpenAccount(1, nil, now)
+	a.IsStore = func(string) bool { return true }
+	a.RecordUsage("gone", 40, now)
 	p.accounts["c"], p.knownStores["gone"] = a, true
 	step := func() int {
-		p.dropTransferred(now)
+		p.releaseTransferred(now)
 		now += clock.Second
-		return a.Lent(now)["gone"]
+		return a.Granted(now)["gone"]
 	}
 	for range 4 {
 		if got := step(); got != 40 {
 			t.Fatalf("%d lent while its slot is still its own", got)
 		}
 	}
-	m.Slots[0].Primary.ID = "other"
+	m.Shards[0].Primary.ID = "other"
 	if got := step(); got != 40 {
 		t.Fatalf("%d lent at once after the slot passed", got)
 	}
--- a/path/quota/quota_test.go
+++ b/path/quota/quota_test.go
@@ -8,41 +8,41 @@
 	"tuliprudder/kernel/clock"
 )
 
-// flock is a customer's orders at many daemons at once, with holders that die
+// simulation is a customer's orders at many daemons at once, with holders that die
 // and borrowers that freeze.
-type flock struct {
-	now       clock.Micros
-	chance    *rand.Rand
-	borrowers []string
-	shares    map[string]*Share
-	account   *Account
-	epoch     uint64
-	plant     bool
-	worst     int
-	taken     int
+type simulation struct {
+	now           clock.Micros
+	rng           *rand.Rand
+	daemonIDs     []string
+	shares        map[string]*Share
+	account       *Account
+	epoch         uint64
+	skipRebuild   bool
+	peakInUse     int
+	totalReserved int
 }
 
-const allowance = 100
+const testQuota = 100
 
-func newFlock(seed int64, plant bool) *flock {
-	f := &flock{now: 1_000_000, chance: rand.New(rand.NewSource(seed)), shares: map[string]*Share{}, plant: plant}
+func newSimulation(seed int64, skipRebuild bool) *simulation {
+	f := &simulation{now: 1_000_000, rng: rand.New(rand.NewSource(seed)), shares: map[string]*Share{}, skipRebuild: skipRebuild}
 	for i := 0; i < 12; i++ {
 		id := fmt.Sprint("d", i)
-		f.borrowers = append(f.borrowers, id)
+		f.daemonIDs = append(f.daemonIDs, id)
 		f.shares[id] = &Share{}
 	}
-	f.succeed()
+	f.failOver()
 	return f
 }
 
-// succeed opens the account anew, as a successor that knows nothing.
-func (f *flock) succeed() {
+// failOver opens the account anew, as a successor that knows nothing.
+func (f *simulation) failOver() {
 	f.epoch++
-	f.account = Open(f.epoch, f.borrowers, f.now)
-	f.account.SkipRebuild = f.plant
+	f.account = OpenAccount(f.epoch, f.daemonIDs, f.now)
+	f.account.SkipRebuild = f.skipRebuild
 }
 
-func (f *flock) inUse() int {
+func (f *simulation) inUse() int {
 	sum := 0
 	for _, s := range f.shares {
 		sum += s.InUse
@@ -50,25 +50,25 @@
 	return sum
 }
 
-func (f *flock) step() {
-	f.now += clock.Micros(f.chance.Intn(20_000))
-	id := f.borrowers[f.chance.Intn(len(f.borrowers))]
+func (f *simulation) step() {
+	f.now += clock.Micros(f.rng.Intn(20_000))
+	id := f.daemonIDs[f.rng.Intn(len(f.daemonIDs))]
 	s := f.shares[id]
-	switch f.chance.Intn(12) {
+	switch f.rng.Intn(12) {
 	case 0, 1, 2, 3, 4, 5, 6:
-		count := 1 + f.chance.Intn(3)
-		if !s.Room(count, f.now) {
+		count := 1 + f.rng.Intn(3)
+		if !s.HasCapacity(count, f.now) {
 			// The ask takes a moment; its answer may be lost.
-			asked := f.now
-			granted := f.account.Lend(id, s.InUse, s.InUse+count, allowance, f.now)
-			if f.chance.Intn(10) == 0 {
+			sent := f.now
+			granted := f.account.Grant(id, s.InUse, s.InUse+count, testQuota, f.now)
+			if f.rng.Intn(10) == 0 {
 				return
 			}
-			s.Lent(f.account.Epoch, granted, asked)
+			s.ApplyGrant(f.account.Epoch, granted, sent)
 		}
-		if s.Room(count, f.now) {
-			s.Take(count)
-			f.taken += count
+		if s.HasCapacity(count, f.now) {
+			s.Reserve(count)
+			f.totalReserved += count
 		}
 	case 7, 8:
 		if s.InUse > 0 {
@@ -76,44 +76,44 @@
 		}
 	case 9:
 		// A renewal.
-		s.Lent(f.account.Epoch, f.account.Lend(id, s.InUse, s.InUse, allowance, f.now), f.now)
+		s.ApplyGrant(f.account.Epoch, f.account.Grant(id, s.InUse, s.InUse, testQuota, f.now), f.now)
 	case 10:
 		// The holder asks who has not told.
-		for _, missing := range f.account.Missing() {
-			if f.chance.Intn(3) == 0 {
-				share := f.shares[missing]
+		for _, unreported := range f.account.Unreported() {
+			if f.rng.Intn(3) == 0 {
+				share := f.shares[unreported]
 				if share.Fence(f.account.Epoch) {
-					f.account.Told(missing, share.InUse, f.now)
+					f.account.RecordUsage(unreported, share.InUse, f.now)
 				}
 			}
 		}
 	case 11:
-		if f.chance.Intn(25) == 0 {
-			f.succeed()
+		if f.rng.Intn(25) == 0 {
+			f.failOver()
 		}
 	}
 	// Everyone renews at least every quarter of a loan, unless it sleeps.
-	for _, id := range f.borrowers {
-		if s := f.shares[id]; s.InUse > 0 && s.Until-f.now < LoanSpan/2 && f.chance.Intn(4) > 0 {
-			s.Lent(f.account.Epoch, f.account.Lend(id, s.InUse, s.InUse, allowance, f.now), f.now)
+	for _, id := range f.daemonIDs {
+		if s := f.shares[id]; s.InUse > 0 && s.ExpiresAt-f.now < LeaseDuration/2 && f.rng.Intn(4) > 0 {
+			s.ApplyGrant(f.account.Epoch, f.account.Grant(id, s.InUse, s.InUse, testQuota, f.now), f.now)
 		}
 	}
-	f.worst = max(f.worst, f.inUse())
+	f.peakInUse = max(f.peakInUse, f.inUse())
 }
 
 // Orders flock at twelve daemons, holders die: the waiting work never exceeds
 // the allowance by more than a tenth; nor is it held far below it for ever.
-func TestAFlockStaysWithinTheAllowance(t *testing.T) {
+func TestDaemonsStayWithinTheQuota(t *testing.T) {
 	for seed := int64(1); seed <= 200; seed++ {
-		f := newFlock(seed, false)
+		f := newSimulation(seed, false)
 		for i := 0; i < 4000; i++ {
 			f.step()
-			if f.inUse() > allowance+allowance/10 {
-				t.Fatalf("seed %d: %d wait, the allowance is %d", seed, f.inUse(), allowance)
+			if f.inUse() > testQuota+testQuota/10 {
+				t.Fatalf("seed %d: %d wait, the allowance is %d", seed, f.inUse(), testQuota)
 			}
 		}
-		if f.worst < allowance*8/10 {
-			t.Fatalf("seed %d: at most %d were let in", seed, f.worst)
+		if f.peakInUse < testQuota*8/10 {
+			t.Fatalf("seed %d: at most %d were let in", seed, f.peakInUse)
 		}
 	}
 }
@@ -121,9 +121,9 @@
 // A successor that lends before it has asked is caught by the same check.
 func TestASuccessorThatDoesNotAskIsCaught(t *testing.T) {
 	for seed := int64(1); seed <= 50; seed++ {
-		f := newFlock(seed, true)
+		f := newSimulation(seed, true)
 		for i := 0; i < 4000; i++ {
-			if f.step(); f.inUse() > allowance+allowance/10 {
+			if f.step(); f.inUse() > testQuota+testQuota/10 {
 				return
 			}
 		}
@@ -134,12 +134,12 @@
 // A lower epoch's answer is refused, and a fence leaves only what is in use.
 func TestEpochsOfAnAccount(t *testing.T) {
 	s := &Share{}
-	s.Lent(3, 10, 1000)
-	s.Take(4)
-	if s.Lent(2, 50, 1000) {
+	s.ApplyGrant(3, 10, 1000)
+	s.Reserve(4)
+	if s.ApplyGrant(2, 50, 1000) {
 		t.Fatal("a lower epoch's answer was taken")
 	}
-	if !s.Fence(4) || s.Room(1, 1001) || s.Granted != 4 {
+	if !s.Fence(4) || s.HasCapacity(1, 1001) || s.Granted != 4 {
 		t.Fatalf("after the fence: %+v", s)
 	}
 	if s.Fence(3) {
--- a/path/reader/reader.go
+++ b/path/reader/reader.go
@@ -19,54 +19,54 @@
 
 // Reader is one reading daemon's side of the ledgers.
 type Reader struct {
-	wire  *machine.Wire
-	view  *token.View
-	state state.Map
-	open  map[string]*reading // reads that wait for rows, by name
-	order []string            // the same in the order they came
-	// PollRest is the least time between two asks of one reader that waits: every
+	calls        *machine.Calls
+	positions    *token.PositionView
+	shardMap     state.Map
+	pending      map[string]*pendingRead // reads that wait for rows, by name
+	arrivalOrder []string                // the same in the order they came
+	// MinPollInterval is the least time between two asks of one reader that waits: every
 	// writer's word turns the view, and many readers must not ask at each of them.
-	PollRest clock.Micros
+	MinPollInterval clock.Micros
 	// SkipWakeups is a fault planted by tests: the view's turns wake nobody.
 	SkipWakeups bool
 }
 
-// Read is a page that a caller wants: of one bundle's list, or of the feed over
+// Request is a page that a caller wants: of one bundle's list, or of the feed over
 // all its bundles. An empty page waits for rows until Wait is over.
-type Read struct {
-	Name     string // to give it up by
-	Customer string
-	Bundle   string // "" for the feed
-	Token    string
-	Most     int
-	Wait     clock.Micros
-	// Indexed reads one bundle's list from the index From on, without a token: at
-	// most MostBytes of outputs (0: no bound), but at least one row.
-	Indexed   bool
-	From      int
-	MostBytes int
-	Anyone    bool // the caller carries no key: a bundle without one is found by its name alone
+type Request struct {
+	ID      string // to give it up by
+	Tenant  string
+	BatchID string // "" for the feed
+	Token   string
+	Limit   int
+	MaxWait clock.Micros
+	// ByIndex reads one bundle's list from the index From on, without a token: at
+	// most MaxBytes of outputs (0: no bound), but at least one row.
+	ByIndex   bool
+	FromIndex int
+	MaxBytes  int
+	AnyTenant bool // the caller carries no key: a bundle without one is found by its name alone
 }
 
-type reading struct {
-	Read
-	back   func(Page, error, clock.Micros)
-	expiry clock.Micros
-	due    clock.Micros // not asked again before; 0: only once the view turns
-	asked  clock.Micros
-	busy   bool
-	lost   int // asks in a row that no store answered in time
+type pendingRead struct {
+	Request
+	callback    func(Page, error, clock.Micros)
+	deadline    clock.Micros
+	pollAt      clock.Micros // not asked again before; 0: only once the view turns
+	polledAt    clock.Micros
+	inFlight    bool
+	failedPolls int // asks in a row that no store answered in time
 }
 
-// pollRest is PollRest where nothing else is set.
-const pollRest = 40 * clock.Millisecond
+// defaultMinPollInterval is MinPollInterval where nothing else is set.
+const defaultMinPollInterval = 40 * clock.Millisecond
 
-// passRest is the same while a slot passes on, where no word need turn the view.
-const passRest = 100 * clock.Millisecond
+// transferPollInterval is the same while a slot passes on, where no word need turn the view.
+const transferPollInterval = 100 * clock.Millisecond
 
 // New makes a reader.
-func New(wire *machine.Wire) *Reader {
-	return &Reader{wire: wire, view: token.NewView(), open: map[string]*reading{}, PollRest: pollRest}
+func New(calls *machine.Calls) *Reader {
+	return &Reader{calls: calls, positions: token.NewPositionView(), pending: map[string]*pendingRead{}, MinPollInterval: defaultMinPollInterval}
 }
 
 // Receive takes the updates that concern reading.
@@ -74,307 +74,307 @@
 	switch {
 	case update.Key == state.MapKey:
 		var m state.Map
-		if json.Unmarshal(update.Value, &m) != nil || m.Seq <= r.state.Seq {
+		if json.Unmarshal(update.Value, &m) != nil || m.Seq <= r.shardMap.Seq {
 			return
 		}
-		r.state = m
-		epochs := make([]uint64, len(m.Slots))
-		for i, pairing := range m.Slots {
-			epochs[i] = pairing.Epoch
+		r.shardMap = m
+		epochs := make([]uint64, len(m.Shards))
+		for i, assignment := range m.Shards {
+			epochs[i] = assignment.Epoch
 		}
-		r.view.SetMap(epochs)
+		r.positions.SetMap(epochs)
 	case strings.HasPrefix(update.Key, token.KeyPrefix):
-		if !r.view.Hear(update) {
+		if !r.positions.Receive(update) {
 			return
 		}
 	default:
 		return
 	}
-	for _, name := range r.order {
-		if one := r.open[name]; !r.SkipWakeups && one != nil && (one.due == 0 || one.due > one.asked+r.PollRest) {
-			one.due = max(now, one.asked+r.PollRest)
+	for _, id := range r.arrivalOrder {
+		if p := r.pending[id]; !r.SkipWakeups && p != nil && (p.pollAt == 0 || p.pollAt > p.polledAt+r.MinPollInterval) {
+			p.pollAt = max(now, p.polledAt+r.MinPollInterval)
 		}
 	}
-	r.again(now)
+	r.pollDue(now)
 }
 
 // Start reads a page; back is told once.
-func (r *Reader) Start(read Read, now clock.Micros, back func(Page, error, clock.Micros)) {
-	one := &reading{Read: read, back: back, expiry: now + read.Wait}
-	if read.Wait > 0 {
-		r.open[read.Name] = one
-		r.order = append(r.order, read.Name)
+func (r *Reader) Start(request Request, now clock.Micros, callback func(Page, error, clock.Micros)) {
+	p := &pendingRead{Request: request, callback: callback, deadline: now + request.MaxWait}
+	if request.MaxWait > 0 {
+		r.pending[request.ID] = p
+		r.arrivalOrder = append(r.arrivalOrder, request.ID)
 	}
-	r.ask(one, now)
+	r.poll(p, now)
 }
 
-// Left tells that a read's caller has gone.
-type Left struct{ Name string }
+// CallerLeft tells that a read's caller has gone.
+type CallerLeft struct{ RequestID string }
 
-// Leave gives a read up.
-func (r *Reader) Leave(left Left) {
-	if one := r.open[left.Name]; one != nil {
-		r.close(left.Name)
-		if one.Wait = 0; !one.busy {
-			one.back(Page{}, errs.New(errs.NotReady, "ask again with the same token", "the reader left"), 0)
+// CancelRead gives a read up.
+func (r *Reader) CancelRead(left CallerLeft) {
+	if p := r.pending[left.RequestID]; p != nil {
+		r.remove(left.RequestID)
+		if p.MaxWait = 0; !p.inFlight {
+			p.callback(Page{}, errs.New(errs.NotReady, "ask again with the same token", "the reader left"), 0)
 		}
 	}
 }
 
-func (r *Reader) close(name string) {
-	if r.open[name] == nil {
+func (r *Reader) remove(id string) {
+	if r.pending[id] == nil {
 		return
 	}
-	delete(r.open, name)
-	for i, one := range r.order {
-		if one == name {
-			r.order = append(r.order[:i], r.order[i+1:]...)
+	delete(r.pending, id)
+	for i, p := range r.arrivalOrder {
+		if p == id {
+			r.arrivalOrder = append(r.arrivalOrder[:i], r.arrivalOrder[i+1:]...)
 			return
 		}
 	}
 }
 
-// Open is how many reads wait.
-func (r *Reader) Open() int { return len(r.open) }
+// Pending is how many reads wait.
+func (r *Reader) Pending() int { return len(r.pending) }
 
-// ClockEvent asks again for whom it is due, and ends the waits that are over.
-func (r *Reader) ClockEvent(now clock.Micros) { r.again(now) }
+// Tick asks again for whom it is due, and ends the waits that are over.
+func (r *Reader) Tick(now clock.Micros) { r.pollDue(now) }
 
-func (r *Reader) again(now clock.Micros) {
-	for _, name := range append([]string(nil), r.order...) {
-		one := r.open[name]
+func (r *Reader) pollDue(now clock.Micros) {
+	for _, id := range append([]string(nil), r.arrivalOrder...) {
+		p := r.pending[id]
 		switch {
-		case one == nil || one.busy:
-		case now >= one.expiry:
+		case p == nil || p.inFlight:
+		case now >= p.deadline:
 			// A last look: the caller hears what there is now.
-			r.close(name)
-			one.Wait = 0
-			r.ask(one, now)
-		case one.due > 0 && now >= one.due:
-			r.ask(one, now)
+			r.remove(id)
+			p.MaxWait = 0
+			r.poll(p, now)
+		case p.pollAt > 0 && now >= p.pollAt:
+			r.poll(p, now)
 		}
 	}
 }
 
-func (r *Reader) ask(one *reading, now clock.Micros) {
-	one.busy, one.due, one.asked = true, 0, now
-	r.page(one.Read, one.patience(), now, func(page Page, err error, now clock.Micros) {
-		one.busy = false
-		if one.lost++; err == nil {
-			one.lost = 0
+func (r *Reader) poll(p *pendingRead, now clock.Micros) {
+	p.inFlight, p.pollAt, p.polledAt = true, 0, now
+	r.fetchPage(p.Request, p.pollTimeout(), now, func(page Page, err error, now clock.Micros) {
+		p.inFlight = false
+		if p.failedPolls++; err == nil {
+			p.failedPolls = 0
 		}
-		passing := errs.Is(err, errs.NotReady)
-		whole := err == nil && (len(page.Rows) > 0 || (page.State != "" && page.State != string(shard.Open)))
-		if one.Wait == 0 || whole || (err != nil && !passing) {
-			r.close(one.Name)
-			one.back(page, err, now)
+		notReady := errs.Is(err, errs.NotReady)
+		complete := err == nil && (len(page.Results) > 0 || (page.State != "" && page.State != string(shard.Open)))
+		if p.MaxWait == 0 || complete || (err != nil && !notReady) {
+			r.remove(p.ID)
+			p.callback(page, err, now)
 			return
 		}
-		if passing {
-			one.due = now + passRest
+		if notReady {
+			p.pollAt = now + transferPollInterval
 		}
 	})
 }
 
-// Map is the map as heard last.
-func (r *Reader) Map() state.Map { return r.state }
+// ShardMap is the map as heard last.
+func (r *Reader) ShardMap() state.Map { return r.shardMap }
 
-// Ready tells whether every slot has a store that serves it.
-func (r *Reader) Ready() bool {
-	_, whole := r.view.UpTo()
-	return whole
+// IsReady tells whether every slot has a store that serves it.
+func (r *Reader) IsReady() bool {
+	_, complete := r.positions.ReadableUpTo()
+	return complete
 }
 
-// StoreOf is the slot of a bundle or claim and who serves it.
-func (r *Reader) StoreOf(id string) (int, token.Owner, error) {
-	if len(r.state.Slots) == 0 {
-		return 0, token.Owner{}, errs.Later(errs.NotReady, clock.Second, "ask again; the daemon has just started", "no map of the stores has arrived yet")
+// Locate is the slot of a bundle or claim and who serves it.
+func (r *Reader) Locate(id string) (int, token.Owner, error) {
+	if len(r.shardMap.Shards) == 0 {
+		return 0, token.Owner{}, errs.NewWithRetry(errs.NotReady, clock.Second, "ask again; the daemon has just started", "no map of the stores has arrived yet")
 	}
-	slot := shard.SlotOf(id, len(r.state.Slots))
-	owner, ok := r.view.Owner(slot)
+	shardIndex := shard.ShardOf(id, len(r.shardMap.Shards))
+	owner, ok := r.positions.Owner(shardIndex)
 	if !ok {
-		return slot, owner, errs.Later(errs.NotReady, clock.Second, "ask again; the slot passes to another store", "slot %d has no store with two disks now", slot)
+		return shardIndex, owner, errs.NewWithRetry(errs.NotReady, clock.Second, "ask again; the slot passes to another store", "slot %d has no store with two disks now", shardIndex)
 	}
-	return slot, owner, nil
+	return shardIndex, owner, nil
 }
 
 // Page is what a caller gets.
 type Page struct {
-	Rows  []shard.Row
-	Next  string
-	State string
-	Items int
-	More  bool
-	Index int // of the first row, where the list is read by index
+	Results    []shard.Result
+	NextToken  string
+	State      string
+	ItemCount  int
+	HasMore    bool
+	FirstIndex int // of the first row, where the list is read by index
 }
 
-func scope(fleet, what string) string { return fleet + "/" + what }
+func tokenScope(fleet, subject string) string { return fleet + "/" + subject }
 
-// readExpiry is how long a store may take. Reading changes nothing, so one that
+// maxPollTimeout is how long a store may take. Reading changes nothing, so one that
 // waits anyway asks anew sooner, and later each time: a lost message must not
 // hold its rows back for longer than users bear.
 const (
-	readExpiry  = 2 * clock.Second
-	soonExpiry  = 400 * clock.Millisecond
-	mostDoubles = 3
+	maxPollTimeout      = 2 * clock.Second
+	initialPollTimeout  = 400 * clock.Millisecond
+	maxTimeoutDoublings = 3
 )
 
-func (one *reading) patience() clock.Micros {
-	if one.Wait == 0 {
-		return readExpiry
+func (p *pendingRead) pollTimeout() clock.Micros {
+	if p.MaxWait == 0 {
+		return maxPollTimeout
 	}
-	return min(readExpiry, soonExpiry<<min(one.lost, mostDoubles))
+	return min(maxPollTimeout, initialPollTimeout<<min(p.failedPolls, maxTimeoutDoublings))
 }
 
-func (r *Reader) page(read Read, patience, now clock.Micros, back func(Page, error, clock.Micros)) {
-	if read.Bundle != "" {
-		r.bundle(read, patience, now, back)
+func (r *Reader) fetchPage(request Request, timeout, now clock.Micros, callback func(Page, error, clock.Micros)) {
+	if request.BatchID != "" {
+		r.fetchBatch(request, timeout, now, callback)
 		return
 	}
-	r.feed(read, patience, now, back)
+	r.fetchFeed(request, timeout, now, callback)
 }
 
-// bundle reads one bundle's list after a token, or from an index on.
-func (r *Reader) bundle(read Read, patience, now clock.Micros, back func(Page, error, clock.Micros)) {
-	fleet := r.state.Fleet
-	slot, owner, err := r.StoreOf(read.Bundle)
+// fetchBatch reads one bundle's list after a token, or from an index on.
+func (r *Reader) fetchBatch(request Request, timeout, now clock.Micros, callback func(Page, error, clock.Micros)) {
+	fleet := r.shardMap.Fleet
+	shardIndex, owner, err := r.Locate(request.BatchID)
 	if err != nil {
-		back(Page{}, err, now)
+		callback(Page{}, err, now)
 		return
 	}
-	from, err := token.Parse(scope(fleet, read.Bundle), read.Token)
+	from, err := token.Parse(tokenScope(fleet, request.BatchID), request.Token)
 	if err != nil {
-		back(Page{}, err, now)
+		callback(Page{}, err, now)
 		return
 	}
 	after := from.Vector()
-	r.wire.Ask(owner.Peer, store.ReadAsk{Slots: map[int]uint64{slot: owner.Epoch}, Bundle: read.Bundle, Customer: read.Customer, Anyone: read.Anyone,
-		After: after, Bound: map[int]token.Vector{slot: r.view.Effective(slot)}, Most: read.Most,
-		Indexed: read.Indexed, From: read.From, MostBytes: read.MostBytes}, patience, func(answer any, err error, now clock.Micros) {
-		rows, err := rowsOf(answer, err)
+	r.calls.Request(owner.Peer, store.ReadRequest{Shards: map[int]uint64{shardIndex: owner.Epoch}, Batch: request.BatchID, Tenant: request.Tenant, AnyTenant: request.AnyTenant,
+		After: after, Bound: map[int]token.Vector{shardIndex: r.positions.ReadableInShard(shardIndex)}, Limit: request.Limit,
+		Indexed: request.ByIndex, From: request.FromIndex, MaxBytes: request.MaxBytes}, timeout, func(body any, err error, now clock.Micros) {
+		response, err := readResponse(body, err)
 		if err != nil {
-			back(Page{}, err, now)
+			callback(Page{}, err, now)
 			return
 		}
-		page := Page{Rows: rows.Rows, State: rows.State, Items: rows.Items, More: rows.More, Index: rows.Index}
-		if read.Indexed {
-			back(page, nil, now)
+		page := Page{Results: response.Results, State: response.State, ItemCount: response.Items, HasMore: response.More, FirstIndex: response.Index}
+		if request.ByIndex {
+			callback(page, nil, now)
 			return
 		}
-		for _, row := range rows.Rows {
-			after[row.Writer] = max(after[row.Writer], row.Position)
+		for _, result := range response.Results {
+			after[result.Writer] = max(after[result.Writer], result.Position)
 		}
-		page.Next = token.NewToken(scope(fleet, read.Bundle), after).String()
-		back(page, nil, now)
+		page.NextToken = token.NewToken(tokenScope(fleet, request.BatchID), after).String()
+		callback(page, nil, now)
 	})
 }
 
-// rowsOf turns a store's answer into rows, or what went wrong into words for a
+// readResponse turns a store's answer into rows, or what went wrong into words for a
 // reader: reading changes nothing, so asking again is always safe.
-func rowsOf(answer any, err error) (store.Rows, error) {
+func readResponse(body any, err error) (store.ReadResponse, error) {
 	if err != nil {
 		if m := errs.Of(err); m.Kind != errs.OutcomeUnknown {
-			return store.Rows{}, err
+			return store.ReadResponse{}, err
 		}
-		return store.Rows{}, errs.Later(errs.NotReady, clock.Second, "ask again with the same token", "the store gave no answer: %v", err)
+		return store.ReadResponse{}, errs.NewWithRetry(errs.NotReady, clock.Second, "ask again with the same token", "the store gave no answer: %v", err)
 	}
-	rows, ok := answer.(store.Rows)
+	response, ok := body.(store.ReadResponse)
 	if !ok {
-		return rows, errs.New(errs.ServerFault, "run the same release on all daemons", "the store answered %T", answer)
+		return response, errs.New(errs.ServerFault, "run the same release on all daemons", "the store answered %T", body)
 	}
-	return rows, nil
+	return response, nil
 }
 
-// feed reads all of a customer's bundles after a token.
-func (r *Reader) feed(read Read, patience, now clock.Micros, back func(Page, error, clock.Micros)) {
-	fleet := r.state.Fleet
+// fetchFeed reads all of a customer's bundles after a token.
+func (r *Reader) fetchFeed(request Request, timeout, now clock.Micros, callback func(Page, error, clock.Micros)) {
+	fleet := r.shardMap.Fleet
 	if fleet == "" {
-		back(Page{}, errs.Later(errs.NotReady, clock.Second, "ask again; the daemon has just started", "no map of the stores has arrived yet"), now)
+		callback(Page{}, errs.NewWithRetry(errs.NotReady, clock.Second, "ask again; the daemon has just started", "no map of the stores has arrived yet"), now)
 		return
 	}
-	from, err := token.Parse(scope(fleet, feedPrefix+read.Customer), read.Token)
+	from, err := token.Parse(tokenScope(fleet, feedPrefix+request.Tenant), request.Token)
 	if err != nil {
-		back(Page{}, err, now)
+		callback(Page{}, err, now)
 		return
 	}
 	after := from.Vector()
-	asks, upTo, whole := FeedAsks(r.view, len(r.state.Slots), read.Customer, after, read.Most)
-	if !whole {
-		back(Page{}, errs.Later(errs.NotReady, clock.Second, "ask again with the same token", "a slot passes to another store; the feed goes on when it has"), now)
+	requests, upTo, complete := FeedRequests(r.positions, len(r.shardMap.Shards), request.Tenant, after, request.Limit)
+	if !complete {
+		callback(Page{}, errs.NewWithRetry(errs.NotReady, clock.Second, "ask again with the same token", "a slot passes to another store; the feed goes on when it has"), now)
 		return
 	}
 	var page Page
 	var failed error
-	left := len(asks)
+	left := len(requests)
 	peers := make([]string, 0, left)
-	for peer := range asks {
+	for peer := range requests {
 		peers = append(peers, peer)
 	}
 	sort.Strings(peers)
 	for _, peer := range peers {
-		r.wire.Ask(peer, asks[peer], patience, func(answer any, err error, now clock.Micros) {
-			rows, err := rowsOf(answer, err)
+		r.calls.Request(peer, requests[peer], timeout, func(body any, err error, now clock.Micros) {
+			response, err := readResponse(body, err)
 			if err != nil {
 				failed = err
 			}
-			page.Rows = append(page.Rows, rows.Rows...)
-			page.More = page.More || rows.More
+			page.Results = append(page.Results, response.Results...)
+			page.HasMore = page.HasMore || response.More
 			if left--; left > 0 {
 				return
 			}
 			if failed != nil {
-				back(Page{}, failed, now)
+				callback(Page{}, failed, now)
 				return
 			}
-			page.Next = token.NewToken(scope(fleet, feedPrefix+read.Customer), Cut(&page, after, upTo, read.Most)).String()
-			back(page, nil, now)
+			page.NextToken = token.NewToken(tokenScope(fleet, feedPrefix+request.Tenant), FinishPage(&page, after, upTo, request.Limit)).String()
+			callback(page, nil, now)
 		})
 	}
 }
 
-// FeedAsks works out whom to ask for what: each store for the slots it serves,
+// FeedRequests works out whom to ask for what: each store for the slots it serves,
 // up to the vector that may be read now.
-func FeedAsks(view *token.View, slots int, customer string, after token.Vector, most int) (map[string]store.ReadAsk, token.Vector, bool) {
-	upTo, whole := view.UpTo()
-	asks := map[string]store.ReadAsk{}
-	for slot := 0; slot < slots; slot++ {
-		owner, ok := view.Owner(slot)
+func FeedRequests(positions *token.PositionView, shardCount int, tenant string, after token.Vector, limit int) (map[string]store.ReadRequest, token.Vector, bool) {
+	upTo, complete := positions.ReadableUpTo()
+	requests := map[string]store.ReadRequest{}
+	for shardIndex := 0; shardIndex < shardCount; shardIndex++ {
+		owner, ok := positions.Owner(shardIndex)
 		if !ok {
 			continue
 		}
-		ask, known := asks[owner.Peer]
+		request, known := requests[owner.Peer]
 		if !known {
-			ask = store.ReadAsk{Slots: map[int]uint64{}, Customer: customer, After: after, Bound: map[int]token.Vector{}, Most: most}
+			request = store.ReadRequest{Shards: map[int]uint64{}, Tenant: tenant, After: after, Bound: map[int]token.Vector{}, Limit: limit}
 		}
-		ask.Slots[slot], ask.Bound[slot] = owner.Epoch, upTo
-		asks[owner.Peer] = ask
+		request.Shards[shardIndex], request.Bound[shardIndex] = owner.Epoch, upTo
+		requests[owner.Peer] = request
 	}
-	return asks, upTo, whole
+	return requests, upTo, complete
 }
 
-// Cut orders a page, cuts it, and works out the vector after it: where it was
+// FinishPage orders a page, cuts it, and works out the vector after it: where it was
 // cut, each writer's last row on it; otherwise all that was readable.
-func Cut(page *Page, after, upTo token.Vector, most int) token.Vector {
-	sort.SliceStable(page.Rows, func(i, j int) bool {
-		if page.Rows[i].Position != page.Rows[j].Position {
-			return page.Rows[i].Position < page.Rows[j].Position
+func FinishPage(page *Page, after, upTo token.Vector, limit int) token.Vector {
+	sort.SliceStable(page.Results, func(i, j int) bool {
+		if page.Results[i].Position != page.Results[j].Position {
+			return page.Results[i].Position < page.Results[j].Position
 		}
-		return page.Rows[i].Writer < page.Rows[j].Writer
+		return page.Results[i].Writer < page.Results[j].Writer
 	})
-	if most > 0 && len(page.Rows) > most {
-		page.Rows, page.More = page.Rows[:most], true
+	if limit > 0 && len(page.Results) > limit {
+		page.Results, page.HasMore = page.Results[:limit], true
 	}
 	next := token.Vector{}
 	for writer, position := range after {
 		next[writer] = position
 	}
-	if !page.More {
+	if !page.HasMore {
 		for writer, position := range upTo {
 			next[writer] = max(next[writer], position)
 		}
 	}
-	for _, row := range page.Rows {
-		next[row.Writer] = max(next[row.Writer], row.Position)
+	for _, result := range page.Results {
+		next[result.Writer] = max(next[result.Writer], result.Position)
 	}
 	return next
 }
--- a/path/reader/reader_test.go
+++ b/path/reader/reader_test.go
@@ -13,46 +13,46 @@
 	"tuliprudder/ledger/token"
 )
 
-// bench is a reader with one slot, whose keeper is the test.
-type bench struct {
+// fixture is a reader with one slot, whose keeper is the test.
+type fixture struct {
 	*Reader
 	t     *testing.T
-	wire  *machine.Wire
+	calls *machine.Calls
 	now   clock.Micros
 	seq   uint64
 	pages []Page
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{t: t, wire: machine.NewWire(), now: clock.Second}
-	b.Reader = New(b.wire)
-	m, _ := json.Marshal(state.Map{Fleet: "f", Seq: 1, Slots: []replication.Assignment{{Epoch: 1}}})
-	b.Receive(machine.Update{Key: state.MapKey, Seq: 1, Value: m}, b.now)
-	b.say(5)
-	return b
+func newFixture(t *testing.T) *fixture {
+	f := &fixture{t: t, calls: machine.NewCalls(), now: clock.Second}
+	f.Reader = New(f.calls)
+	m, _ := json.Marshal(state.Map{Fleet: "f", Seq: 1, Shards: []replication.Assignment{{Epoch: 1}}})
+	f.Receive(machine.Update{Key: state.MapKey, Seq: 1, Value: m}, f.now)
+	f.announce(5)
+	return f
 }
 
-// say is the writer's word.
-func (b *bench) say(upTo int64) {
-	b.seq++
-	said, _ := json.Marshal(token.Announcement{Writer: 1, Peer: "keeper", UpTo: upTo, Slots: []token.Claimed{{Slot: 0, Epoch: 1}}})
-	b.Receive(machine.Update{Key: token.Key(1), Epoch: 1, Seq: b.seq, Value: said}, b.now)
+// announce is the writer's word.
+func (f *fixture) announce(upTo int64) {
+	f.seq++
+	value, _ := json.Marshal(token.Announcement{Writer: 1, Peer: "keeper", PersistedUpTo: upTo, Shards: []token.OwnedShard{{Shard: 0, Epoch: 1}}})
+	f.Receive(machine.Update{Key: token.Key(1), Epoch: 1, Seq: f.seq, Value: value}, f.now)
 }
 
-func (b *bench) read(read Read) {
-	b.Start(read, b.now, func(page Page, err error, _ clock.Micros) {
+func (f *fixture) read(request Request) {
+	f.Start(request, f.now, func(page Page, err error, _ clock.Micros) {
 		if err != nil {
-			b.t.Fatal(err)
+			f.t.Fatal(err)
 		}
-		b.pages = append(b.pages, page)
+		f.pages = append(f.pages, page)
 	})
 }
 
-// next is what the store is asked; nil for nothing.
-func (b *bench) next() *machine.Ask {
-	for _, effect := range b.wire.Drain() {
-		if ask, ok := effect.(machine.Ask); ok {
-			return &ask
+// nextRequest is what the store is asked; nil for nothing.
+func (f *fixture) nextRequest() *machine.Request {
+	for _, effect := range f.calls.Drain() {
+		if request, ok := effect.(machine.Request); ok {
+			return &request
 		}
 	}
 	return nil
@@ -60,43 +60,43 @@
 
 // A held read by index ends as soon as there is a row, asks again no sooner than
 // it may, and never asks past the last position seen.
-func TestAHeldReadByIndex(t *testing.T) {
-	b := newBench(t)
-	b.PollRest = 7 * clock.Millisecond
-	b.read(Read{Name: "n", Bundle: "one", Wait: 30 * clock.Second, Indexed: true, From: 3, MostBytes: 99, Most: 10, Anyone: true})
-	first := b.next()
-	ask := first.Body.(store.ReadAsk)
-	if !ask.Indexed || ask.From != 3 || ask.MostBytes != 99 || ask.Most != 10 || !ask.Anyone || ask.Bound[0][1] != 5 {
-		t.Fatalf("the keeper was asked %+v", ask)
+func TestAPendingReadByIndex(t *testing.T) {
+	f := newFixture(t)
+	f.MinPollInterval = 7 * clock.Millisecond
+	f.read(Request{ID: "n", BatchID: "one", MaxWait: 30 * clock.Second, ByIndex: true, FromIndex: 3, MaxBytes: 99, Limit: 10, AnyTenant: true})
+	first := f.nextRequest()
+	request := first.Body.(store.ReadRequest)
+	if !request.Indexed || request.From != 3 || request.MaxBytes != 99 || request.Limit != 10 || !request.AnyTenant || request.Bound[0][1] != 5 {
+		t.Fatalf("the keeper was asked %+v", request)
 	}
-	b.wire.Answered(first.Token, store.Rows{State: string(shard.Open), Items: 9, Index: 3}, nil, b.now)
-	if len(b.pages) > 0 {
-		t.Fatalf("it did not wait: %+v", b.pages)
+	f.calls.ReplyReceived(first.Token, store.ReadResponse{State: string(shard.Open), Items: 9, Index: 3}, nil, f.now)
+	if len(f.pages) > 0 {
+		t.Fatalf("it did not wait: %+v", f.pages)
 	}
-	b.say(6)
-	b.now += 6 * clock.Millisecond
-	b.ClockEvent(b.now)
-	if ask := b.next(); ask != nil {
+	f.announce(6)
+	f.now += 6 * clock.Millisecond
+	f.Tick(f.now)
+	if request := f.nextRequest(); request != nil {
 		t.Fatal("it asked again too soon")
 	}
-	b.now += clock.Millisecond
-	b.ClockEvent(b.now)
-	second := b.next()
-	if second == nil || second.Body.(store.ReadAsk).Bound[0][1] != 6 {
+	f.now += clock.Millisecond
+	f.Tick(f.now)
+	second := f.nextRequest()
+	if second == nil || second.Body.(store.ReadRequest).Bound[0][1] != 6 {
 		t.Fatalf("after the writer's word it asked %+v", second)
 	}
-	b.wire.Answered(second.Token, store.Rows{Rows: []shard.Row{{Writer: 1, Position: 6}}, State: string(shard.Open), Items: 9, Index: 3}, nil, b.now)
-	if len(b.pages) != 1 || len(b.pages[0].Rows) != 1 || b.pages[0].Index != 3 || b.pages[0].Items != 9 || b.pages[0].Next != "" {
-		t.Fatalf("%+v", b.pages)
+	f.calls.ReplyReceived(second.Token, store.ReadResponse{Results: []shard.Result{{Writer: 1, Position: 6}}, State: string(shard.Open), Items: 9, Index: 3}, nil, f.now)
+	if len(f.pages) != 1 || len(f.pages[0].Results) != 1 || f.pages[0].FirstIndex != 3 || f.pages[0].ItemCount != 9 || f.pages[0].NextToken != "" {
+		t.Fatalf("%+v", f.pages)
 	}
 }
 
 // A settled list's end is told at once.
-func TestTheEndOfASettledListIsToldAtOnce(t *testing.T) {
-	b := newBench(t)
-	b.read(Read{Name: "n", Bundle: "one", Wait: 30 * clock.Second, Indexed: true, From: 9, Anyone: true})
-	b.wire.Answered(b.next().Token, store.Rows{State: string(shard.Done), Items: 9, Index: 9}, nil, b.now)
-	if len(b.pages) != 1 || b.pages[0].State != string(shard.Done) || b.pages[0].Items != 9 || b.Open() != 0 {
-		t.Fatalf("%+v", b.pages)
+func TestTheEndOfACompleteListIsReportedAtOnce(t *testing.T) {
+	f := newFixture(t)
+	f.read(Request{ID: "n", BatchID: "one", MaxWait: 30 * clock.Second, ByIndex: true, FromIndex: 9, AnyTenant: true})
+	f.calls.ReplyReceived(f.nextRequest().Token, store.ReadResponse{State: string(shard.Done), Items: 9, Index: 9}, nil, f.now)
+	if len(f.pages) != 1 || f.pages[0].State != string(shard.Done) || f.pages[0].ItemCount != 9 || f.Pending() != 0 {
+		t.Fatalf("%+v", f.pages)
 	}
 }
--- a/path/registry/registry.go
+++ b/path/registry/registry.go
@@ -15,21 +15,21 @@
 
 // Server is one entry of the list of servers.
 type Server struct {
-	Name    string            `json:"name"`
-	Address string            `json:"address"`
-	Labels  map[string]string `json:"labels"`
-	Slots   int               `json:"slots"`
-	Leaving bool              `json:"leaving,omitempty"`
-	Gone    bool              `json:"gone,omitempty"`
+	Name     string            `json:"name"`
+	Address  string            `json:"address"`
+	Labels   map[string]string `json:"labels"`
+	Slots    int               `json:"slots"`
+	Draining bool              `json:"leaving,omitempty"`
+	Removed  bool              `json:"gone,omitempty"`
 }
 
 // Load is one reading of a server's pages.
 type Load struct {
 	Running int          `json:"running"`
 	Waiting int          `json:"waiting"`
-	Sound   bool         `json:"sound"`
-	At      clock.Micros `json:"at"`
-	By      string       `json:"by"`
+	Healthy bool         `json:"sound"`
+	ReadAt  clock.Micros `json:"at"`
+	ReadBy  string       `json:"by"`
 }
 
 // ServerUpdate is the newest state of a server, as an update: always above what is known.
@@ -44,29 +44,29 @@
 // LoadKey is the key of a server's load figures.
 func LoadKey(name string) string { return LoadPrefix + name }
 
-// First is the first live daemon in the agreed order for a duty: each duty has
+// RendezvousOwner is the first live daemon in the agreed order for a duty: each duty has
 // an order of its own, so duties spread over the daemons.
-func First(duty string, members []identity.Member, kind string) string {
-	type place struct {
-		id   string
-		rank uint64
+func RendezvousOwner(role string, members []identity.Member, kind string) string {
+	type candidate struct {
+		id     string
+		weight uint64
 	}
-	var order []place
+	var candidates []candidate
 	for _, member := range members {
 		if member.Kind == kind && member.Status == identity.Alive && !member.Draining {
 			h := fnv.New64a()
-			h.Write([]byte(duty + "\x00" + member.ID))
-			order = append(order, place{member.ID, h.Sum64()})
+			h.Write([]byte(role + "\x00" + member.ID))
+			candidates = append(candidates, candidate{member.ID, h.Sum64()})
 		}
 	}
-	if len(order) == 0 {
+	if len(candidates) == 0 {
 		return ""
 	}
-	sort.Slice(order, func(i, j int) bool {
-		if order[i].rank != order[j].rank {
-			return order[i].rank < order[j].rank
+	sort.Slice(candidates, func(i, j int) bool {
+		if candidates[i].weight != candidates[j].weight {
+			return candidates[i].weight < candidates[j].weight
 		}
-		return order[i].id < order[j].id
+		return candidates[i].id < candidates[j].id
 	})
-	return order[0].id
+	return candidates[0].id
 }
--- a/path/requests/bundles.go
+++ b/path/requests/bundles.go
@@ -10,145 +10,149 @@
 	"tuliprudder/path/reader"
 )
 
-// submitBundle takes a bundle in: whole and on two disks, or not at all.
-func (m *Machine) submitBundle(call uint64, ask SubmitBundle, now clock.Micros) {
-	plan, customer, class, route, err := m.bundleRoute(ask)
+// submitBatch takes a bundle in: whole and on two disks, or not at all.
+func (m *Machine) submitBatch(call uint64, request SubmitBatchRequest, now clock.Micros) {
+	configuration, tenant, class, route, err := m.authorizeBatch(request)
 	if err != nil {
-		m.answer(call, nil, err)
+		m.reply(call, nil, err)
 		return
 	}
-	if err := checkItems(ask.Items, int(route.MostItems), false); err != nil {
-		m.answer(call, nil, err)
+	if err := validateItems(request.Items, int(route.MaxItems), false); err != nil {
+		m.reply(call, nil, err)
 		return
 	}
-	if int64(len(ask.Items)) > class.Allowance {
-		m.answer(call, nil, errs.New(errs.OverAllowance, "send a smaller bundle, or buy a larger allowance", "%d items are more than the whole allowance of %d", len(ask.Items), class.Allowance))
+	if int64(len(request.Items)) > class.Quota {
+		m.reply(call, nil, errs.New(errs.OverQuota, "send a smaller bundle, or buy a larger allowance", "%d items are more than the whole allowance of %d", len(request.Items), class.Quota))
 		return
 	}
-	words := []string{route.Name}
-	for _, item := range ask.Items {
-		words = append(words, item.ID, item.Input)
+	hashInputs := []string{route.Name}
+	for _, item := range request.Items {
+		hashInputs = append(hashInputs, item.ID, item.Input)
 	}
-	id := shard.BundleID(customer.Name, ask.Key)
-	m.askStore(id, func(slot int) any {
-		return store.EnrolAsk{Slot: slot, Expiry: m.set.Commit, Bundle: shard.Bundle{ID: id, Customer: customer.Name, Key: ask.Key, Hash: shard.Hash(words...), Route: route.Name, Plan: plan.Version, Items: ask.Items}}
-	}, m.set.Commit+clock.Second, now, m.forwardAnswer(call))
+	id := shard.BatchID(tenant.Name, request.IdempotencyKey)
+	m.callStore(id, func(shardIndex int) any {
+		return store.SubmitRequest{Shard: shardIndex, Timeout: m.settings.CommitTimeout, Batch: shard.Batch{ID: id, Tenant: tenant.Name, Key: request.IdempotencyKey, Hash: shard.Hash(hashInputs...), Route: route.Name, ConfigurationVersion: configuration.Version, Items: request.Items}}
+	}, m.settings.CommitTimeout+clock.Second, now, m.relayReply(call))
 }
 
-func (m *Machine) bundleRoute(ask SubmitBundle) (*config.Plan, *config.Customer, *config.Class, *config.Route, error) {
-	plan, customer, class, err := m.caller(ask.Caller)
+func (m *Machine) authorizeBatch(request SubmitBatchRequest) (*config.Configuration, *config.Tenant, *config.PriorityClass, *config.Route, error) {
+	configuration, tenant, class, err := m.authenticate(request.APIKey)
 	if err != nil {
 		return nil, nil, nil, nil, err
 	}
-	route, err := routeFor(plan, class, ask.Route, true)
-	if err == nil && (ask.Key == "" || len(ask.Key) > 256) {
+	route, err := authorizeRoute(configuration, class, request.Route, true)
+	if err == nil && (request.IdempotencyKey == "" || len(request.IdempotencyKey) > 256) {
 		err = errs.New(errs.BadInput, "use a key of at most 256 bytes", "the idempotency key is missing or too long")
 	}
-	return plan, customer, class, route, err
+	return configuration, tenant, class, route, err
 }
 
-// forwardAnswer hands a store's answer to who called.
-func (m *Machine) forwardAnswer(call uint64) machine.Callback {
-	return func(body any, err error, _ clock.Micros) { m.answer(call, body, err) }
+// relayReply hands a store's answer to who called.
+func (m *Machine) relayReply(call uint64) machine.Callback {
+	return func(body any, err error, _ clock.Micros) { m.reply(call, body, err) }
 }
 
-// statusExpiry is how long a store may take to say how things stand.
-const statusExpiry = 2 * clock.Second
+// statusTimeout is how long a store may take to say how things stand.
+const statusTimeout = 2 * clock.Second
 
-// forwardStatus hands on the answer to a question that changes nothing: where none
+// relayStatus hands on the answer to a question that changes nothing: where none
 // came, asking again is always safe.
-func (m *Machine) forwardStatus(call uint64) machine.Callback {
+func (m *Machine) relayStatus(call uint64) machine.Callback {
 	return func(body any, err error, _ clock.Micros) {
 		if err != nil && errs.Of(err).Kind == errs.OutcomeUnknown {
-			err = errs.Later(errs.NotReady, clock.Second, "ask again; nothing was changed", "the store gave no answer: %v", err)
+			err = errs.NewWithRetry(errs.NotReady, clock.Second, "ask again; nothing was changed", "the store gave no answer: %v", err)
 		}
-		m.answer(call, body, err)
+		m.reply(call, body, err)
 	}
 }
 
-// forwardBundle takes a bundle of requests in, as handIn does one of inputs. Its
+// submitForwardedBatch takes a bundle of requests in, as handIn does one of inputs. Its
 // route stands for the customer.
-func (m *Machine) forwardBundle(call uint64, ask ForwardBundle, now clock.Micros) {
-	plan := m.scheduler.Plan()
-	if plan == nil {
-		m.answer(call, nil, errs.Later(errs.NotReady, clock.Second, "ask again; the daemon has just started", "no plan has arrived yet"))
+func (m *Machine) submitForwardedBatch(call uint64, request SubmitForwardedBatchRequest, now clock.Micros) {
+	configuration := m.scheduler.Configuration()
+	if configuration == nil {
+		m.reply(call, nil, errs.NewWithRetry(errs.NotReady, clock.Second, "ask again; the daemon has just started", "no plan has arrived yet"))
 		return
 	}
-	route, _ := plan.Route(ask.Route)
-	if route == nil || route.Forward == nil || route.Kind != config.Bundle {
-		m.answer(call, nil, errs.New(errs.UnknownRoute, "name a route of the plan in force that passes bundles on", "the plan passes no bundles on by a route %q", ask.Route))
+	route, _ := configuration.Route(request.Route)
+	if route == nil || route.Forward == nil || route.Kind != config.Batch {
+		m.reply(call, nil, errs.New(errs.UnknownRoute, "name a route of the plan in force that passes bundles on", "the plan passes no bundles on by a route %q", request.Route))
 		return
 	}
-	err := nameOf(ask.ID)
+	err := checkBatchID(request.ID)
 	if err == nil {
-		err = checkItems(ask.Items, int(route.MostItems), true)
+		err = validateItems(request.Items, int(route.MaxItems), true)
 	}
 	if err != nil {
-		m.answer(call, nil, err)
+		m.reply(call, nil, err)
 		return
 	}
-	words := []string{route.Name}
-	for _, item := range ask.Items {
-		words = append(words, item.ID, string(item.Request.Body))
+	hashInputs := []string{route.Name}
+	for _, item := range request.Items {
+		hashInputs = append(hashInputs, item.ID, string(item.Request.Body))
 	}
-	m.askStore(ask.ID, func(slot int) any {
-		return store.EnrolAsk{Slot: slot, Expiry: m.set.Commit, Bundle: shard.Bundle{ID: ask.ID, Customer: route.Name, Hash: shard.Hash(words...), Route: route.Name, Plan: plan.Version, Items: ask.Items}}
-	}, m.set.Commit+clock.Second, now, m.forwardAnswer(call))
+	m.callStore(request.ID, func(shardIndex int) any {
+		return store.SubmitRequest{Shard: shardIndex, Timeout: m.settings.CommitTimeout, Batch: shard.Batch{ID: request.ID, Tenant: route.Name, Hash: shard.Hash(hashInputs...), Route: route.Name, ConfigurationVersion: configuration.Version, Items: request.Items}}
+	}, m.settings.CommitTimeout+clock.Second, now, m.relayReply(call))
 }
 
-func nameOf(bundle string) error {
-	if bundle == "" || len(bundle) > 256 {
+func checkBatchID(batch string) error {
+	if batch == "" || len(batch) > 256 {
 		return errs.New(errs.BadInput, "use a name of at most 256 bytes", "the bundle's name is missing or too long")
 	}
 	return nil
 }
 
-func (m *Machine) bundleStatusAny(call uint64, ask BundleStatusAny, now clock.Micros) {
-	if ask.End {
-		m.askStore(ask.Bundle, func(slot int) any {
-			return store.EndAsk{Slot: slot, Bundle: ask.Bundle, Anyone: true, Expiry: m.set.Commit}
-		}, m.set.Commit+clock.Second, now, m.forwardAnswer(call))
+func (m *Machine) forwardedBatchStatus(call uint64, request ForwardedBatchStatusRequest, now clock.Micros) {
+	if request.Cancel {
+		m.callStore(request.Batch, func(shardIndex int) any {
+			return store.EndRequest{Shard: shardIndex, Batch: request.Batch, AnyTenant: true, Timeout: m.settings.CommitTimeout}
+		}, m.settings.CommitTimeout+clock.Second, now, m.relayReply(call))
 		return
 	}
-	m.askStore(ask.Bundle, func(slot int) any { return store.StatusAsk{Slot: slot, Bundle: ask.Bundle, Anyone: true} }, statusExpiry, now, m.forwardStatus(call))
+	m.callStore(request.Batch, func(shardIndex int) any {
+		return store.BatchStatusRequest{Shard: shardIndex, Batch: request.Batch, AnyTenant: true}
+	}, statusTimeout, now, m.relayStatus(call))
 }
 
-// pageAny reads one bundle: without a customer there is no feed.
-func (m *Machine) pageAny(call uint64, ask PageAny, now clock.Micros) {
-	if err := nameOf(ask.Read.Bundle); err != nil {
-		m.answer(call, nil, err)
+// readForwardedPage reads one bundle: without a customer there is no feed.
+func (m *Machine) readForwardedPage(call uint64, request ForwardedPageRequest, now clock.Micros) {
+	if err := checkBatchID(request.Read.BatchID); err != nil {
+		m.reply(call, nil, err)
 		return
 	}
-	if ask.Read.From < 0 {
-		m.answer(call, nil, errs.New(errs.BadInput, "count from 0", "the list has no row %d", ask.Read.From))
+	if request.Read.FromIndex < 0 {
+		m.reply(call, nil, errs.New(errs.BadInput, "count from 0", "the list has no row %d", request.Read.FromIndex))
 		return
 	}
-	ask.Read.Customer, ask.Read.Anyone = "", true
-	m.reader.Start(ask.Read, now, func(page reader.Page, err error, _ clock.Micros) { m.answer(call, page, err) })
+	request.Read.Tenant, request.Read.AnyTenant = "", true
+	m.reader.Start(request.Read, now, func(page reader.Page, err error, _ clock.Micros) { m.reply(call, page, err) })
 }
 
-// bundleStatus asks a bundle's store how it stands, or ends it.
-func (m *Machine) bundleStatus(call uint64, ask BundleStatus, now clock.Micros) {
-	_, customer, _, err := m.caller(ask.Caller)
+// batchStatus asks a bundle's store how it stands, or ends it.
+func (m *Machine) batchStatus(call uint64, request BatchStatusRequest, now clock.Micros) {
+	_, tenant, _, err := m.authenticate(request.APIKey)
 	if err != nil {
-		m.answer(call, nil, err)
+		m.reply(call, nil, err)
 		return
 	}
-	if ask.End {
-		m.askStore(ask.Bundle, func(slot int) any {
-			return store.EndAsk{Slot: slot, Bundle: ask.Bundle, Customer: customer.Name, Expiry: m.set.Commit}
-		}, m.set.Commit+clock.Second, now, m.forwardAnswer(call))
+	if request.Cancel {
+		m.callStore(request.Batch, func(shardIndex int) any {
+			return store.EndRequest{Shard: shardIndex, Batch: request.Batch, Tenant: tenant.Name, Timeout: m.settings.CommitTimeout}
+		}, m.settings.CommitTimeout+clock.Second, now, m.relayReply(call))
 		return
 	}
-	m.askStore(ask.Bundle, func(slot int) any { return store.StatusAsk{Slot: slot, Bundle: ask.Bundle, Customer: customer.Name} }, statusExpiry, now, m.forwardAnswer(call))
+	m.callStore(request.Batch, func(shardIndex int) any {
+		return store.BatchStatusRequest{Shard: shardIndex, Batch: request.Batch, Tenant: tenant.Name}
+	}, statusTimeout, now, m.relayReply(call))
 }
 
-func (m *Machine) page(call uint64, ask Page, now clock.Micros) {
-	_, customer, _, err := m.caller(ask.Caller)
+func (m *Machine) readPage(call uint64, request PageRequest, now clock.Micros) {
+	_, tenant, _, err := m.authenticate(request.APIKey)
 	if err != nil {
-		m.answer(call, nil, err)
+		m.reply(call, nil, err)
 		return
 	}
-	ask.Read.Customer, ask.Read.Anyone = customer.Name, false
-	m.reader.Start(ask.Read, now, func(page reader.Page, err error, _ clock.Micros) { m.answer(call, page, err) })
+	request.Read.Tenant, request.Read.AnyTenant = tenant.Name, false
+	m.reader.Start(request.Read, now, func(page reader.Page, err error, _ clock.Micros) { m.reply(call, page, err) })
 }
--- a/path/requests/live.go
+++ b/path/requests/live.go
@@ -15,261 +15,263 @@
 	"tuliprudder/path/scheduler"
 )
 
-type order struct {
-	Live
-	customer   *config.Customer
-	class      *config.Class
-	route      *config.Route
-	plan       uint64
-	arrived    clock.Micros
-	expiry     clock.Micros
-	call       uint64 // who waits for the next word
-	queued     *scheduler.Order
-	assignment *scheduler.Assignment
-	release    quota.Release
-	avoid      map[string]int
-	tries      int
-	ran        bool // a try may have run, in part at least
-	left       bool
-	claimed    bool
-	output     string
+type activeRequest struct {
+	LiveRequest
+	tenant               *config.Tenant
+	class                *config.PriorityClass
+	route                *config.Route
+	configurationVersion uint64
+	receivedAt           clock.Micros
+	deadline             clock.Micros
+	call                 uint64 // who waits for the next word
+	schedulerRequest     *scheduler.Request
+	assignment           *scheduler.Assignment
+	releaseQuota         quota.Release
+	avoidedServers       map[string]int
+	attempts             int
+	mayHaveRun           bool // a try may have run, in part at least
+	disconnected         bool
+	keyClaimed           bool
+	partialOutput        string
 }
 
-// live begins an order: it is checked, takes its place in the allowance, claims
+// admitRequest begins an order: it is checked, takes its place in the allowance, claims
 // its key, and waits in the queue.
-func (m *Machine) live(call uint64, ask Live, now clock.Micros) {
-	o := &order{Live: ask, call: call, arrived: now, avoid: map[string]int{}}
-	if err := m.check(o, now); err != nil {
-		m.answer(call, nil, err)
+func (m *Machine) admitRequest(call uint64, request LiveRequest, now clock.Micros) {
+	r := &activeRequest{LiveRequest: request, call: call, receivedAt: now, avoidedServers: map[string]int{}}
+	if err := m.validate(r, now); err != nil {
+		m.reply(call, nil, err)
 		return
 	}
-	m.open[o.Order] = o
-	m.quota.Take(o.customer.Name, o.class.Allowance, o.plan, 1, now, func(release quota.Release, err error, now clock.Micros) {
+	m.inFlight[r.ID] = r
+	m.quota.Reserve(r.tenant.Name, r.class.Quota, r.configurationVersion, 1, now, func(release quota.Release, err error, now clock.Micros) {
 		if err != nil {
-			m.end(o, nil, err, now)
+			m.finish(r, nil, err, now)
 			return
 		}
-		o.release = release
-		m.decisions.Begin(decisionlog.Entry{Order: o.Order, Customer: o.customer.Name, Route: o.route.Name, Rank: o.class.Rank, Arrived: o.arrived})
-		if o.Key != "" && !m.Unclaimed {
-			m.claim(o, now)
+		r.releaseQuota = release
+		m.decisions.Begin(decisionlog.Entry{RequestID: r.ID, Tenant: r.tenant.Name, Route: r.route.Name, Priority: r.class.Priority, ReceivedAt: r.receivedAt})
+		if r.IdempotencyKey != "" && !m.SkipIdempotencyClaim {
+			m.claimIdempotencyKey(r, now)
 			return
 		}
-		m.submit(o, nil, now)
+		m.scheduleAttempt(r, nil, now)
 	})
 }
 
-func (m *Machine) check(o *order, now clock.Micros) error {
-	plan, customer, class, err := m.caller(o.Caller)
+func (m *Machine) validate(r *activeRequest, now clock.Micros) error {
+	configuration, tenant, class, err := m.authenticate(r.APIKey)
 	if err != nil {
 		return err
 	}
-	route, err := routeFor(plan, class, o.Route, false)
+	route, err := authorizeRoute(configuration, class, r.Route, false)
 	if err != nil {
 		return err
 	}
 	switch {
-	case o.Input == "":
+	case r.Input == "":
 		return errs.New(errs.BadInput, "give the order an input", "input is empty")
-	case o.MaxTokens < 0 || o.MaxTokens > route.MaxTokens:
-		return errs.New(errs.BadInput, "leave max_tokens out, or keep to the route's bound", "max_tokens %d is not within 1 to %d", o.MaxTokens, route.MaxTokens)
-	case o.ExpiryUS < 0:
-		return errs.Later(errs.Expired, clock.Second, "give an expiry that lies ahead, in microseconds from now", "the order had expired before it came")
-	case len(o.Key) > 256:
+	case r.MaxTokens < 0 || r.MaxTokens > route.MaxTokens:
+		return errs.New(errs.BadInput, "leave max_tokens out, or keep to the route's bound", "max_tokens %d is not within 1 to %d", r.MaxTokens, route.MaxTokens)
+	case r.TimeoutUS < 0:
+		return errs.NewWithRetry(errs.DeadlineExceeded, clock.Second, "give an expiry that lies ahead, in microseconds from now", "the order had expired before it came")
+	case len(r.IdempotencyKey) > 256:
 		return errs.New(errs.BadInput, "use a key of at most 256 bytes", "the idempotency key is too long")
-	case o.Key != "" && route.Kind != config.OneShot:
+	case r.IdempotencyKey != "" && route.Kind != config.OneShot:
 		return errs.New(errs.BadInput, "leave the key out: only one-shot orders and bundles take one", "route %q is of kind %s", route.Name, route.Kind)
-	case !m.scheduler.Fresh(now):
-		return errs.Later(errs.NotReady, clock.Second, "ask another daemon, or come back", "this daemon's news are old; it refreshes them first")
+	case !m.scheduler.IsFresh(now):
+		return errs.NewWithRetry(errs.NotReady, clock.Second, "ask another daemon, or come back", "this daemon's news are old; it refreshes them first")
 	}
-	o.customer, o.class, o.route, o.plan = customer, class, route, plan.Version
-	o.expiry = now + route.Expiry
-	if o.ExpiryUS > 0 {
-		o.expiry = min(o.expiry, now+o.ExpiryUS)
+	r.tenant, r.class, r.route, r.configurationVersion = tenant, class, route, configuration.Version
+	r.deadline = now + route.Timeout
+	if r.TimeoutUS > 0 {
+		r.deadline = min(r.deadline, now+r.TimeoutUS)
 	}
-	if o.MaxTokens == 0 {
-		o.MaxTokens = route.MaxTokens
+	if r.MaxTokens == 0 {
+		r.MaxTokens = route.MaxTokens
 	}
 	return nil
 }
 
-// end gives an order's last word.
-func (m *Machine) end(o *order, answer any, err error, now clock.Micros) {
-	delete(m.open, o.Order)
-	if o.release != nil {
-		o.release(now)
+// finish gives an order's last word.
+func (m *Machine) finish(r *activeRequest, response any, err error, now clock.Micros) {
+	delete(m.inFlight, r.ID)
+	if r.releaseQuota != nil {
+		r.releaseQuota(now)
 	}
 	if err != nil {
-		m.decisions.Ended(o.Order, err.Error())
+		m.decisions.RecordOutcome(r.ID, err.Error())
 	}
-	m.answer(o.call, answer, err)
+	m.reply(r.call, response, err)
 }
 
-// askStore asks the store of a bundle or a claim; back is told once.
-func (m *Machine) askStore(id string, body func(slot int) any, expiry, now clock.Micros, back machine.Callback) {
-	slot, owner, err := m.reader.StoreOf(id)
+// callStore asks the store of a bundle or a claim; back is told once.
+func (m *Machine) callStore(id string, newRequest func(shardIndex int) any, timeout, now clock.Micros, callback machine.Callback) {
+	shardIndex, owner, err := m.reader.Locate(id)
 	if err != nil {
-		back(nil, err, now)
+		callback(nil, err, now)
 		return
 	}
-	m.wire.Ask(owner.Peer, body(slot), expiry, back)
+	m.calls.Request(owner.Peer, newRequest(shardIndex), timeout, callback)
 }
 
-// claim claims the key before anything starts: a repeated key gets the first
+// claimIdempotencyKey claims the key before anything starts: a repeated key gets the first
 // order's answer.
-func (m *Machine) claim(o *order, now clock.Micros) {
-	claim := shard.Claim{Customer: o.customer.Name, Key: o.Key, Order: o.Order, Hash: shard.Hash(o.route.Name, o.Input)}
-	m.askStore(shard.ClaimID(o.customer.Name, o.Key), func(slot int) any { return store.ClaimAsk{Slot: slot, Claim: claim, Expiry: m.set.Commit} },
-		m.set.Commit+clock.Second, now, func(body any, err error, now clock.Micros) {
-			answer, ok := body.(store.ClaimAnswer)
+func (m *Machine) claimIdempotencyKey(r *activeRequest, now clock.Micros) {
+	claim := shard.Claim{Tenant: r.tenant.Name, Key: r.IdempotencyKey, RequestID: r.ID, Hash: shard.Hash(r.route.Name, r.Input)}
+	m.callStore(shard.ClaimID(r.tenant.Name, r.IdempotencyKey), func(shardIndex int) any {
+		return store.ClaimRequest{Shard: shardIndex, Claim: claim, Timeout: m.settings.CommitTimeout}
+	},
+		m.settings.CommitTimeout+clock.Second, now, func(body any, err error, now clock.Micros) {
+			response, ok := body.(store.ClaimResponse)
 			switch {
 			case err != nil:
-				m.end(o, nil, err, now)
+				m.finish(r, nil, err, now)
 			case !ok:
-				m.end(o, nil, unexpectedAnswer(body), now)
-			case answer.Yours:
-				o.claimed = true
-				m.submit(o, nil, now)
-			case answer.Claim.State == shard.Answered:
-				var first Answer
-				if err := json.Unmarshal(answer.Claim.Answer, &first); err != nil {
-					m.end(o, nil, errs.New(errs.ServerFault, "run the same release on all daemons", "the key's first answer can't be read: %v", err), now)
+				m.finish(r, nil, unexpectedReplyError(body), now)
+			case response.Yours:
+				r.keyClaimed = true
+				m.scheduleAttempt(r, nil, now)
+			case response.Claim.State == shard.Answered:
+				var first Response
+				if err := json.Unmarshal(response.Claim.Response, &first); err != nil {
+					m.finish(r, nil, errs.New(errs.ServerFault, "run the same release on all daemons", "the key's first answer can't be read: %v", err), now)
 					return
 				}
 				first.Replayed = true
-				m.end(o, first, nil, now)
+				m.finish(r, first, nil, now)
 			default:
-				m.end(o, nil, errs.Later(errs.OutcomeUnknown, clock.Second, "ask again with the same key for the first order's answer", "the key's first order (%s) runs, or was cut off", answer.Claim.Order), now)
+				m.finish(r, nil, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "ask again with the same key for the first order's answer", "the key's first order (%s) runs, or was cut off", response.Claim.RequestID), now)
 			}
 		})
 }
 
-func unexpectedAnswer(body any) error {
+func unexpectedReplyError(body any) error {
 	return errs.New(errs.ServerFault, "run the same release on all daemons", "the store answered %T", body)
 }
 
-// settle notes how a claimed order went, so that a repeated key hears it.
-func (m *Machine) settle(o *order, state string, answer any, now clock.Micros, back func(error, clock.Micros)) {
-	id := shard.ClaimID(o.customer.Name, o.Key)
-	data, _ := json.Marshal(answer)
-	m.askStore(id, func(slot int) any {
-		return store.SettleAsk{Slot: slot, ID: id, State: state, Answer: data, Expiry: m.set.Commit}
-	}, m.set.Commit+clock.Second, now, func(_ any, err error, now clock.Micros) { back(err, now) })
+// completeClaim notes how a claimed order went, so that a repeated key hears it.
+func (m *Machine) completeClaim(r *activeRequest, state string, response any, now clock.Micros, callback func(error, clock.Micros)) {
+	id := shard.ClaimID(r.tenant.Name, r.IdempotencyKey)
+	data, _ := json.Marshal(response)
+	m.callStore(id, func(shardIndex int) any {
+		return store.CompleteClaimRequest{Shard: shardIndex, ID: id, State: state, Response: data, Timeout: m.settings.CommitTimeout}
+	}, m.settings.CommitTimeout+clock.Second, now, func(_ any, err error, now clock.Micros) { callback(err, now) })
 }
 
-// reject says no for good. A claimed key is voided durably first; where that
+// rejectRequest says no for good. A claimed key is voided durably first; where that
 // can't be confirmed the outcome is unknown.
-func (m *Machine) reject(o *order, why error, now clock.Micros) {
-	if !o.claimed {
-		m.end(o, nil, why, now)
+func (m *Machine) rejectRequest(r *activeRequest, cause error, now clock.Micros) {
+	if !r.keyClaimed {
+		m.finish(r, nil, cause, now)
 		return
 	}
-	m.settle(o, shard.Void, nil, now, func(err error, now clock.Micros) {
+	m.completeClaim(r, shard.Voided, nil, now, func(err error, now clock.Micros) {
 		if err != nil {
-			why = errs.Later(errs.OutcomeUnknown, clock.Second, "ask again with the same key", "the order did not run, but its key could not be freed: %v", err)
+			cause = errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "ask again with the same key", "the order did not run, but its key could not be freed: %v", err)
 		}
-		m.end(o, nil, why, now)
+		m.finish(r, nil, cause, now)
 	})
 }
 
-// giveUp ends an order that no server finished: it is rejected only if no try
+// failRequest ends an order that no server finished: it is rejected only if no try
 // of it can have run.
-func (m *Machine) giveUp(o *order, why error, now clock.Micros) {
-	if o.ran && !m.LateRefusal {
-		m.end(o, nil, errs.Later(errs.OutcomeUnknown, clock.Second, "ask anew; this stream does not go on", "a try of the order may have run in part: %v", why), now)
+func (m *Machine) failRequest(r *activeRequest, cause error, now clock.Micros) {
+	if r.mayHaveRun && !m.RejectAfterRun {
+		m.finish(r, nil, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "ask anew; this stream does not go on", "a try of the order may have run in part: %v", cause), now)
 		return
 	}
-	m.reject(o, why, now)
+	m.rejectRequest(r, cause, now)
 }
 
-// submit lets an order wait for a server; last is why it has to once more.
-func (m *Machine) submit(o *order, last error, now clock.Micros) {
+// scheduleAttempt lets an order wait for a server; last is why it has to once more.
+func (m *Machine) scheduleAttempt(r *activeRequest, lastErr error, now clock.Micros) {
 	switch {
-	case o.left:
-		m.giveUp(o, callerGone(), now)
+	case r.disconnected:
+		m.failRequest(r, disconnectedError(), now)
 		return
-	case o.tries >= m.set.MostTries, o.tries > 0 && !m.scheduler.Retry():
-		m.giveUp(o, last, now)
+	case r.attempts >= m.settings.MaxAttempts, r.attempts > 0 && !m.scheduler.SpendRetry():
+		m.failRequest(r, lastErr, now)
 		return
 	}
-	o.tries++
-	o.queued = &scheduler.Order{ID: o.Order, Customer: o.customer.Name, Route: o.route, Rank: o.class.Rank, Prefix: o.route.Prefix, Expiry: o.expiry, Avoid: o.avoid}
-	o.queued.Drop = func(err error, now clock.Micros) { m.giveUp(o, err, now) }
-	o.queued.Start = func(assignment *scheduler.Assignment, _ clock.Micros) {
-		o.assignment = assignment
-		if m.FromStart {
-			o.output = ""
+	r.attempts++
+	r.schedulerRequest = &scheduler.Request{ID: r.ID, Tenant: r.tenant.Name, Route: r.route, Priority: r.class.Priority, Prefix: r.route.Prefix, Deadline: r.deadline, AvoidedServers: r.avoidedServers}
+	r.schedulerRequest.Drop = func(err error, now clock.Micros) { m.failRequest(r, err, now) }
+	r.schedulerRequest.Start = func(assignment *scheduler.Assignment, _ clock.Micros) {
+		r.assignment = assignment
+		if m.RestartResumedStream {
+			r.partialOutput = ""
 		}
-		m.answer(o.call, Run{Kind: o.route.Kind, Expiry: o.expiry, Request: modelclient.Request{Address: assignment.Server.Address, Order: o.Order, Model: o.route.Model, Prefix: o.route.Prefix,
-			Input: o.Input, Partial: o.output, MaxTokens: o.MaxTokens, Priority: m.scheduler.Priority(o.queued), Silence: m.set.Silence}}, nil)
+		m.reply(r.call, Attempt{RouteKind: r.route.Kind, Deadline: r.deadline, Request: modelclient.Request{Address: assignment.Server.Address, RequestID: r.ID, Model: r.route.Model, Prefix: r.route.Prefix,
+			Input: r.Input, PartialOutput: r.partialOutput, MaxTokens: r.MaxTokens, Priority: m.scheduler.ServerPriority(r.schedulerRequest), IdleTimeout: m.settings.IdleTimeout}}, nil)
 	}
-	if err := m.scheduler.Submit(o.queued, now); err != nil {
-		m.giveUp(o, err, now)
+	if err := m.scheduler.Submit(r.schedulerRequest, now); err != nil {
+		m.failRequest(r, err, now)
 	}
 }
 
-func callerGone() error {
-	return errs.New(errs.Refused, "ask again", "the caller left before the order started")
+func disconnectedError() error {
+	return errs.New(errs.Rejected, "ask again", "the caller left before the order started")
 }
 
-// callerLeft takes an order whose caller has gone out of the queue. One that runs
+// handleDisconnect takes an order whose caller has gone out of the queue. One that runs
 // is ended by the event loop, which tells how it went.
-func (m *Machine) callerLeft(name string, now clock.Micros) {
-	o := m.open[name]
-	if o == nil {
+func (m *Machine) handleDisconnect(name string, now clock.Micros) {
+	r := m.inFlight[name]
+	if r == nil {
 		return
 	}
-	o.left = true
-	if o.queued != nil && o.assignment == nil && m.scheduler.Cancel(o.queued) {
-		m.giveUp(o, callerGone(), now)
+	r.disconnected = true
+	if r.schedulerRequest != nil && r.assignment == nil && m.scheduler.Cancel(r.schedulerRequest) {
+		m.failRequest(r, disconnectedError(), now)
 	}
 }
 
-// completed ends an order with its answer; a claimed key keeps the answer first.
-func (m *Machine) completed(o *order, ran Ran, assignment *scheduler.Assignment, now clock.Micros) {
-	assignment.Release(now-assignment.Started, true, now)
-	answer := Answer{Order: o.Order, Status: answerOK, Output: ran.Output, Server: assignment.Server.Name}
-	if !o.claimed {
-		m.end(o, answer, nil, now)
+// completeRequest ends an order with its answer; a claimed key keeps the answer first.
+func (m *Machine) completeRequest(r *activeRequest, result AttemptResult, assignment *scheduler.Assignment, now clock.Micros) {
+	assignment.Release(now-assignment.AssignedAt, true, now)
+	response := Response{RequestID: r.ID, Status: answerOK, Output: result.Output, Server: assignment.Server.Name}
+	if !r.keyClaimed {
+		m.finish(r, response, nil, now)
 		return
 	}
-	m.settle(o, shard.Answered, answer, now, func(_ error, now clock.Micros) { m.end(o, answer, nil, now) })
+	m.completeClaim(r, shard.Answered, response, now, func(_ error, now clock.Micros) { m.finish(r, response, nil, now) })
 }
 
-// tryFinished decides by how a try went.
-func (m *Machine) tryFinished(call uint64, ran Ran, now clock.Micros) {
-	o := m.open[ran.Order]
-	if o == nil || o.assignment == nil {
-		m.answer(call, nil, errs.New(errs.OutcomeUnknown, "ask anew", "no order %q is under way here", ran.Order))
+// handleAttemptResult decides by how a try went.
+func (m *Machine) handleAttemptResult(call uint64, result AttemptResult, now clock.Micros) {
+	r := m.inFlight[result.RequestID]
+	if r == nil || r.assignment == nil {
+		m.reply(call, nil, errs.New(errs.OutcomeUnknown, "ask anew", "no order %q is under way here", result.RequestID))
 		return
 	}
-	assignment := o.assignment
-	o.call, o.assignment, o.queued, o.output = call, nil, nil, ran.Output
-	m.decisions.Tried(o.Order, decisionlog.Try{Server: assignment.Server.Name, Scores: assignment.Scores, At: assignment.Started, Took: now - assignment.Started, Outcome: ran.Outcome.String(), Error: ran.Why})
+	assignment := r.assignment
+	r.call, r.assignment, r.schedulerRequest, r.partialOutput = call, nil, nil, result.Output
+	m.decisions.RecordAttempt(r.ID, decisionlog.Attempt{Server: assignment.Server.Name, Scores: assignment.Scores, StartedAt: assignment.AssignedAt, Duration: now - assignment.AssignedAt, Outcome: result.Outcome.String(), Error: result.Reason})
 	switch {
-	case ran.Outcome == modelclient.Complete, m.TakeCut && ran.Outcome == modelclient.Cut && ran.Output != "":
-		m.completed(o, ran, assignment, now)
-	case ran.Outcome == modelclient.NotStarted:
+	case result.Outcome == modelclient.Complete, m.AcceptInterrupted && result.Outcome == modelclient.Interrupted && result.Output != "":
+		m.completeRequest(r, result, assignment, now)
+	case result.Outcome == modelclient.NotStarted:
 		assignment.Rejected(now)
-		if o.avoid[assignment.Server.Name] = 3; len(o.avoid) >= 3 {
-			clear(o.avoid)
+		if r.avoidedServers[assignment.Server.Name] = 3; len(r.avoidedServers) >= 3 {
+			clear(r.avoidedServers)
 		}
-		m.submit(o, errs.Later(errs.Busy, m.scheduler.After(now), "come back after the time given", "no server took the order: %s", ran.Why), now)
-	case ran.Outcome == modelclient.Rejected:
+		m.scheduleAttempt(r, errs.NewWithRetry(errs.Busy, m.scheduler.RetryAfter(now), "come back after the time given", "no server took the order: %s", result.Reason), now)
+	case result.Outcome == modelclient.Rejected:
 		assignment.Release(0, true, now)
-		m.giveUp(o, errs.New(errs.BadInput, "correct the input for this route's model", "%s", ran.Why), now)
-	case o.route.Kind == config.OneShot && !m.SecondRun:
+		m.failRequest(r, errs.New(errs.BadInput, "correct the input for this route's model", "%s", result.Reason), now)
+	case r.route.Kind == config.OneShot && !m.RetryUnsafely:
 		// It may have run: never a second time.
 		assignment.Release(0, false, now)
-		m.end(o, nil, errs.Later(errs.OutcomeUnknown, clock.Second, "find out by other means whether it ran before asking anew", "the order started on a server and gave no whole answer: %s", ran.Why), now)
-	case ran.Over || (ran.Output != "" && o.route.Kind == config.Stream):
-		assignment.Release(0, ran.Over, now)
-		m.end(o, nil, errs.Later(errs.OutcomeUnknown, clock.Second, "ask anew; this stream does not go on", "the stream was cut: %s", ran.Why), now)
+		m.finish(r, nil, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "find out by other means whether it ran before asking anew", "the order started on a server and gave no whole answer: %s", result.Reason), now)
+	case result.ContextDone || (result.Output != "" && r.route.Kind == config.Stream):
+		assignment.Release(0, result.ContextDone, now)
+		m.finish(r, nil, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "ask anew; this stream does not go on", "the stream was cut: %s", result.Reason), now)
 	default:
 		// Nothing has reached the caller yet, or the kind may be gone on with.
 		assignment.Release(0, false, now)
-		o.ran = true
-		o.avoid[assignment.Server.Name]++
-		m.submit(o, errs.Later(errs.ServerFault, clock.Second, "ask again", "no server finished the order: %s", ran.Why), now)
+		r.mayHaveRun = true
+		r.avoidedServers[assignment.Server.Name]++
+		m.scheduleAttempt(r, errs.NewWithRetry(errs.ServerFault, clock.Second, "ask again", "no server finished the order: %s", result.Reason), now)
 	}
 }
