--- a/path/requests/messages.go
+++ b/path/requests/messages.go
@@ -9,78 +9,78 @@
 
 // What the event loop hands in; each is a call, whose answer is the next word.
 type (
-	// Live is a live order as it came.
-	Live struct {
-		Order     string // the name this edge gave it
-		Caller    string // the key the caller carries
-		Route     string
-		Key       string // idempotency key; "" for none
-		Input     string
-		MaxTokens int64
-		ExpiryUS  int64 // 0: the route's
+	// LiveRequest is a live order as it came.
+	LiveRequest struct {
+		ID             string // the name this edge gave it
+		APIKey         string // the key the caller carries
+		Route          string
+		IdempotencyKey string // idempotency key; "" for none
+		Input          string
+		MaxTokens      int64
+		TimeoutUS      int64 // 0: the route's
 	}
-	// Ran tells how a try on a server went.
-	Ran struct {
-		Order   string
-		Outcome modelclient.Outcome
-		Why     string // what went wrong
-		Output  string // all that has come so far, over all tries
-		Over    bool   // the order's expiry passed, or its caller left
+	// AttemptResult tells how a try on a server went.
+	AttemptResult struct {
+		RequestID   string
+		Outcome     modelclient.Outcome
+		Reason      string // what went wrong
+		Output      string // all that has come so far, over all tries
+		ContextDone bool   // the order's expiry passed, or its caller left
 	}
-	// Began tells that a server has begun the order: until then it waits, in the
+	// AttemptStarted tells that a server has begun the order: until then it waits, in the
 	// server's own queue as well.
-	Began struct{ Order string }
-	// Left tells that the caller has gone.
-	Left struct{ Order string }
-	// SubmitBundle is a bundle as it came.
-	SubmitBundle struct {
-		Caller string
-		Route  string
-		Key    string
-		Items  []shard.Item
+	AttemptStarted struct{ RequestID string }
+	// CallerDisconnected tells that the caller has gone.
+	CallerDisconnected struct{ RequestID string }
+	// SubmitBatchRequest is a bundle as it came.
+	SubmitBatchRequest struct {
+		APIKey         string
+		Route          string
+		IdempotencyKey string
+		Items          []shard.Item
 	}
-	// BundleStatus asks how a bundle stands; End ends it.
-	BundleStatus struct {
-		Caller, Bundle string
-		End            bool
+	// BatchStatusRequest asks how a bundle stands; End ends it.
+	BatchStatusRequest struct {
+		APIKey, Batch string
+		Cancel        bool
 	}
-	// Page reads one bundle's list, or the feed.
-	Page struct {
-		Caller string
-		Read   reader.Read
+	// PageRequest reads one bundle's list, or the feed.
+	PageRequest struct {
+		APIKey string
+		Read   reader.Request
 	}
-	// ForwardBundle is a bundle of requests to be passed on, under its own name; no
+	// SubmitForwardedBatchRequest is a bundle of requests to be passed on, under its own name; no
 	// caller's key comes with it (DESIGN §12.5).
-	ForwardBundle struct {
+	SubmitForwardedBatchRequest struct {
 		Route string
 		ID    string
 		Items []shard.Item
 	}
-	// BundleStatusAny asks how such a bundle stands; End ends it.
-	BundleStatusAny struct {
-		Bundle string
-		End    bool
+	// ForwardedBatchStatusRequest asks how such a bundle stands; End ends it.
+	ForwardedBatchStatusRequest struct {
+		Batch  string
+		Cancel bool
 	}
-	// PageAny reads such a bundle's list.
-	PageAny struct{ Read reader.Read }
-	// ItemBody asks for the body of an item of such a bundle that is not listed yet.
-	ItemBody struct{ Bundle, Item string }
+	// ForwardedPageRequest reads such a bundle's list.
+	ForwardedPageRequest struct{ Read reader.Request }
+	// ItemBodyRequest asks for the body of an item of such a bundle that is not listed yet.
+	ItemBodyRequest struct{ Batch, Item string }
 )
 
 // What the event loop is told.
 type (
-	// Run says: run the order on this server, then tell how it went.
-	Run struct {
-		Request modelclient.Request
-		Kind    string // of the route
-		Expiry  clock.Micros
+	// Attempt says: run the order on this server, then tell how it went.
+	Attempt struct {
+		Request   modelclient.Request
+		RouteKind string // of the route
+		Deadline  clock.Micros
 	}
-	// Answer is the end of an order that is whole.
-	Answer struct {
-		Order    string `json:"order"`
-		Status   string `json:"status"`
-		Output   string `json:"output"`
-		Server   string `json:"server"`
-		Replayed bool   `json:"-"` // it is the key's first order's
+	// Response is the end of an order that is whole.
+	Response struct {
+		RequestID string `json:"order"`
+		Status    string `json:"status"`
+		Output    string `json:"output"`
+		Server    string `json:"server"`
+		Replayed  bool   `json:"-"` // it is the key's first order's
 	}
 )
--- a/path/requests/requests_test.go
+++ b/path/requests/requests_test.go
@@ -21,29 +21,29 @@
 // bench is an edge's orders with one slot, whose keeper is the test.
 type bench struct {
 	*Machine
-	t    *testing.T
-	wire *machine.Wire
-	now  clock.Micros
+	t            *testing.T
+	machineCalls *machine.Calls
+	now          clock.Micros
 }
 
 func newBench(t *testing.T) *bench {
-	b := &bench{t: t, wire: machine.NewWire(), now: clock.Second}
-	d, r := scheduler.New(scheduler.Defaults(), 1), reader.New(b.wire)
-	plan := &config.Plan{Version: 3, Classes: []config.Class{{Name: "a", Rank: 1, Allowance: 9}}, Customers: []config.Customer{{Name: "c", Key: "k", Class: "a"}},
-		Routes: []config.Route{{Name: "r", Kind: config.Bundle, Forward: &config.Forward{}}, {Name: "live", Kind: config.OneShot, Forward: &config.Forward{}},
-			{Name: "chat", Kind: config.Bundle, Classes: config.Selector{}, MostItems: 9}}}
-	plan.Index()
-	d.SetPlan(plan, b.now)
-	m, _ := json.Marshal(state.Map{Fleet: "f", Seq: 1, Slots: []replication.Assignment{{Epoch: 1}}})
-	said, _ := json.Marshal(token.Announcement{Writer: 1, Peer: "keeper", UpTo: 5, Slots: []token.Claimed{{Slot: 0, Epoch: 1}}})
+	b := &bench{t: t, machineCalls: machine.NewCalls(), now: clock.Second}
+	sched, r := scheduler.New(scheduler.Defaults(), 1), reader.New(b.machineCalls)
+	configuration := &config.Configuration{Version: 3, Classes: []config.PriorityClass{{Name: "a", Priority: 1, Quota: 9}}, Tenants: []config.Tenant{{Name: "c", Key: "k", Class: "a"}},
+		Routes: []config.Route{{Name: "r", Kind: config.Batch, Forward: &config.Forward{}}, {Name: "live", Kind: config.OneShot, Forward: &config.Forward{}},
+			{Name: "chat", Kind: config.Batch, Classes: config.Selector{}, MaxItems: 9}}}
+	configuration.Index()
+	sched.SetConfiguration(configuration, b.now)
+	m, _ := json.Marshal(state.Map{Fleet: "f", Seq: 1, Shards: []replication.Assignment{{Epoch: 1}}})
+	announcement, _ := json.Marshal(token.Announcement{Writer: 1, Peer: "keeper", PersistedUpTo: 5, Shards: []token.OwnedShard{{Shard: 0, Epoch: 1}}})
 	r.Receive(machine.Update{Key: state.MapKey, Seq: 1, Value: m}, b.now)
-	r.Receive(machine.Update{Key: token.Key(1), Epoch: 1, Seq: 1, Value: said}, b.now)
-	b.Machine = New(Defaults(), b.wire, d, nil, r, decisionlog.New(1))
+	r.Receive(machine.Update{Key: token.Key(1), Epoch: 1, Seq: 1, Value: announcement}, b.now)
+	b.Machine = New(Defaults(), b.machineCalls, sched, nil, r, decisionlog.New(1))
 	return b
 }
 
-// hand hands an ask in: what the store is asked, or what was answered at once.
-func (b *bench) hand(body any) (*machine.Ask, *machine.Answer) {
+// submit hands an ask in: what the store is asked, or what was answered at once.
+func (b *bench) submit(body any) (*machine.Request, *machine.Reply) {
 	b.t.Helper()
 	if !b.Call(1, body, b.now) {
 		b.t.Fatalf("%T is not for the orders", body)
@@ -51,26 +51,26 @@
 	return b.effects()
 }
 
-func (b *bench) effects() (ask *machine.Ask, answer *machine.Answer) {
-	for _, effect := range b.wire.Drain() {
+func (b *bench) effects() (request *machine.Request, response *machine.Reply) {
+	for _, effect := range b.machineCalls.Drain() {
 		switch e := effect.(type) {
-		case machine.Ask:
-			ask = &e
-		case machine.Answer:
-			answer = &e
+		case machine.Request:
+			request = &e
+		case machine.Reply:
+			response = &e
 		}
 	}
-	return ask, answer
+	return request, response
 }
 
-func (b *bench) refused(kind errs.Kind, body any) {
+func (b *bench) expectRejected(kind errs.Kind, body any) {
 	b.t.Helper()
-	if ask, answer := b.hand(body); ask != nil || answer == nil || !errs.Is(answer.Err, kind) {
-		b.t.Fatalf("%T: asked %+v, answered %+v, not %s", body, ask, answer, kind)
+	if request, response := b.submit(body); request != nil || response == nil || !errs.Is(response.Err, kind) {
+		b.t.Fatalf("%T: asked %+v, answered %+v, not %s", body, request, response, kind)
 	}
 }
 
-func requests(bodies ...string) (items []shard.Item) {
+func forwardedItems(bodies ...string) (items []shard.Item) {
 	for _, body := range bodies {
 		items = append(items, shard.Item{Request: &shard.Request{Target: "/x", Body: []byte(body)}})
 	}
@@ -79,87 +79,87 @@
 
 // A bundle of requests is enrolled under its own name for its route, and another
 // body under the same name has another hash.
-func TestABundleOfRequestsIsEnrolledForItsRoute(t *testing.T) {
+func TestAForwardedBatchIsSubmittedForItsRoute(t *testing.T) {
 	b := newBench(t)
 	hashes := map[string]bool{}
 	for _, bodies := range [][]string{{"x", "y"}, {"x", "y"}, {"x", "z"}} {
-		ask, _ := b.hand(ForwardBundle{Route: "r", ID: "mine", Items: requests(bodies...)})
-		if ask == nil || ask.To != "keeper" {
-			t.Fatalf("asked %+v", ask)
+		request, _ := b.submit(SubmitForwardedBatchRequest{Route: "r", ID: "mine", Items: forwardedItems(bodies...)})
+		if request == nil || request.To != "keeper" {
+			t.Fatalf("asked %+v", request)
 		}
-		bundle := ask.Body.(store.EnrolAsk).Bundle
-		if bundle.ID != "mine" || bundle.Customer != "r" || bundle.Route != "r" || bundle.Key != "" || bundle.Plan != 3 || len(bundle.Items) != 2 || bundle.Items[1].ID != "1" {
-			t.Fatalf("%+v", bundle)
+		batch := request.Body.(store.SubmitRequest).Batch
+		if batch.ID != "mine" || batch.Tenant != "r" || batch.Route != "r" || batch.Key != "" || batch.ConfigurationVersion != 3 || len(batch.Items) != 2 || batch.Items[1].ID != "1" {
+			t.Fatalf("%+v", batch)
 		}
-		hashes[bundle.Hash] = true
-		b.wire.Answered(ask.Token, store.Receipt{Bundle: "mine"}, nil, b.now)
-		if _, answer := b.effects(); answer == nil || answer.Body.(store.Receipt).Bundle != "mine" {
-			t.Fatalf("answered %+v", answer)
+		hashes[batch.Hash] = true
+		b.machineCalls.ReplyReceived(request.Token, store.SubmitResponse{Batch: "mine"}, nil, b.now)
+		if _, response := b.effects(); response == nil || response.Body.(store.SubmitResponse).Batch != "mine" {
+			t.Fatalf("answered %+v", response)
 		}
 	}
 	if len(hashes) != 2 {
 		t.Fatalf("%d hashes of two bundles", len(hashes))
 	}
-	b.refused(errs.UnknownRoute, ForwardBundle{Route: "none", ID: "mine", Items: requests("x")})
-	b.refused(errs.UnknownRoute, ForwardBundle{Route: "chat", ID: "mine", Items: requests("x")})
-	b.refused(errs.UnknownRoute, ForwardBundle{Route: "live", ID: "mine", Items: requests("x")})
-	b.refused(errs.BadInput, ForwardBundle{Route: "r", Items: requests("x")})
-	b.refused(errs.BadInput, ForwardBundle{Route: "r", ID: "mine", Items: []shard.Item{{Input: "x"}}})
+	b.expectRejected(errs.UnknownRoute, SubmitForwardedBatchRequest{Route: "none", ID: "mine", Items: forwardedItems("x")})
+	b.expectRejected(errs.UnknownRoute, SubmitForwardedBatchRequest{Route: "chat", ID: "mine", Items: forwardedItems("x")})
+	b.expectRejected(errs.UnknownRoute, SubmitForwardedBatchRequest{Route: "live", ID: "mine", Items: forwardedItems("x")})
+	b.expectRejected(errs.BadInput, SubmitForwardedBatchRequest{Route: "r", Items: forwardedItems("x")})
+	b.expectRejected(errs.BadInput, SubmitForwardedBatchRequest{Route: "r", ID: "mine", Items: []shard.Item{{Input: "x"}}})
 }
 
 // A caller with a key does not get at what is passed on unchanged: neither by a
 // route nor by an item.
-func TestCallersWithKeysPassNothingOn(t *testing.T) {
+func TestCallersWithKeysForwardNothing(t *testing.T) {
 	b := newBench(t)
-	b.refused(errs.UnknownRoute, SubmitBundle{Caller: "k", Route: "r", Key: "1", Items: []shard.Item{{Input: "x"}}})
-	b.refused(errs.UnknownRoute, Live{Caller: "k", Route: "live", Input: "x"})
-	b.refused(errs.BadInput, SubmitBundle{Caller: "k", Route: "chat", Key: "1", Items: requests("x")})
-	if ask, answer := b.hand(SubmitBundle{Caller: "k", Route: "chat", Key: "1", Items: []shard.Item{{Input: "x"}}}); ask == nil {
-		t.Fatalf("a bundle of inputs was turned away: %+v", answer)
+	b.expectRejected(errs.UnknownRoute, SubmitBatchRequest{APIKey: "k", Route: "r", IdempotencyKey: "1", Items: []shard.Item{{Input: "x"}}})
+	b.expectRejected(errs.UnknownRoute, LiveRequest{APIKey: "k", Route: "live", Input: "x"})
+	b.expectRejected(errs.BadInput, SubmitBatchRequest{APIKey: "k", Route: "chat", IdempotencyKey: "1", Items: forwardedItems("x")})
+	if request, response := b.submit(SubmitBatchRequest{APIKey: "k", Route: "chat", IdempotencyKey: "1", Items: []shard.Item{{Input: "x"}}}); request == nil {
+		t.Fatalf("a bundle of inputs was turned away: %+v", response)
 	}
-	ask, _ := b.hand(Page{Caller: "k", Read: reader.Read{Bundle: "one", Anyone: true}})
-	if read := ask.Body.(store.ReadAsk); read.Anyone || read.Customer != "c" {
+	request, _ := b.submit(PageRequest{APIKey: "k", Read: reader.Request{BatchID: "one", AnyTenant: true}})
+	if read := request.Body.(store.ReadRequest); read.AnyTenant || read.Tenant != "c" {
 		t.Fatalf("a caller with a key reads as %+v", read)
 	}
 }
 
 // Without a key a bundle is looked at, ended, read and asked for a body by name.
 // Where no keeper answers a look, that is no word on the bundle.
-func TestABundleWithoutAKeyIsAskedForByItsName(t *testing.T) {
+func TestABatchWithoutAKeyIsAskedForByItsName(t *testing.T) {
 	b := newBench(t)
-	silence := errs.New(errs.OutcomeUnknown, "ask again", "no answer in time")
-	denial := errs.New(errs.NotFound, "check the name", "no such bundle")
+	timeoutErr := errs.New(errs.OutcomeUnknown, "ask again", "no answer in time")
+	notFoundErr := errs.New(errs.NotFound, "check the name", "no such bundle")
 	for _, one := range []struct {
-		body   any
-		fits   func(any) bool
-		silent errs.Kind
+		body      any
+		matches   func(any) bool
+		onTimeout errs.Kind
 	}{
-		{BundleStatusAny{Bundle: "one"}, func(a any) bool {
-			s, ok := a.(store.StatusAsk)
-			return ok && s.Bundle == "one" && s.Anyone && !s.Operator
+		{ForwardedBatchStatusRequest{Batch: "one"}, func(a any) bool {
+			s, ok := a.(store.BatchStatusRequest)
+			return ok && s.Batch == "one" && s.AnyTenant && !s.Operator
 		}, errs.NotReady},
-		{BundleStatusAny{Bundle: "one", End: true}, func(a any) bool { s, ok := a.(store.EndAsk); return ok && s.Bundle == "one" && s.Anyone }, errs.OutcomeUnknown},
-		{ItemBody{Bundle: "one", Item: "i"}, func(a any) bool { s, ok := a.(store.ItemAsk); return ok && s.Bundle == "one" && s.Item == "i" }, errs.NotReady},
-		{PageAny{Read: reader.Read{Name: "n", Bundle: "one", Indexed: true, From: 4, Customer: "c"}}, func(a any) bool {
-			s, ok := a.(store.ReadAsk)
-			return ok && s.Bundle == "one" && s.Anyone && s.Indexed && s.From == 4 && s.Customer == ""
+		{ForwardedBatchStatusRequest{Batch: "one", Cancel: true}, func(a any) bool { s, ok := a.(store.EndRequest); return ok && s.Batch == "one" && s.AnyTenant }, errs.OutcomeUnknown},
+		{ItemBodyRequest{Batch: "one", Item: "i"}, func(a any) bool { s, ok := a.(store.ItemBodyRequest); return ok && s.Batch == "one" && s.Item == "i" }, errs.NotReady},
+		{ForwardedPageRequest{Read: reader.Request{ID: "n", BatchID: "one", ByIndex: true, FromIndex: 4, Tenant: "c"}}, func(a any) bool {
+			s, ok := a.(store.ReadRequest)
+			return ok && s.Batch == "one" && s.AnyTenant && s.Indexed && s.From == 4 && s.Tenant == ""
 		}, errs.NotReady},
 	} {
-		for _, err := range []error{silence, denial} {
-			ask, answer := b.hand(one.body)
-			if ask == nil || !one.fits(ask.Body) {
-				t.Fatalf("%T: asked %+v, answered %+v", one.body, ask, answer)
+		for _, err := range []error{timeoutErr, notFoundErr} {
+			request, response := b.submit(one.body)
+			if request == nil || !one.matches(request.Body) {
+				t.Fatalf("%T: asked %+v, answered %+v", one.body, request, response)
 			}
-			b.wire.Answered(ask.Token, nil, err, b.now)
-			wanted := one.silent
-			if err == denial {
+			b.machineCalls.ReplyReceived(request.Token, nil, err, b.now)
+			wanted := one.onTimeout
+			if err == notFoundErr {
 				wanted = errs.NotFound
 			}
-			if _, answer := b.effects(); answer == nil || !errs.Is(answer.Err, wanted) {
-				t.Fatalf("%T: answered %+v, not %s", one.body, answer, wanted)
+			if _, response := b.effects(); response == nil || !errs.Is(response.Err, wanted) {
+				t.Fatalf("%T: answered %+v, not %s", one.body, response, wanted)
 			}
 		}
 	}
-	b.refused(errs.BadInput, PageAny{Read: reader.Read{Indexed: true}})
-	b.refused(errs.BadInput, PageAny{Read: reader.Read{Bundle: "one", Indexed: true, From: -1}})
+	b.expectRejected(errs.BadInput, ForwardedPageRequest{Read: reader.Request{ByIndex: true}})
+	b.expectRejected(errs.BadInput, ForwardedPageRequest{Read: reader.Request{BatchID: "one", ByIndex: true, FromIndex: -1}})
 }
--- a/path/scheduler/assignment.go
+++ b/path/scheduler/assignment.go
@@ -10,91 +10,91 @@
 
 // Assignment is an order's hold on its chosen server.
 type Assignment struct {
-	Server    registry.Server
-	Scores    []scoring.Score
-	Started   clock.Micros
-	bundle    bool
-	prompt    int64
-	begun     bool
-	presence  *presence
-	scheduler *Scheduler
-	server    *serverState
-	released  bool
+	Server       registry.Server
+	Scores       []scoring.Score
+	AssignedAt   clock.Micros
+	isBatchItem  bool
+	promptTokens int64
+	prefillDone  bool
+	interval     *runInterval
+	scheduler    *Scheduler
+	server       *serverState
+	released     bool
 }
 
-// Began notes that the server has begun the order: its prompt is read.
-func (g *Assignment) Began(now clock.Micros) {
-	if g.released || g.begun {
+// PrefillDone notes that the server has begun the order: its prompt is read.
+func (a *Assignment) PrefillDone(now clock.Micros) {
+	if a.released || a.prefillDone {
 		return
 	}
-	g.server.lastSign = now
-	if g.bundle {
-		g.server.window.began(now-g.Started, now)
+	a.server.lastProgressAt = now
+	if a.isBatchItem {
+		a.server.batchWindow.observeDelay(now-a.AssignedAt, now)
 	}
-	g.begin()
+	a.endPrefill()
 }
 
-func (g *Assignment) begin() {
-	if g.begun {
+func (a *Assignment) endPrefill() {
+	if a.prefillDone {
 		return
 	}
-	g.begun = true
-	g.scheduler.changed = true
-	g.server.reading -= g.prompt
-	if g.bundle {
-		g.server.opening--
+	a.prefillDone = true
+	a.scheduler.changed = true
+	a.server.prefillTokens -= a.promptTokens
+	if a.isBatchItem {
+		a.server.prefillingBatchItems--
 	}
-	g.server.pending = slices.DeleteFunc(g.server.pending, func(one *Assignment) bool { return one == g })
+	a.server.prefilling = slices.DeleteFunc(a.server.prefilling, func(one *Assignment) bool { return one == a })
 }
 
 // Release lets the server go: took is how long the order ran (0: unknown), and
 // ok whether the server behaved.
-func (g *Assignment) Release(took clock.Micros, ok bool, now clock.Micros) {
-	if g.released {
+func (a *Assignment) Release(duration clock.Micros, ok bool, now clock.Micros) {
+	if a.released {
 		return
 	}
-	g.begin()
-	g.released = true
-	g.server.own--
-	g.presence.end = now
-	if g.bundle {
-		g.scheduler.bundles--
-		g.server.bundles--
+	a.endPrefill()
+	a.released = true
+	a.server.ownRequests--
+	a.interval.endedAt = now
+	if a.isBatchItem {
+		a.scheduler.runningBatchItems--
+		a.server.runningBatchItems--
 	}
 	if ok {
-		g.server.lastSign = now
+		a.server.lastProgressAt = now
 	}
-	g.scheduler.changed = true
+	a.scheduler.changed = true
 	if ok {
-		g.server.failures = 0
-		if took > 0 {
-			if g.server.latency == 0 {
-				g.server.latency = took
+		a.server.consecutiveFailures = 0
+		if duration > 0 {
+			if a.server.latency == 0 {
+				a.server.latency = duration
 			}
-			g.server.latency += (took - g.server.latency) / 8
+			a.server.latency += (duration - a.server.latency) / 8
 		}
 		return
 	}
-	g.server.failures++
-	g.server.restUntil = now + g.scheduler.set.Rest*clock.Micros(min(g.server.failures, 8))
-	if g.server.failures >= 3 {
-		g.server.failures = 2 // after its rest it may be tried once
+	a.server.consecutiveFailures++
+	a.server.backoffUntil = now + a.scheduler.settings.ServerBackoff*clock.Micros(min(a.server.consecutiveFailures, 8))
+	if a.server.consecutiveFailures >= 3 {
+		a.server.consecutiveFailures = 2 // after its rest it may be tried once
 	}
 }
 
 // Abandon lets the server go without a report on it: its order ended for reasons of its
 // own.
-func (g *Assignment) Abandon(now clock.Micros) {
-	if g.released {
+func (a *Assignment) Abandon(now clock.Micros) {
+	if a.released {
 		return
 	}
-	heard, failures := g.server.lastSign, g.server.failures
-	g.Release(0, true, now)
-	g.server.lastSign, g.server.failures = heard, failures
+	lastProgressAt, failures := a.server.lastProgressAt, a.server.consecutiveFailures
+	a.Release(0, true, now)
+	a.server.lastProgressAt, a.server.consecutiveFailures = lastProgressAt, failures
 }
 
 // Rejected notes that the server was full: it rests a moment.
-func (g *Assignment) Rejected(now clock.Micros) {
-	g.server.restUntil = now + g.scheduler.set.Rest
-	g.Release(0, true, now)
+func (a *Assignment) Rejected(now clock.Micros) {
+	a.server.backoffUntil = now + a.scheduler.settings.ServerBackoff
+	a.Release(0, true, now)
 }
--- a/path/scheduler/order.go
+++ b/path/scheduler/order.go
@@ -8,46 +8,46 @@
 	"tuliprudder/kernel/clock"
 )
 
-// Order is one piece of work that looks for a server.
-type Order struct {
-	ID       string
-	Customer string
-	Route    *config.Route
-	Rank     int64
-	Bundle   bool
-	Weight   int // what it counts for while it waits; 0 counts as 1
-	Prefix   string
-	Prompt   int64          // tokens that the server reads before it begins
-	Expiry   clock.Micros   // 0: none
-	Avoid    map[string]int // servers that rejected it
+// Request is one piece of work that looks for a server.
+type Request struct {
+	ID             string
+	Tenant         string
+	Route          *config.Route
+	Priority       int64
+	IsBatchItem    bool
+	Weight         int // what it counts for while it waits; 0 counts as 1
+	Prefix         string
+	PromptTokens   int64          // tokens that the server reads before it begins
+	Deadline       clock.Micros   // 0: none
+	AvoidedServers map[string]int // servers that rejected it
 	// Pools, where set, are those that serve this order instead of its route's.
 	Pools config.Selector
-	// Permit is asked right before the start; false drops the order.
-	Permit func(now clock.Micros) bool
+	// MayStart is asked right before the start; false drops the order.
+	MayStart func(now clock.Micros) bool
 	// Start is called with the chosen server.
 	Start func(assignment *Assignment, now clock.Micros)
 	// Drop ends an order that never started.
 	Drop func(err error, now clock.Micros)
 
-	since     clock.Micros
-	seq       uint64
-	heapIndex int
-	element   *list.Element
-	started   bool
-	gone      bool
+	queuedAt     clock.Micros
+	seq          uint64
+	heapIndex    int
+	queueElement *list.Element
+	started      bool
+	removed      bool
 }
 
-func (o *Order) weight() int { return max(1, o.Weight) }
+func (r *Request) queueWeight() int { return max(1, r.Weight) }
 
-func levelOf(o *Order) int64 {
-	if o.Bundle {
-		return 2 * o.Rank
+func queueLevel(r *Request) int64 {
+	if r.IsBatchItem {
+		return 2 * r.Priority
 	}
-	return 2*o.Rank + 1
+	return 2*r.Priority + 1
 }
 
-func prefixOf(o *Order) uint64 {
+func prefixKey(r *Request) uint64 {
 	h := fnv.New64a()
-	h.Write([]byte(o.Route.Model + "\x00" + o.Prefix))
+	h.Write([]byte(r.Route.Model + "\x00" + r.Prefix))
 	return h.Sum64()
 }
--- a/path/scheduler/queue.go
+++ b/path/scheduler/queue.go
@@ -11,13 +11,13 @@
 	"tuliprudder/kernel/errs"
 )
 
-// all are the orders that wait, in the order they came.
-func (d *Scheduler) all() []*Order {
-	var out []*Order
-	for _, level := range d.openLevels() {
-		for _, backlog := range d.backlogsOf(level) {
-			for e := backlog.Front(); e != nil; e = e.Next() {
-				out = append(out, e.Value.(*Order))
+// queued are the orders that wait, in the order they came.
+func (sc *Scheduler) queued() []*Request {
+	var out []*Request
+	for _, level := range sc.nonEmptyLevels() {
+		for _, queue := range sc.queuesAt(level) {
+			for e := queue.Front(); e != nil; e = e.Next() {
+				out = append(out, e.Value.(*Request))
 			}
 		}
 	}
@@ -25,134 +25,134 @@
 	return out
 }
 
-// Waiting is how much of a customer's work waits here, by weight.
-func (d *Scheduler) Waiting(customer string) int {
-	return d.waiting[customer]
+// QueuedWeight is how much of a customer's work waits here, by weight.
+func (sc *Scheduler) QueuedWeight(tenant string) int {
+	return sc.queuedWeights[tenant]
 }
 
-// Backlog is how many orders wait here in all.
-func (d *Scheduler) Backlog() int {
-	return d.count
+// QueueLength is how many orders wait here in all.
+func (sc *Scheduler) QueueLength() int {
+	return sc.queuedCount
 }
 
 // Submit puts an order into the queue; an error means it never will run.
-func (d *Scheduler) Submit(o *Order, now clock.Micros) error {
-	if d.closed {
-		return errs.Later(errs.NotReady, clock.Second, "ask another daemon", "this daemon is draining")
+func (sc *Scheduler) Submit(r *Request, now clock.Micros) error {
+	if sc.closed {
+		return errs.NewWithRetry(errs.NotReady, clock.Second, "ask another daemon", "this daemon is draining")
 	}
-	if d.count >= d.set.MostWaiting {
-		d.Rejected++
-		return errs.Later(errs.Busy, d.After(now), "come back after the time given", "the backlog is full")
+	if sc.queuedCount >= sc.settings.MaxQueued {
+		sc.Rejected++
+		return errs.NewWithRetry(errs.Busy, sc.RetryAfter(now), "come back after the time given", "the backlog is full")
 	}
-	if err := d.applyPlan(o); err != nil {
+	if err := sc.applyConfiguration(r); err != nil {
 		return err
 	}
-	if o.since == 0 {
-		o.since = now
+	if r.queuedAt == 0 {
+		r.queuedAt = now
 	}
-	d.seq++
-	o.seq = d.seq
-	d.put(o)
+	sc.seq++
+	r.seq = sc.seq
+	sc.enqueue(r)
 	return nil
 }
 
-func (d *Scheduler) put(o *Order) {
-	level := levelOf(o)
-	if d.backlogs[level] == nil {
-		d.backlogs[level] = map[*config.Route]*list.List{}
+func (sc *Scheduler) enqueue(r *Request) {
+	level := queueLevel(r)
+	if sc.queues[level] == nil {
+		sc.queues[level] = map[*config.Route]*list.List{}
 	}
-	backlog := d.backlogs[level][o.Route]
-	if backlog == nil {
-		backlog = list.New()
-		d.backlogs[level][o.Route] = backlog
+	queue := sc.queues[level][r.Route]
+	if queue == nil {
+		queue = list.New()
+		sc.queues[level][r.Route] = queue
 	}
-	o.element = backlog.PushBack(o)
-	o.started, o.gone = false, false
-	if o.Expiry > 0 {
-		heap.Push(&d.expiries, o)
+	r.queueElement = queue.PushBack(r)
+	r.started, r.removed = false, false
+	if r.Deadline > 0 {
+		heap.Push(&sc.byDeadline, r)
 	}
-	d.count++
-	d.waiting[o.Customer] += o.weight()
-	d.changed = true
+	sc.queuedCount++
+	sc.queuedWeights[r.Tenant] += r.queueWeight()
+	sc.changed = true
 }
 
-// After is when the queue of now will have been worked off, by the pace of the
+// RetryAfter is when the queue of now will have been worked off, by the pace of the
 // latest assignments, between half a second and half a minute.
-func (d *Scheduler) After(now clock.Micros) clock.Micros {
-	if len(d.assignedAt) < 2 {
+func (sc *Scheduler) RetryAfter(now clock.Micros) clock.Micros {
+	if len(sc.assignmentTimes) < 2 {
 		return 2 * clock.Second
 	}
-	pace := (now - d.assignedAt[0]) / clock.Micros(len(d.assignedAt))
-	return min(30*clock.Second, max(clock.Second/2, pace*clock.Micros(d.count)))
+	pace := (now - sc.assignmentTimes[0]) / clock.Micros(len(sc.assignmentTimes))
+	return min(30*clock.Second, max(clock.Second/2, pace*clock.Micros(sc.queuedCount)))
 }
 
-// Retry spends of the budget for further tries: one for every five orders that
+// SpendRetry spends of the budget for further tries: one for every five orders that
 // were assigned, so that a fault of all servers does not multiply the load.
-func (d *Scheduler) Retry() bool {
-	if d.retries < 1 {
+func (sc *Scheduler) SpendRetry() bool {
+	if sc.retryBudget < 1 {
 		return false
 	}
-	d.retries--
+	sc.retryBudget--
 	return true
 }
 
 // Cancel takes an order out of the queue; false when it has started, has gone, or
 // never found room there.
-func (d *Scheduler) Cancel(o *Order) bool {
-	if o.element == nil || o.started || o.gone {
+func (sc *Scheduler) Cancel(r *Request) bool {
+	if r.queueElement == nil || r.started || r.removed {
 		return false
 	}
-	d.remove(o)
+	sc.dequeue(r)
 	return true
 }
 
-func (d *Scheduler) remove(o *Order) {
-	level := levelOf(o)
-	backlog := d.backlogs[level][o.Route]
-	backlog.Remove(o.element)
-	if backlog.Len() == 0 {
-		delete(d.backlogs[level], o.Route)
+func (sc *Scheduler) dequeue(r *Request) {
+	level := queueLevel(r)
+	queue := sc.queues[level][r.Route]
+	queue.Remove(r.queueElement)
+	if queue.Len() == 0 {
+		delete(sc.queues[level], r.Route)
 	}
-	if o.Expiry > 0 {
-		heap.Remove(&d.expiries, o.heapIndex)
+	if r.Deadline > 0 {
+		heap.Remove(&sc.byDeadline, r.heapIndex)
 	}
-	o.gone = true
-	d.count--
-	if d.waiting[o.Customer] -= o.weight(); d.waiting[o.Customer] <= 0 {
-		delete(d.waiting, o.Customer)
+	r.removed = true
+	sc.queuedCount--
+	if sc.queuedWeights[r.Tenant] -= r.queueWeight(); sc.queuedWeights[r.Tenant] <= 0 {
+		delete(sc.queuedWeights, r.Tenant)
 	}
 }
 
 // Close rejects new orders; what waits is dropped.
-func (d *Scheduler) Close(now clock.Micros) {
-	d.closed = true
-	dropped := d.all()
-	for _, o := range dropped {
-		d.remove(o)
+func (sc *Scheduler) Close(now clock.Micros) {
+	sc.closed = true
+	dropped := sc.queued()
+	for _, r := range dropped {
+		sc.dequeue(r)
 	}
-	for _, o := range dropped {
-		o.Drop(errs.Later(errs.NotReady, clock.Second, "ask another daemon", "this daemon is draining"), now)
+	for _, r := range dropped {
+		r.Drop(errs.NewWithRetry(errs.NotReady, clock.Second, "ask another daemon", "this daemon is draining"), now)
 	}
 }
 
-// removeLive takes the live orders out of a queue whose daemon does not hear most of
+// dequeueLive takes the live orders out of a queue whose daemon does not hear most of
 // the fleet: elsewhere their customers' allowance is lent anew. Items of bundles
 // were accepted, and wait on.
-func (d *Scheduler) removeLive() []*Order {
-	var out []*Order
-	for _, o := range d.all() {
-		if !o.Bundle {
-			d.remove(o)
-			out = append(out, o)
+func (sc *Scheduler) dequeueLive() []*Request {
+	var out []*Request
+	for _, r := range sc.queued() {
+		if !r.IsBatchItem {
+			sc.dequeue(r)
+			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// openLevels lists the levels that have orders, highest first.
-func (d *Scheduler) openLevels() []int64 {
-	out := make([]int64, 0, len(d.backlogs))
-	for level, routes := range d.backlogs {
+// nonEmptyLevels lists the levels that have orders, highest first.
+func (sc *Scheduler) nonEmptyLevels() []int64 {
+	out := make([]int64, 0, len(sc.queues))
+	for level, routes := range sc.queues {
 		if len(routes) > 0 {
 			out = append(out, level)
 		}
@@ -162,36 +162,36 @@
 	return out
 }
 
-// backlogsOf lists a level's backlogs, the one whose first order came first in front.
-func (d *Scheduler) backlogsOf(level int64) []*list.List {
-	out := make([]*list.List, 0, len(d.backlogs[level]))
-	for _, backlog := range d.backlogs[level] {
-		out = append(out, backlog)
+// queuesAt lists a level's backlogs, the one whose first order came first in front.
+func (sc *Scheduler) queuesAt(level int64) []*list.List {
+	out := make([]*list.List, 0, len(sc.queues[level]))
+	for _, queue := range sc.queues[level] {
+		out = append(out, queue)
 	}
 	sort.Slice(out, func(i, j int) bool {
-		return out[i].Front().Value.(*Order).seq < out[j].Front().Value.(*Order).seq
+		return out[i].Front().Value.(*Request).seq < out[j].Front().Value.(*Request).seq
 	})
 	return out
 }
 
-// expiries is the heap of orders that expire.
-type expiries []*Order
+// deadlineHeap is the heap of orders that expire.
+type deadlineHeap []*Request
 
-func (e expiries) Len() int { return len(e) }
+func (e deadlineHeap) Len() int { return len(e) }
 
-func (e expiries) Less(i, j int) bool { return e[i].Expiry < e[j].Expiry }
+func (e deadlineHeap) Less(i, j int) bool { return e[i].Deadline < e[j].Deadline }
 
-func (e expiries) Swap(i, j int) { e[i], e[j] = e[j], e[i]; e[i].heapIndex, e[j].heapIndex = i, j }
+func (e deadlineHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i]; e[i].heapIndex, e[j].heapIndex = i, j }
 
 // Push and Pop are the heap's.
-func (e *expiries) Push(x any) {
-	o := x.(*Order)
-	o.heapIndex = len(*e)
-	*e = append(*e, o)
+func (e *deadlineHeap) Push(x any) {
+	r := x.(*Request)
+	r.heapIndex = len(*e)
+	*e = append(*e, r)
 }
 
 // Pop takes the last.
-func (e *expiries) Pop() any {
+func (e *deadlineHeap) Pop() any {
 	old := *e
 	last := old[len(old)-1]
 	*e = old[:len(old)-1]
--- a/path/scheduler/server.go
+++ b/path/scheduler/server.go
@@ -6,57 +6,59 @@
 )
 
 type serverState struct {
-	server    registry.Server
-	load      registry.Load
-	loadEpoch uint64
-	own       int
-	presences []*presence // this daemon's orders of late
-	others    int         // the others' orders at the last figure
-	latency   clock.Micros
-	failures  int
-	restUntil clock.Micros
-	bundles   int           // this daemon's items
-	opening   int           // those of them that it has not begun
-	reading   int64         // prompt tokens of this daemon's orders that it has not begun
-	pending   []*Assignment // these orders, the oldest first
-	lastSign  clock.Micros  // when it last began or ended one
-	window    window        // of items
+	server               registry.Server
+	load                 registry.Load
+	loadEpoch            uint64
+	ownRequests          int
+	runIntervals         []*runInterval // this daemon's orders of late
+	otherRequests        int            // the others' orders at the last figure
+	latency              clock.Micros
+	consecutiveFailures  int
+	backoffUntil         clock.Micros
+	runningBatchItems    int              // this daemon's items
+	prefillingBatchItems int              // those of them that it has not begun
+	prefillTokens        int64            // prompt tokens of this daemon's orders that it has not begun
+	prefilling           []*Assignment    // these orders, the oldest first
+	lastProgressAt       clock.Micros     // when it last began or ended one
+	batchWindow          congestionWindow // of items
 }
 
-// silent is how long the server has left this daemon's orders without a sign.
-func (s *serverState) silent(now clock.Micros) clock.Micros {
-	if len(s.pending) == 0 {
+// unresponsiveFor is how long the server has left this daemon's orders without a sign.
+func (s *serverState) unresponsiveFor(now clock.Micros) clock.Micros {
+	if len(s.prefilling) == 0 {
 		return 0
 	}
-	return now - max(s.lastSign, s.pending[0].Started)
+	return now - max(s.lastProgressAt, s.prefilling[0].AssignedAt)
 }
 
-// presence is one order's time on a server; it has not ended while end is 0.
-type presence struct{ start, end clock.Micros }
+// runInterval is one order's time on a server; it has not ended while end is 0.
+type runInterval struct{ startedAt, endedAt clock.Micros }
 
 // setLoad takes a reading: what it counts beyond this daemon's own orders at that
 // time is the others'.
 func (s *serverState) setLoad(load registry.Load) {
-	mine := 0
-	kept := s.presences[:0]
-	for _, one := range s.presences {
-		if one.start <= load.At && (one.end == 0 || one.end > load.At) {
-			mine++
+	own := 0
+	remaining := s.runIntervals[:0]
+	for _, one := range s.runIntervals {
+		if one.startedAt <= load.ReadAt && (one.endedAt == 0 || one.endedAt > load.ReadAt) {
+			own++
 		}
-		if one.end == 0 || one.end > load.At {
-			kept = append(kept, one)
+		if one.endedAt == 0 || one.endedAt > load.ReadAt {
+			remaining = append(remaining, one)
 		}
 	}
-	s.presences = kept
-	s.load, s.others = load, max(0, load.Running+load.Waiting-mine)
+	s.runIntervals = remaining
+	s.load, s.otherRequests = load, max(0, load.Running+load.Waiting-own)
 }
 
-// ServerView is one server as this daemon sees it.
-type ServerView struct {
+// ServerSnapshot is one server as this daemon sees it.
+type ServerSnapshot struct {
 	registry.Server
-	Load    registry.Load `json:"load"`
-	Own     int           `json:"own"`
-	Latency clock.Micros  `json:"latency_us"`
+	Load        registry.Load `json:"load"`
+	OwnRequests int           `json:"own"`
+	Latency     clock.Micros  `json:"latency_us"`
 }
 
-func (s *serverState) healthy() bool { return s.failures < 3 && (s.load.At == 0 || s.load.Sound) }
+func (s *serverState) isHealthy() bool {
+	return s.consecutiveFailures < 3 && (s.load.ReadAt == 0 || s.load.Healthy)
+}
--- a/path/scheduler/window.go
+++ b/path/scheduler/window.go
@@ -2,51 +2,51 @@
 
 import "tuliprudder/kernel/clock"
 
-// window bounds how many items a daemon keeps running on a server, by how long the
+// congestionWindow bounds how many items a daemon keeps running on a server, by how long the
 // server takes to begin one (delay-based congestion control; DESIGN §12.6): items
 // take what live orders leave, and give way before those wait.
-type window struct {
-	size   float64
-	base   clock.Micros // about the least delay of late
-	cut    clock.Micros // when it was last made smaller
-	steady bool         // it has been made smaller once: from then on it grows slowly
+type congestionWindow struct {
+	size          float64
+	baseDelay     clock.Micros // about the least delay of late
+	reducedAt     clock.Micros // when it was last made smaller
+	pastSlowStart bool         // it has been made smaller once: from then on it grows slowly
 }
 
 const (
-	firstWindow = 4.0
-	mostWindow  = 4096.0
-	windowCut   = 0.8
+	initialWindow         = 4.0
+	maxWindow             = 4096.0
+	windowReductionFactor = 0.8
 	// A delay of twice the base and a slack means that work waits at the server.
-	windowSlack = 40 * clock.Millisecond
+	windowDelaySlack = 40 * clock.Millisecond
 	// One congestion is answered once.
-	windowRest = 200 * clock.Millisecond
+	minReductionInterval = 200 * clock.Millisecond
 	// The base rises by one part in so many of what a delay exceeds it by.
-	baseDrift = 256
+	baseDelayDriftDivisor = 256
 )
 
-// room is how many items may run.
-func (w *window) room() int {
+// capacity is how many items may run.
+func (w *congestionWindow) capacity() int {
 	if w.size == 0 {
-		w.size = firstWindow
+		w.size = initialWindow
 	}
 	return max(1, int(w.size))
 }
 
-// began takes the delay from an item's start to its first event.
-func (w *window) began(delay, now clock.Micros) {
-	w.room()
-	if w.base == 0 || delay < w.base {
-		w.base = delay
+// observeDelay takes the delay from an item's start to its first event.
+func (w *congestionWindow) observeDelay(delay, now clock.Micros) {
+	w.capacity()
+	if w.baseDelay == 0 || delay < w.baseDelay {
+		w.baseDelay = delay
 	}
-	w.base += (delay - w.base) / baseDrift
+	w.baseDelay += (delay - w.baseDelay) / baseDelayDriftDivisor
 	switch {
-	case delay > 2*w.base+windowSlack:
-		if now-w.cut >= windowRest {
-			w.size, w.cut, w.steady = max(1, w.size*windowCut), now, true
+	case delay > 2*w.baseDelay+windowDelaySlack:
+		if now-w.reducedAt >= minReductionInterval {
+			w.size, w.reducedAt, w.pastSlowStart = max(1, w.size*windowReductionFactor), now, true
 		}
-	case w.steady:
-		w.size = min(mostWindow, w.size+1/max(1, w.size))
+	case w.pastSlowStart:
+		w.size = min(maxWindow, w.size+1/max(1, w.size))
 	default:
-		w.size = min(mostWindow, w.size+1)
+		w.size = min(maxWindow, w.size+1)
 	}
 }
--- a/path/scheduler/window_test.go
+++ b/path/scheduler/window_test.go
@@ -9,29 +9,29 @@
 // The window opens while items begin at once, closes when they wait, once for each
 // congestion, and never closes altogether.
 func TestWindowFollowsTheDelay(t *testing.T) {
-	var w window
+	var w congestionWindow
 	now := clock.Second
-	soon, late := 40*clock.Millisecond, 400*clock.Millisecond
+	short, long := 40*clock.Millisecond, 400*clock.Millisecond
 	for range 20 {
-		w.began(soon, now)
+		w.observeDelay(short, now)
 	}
-	open := w.room()
+	open := w.capacity()
 	if open < 20 {
 		t.Fatalf("room for %d after 20 items that began at once", open)
 	}
-	w.began(late, now)
-	w.began(late, now+1)
-	if got := w.room(); got != int(float64(open)*windowCut) {
+	w.observeDelay(long, now)
+	w.observeDelay(long, now+1)
+	if got := w.capacity(); got != int(float64(open)*windowReductionFactor) {
 		t.Fatalf("room for %d after one congestion, from %d", got, open)
 	}
 	for i := range 100 {
-		w.began(late, now+clock.Micros(i+1)*windowRest)
+		w.observeDelay(long, now+clock.Micros(i+1)*minReductionInterval)
 	}
-	if w.room() != 1 {
-		t.Fatalf("room for %d on a server that is full", w.room())
+	if w.capacity() != 1 {
+		t.Fatalf("room for %d on a server that is full", w.capacity())
 	}
 	before := w.size
-	w.began(soon, now+clock.Second)
+	w.observeDelay(short, now+clock.Second)
 	if w.size <= before || w.size > before+1 {
 		t.Fatalf("grew from %v to %v", before, w.size)
 	}
--- a/path/scoring/scoring.go
+++ b/path/scoring/scoring.go
@@ -10,32 +10,32 @@
 
 // Candidate is what is known of a server when an order looks for one.
 type Candidate struct {
-	Name      string
-	Labels    map[string]string
-	Slots     int
-	Own       int          // this daemon's orders on it now
-	Others    int          // the others', by its last figure
-	Limit     float64      // fullness up to which this rank may fill it
-	Leaving   bool         // marked as leaving
-	Healthy   bool         // its health page answers, and orders come back
-	Prefix    bool         // it lately ran the same prefix
-	Latency   clock.Micros // what an order takes there of late
-	Fastest   clock.Micros // the same of the fastest server
-	RestUntil clock.Micros // it rejected an order; not before
-	Now       clock.Micros
-	Reading   int64        // prompt tokens of this daemon's orders that it has not begun
-	Silent    clock.Micros // how long it has left this daemon's orders without a sign
-	Turn      float64      // its place in this daemon's own order of servers, from 0 to 1
-	Share     *Share       // set for an item that is passed on unchanged
+	Name             string
+	Labels           map[string]string
+	Slots            int
+	OwnRequests      int          // this daemon's orders on it now
+	OtherRequests    int          // the others', by its last figure
+	UtilizationLimit float64      // fullness up to which this rank may fill it
+	Draining         bool         // marked as leaving
+	Healthy          bool         // its health page answers, and orders come back
+	HasPrefix        bool         // it lately ran the same prefix
+	Latency          clock.Micros // what an order takes there of late
+	FastestLatency   clock.Micros // the same of the fastest server
+	BackoffUntil     clock.Micros // it rejected an order; not before
+	Now              clock.Micros
+	PrefillTokens    int64        // prompt tokens of this daemon's orders that it has not begun
+	UnresponsiveFor  clock.Micros // how long it has left this daemon's orders without a sign
+	Rotation         float64      // its place in this daemon's own order of servers, from 0 to 1
+	BatchUsage       *BatchUsage  // set for an item that is passed on unchanged
 }
 
-// Share is what one store's items may take of a server: each keeps to its part,
+// BatchUsage is what one store's items may take of a server: each keeps to its part,
 // so that all together leave room for live orders.
-type Share struct {
-	Part    float64 // of what all stores' items may take, by what each has to run
-	Window  int     // how many the server begins without delay; 0: not known
-	Running int     // this daemon's items on the server
-	Opening int     // those of them that it has not begun
+type BatchUsage struct {
+	Share      float64 // of what all stores' items may take, by what each has to run
+	Window     int     // how many the server begins without delay; 0: not known
+	Running    int     // this daemon's items on the server
+	Prefilling int     // those of them that it has not begun
 }
 
 // Requirements is what the order needs.
@@ -43,75 +43,75 @@
 
 // Score is one scorer's result.
 type Score struct {
-	Judge string  `json:"judge"`
-	Value float64 `json:"mark"`
-	Out   string  `json:"out,omitempty"`
+	Scorer          string  `json:"judge"`
+	Value           float64 `json:"mark"`
+	ExclusionReason string  `json:"out,omitempty"`
 }
 
 // Scorer gives a mark from 0 to 1, or rules the server out with the reason.
-type Scorer func(wish Requirements, c Candidate) (float64, string)
+type Scorer func(requirements Requirements, c Candidate) (float64, string)
 
 // Load is the estimate of what the server has: what the others had there at its
 // last figure, and what this daemon has there now.
-func (c Candidate) Load() int { return c.Others + c.Own }
+func (c Candidate) Load() int { return c.OtherRequests + c.OwnRequests }
 
-// All are the scorers by name, in the order they are asked.
-var All = []struct {
+// Scorers are the scorers by name, in the order they are asked.
+var Scorers = []struct {
 	Name  string
-	Judge Scorer
+	Score Scorer
 }{
-	{"leaving", Leaving}, {"soundness", Health}, {"adapter", Adapter}, {"weights", Weights},
-	{"share", StoreShare}, {"fullness", Fullness}, {"prefix", Prefix}, {"speed", Speed}, {"spread", Spread},
-	{"reading", Reading}, {"silence", Silence}, {"turn", Turn},
+	{"leaving", Draining}, {"soundness", Health}, {"adapter", Adapter}, {"weights", Weights},
+	{"share", BatchShare}, {"fullness", Utilization}, {"prefix", PrefixAffinity}, {"speed", Speed}, {"spread", Spread},
+	{"reading", Prefill}, {"silence", Responsiveness}, {"turn", Rotation},
 }
 
-// Turn scores a server by its place in this daemon's own order. Daemons begin their
+// Rotation scores a server by its place in this daemon's own order. Daemons begin their
 // orders at different servers, so that those which don't know of each other's latest
 // orders seldom meet; the further ones are for when the first are busy.
-func Turn(_ Requirements, c Candidate) (float64, string) { return 1 - c.Turn, "" }
+func Rotation(_ Requirements, c Candidate) (float64, string) { return 1 - c.Rotation, "" }
 
-// mostOpening is how many items of one store a server may have to begin at a time:
+// maxPrefilling is how many items of one store a server may have to begin at a time:
 // it reads their prompts between the tokens of the others.
-const mostOpening = 1
+const maxPrefilling = 1
 
-// StoreShare rules out a server on which this store's items have their part.
-func StoreShare(_ Requirements, c Candidate) (float64, string) {
+// BatchShare rules out a server on which this store's items have their part.
+func BatchShare(_ Requirements, c Candidate) (float64, string) {
 	switch {
-	case c.Share == nil:
+	case c.BatchUsage == nil:
 		return 0, ""
-	case c.Share.Opening >= mostOpening:
+	case c.BatchUsage.Prefilling >= maxPrefilling:
 		return 0, "has items to begin"
-	case c.Share.Window > 0 && c.Share.Running >= c.Share.Window:
+	case c.BatchUsage.Window > 0 && c.BatchUsage.Running >= c.BatchUsage.Window:
 		return 0, "begins items late"
-	case c.Share.Running >= max(1, int(math.Round(c.Limit*float64(c.Slots)*c.Share.Part))):
+	case c.BatchUsage.Running >= max(1, int(math.Round(c.UtilizationLimit*float64(c.Slots)*c.BatchUsage.Share))):
 		return 0, "this store's items have their part of it"
 	}
 	return 0, ""
 }
 
-// readingScale is how many tokens of prompts halve the mark.
-const readingScale = 2000
+// prefillScaleTokens is how many tokens of prompts halve the mark.
+const prefillScaleTokens = 2000
 
-// Reading scores a server that has few tokens of prompts to read.
-func Reading(_ Requirements, c Candidate) (float64, string) {
-	return 1 / (1 + float64(c.Reading)/readingScale), ""
+// Prefill scores a server that has few tokens of prompts to read.
+func Prefill(_ Requirements, c Candidate) (float64, string) {
+	return 1 / (1 + float64(c.PrefillTokens)/prefillScaleTokens), ""
 }
 
-// mostSilence is how long a server may leave orders without a sign before others
+// maxUnresponsive is how long a server may leave orders without a sign before others
 // go elsewhere: one that is lost says nothing.
-const mostSilence = 350 * clock.Millisecond
+const maxUnresponsive = 350 * clock.Millisecond
 
-// Silence scores a server that lets hear of itself.
-func Silence(_ Requirements, c Candidate) (float64, string) {
-	if c.Silent > mostSilence {
+// Responsiveness scores a server that lets hear of itself.
+func Responsiveness(_ Requirements, c Candidate) (float64, string) {
+	if c.UnresponsiveFor > maxUnresponsive {
 		return 0, ""
 	}
 	return 1, ""
 }
 
-// Leaving rules out a server marked as leaving.
-func Leaving(_ Requirements, c Candidate) (float64, string) {
-	if c.Leaving {
+// Draining rules out a server marked as leaving.
+func Draining(_ Requirements, c Candidate) (float64, string) {
+	if c.Draining {
 		return 0, "marked as leaving"
 	}
 	return 0, ""
@@ -122,7 +122,7 @@
 	if !c.Healthy {
 		return 0, "not sound"
 	}
-	if c.Now < c.RestUntil {
+	if c.Now < c.BackoffUntil {
 		return 0, "rests after turning an order away"
 	}
 	return 0, ""
@@ -144,22 +144,22 @@
 	return 0, ""
 }
 
-// Fullness scores free room, and rules out a server full for this rank.
-func Fullness(_ Requirements, c Candidate) (float64, string) {
+// Utilization scores free room, and rules out a server full for this rank.
+func Utilization(_ Requirements, c Candidate) (float64, string) {
 	if c.Slots <= 0 {
 		return 0, "has no slots"
 	}
-	full := float64(c.Load()) / float64(c.Slots)
-	if full >= c.Limit {
+	utilization := float64(c.Load()) / float64(c.Slots)
+	if utilization >= c.UtilizationLimit {
 		return 0, "full for this rank"
 	}
-	return max(0, 1-full), ""
+	return max(0, 1-utilization), ""
 }
 
-// Prefix scores a server that lately ran the same prefix, but less the fuller it
+// PrefixAffinity scores a server that lately ran the same prefix, but less the fuller it
 // is: affinity must not overload it.
-func Prefix(_ Requirements, c Candidate) (float64, string) {
-	if !c.Prefix || c.Slots <= 0 {
+func PrefixAffinity(_ Requirements, c Candidate) (float64, string) {
+	if !c.HasPrefix || c.Slots <= 0 {
 		return 0, ""
 	}
 	return max(0, 1-float64(c.Load())/float64(c.Slots)), ""
@@ -167,28 +167,28 @@
 
 // Speed scores a server by how close it comes to the fastest.
 func Speed(_ Requirements, c Candidate) (float64, string) {
-	if c.Latency <= 0 || c.Fastest <= 0 {
+	if c.Latency <= 0 || c.FastestLatency <= 0 {
 		return 0.5, ""
 	}
-	return min(1, float64(c.Fastest)/float64(c.Latency)), ""
+	return min(1, float64(c.FastestLatency)/float64(c.Latency)), ""
 }
 
 // Spread scores a server that few of this daemon's own orders are on: figures
 // that are old everywhere else are fresh here.
-func Spread(_ Requirements, c Candidate) (float64, string) { return 1 / float64(1+c.Own), "" }
+func Spread(_ Requirements, c Candidate) (float64, string) { return 1 / float64(1+c.OwnRequests), "" }
 
 // Sum asks every judge and adds the weighted scores up.
-func Sum(weights map[string]float64, wish Requirements, c Candidate) (float64, []Score, bool) {
+func Sum(weights map[string]float64, requirements Requirements, c Candidate) (float64, []Score, bool) {
 	total := 0.0
-	marks := make([]Score, 0, len(All))
-	for _, one := range All {
-		mark, out := one.Judge(wish, c)
-		mark *= weights[one.Name]
-		marks = append(marks, Score{Judge: one.Name, Value: mark, Out: out})
-		if out != "" {
-			return 0, marks, false
+	scores := make([]Score, 0, len(Scorers))
+	for _, scorer := range Scorers {
+		score, reason := scorer.Score(requirements, c)
+		score *= weights[scorer.Name]
+		scores = append(scores, Score{Scorer: scorer.Name, Value: score, ExclusionReason: reason})
+		if reason != "" {
+			return 0, scores, false
 		}
-		total += mark
+		total += score
 	}
-	return total, marks, true
+	return total, scores, true
 }
--- a/path/serverpoll/serverpoll.go
+++ b/path/serverpoll/serverpoll.go
@@ -15,81 +15,81 @@
 	"tuliprudder/path/scheduler"
 )
 
-// ReadServer is work for the event loop: read a server's pages.
-type ReadServer struct{ Name, Address string }
+// PollTask is work for the event loop: read a server's pages.
+type PollTask struct{ Name, Address string }
 
-// ServerReading is what it found; Sound is false when the pages could not be read.
-type ServerReading struct {
-	ReadServer
+// PollResult is what it found; Sound is false when the pages could not be read.
+type PollResult struct {
+	PollTask
 	Running, Waiting int
-	Sound            bool
-	Began            clock.Micros
+	Healthy          bool
+	StartedAt        clock.Micros
 }
 
 // Poller holds an edge's duties.
 type Poller struct {
-	self      string
-	every     clock.Micros
-	wire      *machine.Wire
-	scheduler *scheduler.Scheduler
-	members   func() []identity.Member
-	due       map[string]clock.Micros // when a server is due again
-	busy      map[string]bool
-	versions  map[string]machine.Update // the latest figures' epoch and sequence
-	next      clock.Micros
+	self          string
+	interval      clock.Micros
+	calls         *machine.Calls
+	scheduler     *scheduler.Scheduler
+	members       func() []identity.Member
+	nextPolls     map[string]clock.Micros // when a server is due again
+	inFlight      map[string]bool
+	latestUpdates map[string]machine.Update // the latest figures' epoch and sequence
+	nextScan      clock.Micros
 }
 
 // New makes an edge's pollers; with no span between readings there are none.
-func New(self string, every clock.Micros, wire *machine.Wire, d *scheduler.Scheduler, members func() []identity.Member) *Poller {
-	return &Poller{self: self, every: every, wire: wire, scheduler: d, members: members, due: map[string]clock.Micros{}, busy: map[string]bool{}, versions: map[string]machine.Update{}}
+func New(self string, interval clock.Micros, calls *machine.Calls, sched *scheduler.Scheduler, members func() []identity.Member) *Poller {
+	return &Poller{self: self, interval: interval, calls: calls, scheduler: sched, members: members, nextPolls: map[string]clock.Micros{}, inFlight: map[string]bool{}, latestUpdates: map[string]machine.Update{}}
 }
 
-// busyFactor is how much more often a busy server is looked at: old figures of a full
+// busyPollFactor is how much more often a busy server is looked at: old figures of a full
 // server keep orders waiting that it could take.
-const busyFactor = 4
+const busyPollFactor = 4
 
 // Receive notes the latest figures of a server.
-func (s *Poller) Receive(update machine.Update) {
+func (p *Poller) Receive(update machine.Update) {
 	if name, ok := strings.CutPrefix(update.Key, registry.LoadPrefix); ok {
-		s.versions[name] = update
+		p.latestUpdates[name] = update
 	}
 }
 
-// ClockEvent sends the event loop to the servers that are due and this daemon's duty.
-func (s *Poller) ClockEvent(now clock.Micros) {
-	if now < s.next || s.every == 0 {
+// Tick sends the event loop to the servers that are due and this daemon's duty.
+func (p *Poller) Tick(now clock.Micros) {
+	if now < p.nextScan || p.interval == 0 {
 		return
 	}
-	s.next = now + s.every/busyFactor
-	members := s.members()
-	for _, server := range s.scheduler.Servers() {
-		if server.Gone || s.busy[server.Name] || now < s.due[server.Name] || registry.First(registry.LoadKey(server.Name), members, identity.Edge) != s.self {
+	p.nextScan = now + p.interval/busyPollFactor
+	members := p.members()
+	for _, server := range p.scheduler.Servers() {
+		if server.Removed || p.inFlight[server.Name] || now < p.nextPolls[server.Name] || registry.RendezvousOwner(registry.LoadKey(server.Name), members, identity.Edge) != p.self {
 			continue
 		}
-		s.busy[server.Name] = true
-		s.wire.Emit(machine.Work{Order: ReadServer{Name: server.Name, Address: server.Address}})
+		p.inFlight[server.Name] = true
+		p.calls.Emit(machine.Execute{Task: PollTask{Name: server.Name, Address: server.Address}})
 	}
 }
 
-// Report spreads what was found. Taking the duty over raises its epoch by one.
-func (s *Poller) Report(saw ServerReading, _ clock.Micros) {
-	delete(s.busy, saw.Name)
-	rest := s.every
-	for _, server := range s.scheduler.Servers() {
-		if server.Name == saw.Name && saw.Sound && 2*(saw.Running+saw.Waiting) >= server.Slots {
-			rest = s.every / busyFactor
+// HandleResult spreads what was found. Taking the duty over raises its epoch by one.
+func (p *Poller) HandleResult(result PollResult, _ clock.Micros) {
+	delete(p.inFlight, result.Name)
+	wait := p.interval
+	for _, server := range p.scheduler.Servers() {
+		if server.Name == result.Name && result.Healthy && 2*(result.Running+result.Waiting) >= server.Slots {
+			wait = p.interval / busyPollFactor
 		}
 	}
-	s.due[saw.Name] = saw.Began + rest - s.every/(2*busyFactor)
-	load := registry.Load{Running: saw.Running, Waiting: saw.Waiting, Sound: saw.Sound, At: saw.Began, By: s.self}
+	p.nextPolls[result.Name] = result.StartedAt + wait - p.interval/(2*busyPollFactor)
+	load := registry.Load{Running: result.Running, Waiting: result.Waiting, Healthy: result.Healthy, ReadAt: result.StartedAt, ReadBy: p.self}
 	epoch, seq := uint64(1), uint64(1)
-	if known, ok := s.versions[saw.Name]; ok {
+	if known, ok := p.latestUpdates[result.Name]; ok {
 		epoch, seq = known.Epoch, known.Seq+1
 		var last registry.Load
-		if json.Unmarshal(known.Value, &last) != nil || last.By != s.self {
+		if json.Unmarshal(known.Value, &last) != nil || last.ReadBy != p.self {
 			epoch, seq = epoch+1, 1
 		}
 	}
 	value, _ := json.Marshal(load)
-	s.wire.Emit(machine.Publish{Update: machine.Update{Key: registry.LoadKey(saw.Name), Epoch: epoch, Seq: seq, Value: value}})
+	p.calls.Emit(machine.Publish{Update: machine.Update{Key: registry.LoadKey(result.Name), Epoch: epoch, Seq: seq, Value: value}})
 }
--- a/path/upstream/answer.go
+++ b/path/upstream/answer.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// Answer is a server's answer; its request id was that of the request. One
+// Response is a server's answer; its request id was that of the request. One
 // goroutine reads and closes it; another one ends it through the context.
-type Answer struct {
+type Response struct {
 	Status    int
 	Header    http.Header
 	Body      io.Reader
@@ -20,101 +20,101 @@
 	Delimited bool  // false: the body ends with the connection, so nobody can tell whether it is whole
 	NotRun    bool  // the server's word that it didn't run the request
 
-	causeway *Client
-	k        *connection
-	ctx      context.Context
-	cancel   func()
-	stop     func() bool
-	source   io.Reader
-	response *http.Response // its trailers come with the end of the body
-	id       string         // the request's
-	keepable bool
-	ended    bool
-	endedAt  time.Time
-	closed   atomic.Bool
+	client        *Client
+	connection    *connection
+	ctx           context.Context
+	cancel        func()
+	stopInterrupt func() bool
+	rawBody       io.Reader
+	httpResponse  *http.Response // its trailers come with the end of the body
+	requestID     string         // the request's
+	reusable      bool
+	bodyComplete  bool
+	completedAt   time.Time
+	closed        atomic.Bool
 }
 
-func (c *Client) answer(ctx context.Context, k *connection, stop func() bool, r Request, response *http.Response) *Answer {
-	a := &Answer{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
-		causeway: c, k: k, ctx: ctx, stop: stop, source: response.Body, response: response, id: r.ID, keepable: !response.Close && !r.Probe}
-	_, refused := response.Header[http.CanonicalHeaderKey(c.words.NotRun)]
-	a.NotRun = refused || a.Status == http.StatusMisdirectedRequest
+func (c *Client) newResponse(ctx context.Context, pc *connection, stop func() bool, req Request, response *http.Response) *Response {
+	r := &Response{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
+		client: c, connection: pc, ctx: ctx, stopInterrupt: stop, rawBody: response.Body, httpResponse: response, requestID: req.ID, reusable: !response.Close && !req.Probe}
+	_, markedNotRun := response.Header[http.CanonicalHeaderKey(c.headerNames.NotRun)]
+	r.NotRun = markedNotRun || r.Status == http.StatusMisdirectedRequest
 	chunked := len(response.TransferEncoding) > 0
 	if response.Body == http.NoBody {
-		a.Length = 0
-		a.ended, a.endedAt = true, c.clock.Now()
+		r.Length = 0
+		r.bodyComplete, r.completedAt = true, c.clock.Now()
 	}
-	a.Delimited = chunked || a.Length >= 0
-	a.Body = body{a}
-	return a
+	r.Delimited = chunked || r.Length >= 0
+	r.Body = responseBody{r}
+	return r
 }
 
-// body is the answer's body.
-type body struct{ a *Answer }
+// responseBody is the answer's body.
+type responseBody struct{ response *Response }
 
 // Read reads the body: io.EOF is its whole end (but see Answer.Delimited),
 // io.ErrUnexpectedEOF that it was cut short.
-func (b body) Read(p []byte) (int, error) {
-	a := b.a
-	if a.ended {
+func (b responseBody) Read(p []byte) (int, error) {
+	r := b.response
+	if r.bodyComplete {
 		return 0, io.EOF
 	}
-	if err := a.ctx.Err(); err != nil {
+	if err := r.ctx.Err(); err != nil {
 		return 0, err
 	}
-	if a.closed.Load() {
+	if r.closed.Load() {
 		return 0, http.ErrBodyReadAfterClose
 	}
-	n, err := a.source.Read(p)
+	n, err := r.rawBody.Read(p)
 	switch {
 	case err == nil:
-	case err == io.EOF && a.strayed():
-		a.causeway.Mismatched.Add(1)
+	case err == io.EOF && r.trailerMismatches():
+		r.client.Mismatched.Add(1)
 		err = io.ErrUnexpectedEOF
 	case err == io.EOF:
-		a.ended, a.endedAt = true, a.causeway.clock.Now()
-	case a.ctx.Err() != nil:
-		err = a.ctx.Err()
-	case a.k.failed == io.EOF:
+		r.bodyComplete, r.completedAt = true, r.client.clock.Now()
+	case r.ctx.Err() != nil:
+		err = r.ctx.Err()
+	case r.connection.readErr == io.EOF:
 		// net/http has an error of its own for an end inside the trailers.
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-// strayed tells whether the body's trailer names another request than its head: then
+// trailerMismatches tells whether the body's trailer names another request than its head: then
 // nobody can tell whose the body is.
-func (a *Answer) strayed() bool {
-	ids := a.response.Trailer.Values(a.causeway.words.RequestID)
-	return len(ids) > 0 && !a.causeway.Faults.UncheckedID && !(len(ids) == 1 && ids[0] == a.id)
+func (r *Response) trailerMismatches() bool {
+	ids := r.httpResponse.Trailer.Values(r.client.headerNames.RequestID)
+	return len(ids) > 0 && !r.client.InjectedFaults.SkipIDCheck && !(len(ids) == 1 && ids[0] == r.requestID)
 }
 
 // Close hands the connection back if the next answer on it is certain to be the
 // next request's; otherwise it closes it, and whatever is unread is lost.
-func (a *Answer) Close() {
-	if a.closed.Swap(true) {
+func (r *Response) Close() {
+	if r.closed.Swap(true) {
 		return
 	}
-	c, open := a.causeway, a.stop()
-	a.cancel()
-	if !open || !a.ended || !a.Delimited || !a.keepable {
-		c.drop(a.k)
+	c, open := r.client, r.stopInterrupt()
+	r.cancel()
+	if !open || !r.bodyComplete || !r.Delimited || !r.reusable {
+		c.closeConnection(r.connection)
 		return
 	}
-	if a.k.in.Buffered() > 0 {
+	if r.connection.reader.Buffered() > 0 {
 		c.Dirty.Add(1)
-		c.drop(a.k)
+		c.closeConnection(r.connection)
 		return
 	}
-	c.keep(a.k, a.endedAt.Add(c.idleSpan(a.Header)))
+	c.putIdle(r.connection, r.completedAt.Add(c.keepAliveTimeout(r.Header)))
 }
 
-const longestIdle = time.Hour
+const maxKeepAlive = time.Hour
 
-// idleSpan is how long a connection may be kept, by the server's Keep-Alive or
+// keepAliveTimeout is how long a connection may be kept, by the server's Keep-Alive or
 // else by the settings.
-func (c *Client) idleSpan(header http.Header) time.Duration {
-	span := c.set.IdleFor
+func (c *Client) keepAliveTimeout(header http.Header) time.Duration {
+	timeout := c.settings.IdleTimeout
 	for _, line := range header.Values("Keep-Alive") {
 		for parameter := range strings.SplitSeq(line, ",") {
 			name, value, _ := strings.Cut(parameter, "=")
@@ -124,7 +124,7 @@
 			}
 			switch strings.ToLower(strings.TrimSpace(name)) {
 			case "timeout":
-				span = min(time.Duration(number)*time.Second-c.set.Margin, longestIdle)
+				timeout = min(time.Duration(number)*time.Second-c.settings.KeepAliveMargin, maxKeepAlive)
 			case "max":
 				if number == 0 {
 					return 0
@@ -132,5 +132,5 @@
 			}
 		}
 	}
-	return span
+	return timeout
 }
--- a/path/upstream/client.go
+++ b/path/upstream/client.go
@@ -25,18 +25,18 @@
 	"tuliprudder/kernel/errs"
 )
 
-// Words are the names of the headers that carry meaning here; one left empty is
+// HeaderNames are the names of the headers that carry meaning here; one left empty is
 // neither sent nor looked for, but without RequestID no answer is accepted.
-type Words struct{ RequestID, Instance, NotRun, LastEvent, Deadline string }
+type HeaderNames struct{ RequestID, Instance, NotRun, LastEventID, Deadline string }
 
 // Settings of the pools; what is zero has its default.
 type Settings struct {
-	DialWait    time.Duration   // longest wait for a connection; 1 s
-	IdleFor     time.Duration   // how long one is kept where the server names no time; 10 s
-	Margin      time.Duration   // taken off the time a server names; 500 ms
-	MostOpen    int             // connections to each server, idle ones counted; 64
-	UserTimeout time.Duration   // longest that written bytes stay unacknowledged (Linux); 2 s
-	Clock       clockwork.Clock // the real one
+	DialTimeout     time.Duration   // longest wait for a connection; 1 s
+	IdleTimeout     time.Duration   // how long one is kept where the server names no time; 10 s
+	KeepAliveMargin time.Duration   // taken off the time a server names; 500 ms
+	MaxConnections  int             // connections to each server, idle ones counted; 64
+	TCPUserTimeout  time.Duration   // longest that written bytes stay unacknowledged (Linux); 2 s
+	Clock           clockwork.Clock // the real one
 }
 
 // Request is passed on unchanged but for the headers of Words.
@@ -51,389 +51,389 @@
 	Body     []byte
 	// Deadline is when the request ends, body included; its header says how many
 	// whole milliseconds are left when it is written. Zero: none.
-	Deadline  time.Time
-	LastEvent string
+	Deadline    time.Time
+	LastEventID string
 	// Probe marks a question to the server itself, such as its health page: it
 	// goes over a new connection that isn't kept, so its answer needs no id, but
 	// one that is there has to match.
 	Probe bool
 }
 
-// Certainty is what is known about a request that brought no answer.
-type Certainty int
+// Delivery is what is known about a request that brought no answer.
+type Delivery int
 
 // The certainties: of NotWritten nothing reached a connection that could deliver
 // it, NotRun is the server's word, and of Unknown nothing is certain.
 const (
-	Unknown Certainty = iota
+	Unknown Delivery = iota
 	NotWritten
 	NotRun
 )
 
-var certaintyNames = map[Certainty]string{Unknown: "unknown", NotWritten: "not written", NotRun: "not run"}
+var deliveryNames = map[Delivery]string{Unknown: "unknown", NotWritten: "not written", NotRun: "not run"}
 
 // String names the certainty.
-func (c Certainty) String() string { return certaintyNames[c] }
+func (d Delivery) String() string { return deliveryNames[d] }
 
-// Fault is why there is no answer, and what is certain nevertheless.
-type Fault struct {
-	Certainty Certainty
-	Err       error
+// Error is why there is no answer, and what is certain nevertheless.
+type Error struct {
+	Delivery Delivery
+	Err      error
 }
 
 // Error names the certainty and the cause.
-func (f *Fault) Error() string { return f.Certainty.String() + ": " + f.Err.Error() }
+func (e *Error) Error() string { return e.Delivery.String() + ": " + e.Err.Error() }
 
 // Unwrap is the cause.
-func (f *Fault) Unwrap() error { return f.Err }
+func (e *Error) Unwrap() error { return e.Err }
 
-// Faults are planted by tests, which show by them that they catch such a fault.
-type Faults struct {
-	UncheckedID      bool // any answer counts as the request's, whatever its id
-	KeptAfterSilence bool // a connection on which no answer came in time is kept
-	ResentAfterLoss  bool // a request that was written and brought no answer is written again
+// InjectedFaults are planted by tests, which show by them that they catch such a fault.
+type InjectedFaults struct {
+	SkipIDCheck      bool // any answer counts as the request's, whatever its id
+	KeepAfterTimeout bool // a connection on which no answer came in time is kept
+	ResendAfterLoss  bool // a request that was written and brought no answer is written again
 }
 
 // Client has the connections to all servers.
 type Client struct {
 	Dialled, Reused, Mismatched, Dirty atomic.Int64
-	// Faults has to be set before the first request.
-	Faults Faults
-
-	words   Words
-	set     Settings
-	clock   clockwork.Clock
-	dialer  net.Dialer
-	mu      sync.Mutex
-	servers map[string]*server
+	// InjectedFaults has to be set before the first request.
+	InjectedFaults InjectedFaults
+
+	headerNames HeaderNames
+	settings    Settings
+	clock       clockwork.Clock
+	dialer      net.Dialer
+	mu          sync.Mutex
+	pools       map[string]*serverPool
 }
 
-// server is the pool of one server.
-type server struct {
-	address string
-	open    int // dialled or being dialled, idle or in use
-	most    int
-	bounded bool          // most was set for this server
-	era     int           // grows when the server is forgotten
-	idle    []*connection // the last one was used last
+// serverPool is the pool of one server.
+type serverPool struct {
+	address     string
+	open        int // dialled or being dialled, idle or in use
+	maxOpen     int
+	hasOwnLimit bool          // most was set for this server
+	generation  int           // grows when the server is forgotten
+	idle        []*connection // the last one was used last
 }
 
-// place is room for one connection in the pool of a server.
-type place struct {
-	server *server
-	era    int // the server's when the room was taken
+// poolSlot is room for one connection in the pool of a server.
+type poolSlot struct {
+	pool       *serverPool
+	generation int // the server's when the room was taken
 }
 
 // New makes a client without connections.
-func New(words Words, set Settings) *Client {
-	standard := func(span *time.Duration, value time.Duration) {
-		if *span == 0 {
-			*span = value
+func New(headerNames HeaderNames, settings Settings) *Client {
+	setDefault := func(timeout *time.Duration, value time.Duration) {
+		if *timeout == 0 {
+			*timeout = value
 		}
 	}
-	standard(&set.DialWait, time.Second)
-	standard(&set.IdleFor, 10*time.Second)
-	standard(&set.Margin, 500*time.Millisecond)
-	standard(&set.UserTimeout, 2*time.Second)
-	if set.MostOpen == 0 {
-		set.MostOpen = 64
+	setDefault(&settings.DialTimeout, time.Second)
+	setDefault(&settings.IdleTimeout, 10*time.Second)
+	setDefault(&settings.KeepAliveMargin, 500*time.Millisecond)
+	setDefault(&settings.TCPUserTimeout, 2*time.Second)
+	if settings.MaxConnections == 0 {
+		settings.MaxConnections = 64
 	}
-	if set.Clock == nil {
-		set.Clock = clockwork.NewRealClock()
+	if settings.Clock == nil {
+		settings.Clock = clockwork.NewRealClock()
 	}
-	return &Client{words: words, set: set, clock: set.Clock, servers: map[string]*server{},
-		dialer: net.Dialer{Timeout: set.DialWait, KeepAlive: -1, Control: userTimeout(set.UserTimeout)}}
+	return &Client{headerNames: headerNames, settings: settings, clock: settings.Clock, pools: map[string]*serverPool{},
+		dialer: net.Dialer{Timeout: settings.DialTimeout, KeepAlive: -1, Control: setUserTimeout(settings.TCPUserTimeout)}}
 }
 
 // Do sends a request and gives its answer when the head has come; the caller
 // closes the answer. An error is a *Fault. Only a request of which nothing was
 // written over a kept connection is tried again, over another one.
-func (c *Client) Do(ctx context.Context, r Request) (*Answer, error) {
-	if err := c.check(r); err != nil {
-		return nil, &Fault{NotWritten, err}
+func (c *Client) Do(ctx context.Context, req Request) (*Response, error) {
+	if err := c.validate(req); err != nil {
+		return nil, &Error{NotWritten, err}
 	}
 	cancel := func() {}
-	if !r.Deadline.IsZero() {
-		ctx, cancel = context.WithTimeout(ctx, r.Deadline.Sub(c.clock.Now()))
+	if !req.Deadline.IsZero() {
+		ctx, cancel = context.WithTimeout(ctx, req.Deadline.Sub(c.clock.Now()))
 	}
 	for {
-		answer, again, fault := c.attempt(ctx, r)
+		response, again, failure := c.attempt(ctx, req)
 		if again {
 			continue
 		}
-		if fault != nil {
+		if failure != nil {
 			if err := ctx.Err(); err != nil {
-				fault.Err = errors.WithStack(err)
+				failure.Err = errors.WithStack(err)
 			}
 			cancel()
-			return nil, fault
+			return nil, failure
 		}
-		answer.cancel = cancel
-		return answer, nil
+		response.cancel = cancel
+		return response, nil
 	}
 }
 
 // attempt tries one connection.
-func (c *Client) attempt(ctx context.Context, r Request) (*Answer, bool, *Fault) {
+func (c *Client) attempt(ctx context.Context, req Request) (*Response, bool, *Error) {
 	if ctx.Err() != nil {
-		return nil, false, &Fault{NotWritten, ctx.Err()}
+		return nil, false, &Error{NotWritten, ctx.Err()}
 	}
-	k, reused, err := c.take(ctx, r.Address, r.Probe)
+	pc, reused, err := c.acquire(ctx, req.Address, req.Probe)
 	if err != nil {
-		return nil, false, &Fault{NotWritten, err}
+		return nil, false, &Error{NotWritten, err}
 	}
-	stop := context.AfterFunc(ctx, func() { c.interrupt(k) })
-	fail := func(certainty Certainty, err error) (*Answer, bool, *Fault) {
+	stop := context.AfterFunc(ctx, func() { c.interrupt(pc) })
+	fail := func(delivery Delivery, err error) (*Response, bool, *Error) {
 		stop()
-		c.abandon(ctx, k, certainty)
-		return nil, false, &Fault{certainty, err}
+		c.discard(ctx, pc, delivery)
+		return nil, false, &Error{delivery, err}
 	}
-	left := int64(0)
-	if !r.Deadline.IsZero() {
-		if left = r.Deadline.Sub(c.clock.Now()).Milliseconds(); left < 1 {
+	remainingMS := int64(0)
+	if !req.Deadline.IsZero() {
+		if remainingMS = req.Deadline.Sub(c.clock.Now()).Milliseconds(); remainingMS < 1 {
 			return fail(NotWritten, context.DeadlineExceeded)
 		}
 	}
-	if n, err := k.write(c.appendHead(k.head[:0], r, left), r.Body); err != nil {
+	if n, err := pc.write(c.appendHead(pc.headBuffer[:0], req, remainingMS), req.Body); err != nil {
 		if n > 0 {
 			return fail(Unknown, errors.Wrap(err, "the request was written in part"))
 		}
-		_, _, fault := fail(NotWritten, errors.Wrap(err, "nothing of the request was written"))
-		return nil, reused && ctx.Err() == nil, fault
+		_, _, failure := fail(NotWritten, errors.Wrap(err, "nothing of the request was written"))
+		return nil, reused && ctx.Err() == nil, failure
 	}
-	response, err := k.readHead(r.Method)
+	response, err := pc.readHead(req.Method)
 	if err != nil {
-		_, _, fault := fail(Unknown, errors.Wrap(err, "the server gave no whole answer"))
-		return nil, c.Faults.ResentAfterLoss && ctx.Err() == nil, fault
+		_, _, failure := fail(Unknown, errors.Wrap(err, "the server gave no whole answer"))
+		return nil, c.InjectedFaults.ResendAfterLoss && ctx.Err() == nil, failure
 	}
-	if ids := response.Header.Values(c.words.RequestID); !c.belongs(ids, r) {
+	if ids := response.Header.Values(c.headerNames.RequestID); !c.matchesRequest(ids, req) {
 		c.Mismatched.Add(1)
-		return fail(Unknown, errors.Errorf("the answer carries the request ids %q, not %q", ids, r.ID))
+		return fail(Unknown, errors.Errorf("the answer carries the request ids %q, not %q", ids, req.ID))
 	}
-	return c.answer(ctx, k, stop, r, response), false, nil
+	return c.newResponse(ctx, pc, stop, req, response), false, nil
 }
 
-// belongs tells whether an answer with these request ids is the request's.
-func (c *Client) belongs(ids []string, r Request) bool {
-	if c.Faults.UncheckedID || r.Probe && len(ids) == 0 {
+// matchesRequest tells whether an answer with these request ids is the request's.
+func (c *Client) matchesRequest(ids []string, req Request) bool {
+	if c.InjectedFaults.SkipIDCheck || req.Probe && len(ids) == 0 {
 		return true
 	}
-	return len(ids) == 1 && ids[0] == r.ID
+	return len(ids) == 1 && ids[0] == req.ID
 }
 
 // interrupt ends what waits on a connection whose request is over.
-func (c *Client) interrupt(k *connection) {
-	if c.Faults.KeptAfterSilence {
-		k.conn.SetReadDeadline(time.Unix(1, 0))
+func (c *Client) interrupt(pc *connection) {
+	if c.InjectedFaults.KeepAfterTimeout {
+		pc.tcpConn.SetReadDeadline(time.Unix(1, 0))
 		return
 	}
-	k.conn.Close()
+	pc.tcpConn.Close()
 }
 
-// abandon closes a connection that brought no answer: what comes on it still could
+// discard closes a connection that brought no answer: what comes on it still could
 // be taken for the answer of a later request.
-func (c *Client) abandon(ctx context.Context, k *connection, certainty Certainty) {
-	if c.Faults.KeptAfterSilence && ctx.Err() != nil && certainty == Unknown {
-		k.conn.SetReadDeadline(time.Time{})
-		c.keep(k, c.clock.Now().Add(c.set.IdleFor))
+func (c *Client) discard(ctx context.Context, pc *connection, delivery Delivery) {
+	if c.InjectedFaults.KeepAfterTimeout && ctx.Err() != nil && delivery == Unknown {
+		pc.tcpConn.SetReadDeadline(time.Time{})
+		c.putIdle(pc, c.clock.Now().Add(c.settings.IdleTimeout))
 		return
 	}
-	c.drop(k)
+	c.closeConnection(pc)
 }
 
-// take finds a clean idle connection, or dials one within the bound.
-func (c *Client) take(ctx context.Context, address string, fresh bool) (*connection, bool, error) {
+// acquire finds a clean idle connection, or dials one within the bound.
+func (c *Client) acquire(ctx context.Context, address string, fresh bool) (*connection, bool, error) {
 	for {
-		k, room, err := c.claim(address, fresh)
+		pc, slot, err := c.reserve(address, fresh)
 		if err != nil {
 			return nil, false, err
 		}
-		if k == nil {
-			k, err = c.dial(ctx, room)
-			return k, false, err
+		if pc == nil {
+			pc, err = c.dial(ctx, slot)
+			return pc, false, err
 		}
-		if !fresh && c.clock.Now().Before(k.expiry) {
-			if k.clean() {
+		if !fresh && c.clock.Now().Before(pc.idleDeadline) {
+			if pc.isClean() {
 				c.Reused.Add(1)
-				return k, true, nil
+				return pc, true, nil
 			}
 			c.Dirty.Add(1)
 		}
-		c.drop(k)
+		c.closeConnection(pc)
 	}
 }
 
-// claim takes the idle connection used last, or else room for a new one. A fresh
+// reserve takes the idle connection used last, or else room for a new one. A fresh
 // connection is wanted for a probe: an idle one is claimed only to make room.
-func (c *Client) claim(address string, fresh bool) (*connection, place, error) {
+func (c *Client) reserve(address string, fresh bool) (*connection, poolSlot, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.server(address)
+	s := c.pool(address)
 	last := len(s.idle) - 1
-	if last >= 0 && (!fresh || s.open >= s.most) {
-		k := s.idle[last]
+	if last >= 0 && (!fresh || s.open >= s.maxOpen) {
+		pc := s.idle[last]
 		s.idle[last] = nil
 		s.idle = s.idle[:last]
-		return k, place{}, nil
+		return pc, poolSlot{}, nil
 	}
-	if s.open >= s.most {
-		err := errs.New(errs.Busy, "try another server, or come back later", "all %d connections to the server %s are in use", s.most, address)
-		c.tidy(s)
-		return nil, place{}, err
+	if s.open >= s.maxOpen {
+		err := errs.New(errs.Busy, "try another server, or come back later", "all %d connections to the server %s are in use", s.maxOpen, address)
+		c.removeIfUnused(s)
+		return nil, poolSlot{}, err
 	}
 	s.open++
-	return nil, place{s, s.era}, nil
+	return nil, poolSlot{s, s.generation}, nil
 }
 
-func (c *Client) dial(ctx context.Context, room place) (*connection, error) {
-	conn, err := c.dialer.DialContext(ctx, "tcp", room.server.address)
+func (c *Client) dial(ctx context.Context, slot poolSlot) (*connection, error) {
+	conn, err := c.dialer.DialContext(ctx, "tcp", slot.pool.address)
 	if err != nil {
-		c.released(room.server)
+		c.releaseSlot(slot.pool)
 		return nil, errors.Wrap(err, "dialling the server")
 	}
 	c.Dialled.Add(1)
-	return newConnection(conn.(*net.TCPConn), room), nil
+	return newConnection(conn.(*net.TCPConn), slot), nil
 }
 
-// keep puts a connection back for the next request, unless its server is gone
+// putIdle puts a connection back for the next request, unless its server is gone
 // or has too many.
-func (c *Client) keep(k *connection, expiry time.Time) {
+func (c *Client) putIdle(pc *connection, idleDeadline time.Time) {
 	c.mu.Lock()
-	s := k.server
-	kept := k.era == s.era && s.open <= s.most && c.clock.Now().Before(expiry)
+	s := pc.pool
+	kept := pc.generation == s.generation && s.open <= s.maxOpen && c.clock.Now().Before(idleDeadline)
 	if kept {
-		k.expiry = expiry
-		s.idle = append(s.idle, k)
+		pc.idleDeadline = idleDeadline
+		s.idle = append(s.idle, pc)
 	}
 	c.mu.Unlock()
 	if !kept {
-		c.drop(k)
+		c.closeConnection(pc)
 	}
 }
 
-// drop closes a connection; only then is there room for another.
-func (c *Client) drop(k *connection) {
-	k.conn.Close()
-	c.released(k.server)
+// closeConnection closes a connection; only then is there room for another.
+func (c *Client) closeConnection(pc *connection) {
+	pc.tcpConn.Close()
+	c.releaseSlot(pc.pool)
 }
 
-func (c *Client) released(s *server) {
+func (c *Client) releaseSlot(s *serverPool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s.open--
-	c.tidy(s)
+	c.removeIfUnused(s)
 }
 
-// server finds or makes a server's pool; the lock is held.
-func (c *Client) server(address string) *server {
-	s := c.servers[address]
+// pool finds or makes a server's pool; the lock is held.
+func (c *Client) pool(address string) *serverPool {
+	s := c.pools[address]
 	if s == nil {
-		s = &server{address: address, most: c.set.MostOpen}
-		c.servers[address] = s
+		s = &serverPool{address: address, maxOpen: c.settings.MaxConnections}
+		c.pools[address] = s
 	}
 	return s
 }
 
-// tidy forgets a pool that has nothing to remember; the lock is held.
-func (c *Client) tidy(s *server) {
-	if s.open == 0 && !s.bounded {
-		delete(c.servers, s.address)
+// removeIfUnused forgets a pool that has nothing to remember; the lock is held.
+func (c *Client) removeIfUnused(s *serverPool) {
+	if s.open == 0 && !s.hasOwnLimit {
+		delete(c.pools, s.address)
 	}
 }
 
-// SetMost bounds the connections to one server; with 0 there are none. Idle
+// SetMaxConnections bounds the connections to one server; with 0 there are none. Idle
 // ones beyond the bound are closed now, those in use after their answers.
-func (c *Client) SetMost(address string, most int) {
+func (c *Client) SetMaxConnections(address string, limit int) {
 	c.mu.Lock()
-	s := c.server(address)
-	s.most, s.bounded = most, true
-	surplus := min(max(s.open-most, 0), len(s.idle))
+	s := c.pool(address)
+	s.maxOpen, s.hasOwnLimit = limit, true
+	surplus := min(max(s.open-limit, 0), len(s.idle))
 	closing := append([]*connection(nil), s.idle[:surplus]...)
 	s.idle = append([]*connection(nil), s.idle[surplus:]...)
 	c.mu.Unlock()
-	c.dropAll(closing)
+	c.closeAll(closing)
 }
 
-// Forget closes the idle connections to a server that is gone, and unsets its
+// RemoveServer closes the idle connections to a server that is gone, and unsets its
 // bound; connections in use are closed after their answers.
-func (c *Client) Forget(address string) {
+func (c *Client) RemoveServer(address string) {
 	c.mu.Lock()
-	s := c.servers[address]
+	s := c.pools[address]
 	if s == nil {
 		c.mu.Unlock()
 		return
 	}
 	closing := s.idle
-	s.idle, s.most, s.bounded = nil, c.set.MostOpen, false
-	s.era++
-	c.tidy(s)
+	s.idle, s.maxOpen, s.hasOwnLimit = nil, c.settings.MaxConnections, false
+	s.generation++
+	c.removeIfUnused(s)
 	c.mu.Unlock()
-	c.dropAll(closing)
+	c.closeAll(closing)
 }
 
-// Sweep closes idle connections past their time; the owner calls it now and then.
-func (c *Client) Sweep() {
+// CloseExpired closes idle connections past their time; the owner calls it now and then.
+func (c *Client) CloseExpired() {
 	now := c.clock.Now()
 	var closing []*connection
 	c.mu.Lock()
-	for _, s := range c.servers {
+	for _, s := range c.pools {
 		var kept []*connection
-		for _, k := range s.idle {
-			if now.Before(k.expiry) {
-				kept = append(kept, k)
+		for _, pc := range s.idle {
+			if now.Before(pc.idleDeadline) {
+				kept = append(kept, pc)
 			} else {
-				closing = append(closing, k)
+				closing = append(closing, pc)
 			}
 		}
 		s.idle = kept
 	}
 	c.mu.Unlock()
-	c.dropAll(closing)
+	c.closeAll(closing)
 }
 
-func (c *Client) dropAll(closing []*connection) {
-	for _, k := range closing {
-		c.drop(k)
+func (c *Client) closeAll(closing []*connection) {
+	for _, pc := range closing {
+		c.closeConnection(pc)
 	}
 }
 
-// check refuses what can't be written as one whole request.
-func (c *Client) check(r Request) error {
-	refuse := func(format string, args ...any) error {
+// validate refuses what can't be written as one whole request.
+func (c *Client) validate(req Request) error {
+	malformed := func(format string, args ...any) error {
 		return errs.New(errs.BadInput, "send a request that HTTP/1.1 can carry", format, args...)
 	}
-	if _, err := netip.ParseAddrPort(r.Address); err != nil {
-		return refuse("the server's address %q is no IP and port", r.Address)
+	if _, err := netip.ParseAddrPort(req.Address); err != nil {
+		return malformed("the server's address %q is no IP and port", req.Address)
 	}
-	if !token(r.Method) || !visible(r.Target) || !visible(r.Host) {
-		return refuse("the method %q, target %q or host %q is malformed", r.Method, r.Target, r.Host)
+	if !isToken(req.Method) || !isVisibleText(req.Target) || !isVisibleText(req.Host) {
+		return malformed("the method %q, target %q or host %q is malformed", req.Method, req.Target, req.Host)
 	}
-	if r.ID == "" && !r.Probe {
-		return refuse("the request has no id")
+	if req.ID == "" && !req.Probe {
+		return malformed("the request has no id")
 	}
-	for _, value := range []string{r.ID, r.Instance, r.LastEvent} {
-		if !fieldValue(value) {
-			return refuse("the header value %q has control characters", value)
+	for _, value := range []string{req.ID, req.Instance, req.LastEventID} {
+		if !isFieldValue(value) {
+			return malformed("the header value %q has control characters", value)
 		}
 	}
-	for name, values := range r.Header {
-		if !token(name) {
-			return refuse("the header name %q is malformed", name)
+	for name, values := range req.Header {
+		if !isToken(name) {
+			return malformed("the header name %q is malformed", name)
 		}
 		for _, value := range values {
-			if !fieldValue(value) {
-				return refuse("the value of header %s has control characters", name)
+			if !isFieldValue(value) {
+				return malformed("the value of header %s has control characters", name)
 			}
 		}
 	}
 	return nil
 }
 
-// CertaintyOf is what an error of Do makes certain.
-func CertaintyOf(err error) Certainty {
-	var fault *Fault
-	if errors.As(err, &fault) {
-		return fault.Certainty
+// DeliveryOf is what an error of Do makes certain.
+func DeliveryOf(err error) Delivery {
+	var failure *Error
+	if errors.As(err, &failure) {
+		return failure.Delivery
 	}
 	return Unknown
 }
--- a/path/upstream/events_test.go
+++ b/path/upstream/events_test.go
@@ -14,13 +14,13 @@
 
 const stream = "\xef\xbb\xbf: hello\n\nid: 1\ndata: a\ndata:b\nx-load: 3\nevent: e\nretry: 5\n\n\r\ndata: c\r\n\r\nid\rdata\r\r"
 
-func events(t *testing.T, source io.Reader) (all []Event, err error) {
+func readEvents(t *testing.T, source io.Reader) (all []Event, err error) {
 	t.Helper()
-	r := NewEventReader(source)
+	reader := NewEventReader(source)
 	for {
-		event, err := r.Next()
+		event, err := reader.Next()
 		if err != nil {
-			if _, again := r.Next(); again != err {
+			if _, again := reader.Next(); again != err {
 				t.Fatalf("%v after %v", again, err)
 			}
 			return all, err
@@ -35,7 +35,7 @@
 		"halves": iotest.HalfReader(strings.NewReader(stream)), "end with data": iotest.DataErrReader(strings.NewReader(stream)),
 	} {
 		t.Run(name, func(t *testing.T) {
-			all, err := events(t, source)
+			all, err := readEvents(t, source)
 			if err != io.EOF {
 				t.Fatal(err)
 			}
@@ -43,7 +43,7 @@
 			var text []string
 			for _, event := range all {
 				raw = append(raw, event.Raw...)
-				text = append(text, fmt.Sprintf("%q %q %v %v", event.ID, event.Data, event.HasData, event.Other))
+				text = append(text, fmt.Sprintf("%q %q %v %v", event.ID, event.Data, event.HasData, event.OtherFields))
 			}
 			if string(raw) != stream {
 				t.Fatalf("raw %q", raw)
@@ -73,7 +73,7 @@
 		"": io.EOF, "data: a\n\n": io.EOF, "data: a\n\n\n": io.EOF,
 		"data: a\n\ndata: b\n": io.ErrUnexpectedEOF, "data: a\n\ndata: b": io.ErrUnexpectedEOF, ": note\n": io.ErrUnexpectedEOF,
 	} {
-		if _, err := events(t, strings.NewReader(text)); err != want {
+		if _, err := readEvents(t, strings.NewReader(text)); err != want {
 			t.Fatalf("%q: %v", text, err)
 		}
 	}
@@ -81,24 +81,24 @@
 	if _, err := blank.Next(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := blank.Next(); err != io.EOF || string(blank.Rest()) != "\r\n\n" {
-		t.Fatalf("%v, and %q is left", err, blank.Rest())
+	if _, err := blank.Next(); err != io.EOF || string(blank.Trailing()) != "\r\n\n" {
+		t.Fatalf("%v, and %q is left", err, blank.Trailing())
 	}
 	broken := errors.New("broken")
-	all, err := events(t, io.MultiReader(strings.NewReader("data: a\n\ndata: b\n"), iotest.ErrReader(broken)))
+	all, err := readEvents(t, io.MultiReader(strings.NewReader("data: a\n\ndata: b\n"), iotest.ErrReader(broken)))
 	if err != broken || len(all) != 1 {
 		t.Fatalf("%d events, %v", len(all), err)
 	}
 }
 
 func TestEventSizeIsBounded(t *testing.T) {
-	fits := append(bytes.Repeat([]byte("x"), eventLimit-2), "\n\n"...)
-	if all, err := events(t, bytes.NewReader(fits)); err != io.EOF || len(all) != 1 {
+	fits := append(bytes.Repeat([]byte("x"), maxEventBytes-2), "\n\n"...)
+	if all, err := readEvents(t, bytes.NewReader(fits)); err != io.EOF || len(all) != 1 {
 		t.Fatalf("%d events, %v", len(all), err)
 	}
-	for _, more := range []string{"x\n\ndata: next\n\n", strings.Repeat("x", 10000)} {
-		large := append(bytes.Repeat([]byte("x"), eventLimit-2), more...)
-		if all, err := events(t, bytes.NewReader(large)); len(all) != 0 || !errs.Is(err, errs.TooLarge) {
+	for _, extra := range []string{"x\n\ndata: next\n\n", strings.Repeat("x", 10000)} {
+		large := append(bytes.Repeat([]byte("x"), maxEventBytes-2), extra...)
+		if all, err := readEvents(t, bytes.NewReader(large)); len(all) != 0 || !errs.Is(err, errs.TooLarge) {
 			t.Fatalf("%d events, %v", len(all), err)
 		}
 	}
--- a/path/upstream/socket_linux.go
+++ b/path/upstream/socket_linux.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall doesn't name.
-const tcpUserTimeout = 18
+// optTCPUserTimeout is TCP_USER_TIMEOUT, which package syscall doesn't name.
+const optTCPUserTimeout = 18
 
-// userTimeout bounds how long written bytes may stay unacknowledged.
-func userTimeout(span time.Duration) func(network, address string, raw syscall.RawConn) error {
+// setUserTimeout bounds how long written bytes may stay unacknowledged.
+func setUserTimeout(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
-		var failed error
+		var sysErr error
 		err := raw.Control(func(fd uintptr) {
-			failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(span.Milliseconds()))
+			sysErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, optTCPUserTimeout, int(timeout.Milliseconds()))
 		})
 		if err != nil {
 			return err
 		}
-		return failed
+		return sysErr
 	}
 }
 
-// quiet tells, without waiting, whether a socket is open with nothing to read.
+// isQuiet tells, without waiting, whether a socket is open with nothing to read.
 // What it reads otherwise is lost: the connection is to be closed then.
-func quiet(conn *net.TCPConn) bool {
+func isQuiet(conn *net.TCPConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	var one [1]byte
-	var failed error
+	var buffer [1]byte
+	var sysErr error
 	err = raw.Read(func(fd uintptr) bool {
 		for {
-			if _, failed = syscall.Read(int(fd), one[:]); failed != syscall.EINTR {
+			if _, sysErr = syscall.Read(int(fd), buffer[:]); sysErr != syscall.EINTR {
 				return true
 			}
 		}
 	})
-	return err == nil && failed == syscall.EAGAIN
+	return err == nil && sysErr == syscall.EAGAIN
 }
--- a/proof/capacitymodel/bench_test.go
+++ b/proof/capacitymodel/bench_test.go
@@ -26,11 +26,11 @@
 // The figures of docs/CAPACITY.md that are not of whole fleets:
 // GOMAXPROCS=1 go test -run Nothing -bench . -benchtime 2s ./proof/hollow
 
-type quiet struct{ heard chan struct{} }
+type notifyingHandler struct{ received chan struct{} }
 
-func (q quiet) Deliver(transport.Envelope)            { q.heard <- struct{}{} }
-func (q quiet) Ask(l transport.Envelope) (any, error) { return l.Body, nil }
-func report(b *testing.B, began int64, per int, as string) {
+func (q notifyingHandler) Deliver(transport.Envelope)                   { q.received <- struct{}{} }
+func (q notifyingHandler) HandleCall(l transport.Envelope) (any, error) { return l.Body, nil }
+func reportCPU(b *testing.B, began int64, per int, as string) {
 	b.ReportMetric(float64(processCPU()-began)/1000/float64(b.N*per), as)
 }
 
@@ -42,7 +42,7 @@
 	}
 	address := listener.Addr().String()
 	listener.Close()
-	there := quiet{make(chan struct{}, 1)}
+	there := notifyingHandler{make(chan struct{}, 1)}
 	end, err := transport.New(address, there).Listen(address)
 	if err != nil {
 		b.Fatal(err)
@@ -50,14 +50,14 @@
 	defer end()
 	here := transport.New("127.0.0.1:0", there)
 	here.Send(address, gossip.Probe{Nonce: 1})
-	<-there.heard
+	<-there.received
 	b.ResetTimer()
 	began := processCPU()
 	for range b.N {
 		here.Send(address, gossip.Probe{Nonce: 1})
-		<-there.heard
+		<-there.received
 	}
-	report(b, began, 1, "cpu-µs/call")
+	reportCPU(b, began, 1, "cpu-µs/call")
 }
 
 // What one line's encoder and one decoder keep after the largest message.
@@ -68,27 +68,27 @@
 			for i := range keys {
 				known[fmt.Sprintf("server/server-%05d", i)] = gossip.Version{Seq: 1_000_000_000_000_000 + uint64(i)}
 			}
-			batch := transport.Batch{Messages: []transport.Envelope{{Body: gossip.Digest{Known: known}}}}
+			batch := transport.MessageBatch{Messages: []transport.Envelope{{Body: gossip.Digest{Known: known}}}}
 			for range b.N {
 				var encoders []*gob.Encoder
 				var decoders []*gob.Decoder
-				before := inUse()
+				before := heapInUse()
 				for range 16 {
-					var s sizer
+					var s byteCounter
 					encoder := gob.NewEncoder(&s)
 					must(encoder.Encode(batch))
 					encoders = append(encoders, encoder)
 				}
-				with := inUse()
+				with := heapInUse()
 				for range 16 {
 					reader, writer := net.Pipe()
 					decoder := gob.NewDecoder(reader)
 					go func() { must(gob.NewEncoder(writer).Encode(batch)) }()
-					must(decoder.Decode(&transport.Batch{}))
+					must(decoder.Decode(&transport.MessageBatch{}))
 					decoders = append(decoders, decoder)
 				}
 				b.ReportMetric(float64(with-before)/16, "encoder-B")
-				b.ReportMetric(float64(inUse()-with)/16, "decoder-B")
+				b.ReportMetric(float64(heapInUse()-with)/16, "decoder-B")
 				runtime.KeepAlive(encoders)
 				runtime.KeepAlive(decoders)
 			}
@@ -96,47 +96,47 @@
 	}
 }
 
-func plan(b *testing.B) *config.Plan {
-	f := &Fleet{Set: Settings{Customers: 450, Routes: 60}}
-	plan, err := config.Parse(f.document(1))
+func benchConfiguration(b *testing.B) *config.Configuration {
+	f := &Fleet{Settings: Settings{Tenants: 450, Routes: 60}}
+	configuration, err := config.Parse(f.configurationDocument(1))
 	if err != nil {
 		b.Fatal(err)
 	}
-	plan.Version = 1
-	return plan
+	configuration.Version = 1
+	return configuration
 }
 
-func backlog(b *testing.B, servers, running int) *scheduler.Scheduler {
+func newLoadedScheduler(b *testing.B, servers, running int) *scheduler.Scheduler {
 	d := scheduler.New(scheduler.Defaults(), 1)
-	d.SetPlan(plan(b), 1)
-	d.SetFresh(1)
+	d.SetConfiguration(benchConfiguration(b), 1)
+	d.AdvanceFreshness(1)
 	for _, s := range New(Settings{Servers: int64(servers), Zones: 11, Regions: 3}).servers {
-		d.SetServer(s.word)
-		d.SetLoad(s.word.Name, 1, registry.Load{Running: running, Sound: true, At: 1})
+		d.SetServer(s.endpoint)
+		d.SetLoad(s.endpoint.Name, 1, registry.Load{Running: running, Healthy: true, ReadAt: 1})
 	}
 	return d
 }
 
-func order(_ *testing.B, d *scheduler.Scheduler, i int) *scheduler.Order {
-	route, _ := d.Plan().Route("route-000")
-	return &scheduler.Order{ID: fmt.Sprint(i), Customer: "tenant-001", Route: route, Rank: 100, Prefix: fmt.Sprint(i % 100), Expiry: 1 << 40,
-		Start: func(grip *scheduler.Assignment, now clock.Micros) { grip.Release(1000, true, now) }, Drop: func(error, clock.Micros) {}}
+func newBenchRequest(_ *testing.B, d *scheduler.Scheduler, i int) *scheduler.Request {
+	route, _ := d.Configuration().Route("route-000")
+	return &scheduler.Request{ID: fmt.Sprint(i), Tenant: "tenant-001", Route: route, Priority: 100, Prefix: fmt.Sprint(i % 100), Deadline: 1 << 40,
+		Start: func(assignment *scheduler.Assignment, now clock.Micros) { assignment.Release(1000, true, now) }, Drop: func(error, clock.Micros) {}}
 }
 
 // Choosing a server for one order.
 func BenchmarkChoose(b *testing.B) {
 	for _, servers := range []int{60, 960, 5500} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			d := backlog(b, servers, 10)
+			d := newLoadedScheduler(b, servers, 10)
 			b.ResetTimer()
 			began := processCPU()
 			for i := range b.N {
-				if err := d.Submit(order(b, d, i), 2); err != nil {
+				if err := d.Submit(newBenchRequest(b, d, i), 2); err != nil {
 					b.Fatal(err)
 				}
-				d.Settle(2)
+				d.MatchUntilStable(2)
 			}
-			report(b, began, 1, "cpu-µs/order")
+			reportCPU(b, began, 1, "cpu-µs/order")
 		})
 	}
 }
@@ -145,18 +145,18 @@
 func BenchmarkFigureWhileOneWaits(b *testing.B) {
 	for _, servers := range []int{60, 960, 5500} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			d := backlog(b, servers, 100)
-			if err := d.Submit(order(b, d, 1), 2); err != nil {
+			d := newLoadedScheduler(b, servers, 100)
+			if err := d.Submit(newBenchRequest(b, d, 1), 2); err != nil {
 				b.Fatal(err)
 			}
-			d.Settle(2)
+			d.MatchUntilStable(2)
 			b.ResetTimer()
 			began := processCPU()
 			for i := range b.N {
-				d.SetLoad("server-0001", 1, registry.Load{Running: 100, Sound: true, At: clock.Micros(i + 2)})
-				d.Settle(2)
+				d.SetLoad("server-0001", 1, registry.Load{Running: 100, Healthy: true, ReadAt: clock.Micros(i + 2)})
+				d.MatchUntilStable(2)
 			}
-			report(b, began, 1, "cpu-µs/figure")
+			reportCPU(b, began, 1, "cpu-µs/figure")
 		})
 	}
 }
@@ -165,19 +165,19 @@
 func BenchmarkDutyRound(b *testing.B) {
 	for _, size := range [][2]int{{60, 8}, {960, 8}, {5500, 8}, {5500, 245}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
-			var folk []identity.Member
+			var members []identity.Member
 			for i := range size[1] {
-				folk = append(folk, identity.Member{ID: fmt.Sprintf("edge-%03d.1", i), Kind: identity.Edge, Zone: "zone-01", Peer: "10.0.0.1:7100"})
+				members = append(members, identity.Member{ID: fmt.Sprintf("edge-%03d.1", i), Kind: identity.Edge, Zone: "zone-01", Peer: "10.0.0.1:7100"})
 			}
-			wire := machine.NewWire()
-			s := serverpoll.New("nobody", 400*clock.Millisecond, wire, backlog(b, size[0], 1), func() []identity.Member { return folk })
+			calls := machine.NewCalls()
+			s := serverpoll.New("nobody", 400*clock.Millisecond, calls, newLoadedScheduler(b, size[0], 1), func() []identity.Member { return members })
 			b.ResetTimer()
 			began := processCPU()
 			for i := range b.N {
-				s.ClockEvent(clock.Micros(i+1) * clock.Second)
-				wire.Drain()
+				s.Tick(clock.Micros(i+1) * clock.Second)
+				calls.Drain()
 			}
-			report(b, began, 1, "cpu-µs/round")
+			reportCPU(b, began, 1, "cpu-µs/round")
 		})
 	}
 }
@@ -188,20 +188,20 @@
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			c := gossip.New(identity.Member{ID: "x", Kind: identity.Edge, Peer: "p", Incarnation: 1}, nil, gossip.Defaults(), 1)
 			known := map[string]gossip.Version{}
-			var told []machine.Update
+			var updates []machine.Update
 			for i := range servers {
 				for _, key := range []string{"server/", "load/"} {
-					rumour := machine.Update{Key: fmt.Sprintf("%sserver-%04d", key, i), Epoch: 1, Seq: 1, Value: []byte(strings.Repeat("x", 120))}
-					told, known[rumour.Key] = append(told, rumour), gossip.Version{Epoch: 1, Seq: 1}
+					update := machine.Update{Key: fmt.Sprintf("%sserver-%04d", key, i), Epoch: 1, Seq: 1, Value: []byte(strings.Repeat("x", 120))}
+					updates, known[update.Key] = append(updates, update), gossip.Version{Epoch: 1, Seq: 1}
 				}
 			}
-			c.Do(gossip.Message{Body: gossip.Gossip{Updates: told}}, 1)
+			c.Do(gossip.Message{Body: gossip.Gossip{Updates: updates}}, 1)
 			b.ResetTimer()
 			began := processCPU()
 			for range b.N {
 				c.Do(gossip.Message{From: "q", Body: gossip.Digest{Known: known}}, 2)
 			}
-			report(b, began, 1, "cpu-µs/digest")
+			reportCPU(b, began, 1, "cpu-µs/digest")
 		})
 	}
 }
@@ -214,11 +214,11 @@
 			for i := range writers {
 				vector[i+1] = int64(8_000_000 + 977*i)
 			}
-			letters := 0
+			envelopes := 0
 			for range b.N {
-				letters = len(token.NewToken("fleet", vector).String())
+				envelopes = len(token.NewToken("fleet", vector).String())
 			}
-			b.ReportMetric(float64(letters), "letters")
+			b.ReportMetric(float64(envelopes), "letters")
 		})
 	}
 }
@@ -227,24 +227,24 @@
 func BenchmarkUpTo(b *testing.B) {
 	for _, size := range [][2]int{{24, 24}, {512, 100}, {1024, 300}} {
 		b.Run(fmt.Sprintf("%dslots%dwriters", size[0], size[1]), func(b *testing.B) {
-			v := token.NewView()
+			v := token.NewPositionView()
 			v.SetMap(make([]uint64, size[0]))
 			for w := range size[1] {
 				value := `{"writer":` + fmt.Sprint(w+1) + `,"store":"s","peer":"p","up_to":1000,"slots":[`
-				for slot := w; slot < size[0]; slot += size[1] {
-					if slot > w {
+				for shardIndex := w; shardIndex < size[0]; shardIndex += size[1] {
+					if shardIndex > w {
 						value += ","
 					}
-					value += fmt.Sprintf(`{"slot":%d,"epoch":1,"last":{"%d":5},"tenures":[{"writer":%d,"first":1,"last":5},{"writer":%d,"first":6,"last":900}]}`, slot, (w+1)%size[1]+1, (w+1)%size[1]+1, w+1)
+					value += fmt.Sprintf(`{"slot":%d,"epoch":1,"last":{"%d":5},"tenures":[{"writer":%d,"first":1,"last":5},{"writer":%d,"first":6,"last":900}]}`, shardIndex, (w+1)%size[1]+1, (w+1)%size[1]+1, w+1)
 				}
-				v.Hear(machine.Update{Key: token.Key(w + 1), Epoch: 1, Seq: 1, Value: []byte(value + "]}")})
+				v.Receive(machine.Update{Key: token.Key(w + 1), Epoch: 1, Seq: 1, Value: []byte(value + "]}")})
 			}
 			b.ResetTimer()
 			began := processCPU()
 			for range b.N {
-				v.UpTo()
+				v.ReadableUpTo()
 			}
-			report(b, began, 1, "cpu-µs/page")
+			reportCPU(b, began, 1, "cpu-µs/page")
 		})
 	}
 }
@@ -254,19 +254,19 @@
 func BenchmarkLot(b *testing.B) {
 	for _, items := range []int{1000, 10_000, 87_000} {
 		b.Run(fmt.Sprint(items), func(b *testing.B) {
-			bundle := shard.Bundle{ID: "lot", Customer: "tenant-001", Key: "k", Hash: "h", Route: "route-002", State: shard.Open}
+			batch := shard.Batch{ID: "lot", Tenant: "tenant-001", Key: "k", Hash: "h", Route: "route-002", State: shard.Open}
 			for i := range items {
-				bundle.Items = append(bundle.Items, shard.Item{ID: fmt.Sprintf("item-%05d", i), Input: strings.Repeat("x", 400)})
+				batch.Items = append(batch.Items, shard.Item{ID: fmt.Sprintf("item-%05d", i), Input: strings.Repeat("x", 400)})
 			}
 			size := 0
 			b.ResetTimer()
 			began := processCPU()
 			for range b.N {
-				size = len(shard.Encode(shard.Enrol{Bundle: bundle}))
+				size = len(shard.Encode(shard.SubmitBatch{Batch: batch}))
 			}
-			report(b, began, 1, "cpu-µs/lot")
+			reportCPU(b, began, 1, "cpu-µs/lot")
 			b.ReportMetric(float64(size), "entry-B")
-			b.ReportMetric(float64(store.Defaults().MostItems), "most-items")
+			b.ReportMetric(float64(store.Defaults().MaxItems), "most-items")
 			time.Sleep(0)
 		})
 	}
--- a/proof/capacitymodel/codec.go
+++ b/proof/capacitymodel/codec.go
@@ -25,58 +25,58 @@
 func (k *kindSet) add(kind int) { k[kind/64] |= 1 << (kind % 64) }
 
 const (
-	kindDeliver = iota // what each line for messages opens with
-	kindAsk            // what each line for asks opens with
-	kindBodies         // the first kind of body
+	kindDeliver   = iota // what each line for messages opens with
+	kindRequest          // what each line for asks opens with
+	firstBodyKind        // the first kind of body
 )
 
-type described struct {
+type descriptionKey struct {
 	sent kindSet
 	kind int
 }
 
 type codec struct {
-	buffer  bytes.Buffer
-	encoder *gob.Encoder
-	decoder *gob.Decoder
-	kinds   map[string]int
-	samples []any
-	first   map[described]int
-	lone    *gob.Encoder
-	lonely  sizer
+	buffer           bytes.Buffer
+	encoder          *gob.Encoder
+	decoder          *gob.Decoder
+	kindNumbers      map[string]int
+	samples          []any
+	descriptionSizes map[descriptionKey]int
+	sizeEncoder      *gob.Encoder
+	sizeCounter      byteCounter
 	// Requests and answers frame what travels; their sizes hardly differ.
-	deliver, delivered, ask, asked int
+	deliverCallFrame, deliverReplyFrame, requestCallFrame, requestReplyFrame int
 }
 
-// sizer counts what is written.
-type sizer struct{ bytes int }
+// byteCounter counts what is written.
+type byteCounter struct{ bytes int }
 
-func (s *sizer) Write(data []byte) (int, error) {
+func (s *byteCounter) Write(data []byte) (int, error) {
 	s.bytes += len(data)
 	return len(data), nil
 }
 
 func newCodec() *codec {
-	c := &codec{kinds: map[string]int{}, samples: make([]any, kindBodies), first: map[described]int{}}
+	c := &codec{kindNumbers: map[string]int{}, samples: make([]any, firstBodyKind), descriptionSizes: map[descriptionKey]int{}}
 	c.encoder = gob.NewEncoder(&c.buffer)
 	c.decoder = gob.NewDecoder(&c.buffer)
-	c.lone = gob.NewEncoder(&c.lonely)
-	framed := func(values ...any) int {
+	c.sizeEncoder = gob.NewEncoder(&c.sizeCounter)
+	frameSize := func(values ...any) int {
 		size := 0
 		for range 2 { // the second time without descriptions
 			size = 0
 			for _, value := range values {
-				before := c.lonely.bytes
-				must(c.lone.Encode(value))
-				size += c.lonely.bytes - before
+				before := c.sizeCounter.bytes
+				must(c.sizeEncoder.Encode(value))
+				size += c.sizeCounter.bytes - before
 			}
 		}
 		return size
 	}
-	c.deliver = framed(&rpc.Request{ServiceMethod: "Post.Deliver", Seq: 1000})
-	c.delivered = framed(&rpc.Response{ServiceMethod: "Post.Deliver", Seq: 1000}, &transport.Delivered{Count: 1})
-	c.ask = framed(&rpc.Request{ServiceMethod: "Post.Ask", Seq: 1000})
-	c.asked = framed(&rpc.Response{ServiceMethod: "Post.Ask", Seq: 1000})
+	c.deliverCallFrame = frameSize(&rpc.Request{ServiceMethod: "Post.Deliver", Seq: 1000})
+	c.deliverReplyFrame = frameSize(&rpc.Response{ServiceMethod: "Post.Deliver", Seq: 1000}, &transport.DeliverReply{Count: 1})
+	c.requestCallFrame = frameSize(&rpc.Request{ServiceMethod: "Post.Ask", Seq: 1000})
+	c.requestReplyFrame = frameSize(&rpc.Response{ServiceMethod: "Post.Ask", Seq: 1000})
 	return c
 }
 
@@ -86,76 +86,76 @@
 	}
 }
 
-// kind numbers a body's type.
-func (c *codec) kind(body any) int {
+// kindOf numbers a body's type.
+func (c *codec) kindOf(body any) int {
 	name := fmt.Sprintf("%T", body)
-	kind, ok := c.kinds[name]
+	kind, ok := c.kindNumbers[name]
 	if !ok {
 		kind = len(c.samples)
-		c.kinds[name] = kind
+		c.kindNumbers[name] = kind
 		c.samples = append(c.samples, body)
 		// The shared pairs learn the type now, outside of any count.
-		must(c.encoder.Encode(transport.Batch{Messages: []transport.Envelope{{Body: body}}}))
-		must(c.decoder.Decode(&transport.Batch{}))
-		must(c.encoder.Encode(transport.Reply{Body: body}))
-		must(c.decoder.Decode(&transport.Reply{}))
-		must(c.lone.Encode(transport.Batch{Messages: []transport.Envelope{{Body: body}}}))
-		must(c.lone.Encode(transport.Reply{Body: body}))
+		must(c.encoder.Encode(transport.MessageBatch{Messages: []transport.Envelope{{Body: body}}}))
+		must(c.decoder.Decode(&transport.MessageBatch{}))
+		must(c.encoder.Encode(transport.CallReply{Body: body}))
+		must(c.decoder.Decode(&transport.CallReply{}))
+		must(c.sizeEncoder.Encode(transport.MessageBatch{Messages: []transport.Envelope{{Body: body}}}))
+		must(c.sizeEncoder.Encode(transport.CallReply{Body: body}))
 	}
 	return kind
 }
 
-// describe is what the descriptions that a kind still needs add to a line.
-func (c *codec) describe(sent *kindSet, kind int) int {
+// descriptionSize is what the descriptions that a kind still needs add to a line.
+func (c *codec) descriptionSize(sent *kindSet, kind int) int {
 	if sent.has(kind) {
 		return 0
 	}
-	key := described{*sent, kind}
-	size, ok := c.first[key]
+	key := descriptionKey{*sent, kind}
+	size, ok := c.descriptionSizes[key]
 	if !ok {
-		var s sizer
+		var s byteCounter
 		line := gob.NewEncoder(&s)
 		for other := range c.samples {
 			if sent.has(other) {
-				c.send(line, other)
+				c.encodeSample(line, other)
 			}
 		}
 		before := s.bytes
-		c.send(line, kind)
+		c.encodeSample(line, kind)
 		with := s.bytes - before
 		before = s.bytes
-		c.send(line, kind)
+		c.encodeSample(line, kind)
 		size = with - (s.bytes - before)
-		c.first[key] = size
+		c.descriptionSizes[key] = size
 	}
 	sent.add(kind)
 	return size
 }
 
-func (c *codec) send(line *gob.Encoder, kind int) {
+func (c *codec) encodeSample(line *gob.Encoder, kind int) {
 	switch kind {
 	case kindDeliver:
 		must(line.Encode(&rpc.Request{}))
-		must(line.Encode(transport.Batch{}))
-	case kindAsk:
+		must(line.Encode(transport.MessageBatch{}))
+	case kindRequest:
 		must(line.Encode(&rpc.Request{}))
 		must(line.Encode(transport.Envelope{}))
 	default:
-		must(line.Encode(transport.Batch{Messages: []transport.Envelope{{Body: c.samples[kind]}}}))
+		must(line.Encode(transport.MessageBatch{Messages: []transport.Envelope{{Body: c.samples[kind]}}}))
 	}
 }
 
-// size is a letter's own size in a batch, without descriptions.
-func (c *codec) size(letter transport.Envelope) int {
-	before := c.lonely.bytes
-	must(c.lone.Encode(transport.Batch{Messages: []transport.Envelope{letter}}))
-	return c.lonely.bytes - before
+// messageSize is a letter's own size in a batch, without descriptions.
+func (c *codec) messageSize(envelope transport.Envelope) int {
+	before := c.sizeCounter.bytes
+	must(c.sizeEncoder.Encode(transport.MessageBatch{Messages: []transport.Envelope{envelope}}))
+	return c.sizeCounter.bytes - before
 }
 
-// copied are the same updates in memory of their own, as if they had arrived.
-func (c *codec) copied(rumours []machine.Update) []machine.Update {
+// cloneUpdates are the same updates in memory of their own, as if they had arrived.
+func (c *codec) cloneUpdates(updates []machine.Update) []machine.Update {
 	var buffer bytes.Buffer
-	must(gob.NewEncoder(&buffer).Encode(rumours))
+	must(gob.NewEncoder(&buffer).Encode(updates))
 	var out []machine.Update
 	must(gob.NewDecoder(&buffer).Decode(&out))
 	return out
--- a/proof/capacitymodel/fit.go
+++ b/proof/capacitymodel/fit.go
@@ -15,30 +15,30 @@
 // Fit is a curve through measured points. Points are weighed by their size, so
 // that the small ones count as much as the large.
 type Fit struct {
-	Shape     Shape
-	A, B, C   float64 // a + b·x + c·x²; of a power law the same between the logarithms
-	Power     float64 // exponent of a power law through the same points
-	Residual  float64 // root mean square of the relative residuals
-	Worst     float64 // the largest of them
-	Straight  bool    // a line is off by a tenth at most
-	inverse   [3][3]float64
-	dimension int
+	Shape         Shape
+	A, B, C       float64 // a + b·x + c·x²; of a power law the same between the logarithms
+	Power         float64 // exponent of a power law through the same points
+	Residual      float64 // root mean square of the relative residuals
+	WorstResidual float64 // the largest of them
+	IsLinear      bool    // a line is off by a tenth at most
+	inverse       [3][3]float64
+	dimension     int
 }
 
-// straightWithin is the relative residual up to which a line counts as straight.
-const straightWithin = 0.1
+// linearTolerance is the relative residual up to which a line counts as straight.
+const linearTolerance = 0.1
 
 // FitCurve fits a line, and where the line is off by more than a tenth the
 // nearest of a line, a rising parabola and a power law. A falling one says of
 // larger sizes what nobody saw.
 func FitCurve(x, y []float64) Fit {
-	best := least(x, y, 2)
-	best.Shape, best.Power, best.Straight = Line, exponent(x, y), best.Residual <= straightWithin
-	if best.Straight || len(x) < 4 {
+	best := leastSquares(x, y, 2)
+	best.Shape, best.Power, best.IsLinear = Line, fitExponent(x, y), best.Residual <= linearTolerance
+	if best.IsLinear || len(x) < 4 {
 		return best
 	}
 	law, ok := powerLaw(x, y)
-	if curve := least(x, y, 3); curve.C > 0 && curve.Residual < best.Residual {
+	if curve := leastSquares(x, y, 3); curve.C > 0 && curve.Residual < best.Residual {
 		curve.Shape, curve.Power = Parabola, best.Power
 		best = curve
 	}
@@ -74,7 +74,7 @@
 	for i := range x {
 		relative := f.At(x[i])/y[i] - 1
 		sum += relative * relative
-		f.Worst = max(f.Worst, math.Abs(relative))
+		f.WorstResidual = max(f.WorstResidual, math.Abs(relative))
 	}
 	f.Residual = math.Sqrt(sum / float64(max(1, len(x)-2)))
 	return f, true
@@ -82,7 +82,7 @@
 
 func powers(x float64) [3]float64 { return [3]float64{1, x, x * x} }
 
-func least(x, y []float64, dimension int) Fit {
+func leastSquares(x, y []float64, dimension int) Fit {
 	var normal [3][3]float64
 	var right [3]float64
 	weight := make([]float64, len(x))
@@ -111,7 +111,7 @@
 	for i := range x {
 		relative := (f.At(x[i]) - y[i]) * math.Sqrt(weight[i])
 		sum += relative * relative
-		f.Worst = max(f.Worst, math.Abs(relative))
+		f.WorstResidual = max(f.WorstResidual, math.Abs(relative))
 	}
 	f.Residual = math.Sqrt(sum / float64(max(1, len(x)-dimension)))
 	return f
@@ -160,16 +160,16 @@
 	return f.A + f.B*x + f.C*x*x
 }
 
-// Spread is half the width of the interval in which about nineteen in twenty new
+// PredictionMargin is half the width of the interval in which about nineteen in twenty new
 // measurements at x would lie, if the curve holds there.
-func (f Fit) Spread(x float64) float64 {
+func (f Fit) PredictionMargin(x float64) float64 {
 	if f.Shape == PowerLaw {
-		return f.At(x) * (math.Exp(2*f.Residual*math.Sqrt(f.lever(math.Log(x))+1)) - 1)
+		return f.At(x) * (math.Exp(2*f.Residual*math.Sqrt(f.leverage(math.Log(x))+1)) - 1)
 	}
-	return 2 * f.Residual * math.Sqrt(max(0, f.lever(x))+f.At(x)*f.At(x))
+	return 2 * f.Residual * math.Sqrt(max(0, f.leverage(x))+f.At(x)*f.At(x))
 }
 
-func (f Fit) lever(x float64) float64 {
+func (f Fit) leverage(x float64) float64 {
 	p := powers(x)
 	lever := 0.0
 	for a := range f.dimension {
@@ -180,7 +180,7 @@
 	return lever
 }
 
-func exponent(x, y []float64) float64 {
+func fitExponent(x, y []float64) float64 {
 	var n, sx, sy, sxx, sxy float64
 	for i := range x {
 		if x[i] <= 0 || y[i] <= 0 {
--- a/proof/capacitymodel/fleet.go
+++ b/proof/capacitymodel/fleet.go
@@ -18,20 +18,20 @@
 
 // Settings of one run.
 type Settings struct {
-	Daemons, Stores, Cores, WholeEdges int64
-	Servers, Busy                      int64 // busy: share of servers at least half full, in percent
-	Late                               int64 // 1: the servers come once the fleet has settled
-	Zones, Regions, Slots              int64
-	ZoneDelay, RegionDelay             int64 // one way between zones, between regions, in µs
-	Warm, Seconds                      int64
-	Changes                            int64 // of the plan, an hour
-	Customers, Routes                  int64
-	Items                              int64 // of bundles, a second
-	BundleItems                        int64
-	Restarts                           int64 // of daemons, an hour
-	CutRegion, CutZone                 int64 // seconds
-	Memory                             int64 // most MiB of this process
-	Seed                               int64
+	Daemons, Stores, Cores, FullEdges            int64
+	Servers, BusyPercent                         int64 // busy: share of servers at least half full, in percent
+	LateServers                                  int64 // 1: the servers come once the fleet has settled
+	Zones, Regions, Shards                       int64
+	ZoneDelayUS, RegionDelayUS                   int64 // one way between zones, between regions, in µs
+	WarmupSeconds, CountedSeconds                int64
+	ChangesPerHour                               int64 // of the plan, an hour
+	Tenants, Routes                              int64
+	ItemsPerSecond                               int64 // of bundles, a second
+	BatchItems                                   int64
+	RestartsPerHour                              int64 // of daemons, an hour
+	RegionPartitionSeconds, ZonePartitionSeconds int64 // seconds
+	MaxMemoryMiB                                 int64 // most MiB of this process
+	Seed                                         int64
 }
 
 // Edges is how many of the daemons are edges.
@@ -73,17 +73,17 @@
 	heap[last] = event{}
 	heap = heap[:last]
 	for i := 0; ; {
-		least := i
+		smallest := i
 		for _, child := range []int{2*i + 1, 2*i + 2} {
-			if child < last && heap.before(child, least) {
-				least = child
+			if child < last && heap.before(child, smallest) {
+				smallest = child
 			}
 		}
-		if least == i {
+		if smallest == i {
 			break
 		}
-		heap[i], heap[least] = heap[least], heap[i]
-		i = least
+		heap[i], heap[smallest] = heap[smallest], heap[i]
+		i = smallest
 	}
 	*q = heap
 	return first
@@ -91,50 +91,50 @@
 
 // modelServer is a server's figures without an engine.
 type modelServer struct {
-	word   registry.Server
-	busy   bool
-	reader *daemon // the simulated edge that reads it
-	era    int
+	endpoint         registry.Server
+	busy             bool
+	poller           *daemon // the simulated edge that reads it
+	pollerGeneration int
 }
 
 // Fleet is one run's fleet.
 type Fleet struct {
-	Set     Settings
-	Now     clock.Micros
-	chance  *rand.Rand
-	queue   queue
-	seq     uint64
-	daemons []*daemon
-	byPeer  map[string]*daemon
-	seeds   []string
-	servers []*modelServer
-	codec   *codec
-	lines   map[lineKey]*line
-	woken   []*line
-	cut     func(from, to *daemon) bool
-	plan    planRounds
-	bundles bundleRounds
-	warming bool // nothing is counted
-	served  bool // the servers' figures are read
-	calls   uint64
-	tallies map[string]*tally
-	stale   staleness
-	held    []func() // readings that wait until the fleet has settled
-	meter   meter
-	holder  *daemon // the whole edge that reads most servers
-	leader  *daemon // the primary when counting began
+	Settings       Settings
+	Now            clock.Micros
+	rng            *rand.Rand
+	events         queue
+	lastEvent      uint64
+	daemons        []*daemon
+	byPeer         map[string]*daemon
+	seeds          []string
+	servers        []*modelServer
+	codec          *codec
+	connections    map[connectionKey]*connection
+	scheduled      []*connection
+	isPartitioned  func(from, to *daemon) bool
+	configurations configurationChanges
+	batches        batchSubmissions
+	warmingUp      bool // nothing is counted
+	polling        bool // the servers' figures are read
+	lastCall       uint64
+	tallies        map[string]*tally
+	updateAges     ageSamples
+	deferredPolls  []func() // readings that wait until the fleet has settled
+	cpu            cpuMeter
+	busiestPoller  *daemon // the whole edge that reads most servers
+	countedPrimary *daemon // the primary when counting began
 }
 
-const start clock.Micros = 1_000_000_000
+const virtualStart clock.Micros = 1_000_000_000
 
 // New lays a fleet out.
-func New(set Settings) *Fleet {
-	f := &Fleet{Set: set, Now: start, chance: rand.New(rand.NewSource(set.Seed)), byPeer: map[string]*daemon{}, codec: newCodec(),
-		lines: map[lineKey]*line{}, cut: func(_, _ *daemon) bool { return false }, warming: true, tallies: map[string]*tally{}}
+func New(settings Settings) *Fleet {
+	f := &Fleet{Settings: settings, Now: virtualStart, rng: rand.New(rand.NewSource(settings.Seed)), byPeer: map[string]*daemon{}, codec: newCodec(),
+		connections: map[connectionKey]*connection{}, isPartitioned: func(_, _ *daemon) bool { return false }, warmingUp: true, tallies: map[string]*tally{}}
 	add := func(kind string, count int64, whole int64) {
 		for i := int64(0); i < count; i++ {
-			zone := i % set.Zones
-			d := &daemon{fleet: f, kind: kind, number: int(i + 1), zone: fmt.Sprintf("zone-%02d", zone+1), place: int(zone), region: int(zone % set.Regions), whole: i < whole}
+			zone := i % settings.Zones
+			d := &daemon{fleet: f, kind: kind, number: int(i + 1), zone: fmt.Sprintf("zone-%02d", zone+1), zoneIndex: int(zone), regionIndex: int(zone % settings.Regions), isFull: i < whole}
 			d.peer = fmt.Sprintf("10.%d.%d.%d:7100", zone+1, len(f.daemons)/200, 1+len(f.daemons)%200)
 			d.id = fmt.Sprintf("%s-%03d", kind, i+1)
 			f.daemons = append(f.daemons, d)
@@ -144,46 +144,46 @@
 			}
 		}
 	}
-	add(identity.Core, set.Cores, set.Cores)
-	add(identity.Store, set.Stores, set.Stores)
-	add(identity.Edge, set.Edges(), set.WholeEdges)
-	for i := int64(0); i < set.Servers; i++ {
-		f.servers = append(f.servers, &modelServer{busy: i*100 < set.Busy*set.Servers, word: registry.Server{
-			Name: fmt.Sprintf("server-%04d", i+1), Address: fmt.Sprintf("http://10.%d.%d.%d:8000", 100+i%set.Zones, i/200, 1+i%200), Slots: 64,
-			Labels: map[string]string{"fleet": "main", "model": fmt.Sprintf("model-%02d", i%20), "zone": fmt.Sprintf("zone-%02d", i%set.Zones+1)}}})
+	add(identity.Core, settings.Cores, settings.Cores)
+	add(identity.Store, settings.Stores, settings.Stores)
+	add(identity.Edge, settings.Edges(), settings.FullEdges)
+	for i := int64(0); i < settings.Servers; i++ {
+		f.servers = append(f.servers, &modelServer{busy: i*100 < settings.BusyPercent*settings.Servers, endpoint: registry.Server{
+			Name: fmt.Sprintf("server-%04d", i+1), Address: fmt.Sprintf("http://10.%d.%d.%d:8000", 100+i%settings.Zones, i/200, 1+i%200), Slots: 64,
+			Labels: map[string]string{"fleet": "main", "model": fmt.Sprintf("model-%02d", i%20), "zone": fmt.Sprintf("zone-%02d", i%settings.Zones+1)}}})
 	}
 	return f
 }
 
-// after does something later.
-func (f *Fleet) after(span clock.Micros, do func()) {
-	f.seq++
-	f.queue.push(event{at: f.Now + span, seq: f.seq, do: do})
+// schedule does something later.
+func (f *Fleet) schedule(span clock.Micros, do func()) {
+	f.lastEvent++
+	f.events.push(event{at: f.Now + span, seq: f.lastEvent, do: do})
 }
 
-func (f *Fleet) between(least, most clock.Micros) clock.Micros {
-	return least + f.chance.Int63n(most-least+1)
+func (f *Fleet) randomBetween(smallest, largest clock.Micros) clock.Micros {
+	return smallest + f.rng.Int63n(largest-smallest+1)
 }
 
-// run lets time pass.
-func (f *Fleet) run(span clock.Micros) {
+// advance lets time pass.
+func (f *Fleet) advance(span clock.Micros) {
 	end := f.Now + span
-	for len(f.queue) > 0 && f.queue[0].at <= end {
-		next := f.queue.pop()
+	for len(f.events) > 0 && f.events[0].at <= end {
+		next := f.events.pop()
 		f.Now = next.at
 		next.do()
 	}
 	f.Now = end
 }
 
-// delay is the way between two daemons.
-func (f *Fleet) delay(from, to *daemon) clock.Micros {
-	base := f.between(150, 900)
+// networkDelay is the way between two daemons.
+func (f *Fleet) networkDelay(from, to *daemon) clock.Micros {
+	base := f.randomBetween(150, 900)
 	switch {
-	case from.region != to.region:
-		return base + f.Set.RegionDelay
-	case from.place != to.place:
-		return base + f.Set.ZoneDelay
+	case from.regionIndex != to.regionIndex:
+		return base + f.Settings.RegionDelayUS
+	case from.zoneIndex != to.zoneIndex:
+		return base + f.Settings.ZoneDelayUS
 	}
 	return base
 }
@@ -192,25 +192,25 @@
 func (f *Fleet) primary() *daemon {
 	var best *daemon
 	for _, d := range f.daemons {
-		if d.core != nil && d.up && d.core.Serving() && (best == nil || d.core.Vote().Term > best.core.Vote().Term) {
+		if d.core != nil && d.up && d.core.IsServing() && (best == nil || d.core.Vote().Term > best.core.Vote().Term) {
 			best = d
 		}
 	}
 	return best
 }
 
-func (f *Fleet) settled() bool {
+func (f *Fleet) isSettled() bool {
 	p := f.primary()
-	if p == nil || len(p.core.State().Slots) == 0 {
+	if p == nil || len(p.core.State().Shards) == 0 {
 		return false
 	}
-	for _, pairing := range p.core.State().Slots {
-		if !pairing.Complete {
+	for _, shardAssignment := range p.core.State().Shards {
+		if !shardAssignment.Complete {
 			return false
 		}
 	}
 	for _, d := range f.daemons {
-		if d.gossip.LastSwap() == 0 || f.Now-d.gossip.LastSwap() > staleAfter {
+		if d.gossip.FreshUntil() == 0 || f.Now-d.gossip.FreshUntil() > staleAfter {
 			return false
 		}
 	}
@@ -220,33 +220,33 @@
 // staleAfter is the age of updates from which a daemon assigns nothing.
 const staleAfter = 2500 * clock.Millisecond
 
-// staleness are the ages of the daemons' updates, looked at twice a second.
-type staleness struct {
-	ages  []clock.Micros
-	stale int
+// ageSamples are the ages of the daemons' updates, looked at twice a second.
+type ageSamples struct {
+	ages       []clock.Micros
+	staleCount int
 }
 
-func (f *Fleet) lookAtAges() {
+func (f *Fleet) sampleUpdateAges() {
 	for _, d := range f.daemons {
 		if !d.up {
 			continue
 		}
-		age := f.Now - max(d.gossip.LastSwap(), d.booted)
-		f.stale.ages = append(f.stale.ages, age)
+		age := f.Now - max(d.gossip.FreshUntil(), d.bootedAt)
+		f.updateAges.ages = append(f.updateAges.ages, age)
 		if age > staleAfter {
-			f.stale.stale++
+			f.updateAges.staleCount++
 		}
 	}
 }
 
-func (s staleness) share() float64 {
+func (s ageSamples) staleShare() float64 {
 	if len(s.ages) == 0 {
 		return 0
 	}
-	return float64(s.stale) / float64(len(s.ages))
+	return float64(s.staleCount) / float64(len(s.ages))
 }
 
-func (s staleness) quantile(q float64) clock.Micros {
+func (s ageSamples) quantile(q float64) clock.Micros {
 	if len(s.ages) == 0 {
 		return 0
 	}
@@ -255,18 +255,18 @@
 	return ages[min(len(ages)-1, int(q*float64(len(ages))))]
 }
 
-// duties are the servers that each edge reads, by the agreed order. It is
+// pollAssignments are the servers that each edge reads, by the agreed order. It is
 // worked out here once for the simulated edges; whole ones work it out themselves.
-func (f *Fleet) duties() map[string][]*modelServer {
-	var folk []identity.Member
+func (f *Fleet) pollAssignments() map[string][]*modelServer {
+	var members []identity.Member
 	for _, d := range f.daemons {
 		if d.kind == identity.Edge && d.up {
-			folk = append(folk, d.person())
+			members = append(members, d.member())
 		}
 	}
 	out := map[string][]*modelServer{}
 	for _, s := range f.servers {
-		first := registry.First("load/"+s.word.Name, folk, identity.Edge)
+		first := registry.RendezvousOwner("load/"+s.endpoint.Name, members, identity.Edge)
 		out[first] = append(out[first], s)
 	}
 	return out
--- a/proof/capacitymodel/line.go
+++ b/proof/capacitymodel/line.go
@@ -11,21 +11,21 @@
 
 // The limits of kernel/transport.
 const (
-	batchSize = 256
-	ringSize  = 4096
-	idleLines = 256
+	maxBatchMessages = 256
+	queueCapacity    = 4096
+	maxConnections   = 256
 )
 
-type lineKey struct{ from, to *daemon }
+type connectionKey struct{ from, to *daemon }
 
-// line carries what waits for one daemon in one call, and waits for its answer
+// connection carries what waits for one daemon in one call, and waits for its answer
 // before the next call.
-type line struct {
-	lineKey
-	there, back kindSet // described to the other end, and by it
-	messages    []transport.Envelope
-	busy        bool
-	woken       bool
+type connection struct {
+	connectionKey
+	describedToPeer, describedByPeer kindSet // described to the other end, and by it
+	messages                         []transport.Envelope
+	busy                             bool
+	isScheduled                      bool
 }
 
 // send queues a message on its line; what one step sends travels together.
@@ -34,37 +34,37 @@
 	if to == nil || to == from {
 		return
 	}
-	key := lineKey{from, to}
-	l := f.lines[key]
+	key := connectionKey{from, to}
+	l := f.connections[key]
 	if l == nil {
-		l = &line{lineKey: key}
-		f.open(l)
+		l = &connection{connectionKey: key}
+		f.openConnection(l)
 	}
-	if len(l.messages) >= ringSize {
-		f.count(from).lost++
+	if len(l.messages) >= queueCapacity {
+		f.tallyOf(from).lost++
 		return
 	}
 	l.messages = append(l.messages, transport.Envelope{From: from.peer, Body: body})
-	if !l.busy && !l.woken {
-		l.woken = true
-		f.woken = append(f.woken, l)
+	if !l.busy && !l.isScheduled {
+		l.isScheduled = true
+		f.scheduled = append(f.scheduled, l)
 	}
 }
 
-// open adds a line; a daemon that has as many as it may lets an idle one go.
-func (f *Fleet) open(l *line) {
-	f.lines[l.lineKey] = l
-	if l.from.lines = append(l.from.lines, l); len(l.from.lines) <= idleLines {
+// openConnection adds a line; a daemon that has as many as it may lets an idle one go.
+func (f *Fleet) openConnection(l *connection) {
+	f.connections[l.connectionKey] = l
+	if l.from.connections = append(l.from.connections, l); len(l.from.connections) <= maxConnections {
 		return
 	}
-	at := f.chance.Intn(len(l.from.lines) - 1)
-	for i := range len(l.from.lines) - 1 {
-		old := l.from.lines[(at+i)%(len(l.from.lines)-1)]
+	at := f.rng.Intn(len(l.from.connections) - 1)
+	for i := range len(l.from.connections) - 1 {
+		old := l.from.connections[(at+i)%(len(l.from.connections)-1)]
 		if len(old.messages) == 0 && !old.busy {
-			delete(f.lines, old.lineKey)
-			l.from.lines[(at+i)%(len(l.from.lines)-1)] = l
-			l.from.lines = l.from.lines[:len(l.from.lines)-1]
-			f.count(l.from).redials++
+			delete(f.connections, old.connectionKey)
+			l.from.connections[(at+i)%(len(l.from.connections)-1)] = l
+			l.from.connections = l.from.connections[:len(l.from.connections)-1]
+			f.tallyOf(l.from).reconnects++
 			return
 		}
 	}
@@ -72,157 +72,157 @@
 
 // flush sends what the last step left on idle lines.
 func (f *Fleet) flush() {
-	for len(f.woken) > 0 {
-		woken := f.woken
-		f.woken = nil
+	for len(f.scheduled) > 0 {
+		woken := f.scheduled
+		f.scheduled = nil
 		for _, l := range woken {
-			l.woken = false
-			f.carry(l)
+			l.isScheduled = false
+			f.sendBatch(l)
 		}
 	}
 }
 
-func (f *Fleet) carry(l *line) {
+func (f *Fleet) sendBatch(l *connection) {
 	if l.busy || len(l.messages) == 0 || !l.from.up {
 		return
 	}
-	count := min(batchSize, len(l.messages))
-	letters := l.messages[:count:count]
+	count := min(maxBatchMessages, len(l.messages))
+	envelopes := l.messages[:count:count]
 	if l.messages = l.messages[count:]; len(l.messages) == 0 {
 		l.messages = nil
 	}
 	l.busy = true
-	if f.cut(l.from, l.to) || !l.to.up {
+	if f.isPartitioned(l.from, l.to) || !l.to.up {
 		// Nobody takes the call: it expires and closes its connection.
-		l.there, l.back = kindSet{}, kindSet{}
-		f.count(l.from).lost += int64(count)
-		f.after(clock.Second, func() { f.free(l) })
+		l.describedToPeer, l.describedByPeer = kindSet{}, kindSet{}
+		f.tallyOf(l.from).lost += int64(count)
+		f.schedule(clock.Second, func() { f.completeCall(l) })
 		return
 	}
 	// The descriptions are learnt first, outside of the clock.
-	extra := f.codec.describe(&l.there, kindDeliver)
+	extra := f.codec.descriptionSize(&l.describedToPeer, kindDeliver)
 	kinds := make([]int, count)
-	for i, letter := range letters {
-		kinds[i] = f.codec.kind(letter.Body)
-		extra += f.codec.describe(&l.there, kinds[i])
+	for i, envelope := range envelopes {
+		kinds[i] = f.codec.kindOf(envelope.Body)
+		extra += f.codec.descriptionSize(&l.describedToPeer, kinds[i])
 	}
-	batch := transport.Batch{Messages: letters}
-	was := f.charge(l.from)
+	batch := transport.MessageBatch{Messages: envelopes}
+	was := f.chargeCPU(l.from)
 	must(f.codec.encoder.Encode(batch))
 	size := f.codec.buffer.Len()
-	var arrived transport.Batch
-	f.charge(l.to)
+	var arrived transport.MessageBatch
+	f.chargeCPU(l.to)
 	must(f.codec.decoder.Decode(&arrived))
-	f.charge(was)
-	f.countBatch(l.from, letters, size, f.codec.deliver+extra)
-	era := l.to.era
-	f.after(f.delay(l.from, l.to), func() {
-		if l.to.era == era && l.to.up {
-			f.count(l.to).bytes += int64(f.codec.delivered)
-			l.to.step(func() {
-				for _, letter := range arrived.Messages {
-					l.to.message(letter.From, letter.Body)
+	f.chargeCPU(was)
+	f.countBatch(l.from, envelopes, size, f.codec.deliverCallFrame+extra)
+	generation := l.to.generation
+	f.schedule(f.networkDelay(l.from, l.to), func() {
+		if l.to.generation == generation && l.to.up {
+			f.tallyOf(l.to).bytes += int64(f.codec.deliverReplyFrame)
+			l.to.runStep(func() {
+				for _, envelope := range arrived.Messages {
+					l.to.deliver(envelope.From, envelope.Body)
 				}
 			})
 		}
-		f.after(f.delay(l.to, l.from), func() { f.free(l) })
+		f.schedule(f.networkDelay(l.to, l.from), func() { f.completeCall(l) })
 	})
 }
 
-// free lets a line go on after its call's answer.
-func (f *Fleet) free(l *line) {
+// completeCall lets a line go on after its call's answer.
+func (f *Fleet) completeCall(l *connection) {
 	l.busy = false
-	f.carry(l)
+	f.sendBatch(l)
 	f.flush()
 }
 
 // countBatch counts what a call carried, by kind.
-func (f *Fleet) countBatch(from *daemon, letters []transport.Envelope, size, frame int) {
-	t := f.count(from)
+func (f *Fleet) countBatch(from *daemon, envelopes []transport.Envelope, size, frame int) {
+	t := f.tallyOf(from)
 	t.calls++
 	t.bytes += int64(size + frame)
-	t.messages += int64(len(letters))
-	t.largest = max(t.largest, int64(size))
-	sizes, sum := make([]int, len(letters)), 0
-	if len(letters) == 1 {
+	t.messages += int64(len(envelopes))
+	t.largestCall = max(t.largestCall, int64(size))
+	sizes, sum := make([]int, len(envelopes)), 0
+	if len(envelopes) == 1 {
 		sizes[0], sum = size, size
-	} else if !f.warming {
-		for i, letter := range letters {
-			sizes[i] = f.codec.size(letter)
+	} else if !f.warmingUp {
+		for i, envelope := range envelopes {
+			sizes[i] = f.codec.messageSize(envelope)
 			sum += sizes[i]
 		}
 	}
-	for i, letter := range letters {
+	for i, envelope := range envelopes {
 		share := 0.0
 		if sum > 0 {
 			share = float64(sizes[i]) / float64(sum)
 		}
-		t.kind(letter.Body, share*float64(size+frame))
+		t.addKind(envelope.Body, share*float64(size+frame))
 	}
 }
 
-// ask is a question with an answer and an expiry, on a connection of its own.
+// request is a question with an answer and an expiry, on a connection of its own.
 //
 //revive:disable-next-line:function-length the steps of one call share its state
-func (f *Fleet) ask(from *daemon, peer string, body any, expiry clock.Micros, back func(any, error)) {
+func (f *Fleet) request(from *daemon, peer string, body any, timeout clock.Micros, onReply func(any, error)) {
 	to := f.byPeer[peer]
-	over := false
+	finished := false
 	finish := func(answer any, err error) {
-		if !over {
-			over = true
-			back(answer, err)
+		if !finished {
+			finished = true
+			onReply(answer, err)
 		}
 	}
-	f.after(expiry, func() {
+	f.schedule(timeout, func() {
 		finish(nil, errs.New(errs.OutcomeUnknown, "ask again", "no answer in time"))
 	})
-	if to == nil || f.cut(from, to) {
+	if to == nil || f.isPartitioned(from, to) {
 		return
 	}
-	asking := from.asks[to]
-	if asking == nil {
-		asking = &line{}
-		from.asks[to] = asking
+	conn := from.requestConnections[to]
+	if conn == nil {
+		conn = &connection{}
+		from.requestConnections[to] = conn
 	}
-	kind := f.codec.kind(body)
-	frame := f.codec.ask + f.codec.describe(&asking.there, kindAsk) + f.codec.describe(&asking.there, kind)
-	was := f.charge(from)
+	kind := f.codec.kindOf(body)
+	frame := f.codec.requestCallFrame + f.codec.descriptionSize(&conn.describedToPeer, kindRequest) + f.codec.descriptionSize(&conn.describedToPeer, kind)
+	was := f.chargeCPU(from)
 	must(f.codec.encoder.Encode(transport.Envelope{From: from.peer, Body: body}))
 	size := f.codec.buffer.Len() + frame
-	var letter transport.Envelope
-	f.charge(to)
-	must(f.codec.decoder.Decode(&letter))
-	f.charge(was)
-	t := f.count(from)
+	var envelope transport.Envelope
+	f.chargeCPU(to)
+	must(f.codec.decoder.Decode(&envelope))
+	f.chargeCPU(was)
+	t := f.tallyOf(from)
 	t.messages, t.calls, t.bytes = t.messages+1, t.calls+1, t.bytes+int64(size)
-	t.kind(body, float64(size))
-	f.after(f.delay(from, to), func() {
+	t.addKind(body, float64(size))
+	f.schedule(f.networkDelay(from, to), func() {
 		if !to.up || to.machine == nil {
 			return
 		}
-		to.step(func() {
-			to.call(letter.Body, func(a machine.Answer) {
-				reply := transport.Reply{Body: a.Body}
+		to.runStep(func() {
+			to.call(envelope.Body, func(a machine.Reply) {
+				reply := transport.CallReply{Body: a.Body}
 				if a.Err != nil {
-					reply = transport.Reply{Err: errs.Of(a.Err)}
+					reply = transport.CallReply{Err: errs.Of(a.Err)}
 				} else if a.Body != nil {
-					f.codec.kind(a.Body)
+					f.codec.kindOf(a.Body)
 				}
 				must(f.codec.encoder.Encode(reply))
-				size := f.codec.buffer.Len() + f.codec.asked
-				was := f.charge(from)
-				reply = transport.Reply{}
+				size := f.codec.buffer.Len() + f.codec.requestReplyFrame
+				was := f.chargeCPU(from)
+				reply = transport.CallReply{}
 				must(f.codec.decoder.Decode(&reply))
-				f.charge(was)
-				t := f.count(to)
+				f.chargeCPU(was)
+				t := f.tallyOf(to)
 				t.bytes += int64(size)
-				t.kind(a.Body, float64(size))
-				if f.cut(to, from) {
+				t.addKind(a.Body, float64(size))
+				if f.isPartitioned(to, from) {
 					return
 				}
-				f.after(f.delay(to, from), func() {
+				f.schedule(f.networkDelay(to, from), func() {
 					if from.up {
-						finish(reply.Body, errorOf(reply))
+						finish(reply.Body, replyError(reply))
 					}
 				})
 			})
@@ -230,11 +230,11 @@
 	})
 }
 
-func errorOf(reply transport.Reply) error {
+func replyError(reply transport.CallReply) error {
 	if reply.Err != nil {
 		return reply.Err
 	}
 	return nil
 }
 
-func kindName(body any) string { return fmt.Sprintf("%T", body) }
+func typeName(body any) string { return fmt.Sprintf("%T", body) }
--- a/proof/capacitymodel/meter.go
+++ b/proof/capacitymodel/meter.go
@@ -15,9 +15,9 @@
 
 // tally is what one role has done since counting began.
 type tally struct {
-	messages, calls, bytes, lost, redials, syncs, looks, largest int64
-	cpu                                                          int64 // ns
-	kinds                                                        map[string]*kindTally
+	messages, calls, bytes, lost, reconnects, syncs, polls, largestCall int64
+	cpuNanos                                                            int64 // ns
+	kinds                                                               map[string]*kindTally
 }
 
 type kindTally struct {
@@ -25,8 +25,8 @@
 	Bytes    float64
 }
 
-func (t *tally) kind(body any, bytes float64) {
-	name := kindName(body)
+func (t *tally) addKind(body any, bytes float64) {
+	name := typeName(body)
 	k := t.kinds[name]
 	if k == nil {
 		k = &kindTally{}
@@ -36,31 +36,31 @@
 	k.Bytes += bytes
 }
 
-func (f *Fleet) role(d *daemon) string {
+func (f *Fleet) roleOf(d *daemon) string {
 	switch {
-	case d == f.leader:
+	case d == f.countedPrimary:
 		return "primary"
 	case d.kind == identity.Core:
 		return "core"
 	case d.kind == identity.Store:
 		return "store"
-	case d == f.holder:
+	case d == f.busiestPoller:
 		return "duty"
-	case d.whole:
+	case d.isFull:
 		return "edge"
 	}
 	return "hollow"
 }
 
-var nobody = &tally{kinds: map[string]*kindTally{}}
+var discarded = &tally{kinds: map[string]*kindTally{}}
 
-// count is where a daemon's figures go; before counting begins, nowhere.
-func (f *Fleet) count(d *daemon) *tally {
-	if f.warming {
-		nobody.kinds = map[string]*kindTally{}
-		return nobody
+// tallyOf is where a daemon's figures go; before counting begins, nowhere.
+func (f *Fleet) tallyOf(d *daemon) *tally {
+	if f.warmingUp {
+		discarded.kinds = map[string]*kindTally{}
+		return discarded
 	}
-	role := f.role(d)
+	role := f.roleOf(d)
 	t := f.tallies[role]
 	if t == nil {
 		t = &tally{kinds: map[string]*kindTally{}}
@@ -69,34 +69,34 @@
 	return t
 }
 
-// meter charges this thread's processor time to whom it works for.
-type meter struct {
-	owner *daemon
-	since int64
-	cost  int64 // of one look at the clock
+// cpuMeter charges this thread's processor time to whom it works for.
+type cpuMeter struct {
+	owner    *daemon
+	since    int64
+	readCost int64 // of one look at the clock
 }
 
-// charge goes on for another daemon, or for none, and tells for whom it was.
-func (f *Fleet) charge(to *daemon) *daemon {
-	was := f.meter.owner
+// chargeCPU goes on for another daemon, or for none, and tells for whom it was.
+func (f *Fleet) chargeCPU(to *daemon) *daemon {
+	was := f.cpu.owner
 	if was == to {
 		return was
 	}
 	now := threadCPU()
 	if was != nil {
-		f.count(was).cpu += max(0, now-f.meter.since-f.meter.cost)
+		f.tallyOf(was).cpuNanos += max(0, now-f.cpu.since-f.cpu.readCost)
 	}
-	f.meter.owner, f.meter.since = to, now
+	f.cpu.owner, f.cpu.since = to, now
 	return was
 }
 
-func (m *meter) calibrate() {
+func (m *cpuMeter) calibrate() {
 	const looks = 20_000
 	began := threadCPU()
 	for range looks {
 		threadCPU()
 	}
-	m.cost = (threadCPU() - began) / looks
+	m.readCost = (threadCPU() - began) / looks
 }
 
 const (
@@ -116,7 +116,7 @@
 func processCPU() int64 { return readClock(clockProcess) }
 
 // Kinds lists what each role sent by kind, per daemon and second.
-func (r *Result) kindRows() [][]string {
+func (r *Result) kindFigures() [][]string {
 	var out [][]string
 	for _, role := range Roles {
 		f := r.Roles[role]
@@ -127,10 +127,10 @@
 		sort.Strings(names)
 		for _, name := range names {
 			k := f.Kinds[name]
-			out = append(out, []string{role, name, figure(float64(k.Messages) / f.Daemons / r.Counted), figure(k.Bytes / f.Daemons / r.Counted)})
+			out = append(out, []string{role, name, formatFloat(float64(k.Messages) / f.Daemons / r.CountedSeconds), formatFloat(k.Bytes / f.Daemons / r.CountedSeconds)})
 		}
 	}
 	return out
 }
 
-func figure(v float64) string { return fmt.Sprintf("%.6g", v) }
+func formatFloat(v float64) string { return fmt.Sprintf("%.6g", v) }
--- a/proof/capacitymodel/model_test.go
+++ b/proof/capacitymodel/model_test.go
@@ -18,30 +18,30 @@
 
 // What is counted for a line is what one encoder of its own would have written.
 func TestALineIsCountedAsByItsOwnEncoder(t *testing.T) {
-	chance := rand.New(rand.NewSource(1))
+	rng := rand.New(rand.NewSource(1))
 	bodies := []any{
 		gossip.Probe{Nonce: 300}, gossip.ProbeReply{Nonce: 7, For: "a"}, gossip.Gossip{Updates: []machine.Update{{Key: "load/x", Epoch: 1, Seq: 900, Value: make([]byte, 120)}}},
 		gossip.Digest{Known: map[string]gossip.Version{"one": {Epoch: 1, Seq: 2}}, Stamp: 1}, gossip.DigestReply{Updates: []machine.Update{{Key: "k"}}, Ages: gossip.Ages{Raw: map[string]int64{"s": 4}}},
-		store.Beat{ID: "s", Ready: map[int]uint64{1: 2}}, replication.Beat{}, gossip.Shuffle{Peers: []string{"a", "b"}},
+		store.Heartbeat{ID: "s", Ready: map[int]uint64{1: 2}}, replication.LeaseRequest{}, gossip.Shuffle{Peers: []string{"a", "b"}},
 	}
 	c := newCodec()
 	for range 20 {
-		var own sizer
+		var own byteCounter
 		line := gob.NewEncoder(&own)
 		l, counted := &kindSet{}, 0
 		for seq := range 40 {
-			body := bodies[chance.Intn(len(bodies))]
-			batch := transport.Batch{Messages: []transport.Envelope{{From: "10.0.0.1:1", Body: body}}}
+			body := bodies[rng.Intn(len(bodies))]
+			batch := transport.MessageBatch{Messages: []transport.Envelope{{From: "10.0.0.1:1", Body: body}}}
 			// One number for all requests: their length is counted as a constant.
 			must(line.Encode(&rpc.Request{ServiceMethod: "Post.Deliver", Seq: 1000}))
 			must(line.Encode(batch))
-			counted += c.deliver + c.describe(l, kindDeliver)
-			kind := c.kind(body)
-			counted += c.describe(l, kind)
+			counted += c.deliverCallFrame + c.descriptionSize(l, kindDeliver)
+			kind := c.kindOf(body)
+			counted += c.descriptionSize(l, kind)
 			must(c.encoder.Encode(batch))
 			counted += c.buffer.Len()
-			var back transport.Batch
-			must(c.decoder.Decode(&back))
+			var onReply transport.MessageBatch
+			must(c.decoder.Decode(&onReply))
 			if counted != own.bytes {
 				t.Fatalf("message %d (%T): counted %d bytes, its own encoder wrote %d", seq, body, counted, own.bytes)
 			}
@@ -49,26 +49,26 @@
 	}
 }
 
-// small is a fleet of few daemons. It warms up until the shards have moved to even
+// smallSettings is a fleet of few daemons. It warms up until the shards have moved to even
 // shares, 4 s after the stores came: a shard that is on its way refuses what is handed in.
-func small() Settings {
-	return Settings{Daemons: 8, Stores: 3, Cores: 3, WholeEdges: 2, Servers: 6, Zones: 3, Regions: 2, Slots: 4, ZoneDelay: 500, RegionDelay: 10_000,
-		Warm: 6, Seconds: 4, Changes: 3600, Customers: 5, Routes: 6, Items: 40, BundleItems: 10, Memory: 4000, Seed: 1}
+func smallSettings() Settings {
+	return Settings{Daemons: 8, Stores: 3, Cores: 3, FullEdges: 2, Servers: 6, Zones: 3, Regions: 2, Shards: 4, ZoneDelayUS: 500, RegionDelayUS: 10_000,
+		WarmupSeconds: 6, CountedSeconds: 4, ChangesPerHour: 3600, Tenants: 5, Routes: 6, ItemsPerSecond: 40, BatchItems: 10, MaxMemoryMiB: 4000, Seed: 1}
 }
 
 // A small fleet settles, serves, and is counted; a figure that is left at nothing
 // would be a measurement that does not measure.
 func TestASmallFleetIsMeasured(t *testing.T) {
-	r := Run(small(), io.Discard)
-	if r.Settled < 0 || r.Stale > 0 || r.Stopped != "" {
-		t.Fatalf("settled after %v s, share of old news %v, stopped: %q", r.Settled, r.Stale, r.Stopped)
+	r := Run(smallSettings(), io.Discard)
+	if r.SettledAfterSeconds < 0 || r.StaleShare > 0 || r.StopReason != "" {
+		t.Fatalf("settled after %v s, share of old news %v, stopped: %q", r.SettledAfterSeconds, r.StaleShare, r.StopReason)
 	}
-	if r.Changes == 0 || r.ChangeMost > 2000 || r.Items < 20 || r.ItemsRefused > 0 {
-		t.Fatalf("%d changes in force, the slowest in %v ms; %v items a second, share of bundles refused %v", r.Changes, r.ChangeMost, r.Items, r.ItemsRefused)
+	if r.Changes == 0 || r.ChangeMaxMS > 2000 || r.ItemsPerSecond < 20 || r.BatchesRejectedShare > 0 {
+		t.Fatalf("%d changes in force, the slowest in %v ms; %v items a second, share of bundles refused %v", r.Changes, r.ChangeMaxMS, r.ItemsPerSecond, r.BatchesRejectedShare)
 	}
 	for _, role := range []string{"duty", "store", "core", "primary"} {
 		f := r.Roles[role]
-		if f.Messages <= 0 || f.Bytes <= 0 || f.CPU <= 0 || f.Heap <= 0 || f.Kinds["gossip.Digest"] == nil {
+		if f.Messages <= 0 || f.Bytes <= 0 || f.CPU <= 0 || f.HeapBytes <= 0 || f.Kinds["gossip.Digest"] == nil {
 			t.Fatalf("%s: %+v", role, *f)
 		}
 	}
@@ -79,9 +79,9 @@
 
 // The same seed gives the same messages.
 func TestTheSameSeedSendsTheSame(t *testing.T) {
-	set := small()
-	set.Items = 0
-	one, other := Run(set, io.Discard), Run(set, io.Discard)
+	settings := smallSettings()
+	settings.ItemsPerSecond = 0
+	one, other := Run(settings, io.Discard), Run(settings, io.Discard)
 	for _, role := range Roles {
 		if a, b := one.Roles[role], other.Roles[role]; a.Messages != b.Messages || a.Bytes != b.Bytes {
 			t.Fatalf("%s: %v messages and %v bytes, then %v and %v", role, a.Messages, a.Bytes, b.Messages, b.Bytes)
@@ -92,7 +92,7 @@
 // A simulated edge sends what a whole one sends while no callers come. One seed's random
 // walk of updates differs by up to a sixth; the sum over several shows what is due to the
 // edges.
-func TestHollowEdgesSendAsWholeOnes(t *testing.T) {
+func TestSimulatedEdgesSendAsFullOnes(t *testing.T) {
 	bytes := func(r *Result) (sum float64) {
 		for _, role := range []string{"edge", "duty", "hollow"} {
 			sum += r.Roles[role].Bytes * r.Roles[role].Daemons
@@ -101,12 +101,12 @@
 	}
 	whole, hollow := 0.0, 0.0
 	for seed := int64(1); seed <= 8; seed++ {
-		set := small()
-		set.Seed = seed
-		set.Items, set.Daemons, set.WholeEdges, set.Seconds = 0, 12, 6, 10
-		whole += bytes(Run(set, io.Discard))
-		set.WholeEdges = 0
-		hollow += bytes(Run(set, io.Discard))
+		settings := smallSettings()
+		settings.Seed = seed
+		settings.ItemsPerSecond, settings.Daemons, settings.FullEdges, settings.CountedSeconds = 0, 12, 6, 10
+		whole += bytes(Run(settings, io.Discard))
+		settings.FullEdges = 0
+		hollow += bytes(Run(settings, io.Discard))
 	}
 	if whole < 0.9*hollow || whole > 1.1*hollow {
 		t.Fatalf("whole edges send %.0f bytes a second, hollow ones %.0f, over all seeds", whole, hollow)
@@ -123,7 +123,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := Page(string(page), tables)
+	again, err := RenderPage(string(page), tables)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/proof/capacitymodel/page.go
+++ b/proof/capacitymodel/page.go
@@ -41,13 +41,13 @@
 
 // Tables are all runs, and what was sent by kind.
 type Tables struct {
-	Runs  map[string][]Row
+	Runs  map[string][]RunRecord
 	Kinds map[string][]map[string]string
 }
 
 // ReadTables reads the tables of a folder; a group that was not run is empty.
 func ReadTables(folder string) (*Tables, error) {
-	t := &Tables{Runs: map[string][]Row{}, Kinds: map[string][]map[string]string{}}
+	t := &Tables{Runs: map[string][]RunRecord{}, Kinds: map[string][]map[string]string{}}
 	for _, group := range Groups {
 		file, err := os.Open(filepath.Join(folder, group+".csv"))
 		if os.IsNotExist(err) {
@@ -56,7 +56,7 @@
 		if err != nil {
 			return nil, errors.WithStack(err)
 		}
-		rows, err := Read(file)
+		rows, err := ReadRecords(file)
 		file.Close()
 		if err != nil {
 			return nil, errors.Wrap(err, group)
@@ -92,7 +92,7 @@
 }
 
 // axis is a group with what varies in it.
-type axis struct{ group, x string }
+type axis struct{ group, column string }
 
 var axes = []axis{{"daemons", "daemons"}, {"servers", "servers"}, {"changes", "changes_h"}}
 
@@ -103,7 +103,7 @@
 		if count, known := row[role+"_daemons"]; known && count == 0 {
 			continue
 		}
-		x, y = append(x, row[a.x]), append(y, row[column])
+		x, y = append(x, row[a.column]), append(y, row[column])
 	}
 	return x, y
 }
@@ -116,26 +116,26 @@
 	return FitCurve(x, y)
 }
 
-// amount writes a figure in the unit that suits it.
-func amount(v float64, unit string) string {
+// formatAmount writes a figure in the unit that suits it.
+func formatAmount(v float64, unit string) string {
 	if unit == "%" {
-		return short(100*v) + " %"
+		return formatNumber(100*v) + " %"
 	}
 	if unit == "" {
-		return short(v)
+		return formatNumber(v)
 	}
 	for _, step := range []struct {
 		from float64
 		name string
 	}{{1e9, "G"}, {1e6, "M"}, {1e3, "k"}} {
 		if math.Abs(v) >= step.from {
-			return short(v/step.from) + " " + step.name + unit
+			return formatNumber(v/step.from) + " " + step.name + unit
 		}
 	}
-	return short(v) + " " + unit
+	return formatNumber(v) + " " + unit
 }
 
-func short(v float64) string {
+func formatNumber(v float64) string {
 	switch size := math.Abs(v); {
 	case size >= 100 || v == math.Trunc(v):
 		return strconv.FormatFloat(v, 'f', 0, 64)
@@ -146,28 +146,28 @@
 	}
 }
 
-type table struct{ lines []string }
+type markdownTable struct{ lines []string }
 
-func (t *table) row(cells ...string) {
+func (t *markdownTable) addRow(cells ...string) {
 	t.lines = append(t.lines, "| "+strings.Join(cells, " | ")+" |")
 	if len(t.lines) == 1 {
 		t.lines = append(t.lines, "|"+strings.Repeat("---|", len(cells)))
 	}
 }
 
-func (t *table) text() string { return strings.Join(t.lines, "\n") }
+func (t *markdownTable) text() string { return strings.Join(t.lines, "\n") }
 
 var shownRoles = []string{"edge", "duty", "store", "core", "primary"}
 
-// slopes is one axis: from the least to the most, and how it grows.
-func slopes(a axis) func(*Tables) string {
+// axisTable is one axis: from the least to the most, and how it grows.
+func axisTable(a axis) func(*Tables) string {
 	return func(t *Tables) string {
-		out := &table{}
-		head := []string{"role"}
+		out := &markdownTable{}
+		header := []string{"role"}
 		for _, q := range quantities {
-			head = append(head, q.name)
+			header = append(header, q.name)
 		}
-		out.row(head...)
+		out.addRow(header...)
 		for _, role := range shownRoles {
 			cells := []string{role}
 			for _, q := range quantities {
@@ -178,19 +178,19 @@
 				}
 				f := FitCurve(x, y)
 				shape := string(f.Shape)
-				if !f.Straight {
+				if !f.IsLinear {
 					shape = "**not straight**, " + shape
 				}
-				cells = append(cells, fmt.Sprintf("%s → %s; x^%.2f; %s, residual %.0f %%, worst %.0f %%", amount(at(x, y, slices.Min(x)), q.unit), amount(at(x, y, slices.Max(x)), q.unit), f.Power, shape, 100*f.Residual, 100*f.Worst))
+				cells = append(cells, fmt.Sprintf("%s → %s; x^%.2f; %s, residual %.0f %%, worst %.0f %%", formatAmount(meanAt(x, y, slices.Min(x)), q.unit), formatAmount(meanAt(x, y, slices.Max(x)), q.unit), f.Power, shape, 100*f.Residual, 100*f.WorstResidual))
 			}
-			out.row(cells...)
+			out.addRow(cells...)
 		}
 		return out.text()
 	}
 }
 
-// at is the mean of the points at one place.
-func at(x, y []float64, place float64) float64 {
+// meanAt is the mean of the points at one place.
+func meanAt(x, y []float64, place float64) float64 {
 	sum, n := 0.0, 0.0
 	for i := range x {
 		if x[i] == place {
@@ -200,9 +200,9 @@
 	return sum / n
 }
 
-// changePart is what changes add to a column at the full size: their share in
+// changeShare is what changes add to a column at the full size: their share in
 // the runs with many changes, by the number of daemons.
-func (t *Tables) changePart(column string) (value, spread float64) {
+func (t *Tables) changeShare(column string) (value, spread float64) {
 	base := t.fit(axes[0], column)
 	var x, y []float64
 	for _, row := range t.Runs["presses"] {
@@ -214,7 +214,7 @@
 		return 0, 0
 	}
 	f := FitCurve(x, y)
-	return f.At(FullDaemons), f.Spread(FullDaemons)
+	return f.At(FullDaemons), f.PredictionMargin(FullDaemons)
 }
 
 // Predict is a column at the full size: what the daemons need with few servers,
@@ -224,65 +224,65 @@
 	d, s := t.fit(axes[0], column), t.fit(axes[1], column)
 	servers := 60.0
 	value = d.At(FullDaemons) + s.At(FullServers) - s.At(servers)
-	spread = math.Hypot(d.Spread(FullDaemons), s.Spread(FullServers))
+	spread = math.Hypot(d.PredictionMargin(FullDaemons), s.PredictionMargin(FullServers))
 	if !strings.HasSuffix(column, "heap_bytes") {
-		part, unsure := t.changePart(column)
-		value, spread = value+part, math.Hypot(spread, unsure)
+		part, partSpread := t.changeShare(column)
+		value, spread = value+part, math.Hypot(spread, partSpread)
 	}
 	return value, spread
 }
 
-func full(t *Tables) string {
-	out := &table{}
-	out.row("role", "what", "predicted", "interval", "limit", "predicted / limit", "measured at full size")
+func fullSizeTable(t *Tables) string {
+	out := &markdownTable{}
+	out.addRow("role", "what", "predicted", "interval", "limit", "predicted / limit", "measured at full size")
 	for _, role := range shownRoles {
 		for _, q := range quantities {
 			column := role + "_" + q.column
 			value, spread := t.Predict(column)
 			limit, ratio := "none set", ""
 			if q.limit > 0 {
-				limit, ratio = amount(q.limit, q.unit), short(value/q.limit)
+				limit, ratio = formatAmount(q.limit, q.unit), formatNumber(value/q.limit)
 			}
-			out.row(role, q.name, amount(value, q.unit), amount(max(0, value-spread), q.unit)+" to "+amount(value+spread, q.unit), limit, ratio, t.measured(role, q.column, q.unit))
+			out.addRow(role, q.name, formatAmount(value, q.unit), formatAmount(max(0, value-spread), q.unit)+" to "+formatAmount(value+spread, q.unit), limit, ratio, t.measuredAtFullSize(role, q.column, q.unit))
 		}
 	}
 	return out.text()
 }
 
-func (t *Tables) measured(role, column, unit string) string {
+func (t *Tables) measuredAtFullSize(role, column, unit string) string {
 	for _, row := range t.Runs["full"] {
 		if row["daemons"] == FullDaemons && row["servers"] == FullServers && row["restarts_h"] == 0 && row[role+"_daemons"] > 0 {
-			return amount(row[role+"_"+column], unit)
+			return formatAmount(row[role+"_"+column], unit)
 		}
 	}
 	return "not measured"
 }
 
-// freshness is what the number of daemons does to the updates and to a change.
-func freshness(t *Tables) string {
-	out := &table{}
-	out.row("daemons (stores)", "servers", "changes an hour", "seed", "settled after", "age of the news, median", "oldest", "looks at news over 2.5 s", "changes in force", "median until everywhere", "slowest")
+// freshnessTable is what the number of daemons does to the updates and to a change.
+func freshnessTable(t *Tables) string {
+	out := &markdownTable{}
+	out.addRow("daemons (stores)", "servers", "changes an hour", "seed", "settled after", "age of the news, median", "oldest", "looks at news over 2.5 s", "changes in force", "median until everywhere", "slowest")
 	for _, group := range []string{"daemons", "presses"} {
 		for _, r := range t.Runs[group] {
-			changes, median, most := "none put", "", ""
+			changes, median, largest := "none put", "", ""
 			if r["changes"]+r["changes_refused"]+r["changes_pending"] > 0 && r["changes_h"] > 0 {
-				changes, median, most = short(r["changes"])+" of "+short(r["changes"]+r["changes_refused"]+r["changes_pending"]), short(r["change_median_ms"])+" ms", short(r["change_most_ms"])+" ms"
+				changes, median, largest = formatNumber(r["changes"])+" of "+formatNumber(r["changes"]+r["changes_refused"]+r["changes_pending"]), formatNumber(r["change_median_ms"])+" ms", formatNumber(r["change_most_ms"])+" ms"
 			}
-			out.row(fmt.Sprintf("%.0f (%.0f)", r["daemons"], r["stores"]), short(r["servers"]), short(r["changes_h"]), short(r["seed"]), short(r["settled_s"])+" s", short(r["age_median_ms"])+" ms", short(r["age_most_ms"])+" ms", short(100*r["stale_share"])+" %", changes, median, most)
+			out.addRow(fmt.Sprintf("%.0f (%.0f)", r["daemons"], r["stores"]), formatNumber(r["servers"]), formatNumber(r["changes_h"]), formatNumber(r["seed"]), formatNumber(r["settled_s"])+" s", formatNumber(r["age_median_ms"])+" ms", formatNumber(r["age_most_ms"])+" ms", formatNumber(100*r["stale_share"])+" %", changes, median, largest)
 		}
 	}
 	return out.text()
 }
 
-// kinds are the kinds that make up most bytes at a group's largest size.
-func kinds(group, x string, roles ...string) func(*Tables) string {
+// kindsTable are the kinds that make up most bytes at a group's largest size.
+func kindsTable(group, x string, roles ...string) func(*Tables) string {
 	return func(t *Tables) string {
-		out := &table{}
-		out.row("role", "kind", "messages a second", "bytes a second", "share of the role's bytes")
-		most, seed := 0.0, "1"
+		out := &markdownTable{}
+		out.addRow("role", "kind", "messages a second", "bytes a second", "share of the role's bytes")
+		largest, seed := 0.0, "1"
 		for _, row := range t.Kinds[group] {
 			v, _ := strconv.ParseFloat(row[x], 64)
-			most = max(most, v)
+			largest = max(largest, v)
 		}
 		for _, role := range roles {
 			type kind struct {
@@ -293,7 +293,7 @@
 			sum := 0.0
 			for _, row := range t.Kinds[group] {
 				v, _ := strconv.ParseFloat(row[x], 64)
-				if row["role"] != role || v != most || row["seed"] != seed {
+				if row["role"] != role || v != largest || row["seed"] != seed {
 					continue
 				}
 				messages, _ := strconv.ParseFloat(row["messages_s"], 64)
@@ -303,7 +303,7 @@
 			sort.SliceStable(all, func(i, j int) bool { return all[i].bytes > all[j].bytes })
 			for i, k := range all {
 				if i < 4 {
-					out.row(role, "`"+k.name+"`", short(k.messages), amount(k.bytes, "B"), short(100*k.bytes/sum)+" %")
+					out.addRow(role, "`"+k.name+"`", formatNumber(k.messages), formatAmount(k.bytes, "B"), formatNumber(100*k.bytes/sum)+" %")
 				}
 			}
 		}
@@ -311,10 +311,10 @@
 	}
 }
 
-// items is what an item costs a store, by the pace of items at it.
-func items(t *Tables) string {
-	out := &table{}
-	out.row("items a second at a store", "what", "slope for each item", "shape", "at 96 a second")
+// itemsTable is what an item costs a store, by the pace of items at it.
+func itemsTable(t *Tables) string {
+	out := &markdownTable{}
+	out.addRow("items a second at a store", "what", "slope for each item", "shape", "at 96 a second")
 	for _, q := range []struct{ name, column, unit string }{{"messages", "messages_s", ""}, {"bytes", "bytes_s", "B"}, {"processor seconds", "cpu_s_per_s", "%"}, {"syncs", "syncs_s", ""}} {
 		var x, y []float64
 		for _, row := range t.Runs["items"] {
@@ -325,19 +325,19 @@
 		}
 		f := FitCurve(x, y)
 		shape := fmt.Sprintf("%s, residual %.0f %%", f.Shape, 100*f.Residual)
-		if !f.Straight {
+		if !f.IsLinear {
 			shape = "**not straight**, " + shape
 		}
 		// What the items alone cost, between the least and the most.
 		low, high := slices.Min(x), slices.Max(x)
 		slope := (f.At(high) - f.At(low)) / (high - low)
-		text := short(slope)
+		text := formatNumber(slope)
 		if q.unit == "%" {
-			text = short(slope*1e6) + " µs"
+			text = formatNumber(slope*1e6) + " µs"
 		} else if q.unit != "" {
-			text = amount(slope, q.unit)
+			text = formatAmount(slope, q.unit)
 		}
-		out.row(fmt.Sprintf("%.0f to %.0f", low, high), q.name, text, shape, amount(f.At(96), q.unit)+" ± "+amount(f.Spread(96), q.unit))
+		out.addRow(fmt.Sprintf("%.0f to %.0f", low, high), q.name, text, shape, formatAmount(f.At(96), q.unit)+" ± "+formatAmount(f.PredictionMargin(96), q.unit))
 	}
 	for _, q := range []struct{ name, column, unit string }{{"bytes of an edge", "edge_bytes_s", "B"}, {"processor of an edge", "edge_cpu_s_per_s", "%"}} {
 		var x, y []float64
@@ -345,77 +345,79 @@
 			x, y = append(x, row["items_listed_s"]/row["stores"]), append(y, row[q.column])
 		}
 		low, high := slices.Min(x), slices.Max(x)
-		out.row(fmt.Sprintf("%.0f to %.0f", low, high), q.name+" (four writers)", amount(at(x, y, low), q.unit)+" → "+amount(at(x, y, high), q.unit), fmt.Sprintf("x^%.2f", exponent(x, y)), "")
+		out.addRow(fmt.Sprintf("%.0f to %.0f", low, high), q.name+" (four writers)", formatAmount(meanAt(x, y, low), q.unit)+" → "+formatAmount(meanAt(x, y, high), q.unit), fmt.Sprintf("x^%.2f", fitExponent(x, y)), "")
 	}
 	return out.text()
 }
 
-func busy(t *Tables) string {
-	out := &table{}
-	out.row("servers at least half full", "seed", "readings a second at an edge", "bytes a second, edge", "processor, edge", "bytes a second, store")
+func busyTable(t *Tables) string {
+	out := &markdownTable{}
+	out.addRow("servers at least half full", "seed", "readings a second at an edge", "bytes a second, edge", "processor, edge", "bytes a second, store")
 	for _, r := range t.Runs["busy"] {
-		out.row(short(r["busy_percent"])+" %", short(r["seed"]), short(r["edge_looks_s"]), amount(r["edge_bytes_s"], "B"), amount(r["edge_cpu_s_per_s"], "%"), amount(r["store_bytes_s"], "B"))
+		out.addRow(formatNumber(r["busy_percent"])+" %", formatNumber(r["seed"]), formatNumber(r["edge_looks_s"]), formatAmount(r["edge_bytes_s"], "B"), formatAmount(r["edge_cpu_s_per_s"], "%"), formatAmount(r["store_bytes_s"], "B"))
 	}
 	return out.text()
 }
 
-// fullRuns are the runs at full size, whatever came of them.
-func fullRuns(t *Tables) string {
-	out := &table{}
+// fullRunsTable are the runs at full size, whatever came of them.
+func fullRunsTable(t *Tables) string {
+	out := &markdownTable{}
 	rows := t.Runs["full"]
-	head := []string{"what"}
+	header := []string{"what"}
 	for _, r := range rows {
-		head = append(head, fmt.Sprintf("%.0f daemons, %.0f servers", r["daemons"], r["servers"]))
+		header = append(header, fmt.Sprintf("%.0f daemons, %.0f servers", r["daemons"], r["servers"]))
 	}
-	out.row(head...)
-	line := func(name string, of func(r Row) string) {
+	out.addRow(header...)
+	line := func(name string, of func(r RunRecord) string) {
 		cells := []string{name}
 		for _, r := range rows {
 			cells = append(cells, of(r))
 		}
-		out.row(cells...)
+		out.addRow(cells...)
 	}
-	plain := func(column, unit string) func(Row) string {
-		return func(r Row) string { return amount(r[column], unit) }
+	figure := func(column, unit string) func(RunRecord) string {
+		return func(r RunRecord) string { return formatAmount(r[column], unit) }
 	}
-	line("virtual seconds counted", plain("counted_s", ""))
-	line("settled after", func(r Row) string { return short(r["settled_s"]) + " s" })
-	line("restarts an hour asked for, done", func(r Row) string { return short(r["restarts_h"]) + ", " + short(r["restarted"]) })
-	line("region cut, zone cut", func(r Row) string { return short(r["cut_region_s"]) + " s, " + short(r["cut_zone_s"]) + " s" })
-	line("age of the news, median and oldest", func(r Row) string {
-		return short(r["age_median_ms"]) + " ms, " + short(r["age_most_ms"]) + " ms"
+	line("virtual seconds counted", figure("counted_s", ""))
+	line("settled after", func(r RunRecord) string { return formatNumber(r["settled_s"]) + " s" })
+	line("restarts an hour asked for, done", func(r RunRecord) string { return formatNumber(r["restarts_h"]) + ", " + formatNumber(r["restarted"]) })
+	line("region cut, zone cut", func(r RunRecord) string {
+		return formatNumber(r["cut_region_s"]) + " s, " + formatNumber(r["cut_zone_s"]) + " s"
 	})
-	line("looks at news over 2.5 s (nothing is assigned)", func(r Row) string { return short(100*r["stale_share"]) + " %" })
-	line("changes an hour asked for", plain("changes_h", ""))
-	line("changes in force everywhere; not put or unknown; still on their way", func(r Row) string {
-		return short(r["changes"]) + "; " + short(r["changes_refused"]) + "; " + short(r["changes_pending"])
+	line("age of the news, median and oldest", func(r RunRecord) string {
+		return formatNumber(r["age_median_ms"]) + " ms, " + formatNumber(r["age_most_ms"]) + " ms"
 	})
-	line("until in force everywhere, median and slowest", func(r Row) string {
-		return short(r["change_median_ms"]) + " ms, " + short(r["change_most_ms"]) + " ms"
+	line("looks at news over 2.5 s (nothing is assigned)", func(r RunRecord) string { return formatNumber(100*r["stale_share"]) + " %" })
+	line("changes an hour asked for", figure("changes_h", ""))
+	line("changes in force everywhere; not put or unknown; still on their way", func(r RunRecord) string {
+		return formatNumber(r["changes"]) + "; " + formatNumber(r["changes_refused"]) + "; " + formatNumber(r["changes_pending"])
 	})
-	line("suspicions, and words against them", func(r Row) string { return short(r["suspected"]) + ", " + short(r["refuted"]) })
+	line("until in force everywhere, median and slowest", func(r RunRecord) string {
+		return formatNumber(r["change_median_ms"]) + " ms, " + formatNumber(r["change_most_ms"]) + " ms"
+	})
+	line("suspicions, and words against them", func(r RunRecord) string { return formatNumber(r["suspected"]) + ", " + formatNumber(r["refuted"]) })
 	for _, role := range shownRoles {
-		line(role+": messages a second", plain(role+"_messages_s", ""))
-		line(role+": bytes a second", plain(role+"_bytes_s", "B"))
-		line(role+": processor", plain(role+"_cpu_s_per_s", "%"))
-		line(role+": heap", plain(role+"_heap_bytes", "B"))
-		line(role+": largest call", plain(role+"_largest_call", "B"))
-		line(role+": lines open", plain(role+"_lines", ""))
-		line(role+": lines closed for others, a second", plain(role+"_redials_s", ""))
+		line(role+": messages a second", figure(role+"_messages_s", ""))
+		line(role+": bytes a second", figure(role+"_bytes_s", "B"))
+		line(role+": processor", figure(role+"_cpu_s_per_s", "%"))
+		line(role+": heap", figure(role+"_heap_bytes", "B"))
+		line(role+": largest call", figure(role+"_largest_call", "B"))
+		line(role+": lines open", figure(role+"_lines", ""))
+		line(role+": lines closed for others, a second", figure(role+"_redials_s", ""))
 	}
-	line("processor seconds of the run", plain("run_cpu_s", ""))
+	line("processor seconds of the run", figure("run_cpu_s", ""))
 	return out.text()
 }
 
 var pageTables = map[string]func(*Tables) string{
-	"full": full, "by daemons": slopes(axes[0]), "by servers": slopes(axes[1]), "by changes": slopes(axes[2]),
-	"freshness": freshness, "kinds by daemons": kinds("daemons", "daemons", "edge", "store", "primary"), "kinds by servers": kinds("servers", "servers", "edge", "store"),
-	"kinds by changes": kinds("presses", "daemons", "edge", "store", "primary"), "items": items, "busy": busy, "full runs": fullRuns,
+	"full": fullSizeTable, "by daemons": axisTable(axes[0]), "by servers": axisTable(axes[1]), "by changes": axisTable(axes[2]),
+	"freshness": freshnessTable, "kinds by daemons": kindsTable("daemons", "daemons", "edge", "store", "primary"), "kinds by servers": kindsTable("servers", "servers", "edge", "store"),
+	"kinds by changes": kindsTable("presses", "daemons", "edge", "store", "primary"), "items": itemsTable, "busy": busyTable, "full runs": fullRunsTable,
 }
 
-// Page writes the tables of a page anew: each stands between a line
+// RenderPage writes the tables of a page anew: each stands between a line
 // "<!-- table NAME -->" and a line "<!-- end -->".
-func Page(page string, t *Tables) (string, error) {
+func RenderPage(page string, t *Tables) (string, error) {
 	var out []string
 	inside := false
 	seen := map[string]bool{}
--- a/proof/capacitymodel/table.go
+++ b/proof/capacitymodel/table.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// Row is one run as the table has it: a figure under each name.
-type Row map[string]float64
+// RunRecord is one run as the table has it: a figure under each name.
+type RunRecord map[string]float64
 
 var roleColumns = []string{"daemons", "messages_s", "calls_s", "bytes_s", "cpu_s_per_s", "heap_bytes", "lines", "largest_call", "syncs_s", "looks_s", "redials_s", "lost_s"}
 
@@ -31,11 +31,11 @@
 
 // Record is a result as a line of the table.
 func (r *Result) Record() []string {
-	s := r.Set
+	s := r.Settings
 	var out []string
 	add := func(values ...float64) {
 		for _, value := range values {
-			out = append(out, figure(value))
+			out = append(out, formatFloat(value))
 		}
 	}
 	whole := func(values ...int64) {
@@ -43,21 +43,21 @@
 			out = append(out, strconv.FormatInt(value, 10))
 		}
 	}
-	whole(s.Daemons, s.Edges(), s.WholeEdges, s.Stores, s.Cores, s.Servers, s.Busy, s.Zones, s.Regions, s.Slots, s.ZoneDelay, s.RegionDelay,
-		s.Warm, s.Seconds, s.Changes, s.Customers, s.Routes, s.Items, s.BundleItems, s.Restarts, s.CutRegion, s.CutZone, s.Seed)
-	add(r.Counted, r.Settled, r.Stale, r.AgeMedian, r.AgeMost)
-	whole(int64(r.PlanBytes), int64(r.Changes), int64(r.Refused), int64(r.Pending))
-	add(r.ChangeMedian, r.ChangeMost, r.Items, r.ItemsRefused)
-	whole(r.Suspected, r.Refuted, int64(r.Restarted))
-	add(r.RunCPU, r.Collector)
+	whole(s.Daemons, s.Edges(), s.FullEdges, s.Stores, s.Cores, s.Servers, s.BusyPercent, s.Zones, s.Regions, s.Shards, s.ZoneDelayUS, s.RegionDelayUS,
+		s.WarmupSeconds, s.CountedSeconds, s.ChangesPerHour, s.Tenants, s.Routes, s.ItemsPerSecond, s.BatchItems, s.RestartsPerHour, s.RegionPartitionSeconds, s.ZonePartitionSeconds, s.Seed)
+	add(r.CountedSeconds, r.SettledAfterSeconds, r.StaleShare, r.AgeMedianMS, r.AgeMaxMS)
+	whole(int64(r.ConfigurationBytes), int64(r.Changes), int64(r.Rejected), int64(r.Pending))
+	add(r.ChangeMedianMS, r.ChangeMaxMS, r.ItemsPerSecond, r.BatchesRejectedShare)
+	whole(r.Suspected, r.Refuted, int64(r.Restarts))
+	add(r.RunCPUSeconds, r.CollectorShare)
 	for _, role := range Roles {
 		f := r.Roles[role]
 		if f == nil {
 			f = &Figures{}
 		}
-		add(f.Daemons, f.Messages, f.Calls, f.Bytes, f.CPU, f.Heap, f.Lines, f.Largest, f.Syncs, f.Looks, f.Redials, f.Lost)
+		add(f.Daemons, f.Messages, f.Calls, f.Bytes, f.CPU, f.HeapBytes, f.Connections, f.LargestCall, f.Syncs, f.Polls, f.Reconnects, f.Lost)
 	}
-	return append(out, r.Stopped)
+	return append(out, r.StopReason)
 }
 
 // KindColumns are those of the second table: what each role sent, by kind.
@@ -69,15 +69,15 @@
 func (r *Result) KindRecords() [][]string {
 	var out [][]string
 	n := func(v int64) string { return strconv.FormatInt(v, 10) }
-	s := r.Set
-	for _, row := range r.kindRows() {
-		out = append(out, append([]string{n(s.Daemons), n(s.Stores), n(s.Servers), n(s.Changes), n(s.Items), n(s.Busy), n(s.Seed)}, row...))
+	s := r.Settings
+	for _, row := range r.kindFigures() {
+		out = append(out, append([]string{n(s.Daemons), n(s.Stores), n(s.Servers), n(s.ChangesPerHour), n(s.ItemsPerSecond), n(s.BusyPercent), n(s.Seed)}, row...))
 	}
 	return out
 }
 
-// Read reads a table back; lines of runs that were stopped are left out.
-func Read(from io.Reader) ([]Row, error) {
+// ReadRecords reads a table back; lines of runs that were stopped are left out.
+func ReadRecords(from io.Reader) ([]RunRecord, error) {
 	records, err := csv.NewReader(from).ReadAll()
 	if err != nil {
 		return nil, errors.Wrap(err, "reading the table")
@@ -85,9 +85,9 @@
 	if len(records) == 0 {
 		return nil, errors.New("the table is empty")
 	}
-	var out []Row
+	var out []RunRecord
 	for at, record := range records[1:] {
-		row := Row{}
+		row := RunRecord{}
 		for i, name := range records[0] {
 			if name == "stopped" {
 				if record[i] != "" {
--- a/proof/decisiondigest/digest_test.go
+++ b/proof/decisiondigest/digest_test.go
@@ -95,7 +95,7 @@
 
 func TestEffectsCount(t *testing.T) {
 	record := machine.Record{Unit: "core", Kind: "entry", Epoch: 1, Seq: 2, Body: []byte("body")}
-	first, second := sent(aRequest()), taken{6, 2, machine.Store{Token: 1, Records: []machine.Record{record}}}
+	first, second := sent(aRequest()), taken{6, 2, machine.Persist{Token: 1, Records: []machine.Record{record}}}
 	want := digestOf(first, second)
 	other := record
 	other.Body = []byte("Body")
@@ -106,15 +106,15 @@
 		"another time":       {first, {7, 2, second.effect}},
 		"another node":       {first, {6, 1, second.effect}},
 		"another receiver":   {{5, 1, machine.Send{To: "b", Body: aRequest()}}, second},
-		"another record":     {first, {6, 2, machine.Store{Token: 1, Records: []machine.Record{other}}}},
-		"a record less":      {first, {6, 2, machine.Store{Token: 1}}},
-		"another kind of it": {first, {6, 2, machine.Shelve{Token: 1, Records: []machine.Record{record}}}},
+		"another record":     {first, {6, 2, machine.Persist{Token: 1, Records: []machine.Record{other}}}},
+		"a record less":      {first, {6, 2, machine.Persist{Token: 1}}},
+		"another kind of it": {first, {6, 2, machine.Archive{Token: 1, Records: []machine.Record{record}}}},
 	} {
 		if digestOf(effects...) == want {
 			t.Errorf("%s: the digest is the same", name)
 		}
 	}
-	logged := taken{6, 1, machine.Explain{What: "voting", Fields: map[string]any{"term": 4}}}
+	logged := taken{6, 1, machine.LogEvent{Message: "voting", Fields: map[string]any{"term": 4}}}
 	if digestOf(first, logged, second) != want {
 		t.Error("an event for the log changes the digest")
 	}
@@ -123,15 +123,15 @@
 // Each kind of effect counts as another one where the values are the same.
 func TestKindsOfEffectDiffer(t *testing.T) {
 	seen := map[effectKind]string{}
-	for _, effect := range []machine.Effect{machine.Explain{}, machine.Send{}, machine.Store{}, machine.Fold{}, machine.Shelve{}, machine.Unshelve{}, machine.Answer{},
-		machine.Publish{}, machine.Heard{}, machine.Work{}, machine.Ask{}, machine.Broadcast{}, machine.Fresh{}, machine.Halt{}} {
+	for _, effect := range []machine.Effect{machine.LogEvent{}, machine.Send{}, machine.Persist{}, machine.Compact{}, machine.Archive{}, machine.DeleteArchive{}, machine.Reply{},
+		machine.Publish{}, machine.UpdateReceived{}, machine.Execute{}, machine.Request{}, machine.Broadcast{}, machine.Freshness{}, machine.Halt{}} {
 		name := fmt.Sprintf("%T", effect)
 		if known := seen[kindOf(effect)]; known != "" {
 			t.Errorf("%s and %s are of one kind", known, name)
 		}
 		seen[kindOf(effect)] = name
 	}
-	if digestOf(taken{effect: machine.Publish{}}) == digestOf(taken{effect: machine.Heard{}}) {
+	if digestOf(taken{effect: machine.Publish{}}) == digestOf(taken{effect: machine.UpdateReceived{}}) {
 		t.Error("an update that is published has the digest of one that is received")
 	}
 }
@@ -152,7 +152,7 @@
 }
 
 func TestWordsThatRestateDoNotCount(t *testing.T) {
-	refused := func(why string) taken { return sent(control.VoteReply{Epoch: 3, Why: why}) }
+	refused := func(reason string) taken { return sent(control.VoteResponse{Epoch: 3, Reason: reason}) }
 	if digestOf(refused("a higher term"), refused("another fleet")) != digestOf(refused("stale term"), refused("wrong cluster")) {
 		t.Error("other words change the digest")
 	}
@@ -162,24 +162,24 @@
 	if digestOf(sent(control.Heartbeat{Role: "backing"})) != digestOf(sent(control.Heartbeat{Role: "replica"})) {
 		t.Error("another word for a role changes the digest")
 	}
-	if digestOf(sent(store.Unwelcome{Why: "a copy"})) != digestOf(sent(store.Unwelcome{Why: "a clone"})) {
+	if digestOf(sent(store.RegistrationRejected{Reason: "a copy"})) != digestOf(sent(store.RegistrationRejected{Reason: "a clone"})) {
 		t.Error("other words for a refusal change the digest")
 	}
-	if digestOf(sent(control.VoteReply{From: "a"})) == digestOf(sent(control.VoteReply{From: "b"})) {
+	if digestOf(sent(control.VoteResponse{From: "a"})) == digestOf(sent(control.VoteResponse{From: "b"})) {
 		t.Error("another text of the message is left out")
 	}
 }
 
 func TestErrorsCountByTheirKind(t *testing.T) {
-	answered := func(err error) string { return digestOf(taken{effect: machine.Answer{Call: 1, Err: err}}) }
-	want := answered(errs.Later(errs.Busy, 7, "come back", "too many"))
-	if answered(errs.Later(errs.Busy, 7, "wait", "full")) != want {
+	answered := func(err error) string { return digestOf(taken{effect: machine.Reply{Call: 1, Err: err}}) }
+	want := answered(errs.NewWithRetry(errs.Busy, 7, "come back", "too many"))
+	if answered(errs.NewWithRetry(errs.Busy, 7, "wait", "full")) != want {
 		t.Error("other words change the digest")
 	}
 	for name, err := range map[string]error{
-		"another kind":   errs.Later(errs.NotReady, 7, "come back", "too many"),
-		"another pause":  errs.Later(errs.Busy, 8, "come back", "too many"),
-		"more faults":    &errs.Error{Kind: errs.Busy, RetryAfter: 7, Faults: []string{"a"}},
+		"another kind":   errs.NewWithRetry(errs.NotReady, 7, "come back", "too many"),
+		"another pause":  errs.NewWithRetry(errs.Busy, 8, "come back", "too many"),
+		"more faults":    &errs.Error{Kind: errs.Busy, RetryAfterUS: 7, Faults: []string{"a"}},
 		"an untyped one": errors.New("too many"),
 		"none":           nil,
 	} {
--- a/proof/decisiondigest/effects.go
+++ b/proof/decisiondigest/effects.go
@@ -33,31 +33,31 @@
 //revive:disable-next-line:cyclomatic one case for each type of effect
 func kindOf(effect machine.Effect) effectKind {
 	switch effect.(type) {
-	case machine.Explain:
+	case machine.LogEvent:
 		return logEvent
 	case machine.Send:
 		return sendMessage
-	case machine.Store:
+	case machine.Persist:
 		return writeRecords
-	case machine.Fold:
+	case machine.Compact:
 		return compactRecords
-	case machine.Shelve:
+	case machine.Archive:
 		return archiveRecords
-	case machine.Unshelve:
+	case machine.DeleteArchive:
 		return deleteArchives
-	case machine.Answer:
+	case machine.Reply:
 		return answerCall
 	case machine.Publish:
 		return publishUpdate
-	case machine.Heard:
+	case machine.UpdateReceived:
 		return receivedUpdate
-	case machine.Work:
+	case machine.Execute:
 		return runWork
-	case machine.Ask:
+	case machine.Request:
 		return requestAnswer
 	case machine.Broadcast:
 		return broadcastUpdate
-	case machine.Fresh:
+	case machine.Freshness:
 		return updatesComplete
 	case machine.Halt:
 		return haltDaemon
@@ -69,9 +69,9 @@
 // their words may change.
 func restatedTexts() textFields {
 	out := textFields{}
-	restated(out, func(reply *control.VoteReply) *string { return &reply.Why })
+	restated(out, func(reply *control.VoteResponse) *string { return &reply.Reason })
 	restated(out, func(heartbeat *control.Heartbeat) *string { return &heartbeat.Role })
-	restated(out, func(refusal *store.Unwelcome) *string { return &refusal.Why })
+	restated(out, func(refusal *store.RegistrationRejected) *string { return &refusal.Reason })
 	return out
 }
 
--- a/proof/decisiondigest/encoder.go
+++ b/proof/decisiondigest/encoder.go
@@ -171,6 +171,6 @@
 	}
 	typed := errs.Of(v.Interface().(error))
 	e.text(string(typed.Kind))
-	e.number(uint64(typed.RetryAfter))
+	e.number(uint64(typed.RetryAfterUS))
 	e.number(uint64(len(typed.Faults)))
 }
