--- a/cmd/tuliprudderctl/configuration.go
+++ b/cmd/tuliprudderctl/configuration.go
@@ -44,7 +44,7 @@
 }
 
 // importCommand turns an OpenAPI file into routes, shows what changes, and puts
-// the plan only when told to.
+// the configuration only when told to.
 func (t *cli) importCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("tuliprudderctl plan import", flag.ContinueOnError)
 	put := flags.Bool("put", false, "put the plan; without it nothing changes")
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// diffConfigurations lists what changes from one plan to another, entry by entry, by name.
+// diffConfigurations lists what changes from one configuration to another, entry by entry, by name.
 func diffConfigurations(from, to map[string]any) []string {
 	var out []string
 	for _, section := range []string{"classes", "customers", "pools", "routes"} {
--- a/internal/batchstore/archive.go
+++ b/internal/batchstore/archive.go
@@ -7,10 +7,10 @@
 	"tuliprudder/internal/replication"
 )
 
-// Memory is bounded by open work (DESIGN §6.7): a settled bundle's rows lie in
+// Memory is bounded by open work (DESIGN §6.7): a settled batch's rows lie in
 // files of their own and are read back when somebody asks.
 
-// Archive is where settled bundles lie on this daemon's disk.
+// Archive is where settled batches lie on this daemon's disk.
 type Archive interface {
 	Get(file uint64, unit string) ([]byte, error)
 	Files() []uint64
@@ -18,11 +18,11 @@
 }
 
 const (
-	archiveFileSize   = 256 << 10 // bytes of bundles in one file, about
-	archiveBatchLimit = 256       // bundles looked at in one round
+	archiveFileSize   = 256 << 10 // bytes of batches in one file, about
+	archiveBatchLimit = 256       // batches looked at in one round
 )
 
-// archiveFinished packs settled bundles of whole pairs into a file. They are let go
+// archiveFinished packs settled batches of whole pairs into a file. They are let go
 // only once it is on disk; the entries that made them stay on disk until a view
 // refers to the file.
 func (k *Store) archiveFinished() {
@@ -64,8 +64,8 @@
 	k.Emit(machine.Archive{Token: token, File: file, Records: records})
 }
 
-// unarchive reads a shelved bundle back. A file that can't be read is damage: the
-// keeper says so and stops, so that its pair's other end serves.
+// unarchive reads a shelved batch back. A file that can't be read is damage: the
+// store says so and stops, so that its pair's other end serves.
 func (k *Store) unarchive(b *shard.Batch) *shard.Batch {
 	data, err := k.archive.Get(b.Archived.File, b.ID)
 	if err == nil {
@@ -81,7 +81,7 @@
 	return b
 }
 
-// resultsAfter are a bundle's rows after a vector, read back only where there are any.
+// resultsAfter are a batch's rows after a vector, read back only where there are any.
 func (k *Store) resultsAfter(b *shard.Batch, after func(writer int) int64) []shard.Result {
 	if b.Archived == nil {
 		return b.Results
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// deleteUnusedArchives removes shelf files that no bundle refers to any more. At the start it
+// deleteUnusedArchives removes shelf files that no batch refers to any more. At the start it
 // is told what there is; later it looks only for what it put there itself.
 func (k *Store) deleteUnusedArchives(pending []uint64) {
 	for _, file := range pending {
--- a/internal/batchstore/calls.go
+++ b/internal/batchstore/calls.go
@@ -47,9 +47,9 @@
 
 func (k *Store) replyError(call uint64, err error) { k.Emit(machine.Reply{Call: call, Err: err}) }
 
-// servingShard turns away what this keeper can't serve; nothing was written by then.
+// servingShard turns away what this store can't serve; nothing was written by then.
 // Without a fresh lease it may have been deposed without knowing: then it would
-// deny bundles that its successor has accepted.
+// deny batches that its successor has accepted.
 func (k *Store) servingShard(call uint64, shard int, now clock.Micros) (*shardState, *replication.Group, bool) {
 	unit := Unit(shard)
 	group := k.groups.Group(unit)
@@ -76,7 +76,7 @@
 			return
 		}
 		acknowledgement.Repeated = true
-		// Its entry may still be open: the receipt waits for the last one.
+		// Its entry may still be open: the acknowledgement waits for the last one.
 		if group.Unconfirmed() > 0 {
 			k.replyWhenConfirmed(group.Unit, group.Seq, call, now+request.Timeout, acknowledgement)
 		} else {
@@ -107,7 +107,7 @@
 	k.replyWhenConfirmed(group.Unit, seq, call, now+request.Timeout, acknowledgement)
 }
 
-// HasBatch tells whether a bundle is in a slot's ledger here, confirmed or not.
+// HasBatch tells whether a batch is in a shard's ledger here, confirmed or not.
 func (k *Store) HasBatch(shard int, batch string) bool {
 	p := k.shards[Unit(shard)]
 	return p != nil && p.state.Batches[batch] != nil
@@ -128,8 +128,8 @@
 	return count
 }
 
-// findBatch finds a customer's bundle. Anyone finds one that was handed in without a
-// key, by its name; a customer's stays its own.
+// findBatch finds a tenant's batch. Anyone finds one that was handed in without a
+// key, by its name; a tenant's stays its own.
 func (k *Store) findBatch(call uint64, p *shardState, id, tenant string, anyTenant bool) (*shard.Batch, bool) {
 	batch := p.state.Batches[id]
 	if batch == nil || !(anyTenant && batch.Key == "") && batch.Tenant != tenant {
@@ -188,7 +188,7 @@
 }
 
 // replyItemBody answers with the body of an item that may still run; once it is listed, or
-// its bundle has ended, the body is let go.
+// its batch has ended, the body is let go.
 func (k *Store) replyItemBody(call uint64, request ItemBodyRequest, now clock.Micros) {
 	p, _, ok := k.servingShard(call, request.Shard, now)
 	if !ok {
@@ -204,7 +204,7 @@
 }
 
 // readResults answers "all rows after the token", within the reader's bounds. The
-// slots' epochs have to be the reader's: a deposed keeper would leave rows out.
+// shards' epochs have to be the reader's: a deposed store would leave rows out.
 func (k *Store) readResults(call uint64, request ReadRequest, now clock.Micros) {
 	var out ReadResponse
 	upTo := k.positions.PersistedUpTo()
@@ -278,7 +278,7 @@
 	return result.Position <= bound[result.Writer] && (result.Writer != k.writer || result.Position <= upTo)
 }
 
-// readByIndex reads a bundle's list from an index on: an index stays the same row's for
+// readByIndex reads a batch's list from an index on: an index stays the same row's for
 // good, so it stops at the first row that the reader may not have yet (DESIGN §12.5).
 func (k *Store) readByIndex(batch *shard.Batch, request ReadRequest, shardIndex int, upTo int64, out *ReadResponse) {
 	from := max(0, request.From)
--- a/internal/batchstore/disk.go
+++ b/internal/batchstore/disk.go
@@ -7,8 +7,8 @@
 	"tuliprudder/internal/replication"
 )
 
-// This file is what a keeper does while its disk takes no writes (DESIGN §6.7): its
-// slots pass on, it takes nothing new, and what it has decided waits for the disk.
+// This file is what a store does while its disk takes no writes (DESIGN §6.7): its
+// shards pass on, it takes nothing new, and what it has decided waits for the disk.
 
 // DiskStateChanged is the shell's word on the disk.
 type DiskStateChanged struct{ State machine.DiskState }
@@ -44,7 +44,7 @@
 }
 
 // IsDiskStalled tells whether the disk holds writes back or turns them down, or did so a
-// moment ago: its slots pass on until it has kept up for a while.
+// moment ago: its shards pass on until it has kept up for a while.
 func (k *Store) IsDiskStalled(now clock.Micros) bool {
 	if !k.disk.Writable || k.OldestWrite(now) > k.set.DiskTimeout {
 		k.stalledAt = now
--- a/internal/batchstore/disk_test.go
+++ b/internal/batchstore/disk_test.go
@@ -25,7 +25,7 @@
 	return stalled, told
 }
 
-// A keeper whose disk is full tells the cores at once that its slots should pass on,
+// A store whose disk is full tells the cores at once that its shards should pass on,
 // and takes them again once the disk has kept up for a while.
 func TestAFullDiskIsToldAtOnce(t *testing.T) {
 	k := New(Self{ID: "s", Zone: "z", Peer: "p", Incarnation: 1}, Defaults(), nil, shelf{})
--- a/internal/batchstore/messages.go
+++ b/internal/batchstore/messages.go
@@ -7,37 +7,37 @@
 	"tuliprudder/internal/transport"
 )
 
-// What reading daemons ask a keeper; each has an expiry in its own body, so
-// that the keeper answers before the asker gives up.
+// What reading daemons ask a store; each has an deadline in its own body, so
+// that the store answers before the asker gives up.
 type (
-	// SubmitRequest hands a bundle in.
+	// SubmitRequest hands a batch in.
 	SubmitRequest struct {
 		Shard   int
 		Batch   shard.Batch
 		Timeout clock.Micros
 	}
-	// SubmitResponse is the answer once the bundle is on two disks.
+	// SubmitResponse is the answer once the batch is on two disks.
 	SubmitResponse struct {
 		Batch    string
 		Items    int
 		Repeated bool
 		Store    string
 	}
-	// EndRequest ends a bundle.
+	// EndRequest ends a batch.
 	EndRequest struct {
 		Shard         int
 		Batch, Tenant string
 		AnyTenant     bool // see BatchStatusRequest
 		Timeout       clock.Micros
 	}
-	// BatchStatusRequest asks how a bundle stands.
+	// BatchStatusRequest asks how a batch stands.
 	BatchStatusRequest struct {
 		Shard         int
 		Batch, Tenant string
-		AnyTenant     bool // the caller carries no key: a bundle without one is found by its name alone
-		Operator      bool // of any customer, with its items' servers
+		AnyTenant     bool // the caller carries no key: a batch without one is found by its name alone
+		Operator      bool // of any tenant, with its items' servers
 	}
-	// BatchStatus is how a bundle stands at its keeper.
+	// BatchStatus is how a batch stands at its store.
 	BatchStatus struct {
 		Batch       string         `json:"bundle"`
 		Route       string         `json:"route"`
@@ -53,16 +53,16 @@
 		Tenant      string         `json:"customer"`
 		Results     []shard.Result `json:"rows"` // for operators
 	}
-	// ReadRequest reads rows after a vector, up to a vector: of one bundle, or of
-	// all a customer's bundles in the slots named with their epochs.
+	// ReadRequest reads rows after a vector, up to a vector: of one batch, or of
+	// all a tenant's batches in the shards named with their epochs.
 	ReadRequest struct {
 		Shards        map[int]uint64
 		Batch, Tenant string
 		AnyTenant     bool // see BatchStatusRequest
 		After         token.Vector
-		Bound         map[int]token.Vector // by slot
+		Bound         map[int]token.Vector // by shard
 		Limit         int
-		// Indexed reads one bundle's own list by index instead: from From on, as
+		// Indexed reads one batch's own list by index instead: from From on, as
 		// far as every row before is readable, with at most MaxBytes of outputs
 		// (0: no bound) but at least one row where one is readable.
 		Indexed  bool
@@ -73,9 +73,9 @@
 	ReadResponse struct {
 		Results []shard.Result
 		State   string
-		Items   int // all the bundle has, shelved or not
+		Items   int // all the batch has, shelved or not
 		More    bool
-		Index   int // of the first row in the bundle's list, where it was read by index
+		Index   int // of the first row in the batch's list, where it was read by index
 	}
 	// ItemBodyRequest asks for the body of an item, by its id, that is not listed yet.
 	ItemBodyRequest struct {
@@ -106,7 +106,7 @@
 	}
 	// CompleteClaimResponse answers it.
 	CompleteClaimResponse struct{ Done bool }
-	// StatusRequest asks for the keeper's own account of itself.
+	// StatusRequest asks for the store's own account of itself.
 	StatusRequest struct{ Brief bool }
 	// StatusResponse is that account.
 	StatusResponse struct {
@@ -119,7 +119,7 @@
 		Unfinished    int           `json:"unfinished"`
 		Shards        []ShardStatus `json:"slots"`
 	}
-	// ShardStatus is one slot of it.
+	// ShardStatus is one shard of it.
 	ShardStatus struct {
 		Shard   int    `json:"slot"`
 		Role    string `json:"role"`
@@ -134,12 +134,12 @@
 		ID, Zone, Peer string
 		Name           string // the operator's name of the machine; "": none
 		Incarnation    uint64
-		Ready          map[int]uint64 // slots copied, by epoch
+		Ready          map[int]uint64 // shards copied, by epoch
 		Fleet          string         // "" before a core gave it a writer id
 		Draining       bool
 		Stalled        bool                        // its disk holds writes back
-		Unreachable    map[int]UnreachableReplicas // of the slots it leads
-		Busy           []int                       // owned slots with bundles that are open: moving them runs items again
+		Unreachable    map[int]UnreachableReplicas // of the shards it leads
+		Busy           []int                       // owned shards with batches that are open: moving them runs items again
 	}
 	// UnreachableReplicas are the replicas that don't answer the primary of an epoch, by
 	// their addresses.
--- a/internal/batchstore/pending_weights.go
+++ b/internal/batchstore/pending_weights.go
@@ -7,10 +7,10 @@
 )
 
 // What waits of the requests that are passed on is counted from the ledger itself
-// (DESIGN §11.3, §12.5): what was accepted counts at its slot's owner from the
+// (DESIGN §11.3, §12.5): what was accepted counts at its shard's owner from the
 // moment it is written, through restarts and passages, until it is listed or ended.
 
-// formerShardGrace is how long a slot that passed on still counts here: its new owner has
+// formerShardGrace is how long a shard that passed on still counts here: its new owner has
 // told by then.
 const formerShardGrace = clock.Second
 
@@ -19,7 +19,7 @@
 	pending map[string]int
 }
 
-// PendingWeights is what the requests that wait or run here count for, by customer.
+// PendingWeights is what the requests that wait or run here count for, by tenant.
 func (k *Store) PendingWeights(now clock.Micros) map[string]int {
 	out := map[string]int{}
 	for _, group := range k.groups.All() {
@@ -35,7 +35,7 @@
 	return out
 }
 
-// countsShard tells whether a slot's work counts here: at its owner, and at one that
+// countsShard tells whether a shard's work counts here: at its owner, and at one that
 // was its owner in an earlier life until another is.
 func (k *Store) countsShard(group *replication.Group) bool {
 	if group.IsPrimary() {
@@ -45,7 +45,7 @@
 	return group.Role == replication.Idle && shard < len(k.clusterMap.Shards) && k.clusterMap.Shards[shard].Primary.ID == k.self.ID
 }
 
-// rememberFormerShard keeps what a slot counted for in mind for a while.
+// rememberFormerShard keeps what a shard counted for in mind for a while.
 func (k *Store) rememberFormerShard(unit string, now clock.Micros) {
 	kept := k.formerShards[:0]
 	for _, former := range k.formerShards {
@@ -62,7 +62,7 @@
 	}
 }
 
-// pendingWeights counts a slot's requests that are not listed.
+// pendingWeights counts a shard's requests that are not listed.
 func pendingWeights(state *shard.State) map[string]int {
 	out := map[string]int{}
 	for _, batch := range state.Batches {
@@ -78,5 +78,5 @@
 	return out
 }
 
-// HasClusterMap tells whether the keeper knows which slots are its own.
+// HasClusterMap tells whether the store knows which shards are its own.
 func (k *Store) HasClusterMap() bool { return k.clusterMap.Seq > 0 }
--- a/internal/batchstore/pending_weights_test.go
+++ b/internal/batchstore/pending_weights_test.go
@@ -18,7 +18,7 @@
 }
 
 // What was accepted counts from the write on; at a store that starts again, until
-// another owns the slot; and at the one that lost it for a while longer. (Ghent's
+// another owns the shard; and at the one that lost it for a while longer. (Ghent's
 // scale-1, seed 117614157011: a store that restarted told that it held nothing.)
 func TestAcceptedWorkCountsThroughARestart(t *testing.T) {
 	b := newBench(t)
@@ -39,7 +39,7 @@
 	if got := again.PendingWeights(b.now)["route"]; got != 0 {
 		t.Fatalf("%d tokens wait where another owns the slot", got)
 	}
-	// One that loses the slot while it serves counts it until the other has told.
+	// One that loses the shard while it serves counts it until the other has told.
 	owner := b.keepers["a"]
 	owner.Do(mapNews(11, 2, "b", "a", 1), b.now)
 	if got := owner.PendingWeights(b.now)["route"]; got != 33 {
--- a/internal/batchstore/reconcile.go
+++ b/internal/batchstore/reconcile.go
@@ -67,13 +67,13 @@
 	})
 }
 
-// CorePeers tells the keeper the cores' addresses.
+// CorePeers tells the store the cores' addresses.
 type CorePeers struct{ Peers []string }
 
 // Apply notes them.
 func (c CorePeers) Apply(k *Store, _ clock.Micros) { k.cores = c.Peers }
 
-// UpdateReceived is a rumour from the acquaintance.
+// UpdateReceived is an update from gossip.
 type UpdateReceived struct{ Update machine.Update }
 
 // Apply takes a new map, and the announcements that settle orphans.
@@ -122,7 +122,7 @@
 	}
 }
 
-// reconcileRoles works out the difference between the map and what this keeper does.
+// reconcileRoles works out the difference between the map and what this store does.
 //
 //revive:disable-next-line:cyclomatic still to be split (issue 18)
 func (k *Store) reconcileRoles(now clock.Micros) {
--- a/internal/batchstore/replicated_state.go
+++ b/internal/batchstore/replicated_state.go
@@ -11,13 +11,13 @@
 
 // This file is what the replication group asks of the store that holds its state.
 
-// Snapshot is the slot's whole state for a copy.
+// Snapshot is the shard's whole state for a copy.
 func (k *Store) Snapshot(unit string) [][]byte { return k.shard(unit).state.Snapshot(k.unarchive) }
 
 // LocalSnapshot is its state for this daemon's own disk.
 func (k *Store) LocalSnapshot(unit string) [][]byte { return k.shard(unit).state.Snapshot(nil) }
 
-// Restore replaces a slot's state.
+// Restore replaces a shard's state.
 func (k *Store) Restore(unit string, parts [][]byte) {
 	state, err := shard.Restore(parts)
 	if err != nil {
@@ -55,7 +55,7 @@
 	delete(k.pendingCalls[unit], seq)
 }
 
-// startItems hands a bundle's open items to the path.
+// startItems hands a batch's open items to the path.
 func (k *Store) startItems(unit, id string) {
 	p := k.shard(unit)
 	batch := p.state.Batches[id]
@@ -74,7 +74,7 @@
 // GroupReady tells the cores that a copy is on two disks.
 func (k *Store) GroupReady(_ string, _ uint64, now clock.Micros) { k.sendHeartbeats(now) }
 
-// Deposed says "outcome unknown" to who waits and leaves the slot's unfinished
+// Deposed says "outcome unknown" to who waits and leaves the shard's unfinished
 // positions open until its new owner has settled.
 func (k *Store) Deposed(unit string, epoch uint64, now clock.Micros) {
 	k.failPendingCalls(unit, "the slot passed to another keeper")
--- a/internal/batchstore/results.go
+++ b/internal/batchstore/results.go
@@ -52,7 +52,7 @@
 		group := k.groups.Group(unit)
 		batch := k.shard(unit).state.Batches[f.result.Batch]
 		if !group.IsPrimary() || batch == nil || batch.State != shard.Open || f.result.Item < 0 || f.result.Item >= len(batch.Items) || batch.HasResult(f.result.Item) {
-			continue // another keeper runs it, or it needs no row any more
+			continue // another store runs it, or it needs no row any more
 		}
 		if group.Role != replication.Serving {
 			k.pendingResults = append(k.pendingResults, f)
--- a/internal/batchstore/shard/raw_entries.go
+++ b/internal/batchstore/shard/raw_entries.go
@@ -6,8 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// The bodies of requests are most of what a bundle weighs. In the entry that takes a
-// bundle in they lie as they are behind the rest, which is JSON: text for them would
+// The bodies of requests are most of what a batch weighs. In the entry that takes a
+// batch in they lie as they are behind the rest, which is JSON: text for them would
 // cost a third more bytes on two disks and a wire, and the time to turn them round.
 
 func encodeRaw(e SubmitBatch) []byte {
--- a/internal/batchstore/shard/raw_entries_test.go
+++ b/internal/batchstore/shard/raw_entries_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A bundle with bodies comes back as it was, whatever bytes they are; cut anywhere it
-// is an error, never a bundle with less in it.
+// A batch with bodies comes back as it was, whatever bytes they are; cut anywhere it
+// is an error, never a batch with less in it.
 func TestBodiesComeBack(t *testing.T) {
 	submit := SubmitBatch{Batch: Batch{ID: "b", Tenant: "c", State: Open, Items: []Item{
 		{ID: "1", Request: &Request{Target: "/x", Host: "h", Header: map[string]string{"a": "b"}, Body: []byte{0, 1, 255, '"', '}'}, Tokens: 7}},
--- a/internal/batchstore/shard/shard.go
+++ b/internal/batchstore/shard/shard.go
@@ -1,4 +1,4 @@
-// Package shard is the state of one slot (DESIGN §6): its bundles with their
+// Package shard is the state of one shard (DESIGN §6): its batches with their
 // one ordered list of results each, and the claims on one-shot orders.
 package shard
 
@@ -13,7 +13,7 @@
 	"tuliprudder/internal/machine"
 )
 
-// ShardOf is the slot a bundle or claim belongs to.
+// ShardOf is the shard a batch or claim belongs to.
 func ShardOf(id string, shards int) int {
 	h := fnv.New64a()
 	h.Write([]byte(id))
@@ -24,7 +24,7 @@
 	return int(sum % uint64(shards))
 }
 
-// Item is one order of a bundle: an input for the route's model, or a request to
+// Item is one order of a batch: an input for the route's model, or a request to
 // be passed on to a server unchanged.
 type Item struct {
 	ID      string   `json:"id"`
@@ -71,17 +71,17 @@
 	Server   string `json:"server,omitempty"`
 }
 
-// BatchState of a bundle.
+// BatchState of a batch.
 type BatchState string
 
-// Batch is one bundle and its list. Inputs and bodies go once their row is in.
+// Batch is one batch and its list. Inputs and bodies go once their row is in.
 type Batch struct {
 	ID                   string           `json:"id"`
 	Tenant               string           `json:"customer"`
 	Key                  string           `json:"key"`
 	Hash                 string           `json:"hash"`
 	Route                string           `json:"route"`
-	ConfigurationVersion uint64           `json:"plan,omitempty"` // version of the plan it was handed in under
+	ConfigurationVersion uint64           `json:"plan,omitempty"` // version of the configuration it was handed in under
 	Items                []Item           `json:"items"`
 	State                BatchState       `json:"state"`
 	SubmittedAt          clock.Micros     `json:"enrolled"`
@@ -92,7 +92,7 @@
 	archiving            bool
 }
 
-// ArchiveLocation is where a settled bundle's rows lie on this daemon's own disk, and what
+// ArchiveLocation is where a settled batch's rows lie on this daemon's own disk, and what
 // has to be known of them without looking.
 type ArchiveLocation struct {
 	File          uint64        `json:"file"`
@@ -101,7 +101,7 @@
 	LastPositions map[int]int64 `json:"last"` // highest position of each writer
 }
 
-// Counts are the bundle's items and rows, shelved or not.
+// Counts are the batch's items and rows, shelved or not.
 func (b *Batch) Counts() (items, results int) {
 	if b.Archived != nil {
 		return b.Archived.Items, b.Archived.Results
@@ -109,16 +109,16 @@
 	return len(b.Items), len(b.Results)
 }
 
-// IsArchivable tells whether the bundle may be shelved.
+// IsArchivable tells whether the batch may be shelved.
 func (b *Batch) IsArchivable() bool { return b.State != Open && b.Archived == nil && !b.archiving }
 
-// MarkArchiving marks the bundle as on its way to the shelf.
+// MarkArchiving marks the batch as on its way to the shelf.
 func (b *Batch) MarkArchiving() { b.archiving = true }
 
 // IsArchiving tells whether it is on its way there.
 func (b *Batch) IsArchiving() bool { return b.archiving }
 
-// Encode is the whole bundle, for the shelf.
+// Encode is the whole batch, for the shelf.
 func (b *Batch) Encode() []byte {
 	unarchive := *b
 	unarchive.Archived = nil
@@ -135,7 +135,7 @@
 	b.Archived, b.archiving, b.Results, b.Items, b.hasResult = location, false, nil, nil, nil
 }
 
-// DecodeArchived reads a whole bundle from what the shelf holds.
+// DecodeArchived reads a whole batch from what the shelf holds.
 func DecodeArchived(data []byte) (*Batch, error) {
 	var b Batch
 	if err := json.Unmarshal(data, &b); err != nil {
@@ -171,7 +171,7 @@
 	At        clock.Micros `json:"at"`
 }
 
-// Ownership is one writer's run of rows in a slot; the next one's rows all lie
+// Ownership is one writer's run of rows in a shard; the next one's rows all lie
 // above it.
 type Ownership struct {
 	Writer int   `json:"writer"`
@@ -186,16 +186,16 @@
 type State struct {
 	Batches       map[string]*Batch
 	Claims        map[string]*Claim
-	LastPositions map[int]int64 // highest position of each writer in this slot
+	LastPositions map[int]int64 // highest position of each writer in this shard
 	Ownerships    []Ownership   // the newest runs, in the order of their positions
 }
 
-// New is an empty slot.
+// New is an empty shard.
 func New() *State {
 	return &State{Batches: map[string]*Batch{}, Claims: map[string]*Claim{}, LastPositions: map[int]int64{}}
 }
 
-// HasOpenBatch tells whether any bundle of the slot is open.
+// HasOpenBatch tells whether any batch of the shard is open.
 func (s *State) HasOpenBatch() bool {
 	for _, batch := range s.Batches {
 		if batch.State == Open {
@@ -205,7 +205,7 @@
 	return false
 }
 
-// HighestPosition is the highest position any row of the slot holds.
+// HighestPosition is the highest position any row of the shard holds.
 func (s *State) HighestPosition() int64 {
 	top := int64(0)
 	for _, position := range s.LastPositions {
@@ -214,7 +214,7 @@
 	return top
 }
 
-// Entry is one change of a slot: a command on it.
+// Entry is one change of a shard: a command on it.
 type Entry interface {
 	Apply(s *State)
 	kind() string
@@ -222,15 +222,15 @@
 
 // The changes there are. Their JSON is on the disks of the stores; the keys never change.
 type (
-	// SubmitBatch takes a bundle in.
+	// SubmitBatch takes a batch in.
 	SubmitBatch struct {
 		Batch Batch `json:"Bundle"`
 	}
-	// ListResult puts a result into its bundle's list.
+	// ListResult puts a result into its batch's list.
 	ListResult struct {
 		Result Result `json:"Row"`
 	}
-	// EndBatch stops a bundle for good.
+	// EndBatch stops a batch for good.
 	EndBatch struct {
 		Batch string       `json:"Bundle"`
 		At    clock.Micros `json:"At"`
@@ -252,21 +252,21 @@
 	}
 )
 
-// ClaimID is the name of a claim; BatchID of a bundle. Both come from the
-// customer and the key alone, so a repeated key meets itself at any daemon.
+// ClaimID is the name of a claim; BatchID of a batch. Both come from the
+// tenant and the key alone, so a repeated key meets itself at any daemon.
 func ClaimID(tenant, key string) string { return claimPrefix + digest(tenant, key) }
 
-// BatchID is the name of the bundle of a customer's key.
+// BatchID is the name of the batch of a tenant's key.
 func BatchID(tenant, key string) string { return batchPrefix + digest(tenant, key) }
 
-// Apply takes the bundle in.
+// Apply takes the batch in.
 func (e SubmitBatch) Apply(s *State) {
 	batch := e.Batch
 	batch.hasResult = map[int]bool{}
 	s.Batches[batch.ID] = &batch
 }
 
-// Apply lists the row, unless its item already has one or the bundle is gone.
+// Apply lists the row, unless its item already has one or the batch is gone.
 func (e ListResult) Apply(s *State) {
 	s.LastPositions[e.Result.Writer] = max(s.LastPositions[e.Result.Writer], e.Result.Position)
 	s.recordOwnership(e.Result.Writer, e.Result.Position)
@@ -294,7 +294,7 @@
 	}
 }
 
-// Apply ends the bundle; results listed so far stay.
+// Apply ends the batch; results listed so far stay.
 func (e EndBatch) Apply(s *State) {
 	if batch := s.Batches[e.Batch]; batch != nil && batch.State == Open {
 		batch.State, batch.ChangedAt = Ended, e.At
@@ -366,7 +366,7 @@
 	Ownerships    []Ownership   `json:"tenures,omitempty"`
 }
 
-// Snapshot is the whole slot in parts, in a fixed order; whole brings in what is
+// Snapshot is the whole shard in parts, in a fixed order; whole brings in what is
 // shelved, or is nil to leave it where it lies.
 func (s *State) Snapshot(unarchive func(*Batch) *Batch) [][]byte {
 	var out [][]byte
@@ -388,7 +388,7 @@
 	return out
 }
 
-// Restore makes a slot from parts.
+// Restore makes a shard from parts.
 func Restore(parts [][]byte) (*State, error) {
 	s := New()
 	for _, data := range parts {
--- a/internal/batchstore/shard/stored_names.go
+++ b/internal/batchstore/shard/stored_names.go
@@ -20,7 +20,7 @@
 	StatusFailed = "failed"
 )
 
-// The states of a bundle. These spellings are on disk; they never change.
+// The states of a batch. These spellings are on disk; they never change.
 const (
 	Open  BatchState = "open"
 	Done  BatchState = "done"
@@ -34,7 +34,7 @@
 	Voided   = "turned-away"
 )
 
-// What the names of claims and of bundles begin with. These spellings are on disk, and
+// What the names of claims and of batches begin with. These spellings are on disk, and
 // callers hold them; they never change.
 const (
 	claimPrefix = "c-"
--- a/internal/batchstore/store.go
+++ b/internal/batchstore/store.go
@@ -1,4 +1,4 @@
-// Package batchstore is the machine of a store daemon (DESIGN §6): it holds slots
+// Package batchstore is the machine of a store daemon (DESIGN §6): it holds shards
 // as owner or backup, gives positions to results, and announces its
 // persisted-up-to position to the readers itself.
 package batchstore
@@ -17,11 +17,11 @@
 	"tuliprudder/internal/replication"
 )
 
-// Settings of a keeper; the defaults are ours.
+// Settings of a store; the defaults are ours.
 type Settings struct {
-	MaxItems       int          // items that wait, over all its slots
+	MaxItems       int          // items that wait, over all its shards
 	CompactAfter   int          // stores between two views on disk
-	RetainFinished clock.Micros // how long a finished bundle stays readable
+	RetainFinished clock.Micros // how long a finished batch stays readable
 	HeartbeatEvery clock.Micros
 	AnnounceEvery  clock.Micros
 	DiskTimeout    clock.Micros // a write that takes longer means a stalled disk
@@ -35,7 +35,7 @@
 		DiskTimeout: 1500 * clock.Millisecond, DiskProbation: 5 * clock.Second}
 }
 
-// Self says who the keeper is.
+// Self says who the store is.
 type Self struct {
 	ID, Zone, Peer string
 	Incarnation    uint64
@@ -54,13 +54,13 @@
 	Input                string
 	Request              *shard.Request // passed on unchanged; nil where there is an input
 	SubmittedAt          clock.Micros
-	ConfigurationVersion uint64 // version of the plan it was handed in under
+	ConfigurationVersion uint64 // version of the configuration it was handed in under
 }
 
-// CancelItems tells the path to drop what it still has of a bundle, or of a slot.
+// CancelItems tells the path to drop what it still has of a batch, or of a shard.
 type CancelItems struct {
 	Batch string
-	Shard int // -1 when a bundle is meant
+	Shard int // -1 when a batch is meant
 }
 
 type shardState struct {
@@ -102,7 +102,7 @@
 	assignedPositions      map[string]map[uint64]int64 // unit, entry -> position
 	submittedBatches       map[string]map[uint64]string
 	orphanedPositions      []orphanedPositions
-	formerShards           []formerShard   // slots that passed on, counted for a while
+	formerShards           []formerShard   // shards that passed on, counted for a while
 	pendingResults         []pendingResult // results that wait for a position or a serving pair
 	announcementSeq        uint64
 	announceNeeded         bool
@@ -117,7 +117,7 @@
 	// SkipDurability is a fault planted by tests: positions count as finished
 	// before they are durable.
 	SkipDurability bool
-	// RejectAfterWrite is a fault planted by tests: a bundle is turned away after its
+	// RejectAfterWrite is a fault planted by tests: a batch is turned away after its
 	// entry was written.
 	RejectAfterWrite bool
 	// SkipLease is a fault planted by tests: asks are answered without a lease.
@@ -126,12 +126,12 @@
 	archive         Archive
 	lastArchiveFile uint64 // last file put on the shelf
 	archiveFiles    map[uint64]bool
-	// BatchesArchived counts bundles put away; Damaged is told of one that can't be read.
+	// BatchesArchived counts batches put away; Damaged is told of one that can't be read.
 	BatchesArchived int64
 	OnDamage        func(error)
 }
 
-// Unit is the name of a slot's pair.
+// Unit is the name of a shard's pair.
 func Unit(shard int) string { return fmt.Sprintf(unitShard+"%03d", shard) }
 
 func shardOfUnit(unit string) int {
@@ -144,7 +144,7 @@
 	Writer int    `json:"writer"`
 }
 
-// New makes a keeper from what was read back from its disk.
+// New makes a store from what was read back from its disk.
 func New(self Self, set Settings, records []machine.Record, shelf Archive) *Store {
 	k := &Store{set: set, self: self, archive: shelf, lastArchiveFile: shelf.LastFile(), archiveFiles: map[uint64]bool{}, shards: map[string]*shardState{},
 		pendingCalls: map[string]map[uint64][]pendingCall{}, assignedPositions: map[string]map[uint64]int64{},
@@ -169,7 +169,7 @@
 	return k
 }
 
-// Command is an input of the keeper.
+// Command is an input of the store.
 type Command = machine.Command[*Store]
 
 // Do applies a command and hands over the effects.
@@ -203,14 +203,14 @@
 // Groups is the replication groups of this store, for tests and operators.
 func (k *Store) Groups() *replication.Groups { return k.groups }
 
-// Writer is the keeper's writer id; 0 before the core gave it one.
+// Writer is the store's writer id; 0 before the core gave it one.
 func (k *Store) Writer() int { return k.writer }
 
-// Fleet is the fleet the keeper belongs to.
+// Fleet is the fleet the store belongs to.
 func (k *Store) Fleet() string { return k.fleet }
 
-// MayStart tells, right before a start on a server, whether this keeper may
-// start work of a bundle: epoch, fresh lease, and the bundle still open.
+// MayStart tells, right before a start on a server, whether this store may
+// start work of a batch: epoch, fresh lease, and the batch still open.
 func (k *Store) MayStart(shardIndex int, bundle string, item int, now clock.Micros) bool {
 	group := k.groups.Group(Unit(shardIndex))
 	if group.Role != replication.Serving || now >= group.LeaseUntil() {
--- a/internal/batchstore/store_test.go
+++ b/internal/batchstore/store_test.go
@@ -29,7 +29,7 @@
 func (s shelf) Files() []uint64  { return nil }
 func (s shelf) LastFile() uint64 { return 0 }
 
-// bench is a pair of keepers that serves the one slot there is; the disks sync at
+// bench is a pair of stores that serves the one shard there is; the disks sync at
 // once unless held.
 type bench struct {
 	t       *testing.T
@@ -131,7 +131,7 @@
 	}
 }
 
-// lot is a bundle of opaque items, handed in without a key.
+// lot is a batch of opaque items, handed in without a key.
 func lot(id string, items int) SubmitRequest {
 	batch := shard.Batch{ID: id, Tenant: "route", Hash: "h", Route: "route"}
 	for i := 0; i < items; i++ {
@@ -142,7 +142,7 @@
 }
 
 // An opaque item reaches the path whole; its body is let go once it is listed or
-// its bundle has ended, what it counts for stays, and a run under way keeps it.
+// its batch has ended, what it counts for stays, and a run under way keeps it.
 func TestBodiesGoOnceNobodyNeedsThem(t *testing.T) {
 	b := newBench(t)
 	b.must(lot("one", 2))
@@ -183,7 +183,7 @@
 	}
 }
 
-// Without a fresh lease a keeper does not deny an item: its successor may have it.
+// Without a fresh lease a store does not deny an item: its successor may have it.
 func TestAnItemIsDeniedOnlyUnderALease(t *testing.T) {
 	b := newBench(t)
 	b.refused(errs.NotFound, ItemBodyRequest{Batch: "one", Item: "i0"})
@@ -191,7 +191,7 @@
 	b.refused(errs.NotReady, ItemBodyRequest{Batch: "one", Item: "i0"})
 }
 
-// A bundle without a key is anyone's who knows its name; a customer's stays its own.
+// A batch without a key is anyone's who knows its name; a tenant's stays its own.
 func TestAnyoneFindsWhatWasHandedInWithoutAKey(t *testing.T) {
 	b := newBench(t)
 	b.must(lot("one", 1))
--- a/internal/batchstore/tick.go
+++ b/internal/batchstore/tick.go
@@ -13,7 +13,7 @@
 
 // This file is what a store does as time passes: heartbeats, announcements, forgetting.
 
-// Tick lets the keeper do what is due.
+// Tick lets the store do what is due.
 type Tick struct{}
 
 // Apply does what is due.
@@ -91,7 +91,7 @@
 	}
 }
 
-// UnderReplicated counts what puts promises at risk here: owned slots without their
+// UnderReplicated counts what puts promises at risk here: owned shards without their
 // second copy, and how long the oldest result has waited to be announced.
 func (k *Store) UnderReplicated(now clock.Micros) (copies int64, oldest clock.Micros) {
 	for _, group := range k.groups.All() {
@@ -125,7 +125,7 @@
 	k.Emit(machine.Publish{Update: machine.Update{Key: token.Key(k.writer), Epoch: k.self.Incarnation, Seq: k.announcementSeq, Value: value}})
 }
 
-// forgetExpired drops finished bundles and claims past their keeping.
+// forgetExpired drops finished batches and claims past their keeping.
 func (k *Store) forgetExpired(now clock.Micros) {
 	for _, group := range k.groups.All() {
 		if group.Role != replication.Serving {
@@ -151,7 +151,7 @@
 	k.deleteUnusedArchives(nil)
 }
 
-// OwnedShards is how many slots this keeper owns in any role of an owner.
+// OwnedShards is how many shards this store owns in any role of an owner.
 func (k *Store) OwnedShards() int {
 	count := 0
 	for _, group := range k.groups.All() {
--- a/internal/batchstore/token/position_view.go
+++ b/internal/batchstore/token/position_view.go
@@ -8,17 +8,17 @@
 	"tuliprudder/internal/machine"
 )
 
-// OwnedShard is a slot that a writer serves, as it announces it.
+// OwnedShard is a shard that a writer serves, as it announces it.
 type OwnedShard struct {
 	Shard         int           `json:"slot"`
 	Epoch         uint64        `json:"epoch"`
 	LastPositions map[int]int64 `json:"last"` // where each former writer's rows end
-	// Ownerships are the slot's newest runs of rows, writer by writer.
+	// Ownerships are the shard's newest runs of rows, writer by writer.
 	Ownerships []shard.Ownership `json:"tenures,omitempty"`
 }
 
 // Announcement is a writer's own word: its persisted-up-to position and the
-// slots it serves. It is complete each time, so a lost one is mended by the
+// shards it serves. It is complete each time, so a lost one is mended by the
 // next or by a digest.
 type Announcement struct {
 	Writer        int          `json:"writer"`
@@ -28,10 +28,10 @@
 	Shards        []OwnedShard `json:"slots"`
 }
 
-// Key is the news key of a writer.
+// Key is the updates key of a writer.
 func Key(writer int) string { return fmt.Sprintf(KeyPrefix+"%d", writer) }
 
-// Owner is who serves a slot by the highest epoch announced.
+// Owner is who serves a shard by the highest epoch announced.
 type Owner struct {
 	Writer int
 	Peer   string
@@ -52,7 +52,7 @@
 	return &PositionView{announcements: map[int]Announcement{}, versions: map[int]machine.Update{}, owners: map[int]Owner{}, minEpochs: map[int]uint64{}}
 }
 
-// SetMap tells the view how many slots there are and their epochs.
+// SetMap tells the view how many shards there are and their epochs.
 func (v *PositionView) SetMap(epochs []uint64) {
 	v.shards = len(epochs)
 	for shard, epoch := range epochs {
@@ -83,7 +83,7 @@
 	return true
 }
 
-// Owner is who serves a slot; false while it is in passage.
+// Owner is who serves a shard; false while it is in passage.
 func (v *PositionView) Owner(shard int) (Owner, bool) {
 	owner, ok := v.owners[shard]
 	if !ok || owner.Epoch < v.minEpochs[shard] {
@@ -92,9 +92,9 @@
 	return owner, true
 }
 
-// ReadableInShard is how far a reader may read a writer's rows within one slot: the
-// writer's own word while it serves the slot; all that its successor settled
-// once the slot has passed on.
+// ReadableInShard is how far a reader may read a writer's rows within one shard: the
+// writer's own word while it serves the shard; all that its successor settled
+// once the shard has passed on.
 func (v *PositionView) ReadableInShard(shard int) Vector {
 	owner, ok := v.Owner(shard)
 	if !ok {
@@ -108,10 +108,10 @@
 	return out
 }
 
-// ReadableUpTo is the vector for reading over all slots. A writer that serves none any
-// more is read to its end once every slot has settled. A successor is held
-// below its first row in a slot only while a former writer's rows there can't be
-// read yet: so no bundle's order is turned round. It tells whether every slot
+// ReadableUpTo is the vector for reading over all shards. A writer that serves none any
+// more is read to its end once every shard has settled. A successor is held
+// below its first row in a shard only while a former writer's rows there can't be
+// read yet: so no batch's order is turned round. It tells whether every shard
 // has an owner to ask.
 func (v *PositionView) ReadableUpTo() (Vector, bool) {
 	complete := v.shards > 0
@@ -144,8 +144,8 @@
 	return out, complete
 }
 
-// holdBack keeps each writer below its first row in a slot while an earlier run of
-// that slot can't be read to its end; it tells whether anything changed. Holding
+// holdBack keeps each writer below its first row in a shard while an earlier run of
+// that shard can't be read to its end; it tells whether anything changed. Holding
 // one may hold others, so it is repeated until nothing changes.
 func (v *PositionView) holdBack(out Vector) bool {
 	changed := false
--- a/internal/batchstore/token/token_test.go
+++ b/internal/batchstore/token/token_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// A slot that passed on is read to the end its new writer settled, and the old
+// A shard that passed on is read to the end its new writer settled, and the old
 // writer's own rows elsewhere only up to its own word.
 func TestPassage(t *testing.T) {
 	v := twoWriters()
@@ -128,8 +128,8 @@
 	}
 }
 
-// While another slot of the old writer has not settled, the successor is held
-// below its first position, so that no bundle's order is turned round.
+// While another shard of the old writer has not settled, the successor is held
+// below its first position, so that no batch's order is turned round.
 func TestSuccessorIsHeldUntilThePredecessorIsRead(t *testing.T) {
 	v := NewPositionView()
 	v.SetMap([]uint64{1, 1, 1})
@@ -148,7 +148,7 @@
 	}
 }
 
-// A slot that passed on twice: the middle writer, who serves another slot, is
+// A shard that passed on twice: the middle writer, who serves another shard, is
 // held too while the first one's rows can't be read.
 func TestEveryLaterTenureIsHeld(t *testing.T) {
 	v := NewPositionView()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads and checks the operators' plans by hand (DESIGN §8):
+// Package config reads and checks the operators' configurations by hand (DESIGN §8):
 // every fault is reported with its path and its remedy, and unknown fields are
 // faults.
 package config
@@ -43,11 +43,11 @@
 	Batch      = "bundle"
 )
 
-// PriorityClass is a priority class: what customers pay for.
+// PriorityClass is a priority class: what tenants pay for.
 type PriorityClass struct {
 	Name     string
 	Priority int64
-	Quota    int64 // waiting work of one customer of this class
+	Quota    int64 // waiting work of one tenant of this class
 	Labels   Labels
 }
 
@@ -93,9 +93,9 @@
 	MaxAttempts      int64           // most servers that one request, or attempts that one item, may take
 	LatencyTarget    clock.Micros    // within which an answer is worth most
 	MaxEventGap      clock.Micros    // longest pause between events of a stream that is in time
-	CompletionWindow clock.Micros    // within which a bundle's results are due
-	ItemRetention    clock.Micros    // after which an item of a bundle may be given up
-	MaxQueuedTokens  int64           // tokens of bundles that may wait on the route; 0: no limit
+	CompletionWindow clock.Micros    // within which a batch's results are due
+	ItemRetention    clock.Micros    // after which an item of a batch may be given up
+	MaxQueuedTokens  int64           // tokens of batches that may wait on the route; 0: no limit
 	Split            []WeightedPools // where requests go instead of Pools, by share
 }
 
@@ -111,7 +111,7 @@
 	HeaderTimeout, IdleTimeout   clock.Micros
 }
 
-// ParseFunc turns an operator's document into a plan; Parse is the product's own.
+// ParseFunc turns an operator's document into a configuration; Parse is the product's own.
 type ParseFunc func(document []byte) (*Configuration, error)
 
 // Configuration is a whole configuration.
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// TenantByKey finds a customer and its class by the key it carries.
+// TenantByKey finds a tenant and its class by the key it carries.
 func (c *Configuration) TenantByKey(key string) (*Tenant, *PriorityClass, bool) {
 	tenant := c.tenantsByKey[key]
 	if tenant == nil {
@@ -152,7 +152,7 @@
 	return tenant, c.classesByName[tenant.Class], true
 }
 
-// ClassOfTenant is the class of a customer by name; nil when the plan has none.
+// ClassOfTenant is the class of a tenant by name; nil when the configuration has none.
 func (c *Configuration) ClassOfTenant(tenant string) *PriorityClass {
 	found := c.tenantsByName[tenant]
 	if found == nil {
@@ -161,8 +161,8 @@
 	return c.classesByName[found.Class]
 }
 
-// Lookup finds a route and a customer's class by their names; nil for what is not
-// in the plan.
+// Lookup finds a route and a tenant's class by their names; nil for what is not
+// in the configuration.
 func (c *Configuration) Lookup(route, tenant string) (*Route, *PriorityClass) {
 	return c.routesByName[route], c.ClassOfTenant(tenant)
 }
@@ -209,15 +209,15 @@
 	return false
 }
 
-// ScorerNames are the judges a plan may weigh.
+// ScorerNames are the judges a configuration may weigh.
 var ScorerNames = []string{"fullness", "prefix", "speed", "spread", "reading", "silence", "turn"}
 
-// DefaultScorerWeights are the judges' weights where a plan names none.
+// DefaultScorerWeights are the judges' weights where a configuration names none.
 func DefaultScorerWeights() map[string]float64 {
 	return map[string]float64{"fullness": 4, "prefix": 6, "speed": 1, "spread": 1}
 }
 
-// Parse reads a plan and reports every fault in it.
+// Parse reads a configuration and reports every fault in it.
 func Parse(data []byte) (*Configuration, error) {
 	p := &parser{}
 	var tree any
@@ -239,7 +239,7 @@
 	return err
 }
 
-// Index prepares a plan that was put together by hand for look-ups.
+// Index prepares a configuration that was put together by hand for look-ups.
 func (c *Configuration) Index() {
 	c.tenantsByKey, c.tenantsByName = map[string]*Tenant{}, map[string]*Tenant{}
 	c.classesByName, c.routesByName = map[string]*PriorityClass{}, map[string]*Route{}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// Every fault of a plan is reported with its path, all in one answer.
+// Every fault of a configuration is reported with its path, all in one answer.
 func TestEveryFaultHasItsPath(t *testing.T) {
 	err := Validate([]byte(`{"classes":[{"name":"a","rank":0,"allowance":-3},{"name":"a","rank":1.5},{"name":"b c","rank":1,"allowance":1,"hue":2}],
 	 "customers":[{"name":"x","key":"k","class":"zz"},{"name":"y","key":"k","class":"a"}],
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -291,7 +291,7 @@
 	return route
 }
 
-// pools reads a selector that has to match one of the plan's pools.
+// pools reads a selector that has to match one of the configuration's pools.
 func (p *parser) pools(path string, value any, configuration *Configuration) Selector {
 	selector, matched := p.selector(path, value), false
 	for _, pool := range configuration.Pools {
--- a/internal/controlplane/configurations.go
+++ b/internal/controlplane/configurations.go
@@ -210,7 +210,7 @@
 	return out
 }
 
-// publish hands what is confirmed to the membership's news.
+// publish hands what is confirmed to the membership's updates.
 func (s *Core) publish() {
 	if !s.IsServing() || s.inFlight != nil || s.state.Fleet == "" {
 		return
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -2,7 +2,7 @@
 // election of a primary by the cores with a vote, the control state that a replication
 // group of cores holds, and what the primary does for the fleet with it.
 //
-// A Core is a pure state machine: inputs are commands (messages, asks, clock events, the
+// A Core is a pure state machine: inputs are commands (messages, asks, ticks, the
 // disk's words), outputs are effects. It is not safe for concurrent use.
 package controlplane
 
@@ -33,10 +33,10 @@
 	StoreTimeout       clock.Micros // after which a store counts as gone
 	SettleDelay        clock.Micros // a new primary listens this long before it judges
 	BalanceEvery       clock.Micros // between two moves towards even shares
-	BalanceAfter       clock.Micros // a store lives this long before slots move to it
+	BalanceAfter       clock.Micros // a store lives this long before shards move to it
 	PartitionMemory    clock.Micros // two stores out of reach are not paired again before
 	CompactAfter       int          // changes on disk before a snapshot replaces them
-	MaxStaleness       clock.Micros // news older than this: the roll is not changed
+	MaxStaleness       clock.Micros // updates older than this: the roll is not changed
 	EvictAfter         clock.Micros // silence after which a store no longer counts
 	AssumeLostAfter    clock.Micros // after which a core takes those of the roll it does not hear for lost
 	CheckConfiguration func(body []byte) error
@@ -108,7 +108,7 @@
 	endpoints            map[string]machine.Update // the platform's words on servers
 	endpointsRepublished bool
 	disk                 diskProbationState
-	freshUntil           clock.Micros // up to when its news include what most of the roll knew
+	freshUntil           clock.Micros // up to when its updates include what most of the roll knew
 }
 
 // New makes a core from what was read back from its disk.
@@ -209,7 +209,7 @@
 	s.Emit(machine.Halt{Err: err})
 }
 
-// broadcastTimeout is how long a plan may take until most of the fleet know it.
+// broadcastTimeout is how long a configuration may take until most of the fleet know it.
 const broadcastTimeout = 2 * clock.Second
 
 // Confirmed answers the operator and takes the next change up.
@@ -249,7 +249,7 @@
 // Apply passes the word on to the pair.
 func (d Persisted) Apply(s *Core, now clock.Micros) { s.groups.Persisted(d.Token, now) }
 
-// Suspicion tells the core what the acquaintance thinks of a store.
+// Suspicion tells the core what gossip thinks of a store.
 type Suspicion struct {
 	ID        string
 	Unhealthy bool
@@ -312,7 +312,7 @@
 	}
 }
 
-// pauseThreshold is how long no clock event may come until what was heard before counts
+// pauseThreshold is how long no tick may come until what was heard before counts
 // as old: the process was stopped, and messages wait that it has not read yet.
 const pauseThreshold = clock.Second
 
--- a/internal/controlplane/core_test.go
+++ b/internal/controlplane/core_test.go
@@ -15,7 +15,7 @@
 // fakeStore is a store daemon as far as the cores see it: its beats.
 type fakeStore struct {
 	batchstore.Heartbeat
-	copies bool // says of each slot it owns that the copy is whole
+	copies bool // says of each shard it owns that the copy is whole
 	silent bool
 }
 
@@ -153,7 +153,7 @@
 	return answer
 }
 
-// fleet is three cores that have founded, three stores and their slots.
+// fleet is three cores that have founded, three stores and their shards.
 func fleet(t *testing.T, set Settings) *bench {
 	t.Helper()
 	return found(t, newBench(set))
@@ -179,7 +179,7 @@
 	return set
 }
 
-// settle waits until one core serves and every slot has a whole pair.
+// settle waits until one core serves and every shard has a whole pair.
 func (b *bench) settle(t *testing.T) {
 	t.Helper()
 	for i := 0; i < 400; i++ {
@@ -207,7 +207,7 @@
 // held keeps the pair's entries from the backup.
 func held(l letter) bool { _, entry := l.body.(replication.Append); return entry }
 
-// A plan carries the operator's own number: it has to be above the one in force,
+// A configuration carries the operator's own number: it has to be above the one in force,
 // and a stale base is told first.
 func TestConfigurationsCarryTheOperatorsNumber(t *testing.T) {
 	b := fleet(t, small())
@@ -243,8 +243,8 @@
 	}
 }
 
-// An exact repeat gets the same receipt, whatever its base and what came after it;
-// it writes nothing, and it too says that most of the roll know the plan.
+// An exact repeat gets the same acknowledgement, whatever its base and what came after it;
+// it writes nothing, and it too says that most of the roll know the configuration.
 func TestAnExactRepeatGetsTheSameAcknowledgement(t *testing.T) {
 	b := fleet(t, small())
 	core := b.primary()
@@ -319,7 +319,7 @@
 }
 
 // The latest version is read back whole, at the serving primary alone, and never
-// one that is in flight; an invalid plan is turned away before anything is written.
+// one that is in flight; an invalid configuration is turned away before anything is written.
 func TestTheLatestConfirmedConfigurationReadsBack(t *testing.T) {
 	set := small()
 	set.CheckConfiguration = func(body []byte) error {
@@ -480,7 +480,7 @@
 	}
 }
 
-// A store is retired only when no slot depends on it, those included whose new pair
+// A store is retired only when no shard depends on it, those included whose new pair
 // is not whole, and when the others' pairs are whole too.
 func TestRetiredOnlyWhenEveryPairIsWhole(t *testing.T) {
 	set := small()
@@ -522,7 +522,7 @@
 	if _, err := b.retire(t, RetireRequest{ID: fourth.ID, Cancel: true}); err != nil {
 		t.Fatal(err)
 	}
-	// The slots of the first have new pairs, but none is whole yet.
+	// The shards of the first have new pairs, but none is whole yet.
 	copies(false)
 	if _, err := b.retire(t, RetireRequest{ID: "store-1"}); err != nil {
 		t.Fatal(err)
@@ -712,7 +712,7 @@
 	}
 }
 
-// An empty store at the address of another: the former one's slots are paired anew
+// An empty store at the address of another: the former one's shards are paired anew
 // at once, and a beat of it that comes late does not bring it back.
 func TestAReplacedStoresShardsAreNotAwaited(t *testing.T) {
 	set := small()
--- a/internal/controlplane/disk_test.go
+++ b/internal/controlplane/disk_test.go
@@ -62,7 +62,7 @@
 	d.b.pump()
 }
 
-// primaryAcknowledges puts a plan at the primary and wants its receipt.
+// primaryAcknowledges puts a configuration at the primary and wants its acknowledgement.
 func (b *bench) primaryAcknowledges(t *testing.T, number, base uint64) {
 	t.Helper()
 	core := b.primary()
@@ -76,7 +76,7 @@
 	}
 }
 
-// latest is the plan in force at a core that serves.
+// latest is the configuration in force at a core that serves.
 func latest(core *Core) uint64 {
 	version, _ := core.State().Latest()
 	return version.Number
--- a/internal/controlplane/endpoints.go
+++ b/internal/controlplane/endpoints.go
@@ -15,7 +15,7 @@
 
 const maxEndpoints = 10_000
 
-// EndpointUpdate is the platform's word on a server, as the news have it.
+// EndpointUpdate is the platform's word on a server, as the updates have it.
 type EndpointUpdate struct{ Update machine.Update }
 
 // Apply writes it down where it is newer.
--- a/internal/controlplane/messages.go
+++ b/internal/controlplane/messages.go
@@ -97,7 +97,7 @@
 	RetireResponse struct {
 		ID         string
 		Done       bool
-		ShardsLeft int // slots that still depend on it
+		ShardsLeft int // shards that still depend on it
 	}
 	// StatusRequest asks a core for its own account.
 	StatusRequest struct{ Brief bool }
--- a/internal/controlplane/placement.go
+++ b/internal/controlplane/placement.go
@@ -12,7 +12,7 @@
 
 // This file assigns shards to stores (DESIGN §5.4, §6.6).
 
-// dependentShards counts the slots that still need a store.
+// dependentShards counts the shards that still need a store.
 func (s *Core) dependentShards(id string) int {
 	count := 0
 	for _, assignment := range s.state.Shards {
--- a/internal/controlplane/reconcile_test.go
+++ b/internal/controlplane/reconcile_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// Moves towards even shares leave slots whose bundles are open where they are, unless
+// Moves towards even shares leave shards whose batches are open where they are, unless
 // the shares are very uneven.
 func TestBusyShardsStayWhereTheyAre(t *testing.T) {
 	owners := func(p *Core) map[string]int {
--- a/internal/controlplane/restart_test.go
+++ b/internal/controlplane/restart_test.go
@@ -8,7 +8,7 @@
 	"tuliprudder/internal/machine"
 )
 
-// restarted is a core that is started again, and when its next clock event is due.
+// restarted is a core that is started again, and when its next tick is due.
 type restarted struct {
 	core *Core
 	due  clock.Micros
--- a/internal/controlplane/state/snapshot_test.go
+++ b/internal/controlplane/state/snapshot_test.go
@@ -81,7 +81,7 @@
 }
 
 // What the release before wrote is read: every configuration is recognised, the
-// newest read back, and stores and slots stand as they were.
+// newest read back, and stores and shards stand as they were.
 func TestTheReleaseBeforesStateIsRead(t *testing.T) {
 	data, err := os.ReadFile("testdata/release-before.json")
 	if err != nil {
@@ -169,7 +169,7 @@
 }
 
 // What every daemon is told does not grow with the stores that are gone: the newest
-// of them stay, and those that a slot refers to; no writer id is given again.
+// of them stay, and those that a shard refers to; no writer id is given again.
 func TestStoresThatAreGoneLeaveTheState(t *testing.T) {
 	s := New()
 	Bootstrap{Fleet: "f", Shards: 1}.Apply(s)
--- a/internal/controlplane/state/state.go
+++ b/internal/controlplane/state/state.go
@@ -1,6 +1,6 @@
 // Package state is the control state that the cores replicate (DESIGN §5): the
 // configurations, the stores with their permanent writer ids, and which stores hold
-// which slot under which epoch. It is bounded: neither a snapshot nor what every
+// which shard under which epoch. It is bounded: neither a snapshot nor what every
 // daemon is told grows with the number of changes.
 package state
 
@@ -73,7 +73,7 @@
 	coreWeight  = 1
 )
 
-// VoterWeights is who counts, by id, from the core's own news: the stores that are neither
+// VoterWeights is who counts, by id, from the core's own updates: the stores that are neither
 // retired nor struck off, and the cores that have seats. It is empty before a
 // store was enrolled. No two halves of it weigh the same.
 func VoterWeights(mapUpdate, coreUpdate []byte) map[string]int {
@@ -116,7 +116,7 @@
 
 // The changes there are. Their JSON is on the disks of the cores; the keys never change.
 type (
-	// Bootstrap begins a fleet with a fixed number of slots.
+	// Bootstrap begins a fleet with a fixed number of shards.
 	Bootstrap struct {
 		Fleet  string `json:"Fleet"`
 		Shards int    `json:"Slots"`
@@ -133,7 +133,7 @@
 		Cancel bool   `json:"Back"`
 		Done   bool   `json:"Done"`
 	}
-	// AssignShards writes down new pairings of slots.
+	// AssignShards writes down new pairings of shards.
 	AssignShards struct {
 		Shards map[int]replication.Assignment `json:"Slots"`
 	}
@@ -165,7 +165,7 @@
 	s.forgetDepartedStores()
 }
 
-// maxDepartedStores is how many stores that are struck or retired, and that no slot
+// maxDepartedStores is how many stores that are struck or retired, and that no shard
 // refers to, stay in the state: their names and lives answer for them for a while.
 const maxDepartedStores = 16
 
@@ -189,7 +189,7 @@
 	s.Stores = kept
 }
 
-// refersTo tells whether a slot's assignment names a store.
+// refersTo tells whether a shard's assignment names a store.
 func (s *State) refersTo(id string) bool {
 	for _, assignment := range s.Shards {
 		if assignment.MustKeep(id) || assignment.IsTrusted(id) {
--- a/internal/controlplane/state_size_test.go
+++ b/internal/controlplane/state_size_test.go
@@ -80,7 +80,7 @@
 	diskFiles   int           // files of them
 	startedIn   time.Duration // reading them back and making the core of them
 	heap        int64         // held by that core
-	mapBytes    int           // of news to every daemon
+	mapBytes    int           // of updates to every daemon
 }
 
 func (f figures) String() string {
--- a/internal/controlplane/stores.go
+++ b/internal/controlplane/stores.go
@@ -102,7 +102,7 @@
 
 // storeIncarnation tells whether a store is living, by its beats and by what the
 // others think of it: silence alone counts only after twice the time.
-// One that is struck is gone at once: its slots are paired anew (DESIGN §3.4).
+// One that is struck is gone at once: its shards are paired anew (DESIGN §3.4).
 func (s *Core) storeIncarnation(id string, now clock.Micros) (uint64, bool) {
 	heard, ok := s.stores[id]
 	if !ok || s.state.Stores[id].Evicted {
@@ -115,21 +115,21 @@
 	return heard.heartbeat.Incarnation, true
 }
 
-// FreshnessAdvanced tells up to when this daemon's news include what most of the roll knew.
+// FreshnessAdvanced tells up to when this daemon's updates include what most of the roll knew.
 type FreshnessAdvanced struct{ At clock.Micros }
 
 // Apply notes it.
 func (f FreshnessAdvanced) Apply(s *Core, _ clock.Micros) { s.freshUntil = max(s.freshUntil, f.At) }
 
 // hasQuorumContact tells whether this core hears most of the roll: only then may it take
-// somebody off it. Before the first plan there is nothing to keep apart. One that has
+// somebody off it. Before the first configuration there is nothing to keep apart. One that has
 // served for long without hearing most of the roll takes those it does not hear for
 // lost: otherwise a fleet that lost most of it at once would never come back.
 func (s *Core) hasQuorumContact(now clock.Micros) bool {
 	return !s.state.Configured() || now-s.freshUntil <= s.set.MaxStaleness || now-max(s.freshUntil, s.servingSince) > s.set.AssumeLostAfter
 }
 
-// evictUnreachableStores takes a store off the roll that has been silent for long and that no slot
+// evictUnreachableStores takes a store off the roll that has been silent for long and that no shard
 // depends on, so that lost ones do not come to be half of those who count.
 func (s *Core) evictUnreachableStores(now clock.Micros) {
 	if !s.hasQuorumContact(now) || !s.state.Configured() || now-s.servingSince < s.set.EvictAfter {
--- a/internal/daemon/admin/admin.go
+++ b/internal/daemon/admin/admin.go
@@ -1,5 +1,5 @@
 // Package admin is the administration API of every daemon (DESIGN §8): health and
-// readiness, counters, plans, the list of servers, and the state of the fleet.
+// readiness, counters, configurations, the list of servers, and the state of the fleet.
 package admin
 
 import (
@@ -290,7 +290,7 @@
 	return httpserver.WriteJSON(w, http.StatusOK, entry)
 }
 
-// explainBatch explains a bundle: who keeps it, and which server ran which item.
+// explainBatch explains a batch: who keeps it, and which server ran which item.
 func (a *Admin) explainBatch(w http.ResponseWriter, r *http.Request) error {
 	if a.Reader == nil {
 		return errs.New(errs.NotFound, "ask an edge", "this daemon reads no ledgers")
@@ -352,7 +352,7 @@
 	return httpserver.WriteJSON(w, http.StatusOK, map[string]any{"servers": len(body.Servers)})
 }
 
-// maxSlots is the most slots that a server may be listed with.
+// maxSlots is the most shards that a server may be listed with.
 const maxSlots = 100_000
 
 // validateServers names every fault of a list of servers, or returns the names on it.
--- a/internal/daemon/eventloop/loop.go
+++ b/internal/daemon/eventloop/loop.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// tickAll sends a clock event to each machine; one that was not taken yet is not
+// tickAll sends a tick to each machine; one that was not taken yet is not
 // doubled.
 func (l *Loop) tickAll() {
 	l.enqueueTick(0, l.gossipRing, func(now clock.Micros) []machine.Effect { return l.gossip.Do(gossip.Tick{}, now) })
--- a/internal/daemon/machines/scheduling.go
+++ b/internal/daemon/machines/scheduling.go
@@ -21,7 +21,7 @@
 	Calls     *machine.Calls
 	Scheduler *scheduler.Scheduler
 	Quota     *quota.Quota
-	// ParseConfiguration turns a confirmed document into a plan.
+	// ParseConfiguration turns a confirmed document into a configuration.
 	ParseConfiguration config.ParseFunc
 	self               string
 	members            map[string]membership.Member
--- a/internal/daemon/machines/store.go
+++ b/internal/daemon/machines/store.go
@@ -20,8 +20,8 @@
 	Ledger              *batchstore.Store
 	Runner              *execution.Runner
 	cores               coreDirectory
-	pendingReservations map[uint64]quota.Release // shares taken for bundles that are being written
-	// queuedWeights is what requests that are passed on count for, by customer; count is
+	pendingReservations map[uint64]quota.Release // shares taken for batches that are being written
+	// queuedWeights is what requests that are passed on count for, by tenant; count is
 	// when it is counted again.
 	queuedWeights map[string]int
 	countedAt     clock.Micros
@@ -153,7 +153,7 @@
 	return s.finishStep(now)
 }
 
-// submit takes shares for a bundle's items before anything is written: from then
+// submit takes shares for a batch's items before anything is written: from then
 // on they count as waiting until they start. A repeated key needs none.
 func (s *Store) submit(number uint64, request batchstore.SubmitRequest, now clock.Micros) {
 	configuration := s.Scheduler.Configuration()
@@ -203,14 +203,14 @@
 	})
 }
 
-// Results of allowance where there is no bound, and where the plan has no such route
-// or customer.
+// Results of quota where there is no bound, and where the configuration has no such route
+// or tenant.
 const (
 	unlimited     = 0
 	notConfigured = -1
 )
 
-// quotaLimit is how much may wait: of a customer by its class, of a route whose
+// quotaLimit is how much may wait: of a tenant by its class, of a route whose
 // requests are passed on by its own bound on tokens (DESIGN §11.3, §12.5).
 func quotaLimit(configuration *config.Configuration, tenant, route string, forward bool) int64 {
 	if forward {
--- a/internal/daemon/machines/store_test.go
+++ b/internal/daemon/machines/store_test.go
@@ -19,7 +19,7 @@
 func (noArchive) Files() []uint64                    { return nil }
 func (noArchive) LastFile() uint64                   { return 0 }
 
-// submitBatch is what a store that serves nothing does with a bundle: the ask for a
+// submitBatch is what a store that serves nothing does with a batch: the ask for a
 // share, if there was one, and the error it answered.
 func submitBatch(t *testing.T, limit int64, items ...shard.Item) (*quota.LeaseRequest, error) {
 	t.Helper()
@@ -53,7 +53,7 @@
 	return shard.Item{Request: &shard.Request{Tokens: tokens}}
 }
 
-// A bundle that is passed on takes its tokens from its route's bound; without a
+// A batch that is passed on takes its tokens from its route's bound; without a
 // bound it asks for no share, and without such a route it is rejected.
 func TestAForwardedBatchTakesItsTokens(t *testing.T) {
 	lend, err := submitBatch(t, 1000, opaqueItem(300), opaqueItem(40), opaqueItem(0))
--- a/internal/dataplane/execution/runner.go
+++ b/internal/dataplane/execution/runner.go
@@ -1,5 +1,5 @@
 // Package execution runs a store's items on servers (DESIGN §6.3, §7, §12.5): each waits
-// in the queue by its customer's rank, and is started only under a fresh
+// in the queue by its tenant's rank, and is started only under a fresh
 // lease. It is a part of the store's machine: the sockets are the event loop's.
 package execution
 
@@ -53,11 +53,11 @@
 	CancelAttempt struct{ AttemptID uint64 }
 )
 
-// AttemptStarted is the event loop's word that a server has begun a run: until then the item
+// AttemptStarted is the event loop's report that a server has begun a run: until then the item
 // waits, in the server's own queue as well.
 type AttemptStarted struct{ AttemptID uint64 }
 
-// AttemptResult is the event loop's word on how a run went. Of an opaque item Complete is whole,
+// AttemptResult is the event loop's report on how a run went. Of an opaque item Complete is whole,
 // NotStarted certainly did not run (the server said so, or took no connection),
 // Cut may be gone on with, and Rejected can never be done.
 type AttemptResult struct {
@@ -82,9 +82,9 @@
 	Decisions          *decisionlog.Log
 	jobs               map[string]*job
 	attempts           map[uint64]*job
-	assignedWeight     map[string]int  // weights by customer: assigned, not begun (an opaque item: not finished)
+	assignedWeight     map[string]int  // weights by tenant: assigned, not begun (an opaque item: not finished)
 	deferred           map[string]*job // those that could not wait or start here just now
-	deferredWeight     map[string]int  // the same, counted by customer
+	deferredWeight     map[string]int  // the same, counted by tenant
 	nextRetentionCheck clock.Micros    // next look at what is too old
 	lastRetry          clock.Micros    // last look at what could not start
 	// SkipLeaseCheck is a fault planted by tests: work starts without a lease.
@@ -145,12 +145,12 @@
 	return j.item.Request != nil && route.Forward.ItemRetention > 0 && now > j.item.SubmittedAt+route.Forward.ItemRetention
 }
 
-// schedule puts an item into the queue. A route that is gone from the plan fails
-// the item rather than leave the bundle open for ever.
+// schedule puts an item into the queue. A route that is gone from the configuration fails
+// the item rather than leave the batch open for ever.
 func (r *Runner) schedule(j *job, now clock.Micros) {
 	configuration := r.scheduler.Configuration()
 	if configuration == nil || configuration.Version < j.item.ConfigurationVersion {
-		r.deferJob(j) // this daemon's plan is behind
+		r.deferJob(j) // this daemon's configuration is behind
 		return
 	}
 	route, _ := configuration.Route(j.item.Route)
@@ -220,7 +220,7 @@
 	r.reportResult(result, now)
 }
 
-// startAttempt goes by the order's route, which is that of the plan in force.
+// startAttempt goes by the order's route, which is that of the configuration in force.
 func (r *Runner) startAttempt(j *job, assignment *scheduler.Assignment, now clock.Micros) {
 	route := j.schedulerRequest.Route
 	if !routeAccepts(j, route) {
@@ -262,13 +262,13 @@
 	}
 }
 
-// WaitingWeight is what a customer's items that wait count for, here or in a server's
+// WaitingWeight is what a tenant's items that wait count for, here or in a server's
 // queue; opaque ones that run count as well.
 func (r *Runner) WaitingWeight(tenant string) int {
 	return r.scheduler.QueuedWeight(tenant) + r.assignedWeight[tenant] + r.deferredWeight[tenant]
 }
 
-// HandleAttemptResult takes the event loop's word. An item may run again elsewhere: only one result
+// HandleAttemptResult takes the event loop's report. An item may run again elsewhere: only one result
 // is listed.
 func (r *Runner) HandleAttemptResult(result AttemptResult, now clock.Micros) {
 	j := r.attempts[result.AttemptID]
@@ -360,7 +360,7 @@
 // retryInterval is the time between two looks at what could not start.
 const retryInterval = 50 * clock.Millisecond
 
-// retryDeferred takes up again what may start now: a slot's items are handed over when it
+// retryDeferred takes up again what may start now: a shard's items are handed over when it
 // begins to serve, a moment before its lease is there.
 func (r *Runner) retryDeferred(configuration *config.Configuration, now clock.Micros) {
 	if now < r.lastRetry+retryInterval || len(r.deferred) == 0 {
@@ -409,7 +409,7 @@
 	}
 }
 
-// Revoke drops what waits or runs of a bundle or of a slot.
+// Revoke drops what waits or runs of a batch or of a shard.
 func (r *Runner) Revoke(w batchstore.CancelItems, now clock.Micros) {
 	if r.IgnoreRevoke {
 		return
--- a/internal/dataplane/execution/runner_test.go
+++ b/internal/dataplane/execution/runner_test.go
@@ -14,7 +14,7 @@
 	"tuliprudder/internal/machine"
 )
 
-// bench is a runner whose shell and keeper are the test.
+// bench is a runner whose shell and store are the test.
 type bench struct {
 	*Runner
 	t            *testing.T
@@ -37,7 +37,7 @@
 	return b
 }
 
-// setConfiguration puts a plan in force with one route that passes bundles on and one that
+// setConfiguration puts a configuration in force with one route that passes batches on and one that
 // does not.
 func (b *bench) setConfiguration(version uint64, forward config.Forward) {
 	configuration := &config.Configuration{Version: version, ScorerWeights: map[string]float64{"spread": 1}, Pools: []config.Pool{{Name: "p"}},
@@ -241,7 +241,7 @@
 }
 
 // An item that is too old is listed as failed wherever it waits, but not while a
-// server has it; another plan may give it longer, or less.
+// server has it; another configuration may give it longer, or less.
 func TestAnItemThatIsTooOldFinishesFailed(t *testing.T) {
 	cases := map[string]func(*bench){
 		"in the backlog": func(*bench) {},
@@ -324,10 +324,10 @@
 	}
 }
 
-// A keeper's items keep to its part of a server: the first level's limit, shared by
+// A store's items keep to its part of a server: the first level's limit, shared by
 // the stores that live.
 func TestAStoresItemsKeepToTheirShare(t *testing.T) {
-	b := newBench(t, "s") // with 4 slots, of which the lowest level may fill 0.7
+	b := newBench(t, "s") // with 4 shards, of which the lowest level may fill 0.7
 	ranked := &config.Configuration{Version: 2, Classes: []config.PriorityClass{{Name: "low", Priority: 1}, {Name: "high", Priority: 2}}, ScorerWeights: map[string]float64{"spread": 1}, Pools: []config.Pool{{Name: "p"}},
 		Routes: []config.Route{{Name: "r", Kind: config.Batch, Forward: &config.Forward{}}}}
 	ranked.Index()
@@ -348,7 +348,7 @@
 	}
 }
 
-// An item that waits runs by the route of the plan in force, not by that under
+// An item that waits runs by the route of the configuration in force, not by that under
 // which it began to wait.
 func TestAnAttemptUsesTheCurrentConfiguration(t *testing.T) {
 	b := newBench(t, "s")
@@ -361,7 +361,7 @@
 	}
 }
 
-// What found no fresh lease when its slot began to serve starts as soon as there is
+// What found no fresh lease when its shard began to serve starts as soon as there is
 // one; the store does not have to hand it over again.
 func TestADeferredItemStartsOnceItMay(t *testing.T) {
 	b := newBench(t, "s")
--- a/internal/dataplane/gateway/batches.go
+++ b/internal/dataplane/gateway/batches.go
@@ -13,12 +13,12 @@
 	"tuliprudder/internal/httpserver"
 )
 
-// SubmitBatchBody is a bundle as handed in.
+// SubmitBatchBody is a batch as handed in.
 type SubmitBatchBody struct {
 	Items []shard.Item `json:"items"`
 }
 
-// SubmitBatch takes a bundle in: whole and on two disks, or not at all.
+// SubmitBatch takes a batch in: whole and on two disks, or not at all.
 func (h *Handler) SubmitBatch(w http.ResponseWriter, r *http.Request) error {
 	data, err := httpserver.ReadBody(r)
 	if err != nil {
@@ -47,12 +47,12 @@
 		"repeated": acknowledgement.Repeated, "keeper": acknowledgement.Store, "results": "/v1/bundles/" + acknowledgement.Batch + "/results"})
 }
 
-// BatchStatus tells how a bundle stands.
+// BatchStatus tells how a batch stands.
 func (h *Handler) BatchStatus(w http.ResponseWriter, r *http.Request) error {
 	return h.writeBatchStatus(w, r, false)
 }
 
-// CancelBatch ends a bundle: durable before it is answered.
+// CancelBatch ends a batch: durable before it is answered.
 func (h *Handler) CancelBatch(w http.ResponseWriter, r *http.Request) error {
 	return h.writeBatchStatus(w, r, true)
 }
@@ -94,12 +94,12 @@
 	return query.Get("after"), limit, wait, err
 }
 
-// BatchResults reads one bundle's list.
+// BatchResults reads one batch's list.
 func (h *Handler) BatchResults(w http.ResponseWriter, r *http.Request) error {
 	return h.writePage(w, r, pathParameter(r, "bundle"))
 }
 
-// Feed reads all of the caller's bundles as one list.
+// Feed reads all of the caller's batches as one list.
 func (h *Handler) Feed(w http.ResponseWriter, r *http.Request) error { return h.writePage(w, r, "") }
 
 // writePage reads a page; an empty one waits for rows, up to the wait the caller gave.
--- a/internal/dataplane/gateway/forwarder.go
+++ b/internal/dataplane/gateway/forwarder.go
@@ -25,7 +25,7 @@
 	Now         func() clock.Micros
 	// WriteError writes a final answer of the edge's own.
 	WriteError func(w http.ResponseWriter, err error)
-	// SubmitBatch takes a request that hands in a bundle.
+	// SubmitBatch takes a request that hands in a batch.
 	SubmitBatch func(w http.ResponseWriter, r *http.Request, body []byte, submission proxy.BatchSubmission)
 	inFlight    atomic.Int64
 }
--- a/internal/dataplane/gateway/forwarder_test.go
+++ b/internal/dataplane/gateway/forwarder_test.go
@@ -61,7 +61,7 @@
 	return c
 }
 
-// newTestCluster is an edge with a plan and a client, and without servers.
+// newTestCluster is an edge with a configuration and a client, and without servers.
 func newTestCluster(t *testing.T, configurationText string, client *upstream.Client) *testCluster {
 	t.Helper()
 	settings := machines.EdgeDefaults()
@@ -833,7 +833,7 @@
 }
 
 // Lots are handed to who takes them; what has no route is refused; the machine's
-// plan decides.
+// configuration decides.
 func TestBatchesAndUnknownRoutes(t *testing.T) {
 	c := newClusterWithServers(t, func(http.ResponseWriter, *http.Request) { t.Error("a server was asked") })
 	if response := c.do("POST", "/many/x", "the lot"); response.status != 200 || response.body != "bulk many the lot" {
--- a/internal/dataplane/gateway/handler.go
+++ b/internal/dataplane/gateway/handler.go
@@ -66,7 +66,7 @@
 }
 
 // machineTimeout is how long the machine may take for an answer before something is
-// wrong with it: every order and ask in it has an expiry of its own.
+// wrong with it: every order and ask in it has an deadline of its own.
 const machineTimeout = 2 * time.Hour
 
 // callMachine asks the machine and expects an answer of one type.
--- a/internal/dataplane/gateway/handler_test.go
+++ b/internal/dataplane/gateway/handler_test.go
@@ -91,7 +91,7 @@
 	return got.Body, got.Err
 }
 
-// newTestHandler is a gate whose one server answers by f and whose keeper by ask.
+// newTestHandler is a gate whose one server answers by f and whose store by ask.
 func newTestHandler(t *testing.T, f http.HandlerFunc, callStore storeStub) (*Handler, *stubLoop) {
 	t.Helper()
 	settings := machines.EdgeDefaults()
@@ -152,7 +152,7 @@
 	return body.Error.Kind
 }
 
-// Each bad input has its typed error, and neither a server nor a keeper hears
+// Each bad input has its typed error, and neither a server nor a store hears
 // of it.
 func TestBadInput(t *testing.T) {
 	var executions atomic.Int64
--- a/internal/dataplane/openapi/openapi.go
+++ b/internal/dataplane/openapi/openapi.go
@@ -1,4 +1,4 @@
-// Package openapi turns an OpenAPI file into routes for a plan (DESIGN §8.5).
+// Package openapi turns an OpenAPI file into routes for a configuration (DESIGN §8.5).
 // An operation becomes a route by its x-tuliprudder extension; what can't be
 // carried over is reported, and a broken file changes nothing.
 package openapi
@@ -20,10 +20,10 @@
 
 // Result is what an import makes.
 type Result struct {
-	Routes        []map[string]any // as a plan has them
+	Routes        []map[string]any // as a configuration has them
 	Skipped       []string         // what was not carried over, and why
 	RouteNames    []string
-	Configuration map[string]any // the plan with the routes in it
+	Configuration map[string]any // the configuration with the routes in it
 	Changed       []string
 }
 
@@ -34,8 +34,8 @@
 
 var invalidNameChars = regexp.MustCompile(`[^A-Za-z0-9._-]+`)
 
-// Import reads the file and puts its routes into a plan: a route of the same name
-// is replaced, all others stay. The whole is checked as any plan is.
+// Import reads the file and puts its routes into a configuration: a route of the same name
+// is replaced, all others stay. The whole is checked as any configuration is.
 func Import(file []byte, configuration []byte) (Result, error) {
 	loader := openapi3.NewLoader()
 	loader.IsExternalRefsAllowed = false
@@ -129,7 +129,7 @@
 	return strings.Trim(invalidNameChars.ReplaceAllString(id, "-"), "-")
 }
 
-// mergeInto puts the routes into the plan and checks the whole.
+// mergeInto puts the routes into the configuration and checks the whole.
 func (r *Result) mergeInto(configuration []byte) error {
 	if err := json.Unmarshal(configuration, &r.Configuration); err != nil {
 		return errs.New(errs.InvalidConfiguration, "give the plan in force", "the plan can't be read: %v", err)
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -44,7 +44,7 @@
 		RequestID       string
 		Outcome         Outcome
 		ResponseStarted bool // some of the answer has reached the caller
-		ContextDone     bool // the caller has left, or its expiry passed
+		ContextDone     bool // the caller has left, or its deadline passed
 		LocalFailure    bool // what went wrong says nothing of the server
 		Reason          string
 	}
@@ -82,7 +82,7 @@
 		Deadline        clock.Micros
 		IsLast          bool // a failure of this server's own is passed on: no further try follows
 	}
-	// BatchSubmission says: the request hands in a bundle; it is no order for a server.
+	// BatchSubmission says: the request hands in a batch; it is no order for a server.
 	BatchSubmission struct{ Route *config.Route }
 	// Done says: nothing more is to be done.
 	Done struct{}
@@ -152,7 +152,7 @@
 	return route.Kind == config.Repeatable || route.Kind == config.Resumable
 }
 
-// handleRequest finds the request's route; a daemon without a plan denies nothing.
+// handleRequest finds the request's route; a daemon without a configuration denies nothing.
 func (p *Proxy) handleRequest(call uint64, request Request, now clock.Micros) {
 	configuration := p.scheduler.Configuration()
 	if configuration == nil {
--- a/internal/dataplane/proxy/proxy_test.go
+++ b/internal/dataplane/proxy/proxy_test.go
@@ -27,7 +27,7 @@
 }
 
 // newBench has servers of the pools a and b, in a list like "a a b"; with routes
-// there is a plan of one route of each kind.
+// there is a configuration of one route of each kind.
 func newBench(t *testing.T, servers []string, routes ...config.Route) *bench {
 	t.Helper()
 	settings := scheduler.Defaults()
@@ -48,7 +48,7 @@
 	return b
 }
 
-// addTenants gives a plan's routes the customers and the class they stand for.
+// addTenants gives a configuration's routes the tenants and the class they stand for.
 func addTenants(configuration *config.Configuration) {
 	configuration.Classes = append(configuration.Classes, config.PriorityClass{Name: "c", Priority: 5})
 	for _, route := range configuration.Routes {
@@ -325,7 +325,7 @@
 	b.checkIdle("late")
 }
 
-// A daemon without a plan denies nothing; one with a plan denies what the plan does
+// A daemon without a configuration denies nothing; one with a configuration denies what the configuration does
 // not have, and hands lots on.
 func TestRoutes(t *testing.T) {
 	b := newBench(t, []string{"a"})
@@ -489,7 +489,7 @@
 	}
 }
 
-// A plan that drops the route while a request waits ends it.
+// A configuration that drops the route while a request waits ends it.
 func TestTheRouteGoes(t *testing.T) {
 	b := newBench(t, nil, newRoute(config.OneShot, 2))
 	call := b.submit("o", config.OneShot)
@@ -504,7 +504,7 @@
 	b.checkIdle("the route goes")
 }
 
-// A route that requests are passed on by needs no customer of its name: in a plan of
+// A route that requests are passed on by needs no tenant of its name: in a configuration of
 // the product's own form callers carry no key there.
 func TestARouteWithoutATenant(t *testing.T) {
 	b := newBench(t, []string{"a"})
--- a/internal/dataplane/quota/account.go
+++ b/internal/dataplane/quota/account.go
@@ -1,5 +1,5 @@
-// Package quota watches how much of a customer's work waits over all daemons
-// (DESIGN §11): the first live edge in the customer's agreed order holds the
+// Package quota watches how much of a tenant's work waits over all daemons
+// (DESIGN §11): the first live edge in the tenant's agreed order holds the
 // account under an epoch and lends shares with an end; a successor asks those
 // who hold shares before it lends.
 package quota
@@ -16,7 +16,7 @@
 	LeaseDuration = 2 * clock.Second
 	LeaseGrace    = 300 * clock.Millisecond
 	// StoreLeaseDuration is how long what a store holds counts after its last report: items
-	// of bundles were accepted, and wait on at the store that takes over.
+	// of batches were accepted, and wait on at the store that takes over.
 	StoreLeaseDuration = 12 * clock.Second
 )
 
@@ -26,11 +26,11 @@
 	transferredAt clock.Micros // since when its work is known to be others'
 }
 
-// Account is one customer's account at its holder. It is a plain machine: time
+// Account is one tenant's account at its holder. It is a plain machine: time
 // comes in with each step.
 type Account struct {
 	Epoch      uint64
-	IsStore    func(daemonID string) bool // it holds items of bundles; nil: nobody does
+	IsStore    func(daemonID string) bool // it holds items of batches; nil: nobody does
 	leases     map[string]lease
 	unreported map[string]bool // borrowers that have not told what they hold
 	openedAt   clock.Micros
@@ -50,7 +50,7 @@
 }
 
 // RecordUsage takes a borrower's report of what it holds; it is believed even above the
-// allowance, because that work waits already.
+// quota, because that work waits already.
 func (a *Account) RecordUsage(daemonID string, inUse int, now clock.Micros) {
 	delete(a.unreported, daemonID)
 	a.lastUsedAt = now
@@ -126,7 +126,7 @@
 }
 
 // Grant renews what the borrower holds and lends it up to what it wants, within
-// the allowance.
+// the quota.
 func (a *Account) Grant(daemonID string, inUse, wanted int, quota int64, now clock.Micros) int {
 	a.RecordUsage(daemonID, inUse, now)
 	if wanted <= inUse || !a.IsReady(now) {
--- a/internal/dataplane/quota/account_test.go
+++ b/internal/dataplane/quota/account_test.go
@@ -8,7 +8,7 @@
 	"tuliprudder/internal/clock"
 )
 
-// simulation is a customer's orders at many daemons at once, with holders that die
+// simulation is a tenant's orders at many daemons at once, with holders that die
 // and borrowers that freeze.
 type simulation struct {
 	now           clock.Micros
@@ -102,7 +102,7 @@
 }
 
 // Orders flock at twelve daemons, holders die: the waiting work never exceeds
-// the allowance by more than a tenth; nor is it held far below it for ever.
+// the quota by more than a tenth; nor is it held far below it for ever.
 func TestDaemonsStayWithinTheQuota(t *testing.T) {
 	for seed := int64(1); seed <= 200; seed++ {
 		f := newSimulation(seed, false)
--- a/internal/dataplane/quota/client.go
+++ b/internal/dataplane/quota/client.go
@@ -23,7 +23,7 @@
 	return s
 }
 
-// queuedItems is what waits here of a customer without having been taken.
+// queuedItems is what waits here of a tenant without having been taken.
 func (q *Quota) queuedItems(tenant string) int {
 	if q.QueuedItems == nil {
 		return 0
@@ -31,7 +31,7 @@
 	return q.QueuedItems(tenant)
 }
 
-// inUse is all that waits here of a customer.
+// inUse is all that waits here of a tenant.
 func (q *Quota) inUse(s *Share, tenant string) int { return s.InUse + q.queuedItems(tenant) }
 
 const leaseRequestTimeout = 600 * clock.Millisecond
@@ -40,7 +40,7 @@
 // wait behind it are rejected at once.
 const failureBackoff = 400 * clock.Millisecond
 
-// maxWaiters is how many may wait for one customer's ask; more are rejected.
+// maxWaiters is how many may wait for one tenant's ask; more are rejected.
 const maxWaiters = 4096
 
 // Reserve reserves waiting work; back is told once. An error turns the order away,
@@ -79,7 +79,7 @@
 	}
 }
 
-// requestLease asks the holder for all who wait, one ask at a time for each customer:
+// requestLease asks the holder for all who wait, one ask at a time for each tenant:
 // those who come meanwhile may find room.
 func (q *Quota) requestLease(tenant string, now clock.Micros) {
 	waiting := q.waiters[tenant]
--- a/internal/dataplane/quota/messages.go
+++ b/internal/dataplane/quota/messages.go
@@ -13,7 +13,7 @@
 		Epoch                uint64 // the highest the borrower has heard of
 		InUse, Wanted        int
 		Quota                int64
-		ConfigurationVersion uint64 // version of the plan the allowance is from
+		ConfigurationVersion uint64 // version of the configuration the quota is from
 	}
 	// LeaseResponse is what is lent; Ready false while the account is rebuilt.
 	LeaseResponse struct {
--- a/internal/dataplane/quota/owner.go
+++ b/internal/dataplane/quota/owner.go
@@ -14,7 +14,7 @@
 	callbacks []func(now clock.Micros)
 }
 
-// accountOwner is the first live edge in the customer's agreed order.
+// accountOwner is the first live edge in the tenant's agreed order.
 func (q *Quota) accountOwner(tenant string) (id, peer string) {
 	members := q.Members()
 	id = endpoints.RendezvousOwner("account/"+tenant, members, membership.Edge)
--- a/internal/dataplane/quota/quota.go
+++ b/internal/dataplane/quota/quota.go
@@ -18,7 +18,7 @@
 	// Members is the directory as this daemon knows it.
 	Members func() []membership.Member
 	// QueuedItems is work that waits here without having been taken one by one
-	// (items of bundles at a store).
+	// (items of batches at a store).
 	QueuedItems func(tenant string) int
 	// ShardMap is the map of the stores as this daemon knows it; false before it knows
 	// any. Without it nobody can tell who else may hold work, and what this daemon
@@ -30,9 +30,9 @@
 	Unlimited bool
 
 	shares       map[string]*Share
-	lastRequests map[string]LeaseRequest // allowance and plan of each customer, as last asked
+	lastRequests map[string]LeaseRequest // quota and configuration of each tenant, as last asked
 	accounts     map[string]*Account
-	latestQuotas map[string]LeaseRequest // at the holder: the newest plan's allowance
+	latestQuotas map[string]LeaseRequest // at the holder: the newest configuration's quota
 	waiters      map[string][]*waiter
 	requesting   map[string]bool
 	rebuilds     map[string]*rebuildRound
--- a/internal/dataplane/reader/reader.go
+++ b/internal/dataplane/reader/reader.go
@@ -1,5 +1,5 @@
 // Package reader follows the writers' lists for callers (DESIGN §6.5): per
-// bundle, and as one feed over all of a caller's bundles. It is a part of the
+// batch, and as one feed over all of a caller's batches. It is a part of the
 // daemon's machine.
 package reader
 
@@ -31,8 +31,8 @@
 	SkipWakeups bool
 }
 
-// Request is a page that a caller wants: of one bundle's list, or of the feed over
-// all its bundles. An empty page waits for rows until Wait is over.
+// Request is a page that a caller wants: of one batch's list, or of the feed over
+// all its batches. An empty page waits for rows until Wait is over.
 type Request struct {
 	ID      string // to give it up by
 	Tenant  string
@@ -40,12 +40,12 @@
 	Token   string
 	Limit   int
 	MaxWait clock.Micros
-	// ByIndex reads one bundle's list from the index From on, without a token: at
+	// ByIndex reads one batch's list from the index From on, without a token: at
 	// most MaxBytes of outputs (0: no bound), but at least one row.
 	ByIndex   bool
 	FromIndex int
 	MaxBytes  int
-	AnyTenant bool // the caller carries no key: a bundle without one is found by its name alone
+	AnyTenant bool // the caller carries no key: a batch without one is found by its name alone
 }
 
 type pendingRead struct {
@@ -61,7 +61,7 @@
 // defaultMinPollInterval is MinPollInterval where nothing else is set.
 const defaultMinPollInterval = 40 * clock.Millisecond
 
-// transferPollInterval is the same while a slot passes on, where no word need turn the view.
+// transferPollInterval is the same while a shard passes on, where no word need turn the view.
 const transferPollInterval = 100 * clock.Millisecond
 
 // New makes a reader.
@@ -179,13 +179,13 @@
 // ShardMap is the map as heard last.
 func (r *Reader) ShardMap() state.Map { return r.shardMap }
 
-// IsReady tells whether every slot has a store that serves it.
+// IsReady tells whether every shard has a store that serves it.
 func (r *Reader) IsReady() bool {
 	_, complete := r.positions.ReadableUpTo()
 	return complete
 }
 
-// Locate is the slot of a bundle or claim and who serves it.
+// Locate is the shard of a batch or claim and who serves it.
 func (r *Reader) Locate(id string) (int, token.Owner, error) {
 	if len(r.shardMap.Shards) == 0 {
 		return 0, token.Owner{}, errs.NewWithRetry(errs.NotReady, clock.Second, "ask again; the daemon has just started", "no map of the stores has arrived yet")
@@ -234,7 +234,7 @@
 	r.fetchFeed(request, timeout, now, callback)
 }
 
-// fetchBatch reads one bundle's list after a token, or from an index on.
+// fetchBatch reads one batch's list after a token, or from an index on.
 func (r *Reader) fetchBatch(request Request, timeout, now clock.Micros, callback func(Page, error, clock.Micros)) {
 	fleet := r.shardMap.Fleet
 	shardIndex, owner, err := r.Locate(request.BatchID)
@@ -285,7 +285,7 @@
 	return response, nil
 }
 
-// fetchFeed reads all of a customer's bundles after a token.
+// fetchFeed reads all of a tenant's batches after a token.
 func (r *Reader) fetchFeed(request Request, timeout, now clock.Micros, callback func(Page, error, clock.Micros)) {
 	fleet := r.shardMap.Fleet
 	if fleet == "" {
@@ -332,7 +332,7 @@
 	}
 }
 
-// FeedRequests works out whom to ask for what: each store for the slots it serves,
+// FeedRequests works out whom to ask for what: each store for the shards it serves,
 // up to the vector that may be read now.
 func FeedRequests(positions *token.PositionView, shardCount int, tenant string, after token.Vector, limit int) (map[string]batchstore.ReadRequest, token.Vector, bool) {
 	upTo, complete := positions.ReadableUpTo()
--- a/internal/dataplane/reader/reader_test.go
+++ b/internal/dataplane/reader/reader_test.go
@@ -13,7 +13,7 @@
 	"tuliprudder/internal/replication"
 )
 
-// fixture is a reader with one slot, whose keeper is the test.
+// fixture is a reader with one shard, whose store is the test.
 type fixture struct {
 	*Reader
 	t     *testing.T
--- a/internal/dataplane/requests/batches.go
+++ b/internal/dataplane/requests/batches.go
@@ -10,7 +10,7 @@
 	"tuliprudder/internal/machine"
 )
 
-// submitBatch takes a bundle in: whole and on two disks, or not at all.
+// submitBatch takes a batch in: whole and on two disks, or not at all.
 func (m *Machine) submitBatch(call uint64, request SubmitBatchRequest, now clock.Micros) {
 	configuration, tenant, class, route, err := m.authorizeBatch(request)
 	if err != nil {
@@ -66,8 +66,8 @@
 	}
 }
 
-// submitForwardedBatch takes a bundle of requests in, as handIn does one of inputs. Its
-// route stands for the customer.
+// submitForwardedBatch takes a batch of requests in, as handIn does one of inputs. Its
+// route stands for the tenant.
 func (m *Machine) submitForwardedBatch(call uint64, request SubmitForwardedBatchRequest, now clock.Micros) {
 	configuration := m.scheduler.Configuration()
 	if configuration == nil {
@@ -115,7 +115,7 @@
 	}, statusTimeout, now, m.relayStatus(call))
 }
 
-// readForwardedPage reads one bundle: without a customer there is no feed.
+// readForwardedPage reads one batch: without a tenant there is no feed.
 func (m *Machine) readForwardedPage(call uint64, request ForwardedPageRequest, now clock.Micros) {
 	if err := checkBatchID(request.Read.BatchID); err != nil {
 		m.reply(call, nil, err)
@@ -129,7 +129,7 @@
 	m.reader.Start(request.Read, now, func(page reader.Page, err error, _ clock.Micros) { m.reply(call, page, err) })
 }
 
-// batchStatus asks a bundle's store how it stands, or ends it.
+// batchStatus asks a batch's store how it stands, or ends it.
 func (m *Machine) batchStatus(call uint64, request BatchStatusRequest, now clock.Micros) {
 	_, tenant, _, err := m.authenticate(request.APIKey)
 	if err != nil {
--- a/internal/dataplane/requests/item_validation.go
+++ b/internal/dataplane/requests/item_validation.go
@@ -8,7 +8,7 @@
 	"tuliprudder/internal/errs"
 )
 
-// validateItems names every bad item; one bad item turns the whole bundle away. An
+// validateItems names every bad item; one bad item turns the whole batch away. An
 // item has an input, or where requests are passed on a request; most is 0 where
 // there is no bound.
 func validateItems(items []shard.Item, limit int, forward bool) error {
--- a/internal/dataplane/requests/live.go
+++ b/internal/dataplane/requests/live.go
@@ -35,7 +35,7 @@
 	partialOutput        string
 }
 
-// admitRequest begins an order: it is checked, takes its place in the allowance, claims
+// admitRequest begins an order: it is checked, takes its place in the quota, claims
 // its key, and waits in the queue.
 func (m *Machine) admitRequest(call uint64, request LiveRequest, now clock.Micros) {
 	r := &activeRequest{LiveRequest: request, call: call, receivedAt: now, avoidedServers: map[string]int{}}
@@ -105,7 +105,7 @@
 	m.reply(r.call, response, err)
 }
 
-// callStore asks the store of a bundle or a claim; back is told once.
+// callStore asks the store of a batch or a claim; back is told once.
 func (m *Machine) callStore(id string, newRequest func(shardIndex int) any, timeout, now clock.Micros, callback machine.Callback) {
 	shardIndex, owner, err := m.reader.Locate(id)
 	if err != nil {
--- a/internal/dataplane/requests/machine.go
+++ b/internal/dataplane/requests/machine.go
@@ -1,5 +1,5 @@
 // Package requests is the way of callers' orders through an edge (DESIGN §7): who
-// calls, what the plan opens to them, the allowance, the claim of a key, the
+// calls, what the configuration opens to them, the quota, the claim of a key, the
 // queue, the tries on servers, and what the caller may be told for certain. It
 // is a part of the edge's machine: the sockets are the event loop's.
 package requests
@@ -20,7 +20,7 @@
 type Settings struct {
 	MaxAttempts   int
 	IdleTimeout   clock.Micros // longest wait for a server's next piece
-	CommitTimeout clock.Micros // how long a receipt may take before its outcome is unknown
+	CommitTimeout clock.Micros // how long an acknowledgement may take before its outcome is unknown
 }
 
 // Defaults are the values used where nothing is set.
@@ -117,7 +117,7 @@
 	return configuration, tenant, class, nil
 }
 
-// authorizeRoute finds the route and checks that the customer's class may use it.
+// authorizeRoute finds the route and checks that the tenant's class may use it.
 func authorizeRoute(configuration *config.Configuration, class *config.PriorityClass, name string, batch bool) (*config.Route, error) {
 	route, ok := configuration.Route(name)
 	if !ok || route.Forward != nil || !route.Classes.Matches(class.Labels) {
--- a/internal/dataplane/requests/machine_test.go
+++ b/internal/dataplane/requests/machine_test.go
@@ -18,7 +18,7 @@
 	"tuliprudder/internal/replication"
 )
 
-// bench is an edge's orders with one slot, whose keeper is the test.
+// bench is an edge's orders with one shard, whose store is the test.
 type bench struct {
 	*Machine
 	t            *testing.T
@@ -77,7 +77,7 @@
 	return items
 }
 
-// A bundle of requests is enrolled under its own name for its route, and another
+// A batch of requests is enrolled under its own name for its route, and another
 // body under the same name has another hash.
 func TestAForwardedBatchIsSubmittedForItsRoute(t *testing.T) {
 	b := newBench(t)
@@ -123,8 +123,8 @@
 	}
 }
 
-// Without a key a bundle is looked at, ended, read and asked for a body by name.
-// Where no keeper answers a look, that is no word on the bundle.
+// Without a key a batch is looked at, ended, read and asked for a body by name.
+// Where no store answers a look, that is no word on the batch.
 func TestABatchWithoutAKeyIsAskedForByItsName(t *testing.T) {
 	b := newBench(t)
 	timeoutErr := errs.New(errs.OutcomeUnknown, "ask again", "no answer in time")
--- a/internal/dataplane/requests/messages.go
+++ b/internal/dataplane/requests/messages.go
@@ -25,45 +25,45 @@
 		Outcome     modelclient.Outcome
 		Reason      string // what went wrong
 		Output      string // all that has come so far, over all tries
-		ContextDone bool   // the order's expiry passed, or its caller left
+		ContextDone bool   // the order's deadline passed, or its caller left
 	}
 	// AttemptStarted tells that a server has begun the order: until then it waits, in the
 	// server's own queue as well.
 	AttemptStarted struct{ RequestID string }
 	// CallerDisconnected tells that the caller has gone.
 	CallerDisconnected struct{ RequestID string }
-	// SubmitBatchRequest is a bundle as it came.
+	// SubmitBatchRequest is a batch as it came.
 	SubmitBatchRequest struct {
 		APIKey         string
 		Route          string
 		IdempotencyKey string
 		Items          []shard.Item
 	}
-	// BatchStatusRequest asks how a bundle stands; End ends it.
+	// BatchStatusRequest asks how a batch stands; End ends it.
 	BatchStatusRequest struct {
 		APIKey, Batch string
 		Cancel        bool
 	}
-	// PageRequest reads one bundle's list, or the feed.
+	// PageRequest reads one batch's list, or the feed.
 	PageRequest struct {
 		APIKey string
 		Read   reader.Request
 	}
-	// SubmitForwardedBatchRequest is a bundle of requests to be passed on, under its own name; no
+	// SubmitForwardedBatchRequest is a batch of requests to be passed on, under its own name; no
 	// caller's key comes with it (DESIGN §12.5).
 	SubmitForwardedBatchRequest struct {
 		Route string
 		ID    string
 		Items []shard.Item
 	}
-	// ForwardedBatchStatusRequest asks how such a bundle stands; End ends it.
+	// ForwardedBatchStatusRequest asks how such a batch stands; End ends it.
 	ForwardedBatchStatusRequest struct {
 		Batch  string
 		Cancel bool
 	}
-	// ForwardedPageRequest reads such a bundle's list.
+	// ForwardedPageRequest reads such a batch's list.
 	ForwardedPageRequest struct{ Read reader.Request }
-	// ItemBodyRequest asks for the body of an item of such a bundle that is not listed yet.
+	// ItemBodyRequest asks for the body of an item of such a batch that is not listed yet.
 	ItemBodyRequest struct{ Batch, Item string }
 )
 
--- a/internal/dataplane/scheduler/configuration.go
+++ b/internal/dataplane/scheduler/configuration.go
@@ -8,8 +8,8 @@
 	"tuliprudder/internal/errs"
 )
 
-// SetConfiguration puts a plan in force here, for what waits as well: each order goes by
-// the new plan's route and rank from now on, and one whose route or customer is
+// SetConfiguration puts a configuration in force here, for what waits as well: each order goes by
+// the new configuration's route and rank from now on, and one whose route or tenant is
 // gone is dropped.
 func (sc *Scheduler) SetConfiguration(configuration *config.Configuration, now clock.Micros) {
 	if sc.configuration != nil && configuration.Version <= sc.configuration.Version {
@@ -29,7 +29,7 @@
 	}
 }
 
-// applyConfiguration lets an order go by the plan in force: the one it was checked by may be
+// applyConfiguration lets an order go by the configuration in force: the one it was checked by may be
 // another by now.
 func (sc *Scheduler) applyConfiguration(r *Request) error {
 	if sc.configuration == nil || sc.KeepOldConfiguration {
@@ -37,11 +37,11 @@
 	}
 	route, class := sc.configuration.Lookup(r.Route.Name, r.Tenant)
 	// What was accepted runs for as long as there is a route for it, and requests that
-	// are passed on belong to no customer.
+	// are passed on belong to no tenant.
 	if route == nil || !r.IsBatchItem && r.Route.Forward == nil && (class == nil || !route.Classes.Matches(class.Labels)) {
 		return errs.New(errs.UnknownRoute, "name a route that the plan opens to this customer's class", "the plan in force has no route %q for this customer any more; the order did not run and will not", r.Route.Name)
 	}
-	// Where requests are passed on there are no customers, though one may be named
+	// Where requests are passed on there are no tenants, though one may be named
 	// like the route.
 	if r.Route = route; class != nil && route.Forward == nil {
 		r.Priority = class.Priority
@@ -49,12 +49,12 @@
 	return nil
 }
 
-// Configuration is the plan in force here; nil before the first.
+// Configuration is the configuration in force here; nil before the first.
 func (sc *Scheduler) Configuration() *config.Configuration {
 	return sc.configuration
 }
 
-// queueLevels are the levels of a plan's classes, lowest first: bundles of a class,
+// queueLevels are the levels of a configuration's classes, lowest first: batches of a class,
 // then its live orders.
 func queueLevels(configuration *config.Configuration) []int64 {
 	seen := map[int64]bool{}
@@ -73,7 +73,7 @@
 
 // utilizationLimit is the fullness up to which an order may fill a server: the lower its
 // level, the more room it leaves for those above it, whichever daemon has them.
-// So that bundles never starve, a daemon whose bundles have none running may
+// So that batches never starve, a daemon whose batches have none running may
 // start one that has waited long up to a full server.
 func (sc *Scheduler) utilizationLimit(r *Request, now clock.Micros) float64 {
 	position := 1.0
--- a/internal/dataplane/scheduler/queue.go
+++ b/internal/dataplane/scheduler/queue.go
@@ -25,7 +25,7 @@
 	return out
 }
 
-// QueuedWeight is how much of a customer's work waits here, by weight.
+// QueuedWeight is how much of a tenant's work waits here, by weight.
 func (sc *Scheduler) QueuedWeight(tenant string) int {
 	return sc.queuedWeights[tenant]
 }
@@ -136,7 +136,7 @@
 }
 
 // dequeueLive takes the live orders out of a queue whose daemon does not hear most of
-// the fleet: elsewhere their customers' allowance is lent anew. Items of bundles
+// the fleet: elsewhere their tenants' quota is lent anew. Items of batches
 // were accepted, and wait on.
 func (sc *Scheduler) dequeueLive() []*Request {
 	var out []*Request
--- a/internal/dataplane/scheduler/scheduler.go
+++ b/internal/dataplane/scheduler/scheduler.go
@@ -20,7 +20,7 @@
 	MaxPrefixes         int
 	MinUtilizationLimit float64      // fullness up to which the lowest level may fill a server
 	MaxUtilizationLimit float64      // the same for the highest
-	StarvationTimeout   clock.Micros // after which one waiting bundle order may go up to a full server
+	StarvationTimeout   clock.Micros // after which one waiting batch order may go up to a full server
 	ServerBackoff       clock.Micros
 	MaxStaleness        clock.Micros // updates older than this: reject, don't assign
 }
@@ -41,13 +41,13 @@
 	settings          Settings
 	configuration     *config.Configuration
 	queueLevels       []int64
-	runningBatchItems int     // bundle orders of this daemon that run
+	runningBatchItems int     // batch orders of this daemon that run
 	serverOffset      float64 // where this daemon's own order of servers begins, from 0 to 1
 	batchShare        float64 // of the room for items, this store's
 	servers           map[string]*serverState
 	queues            map[int64]map[*config.Route]*list.List // by level, then by route
 	byDeadline        deadlineHeap                           // those that expire, the next one first
-	queuedWeights     map[string]int                         // weights, by customer
+	queuedWeights     map[string]int                         // weights, by tenant
 	queuedCount       int
 	seq               uint64
 	serverByPrefix    map[uint64]string
@@ -61,7 +61,7 @@
 	// IgnoreStaleness is a fault planted by tests: old updates are taken for fresh, and leaving
 	// scores are passed over.
 	IgnoreStaleness bool
-	// KeepOldConfiguration is a fault planted by tests: what waits goes by the plan it came under.
+	// KeepOldConfiguration is a fault planted by tests: what waits goes by the configuration it came under.
 	KeepOldConfiguration bool
 	// Counters for the operators.
 	Assigned, DeadlineExceeded, Rejected, NotPermitted int64
--- a/internal/dataplane/scheduler/scheduler_test.go
+++ b/internal/dataplane/scheduler/scheduler_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// The higher rank goes first however late it came; live goes before bundles of
+// The higher rank goes first however late it came; live goes before batches of
 // its rank.
 func TestPriority(t *testing.T) {
 	b := newFixture(t, newServer("s", 4))
@@ -113,7 +113,7 @@
 	}
 }
 
-// An order whose expiry passes leaves the queue at the next look, whatever
+// An order whose deadline passes leaves the queue at the next look, whatever
 // holds the servers; a load figure of a lower epoch is rejected.
 func TestDeadlineAndEpoch(t *testing.T) {
 	b := newFixture(t, newServer("s", 4))
@@ -167,7 +167,7 @@
 	}
 }
 
-// Bundles leave room that live orders may use, also where another daemon filled
+// Batches leave room that live orders may use, also where another daemon filled
 // the server; none starves: after a while one at a time goes up to a full server.
 func TestBatchesLeaveCapacityAndDoNotStarve(t *testing.T) {
 	b := newFixture(t, newServer("s", 10))
@@ -264,7 +264,7 @@
 	}
 }
 
-// Where requests are passed on, a customer that is named like the route changes
+// Where requests are passed on, a tenant that is named like the route changes
 // nothing of the order's rank, and a route without classes keeps it.
 func TestAForwardedRequestKeepsItsPriority(t *testing.T) {
 	b := newFixture(t, newServer("s", 4))
--- a/internal/dataplane/scoring/scoring_test.go
+++ b/internal/dataplane/scoring/scoring_test.go
@@ -6,7 +6,7 @@
 	"tuliprudder/internal/clock"
 )
 
-// A keeper's items keep to its part of a server: as many as its part of the room
+// A store's items keep to its part of a server: as many as its part of the room
 // holds, at least one, and one at a time that has still to begin. It is no matter
 // of who is not a store.
 func TestBatchShare(t *testing.T) {
@@ -92,7 +92,7 @@
 	}
 }
 
-// The sum weighs each judge's mark by the plan, and one that rules out is enough.
+// The sum weighs each judge's mark by the configuration, and one that rules out is enough.
 func TestSum(t *testing.T) {
 	healthy := Candidate{Healthy: true, Slots: 4, UtilizationLimit: 1, OwnRequests: 1, PrefillTokens: prefillScaleTokens}
 	weights := map[string]float64{"fullness": 4, "spread": 2, "reading": 6, "silence": 20}
--- a/internal/machine/calls.go
+++ b/internal/machine/calls.go
@@ -3,7 +3,7 @@
 import "tuliprudder/internal/clock"
 
 // Request asks a daemon by its address; the event loop answers with Answered{Token} once: the
-// answer, or an error when the expiry passed.
+// answer, or an error when the deadline passed.
 type Request struct {
 	Token   uint64
 	To      string
@@ -16,7 +16,7 @@
 type Freshness struct{ At clock.Micros }
 
 // Broadcast hands an update to the gossip node; the call is answered once a majority
-// of the voters know it, or with errs.OutcomeUnknown when the expiry passed.
+// of the voters know it, or with errs.OutcomeUnknown when the deadline passed.
 type Broadcast struct {
 	Update  Update
 	Call    uint64
--- a/internal/machine/machine.go
+++ b/internal/machine/machine.go
@@ -82,7 +82,7 @@
 // Halt ends the daemon: going on would put a promise at risk.
 type Halt struct{ Err error }
 
-// Execute asks the request path to run something (an item of a bundle).
+// Execute asks the request path to run something (an item of a batch).
 type Execute struct{ Task any }
 
 func (Send) effect()           {}
--- a/internal/replication/messages.go
+++ b/internal/replication/messages.go
@@ -3,7 +3,7 @@
 // the disk of every member. The package serves the control state on the cores and the
 // shards on the stores alike; who the members are is decided elsewhere (Assignment).
 //
-// A Groups is a pure state machine: inputs are messages, clock events and the disk's
+// A Groups is a pure state machine: inputs are messages, ticks and the disk's
 // words, outputs are effects. It is not safe for concurrent use.
 package replication
 
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -80,7 +80,7 @@
 	case m.Epoch == r.Epoch && r.Role != ReceivingSnapshot:
 		return
 	case m.Epoch > r.Epoch:
-		// The primary's word came before the news of the assignment.
+		// The primary's word came before the updates of the assignment.
 		g.BecomeReplica(m.Unit, m.Epoch, from, now)
 	}
 	if r.receivingEpoch != m.Epoch {
--- a/internal/replication/replication_test.go
+++ b/internal/replication/replication_test.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// pass lets time go by, with clock events.
+// pass lets time go by, with ticks.
 func (b *bench) pass(span clock.Micros) {
 	for end := b.now + span; b.now < end; {
 		b.now += 50 * clock.Millisecond
@@ -297,7 +297,7 @@
 	}
 }
 
-// Many slots copied at once share a budget: no more pieces are under way than it
+// Many shards copied at once share a budget: no more pieces are under way than it
 // allows, and all get their turn.
 func TestCopiesShareABudget(t *testing.T) {
 	a := newEnd("a")
--- a/internal/storage/archive.go
+++ b/internal/storage/archive.go
@@ -15,7 +15,7 @@
 	lastFile uint64
 	files    []uint64
 	mu       sync.Mutex
-	// The file read last stays decoded: readers page through one bundle.
+	// The file read last stays decoded: readers page through one batch.
 	cachedFile    uint64
 	cachedRecords map[string][]byte
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,7 +1,7 @@
 // Package transport carries messages between the fleet's own processes over
 // net/rpc (DESIGN §2). A message is one-way and may be lost; an ask has an
-// answer and an expiry. net/rpc knows neither expiry nor cancellation, so every
-// call runs with an expiry here, and one that expires closes its connection.
+// answer and an deadline. net/rpc knows neither deadline nor cancellation, so every
+// call runs with an deadline here, and one that expires closes its connection.
 package transport
 
 import (
@@ -66,7 +66,7 @@
 }
 
 // Receiver takes what comes in. Deliver must not block; Ask may, up to the
-// expiry the asker put into its own body.
+// deadline the asker put into its own body.
 type Receiver interface {
 	Deliver(message Envelope)
 	HandleCall(message Envelope) (any, error)
@@ -296,7 +296,7 @@
 	return rpc.NewClient(countingConn{conn, &t.BytesOut}), nil
 }
 
-// Call calls and waits for the answer, at most until the expiry. An error that is no
+// Call calls and waits for the answer, at most until the deadline. An error that is no
 // *errs.Error means that the outcome is unknown.
 func (t *Transport) Call(to string, body any, timeout clock.Micros) (any, error) {
 	t.mu.Lock()
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -50,7 +50,7 @@
 }
 
 // A peer that takes connections and says nothing holds up neither the others
-// nor, past the expiry, the asker.
+// nor, past the deadline, the asker.
 func TestUnresponsivePeerDelaysNobody(t *testing.T) {
 	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/test/capacitymodel/connection.go
+++ b/test/capacitymodel/connection.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// request is a question with an answer and an expiry, on a connection of its own.
+// request is a question with an answer and an deadline, on a connection of its own.
 //
 //revive:disable-next-line:function-length the steps of one call share its state
 func (f *Fleet) request(from *daemon, peer string, body any, timeout clock.Micros, onReply func(any, error)) {
--- a/test/capacitymodel/fleet.go
+++ b/test/capacitymodel/fleet.go
@@ -24,9 +24,9 @@
 	Zones, Regions, Shards                       int64
 	ZoneDelayUS, RegionDelayUS                   int64 // one way between zones, between regions, in µs
 	WarmupSeconds, CountedSeconds                int64
-	ChangesPerHour                               int64 // of the plan, an hour
+	ChangesPerHour                               int64 // of the configuration, an hour
 	Tenants, Routes                              int64
-	ItemsPerSecond                               int64 // of bundles, a second
+	ItemsPerSecond                               int64 // of batches, a second
 	BatchItems                                   int64
 	RestartsPerHour                              int64 // of daemons, an hour
 	RegionPartitionSeconds, ZonePartitionSeconds int64 // seconds
--- a/test/capacitymodel/workload.go
+++ b/test/capacitymodel/workload.go
@@ -14,7 +14,7 @@
 	"tuliprudder/internal/membership"
 )
 
-// configurationChanges are changes of the plan, each until it is in force everywhere.
+// configurationChanges are changes of the configuration, each until it is in force everywhere.
 type configurationChanges struct {
 	pending             map[uint64]*configurationChange
 	durations           []clock.Micros
@@ -28,7 +28,7 @@
 	awaiting    map[*daemon]bool
 }
 
-// configurationDocument is a plan of the users' size; each number makes another.
+// configurationDocument is a configuration of the users' size; each number makes another.
 func (f *Fleet) configurationDocument(number int) []byte {
 	classes, tenants, pools, routes := []any{}, []any{}, []any{}, []any{}
 	for i := range 5 {
@@ -57,7 +57,7 @@
 	return data
 }
 
-// submitConfiguration hands a plan to the primary.
+// submitConfiguration hands a configuration to the primary.
 func (f *Fleet) submitConfiguration() {
 	p := f.primary()
 	f.configurations.submitted++
@@ -113,7 +113,7 @@
 	}
 }
 
-// batchSubmissions hand bundles in at a steady pace.
+// batchSubmissions hand batches in at a steady pace.
 type batchSubmissions struct {
 	submitted, rejected int64
 	// warmupSubmitted and warmupRejected are those of the warm-up, which don't count.
@@ -130,7 +130,7 @@
 
 const itemOutput = "a label and two sentences that say why it was given, about as long as an answer"
 
-// submitBatch hands one bundle in at the store that owns its slot, as an edge would.
+// submitBatch hands one batch in at the store that owns its slot, as an edge would.
 func (f *Fleet) submitBatch() {
 	p := f.primary()
 	f.batches.submitted++
--- a/test/faultinject/configurations.go
+++ b/test/faultinject/configurations.go
@@ -15,7 +15,7 @@
 	"tuliprudder/test/verify"
 )
 
-// configurationPutter puts whole plans for as long as callers call, and checks how they come
+// configurationPutter puts whole configurations for as long as callers call, and checks how they come
 // into force.
 type configurationPutter struct {
 	fleet      *localfleet.Fleet
@@ -26,13 +26,13 @@
 }
 
 const (
-	putInterval = 700 * time.Millisecond  // between two plans
+	putInterval = 700 * time.Millisecond  // between two configurations
 	applyBound  = 2500 * time.Millisecond // "2 s", with a grace
 	// readBackBound is how long a version may take to be read back.
 	readBackBound = 15 * time.Second
 )
 
-// startConfigurationPuts puts whole plans all the while, now and then two at once, and watches
+// startConfigurationPuts puts whole configurations all the while, now and then two at once, and watches
 // that each is in force everywhere within 2 s and that nobody goes back. The
 // returned function ends it and gives the verdict.
 func startConfigurationPuts(ctx context.Context, c *localfleet.Fleet) func() verify.Guarantee {
@@ -74,7 +74,7 @@
 	}
 }
 
-// putConcurrently puts plans at the same time, and returns the newest version confirmed.
+// putConcurrently puts configurations at the same time, and returns the newest version confirmed.
 func (p *configurationPutter) putConcurrently(number, count int, edges []string, random *rand.Rand) uint64 {
 	versions := make(chan uint64, count)
 	for i := range count {
@@ -88,7 +88,7 @@
 	return newest
 }
 
-// put puts a plan at an edge and returns its version; 0 where it was not confirmed.
+// put puts a configuration at an edge and returns its version; 0 where it was not confirmed.
 func (p *configurationPutter) put(number int, edge string) uint64 {
 	var configuration map[string]any
 	data, err := os.ReadFile(p.fleet.Spec.ConfigurationFile)
@@ -113,7 +113,7 @@
 }
 
 // awaitInForce waits until an edge has a version in force. An edge that is out of
-// reach has no plan in force to judge.
+// reach has no configuration in force to judge.
 func (p *configurationPutter) awaitInForce(ctx context.Context, edge string, newest uint64, confirmed time.Time) {
 	for newest > 0 && ctx.Err() == nil {
 		version := p.versionInForce(edge)
@@ -148,7 +148,7 @@
 	return got.Version
 }
 
-// configurationList is what an edge lists of the plans: the versions whose documents can be read
+// configurationList is what an edge lists of the configurations: the versions whose documents can be read
 // back, and the orders that are recognised by the digest of theirs.
 type configurationList struct {
 	Configurations []struct {
@@ -202,7 +202,7 @@
 	}
 }
 
-// startQuotaAudit adds up what waits of each customer over all daemons.
+// startQuotaAudit adds up what waits of each tenant over all daemons.
 func startQuotaAudit(ctx context.Context, c *localfleet.Fleet) func() verify.Guarantee {
 	ctx, cancel := context.WithCancel(ctx)
 	p := verify.Guarantee{Name: "a customer's waiting work stays within its allowance, by about a tenth"}
--- a/test/faultinject/membership.go
+++ b/test/faultinject/membership.go
@@ -11,7 +11,7 @@
 	"tuliprudder/test/localfleet"
 )
 
-// surge hands many bundles in at every edge at the same moment.
+// surge hands many batches in at every edge at the same moment.
 func (s *scenario) surge() error {
 	workload := s.settings.Workload(func() []string {
 		var out []string
--- a/test/faultinject/run.go
+++ b/test/faultinject/run.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// readConfigurationsBack reads every plan version back at the end of the day.
+// readConfigurationsBack reads every configuration version back at the end of the day.
 func readConfigurationsBack(c *localfleet.Fleet) error {
 	edge := c.Names("edge")[0]
 	return localfleet.WaitUntil(15*time.Second, func() error {
--- a/test/faultinject/settings.go
+++ b/test/faultinject/settings.go
@@ -23,7 +23,7 @@
 	Fault                        string
 	Race, KeepFiles              bool
 	Zone                         string
-	ReadTimeout                  time.Duration // to read a bundle whole; 0: the callers' own
+	ReadTimeout                  time.Duration // to read a batch whole; 0: the callers' own
 }
 
 // BuildArgs are the compiler's words for the build.
--- a/test/localfleet/localfleet.go
+++ b/test/localfleet/localfleet.go
@@ -25,7 +25,7 @@
 	"tuliprudder/test/netproxy"
 )
 
-// Spec is a deployment: sizes, and where its plan is.
+// Spec is a deployment: sizes, and where its configuration is.
 type Spec struct {
 	Name              string
 	Zones             int
@@ -97,7 +97,7 @@
 
 func (f *Fleet) zoneOf(i int) string { return fmt.Sprintf("zone-%d", 1+i%f.Spec.Zones) }
 
-// plan lays a daemon out without starting it.
+// configuration lays a daemon out without starting it.
 func (f *Fleet) prepare(kind, name, zone, ip string) (*Daemon, error) {
 	d := &Daemon{Name: name, Kind: kind, Zone: zone, IP: ip}
 	var err error
@@ -400,7 +400,7 @@
 	return map[string]any{"servers": servers}
 }
 
-// MakeReady puts the plan and the list of servers and waits until every edge is
+// MakeReady puts the configuration and the list of servers and waits until every edge is
 // ready to serve.
 func (f *Fleet) MakeReady(timeout time.Duration) error {
 	configuration, err := os.ReadFile(f.Spec.ConfigurationFile)
--- a/test/modelcheck/choices.go
+++ b/test/modelcheck/choices.go
@@ -8,7 +8,7 @@
 	"tuliprudder/internal/replication"
 )
 
-// Spans of the events that let time go by: a clock event, past a lease, past the
+// Spans of the events that let time go by: a tick, past a lease, past the
 // time after which a silent core's seat is given away, and a long cut.
 var (
 	passSpans    = []clock.Micros{tickInterval, 1500 * clock.Millisecond, 6 * clock.Second, 20 * clock.Second}
--- a/test/modelcheck/config.go
+++ b/test/modelcheck/config.go
@@ -71,7 +71,7 @@
 	StartEmpty bool
 	// InitialTrace is a run that leads to where the search begins.
 	InitialTrace Trace
-	// FineGrained has each message, sync and clock event as an event of its own; without
+	// FineGrained has each message, sync and tick as an event of its own; without
 	// it heartbeats and leases travel only while time goes by fairly.
 	FineGrained bool
 	// OnlyEvents are the first words of the events to be tried ("pass 6s", "crash"); all when
--- a/test/modelcheck/process.go
+++ b/test/modelcheck/process.go
@@ -50,7 +50,7 @@
 	draining        bool         // it was told that it is about to go
 	diskBlocked     bool         // its disk takes no writes
 	diskUnblockedAt clock.Micros // when its disk took them again; 0: it always did
-	tickedAt        clock.Micros // its latest clock event
+	tickedAt        clock.Micros // its latest tick
 	disk            []machine.Record
 	unsynced        []diskWrite
 
--- a/test/modelcheck/search.go
+++ b/test/modelcheck/search.go
@@ -314,7 +314,7 @@
 	return next.checkConfirms(leaseHolders[0])
 }
 
-// checkConfirms puts an order that can't be refused and waits for its receipt.
+// checkConfirms puts an order that can't be refused and waits for its acknowledgement.
 func (w *World) checkConfirms(leader *process) *Violation {
 	processIndex := w.indexByName(leader.name)
 	known := len(w.history.confirmed)
--- a/test/modelcheck/world.go
+++ b/test/modelcheck/world.go
@@ -234,10 +234,10 @@
 	}
 }
 
-// tickInterval is how often clock events come while time goes by fairly.
+// tickInterval is how often ticks come while time goes by fairly.
 const tickInterval = 250 * clock.Millisecond
 
-// passTime lets time go by fairly: each process has its clock events, messages arrive
+// passTime lets time go by fairly: each process has its ticks, messages arrive
 // and writes are synced.
 func (w *World) passTime(span clock.Micros) {
 	for end := w.now + span; w.now < end && w.violation == nil; {
--- a/test/simulator/batches.go
+++ b/test/simulator/batches.go
@@ -12,7 +12,7 @@
 	"tuliprudder/test/modelcontent"
 )
 
-// Batch is a bundle as its caller saw it, with the servers' log of its items.
+// Batch is a batch as its caller saw it, with the servers' log of its items.
 type Batch struct {
 	ID             string
 	Key            string
@@ -29,11 +29,11 @@
 	completedAt    map[int]clock.Micros // when an item's result was whole on a server, last
 	resultsRead    int                  // rows that a waiting reader has seen
 	failuresByItem map[int]int          // by item: how often a server failed it
-	// Forwarded bundles hold requests that are passed on unchanged.
+	// Forwarded batches hold requests that are passed on unchanged.
 	Forwarded bool
 }
 
-// SubmitBatch hands a bundle in and goes on until it is accepted or given up.
+// SubmitBatch hands a batch in and goes on until it is accepted or given up.
 func (v *Workload) SubmitBatch(items, attempts int) *Batch {
 	v.lastNumber++
 	return v.SubmitBatchWithKey(fmt.Sprintf("key-%d", v.lastNumber), items, attempts)
@@ -44,7 +44,7 @@
 	return v.submit(&Batch{ID: shard.BatchID(defaultTenant, key), Key: key, ItemCount: items}, attempts)
 }
 
-// submit hands a bundle in until it is accepted or its tries are over.
+// submit hands a batch in until it is accepted or its tries are over.
 func (v *Workload) submit(b *Batch, attempts int) *Batch {
 	b.SubmittedAt, b.startsByItem, b.completedAt, b.failuresByItem = v.world.Now, map[string]int{}, map[int]clock.Micros{}, map[int]int{}
 	v.Batches, v.batchByID[b.ID], v.batchByKey[b.Key] = append(v.Batches, b), b, b
@@ -106,7 +106,7 @@
 	}
 }
 
-// EndBatch ends an accepted bundle, trying until it is told.
+// EndBatch ends an accepted batch, trying until it is told.
 func (v *Workload) EndBatch(b *Batch) {
 	v.PendingCalls++
 	var attempt func()
@@ -129,7 +129,7 @@
 	attempt()
 }
 
-// ReadBatchStatus asks any edge how an accepted bundle stands: it may not know yet, but it
+// ReadBatchStatus asks any edge how an accepted batch stands: it may not know yet, but it
 // may not say that there is none.
 func (v *Workload) ReadBatchStatus() {
 	n := v.randomEdge()
--- a/test/simulator/callers.go
+++ b/test/simulator/callers.go
@@ -52,8 +52,8 @@
 // routeKinds are the live routes by the kind of the route.
 var routeKinds = map[string]string{"once": config.OneShot, "flow": config.Stream, "long": config.Resumable, "extra": config.OneShot}
 
-// configurationDocument is a plan as an operator writes it; its number says how it differs from
-// others: the route extra comes and goes, its pool moves, allowances change.
+// configurationDocument is a configuration as an operator writes it; its number says how it differs from
+// others: the route extra comes and goes, its pool moves, quotas change.
 func configurationDocument(number int, forwarding bool) []byte {
 	route := func(name, kind, pool string) map[string]any {
 		return map[string]any{"name": name, "kind": kind, "classes": map[string]any{"live": "yes"}, "pools": map[string]any{"use": pool}, "model": "m", "prefix": "say " + name + strings.Repeat(" again", 100), "max_tokens": 64, "expiry_us": 4_000_000}
@@ -86,7 +86,7 @@
 	return data
 }
 
-// Start is the day's beginning: a plan, the platform's list, and callers who go on
+// Start is the day's beginning: a configuration, the platform's list, and callers who go on
 // until Calling is false.
 func (v *Workload) Start() {
 	w := v.world
@@ -307,7 +307,7 @@
 	}
 }
 
-// SubmitBurst hands many bundles in at once, at every edge.
+// SubmitBurst hands many batches in at once, at every edge.
 func (v *Workload) SubmitBurst(count, items int) {
 	for i := 0; i < count; i++ {
 		v.world.After(v.world.randomBetween(0, 100_000), func() { v.SubmitBatch(items, 3) })
--- a/test/simulator/configurations.go
+++ b/test/simulator/configurations.go
@@ -11,7 +11,7 @@
 	"tuliprudder/test/modelcontent"
 )
 
-// ConfigurationPut is a plan as its operator saw it.
+// ConfigurationPut is a configuration as its operator saw it.
 type ConfigurationPut struct {
 	Document         int
 	Body             string
@@ -26,7 +26,7 @@
 	RequestedVersion uint64 // the operator's own number; 0: the core numbers it
 }
 
-// PutConfiguration puts a plan with or without a base.
+// PutConfiguration puts a configuration with or without a base.
 func (v *Workload) PutConfiguration(withBase bool) {
 	n := v.randomEdge()
 	if n == nil || n.coreUpdate.Peer == "" {
@@ -57,7 +57,7 @@
 	})
 }
 
-// checkInForceEverywhere looks, 2 s after a plan was confirmed, whether it is in force at every
+// checkInForceEverywhere looks, 2 s after a configuration was confirmed, whether it is in force at every
 // edge and store that nothing was done to meanwhile.
 func (v *Workload) checkInForceEverywhere(p *ConfigurationPut) {
 	for _, name := range v.world.nodeNames {
@@ -187,7 +187,7 @@
 	return false
 }
 
-// documentsInForceSince are the plans' numbers that may have been in force at some time
+// documentsInForceSince are the configurations' numbers that may have been in force at some time
 // since then: confirmed ones from before the newest at that time are not.
 func (v *Workload) documentsInForceSince(since clock.Micros) []int {
 	var out []int
@@ -206,7 +206,7 @@
 	return out
 }
 
-// checkStartInForce judges a start of the route extra by the newest plans: those that
+// checkStartInForce judges a start of the route extra by the newest configurations: those that
 // were in force at any time since the order was sent, and a while before.
 func (v *Workload) checkStartInForce(req *Request, start modelcontent.Start) {
 	if req.Route != "extra" {
--- a/test/simulator/final_checks.go
+++ b/test/simulator/final_checks.go
@@ -12,7 +12,7 @@
 )
 
 // Finish is the day's end: everything healed, service of every kind is back, and
-// every receipt, result and plan is read back.
+// every acknowledgement, result and configuration is read back.
 func (v *Workload) Finish(timeout clock.Micros) {
 	w := v.world
 	healedAt := w.Now
@@ -58,7 +58,7 @@
 	return !v.world.RunUntil(timeout, allRead) && v.FeedResults > before
 }
 
-// checkBatches judges every bundle at the day's end.
+// checkBatches judges every batch at the day's end.
 func (v *Workload) checkBatches() {
 	for _, b := range v.Batches {
 		if b.AcceptedAt == 0 {
--- a/test/simulator/forwarded_batches.go
+++ b/test/simulator/forwarded_batches.go
@@ -14,7 +14,7 @@
 	"tuliprudder/test/modelcontent"
 )
 
-// This file is bundles of requests that are passed on unchanged (DESIGN §12.5):
+// This file is batches of requests that are passed on unchanged (DESIGN §12.5):
 // how they are handed in and read, and how a store passes an item on.
 
 // itemIdleTimeout is the longest that a store waits for an item's next event. The
@@ -63,7 +63,7 @@
 	return modelcontent.Answer(input, chunksPerAnswer)
 }
 
-// submitRequest is the call that hands the bundle in.
+// submitRequest is the call that hands the batch in.
 func (b *Batch) submitRequest() any {
 	var list []shard.Item
 	for i := 0; i < b.ItemCount; i++ {
@@ -81,7 +81,7 @@
 	return requests.SubmitBatchRequest{APIKey: callerKey, Route: "r", IdempotencyKey: b.Key, Items: list}
 }
 
-// statusRequest is the call that asks how the bundle stands, or ends it.
+// statusRequest is the call that asks how the batch stands, or ends it.
 func (b *Batch) statusRequest(end bool) any {
 	if b.Forwarded {
 		return requests.ForwardedBatchStatusRequest{Batch: b.ID, Cancel: end}
@@ -98,7 +98,7 @@
 	return requests.PageRequest{APIKey: callerKey, Read: read}
 }
 
-// SubmitForwardedBatch hands in a bundle of requests to be passed on.
+// SubmitForwardedBatch hands in a batch of requests to be passed on.
 func (v *Workload) SubmitForwardedBatch(items, attempts int) *Batch {
 	v.lastNumber++
 	key := fmt.Sprintf("bulk-%d", v.lastNumber)
--- a/test/simulator/forwarding.go
+++ b/test/simulator/forwarding.go
@@ -16,7 +16,7 @@
 // The routes of such requests by kind; host and path are made of the name.
 var forwardedKinds = map[string]string{"safe": config.Repeatable, "unsafe": config.OneShot, "events": config.Stream, "resumable": config.Resumable}
 
-// forwardedRoutes are their names in a fixed order, the bundles' route left out.
+// forwardedRoutes are their names in a fixed order, the batches' route left out.
 var forwardedRoutes = []string{"safe", "unsafe", "events", "resumable"}
 
 const (
--- a/test/simulator/full_disk_test.go
+++ b/test/simulator/full_disk_test.go
@@ -20,7 +20,7 @@
 	})
 }
 
-// putIsConfirmed puts a plan and tells whether it is confirmed within a span.
+// putIsConfirmed puts a configuration and tells whether it is confirmed within a span.
 func putIsConfirmed(w *World, duration clock.Micros) bool {
 	w.Workload.PutConfiguration(false)
 	if len(w.Workload.ConfigurationPuts) == 0 {
@@ -31,7 +31,7 @@
 }
 
 // The primary's disk is full for half a minute: another core leads within seconds and
-// confirms plans; every promise is kept, and the core is taken back.
+// confirms configurations; every promise is kept, and the core is taken back.
 func TestAFullDiskOfThePrimary(t *testing.T) {
 	for seed := int64(1); seed <= 12; seed++ {
 		w := NewWorld(seed, defaultShape, Conditions{SyncTime: 2 * clock.Millisecond})
@@ -92,7 +92,7 @@
 	}
 }
 
-// A store's disk is full for half a minute: its slots pass on at once, and bundles are
+// A store's disk is full for half a minute: its slots pass on at once, and batches are
 // taken in meanwhile.
 func TestAFullDiskOfAStore(t *testing.T) {
 	for seed := int64(1); seed <= 6; seed++ {
--- a/test/simulator/history.go
+++ b/test/simulator/history.go
@@ -9,7 +9,7 @@
 	"tuliprudder/internal/clock"
 )
 
-// The histories of plans and of claimed keys are checked for one order that
+// The histories of configurations and of claimed keys are checked for one order that
 // explains what every operator and every edge was told, those of unknown
 // outcome included (DESIGN §9).
 
@@ -38,13 +38,13 @@
 	Equal: func(one, other any) bool { return one == other },
 }
 
-// batchOutput is one try to hand a bundle in, or one look at it.
+// batchOutput is one try to hand a batch in, or one look at it.
 type batchOutput struct {
 	isStatus, found, duplicate, unknown bool
 }
 
-// batchModel is one bundle in its ledger: absent, then present for good. A
-// receipt that says 'repeated' needs an earlier entry, one that does not, none.
+// batchModel is one batch in its ledger: absent, then present for good. A
+// acknowledgement that says 'repeated' needs an earlier entry, one that does not, none.
 var batchModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{false} },
 	Step: func(state, _, output any) []any {
@@ -66,7 +66,7 @@
 	Equal: func(one, other any) bool { return one == other },
 }
 
-// BatchOperation is a bundle's operation as its caller saw it.
+// BatchOperation is a batch's operation as its caller saw it.
 type BatchOperation struct {
 	ID                   string
 	CalledAt, AnsweredAt clock.Micros
--- a/test/simulator/network.go
+++ b/test/simulator/network.go
@@ -104,7 +104,7 @@
 }
 
 // Call asks a node's machine over the network; back is told once: the answer, or
-// an unknown outcome when the expiry passed.
+// an unknown outcome when the deadline passed.
 func (w *World) Call(from *Node, peer string, body any, timeout clock.Micros, callback func(any, error)) {
 	to := w.nodeByPeer[peer]
 	finished := false
--- a/test/simulator/operators.go
+++ b/test/simulator/operators.go
@@ -25,7 +25,7 @@
 	body      []byte
 	version   uint64 // 0: the core numbers it, whatever is in force
 	base      uint64
-	confirmed bool // a receipt was given, whether the operator heard of it or not
+	confirmed bool // an acknowledgement was given, whether the operator heard of it or not
 	resolved  bool // the operator has a clear answer
 }
 
@@ -94,7 +94,7 @@
 	}
 }
 
-// configurationConfirmed notes a receipt, and looks later whether it is in force.
+// configurationConfirmed notes an acknowledgement, and looks later whether it is in force.
 func (v *Workload) configurationConfirmed(p *ConfigurationPut, ack controlplane.PutConfigurationResponse) {
 	p.Version = ack.Version
 	v.LastServed["plan"] = v.world.Now
--- a/test/simulator/quota_check.go
+++ b/test/simulator/quota_check.go
@@ -6,7 +6,7 @@
 	"tuliprudder/internal/clock"
 )
 
-// allowances are the most that a customer may have waiting by the plans that may
+// quotas are the most that a tenant may have waiting by the configurations that may
 // be in force now, or were while what waits was taken in.
 func (v *Workload) quotaOf(tenant string) int {
 	limit := 40
--- a/test/simulator/readers.go
+++ b/test/simulator/readers.go
@@ -19,7 +19,7 @@
 	return true
 }
 
-// followBatch follows one bundle's list at edges that change only when one gives no
+// followBatch follows one batch's list at edges that change only when one gives no
 // answer, as a waiting reader does, and times each row.
 func (v *Workload) followBatch(b *Batch, token string) {
 	n := v.randomEdge()
@@ -45,7 +45,7 @@
 			if done == 0 {
 				continue
 			}
-			// Nobody can wait for a list before its receipt.
+			// Nobody can wait for a list before its acknowledgement.
 			lag := v.world.Now - max(done, b.AcceptedAt)
 			v.countCheck(resultsTimely)
 			switch {
@@ -123,7 +123,7 @@
 	next()
 }
 
-// readWholeBatch reads a bundle's list page by page from the start.
+// readWholeBatch reads a batch's list page by page from the start.
 func (v *Workload) readWholeBatch(b *Batch) {
 	w := v.world
 	token, count, done, attempts := "", 0, false, 0
--- a/test/simulator/recovery.go
+++ b/test/simulator/recovery.go
@@ -11,7 +11,7 @@
 // Recovery is how fast a fleet recovered, each in a run of its own on a fleet that
 // had all its copies before.
 type Recovery struct {
-	// FailoverAfterKill and FailoverAfterIsolation are from the loss of the primary core to the receipt of
+	// FailoverAfterKill and FailoverAfterIsolation are from the loss of the primary core to the acknowledgement of
 	// a configuration that was sent after it.
 	FailoverAfterKill, FailoverAfterIsolation clock.Micros
 	// CoreRepair and StoreRepair are from the start of an empty machine, in place of
--- a/test/simulator/run.go
+++ b/test/simulator/run.go
@@ -19,7 +19,7 @@
 	SkipFaults []int  // acts left out, for shrinking
 	Filter     string // only acts whose names hold this
 	AllCalls   bool   // the callers use every kind of call early on
-	// Forwarding adds requests that are passed on unchanged, alone and in bundles.
+	// Forwarding adds requests that are passed on unchanged, alone and in batches.
 	Forwarding bool
 	// Scenarios adds the directed scenarios (Scenarios) to the acts.
 	Scenarios bool
@@ -94,7 +94,7 @@
 	callers()
 }
 
-// endRandomBatch ends, now and then, one of the bundles that are open.
+// endRandomBatch ends, now and then, one of the batches that are open.
 func (v *Workload) endRandomBatch() {
 	var open []*Batch
 	for _, b := range v.Batches {
@@ -107,7 +107,7 @@
 	}
 }
 
-// runForwardedBatchCallers has callers hand in bundles of requests until Calling is false.
+// runForwardedBatchCallers has callers hand in batches of requests until Calling is false.
 func (v *Workload) runForwardedBatchCallers() {
 	w := v.world
 	var callers func()
--- a/test/simulator/scenarios_acknowledgements.go
+++ b/test/simulator/scenarios_acknowledgements.go
@@ -5,7 +5,7 @@
 	"tuliprudder/internal/clock"
 )
 
-// extraSyncTime is what one copy's disk takes longer while its fellows are lost: a receipt
+// extraSyncTime is what one copy's disk takes longer while its fellows are lost: an acknowledgement
 // that does not wait for the last copy is given in that time.
 const extraSyncTime = 300 * clock.Millisecond
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// wipeAtBatchAck hands in bundles of a slot until one is accepted, and empties then
+// wipeAtBatchAck hands in batches of a slot until one is accepted, and empties then
 // the slot's holders but the slowest.
 func (w *World) wipeAtBatchAck(shardNumber int) func() {
 	replicas := w.replicasOf(shardNumber)
--- a/test/simulator/simulation_test.go
+++ b/test/simulator/simulation_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// A store's disk stalls for half a minute: its slots pass on, and bundles are
+// A store's disk stalls for half a minute: its slots pass on, and batches are
 // taken in again long before it is back.
 func TestStalledDiskHandsItsShardsOver(t *testing.T) {
 	w := NewWorld(3, defaultShape, Conditions{SyncTime: 2 * clock.Millisecond})
@@ -127,7 +127,7 @@
 }
 
 // Two stores that both live can't reach each other for half a minute: their
-// slots find other partners, and bundles are taken in meanwhile.
+// slots find other partners, and batches are taken in meanwhile.
 func TestAPairThatIsCutFindsOtherPartners(t *testing.T) {
 	w := NewWorld(4, defaultShape, Conditions{SyncTime: 2 * clock.Millisecond})
 	w.RunUntil(10*clock.Second, w.FullyReplicated)
@@ -169,7 +169,7 @@
 			original := w.Nodes[kind]
 			copied := w.CloneNode(original, "copy")
 			if !alive {
-				// The original lives two lives more, takes bundles in, and dies.
+				// The original lives two lives more, takes batches in, and dies.
 				for i := 0; i < 2; i++ {
 					original.Crash()
 					w.RunFor(500 * clock.Millisecond)
@@ -298,7 +298,7 @@
 		{Seed: 5005, Shape: defaultShape, Conditions: MildConditions(), Faults: 0},                     // a founding whose grants were lost
 		{Seed: 1004, Shape: defaultShape, Conditions: MildConditions(), Faults: 8},                     // a deposed writer's open positions never settled
 		{Seed: 6011, Shape: defaultShape, Conditions: MildConditions(), Faults: 8},                     // a slot that passed on twice turned its order round in the feed
-		{Seed: 45, Shape: defaultShape, Conditions: MildConditions(), Faults: 6, Filter: "cut a zone"}, // a deposed keeper in a cut zone denied an accepted bundle
+		{Seed: 45, Shape: defaultShape, Conditions: MildConditions(), Faults: 6, Filter: "cut a zone"}, // a deposed store in a cut zone denied an accepted batch
 	} {
 		if w := run.Execute(); len(w.Workload.Violations) > 0 {
 			t.Errorf("seed %d: %s", run.Seed, w.Report(40))
--- a/test/simulator/workload.go
+++ b/test/simulator/workload.go
@@ -40,14 +40,14 @@
 	OutcomeCounts     map[string]int
 	RequestsStarted   int // orders that began on servers
 	ForwardedRequests int // requests that were handed in to be passed on
-	// MaxWaiting is the most that waited of each customer, SlowestResult the longest
+	// MaxWaiting is the most that waited of each tenant, SlowestResult the longest
 	// from a whole result to a waiting reader with no fault near, SlowestRecovery the
 	// longest until a kind of service was back after the day's last fault.
 	MaxWaiting      map[string]int
 	SlowestResult   clock.Micros
 	SlowestRecovery clock.Micros
 	SlowestService  string
-	// OnAcknowledgement is told of each bundle as its caller hears that it is accepted.
+	// OnAcknowledgement is told of each batch as its caller hears that it is accepted.
 	OnAcknowledgement func(b *Batch, owner string)
 	PendingCalls      int
 	// Recovery is what was measured before the day's failures.
--- a/test/simulator/world.go
+++ b/test/simulator/world.go
@@ -55,7 +55,7 @@
 	// OnEffect sees each effect just before it is carried out.
 	OnEffect func(n *Node, effect machine.Effect)
 	Shape    Shape
-	// Forwarding adds requests and bundles of requests that are passed on unchanged.
+	// Forwarding adds requests and batches of requests that are passed on unchanged.
 	Forwarding bool
 	seeds      []string
 	// fullyReplicatedAt is when the fleet was last seen to have all its copies.
@@ -153,7 +153,7 @@
 	return best
 }
 
-// quotaOwner is the edge that holds a customer's account.
+// quotaOwner is the edge that holds a tenant's account.
 func (w *World) quotaOwner(tenant string) *Node {
 	if n := w.Workload.randomEdge(); n != nil {
 		id := endpoints.RendezvousOwner("account/"+tenant, n.edge.Members(), membership.Edge)
@@ -166,7 +166,7 @@
 	return w.randomNode(membership.Edge)
 }
 
-// ownerOf is the store that keeps a bundle, as an edge knows it.
+// ownerOf is the store that keeps a batch, as an edge knows it.
 func (w *World) ownerOf(b *Batch) *Node {
 	if n := w.Workload.randomEdge(); n != nil {
 		if _, owner, err := n.edge.Reader.Locate(b.ID); err == nil && w.nodeByPeer[owner.Peer] != nil {
--- a/test/storedformat/scenario_test.go
+++ b/test/storedformat/scenario_test.go
@@ -125,7 +125,7 @@
 func batchID(tenant, key string) string { return shard.BatchID(tenant, key) }
 
 // writeEarlyBatches hands batches in that are finished, ended and archived before the
-// snapshot, one of which is dropped again for its age. The customers are chosen so that
+// snapshot, one of which is dropped again for its age. The tenants are chosen so that
 // the batches' shards stay with the store whose folder is kept.
 func (f *fleet) writeEarlyBatches() {
 	f.submit(inputBatch("customer-1", "forgotten", "one"))
--- a/test/verify/batches.go
+++ b/test/verify/batches.go
@@ -23,7 +23,7 @@
 	Output    string `json:"output"`
 }
 
-// Batch is one bundle as its caller saw it.
+// Batch is one batch as its caller saw it.
 type Batch struct {
 	ID, Key        string
 	Inputs         []string
@@ -38,7 +38,7 @@
 	IsInvalid      bool    // handed in with a bad item: must be rejected
 }
 
-// readAllBatchesBack is the day's end: every accepted bundle's list is read back whole.
+// readAllBatchesBack is the day's end: every accepted batch's list is read back whole.
 func (t *Workload) readAllBatchesBack(ctx context.Context) {
 	rng := rand.New(rand.NewSource(t.Seed - 3))
 	deadline := time.Now().Add(t.ReadTimeout)
@@ -65,7 +65,7 @@
 	}
 }
 
-// newBatch makes a bundle and its items; an invalid one has an item without input.
+// newBatch makes a batch and its items; an invalid one has an item without input.
 func (t *Workload) newBatch(invalid bool) (*Batch, []map[string]any) {
 	b := &Batch{Key: t.newName("bundle"), IsInvalid: invalid, SentAt: nowMicros()}
 	items := []map[string]any{}
@@ -125,7 +125,7 @@
 	t.readBatch(ctx, rng, b)
 }
 
-// cancelBatch ends a bundle half way.
+// cancelBatch ends a batch half way.
 func (t *Workload) cancelBatch(ctx context.Context, rng *rand.Rand, b *Batch) {
 	for attempt := 0; attempt < t.MaxAttempts && ctx.Err() == nil; attempt++ {
 		got, err := t.call(ctx, t.randomEdge(rng), http.MethodDelete, "/v1/bundles/"+b.ID, t.BatchKey, "", nil)
@@ -200,7 +200,7 @@
 	return p, true
 }
 
-// readBatch follows a bundle's list over changing edges until it is whole,
+// readBatch follows a batch's list over changing edges until it is whole,
 // then reads it again from the start somewhere else.
 func (t *Workload) readBatch(ctx context.Context, rng *rand.Rand, b *Batch) {
 	path := "/v1/bundles/" + b.ID + "/results"
@@ -233,7 +233,7 @@
 	t.readAgain(ctx, rng, b, path)
 }
 
-// readAgain reads a bundle's list once more at some edge. That edge may hear of the
+// readAgain reads a batch's list once more at some edge. That edge may hear of the
 // last rows a little later, but what it shows must be the list's beginning.
 func (t *Workload) readAgain(ctx context.Context, rng *rand.Rand, b *Batch, path string) {
 	results := b.Results
--- a/test/verify/checker.go
+++ b/test/verify/checker.go
@@ -19,7 +19,7 @@
 	guarantees                                                                                                                                                                     []*Guarantee
 	outcomeCounts                                                                                                                                                                  map[string]int
 	durations                                                                                                                                                                      map[string][]int64 // by kind of order
-	feedSeen                                                                                                                                                                       map[string]int     // rows, by bundle and item
+	feedSeen                                                                                                                                                                       map[string]int     // rows, by batch and item
 	positionContents                                                                                                                                                               map[[2]int64]string
 	accepted                                                                                                                                                                       int
 	slowestResult, slowestAcceptance, longestGap                                                                                                                                   int64
@@ -174,7 +174,7 @@
 	c.cancelledStops.Checked++
 }
 
-// checkResults checks a bundle's list, and counts how often each item is on it.
+// checkResults checks a batch's list, and counts how often each item is on it.
 func (c *checker) checkResults(b *Batch) map[int]int {
 	items := map[int]int{}
 	last := int64(0)
@@ -206,14 +206,14 @@
 		if result.ItemIndex < 0 || result.ItemIndex >= len(b.Inputs) || c.endedAt[b.Inputs[result.ItemIndex]] == 0 || i >= len(b.SeenAt) {
 			continue
 		}
-		// Nobody can wait for a list before its receipt.
+		// Nobody can wait for a list before its acknowledgement.
 		lag := b.SeenAt[i] - max(b.AnsweredAt, c.endedAt[b.Inputs[result.ItemIndex]])
 		c.slowestResult = max(c.slowestResult, lag)
 		c.readableInTime.check(lag <= bound, "bundle %s item %d was whole %d us before a waiting reader had it", b.ID, result.ItemIndex, lag)
 	}
 }
 
-// checkTimes checks how long bundles took to their receipts, and the longest time
+// checkTimes checks how long batches took to their acknowledgements, and the longest time
 // without a live answer.
 func (c *checker) checkTimes() {
 	for _, b := range c.batches {
--- a/test/verify/feed.go
+++ b/test/verify/feed.go
@@ -30,7 +30,7 @@
 
 func (t *Workload) keepLastToken(token string) { lastTokens.Store(t, token) }
 
-// readFeedToEnd reads the feed to its end, after all bundles are whole.
+// readFeedToEnd reads the feed to its end, after all batches are whole.
 func (t *Workload) readFeedToEnd(ctx context.Context) {
 	rng := rand.New(rand.NewSource(t.Seed - 2))
 	value, _ := lastTokens.LoadAndDelete(t)
--- a/test/verify/workload.go
+++ b/test/verify/workload.go
@@ -46,10 +46,10 @@
 	Chunks        int
 	LiveWorkers   int
 	NoFaults      bool          // nothing fails on the way: rows have to come within a second
-	Batches       int           // bundles to hand in
-	BatchInterval time.Duration // between two bundles
+	Batches       int           // batches to hand in
+	BatchInterval time.Duration // between two batches
 	MaxAttempts   int
-	ReadTimeout   time.Duration // to read a bundle whole
+	ReadTimeout   time.Duration // to read a batch whole
 
 	mu           sync.Mutex
 	liveRequests []*LiveRequest
@@ -85,7 +85,7 @@
 	return fmt.Sprintf("%s-%d-%d", word, t.Seed, t.lastNumber)
 }
 
-// Run runs the workload: live workers go on until all bundles are read or ctx ends.
+// Run runs the workload: live workers go on until all batches are read or ctx ends.
 func (t *Workload) Run(ctx context.Context) {
 	t.counts = map[string]int{}
 	t.client = &http.Client{Timeout: 40 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
