--- a/internal/daemon/host/peers_test.go
+++ b/internal/daemon/host/peers_test.go
@@ -11,7 +11,7 @@
 // The addresses that an earlier build has learnt are read.
 func TestLearntAddressesOfAnEarlierBuild(t *testing.T) {
 	folder := t.TempDir()
-	if err := os.CopyFS(folder, os.DirFS("../../proof/storedformat/testdata/folders/after-snapshot/core")); err != nil {
+	if err := os.CopyFS(folder, os.DirFS("../../../test/storedformat/testdata/folders/after-snapshot/core")); err != nil {
 		t.Fatal(err)
 	}
 	d := &Daemon{Common: settings.Common{DataDir: folder}}
--- a/internal/dataplane/gateway/failure_table_linux_test.go
+++ b/internal/dataplane/gateway/failure_table_linux_test.go
@@ -190,7 +190,7 @@
 
 // The page shows the table that is tested.
 func TestAnswersPage(t *testing.T) {
-	page, err := os.ReadFile("../../docs/ANSWERS.md")
+	page, err := os.ReadFile("../../../docs/ANSWERS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/openapi/openapi_test.go
+++ b/internal/dataplane/openapi/openapi_test.go
@@ -18,7 +18,7 @@
 
 func loadConfiguration(t *testing.T) []byte {
 	t.Helper()
-	data, err := os.ReadFile("../../deploy/ghent.plan.json")
+	data, err := os.ReadFile("../../../deploy/ghent.plan.json")
 	if err != nil {
 		t.Fatal(err)
 	}
