--- a/internal/batchstore/disk.go
+++ b/internal/batchstore/disk.go
@@ -21,9 +21,9 @@
 		return
 	}
 	if d.State.Writable {
-		k.Emit(machine.LogEvent{Message: "the disk takes writes again", Fields: map[string]any{"slots_back_after_us": k.set.DiskProbation}})
+		k.Emit(machine.LogEvent{Event: DiskWritable{ResumesAfterUS: k.set.DiskProbation}})
 	} else {
-		k.Emit(machine.LogEvent{Message: "giving up the slots for the disk's sake", Fields: map[string]any{"reason": d.State.Reason, "owned": k.OwnedShards()}})
+		k.Emit(machine.LogEvent{Event: DiskUnwritable{Reason: d.State.Reason, OwnedShards: k.OwnedShards()}})
 	}
 	k.sendHeartbeats(now)
 }
--- /dev/null
+++ b/internal/batchstore/events.go
@@ -0,0 +1,67 @@
+package batchstore
+
+import (
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/machine"
+)
+
+// The log events of a store.
+type (
+	// ShardOwned tells that this store was assigned a shard as its primary.
+	ShardOwned struct {
+		machine.Info
+		Shard      int      `json:"shard"`
+		Epoch      uint64   `json:"epoch"`
+		Replicas   []string `json:"replicas"`
+		FormerRole string   `json:"former_role"`
+	}
+	// ShardServing tells that a shard's group is complete, and that this store serves it.
+	ShardServing struct {
+		machine.Info
+		Shard         int    `json:"shard"`
+		Epoch         uint64 `json:"epoch"`
+		FirstPosition int64  `json:"first_position"`
+	}
+	// ShardHandedOver tells that another store owns a shard that this one owned.
+	ShardHandedOver struct {
+		machine.Info
+		Shard               int `json:"shard"`
+		UnfinishedPositions int `json:"unfinished_positions"`
+	}
+	// ForeignCoreIgnored tells that a core of another fleet answered this store.
+	ForeignCoreIgnored struct {
+		machine.Warning
+		Peer   string `json:"peer"`
+		Fleet  string `json:"fleet"`
+		Remedy string `json:"remedy"`
+	}
+	// DiskWritable tells that the disk takes writes again; shards come back after probation.
+	DiskWritable struct {
+		machine.Info
+		ResumesAfterUS clock.Micros `json:"resumes_after_us"`
+	}
+	// DiskUnwritable tells that the disk takes no writes; the store's shards pass on.
+	DiskUnwritable struct {
+		machine.Warning
+		Reason      string `json:"reason"`
+		OwnedShards int    `json:"owned_shards"`
+	}
+)
+
+// EventName is the event's key in the log.
+func (ShardOwned) EventName() string { return "shard_owned" }
+
+// EventName is the event's key in the log.
+func (ShardServing) EventName() string { return "shard_serving" }
+
+// EventName is the event's key in the log.
+func (ShardHandedOver) EventName() string { return "shard_handed_over" }
+
+// EventName is the event's key in the log.
+func (ForeignCoreIgnored) EventName() string { return "foreign_core_ignored" }
+
+// EventName is the event's key in the log.
+func (DiskWritable) EventName() string { return "disk_writable" }
+
+// EventName is the event's key in the log.
+func (DiskUnwritable) EventName() string { return "disk_unwritable" }
--- a/internal/batchstore/reconcile.go
+++ b/internal/batchstore/reconcile.go
@@ -41,7 +41,7 @@
 	}
 	if registered, ok := l.Body.(Registered); ok && registered.Writer > 0 {
 		if k.fleet != "" && k.fleet != registered.Fleet {
-			k.Emit(machine.LogEvent{Message: "a core of another fleet spoke; its word is passed over; check -seeds", Fields: map[string]any{"fleet": registered.Fleet, "from": l.From}})
+			k.Emit(machine.LogEvent{Event: ForeignCoreIgnored{Peer: l.From, Fleet: registered.Fleet, Remedy: "check -seeds"}})
 			return
 		}
 		if k.writer == 0 {
@@ -141,7 +141,12 @@
 			}
 		case assignment.Primary == me:
 			k.Takeovers++
-			k.Emit(machine.LogEvent{Message: "owning a slot", Fields: map[string]any{"slot": shard, "epoch": assignment.Epoch, "replicas": assignment.IDs()[1:], "from_role": group.Role.String()}})
+			k.Emit(machine.LogEvent{Event: ShardOwned{
+				Shard:      shard,
+				Epoch:      assignment.Epoch,
+				Replicas:   assignment.IDs()[1:],
+				FormerRole: group.Role.String(),
+			}})
 			k.groups.BecomePrimary(unit, assignment.Epoch, k.peers(assignment.Replicas), now)
 			k.announceNeeded = true
 		case assignment.IsReplica(me):
@@ -176,6 +181,10 @@
 	for _, id := range sortedBatches(p.state) {
 		k.startItems(unit, id)
 	}
-	k.Emit(machine.LogEvent{Message: "serving a slot", Fields: map[string]any{"slot": p.shard, "epoch": k.groups.Group(unit).Epoch, "first_position": k.positions.Next()}})
+	k.Emit(machine.LogEvent{Event: ShardServing{
+		Shard:         p.shard,
+		Epoch:         k.groups.Group(unit).Epoch,
+		FirstPosition: k.positions.Next(),
+	}})
 	k.listPendingResults(now)
 }
--- a/internal/batchstore/replicated_state.go
+++ b/internal/batchstore/replicated_state.go
@@ -91,7 +91,7 @@
 		k.orphanedPositions = append(k.orphanedPositions, orphanedPositions{shard: shard, epoch: epoch, positions: positions})
 	}
 	k.Emit(machine.Execute{Task: CancelItems{Shard: shard}})
-	k.Emit(machine.LogEvent{Message: "slot passed on", Fields: map[string]any{"slot": shard, "unfinished": len(positions)}})
+	k.Emit(machine.LogEvent{Event: ShardHandedOver{Shard: shard, UnfinishedPositions: len(positions)}})
 	k.announceNeeded = true
 }
 
--- a/internal/controlplane/balance.go
+++ b/internal/controlplane/balance.go
@@ -61,7 +61,7 @@
 	a := p.core.state.Shards[shard]
 	next := replication.Assignment{Epoch: a.Epoch + 1, Primary: members[0], Replicas: slices.Clone(members[1:]), Trusted: a.IDs()}
 	p.assignments[shard] = next
-	p.core.Emit(machine.LogEvent{Message: "shard moved", Fields: map[string]any{"shard": shard, "reason": reason, "epoch": next.Epoch, "group": next.IDs()}})
+	p.core.Emit(machine.LogEvent{Event: ShardMoved{Shard: shard, Epoch: next.Epoch, Reason: reason, Group: next.IDs()}})
 }
 
 // promoteReplica makes the store that leads fewest the primary of a shard that it replicates.
--- a/internal/controlplane/bootstrap.go
+++ b/internal/controlplane/bootstrap.go
@@ -31,7 +31,12 @@
 	assignment := replication.Assignment{Epoch: epoch, Primary: replication.Member{ID: s.self.ID, Incarnation: s.incarnation}}
 	assignment.Replicas = s.bootstrapReplicas(founders, now)
 	assignment.Trusted = []string{s.self.ID}
-	s.Emit(machine.LogEvent{Message: "founding", Fields: map[string]any{"term": epoch, "member": s.self.ID, "group": assignment.IDs(), "voters": voterIDs(founders)}})
+	s.Emit(machine.LogEvent{Event: BootstrapStarted{
+		Term:   epoch,
+		Member: s.self.ID,
+		Group:  assignment.IDs(),
+		Voters: voterIDs(founders),
+	}})
 	s.requestVotes(&campaign{
 		request:   VoteRequest{Fleet: "f-" + s.self.ID, Assignment: assignment, Voters: founders, Candidate: s.self, Bootstrap: true},
 		quorums:   [][]CoreRef{founders},
--- a/internal/controlplane/campaign.go
+++ b/internal/controlplane/campaign.go
@@ -104,7 +104,13 @@
 	}
 	wanted.assignment.Epoch = epoch
 	s.CampaignsStarted++
-	s.Emit(machine.LogEvent{Message: "campaign", Fields: map[string]any{"term": epoch, "member": s.self.ID, "reason": wanted.reason, "group": wanted.assignment.IDs(), "voters": voterIDs(wanted.voters)}})
+	s.Emit(machine.LogEvent{Event: CampaignStarted{
+		Term:   epoch,
+		Member: s.self.ID,
+		Reason: wanted.reason,
+		Group:  wanted.assignment.IDs(),
+		Voters: voterIDs(wanted.voters),
+	}})
 	s.requestVotes(&campaign{
 		request:   VoteRequest{Fleet: s.vote.Fleet, Assignment: wanted.assignment, Voters: wanted.voters, Base: s.vote.Committed.Epoch, Candidate: s.self},
 		quorums:   s.quorumsFor(wanted.voters),
@@ -186,7 +192,7 @@
 	if incarnation, ok := s.incarnationOf(former.ID, now); former.ID == s.self.ID || ok && incarnation > former.Incarnation {
 		s.groups.VoidGrantedLease(unitCore) // the life that may hold a lease is over
 	}
-	s.Emit(machine.LogEvent{Message: "term won", Fields: map[string]any{"term": assignment.Epoch, "member": s.self.ID, "group": assignment.IDs()}})
+	s.Emit(machine.LogEvent{Event: TermWon{Term: assignment.Epoch, Member: s.self.ID, Group: assignment.IDs()}})
 	s.groups.BecomePrimary(unitCore, assignment.Epoch, peers, now)
 }
 
--- a/internal/controlplane/commit.go
+++ b/internal/controlplane/commit.go
@@ -77,7 +77,12 @@
 	s.servingSince, s.next.sendHeartbeats = now, now
 	s.vote.CommittedByAll = true
 	s.persistVote(nil)
-	s.Emit(machine.LogEvent{Message: "primary", Fields: map[string]any{"term": epoch, "member": s.self.ID, "group": s.vote.Committed.IDs(), "voters": voterIDs(s.vote.Voters)}})
+	s.Emit(machine.LogEvent{Event: BecamePrimary{
+		Term:   epoch,
+		Member: s.self.ID,
+		Group:  s.vote.Committed.IDs(),
+		Voters: voterIDs(s.vote.Voters),
+	}})
 	message := round.message
 	message.CommittedByAll = true
 	for _, ref := range allVoters(round.quorums) {
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -233,7 +233,7 @@
 	for _, c := range lost {
 		s.replyUnknown(c.call)
 	}
-	s.Emit(machine.LogEvent{Message: "no longer primary", Fields: map[string]any{"epoch": epoch}})
+	s.Emit(machine.LogEvent{Event: LostPrimary{Epoch: epoch}})
 }
 
 func (s *Core) replyUnknown(call uint64) {
--- a/internal/controlplane/disk.go
+++ b/internal/controlplane/disk.go
@@ -36,10 +36,10 @@
 	s.disk = diskProbationState{unwritable: !d.State.Writable, reason: d.State.Reason}
 	if !s.disk.unwritable {
 		s.disk.writableSince = now
-		s.Emit(machine.LogEvent{Message: "the disk takes writes again", Fields: map[string]any{"duties_after_us": diskProbation}})
+		s.Emit(machine.LogEvent{Event: DiskWritable{ResumesAfterUS: diskProbation}})
 		return
 	}
-	s.Emit(machine.LogEvent{Message: "giving up all duties for the disk's sake", Fields: map[string]any{"reason": d.State.Reason, "role": s.group().Role.String()}})
+	s.Emit(machine.LogEvent{Event: DiskUnwritable{Reason: d.State.Reason, Role: s.group().Role.String()}})
 	s.replyUnknownToAll()
 }
 
@@ -99,5 +99,5 @@
 	if s.IsServing() {
 		s.servingSince = now
 	}
-	s.Emit(machine.LogEvent{Message: "taking up its duties again", Fields: map[string]any{"role": s.group().Role.String()}})
+	s.Emit(machine.LogEvent{Event: DutiesResumed{Role: s.group().Role.String()}})
 }
--- a/internal/controlplane/endpoints.go
+++ b/internal/controlplane/endpoints.go
@@ -24,7 +24,7 @@
 		return
 	}
 	if _, known := s.endpoints[l.Update.Key]; !known && len(s.endpoints) >= maxEndpoints {
-		s.Emit(machine.LogEvent{Message: "more servers than a core writes down; put a shorter list", Fields: map[string]any{"server": l.Update.Key}})
+		s.Emit(machine.LogEvent{Event: EndpointLimitReached{Endpoint: l.Update.Key, Remedy: "put a shorter list"}})
 		return
 	}
 	s.endpoints[l.Update.Key] = l.Update
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -115,7 +115,7 @@
 		s.Emit(machine.Halt{Err: errs.New(errs.WrongFolder, "correct -seeds, or start with an empty data folder to be given a vote here", "this core is of fleet %s; at its seeds is fleet %s", s.vote.Fleet, h.Fleet)})
 		return
 	}
-	s.Emit(machine.LogEvent{Message: "a core of another fleet was heard; it is passed over", Fields: map[string]any{"peer": h.Core.Peer, "fleet": h.Fleet}})
+	s.Emit(machine.LogEvent{Event: ForeignCoreIgnored{Peer: h.Core.Peer, Fleet: h.Fleet}})
 }
 
 // learnCommitted takes over what another voter knows to be committed.
--- a/internal/controlplane/placement.go
+++ b/internal/controlplane/placement.go
@@ -71,7 +71,7 @@
 func (s *Core) finishRetiring(now clock.Micros) {
 	for _, id := range sortedIDs(s.state.Stores) {
 		if store := s.state.Stores[id]; store.Retiring && !store.Retired && s.dependentShards(id) == 0 {
-			s.Emit(machine.LogEvent{Message: "nothing depends on the store any more; it is retired", Fields: map[string]any{"store": id}})
+			s.Emit(machine.LogEvent{Event: StoreRetired{Store: id}})
 			s.propose(change{entry: state.Retire{ID: id, Done: true}}, now)
 			return
 		}
@@ -124,11 +124,13 @@
 func (p *placement) assign(shard int, next replication.Assignment, reason string) {
 	p.assignments[shard] = next
 	p.countAssignment(next)
-	fields := map[string]any{"shard": shard, "reason": reason, "epoch": next.Epoch, "group": next.IDs()}
-	if missing := p.copies - len(next.Members()); missing > 0 {
-		fields["copies_missing"] = missing // too few stores live: fewer losses are borne until more are there
-	}
-	p.core.Emit(machine.LogEvent{Message: "shard assigned anew", Fields: fields})
+	p.core.Emit(machine.LogEvent{Event: ShardAssigned{
+		Shard:         shard,
+		Epoch:         next.Epoch,
+		Reason:        reason,
+		Group:         next.IDs(),
+		CopiesMissing: max(0, p.copies-len(next.Members())),
+	}})
 }
 
 // repair gives a shard the assignment that it lacks, if any.
--- a/internal/controlplane/stores.go
+++ b/internal/controlplane/stores.go
@@ -19,7 +19,12 @@
 func (s *Core) handleStoreHeartbeat(from string, heartbeat batchstore.Heartbeat, now clock.Micros) {
 	heard, ok := s.stores[heartbeat.ID]
 	if reason := s.storeObjection(heartbeat, heard, ok, now); reason != "" {
-		s.Emit(machine.LogEvent{Message: "a store is turned away", Fields: map[string]any{"store": heartbeat.ID, "peer": heartbeat.Peer, "life": heartbeat.Incarnation, "reason": reason}})
+		s.Emit(machine.LogEvent{Event: StoreRejected{
+			Store:       heartbeat.ID,
+			Peer:        heartbeat.Peer,
+			Incarnation: heartbeat.Incarnation,
+			Reason:      reason,
+		}})
 		s.Emit(machine.Send{To: from, Body: batchstore.RegistrationRejected{ID: heartbeat.ID, Incarnation: heartbeat.Incarnation, Reason: reason}})
 		return
 	}
@@ -142,7 +147,7 @@
 		}
 		store.Evicted = true
 		if !s.hasQueuedChange(func(e state.Entry) bool { put, ok := e.(state.RegisterStore); return ok && put.Store.ID == id }) {
-			s.Emit(machine.LogEvent{Message: "a silent store no longer counts", Fields: map[string]any{"store": id}})
+			s.Emit(machine.LogEvent{Event: StoreEvicted{Store: id}})
 			s.propose(change{entry: state.RegisterStore{Store: store}}, now)
 		}
 	}
--- a/internal/daemon/eventloop/loop.go
+++ b/internal/daemon/eventloop/loop.go
@@ -19,6 +19,7 @@
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/errs"
 	"tuliprudder/internal/gossip"
+	"tuliprudder/internal/logging"
 	"tuliprudder/internal/machine"
 	"tuliprudder/internal/membership"
 	"tuliprudder/internal/ring"
@@ -259,7 +260,7 @@
 		case machine.Request:
 			go l.sendRequest(e)
 		case machine.LogEvent:
-			l.Log.Info().Fields(e.Fields).Msg(e.Message)
+			logging.Write(l.Log, e.Event)
 		case machine.Halt:
 			l.Log.Error().Err(e.Err).Msg("ending")
 			os.Stderr.WriteString(l.Identity.ID + ": " + e.Err.Error() + "\n")
--- a/internal/daemon/machines/scheduling.go
+++ b/internal/daemon/machines/scheduling.go
@@ -83,12 +83,12 @@
 		}
 		configuration, err := s.ParseConfiguration(version.Body)
 		if err != nil {
-			s.Calls.Emit(machine.LogEvent{Message: "a confirmed plan can't be read here; the one before stays", Fields: map[string]any{"version": version.Number, "why": err.Error()}})
+			s.Calls.Emit(machine.LogEvent{Event: ConfigurationUnreadable{Version: version.Number, Reason: err.Error()}})
 			return
 		}
 		configuration.Version = version.Number
 		s.Scheduler.SetConfiguration(configuration, now)
-		s.Calls.Emit(machine.LogEvent{Message: "plan in force", Fields: map[string]any{"version": version.Number}})
+		s.Calls.Emit(machine.LogEvent{Event: ConfigurationApplied{Version: version.Number}})
 	},
 	endpoints.ServerKind: func(s *Scheduling, update machine.Update, _ clock.Micros) {
 		var server endpoints.Server
--- /dev/null
+++ b/internal/dataplane/execution/events.go
@@ -0,0 +1,26 @@
+package execution
+
+import "tuliprudder/internal/machine"
+
+// ItemDeferred is the log event of an item that found no room in the queue; the store
+// submits it again later.
+type ItemDeferred struct {
+	machine.Info
+	Item   string `json:"item"`
+	Reason string `json:"reason"`
+}
+
+// ItemOutputDropped is the log event of an item whose events are more than is kept
+// between attempts; it begins anew.
+type ItemOutputDropped struct {
+	machine.Warning
+	Item   string `json:"item"`
+	Bytes  int    `json:"bytes"`
+	Remedy string `json:"remedy"`
+}
+
+// EventName is the event's key in the log.
+func (ItemDeferred) EventName() string { return "item_deferred" }
+
+// EventName is the event's key in the log.
+func (ItemOutputDropped) EventName() string { return "item_output_dropped" }
--- a/internal/dataplane/execution/runner.go
+++ b/internal/dataplane/execution/runner.go
@@ -181,7 +181,7 @@
 	if err := r.scheduler.Submit(j.schedulerRequest, now); errs.Is(err, errs.UnknownRoute) {
 		j.schedulerRequest.Drop(err, now)
 	} else if err != nil {
-		r.calls.Emit(machine.LogEvent{Message: "an item found no room in the backlog; the store hands it over again", Fields: map[string]any{"order": j.name, "why": err.Error()}})
+		r.calls.Emit(machine.LogEvent{Event: ItemDeferred{Item: j.name, Reason: err.Error()}})
 		r.deferJob(j)
 	}
 }
@@ -350,7 +350,7 @@
 		size += len(event)
 	}
 	if size > r.settings.MaxOutputBytes {
-		r.calls.Emit(machine.LogEvent{Message: "an item's events are more than is kept between tries; it begins anew; raise MaxOutputBytes", Fields: map[string]any{"order": j.name, "bytes": size}})
+		r.calls.Emit(machine.LogEvent{Event: ItemOutputDropped{Item: j.name, Bytes: size, Remedy: "raise MaxOutputBytes"}})
 		j.events, j.eventBytes, j.lastEventID = nil, 0, 0
 		return
 	}
--- a/internal/gossip/updates.go
+++ b/internal/gossip/updates.go
@@ -46,7 +46,12 @@
 			if c.members[member.ID].Status != member.Status || c.members[member.ID].Incarnation != member.Incarnation {
 				c.statusSince[member.ID] = now
 				if before := c.members[member.ID].Status; before != membership.Alive || member.Status != membership.Alive {
-					c.Emit(machine.LogEvent{Message: "standing of a daemon", Fields: map[string]any{"daemon": member.ID, "kind": member.Kind, "standing": member.Status.String(), "incarnation": member.Incarnation}})
+					c.Emit(machine.LogEvent{Event: MemberStatusChanged{
+						Member:      member.ID,
+						Kind:        member.Kind,
+						Status:      member.Status.String(),
+						Incarnation: member.Incarnation,
+					}})
 				}
 			}
 			c.members[member.ID] = member
--- /dev/null
+++ b/internal/logging/event.go
@@ -0,0 +1,35 @@
+package logging
+
+import (
+	"reflect"
+	"strings"
+
+	"github.com/rs/zerolog"
+
+	"tuliprudder/internal/machine"
+)
+
+// eventKey is the key under which a line has the name of its event.
+const eventKey = "event"
+
+// Write writes one line for an event: its name, and its fields under the names of their
+// json tags. A field that is tagged omitempty is left out where it is zero.
+func Write(log zerolog.Logger, event machine.Event) {
+	line := log.Info()
+	if event.Severity() == machine.SeverityWarning {
+		line = log.Warn()
+	}
+	line.Str(eventKey, event.EventName())
+	value := reflect.ValueOf(event)
+	for i := range value.NumField() {
+		name, options, _ := strings.Cut(value.Type().Field(i).Tag.Get("json"), ",")
+		if name == "" || name == "-" {
+			continue
+		}
+		if options == "omitempty" && value.Field(i).IsZero() {
+			continue
+		}
+		line.Interface(name, value.Field(i).Interface())
+	}
+	line.Send()
+}
--- /dev/null
+++ b/internal/logging/event_test.go
@@ -0,0 +1,46 @@
+package logging
+
+import (
+	"bytes"
+	"testing"
+
+	"github.com/rs/zerolog"
+
+	"tuliprudder/internal/machine"
+)
+
+type testEvent struct {
+	machine.Info
+	Term    uint64   `json:"term"`
+	Group   []string `json:"group"`
+	Missing int      `json:"missing,omitempty"`
+}
+
+func (testEvent) EventName() string { return "term_won" }
+
+type testWarning struct {
+	machine.Warning
+	Reason string `json:"reason"`
+}
+
+func (testWarning) EventName() string { return "disk_unwritable" }
+
+func TestAnEventIsOneLine(t *testing.T) {
+	for _, test := range []struct {
+		name  string
+		event machine.Event
+		want  string
+	}{
+		{"a zero field that may be left out", testEvent{Term: 3, Group: []string{"a", "b"}}, `{"level":"info","event":"term_won","term":3,"group":["a","b"]}`},
+		{"a field that may be left out", testEvent{Missing: 1}, `{"level":"info","event":"term_won","term":0,"group":null,"missing":1}`},
+		{"a warning", testWarning{Reason: "full"}, `{"level":"warn","event":"disk_unwritable","reason":"full"}`},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			var out bytes.Buffer
+			Write(zerolog.New(&out), test.event)
+			if got := out.String(); got != test.want+"\n" {
+				t.Errorf("wrote %s, not %s", got, test.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/machine/log_event.go
@@ -0,0 +1,37 @@
+package machine
+
+// LogEvent asks the event loop to log one decision.
+type LogEvent struct{ Event Event }
+
+// Event is one kind of log line. Its fields become the fields of the line, under the
+// names of their json tags (logging.Write).
+type Event interface {
+	// EventName is the value of the line's key "event". It is stable: operators search
+	// and alert by it (docs/RUNBOOK.md).
+	EventName() string
+	// Severity tells how urgent the line is.
+	Severity() Severity
+}
+
+// Severity is how urgent a log line is.
+type Severity int
+
+// The severities.
+const (
+	// SeverityInfo is a decision of ordinary operation.
+	SeverityInfo Severity = iota
+	// SeverityWarning is a condition that an operator should look at.
+	SeverityWarning
+)
+
+// Info is embedded by events of ordinary operation.
+type Info struct{}
+
+// Severity is SeverityInfo.
+func (Info) Severity() Severity { return SeverityInfo }
+
+// Warning is embedded by events that an operator should look at.
+type Warning struct{}
+
+// Severity is SeverityWarning.
+func (Warning) Severity() Severity { return SeverityWarning }
--- a/internal/machine/machine.go
+++ b/internal/machine/machine.go
@@ -73,12 +73,6 @@
 // UpdateReceived tells the daemon's other machines that an update was received.
 type UpdateReceived struct{ Update Update }
 
-// LogEvent is one decision for the log.
-type LogEvent struct {
-	Message string
-	Fields  map[string]any
-}
-
 // Halt ends the daemon: going on would put a promise at risk.
 type Halt struct{ Err error }
 
--- a/test/decisiondigest/digest_test.go
+++ b/test/decisiondigest/digest_test.go
@@ -114,12 +114,20 @@
 			t.Errorf("%s: the digest is the same", name)
 		}
 	}
-	logged := taken{6, 1, machine.LogEvent{Message: "voting", Fields: map[string]any{"term": 4}}}
+	logged := taken{6, 1, machine.LogEvent{Event: voteLogged{Term: 4}}}
 	if digestOf(first, logged, second) != want {
 		t.Error("an event for the log changes the digest")
 	}
 }
 
+// voteLogged is an event for the log.
+type voteLogged struct {
+	machine.Info
+	Term uint64 `json:"term"`
+}
+
+func (voteLogged) EventName() string { return "vote" }
+
 // Each kind of effect counts as another one where the values are the same.
 func TestKindsOfEffectDiffer(t *testing.T) {
 	seen := map[effectKind]string{}
--- a/test/simulator/node.go
+++ b/test/simulator/node.go
@@ -194,7 +194,7 @@
 				})
 			})
 		case machine.LogEvent:
-			w.Tracef("%s: %s %v", n.Name, e.Message, e.Fields)
+			w.Tracef("%s: %s %+v", n.Name, e.Event.EventName(), e.Event)
 		case machine.Halt:
 			w.Tracef("%s halts: %v", n.Name, e.Err)
 			n.HaltError = e.Err
