--- a/test/modelcheck/choices.go
+++ b/test/modelcheck/choices.go
@@ -9,7 +9,7 @@
 )
 
 // Spans of the events that let time go by: a tick, past a lease, past the
-// time after which a silent core's seat is given away, and a long cut.
+// time after which an unreachable core is replaced, and a long partition.
 var (
 	passSpans    = []clock.Micros{tickInterval, 1500 * clock.Millisecond, 6 * clock.Second, 20 * clock.Second}
 	advanceSpans = []clock.Micros{tickInterval, replication.LeaseWait + tickInterval}
@@ -29,12 +29,13 @@
 	return slices.DeleteFunc(c.events, func(e Event) bool { return !w.config.includes(e) })
 }
 
-// includes tells whether an event is among those to be tried.
+// includes says whether an event is among those to be explored.
 func (c *Config) includes(e Event) bool {
-	line := e.String() + " "
-	return slices.ContainsFunc(c.OnlyEvents, func(fields string) bool { return strings.HasPrefix(line, fields+" ") })
+	spelling := e.String() + " "
+	return slices.ContainsFunc(c.OnlyEvents, func(fields string) bool { return strings.HasPrefix(spelling, fields+" ") })
 }
 
+// eventCollector collects the enabled events of a state, in a fixed order.
 type eventCollector struct {
 	w      *World
 	events []Event
@@ -60,95 +61,133 @@
 	}
 }
 
+// messageClass is what tells messages in flight apart in a trace, besides their index
+// among those of one class.
+type messageClass struct {
+	from, to int
+	kind     string
+}
+
 func (c *eventCollector) addMessages() {
-	type messageClass struct {
-		from, to int
-		kind     string
-	}
 	w, counts := c.w, map[messageClass]int{}
 	for _, m := range w.inFlight {
-		from, to := w.indexByAddress(m.from), w.indexByAddress(m.to)
-		if from < 0 || to < 0 {
+		class := messageClass{w.indexByAddress(m.from), w.indexByAddress(m.to), m.kind()}
+		if class.from < 0 || class.to < 0 {
 			continue
 		}
-		s := messageClass{from, to, m.kind()}
-		index := counts[s]
-		counts[s]++
+		index := counts[class]
+		counts[class]++
 		if m.isRoutine() && !w.config.FineGrained {
 			continue
 		}
-		e := Event{Processes: []string{w.processes[from].name, w.processes[to].name}, Message: m.kind(), Index: index}
-		kinds := []Kind{Deliver}
-		if w.faultsUsed.messageFaults < w.config.Limits.MessageFaults {
-			kinds = []Kind{Deliver, Drop, Repeat}
-			if !m.delayed {
-				kinds = append(kinds, Delay)
-			}
-		}
-		for _, kind := range kinds {
-			e.Kind = kind
-			c.add(e)
+		for _, kind := range c.messageEvents(m) {
+			c.add(Event{
+				Kind:      kind,
+				Processes: []string{w.processes[class.from].name, w.processes[class.to].name},
+				Message:   class.kind,
+				Index:     index,
+			})
 		}
 	}
 }
 
-//revive:disable-next-line:cyclomatic one case for each kind of trouble
+// messageEvents are the kinds of event that a message may have next.
+func (c *eventCollector) messageEvents(m message) []EventKind {
+	switch {
+	case c.w.faultsUsed.messageFaults >= c.w.config.Limits.MessageFaults:
+		return []EventKind{Deliver}
+	case m.delayed:
+		return []EventKind{Deliver, Drop, Repeat}
+	}
+	return []EventKind{Deliver, Drop, Repeat, Delay}
+}
+
 func (c *eventCollector) addProcesses() {
-	w := c.w
-	crashes := w.faultsUsed.crashes < w.config.Limits.Crashes
-	wipes := w.faultsUsed.wipes < w.config.Limits.Wipes && len(w.history.lost) < w.config.Tolerance() && w.history.bootstrapped
-	maxUnsynced := 0
-	for _, p := range w.processes {
-		self := []string{p.name}
-		if wipes {
-			c.add(Event{Kind: Wipe, Processes: self})
-			c.add(Event{Kind: Replace, Processes: self})
-		}
+	for _, p := range c.w.processes {
+		c.addWipes(p)
 		if !p.up {
-			c.add(Event{Kind: Start, Processes: self})
+			c.add(Event{Kind: Start, Processes: []string{p.name}})
 			continue
 		}
-		maxUnsynced = max(maxUnsynced, len(p.unsynced))
-		if crashes {
-			for keep := 0; keep <= len(p.unsynced); keep++ {
-				c.add(Event{Kind: Crash, Processes: self, KeepWrites: keep})
-			}
-		}
+		c.addCrashes(p)
 		if p.paused {
-			c.add(Event{Kind: Resume, Processes: self})
+			c.add(Event{Kind: Resume, Processes: []string{p.name}})
 			continue
 		}
-		if !w.config.StartEmpty && w.faultsUsed.drains < w.config.Limits.Drains {
-			c.add(Event{Kind: Drain, Processes: self})
-		}
-		if w.faultsUsed.pauses < w.config.Limits.Pauses {
-			c.add(Event{Kind: Pause, Processes: self})
-			if !p.diskBlocked {
-				c.add(Event{Kind: BlockDisk, Processes: self})
-			}
-		}
-		if p.diskBlocked {
-			c.add(Event{Kind: UnblockDisk, Processes: self})
-		}
-		if w.config.FineGrained {
-			c.add(Event{Kind: Tick, Processes: self})
-		}
-		if len(p.unsynced) > 0 {
-			c.add(Event{Kind: Sync, Processes: self})
+		c.addRunning(p)
+	}
+	c.addCrashOfAll()
+}
+
+// addWipes has the disk of a process lost, where the voters tolerate one more loss.
+func (c *eventCollector) addWipes(p *process) {
+	w := c.w
+	tolerated := len(w.history.lost) < w.config.Tolerance() && w.history.bootstrapped
+	if !tolerated || w.faultsUsed.wipes >= w.config.Limits.Wipes {
+		return
+	}
+	c.add(Event{Kind: Wipe, Processes: []string{p.name}})
+	c.add(Event{Kind: Replace, Processes: []string{p.name}})
+}
+
+func (c *eventCollector) mayCrash() bool {
+	return c.w.faultsUsed.crashes < c.w.config.Limits.Crashes
+}
+
+// addCrashes has a process end with each prefix of its unsynced writes on the disk.
+func (c *eventCollector) addCrashes(p *process) {
+	if !c.mayCrash() {
+		return
+	}
+	for keep := 0; keep <= len(p.unsynced); keep++ {
+		c.add(Event{Kind: Crash, Processes: []string{p.name}, KeepWrites: keep})
+	}
+}
+
+// addCrashOfAll has all processes end, each with up to so many unsynced writes on its disk.
+func (c *eventCollector) addCrashOfAll() {
+	if !c.mayCrash() {
+		return
+	}
+	maxUnsynced := 0
+	for _, p := range c.w.processes {
+		if p.up {
+			maxUnsynced = max(maxUnsynced, len(p.unsynced))
 		}
 	}
-	if crashes {
-		for keep := 0; keep <= maxUnsynced; keep++ {
-			c.add(Event{Kind: CrashAll, KeepWrites: keep})
+	for keep := 0; keep <= maxUnsynced; keep++ {
+		c.add(Event{Kind: CrashAll, KeepWrites: keep})
+	}
+}
+
+// addRunning adds the events of a process that is up and not paused.
+func (c *eventCollector) addRunning(p *process) {
+	w, self := c.w, []string{p.name}
+	if !w.config.StartEmpty && w.faultsUsed.drains < w.config.Limits.Drains {
+		c.add(Event{Kind: Drain, Processes: self})
+	}
+	if w.faultsUsed.pauses < w.config.Limits.Pauses {
+		c.add(Event{Kind: Pause, Processes: self})
+		if !p.diskBlocked {
+			c.add(Event{Kind: BlockDisk, Processes: self})
 		}
 	}
+	if p.diskBlocked {
+		c.add(Event{Kind: UnblockDisk, Processes: self})
+	}
+	if w.config.FineGrained {
+		c.add(Event{Kind: Tick, Processes: self})
+	}
+	if len(p.unsynced) > 0 {
+		c.add(Event{Kind: Sync, Processes: self})
+	}
 }
 
-// addLinks may be cut once at a time: any set of fewer than half of the processes from
-// the others, or one process in one direction.
+// addLinks adds partitions: any set of fewer than half of the processes from the others,
+// or one process in one direction.
 func (c *eventCollector) addLinks() {
 	w := c.w
-	if len(w.cutLinks) > 0 {
+	if len(w.blockedLinks) > 0 {
 		c.add(Event{Kind: Heal})
 	}
 	if w.faultsUsed.partitions >= w.config.Limits.Partitions || w.config.Voters == 1 {
@@ -169,13 +208,13 @@
 	}
 }
 
-// blockableTypes are the types of message that a link may lose while others pass.
+// blockableTypes are the kinds of message that a link may lose while others pass.
 var blockableTypes = []string{
 	kindHeartbeat, kindVoteRequest, kindVoteResponse, kindCommit, kindCommitAck,
 	kindSnapshotChunk, kindAppend, kindAppendAck, kindLeaseRequest, kindLeaseGrant,
 }
 
-// addMessageTypeBlocks has one type of message lost on one link.
+// addMessageTypeBlocks has one kind of message lost on one link.
 func (c *eventCollector) addMessageTypeBlocks() {
 	for _, from := range c.w.processes {
 		for _, to := range c.w.processes {
--- a/test/modelcheck/faults.go
+++ b/test/modelcheck/faults.go
@@ -8,13 +8,13 @@
 	"tuliprudder/internal/controlplane"
 )
 
-// plantedFault is a mistake planted to show that the checks catch it.
+// plantedFault is a bug planted to show that the checks catch it.
 type plantedFault struct {
 	// KeepIdentity: a wiped process comes back under its old identity.
 	KeepIdentity bool
 	// EarlySync: a disk says that a write is synced before it is.
 	EarlySync bool
-	// PlantInCore plants a mistake in the machine.
+	// PlantInCore plants a bug in the machine.
 	PlantInCore func(core *controlplane.Core)
 }
 
@@ -24,7 +24,7 @@
 	}
 }
 
-// plantedFaults are the planted mistakes by name.
+// plantedFaults are the planted faults by name.
 var plantedFaults = map[string]plantedFault{
 	"wiped-identity-votes": {KeepIdentity: true},
 	"one-copy-confirms":    {PlantInCore: func(core *controlplane.Core) { core.Groups().SkipReplicas = true }},
@@ -39,10 +39,10 @@
 
 func (c *Config) fault() plantedFault { return plantedFaults[c.Fault] }
 
-// FaultNames are the names of the planted mistakes.
+// FaultNames are the names of the planted faults.
 func FaultNames() []string { return slices.Sorted(maps.Keys(plantedFaults)) }
 
-// CheckFaultName tells whether there is a planted mistake of that name; "" is none.
+// CheckFaultName tells whether there is a planted fault of that name; "" is none.
 func CheckFaultName(name string) error {
 	if _, known := plantedFaults[name]; !known && name != "" {
 		return fmt.Errorf("no fault %q: give one of %v", name, FaultNames())
--- a/test/modelcheck/fingerprint.go
+++ b/test/modelcheck/fingerprint.go
@@ -19,7 +19,7 @@
 var hashSeed = maphash.MakeSeed()
 
 // ignoredFields are fields that no decision depends on: counters for the operators, and
-// numbers that only tell requests apart. A test checks that the fields exist.
+// numbers that only identify requests. A test checks that the fields exist.
 var ignoredFields = map[string]bool{
 	"CampaignsStarted":       true,
 	"TermsWon":               true,
@@ -33,166 +33,189 @@
 type hasher struct {
 	hash maphash.Hash
 	now  clock.Micros
-	seen map[uintptr]bool
+	seen map[uintptr]bool // pointers on the way down to the present value
 }
 
 func newHasher(now clock.Micros) *hasher {
-	p := &hasher{now: now, seen: map[uintptr]bool{}}
-	p.hash.SetSeed(hashSeed)
-	return p
+	h := &hasher{now: now, seen: map[uintptr]bool{}}
+	h.hash.SetSeed(hashSeed)
+	return h
 }
 
-func (p *hasher) number(n uint64) {
+func (h *hasher) number(n uint64) {
 	var buffer [8]byte
 	binary.LittleEndian.PutUint64(buffer[:], n)
-	p.hash.Write(buffer[:])
+	h.hash.Write(buffer[:])
 }
 
 // timestamp hashes a number that may be a point in time.
-func (p *hasher) timestamp(n int64) {
+func (h *hasher) timestamp(n int64) {
 	if n >= virtualEpoch/2 {
-		n = 1<<40 + max(-maxTimeDifference, min(maxTimeDifference, n-p.now))
+		n = 1<<40 + max(-maxTimeDifference, min(maxTimeDifference, n-h.now))
 	}
-	p.number(uint64(n))
+	h.number(uint64(n))
 }
 
+// Digits of the decimal numbers in encoded documents: from how many on a number is a point
+// in time, and how many fit an int64.
+const (
+	minTimestampDigits = 9
+	maxDigits          = 18
+)
+
 // bytes hashes an encoded document; a long run of digits is a point in time.
-func (p *hasher) bytes(data []byte) {
-	const longRun = 9
-	p.number(uint64(len(data)))
-	for at := 0; at < len(data); {
-		end := at
-		value := int64(0)
-		for end < len(data) && data[end] >= '0' && data[end] <= '9' && end-at < 18 {
-			value = value*10 + int64(data[end]-'0')
-			end++
-		}
-		if end-at >= longRun {
-			p.timestamp(value)
-			at = end
-			continue
+func (h *hasher) bytes(data []byte) {
+	h.number(uint64(len(data)))
+	for start := 0; start < len(data); {
+		value, end := leadingNumber(data, start)
+		if end-start >= minTimestampDigits {
+			h.timestamp(value)
+		} else {
+			end = max(end, start+1)
+			h.hash.Write(data[start:end])
 		}
-		end = max(end, at+1)
-		p.hash.Write(data[at:end])
-		at = end
+		start = end
 	}
 }
 
-//revive:disable-next-line:cyclomatic one case for each kind of value
-func (p *hasher) add(v reflect.Value) {
+// leadingNumber reads the digits from start on: their value and where they end.
+func leadingNumber(data []byte, start int) (value int64, end int) {
+	end = start
+	for end < len(data) && end-start < maxDigits && data[end] >= '0' && data[end] <= '9' {
+		value = value*10 + int64(data[end]-'0')
+		end++
+	}
+	return value, end
+}
+
+// add hashes a value with all that it holds.
+func (h *hasher) add(v reflect.Value) {
 	switch v.Kind() {
-	case reflect.Bool:
-		if v.Bool() {
-			p.hash.WriteByte(1)
-		} else {
-			p.hash.WriteByte(0)
-		}
-	case reflect.Int64:
-		p.timestamp(v.Int())
-	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32:
-		p.number(uint64(v.Int()))
-	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		p.number(v.Uint())
-	case reflect.String:
-		p.number(uint64(v.Len()))
-		p.hash.WriteString(v.String())
 	case reflect.Slice:
 		if v.Type().Elem().Kind() == reflect.Uint8 {
-			p.bytes(v.Bytes())
+			h.bytes(v.Bytes())
 			return
 		}
-		p.elements(v)
+		h.elements(v)
 	case reflect.Array:
-		p.elements(v)
+		h.elements(v)
 	case reflect.Map:
-		p.mapEntries(v)
+		h.mapEntries(v)
 	case reflect.Struct:
-		for i := 0; i < v.NumField(); i++ {
-			if !ignoredFields[v.Type().Field(i).Name] {
-				p.add(v.Field(i))
-			}
-		}
+		h.fields(v)
 	case reflect.Interface:
 		if v.IsNil() {
-			p.hash.WriteByte(0)
+			h.hash.WriteByte(0)
 			return
 		}
-		p.hash.WriteString(v.Elem().Type().String())
-		p.add(v.Elem())
+		h.hash.WriteString(v.Elem().Type().String())
+		h.add(v.Elem())
 	case reflect.Pointer:
-		p.pointer(v)
+		h.pointer(v)
+	default:
+		h.scalar(v)
+	}
+}
+
+// scalar hashes a value that holds no other. Of a function only its presence counts.
+func (h *hasher) scalar(v reflect.Value) {
+	switch v.Kind() {
+	case reflect.Bool:
+		if v.Bool() {
+			h.hash.WriteByte(1)
+		} else {
+			h.hash.WriteByte(0)
+		}
+	case reflect.Int64:
+		h.timestamp(v.Int())
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32:
+		h.number(uint64(v.Int()))
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		h.number(v.Uint())
+	case reflect.String:
+		h.number(uint64(v.Len()))
+		h.hash.WriteString(v.String())
 	case reflect.Func:
-		p.hash.WriteByte('f')
+		h.hash.WriteByte('f')
+	}
+}
+
+func (h *hasher) fields(v reflect.Value) {
+	for i := range v.NumField() {
+		if !ignoredFields[v.Type().Field(i).Name] {
+			h.add(v.Field(i))
+		}
 	}
 }
 
-func (p *hasher) elements(v reflect.Value) {
-	p.number(uint64(v.Len()))
+func (h *hasher) elements(v reflect.Value) {
+	h.number(uint64(v.Len()))
 	for i := 0; i < v.Len(); i++ {
-		p.add(v.Index(i))
+		h.add(v.Index(i))
 	}
 }
 
 // pointer follows a pointer once on each way down.
-func (p *hasher) pointer(v reflect.Value) {
-	if v.IsNil() || p.seen[v.Pointer()] {
-		p.hash.WriteByte(0)
+func (h *hasher) pointer(v reflect.Value) {
+	if v.IsNil() || h.seen[v.Pointer()] {
+		h.hash.WriteByte(0)
 		return
 	}
-	p.seen[v.Pointer()] = true
-	p.hash.WriteByte(1)
-	p.add(v.Elem())
-	delete(p.seen, v.Pointer())
+	h.seen[v.Pointer()] = true
+	h.hash.WriteByte(1)
+	h.add(v.Elem())
+	delete(h.seen, v.Pointer())
 }
 
-func (p *hasher) mapEntries(v reflect.Value) {
+func (h *hasher) mapEntries(v reflect.Value) {
 	sums := make([]uint64, 0, v.Len())
 	for each := v.MapRange(); each.Next(); {
-		pair := &hasher{now: p.now, seen: p.seen}
-		pair.hash.SetSeed(hashSeed)
-		pair.add(each.Key())
-		pair.add(each.Value())
-		sums = append(sums, pair.hash.Sum64())
+		entry := &hasher{now: h.now, seen: h.seen}
+		entry.hash.SetSeed(hashSeed)
+		entry.add(each.Key())
+		entry.add(each.Value())
+		sums = append(sums, entry.hash.Sum64())
 	}
 	slices.Sort(sums)
-	p.number(uint64(len(sums)))
+	h.number(uint64(len(sums)))
 	for _, sum := range sums {
-		p.number(sum)
+		h.number(sum)
 	}
 }
 
 // fingerprint hashes all that a process will decide from: its machine, its disk and
-// the writes under way.
+// the unsynced writes. It is never 0, which stands for none in the cache.
 func (p *process) fingerprint(c *Config, now clock.Micros) uint64 {
 	if p.cachedFingerprint != 0 && p.fingerprintedAt == now {
 		return p.cachedFingerprint
 	}
-	out := newHasher(now)
-	out.hash.WriteString(p.name)
-	out.add(reflect.ValueOf([]bool{p.up, p.paused, p.draining, p.diskBlocked}))
-	out.number(uint64(p.generation))
-	out.add(reflect.ValueOf(p.disk))
+	h := newHasher(now)
+	h.hash.WriteString(p.name)
+	h.add(reflect.ValueOf([]bool{p.up, p.paused, p.draining, p.diskBlocked}))
+	h.number(uint64(p.generation))
+	h.add(reflect.ValueOf(p.disk))
 	for _, w := range p.unsynced {
-		out.number(w.token)
-		out.add(reflect.ValueOf(w.records))
+		h.number(w.token)
+		h.add(reflect.ValueOf(w.records))
 	}
 	if p.up {
-		out.pointer(reflect.ValueOf(p.machine(c)))
+		h.pointer(reflect.ValueOf(p.machine(c)))
 	}
-	p.cachedFingerprint, p.fingerprintedAt = out.hash.Sum64()|1, now
+	p.cachedFingerprint = h.hash.Sum64() | 1
+	p.fingerprintedAt = now
 	return p.cachedFingerprint
 }
 
-// Fingerprint hashes the whole state of a run. Two runs with one fingerprint go on
+// Fingerprint hashes the complete state of a run. Two runs with one fingerprint go on
 // alike.
 func (w *World) Fingerprint() uint64 {
-	out := newHasher(w.now)
+	h := newHasher(w.now)
 	for _, p := range w.processes {
-		out.number(p.fingerprint(w.config, w.now))
+		h.number(p.fingerprint(w.config, w.now))
 	}
-	out.add(reflect.ValueOf(w.inFlight))
-	out.add(reflect.ValueOf(w.cutLinks))
-	out.add(reflect.ValueOf(w.faultsUsed))
-	out.add(reflect.ValueOf(w.history))
-	return out.hash.Sum64()
+	h.add(reflect.ValueOf(w.inFlight))
+	h.add(reflect.ValueOf(w.blockedLinks))
+	h.add(reflect.ValueOf(w.faultsUsed))
+	h.add(reflect.ValueOf(w.history))
+	return h.hash.Sum64()
 }
--- a/test/modelcheck/message_kinds.go
+++ b/test/modelcheck/message_kinds.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"reflect"
 
 	"tuliprudder/internal/controlplane"
 	"tuliprudder/internal/replication"
@@ -25,38 +26,29 @@
 	kindLeaseRelease     = "Yield"
 )
 
+// messageKinds are the spellings by the Go type of the message's body.
+var messageKinds = map[reflect.Type]string{
+	reflect.TypeFor[controlplane.Heartbeat]():       kindHeartbeat,
+	reflect.TypeFor[controlplane.VoteRequest]():     kindVoteRequest,
+	reflect.TypeFor[controlplane.VoteResponse]():    kindVoteResponse,
+	reflect.TypeFor[controlplane.Commit]():          kindCommit,
+	reflect.TypeFor[controlplane.CommitAck]():       kindCommitAck,
+	reflect.TypeFor[replication.SnapshotChunk]():    kindSnapshotChunk,
+	reflect.TypeFor[replication.SnapshotChunkAck](): kindSnapshotChunkAck,
+	reflect.TypeFor[replication.Append]():           kindAppend,
+	reflect.TypeFor[replication.AppendAck]():        kindAppendAck,
+	reflect.TypeFor[replication.StaleEpoch]():       kindStaleEpoch,
+	reflect.TypeFor[replication.LeaseRequest]():     kindLeaseRequest,
+	reflect.TypeFor[replication.LeaseGrant]():       kindLeaseGrant,
+	reflect.TypeFor[replication.LeaseRelease]():     kindLeaseRelease,
+}
+
 // kind is the message's kind as traces spell it. A type without a spelling of its own
 // ends the search: its traces could not be read back.
-//
-//revive:disable-next-line:cyclomatic one case for each type of message
 func (m message) kind() string {
-	switch m.body.(type) {
-	case controlplane.Heartbeat:
-		return kindHeartbeat
-	case controlplane.VoteRequest:
-		return kindVoteRequest
-	case controlplane.VoteResponse:
-		return kindVoteResponse
-	case controlplane.Commit:
-		return kindCommit
-	case controlplane.CommitAck:
-		return kindCommitAck
-	case replication.SnapshotChunk:
-		return kindSnapshotChunk
-	case replication.SnapshotChunkAck:
-		return kindSnapshotChunkAck
-	case replication.Append:
-		return kindAppend
-	case replication.AppendAck:
-		return kindAppendAck
-	case replication.StaleEpoch:
-		return kindStaleEpoch
-	case replication.LeaseRequest:
-		return kindLeaseRequest
-	case replication.LeaseGrant:
-		return kindLeaseGrant
-	case replication.LeaseRelease:
-		return kindLeaseRelease
+	kind, known := messageKinds[reflect.TypeOf(m.body)]
+	if !known {
+		panic(fmt.Sprintf("a message of type %T has no spelling in traces", m.body))
 	}
-	panic(fmt.Sprintf("a message of type %T has no spelling in traces", m.body))
+	return kind
 }
--- /dev/null
+++ b/test/modelcheck/network.go
@@ -0,0 +1,130 @@
+package modelcheck
+
+import (
+	"slices"
+
+	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/replication"
+)
+
+// message is one that is in flight.
+type message struct {
+	from, to string // addresses
+	body     any
+	delayed  bool // stays in flight while time goes by
+}
+
+// isRoutine says whether a message only renews what is in force: it is sent again and
+// again, and the coarse runs let it travel while time goes by.
+func (m message) isRoutine() bool {
+	switch m.body.(type) {
+	case controlplane.Heartbeat, replication.LeaseRequest, replication.LeaseGrant:
+		return true
+	}
+	return false
+}
+
+// maxInFlight bounds the messages in flight; the oldest routine ones are lost first.
+const maxInFlight = 120
+
+// maxDeliveryRounds bounds the exchanges that one moment may take.
+const maxDeliveryRounds = 40
+
+// link is one direction between two processes, by their indexes, for one kind of
+// message, or for all of them where it names none.
+type link struct {
+	from, to    int
+	messageType string
+}
+
+func (w *World) send(m message) {
+	w.checkSender(m)
+	w.inFlight = append(w.inFlight, m)
+	if len(w.inFlight) <= maxInFlight {
+		return
+	}
+	oldest := max(0, slices.IndexFunc(w.inFlight, message.isRoutine))
+	w.inFlight = slices.Delete(w.inFlight, oldest, oldest+1)
+}
+
+// deliver has the receiver take a message; false where it can't arrive now.
+func (w *World) deliver(m message) bool {
+	from, to := w.indexByAddress(m.from), w.indexByAddress(m.to)
+	if to < 0 || !w.processes[to].up || w.processes[to].paused || w.isBlocked(from, to, m.kind()) {
+		return false
+	}
+	w.execute(to, controlplane.Message{From: m.from, Body: m.body})
+	return true
+}
+
+// isBlocked says whether a link loses all messages, or those of a kind.
+func (w *World) isBlocked(from, to int, kind string) bool {
+	return w.blockedLinks[link{from, to, ""}] || w.blockedLinks[link{from, to, kind}]
+}
+
+// staysInFlight says whether a message stays in flight while others travel.
+func (w *World) staysInFlight(m message) bool {
+	to := w.indexByAddress(m.to)
+	receiverPaused := to >= 0 && w.processes[to].up && w.processes[to].paused
+	return m.delayed || receiverPaused
+}
+
+// deliverAll delivers all messages that aren't delayed, and syncs all writes, until nothing
+// moves any more.
+func (w *World) deliverAll() {
+	for range maxDeliveryRounds {
+		synced := w.syncAll()
+		delivered := w.deliverRound()
+		if !synced && !delivered {
+			return
+		}
+	}
+}
+
+// syncAll syncs the writes of all processes that run; false where there were none.
+func (w *World) syncAll() bool {
+	synced := false
+	for processIndex, p := range w.processes {
+		for !p.paused && w.syncOldestWrite(processIndex) {
+			synced = true
+		}
+	}
+	return synced
+}
+
+// deliverRound delivers the messages in flight, not those sent meanwhile; false where none
+// travelled.
+func (w *World) deliverRound() bool {
+	round := w.inFlight
+	w.inFlight = nil
+	delivered := false
+	for _, m := range round {
+		if w.staysInFlight(m) {
+			w.inFlight = append(w.inFlight, m)
+			continue
+		}
+		delivered = true
+		w.deliver(m)
+	}
+	return delivered
+}
+
+// findMessage is the index of the message in flight that an event names by its link, kind
+// and index among those; -1 where there is none.
+func (w *World) findMessage(e Event) int {
+	from, to := w.indexByName(e.Processes[0]), w.indexByName(e.Processes[1])
+	if from < 0 || to < 0 {
+		return -1
+	}
+	sameKind := 0
+	for i, m := range w.inFlight {
+		if w.indexByAddress(m.from) != from || w.indexByAddress(m.to) != to || m.kind() != e.Message {
+			continue
+		}
+		if sameKind == e.Index {
+			return i
+		}
+		sameKind++
+	}
+	return -1
+}
--- a/test/modelcheck/process.go
+++ b/test/modelcheck/process.go
@@ -12,15 +12,8 @@
 // coreUnit is the replication group of the control state.
 const coreUnit = "core"
 
-// diskWrite is one request to the disk that isn't synced yet.
-type diskWrite struct {
-	records      []machine.Record
-	token        uint64
-	isCompaction bool
-}
-
 // input is one command that a process took, with those before it. A process is a
-// function of its start and its inputs: it is brought back by replaying them.
+// function of its boot state and its inputs: replaying them restores it.
 type input struct {
 	previous *input
 	command  controlplane.Command
@@ -35,30 +28,32 @@
 	records     []machine.Record
 }
 
-// sharedMachine holds the machine of processes that took the same inputs. It is handed on to
-// the first one that takes another input, and then gone from here.
+// sharedMachine holds the machine of processes that took the same inputs. It moves to the
+// first one that takes another input, and core is nil from then on.
 type sharedMachine struct{ core *controlplane.Core }
 
-// process is one core daemon at one point of a run. It is never changed: each step
-// makes another one. Only the machine itself is handed on from one to the next.
+// process is one core daemon at one point of a run. It is immutable: each step makes
+// another one. Only the machine itself moves from one to the next.
 type process struct {
 	name            string
 	generation      int // counts the disks it had
 	boot            bootState
 	inputs          *input
 	up, paused      bool
-	draining        bool         // it was told that it is about to go
+	draining        bool         // it was notified that it is about to be removed
 	diskBlocked     bool         // its disk takes no writes
 	diskUnblockedAt clock.Micros // when its disk took them again; 0: it always did
 	tickedAt        clock.Micros // its latest tick
 	disk            []machine.Record
 	unsynced        []diskWrite
 
-	shared            *sharedMachine
-	isServing         bool
-	isPrimary         bool
-	epoch             uint64
-	cachedFingerprint uint64 // fingerprint, and the time it was taken at
+	// What the choices and checks read often, taken from the machine by updateSummary.
+	shared    *sharedMachine
+	isServing bool
+	isPrimary bool
+	epoch     uint64
+
+	cachedFingerprint uint64 // 0: none
 	fingerprintedAt   clock.Micros
 }
 
@@ -73,23 +68,25 @@
 	return core
 }
 
-// machine is the process's machine; it may be looked at and is not to be changed.
+// machine is the process's machine, replayed from its inputs where it moved to another
+// process. Callers may read it and must not change it.
 func (p *process) machine(c *Config) *controlplane.Core {
-	if p.shared.core == nil {
-		p.shared.core = c.startMachine(p.boot)
-		var run []*input
-		for in := p.inputs; in != nil; in = in.previous {
-			run = append(run, in)
-		}
-		for _, in := range slices.Backward(run) {
-			p.shared.core.Do(in.command, in.now)
-		}
+	if p.shared.core != nil {
+		return p.shared.core
+	}
+	p.shared.core = c.startMachine(p.boot)
+	var inputs []*input
+	for in := p.inputs; in != nil; in = in.previous {
+		inputs = append(inputs, in)
+	}
+	for _, in := range slices.Backward(inputs) {
+		p.shared.core.Do(in.command, in.now)
 	}
 	return p.shared.core
 }
 
-// execute applies a command: the process after it, and what it decided. The error tells
-// that the machine panicked.
+// execute applies a command: the process after it, and its effects. The error says that
+// the machine panicked.
 func (p *process) execute(c *Config, command controlplane.Command, now clock.Micros) (after *process, effects []machine.Effect, failed error) {
 	core := p.machine(c)
 	p.shared.core = nil
@@ -100,7 +97,9 @@
 	}()
 	effects = core.Do(command, now)
 	next := *p
-	next.shared, next.inputs, next.cachedFingerprint = &sharedMachine{core}, &input{p.inputs, command, now}, 0
+	next.shared = &sharedMachine{core}
+	next.inputs = &input{p.inputs, command, now}
+	next.cachedFingerprint = 0
 	if _, ok := command.(controlplane.Tick); ok {
 		next.tickedAt = now
 	}
@@ -109,40 +108,42 @@
 }
 
 // diskProbation is how long a disk takes writes again until its process, at the next
-// command, takes up its duties.
+// command, resumes its roles.
 const diskProbation = clock.Second
 
-// endsProbation tells whether the next command, even a question, makes the process take up
-// its duties again.
+// endsProbation says whether the next command, even a read, makes the process resume its
+// roles.
 func (p *process) endsProbation(now clock.Micros) bool {
 	proven := p.diskUnblockedAt + diskProbation
 	return p.diskUnblockedAt > 0 && now >= proven && p.tickedAt < proven
 }
 
-// updateSummary notes what the choices and checks ask for often.
+// updateSummary copies what the choices and checks read often out of the machine.
 func (p *process) updateSummary() {
 	group := p.shared.core.Groups().Group(coreUnit)
-	p.isServing, p.isPrimary, p.epoch = p.shared.core.IsServing(), group.IsPrimary(), group.Epoch
+	p.isServing = p.shared.core.IsServing()
+	p.isPrimary = group.IsPrimary()
+	p.epoch = group.Epoch
 }
 
-// restarted is the process after a start from its disk, as another life.
+// restarted is the process after a start from its disk, in its next incarnation.
 func (p *process) restarted(c *Config) *process {
-	next := *p
+	next := &process{name: p.name, generation: p.generation, boot: p.boot, up: true, disk: p.disk}
 	next.boot.incarnation++
 	next.boot.records = p.disk
-	next.inputs, next.unsynced, next.cachedFingerprint = nil, nil, 0
-	next.diskUnblockedAt, next.tickedAt = 0, 0
-	next.up, next.paused, next.draining, next.diskBlocked = true, false, false, false
 	next.shared = &sharedMachine{c.startMachine(next.boot)}
 	next.updateSummary()
-	return &next
+	return next
 }
 
-// stopped is the process after its end, with some unsynced writes on its disk.
+// stopped is the process after its end; the first unsynced writes, up to keep, reached its
+// disk.
 func (p *process) stopped(keep int) *process {
 	next := *p
-	next.shared, next.inputs, next.cachedFingerprint = nil, nil, 0
-	next.up, next.paused, next.isServing, next.isPrimary = false, false, false, false
+	next.up, next.paused = false, false
+	next.shared, next.inputs = nil, nil
+	next.isServing, next.isPrimary = false, false
+	next.cachedFingerprint = 0
 	if p.diskBlocked {
 		keep = 0
 	}
@@ -153,10 +154,23 @@
 	return &next
 }
 
-// withWrite is a disk with one more write.
-func withWrite(disk []machine.Record, w diskWrite) []machine.Record {
-	if w.isCompaction {
-		return w.records
+func processName(i int) string { return fmt.Sprint("c", i+1) }
+
+// firstID is the identity of a process before its disk was ever wiped.
+func firstID(processName string) string { return "core-" + processName }
+
+// newProcess is a process with an empty disk, not started yet. The generation counts the
+// disks that were wiped before it.
+func (c *Config) newProcess(i, generation int, address string) *process {
+	name := processName(i)
+	id := firstID(name)
+	if generation > 0 {
+		id = fmt.Sprintf("%s-%d", id, generation)
+	}
+	zone := i
+	if c.Zones > 0 {
+		zone = i % c.Zones
 	}
-	return append(slices.Clip(disk), w.records...)
+	self := controlplane.CoreRef{ID: id, Peer: address, Zone: fmt.Sprint("zone-", zone)}
+	return &process{name: name, generation: generation, boot: bootState{self: self, bootstrap: generation == 0}}
 }
