--- a/test/simulator/configurations.go
+++ b/test/simulator/configurations.go
@@ -1,8 +1,6 @@
 package simulator
 
 import (
-	"fmt"
-
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/controlplane"
 	"tuliprudder/internal/controlplane/state"
@@ -69,8 +67,8 @@
 		switch {
 		case n.edge != nil && n.edge.Scheduler.Configuration() != nil:
 			version = n.edge.Scheduler.Configuration().Version
-		case n.ledger != nil && n.ledger.Scheduler.Configuration() != nil:
-			version = n.ledger.Scheduler.Configuration().Version
+		case n.scheduled != nil && n.scheduled.Scheduler.Configuration() != nil:
+			version = n.scheduled.Scheduler.Configuration().Version
 		case n.Core != nil:
 			continue
 		}
@@ -214,8 +212,7 @@
 	}
 	v.countCheck(configurationInForce)
 	for _, number := range v.documentsInForceSince(req.SentAt - 3*clock.Second - timingGrace) {
-		half := fmt.Sprint(number / 3 % 2)
-		if number%3 > 0 && half == v.world.serverByName(start.Server).halfLabel() {
+		if hasExtraRoute(number) && extraRouteHalf(number) == v.world.serverByName(start.Server).halfLabel() {
 			return
 		}
 	}
--- a/test/simulator/disk.go
+++ b/test/simulator/disk.go
@@ -1,116 +1,164 @@
 package simulator
 
 import (
-	"sort"
+	"slices"
 
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/errs"
 	"tuliprudder/internal/machine"
 )
 
+// write is one write to a disk: records appended, all records replaced, or an archive file
+// added or deleted.
 type write struct {
 	records     []machine.Record
 	compact     bool
 	token       uint64
-	archiveFile uint64   // a file for the shelf
-	deleteFiles []uint64 // files to remove from it
+	archiveFile uint64   // of the archive, that the records make up; 0: none
+	deleteFiles []uint64 // of the archive
 }
 
-// archive is a simulated disk's shelf.
+// writeOf is the write that an effect requests.
+func writeOf(effect machine.Effect) write {
+	switch e := effect.(type) {
+	case machine.Persist:
+		return write{records: e.Records, token: e.Token}
+	case machine.Compact:
+		return write{records: e.Records, compact: true}
+	case machine.Archive:
+		return write{records: e.Records, token: e.Token, archiveFile: e.File}
+	case machine.DeleteArchive:
+		return write{deleteFiles: e.Files}
+	}
+	return write{}
+}
+
+// archive is the archive on a simulated disk: bodies by file and unit.
 type archive struct{ files map[uint64]map[string][]byte }
 
-func (s *archive) Get(file uint64, unit string) ([]byte, error) {
-	if body, ok := s.files[file][unit]; ok {
+// Get returns the body of a unit in a file; errs.Corrupt where there is none.
+func (a *archive) Get(file uint64, unit string) ([]byte, error) {
+	if body, ok := a.files[file][unit]; ok {
 		return body, nil
 	}
-	return nil, errs.New(errs.Corrupt, "", "no %s in shelf file %d", unit, file)
+	return nil, errs.New(errs.Corrupt, "", "no %s in archive file %d", unit, file)
 }
 
-func (s *archive) Files() []uint64 {
+// Files are the numbers of the files in order.
+func (a *archive) Files() []uint64 {
 	var out []uint64
-	for file := range s.files {
+	for file := range a.files {
 		out = append(out, file)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i] < out[j] })
+	slices.Sort(out)
 	return out
 }
 
-func (s *archive) LastFile() uint64 {
-	top := uint64(0)
-	for file := range s.files {
-		top = max(top, file)
+// LastFile is the highest number of a file; 0 where there is none.
+func (a *archive) LastFile() uint64 {
+	last := uint64(0)
+	for file := range a.files {
+		last = max(last, file)
 	}
-	return top
+	return last
 }
 
+// disk is a daemon's disk. Writes wait in the queue and are lost at a crash until a sync
+// makes them durable.
 type disk struct {
 	durable       []machine.Record
 	archive       archive
 	queue         []write
 	syncing       bool
-	stalledUntil  clock.Micros // until
+	stalledUntil  clock.Micros
 	extraSyncTime clock.Micros // added to each sync
-	skipsSync     bool         // planted by tests: says synced, keeps it in memory only
-	unsynced      []write
+	skipsSync     bool         // set by tests only: it reports writes as synced and keeps the newest in memory
+	unsynced      []write      // with skipsSync, the writes in memory
 }
 
-// syncNext lets the disk write what waits: one group, one sync.
+// maxUnsyncedWrites is how many writes a disk with skipsSync keeps in memory.
+const maxUnsyncedWrites = 40
+
+func (n *Node) queueWrite(queued write) {
+	n.disk.queue = append(n.disk.queue, queued)
+	n.syncNext()
+}
+
+// syncNext has the disk write what is queued: one group, one sync.
 func (n *Node) syncNext() {
 	if n.disk.syncing || len(n.disk.queue) == 0 {
 		return
 	}
-	w := n.world
+	w, generation := n.world, n.generation
 	n.disk.syncing = true
-	count := 1
-	if !n.disk.queue[0].compact {
-		for count < len(n.disk.queue) && !n.disk.queue[count].compact {
-			count++
+	groupSize := n.disk.nextGroupSize()
+	w.Syncs++
+	w.After(n.syncDuration(), func() {
+		if n.generation == generation && n.up {
+			n.synced(groupSize)
 		}
+	})
+}
+
+// nextGroupSize is how many queued writes the next sync takes: all up to a compaction, or
+// one compaction.
+func (d *disk) nextGroupSize() int {
+	if d.queue[0].compact {
+		return 1
 	}
-	duration := w.randomBetween(w.Conditions.SyncTime/2, 2*w.Conditions.SyncTime)
-	duration += n.disk.extraSyncTime
-	if n.disk.stalledUntil > w.Now {
-		duration += n.disk.stalledUntil - w.Now
+	if next := slices.IndexFunc(d.queue, func(queued write) bool { return queued.compact }); next > 0 {
+		return next
 	}
-	generation := n.generation
-	w.Syncs++
-	w.After(duration, func() {
-		if n.generation != generation || !n.up {
-			return
-		}
-		done := n.disk.queue[:count:count]
-		n.disk.queue = n.disk.queue[count:]
-		if n.disk.skipsSync {
-			n.disk.unsynced = append(n.disk.unsynced, done...)
-			if keep := len(n.disk.unsynced) - 40; keep > 0 {
-				n.persist(n.disk.unsynced[:keep])
-				n.disk.unsynced = n.disk.unsynced[keep:]
+	return len(d.queue)
+}
+
+func (n *Node) syncDuration() clock.Micros {
+	w := n.world
+	duration := w.randomBetween(w.Conditions.SyncTime/2, 2*w.Conditions.SyncTime) + n.disk.extraSyncTime
+	return duration + max(0, n.disk.stalledUntil-w.Now)
+}
+
+// synced makes a group of writes durable and notifies the machine of it.
+func (n *Node) synced(groupSize int) {
+	w := n.world
+	group := n.disk.queue[:groupSize:groupSize]
+	n.disk.queue = n.disk.queue[groupSize:]
+	if n.disk.skipsSync {
+		n.keepInMemory(group)
+	} else {
+		n.persist(group)
+	}
+	n.disk.syncing = false
+	if w.OnSync != nil {
+		w.OnSync(n)
+	}
+	n.runOrDefer(func() {
+		for _, written := range group {
+			if !written.compact && written.token > 0 {
+				n.execute(n.machine.Persisted(written.token, w.Now))
 			}
-		} else {
-			n.persist(done)
-		}
-		n.disk.syncing = false
-		if w.OnSync != nil {
-			w.OnSync(n)
 		}
-		n.runOrDefer(func() {
-			for _, written := range done {
-				if !written.compact && written.token > 0 {
-					n.execute(n.machine.Persisted(written.token, w.Now))
-				}
-			}
-		})
-		n.syncNext()
 	})
+	n.syncNext()
+}
+
+// keepInMemory makes only writes durable that newer ones have pushed out of the memory.
+func (n *Node) keepInMemory(group []write) {
+	n.disk.unsynced = append(n.disk.unsynced, group...)
+	if excess := len(n.disk.unsynced) - maxUnsyncedWrites; excess > 0 {
+		n.persist(n.disk.unsynced[:excess])
+		n.disk.unsynced = n.disk.unsynced[excess:]
+	}
 }
 
-func (n *Node) persist(done []write) {
-	for _, written := range done {
+func (n *Node) persist(group []write) {
+	for _, written := range group {
 		if written.archiveFile > 0 {
-			n.disk.archive.files[written.archiveFile] = map[string][]byte{}
+			bodies := map[string][]byte{}
 			for _, record := range written.records {
-				n.disk.archive.files[written.archiveFile][record.Unit] = record.Body
+				bodies[record.Unit] = record.Body
 			}
+			n.disk.archive.files[written.archiveFile] = bodies
 			continue
 		}
 		for _, file := range written.deleteFiles {
@@ -123,7 +171,7 @@
 	}
 }
 
-// StallDisk holds the disk for a span.
+// StallDisk has the disk sync nothing for a span.
 func (n *Node) StallDisk(duration clock.Micros) {
 	n.disk.stalledUntil = n.world.Now + duration
 	n.lastFaultAt = max(n.lastFaultAt, n.disk.stalledUntil)
--- a/test/simulator/lifecycle.go
+++ b/test/simulator/lifecycle.go
@@ -2,13 +2,14 @@
 
 import (
 	"fmt"
+	"maps"
 	"slices"
 
 	"tuliprudder/internal/machine"
 )
 
-// Crash ends a node. With power lost, what was not synced is gone, but a part
-// of it may have reached the disk without anyone having been told.
+// Crash ends a node as a loss of power does: what was not synced is lost, but a prefix of it
+// may have reached the disk without an acknowledgement.
 func (n *Node) Crash() {
 	if !n.up {
 		return
@@ -23,23 +24,19 @@
 	n.disk.queue, n.disk.syncing, n.disk.unsynced = nil, false, nil
 	hooks := n.crashHooks
 	n.crashHooks = map[uint64]func(){}
-	numbers := make([]uint64, 0, len(hooks))
-	for number := range hooks {
-		numbers = append(numbers, number)
-	}
-	slices.Sort(numbers)
-	for _, number := range numbers {
+	for _, number := range slices.Sorted(maps.Keys(hooks)) {
 		hooks[number]()
 	}
 }
 
-// ChangeAddress gives a dead node a new address: the seeds of others still name the old.
+// ChangeAddress gives a node that is down a new address: the seeds of others still name the
+// old one.
 func (w *World) ChangeAddress(n *Node) {
 	delete(w.nodeByPeer, n.Peer)
 	n.moveCount++
 	old := n.Peer
 	n.Peer = fmt.Sprintf("10.%d.%s:1", n.moveCount, n.Name)
-	// Who boots from now on is given the new address; who runs keeps the old.
+	// Nodes that boot from now on get the new address; those that run keep the old one.
 	seeds := append([]string(nil), w.seeds...)
 	for i, seed := range seeds {
 		if seed == old {
@@ -60,7 +57,7 @@
 	return c
 }
 
-// Wipe empties a dead node's disk: what boots next is a new identity.
+// Wipe empties the disk of a node that is down: it boots as a new identity.
 func (n *Node) Wipe() {
 	n.wipeCount++
 	n.world.Tracef("%s is wiped", n.Name)
@@ -78,7 +75,7 @@
 	return 0
 }
 
-// Freeze and Thaw stop and go on with a node.
+// Freeze stops a node without ending it; what arrives is deferred until Thaw.
 func (n *Node) Freeze() {
 	n.frozen, n.lastFaultAt = true, n.world.Now
 	n.world.Tracef("%s freezes", n.Name)
@@ -97,42 +94,3 @@
 		n.runOrDefer(do)
 	}
 }
-
-func crash(n *Node, shards int) func() {
-	n.Crash()
-	return func() { n.Boot(shards) }
-}
-
-func wipe(n *Node, shards int) func() {
-	n.Crash()
-	n.Wipe()
-	return func() { n.Boot(shards) }
-}
-
-func freeze(n *Node) func() {
-	n.Freeze()
-	return n.Thaw
-}
-
-func isolate(w *World, n *Node) func() {
-	w.SetIsolated(n.Name, true)
-	w.Tracef("%s is cut off", n.Name)
-	return func() { w.SetIsolated(n.Name, false); w.Tracef("%s is back", n.Name) }
-}
-
-func undoAll(undos []func()) {
-	for _, undo := range undos {
-		undo()
-	}
-}
-
-// injectFault lets a server go wrong in some way.
-func (s *Server) injectFault(mode string) func() {
-	s.faultMode = mode
-	s.world.Tracef("%s: %s", s.Name, mode)
-	return func() {
-		s.faultMode = ""
-		s.world.Tracef("%s is well again", s.Name)
-		s.startWaiting()
-	}
-}
--- a/test/simulator/network.go
+++ b/test/simulator/network.go
@@ -9,90 +9,114 @@
 	"tuliprudder/internal/machine"
 )
 
-// SetLinkCut cuts or heals the link between two nodes, or a node and a server, both
-// ways; SetOneWayCut cuts what goes from the one to the other.
-func (w *World) SetLinkCut(one, other string, cut bool) {
-	w.SetOneWayCut(one, other, cut)
-	w.SetOneWayCut(other, one, cut)
+// link is one direction between two nodes, or a node and a server, by their names.
+type link struct{ from, to string }
+
+// SetLinkBlocked blocks or heals the link between two nodes, or a node and a server, both
+// ways.
+func (w *World) SetLinkBlocked(one, other string, blocked bool) {
+	w.SetOneWayBlocked(one, other, blocked)
+	w.SetOneWayBlocked(other, one, blocked)
 }
 
-// SetOneWayCut cuts or heals what goes one way.
-func (w *World) SetOneWayCut(from, to string, cut bool) {
-	if w.cutLinks[[2]string{from, to}] == cut {
+// SetOneWayBlocked blocks or heals what goes one way.
+func (w *World) SetOneWayBlocked(from, to string, blocked bool) {
+	if w.isBlocked(from, to) == blocked {
 		return
 	}
-	w.cutLinks[[2]string{from, to}] = cut
+	w.blockedLinks[link{from, to}] = blocked
 	for _, name := range []string{from, to} {
-		if n := w.Nodes[name]; n != nil {
-			n.lastFaultAt = w.Now
-			if cut {
-				n.cutLinkCount++
-			} else {
-				n.cutLinkCount--
-			}
+		n := w.Nodes[name]
+		if n == nil {
+			continue
+		}
+		n.lastFaultAt = w.Now
+		if blocked {
+			n.blockedLinkCount++
+		} else {
+			n.blockedLinkCount--
 		}
 	}
 }
 
-// SetIsolated cuts or heals all links of a node.
-func (w *World) SetIsolated(name string, cut bool) {
+func (w *World) isBlocked(from, to string) bool { return w.blockedLinks[link{from, to}] }
+
+// SetIsolated blocks or heals all links of a node.
+func (w *World) SetIsolated(name string, blocked bool) {
 	for _, other := range w.nodeNames {
 		if other != name {
-			w.SetLinkCut(name, other, cut)
+			w.SetLinkBlocked(name, other, blocked)
 		}
 	}
 	for _, s := range w.Servers {
-		w.SetLinkCut(name, s.Name, cut)
+		w.SetLinkBlocked(name, s.Name, blocked)
 	}
 }
 
-// SetZonesPartitioned cuts or heals every link between the zones named and the rest.
-func (w *World) SetZonesPartitioned(zones map[string]bool, cut bool) {
+// SetZonesPartitioned blocks or heals every link between the zones named and the others.
+func (w *World) SetZonesPartitioned(zones map[string]bool, blocked bool) {
 	for _, one := range w.nodeNames {
 		for _, other := range w.nodeNames {
 			if zones[w.Nodes[one].Zone] && !zones[w.Nodes[other].Zone] {
-				w.SetLinkCut(one, other, cut)
+				w.SetLinkBlocked(one, other, blocked)
 			}
 		}
 		for _, s := range w.Servers {
 			if zones[w.Nodes[one].Zone] != zones[s.Zone] {
-				w.SetLinkCut(one, s.Name, cut)
+				w.SetLinkBlocked(one, s.Name, blocked)
 			}
 		}
 	}
-	w.Tracef("%v parted from the rest: %v", sorted(zones), cut)
+	w.Tracef("%v partitioned from the others: %v", sorted(zones), blocked)
 }
 
-// transmit passes something from one node to another through the weather.
+// delivery is the fate of one message.
+type delivery struct {
+	drop, duplicate bool
+	delay           clock.Micros // beyond the latency of the link
+}
+
+// transmit sends a message from one node to another under the conditions of the run.
 func (w *World) transmit(from, to *Node, body any, deliver func()) {
 	w.Messages++
 	if w.OnSend != nil && to != nil {
 		w.OnSend(from, to, body)
 	}
-	if to == nil || w.cutLinks[[2]string{from.Name, to.Name}] {
+	if to == nil || w.isBlocked(from.Name, to.Name) {
 		return
 	}
-	drop, duplicate, delay := w.Random.Float64() < w.Conditions.DropRate, w.Random.Float64() < w.Conditions.DuplicateRate, clock.Micros(0)
-	if w.Random.Float64() < w.Conditions.DelayRate {
-		delay = w.randomBetween(0, w.Conditions.MaxDelay)
-	}
-	if w.DeliveryFault != nil {
-		extraDrop, extraCopy, extraDelay := w.DeliveryFault(from.Name, to.Name, body)
-		drop, duplicate, delay = drop || extraDrop, duplicate || extraCopy, delay+extraDelay
-	}
-	if drop {
+	fate := w.drawDelivery(from, to, body)
+	if fate.drop {
 		return
 	}
 	arrive := func() {
-		if !w.cutLinks[[2]string{from.Name, to.Name}] {
+		if !w.isBlocked(from.Name, to.Name) {
 			to.runOrDefer(deliver)
 		}
 	}
-	w.After(w.randomBetween(150, 900)+delay, arrive)
-	// An ask is a call on a connection: it may be lost or late, never doubled.
-	if duplicate && body != nil && !isRequest(body) {
-		w.After(w.randomBetween(150, 5000)+delay, arrive)
+	w.After(w.randomBetween(150, 900)+fate.delay, arrive)
+	// A request is a call on a connection: it may be lost or late, never doubled.
+	if fate.duplicate && body != nil && !isRequest(body) {
+		w.After(w.randomBetween(150, 5000)+fate.delay, arrive)
+	}
+}
+
+// drawDelivery draws the fate of a message from the conditions, and adds the fault that a
+// test injects.
+func (w *World) drawDelivery(from, to *Node, body any) delivery {
+	var fate delivery
+	fate.drop = w.Random.Float64() < w.Conditions.DropRate
+	fate.duplicate = w.Random.Float64() < w.Conditions.DuplicateRate
+	if w.Random.Float64() < w.Conditions.DelayRate {
+		fate.delay = w.randomBetween(0, w.Conditions.MaxDelay)
+	}
+	if w.DeliveryFault != nil {
+		drop, duplicate, delay := w.DeliveryFault(from.Name, to.Name, body)
+		fate.drop = fate.drop || drop
+		fate.duplicate = fate.duplicate || duplicate
+		fate.delay += delay
 	}
+	return fate
 }
 
 func isRequest(body any) bool {
@@ -103,8 +127,8 @@
 	return false
 }
 
-// Call asks a node's machine over the network; back is told once: the answer, or
-// an unknown outcome when the deadline passed.
+// Call calls a node's machine over the network. The callback runs once: with the response, or
+// with errs.OutcomeUnknown when the timeout passed.
 func (w *World) Call(from *Node, peer string, body any, timeout clock.Micros, callback func(any, error)) {
 	to := w.nodeByPeer[peer]
 	finished := false
@@ -115,7 +139,7 @@
 		}
 	}
 	w.After(timeout, func() {
-		finish(nil, errs.New(errs.OutcomeUnknown, "ask again with the same key", "no answer in time"))
+		finish(nil, errs.New(errs.OutcomeUnknown, "send it again with the same key", "no response in time"))
 	})
 	if to == nil {
 		return
@@ -125,8 +149,8 @@
 			return
 		}
 		to.lastCall++
-		to.calls[to.lastCall] = func(a machine.Reply) {
-			w.transmit(to, from, a.Body, func() { finish(a.Body, a.Err) })
+		to.calls[to.lastCall] = func(reply machine.Reply) {
+			w.transmit(to, from, reply.Body, func() { finish(reply.Body, reply.Err) })
 		}
 		to.execute(to.machine.Call(to.lastCall, body, w.Now))
 	})
--- a/test/simulator/operators.go
+++ b/test/simulator/operators.go
@@ -226,12 +226,3 @@
 		}
 	}
 }
-
-// nodes are the nodes of a kind.
-func (w *World) nodes(kind string) []*Node {
-	var out []*Node
-	for _, name := range w.Names(kind) {
-		out = append(out, w.Nodes[name])
-	}
-	return out
-}
--- a/test/simulator/quota_check.go
+++ b/test/simulator/quota_check.go
@@ -9,11 +9,11 @@
 // quotas are the most that a tenant may have waiting by the configurations that may
 // be in force now, or were while what waits was taken in.
 func (v *Workload) quotaOf(tenant string) int {
-	limit := 40
+	limit := liveQuota
 	if tenant == defaultTenant {
 		limit = 0
 		for _, number := range v.documentsInForceSince(v.world.Now - 20*clock.Second) {
-			limit = max(limit, 300+20*(number%4))
+			limit = max(limit, batchQuota(number))
 		}
 	}
 	return limit
--- a/test/simulator/response_faults.go
+++ b/test/simulator/response_faults.go
@@ -55,7 +55,7 @@
 	if p.fault == wrongEvent && lastEvent > 0 {
 		id++
 	}
-	call := w.CallServer(n, request, func(text string) {
+	call := w.callServer(n, request, func(text string) {
 		id++
 		event(id, text)
 	}, done)
--- a/test/simulator/run.go
+++ b/test/simulator/run.go
@@ -46,7 +46,7 @@
 		v.runForwardedBatchCallers()
 	}
 	if r.AllCalls {
-		r.exerciseAllCalls(w)
+		v.exerciseAllCalls()
 	}
 	if r.MeasureRecovery && !w.measureRecovery(r.Shape.Shards) {
 		return w
@@ -68,72 +68,6 @@
 	return true
 }
 
-// runBatchCallers has callers use the fleet until Calling is false.
-func (v *Workload) runBatchCallers() {
-	w := v.world
-	var callers func()
-	callers = func() {
-		if !v.Calling {
-			return
-		}
-		switch w.Random.Intn(8) {
-		case 0:
-			v.PutConfiguration(w.Random.Intn(2) == 0)
-		case 1:
-			v.ContendForKey()
-		case 2:
-			v.ReadBatchStatus()
-			v.SubmitBatch(1+w.Random.Intn(10), 1)
-		case 3:
-			v.endRandomBatch()
-		default:
-			v.SubmitBatch(1+w.Random.Intn(20), 200)
-		}
-		w.After(w.randomBetween(50, 400)*clock.Millisecond, callers)
-	}
-	callers()
-}
-
-// endRandomBatch ends, now and then, one of the batches that are open.
-func (v *Workload) endRandomBatch() {
-	var open []*Batch
-	for _, b := range v.Batches {
-		if b.AcceptedAt > 0 && b.EndedAt == 0 {
-			open = append(open, b)
-		}
-	}
-	if len(open) > 0 && v.world.Random.Intn(3) == 0 {
-		v.EndBatch(open[v.world.Random.Intn(len(open))])
-	}
-}
-
-// runForwardedBatchCallers has callers hand in batches of requests until Calling is false.
-func (v *Workload) runForwardedBatchCallers() {
-	w := v.world
-	var callers func()
-	callers = func() {
-		if !v.Calling {
-			return
-		}
-		v.SubmitForwardedBatch(1+w.Random.Intn(8), 200)
-		w.After(w.randomBetween(300, 1500)*clock.Millisecond, callers)
-	}
-	callers()
-}
-
-// exerciseAllCalls uses every kind of call early on.
-func (r Run) exerciseAllCalls(w *World) {
-	v := w.Workload
-	b := v.SubmitBatch(10, 50)
-	w.RunFor(200 * clock.Millisecond)
-	v.ReadBatchStatus()
-	v.EndBatch(b)
-	id := w.randomNode(membership.Store).ID
-	v.RetireStore(id, false)
-	w.RunFor(2 * clock.Second)
-	v.RetireStore(id, true)
-}
-
 // candidateFaults are the acts this day may pick from.
 func (r Run) candidateFaults() []Fault {
 	faults := append(UntimedFaults(r.Shape.Shards), TriggeredFaults(r.Shape.Shards)...)
--- a/test/simulator/scenarios.go
+++ b/test/simulator/scenarios.go
@@ -11,7 +11,7 @@
 // the five kinds of trouble that operators of such systems report. The names of a
 // family's acts begin with its name.
 const (
-	familyCutOff     = "cut-off: "
+	familyPartition  = "cut-off: "
 	familyOperators  = "operators: "
 	familySecondLoss = "second-loss: "
 	familyChanges    = "many-changes: "
@@ -28,7 +28,7 @@
 func isolationScenarios(shape Shape) []Fault {
 	const duration = 20 * clock.Second
 	cut := func(name string, pick func(w *World) []*Node) Fault {
-		return Fault{Name: familyCutOff + name, Duration: duration, Inject: func(w *World) func() { return isolateWithOperators(w, pick(w)) }}
+		return Fault{Name: familyPartition + name, Duration: duration, Inject: func(w *World) func() { return isolateWithOperators(w, pick(w)) }}
 	}
 	anyOf := func(kind string) func(w *World) []*Node {
 		return func(w *World) []*Node { return []*Node{w.randomNode(kind)} }
@@ -62,11 +62,11 @@
 	for _, n := range group {
 		for _, other := range w.nodeNames {
 			if !inside(other) {
-				w.SetLinkCut(n.Name, other, cut)
+				w.SetLinkBlocked(n.Name, other, cut)
 			}
 		}
 		for _, s := range w.Servers {
-			w.SetLinkCut(n.Name, s.Name, cut)
+			w.SetLinkBlocked(n.Name, s.Name, cut)
 		}
 		w.Tracef("%s is cut off: %v", n.Name, cut)
 	}
--- a/test/simulator/scenarios_acknowledgements.go
+++ b/test/simulator/scenarios_acknowledgements.go
@@ -50,7 +50,7 @@
 		w.Workload.SendConfiguration(primary, w.Workload.newConfigurationChange(0, 0), false, func(p *ConfigurationPut) {
 			finished = true
 			if p != nil && p.Version > 0 {
-				boot = w.wipeAll(members[:min(w.Shape.tolerance(), len(members)-1)], w.Shape.Shards)
+				boot = wipeAll(members[:min(w.Shape.tolerance(), len(members)-1)], w.Shape.Shards)
 			}
 		})
 		w.RunUntil(operatorTimeout+clock.Second, func() bool { return finished })
@@ -75,7 +75,7 @@
 	w.Workload.OnAcknowledgement = func(b *Batch, owner string) {
 		if boot == nil && owner == replicas[0].ID && shard.ShardOf(b.ID, w.shardCount()) == shardNumber && replicas[0].up {
 			w.Tracef("the copies of slot %d but the slowest are lost right after the receipt for %s", shardNumber, b.ID)
-			boot = w.wipeAll(replicas[:min(w.Shape.tolerance(), len(replicas)-1)], w.Shape.Shards)
+			boot = wipeAll(replicas[:min(w.Shape.tolerance(), len(replicas)-1)], w.Shape.Shards)
 		}
 	}
 	for i := 0; i < 4*w.Shape.Shards; i++ {
--- a/test/simulator/scenarios_losses.go
+++ b/test/simulator/scenarios_losses.go
@@ -7,14 +7,6 @@
 	"tuliprudder/internal/membership"
 )
 
-// replaceDaemon empties a daemon and moves it to a new address; what comes back starts it.
-func replaceDaemon(w *World, n *Node, shards int) func() {
-	n.Crash()
-	n.Wipe()
-	w.ChangeAddress(n)
-	return func() { n.Boot(shards) }
-}
-
 // secondLossScenarios are further losses right after a repair, a replacement or a
 // retirement, as many as the fleet's tolerance allows.
 func secondLossScenarios(shape Shape) []Fault {
@@ -34,28 +26,19 @@
 	}
 	if limit > 1 {
 		faults = append(faults,
-			Fault{Name: familySecondLoss + "two stores' disks at once", Duration: duration, ReducesRedundancy: true, StoresLost: 2, Inject: func(w *World) func() { return w.wipeAll(w.withAnother(w.randomNode(membership.Store)), shards) }},
-			Fault{Name: familySecondLoss + "two cores' disks at once", Duration: duration, ReducesRedundancy: true, CoresLost: 2, Inject: func(w *World) func() { return w.wipeAll(w.withAnother(w.primary()), shards) }},
+			Fault{Name: familySecondLoss + "two stores' disks at once", Duration: duration, ReducesRedundancy: true, StoresLost: 2, Inject: func(w *World) func() { return wipeAll(w.withAnother(w.randomNode(membership.Store)), shards) }},
+			Fault{Name: familySecondLoss + "two cores' disks at once", Duration: duration, ReducesRedundancy: true, CoresLost: 2, Inject: func(w *World) func() { return wipeAll(w.withAnother(w.primary()), shards) }},
 			Fault{Name: familySecondLoss + "a store's and a core's disk at once", Duration: duration, ReducesRedundancy: true, StoresLost: 1, CoresLost: 1, Inject: func(w *World) func() {
-				return w.wipeAll([]*Node{w.randomNode(membership.Store), w.primary()}, shards)
+				return wipeAll([]*Node{w.randomNode(membership.Store), w.primary()}, shards)
 			}},
 			Fault{Name: familySecondLoss + "two disks of one slot at once", Duration: duration, ReducesRedundancy: true, StoresLost: 2, Inject: func(w *World) func() {
 				replicas := w.replicasOf(w.Random.Intn(shards))
-				return w.wipeAll(replicas[:min(2, len(replicas))], shards)
+				return wipeAll(replicas[:min(2, len(replicas))], shards)
 			}})
 	}
 	return faults
 }
 
-// wipeAll empties daemons at once and starts them again.
-func (w *World) wipeAll(lost []*Node, shards int) func() {
-	var undos []func()
-	for _, n := range lost {
-		undos = append(undos, wipe(n, shards))
-	}
-	return func() { undoAll(undos) }
-}
-
 // wipePeersOfRetiring retires a store that holds a slot, and has the others that
 // hold it lose their disks in the midst of that.
 func wipePeersOfRetiring(w *World, limit, shards int) func() {
@@ -69,7 +52,7 @@
 	id := retiring.ID
 	w.Workload.RetireStore(id, false)
 	w.RunFor(w.randomBetween(0, 2500) * clock.Millisecond)
-	lost := w.wipeAll(others[:min(limit, len(others))], shards)
+	lost := wipeAll(others[:min(limit, len(others))], shards)
 	return func() { lost(); w.Workload.RetireStore(id, true) }
 }
 
@@ -86,7 +69,7 @@
 	}
 	others := slices.DeleteFunc(w.nodes(kind), func(n *Node) bool { return n == first })
 	w.Random.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	return w.wipeAll(others[:min(limit, len(others))], shards)
+	return wipeAll(others[:min(limit, len(others))], shards)
 }
 
 // killWhileEmptyJoins empties a core and kills another, whose disk stays, while the
--- a/test/simulator/scenarios_test.go
+++ b/test/simulator/scenarios_test.go
@@ -9,7 +9,7 @@
 )
 
 // families are the five kinds of trouble that are brought about on purpose.
-var families = []string{familyCutOff, familyOperators, familySecondLoss, familyChanges, familyResponses}
+var families = []string{familyPartition, familyOperators, familySecondLoss, familyChanges, familyResponses}
 
 // A day of each family, with requests that are passed on, keeps every promise.
 func TestFamilies(t *testing.T) {
--- a/test/simulator/simulation_test.go
+++ b/test/simulator/simulation_test.go
@@ -133,7 +133,7 @@
 	w.RunUntil(10*clock.Second, w.FullyReplicated)
 	w.Workload.Start()
 	w.RunFor(6 * clock.Second)
-	w.SetLinkCut("store-1", "store-2", true)
+	w.SetLinkBlocked("store-1", "store-2", true)
 	w.RunFor(8 * clock.Second)
 	for i := 0; i < 30; i++ {
 		w.Workload.SubmitBatch(3, 5)
@@ -144,7 +144,7 @@
 			t.Fatalf("12 s into the cut bundle %s was not taken in: %s %s", b.ID, w.Describe(), w.Report(60))
 		}
 	}
-	w.SetLinkCut("store-1", "store-2", false)
+	w.SetLinkBlocked("store-1", "store-2", false)
 	w.RunFor(5 * clock.Second)
 	if w.Workload.Finish(20 * clock.Second); len(w.Workload.Violations) > 0 {
 		t.Fatal(w.Report(30))
--- a/test/simulator/workload.go
+++ b/test/simulator/workload.go
@@ -63,11 +63,6 @@
 		drainPeriods: map[string][]drainPeriod{}, endpointUpdates: map[string]int{}, LastServed: map[string]clock.Micros{}, OutcomeCounts: map[string]int{}, MaxWaiting: map[string]int{}}
 }
 
-const (
-	defaultTenant = "caller"
-	callerKey     = "key-caller"
-)
-
 // randomEdge picks a live edge.
 func (v *Workload) randomEdge() *Node {
 	var live []*Node
--- a/test/simulator/world.go
+++ b/test/simulator/world.go
@@ -6,6 +6,7 @@
 import (
 	"fmt"
 	"math/rand"
+	"slices"
 	"sort"
 
 	"tuliprudder/internal/clock"
@@ -38,7 +39,7 @@
 	nodeByPeer      map[string]*Node
 	Servers         []*Server
 	serverByAddress map[string]*Server
-	cutLinks        map[[2]string]bool
+	blockedLinks    map[link]bool
 	Trace           []string
 	Workload        *Workload
 	Steps           int
@@ -64,7 +65,7 @@
 
 // NewWorld makes a fleet that has not booted.
 func NewWorld(seed int64, shape Shape, conditions Conditions) *World {
-	w := &World{Now: 1_000_000_000, Random: rand.New(rand.NewSource(seed)), Conditions: conditions, Nodes: map[string]*Node{}, nodeByPeer: map[string]*Node{}, serverByAddress: map[string]*Server{}, cutLinks: map[[2]string]bool{}, Shape: shape}
+	w := &World{Now: 1_000_000_000, Random: rand.New(rand.NewSource(seed)), Conditions: conditions, Nodes: map[string]*Node{}, nodeByPeer: map[string]*Node{}, serverByAddress: map[string]*Server{}, blockedLinks: map[link]bool{}, Shape: shape}
 	w.Workload = newWorkload(w)
 	add := func(kind, word string, count int) {
 		for i := 0; i < count; i++ {
@@ -176,6 +177,27 @@
 	return w.randomNode(membership.Store)
 }
 
+// nodes are the nodes of a kind.
+func (w *World) nodes(kind string) []*Node {
+	var out []*Node
+	for _, name := range w.Names(kind) {
+		out = append(out, w.Nodes[name])
+	}
+	return out
+}
+
+func (w *World) allNodes() []*Node {
+	var out []*Node
+	for _, name := range w.nodeNames {
+		out = append(out, w.Nodes[name])
+	}
+	return out
+}
+
+func (w *World) nodesOfZone(zone string) []*Node {
+	return slices.DeleteFunc(w.allNodes(), func(n *Node) bool { return n.Zone != zone })
+}
+
 // randomZones are at least one zone, and not all.
 func (w *World) randomZones() map[string]bool {
 	zones := map[string]bool{}
