--- a/test/simulator/callers.go
+++ b/test/simulator/callers.go
@@ -14,7 +14,7 @@
 	w := v.world
 	v.FollowFeed()
 	v.PutConfiguration(false)
-	w.RunUntil(5*clock.Second, func() bool { return v.LastServed["plan"] > 0 })
+	w.RunUntil(5*clock.Second, func() bool { return v.LastServed[configurationsServed] > 0 })
 	v.PublishServers(v.randomEdge())
 	w.RunFor(500 * clock.Millisecond)
 	v.Calling = true
--- a/test/simulator/history.go
+++ b/test/simulator/history.go
@@ -9,16 +9,16 @@
 	"tuliprudder/internal/clock"
 )
 
-// The histories of configurations and of claimed keys are checked for one order that
-// explains what every operator and every edge was told, those of unknown
-// outcome included (DESIGN §9).
+// The histories of configurations, batches and claimed keys are checked for linearizability:
+// one order has to explain what every caller was answered, those of unknown outcome included
+// (DESIGN §9).
 
 type claimOutput struct {
 	winner  string
 	unknown bool
 }
 
-// claimModel is one word that is written once.
+// claimModel is one register that is written once: the request that won the key.
 var claimModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
@@ -38,13 +38,13 @@
 	Equal: func(one, other any) bool { return one == other },
 }
 
-// batchOutput is one try to hand a batch in, or one look at it.
+// batchOutput is one attempt to submit a batch, or one read of its status.
 type batchOutput struct {
 	isStatus, found, duplicate, unknown bool
 }
 
-// batchModel is one batch in its ledger: absent, then present for good. A
-// acknowledgement that says 'repeated' needs an earlier entry, one that does not, none.
+// batchModel is one batch in its shard: absent, then present for good. An acknowledgement
+// that says 'repeated' needs an earlier entry, one that does not, none.
 var batchModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{false} },
 	Step: func(state, _, output any) []any {
@@ -73,45 +73,66 @@
 	batchOutput
 }
 
-// CheckHistories looks for those orders; each history that has none is a breach.
+// checkTimeout bounds the search for an order of one history, in real time.
+const checkTimeout = 20 * time.Second
+
+// CheckHistories looks for an order that explains each history; one that has none is a
+// violation.
 func (v *Workload) CheckHistories() {
-	switch porcupine.CheckOperationsTimeout(configurationModel.ToModel(), v.configurationOperations(), 20*time.Second) {
+	switch porcupine.CheckOperationsTimeout(configurationModel.ToModel(), v.configurationOperations(), checkTimeout) {
 	case porcupine.Illegal:
-		v.reportViolation(configurationInForce, "no order of the plans explains what their operators were told")
+		v.reportViolation(configurationInForce, "no order of the configurations explains what their operators were answered")
 	case porcupine.Unknown:
 		v.UndecidedHistories++
-		v.world.Tracef("the checker did not decide the history of the plans in time")
+		v.world.Tracef("the checker did not decide the history of the configurations in time")
+	}
+	byBatch := v.batchOperations()
+	for _, id := range sorted(byBatch) {
+		if !isExplained(batchModel, byBatch[id]) {
+			v.reportViolation(batchKept, "no order of its shard explains what the callers of batch %s were answered", id)
+		}
+	}
+	byKey := v.claimOperations()
+	for _, key := range sorted(byKey) {
+		if !isExplained(claimModel, byKey[key]) {
+			v.reportViolation(runsAtMostOnce, "no order explains which request won the key %s", key)
+		}
 	}
+}
+
+// isExplained says whether an order of the operations is possible in the model, or the
+// checker did not decide it in time.
+func isExplained(model porcupine.NondeterministicModel, operations []porcupine.Operation) bool {
+	return porcupine.CheckOperationsTimeout(model.ToModel(), operations, checkTimeout) != porcupine.Illegal
+}
+
+// batchOperations are the operations on each batch as the checker takes them.
+func (v *Workload) batchOperations() map[string][]porcupine.Operation {
 	byBatch := map[string][]porcupine.Operation{}
 	for i, op := range v.BatchOperations {
-		end := int64(op.AnsweredAt)
+		output, end := op.batchOutput, int64(op.AnsweredAt)
 		if op.AnsweredAt == 0 || op.unknown {
-			op.unknown, end = true, math.MaxInt64
 			if op.isStatus {
-				continue
+				continue // without an answer it says nothing
 			}
+			output.unknown, end = true, math.MaxInt64
 		}
-		byBatch[op.ID] = append(byBatch[op.ID], porcupine.Operation{ClientId: i, Input: op.ID, Call: int64(op.CalledAt), Output: op.batchOutput, Return: end})
-	}
-	for _, id := range sorted(byBatch) {
-		if result := porcupine.CheckOperationsTimeout(batchModel.ToModel(), byBatch[id], 20*time.Second); result == porcupine.Illegal {
-			v.reportViolation(batchKept, "no order of its ledger explains what the callers of bundle %s were told", id)
-		}
+		byBatch[op.ID] = append(byBatch[op.ID], porcupine.Operation{ClientId: i, Input: op.ID, Call: int64(op.CalledAt), Output: output, Return: end})
 	}
+	return byBatch
+}
+
+// claimOperations are the claims of each key as the checker takes them.
+func (v *Workload) claimOperations() map[string][]porcupine.Operation {
 	byKey := map[string][]porcupine.Operation{}
 	for i, c := range v.ClaimAttempts {
-		out := claimOutput{winner: c.Winner, unknown: c.Unknown}
-		end := int64(c.AnsweredAt)
+		output, end := claimOutput{winner: c.Winner, unknown: c.Unknown}, int64(c.AnsweredAt)
 		if c.AnsweredAt == 0 || c.Unknown {
-			out.unknown, end = true, math.MaxInt64
+			output.unknown, end = true, math.MaxInt64
 		} else if c.Rejected {
 			continue
 		}
-		byKey[c.Key] = append(byKey[c.Key], porcupine.Operation{ClientId: i, Input: c.RequestID, Call: int64(c.CalledAt), Output: out, Return: end})
-	}
-	for _, key := range sorted(byKey) {
-		if result := porcupine.CheckOperationsTimeout(claimModel.ToModel(), byKey[key], 20*time.Second); result == porcupine.Illegal {
-			v.reportViolation(runsAtMostOnce, "no order explains who won the key %s", key)
-		}
+		byKey[c.Key] = append(byKey[c.Key], porcupine.Operation{ClientId: i, Input: c.RequestID, Call: int64(c.CalledAt), Output: output, Return: end})
 	}
+	return byKey
 }
--- a/test/simulator/history_configurations.go
+++ b/test/simulator/history_configurations.go
@@ -20,7 +20,7 @@
 	document int
 }
 
-// configurationOutput is what the operator was told.
+// configurationOutput is what the operator was answered.
 type configurationOutput struct {
 	version  uint64
 	document int // read back; -1 when unknown
@@ -100,21 +100,17 @@
 }
 
 // afterPut are the states that may follow a put; none where none explains it.
-//
-//revive:disable-next-line:cyclomatic still to be split (issue 18)
 func (s *configurationState) afterPut(in configurationInput, out configurationOutput) []any {
-	number := in.version
-	if known, applied := s.documentOf(number); number > 0 && applied {
-		isResend := known == in.document
-		if out.unknown || isResend && !out.stale && out.version == number || !isResend && out.stale {
-			return []any{s}
+	if in.version > 0 {
+		if known, applied := s.documentOf(in.version); applied {
+			return s.afterRepeatedNumber(known == in.document, in.version, out)
 		}
-		return nil
 	}
-	fits := (!in.hasBase || in.base == s.latest()) && (number == 0 || number > s.latest())
+	number := in.version
 	if number == 0 {
 		number = s.latest() + 1
 	}
+	fits := number > s.latest() && (!in.hasBase || in.base == s.latest())
 	switch {
 	case out.unknown && fits:
 		return []any{s, s.withVersion(number, in.document)}
@@ -126,27 +122,29 @@
 	return nil
 }
 
-// configurationOperations are the operators' calls as the checker takes them. What became of
-// an order without an answer is taken from the end of the day where it is certain:
-// the checker would try every way otherwise.
+// afterRepeatedNumber is the state after a put under a number that has a document already:
+// the same document has to be acknowledged again, another one rejected.
+func (s *configurationState) afterRepeatedNumber(sameDocument bool, number uint64, out configurationOutput) []any {
+	explained := out.unknown
+	if sameDocument {
+		explained = explained || !out.stale && out.version == number
+	} else {
+		explained = explained || out.stale
+	}
+	if !explained {
+		return nil
+	}
+	return []any{s}
+}
+
+// configurationOperations are the operators' calls as the checker takes them.
 func (v *Workload) configurationOperations() []porcupine.Operation {
-	became, certain := v.confirmedAtEnd()
+	confirmed, certain := v.confirmedAtEnd()
 	var out []porcupine.Operation
 	for i, p := range v.ConfigurationPuts {
-		output := configurationOutput{version: p.Version, stale: p.Stale, unknown: p.Unknown}
-		end := int64(p.AnsweredAt)
-		switch {
-		case p.AnsweredAt == 0 || p.Unknown:
-			output.unknown, end = true, math.MaxInt64
-			version, applied := became[p.Document]
-			if certain && !applied {
-				continue // it never took effect
-			}
-			if applied {
-				output = configurationOutput{version: version}
-			}
-		case p.Version == 0 && !p.Stale:
-			continue // turned away: it never was
+		output, end, ok := p.outputFor(confirmed, certain)
+		if !ok {
+			continue
 		}
 		in := configurationInput{version: p.RequestedVersion, base: p.Base, hasBase: p.HasBase, document: p.Document}
 		out = append(out, porcupine.Operation{ClientId: i, Input: in, Call: int64(p.CalledAt), Output: output, Return: end})
@@ -161,16 +159,24 @@
 	return out
 }
 
-// confirmedAtEnd is the version of each document that any daemon has ever held as
-// confirmed; certain when the primary's state is there to tell that no other was.
+// outputFor is what a put came to and when it ended at the latest; false where it had no
+// effect. The effect of a request without an answer is taken from the end of the run where
+// that is certain: the checker would search every possibility otherwise.
+func (p *ConfigurationPut) outputFor(confirmed map[int]uint64, certain bool) (output configurationOutput, end int64, ok bool) {
+	if p.AnsweredAt > 0 && !p.Unknown {
+		wasRejected := p.Version == 0 && !p.Stale
+		return configurationOutput{version: p.Version, stale: p.Stale}, int64(p.AnsweredAt), !wasRejected
+	}
+	if version, applied := confirmed[p.Document]; applied {
+		return configurationOutput{version: version}, math.MaxInt64, true
+	}
+	return configurationOutput{version: p.Version, stale: p.Stale, unknown: true}, math.MaxInt64, !certain
+}
+
+// confirmedAtEnd is the version of each document that any daemon ever had as confirmed;
+// certain where the primary's state is there to show that no other was.
 func (v *Workload) confirmedAtEnd() (versions map[int]uint64, certain bool) {
 	versions = map[int]uint64{}
-	digests := map[state.Digest]int{}
-	for body, document := range v.documentNumbers {
-		if digest, err := state.DigestOf([]byte(body)); err == nil {
-			digests[digest] = document
-		}
-	}
 	for version, body := range v.configurationBodies {
 		versions[v.documentNumbers[body]] = version
 	}
@@ -179,16 +185,28 @@
 			versions[r.Document] = r.Version
 		}
 	}
+	documents := v.documentsByDigest()
 	for _, n := range v.world.nodes(membership.Core) {
 		if !n.up || n.Core == nil || !n.Core.IsServing() {
 			continue
 		}
 		certain = true
 		for _, applied := range n.Core.State().Requests.All() {
-			if document, known := digests[applied.Digest]; known {
+			if document, known := documents[applied.Digest]; known {
 				versions[document] = applied.Number
 			}
 		}
 	}
 	return versions, certain
 }
+
+// documentsByDigest are the numbers of the documents by their digest.
+func (v *Workload) documentsByDigest() map[state.Digest]int {
+	documents := map[state.Digest]int{}
+	for body, document := range v.documentNumbers {
+		if digest, err := state.DigestOf([]byte(body)); err == nil {
+			documents[digest] = document
+		}
+	}
+	return documents
+}
--- a/test/simulator/operators.go
+++ b/test/simulator/operators.go
@@ -97,7 +97,7 @@
 // configurationConfirmed notes an acknowledgement, and looks later whether it is in force.
 func (v *Workload) configurationConfirmed(p *ConfigurationPut, ack controlplane.PutConfigurationResponse) {
 	p.Version = ack.Version
-	v.LastServed["plan"] = v.world.Now
+	v.LastServed[configurationsServed] = v.world.Now
 	if known, applied := v.configurationBodies[ack.Version]; applied && known != p.Body {
 		v.reportViolation(configurationInForce, "plan version %d confirmed as %s and as %s", ack.Version, known, p.Body)
 	}
--- a/test/simulator/readers.go
+++ b/test/simulator/readers.go
@@ -123,8 +123,8 @@
 	next()
 }
 
-// readWholeBatch reads a batch's list page by page from the start.
-func (v *Workload) readWholeBatch(b *Batch) {
+// readBack reads a batch's list page by page from the start.
+func (v *Workload) readBack(b *Batch) {
 	w := v.world
 	token, count, done, attempts := "", 0, false, 0
 	seen := map[int]bool{}
--- a/test/simulator/replicas.go
+++ b/test/simulator/replicas.go
@@ -5,58 +5,54 @@
 	"slices"
 	"strings"
 
+	"tuliprudder/internal/controlplane"
 	"tuliprudder/internal/membership"
-	"tuliprudder/internal/replication"
 )
 
-// FullyReplicated tells whether every slot and the control state have all their copies, as
-// many as the tolerance asks for, and all of them live.
+// FullyReplicated says whether every shard and the control state have all their replicas, as
+// many as the tolerance requires, and all of them live.
 func (w *World) FullyReplicated() bool {
-	for _, name := range w.Names(membership.Core) {
-		n := w.Nodes[name]
-		if !n.up || n.frozen || !n.Core.IsServing() {
-			continue
-		}
-		c := n.Core.State()
-		if len(c.Shards) == 0 {
-			return false
-		}
-		for _, assignment := range c.Shards {
-			if !assignment.Complete || len(membersOf(assignment)) < w.Shape.replicas(w.Shape.Stores) {
-				return false
-			}
-			for _, id := range membersOf(assignment) {
-				if !w.isLive(id) {
-					return false
-				}
-			}
-		}
-		if len(membersOf(n.Core.Vote().Committed)) < w.Shape.replicas(w.Shape.Cores) {
+	core := w.servingCore()
+	if core == nil || len(core.State().Shards) == 0 {
+		return false
+	}
+	for _, assignment := range core.State().Shards {
+		if !assignment.Complete || !w.areLive(assignment.IDs(), w.Shape.replicas(w.Shape.Stores)) {
 			return false
 		}
-		for _, core := range n.Core.Vote().Voters {
-			if !w.isLive(core.ID) {
-				return false
-			}
+	}
+	vote := core.Vote()
+	var voters []string
+	for _, voter := range vote.Voters {
+		voters = append(voters, voter.ID)
+	}
+	return len(vote.Committed.IDs()) >= w.Shape.replicas(w.Shape.Cores) && w.areLive(voters, 0)
+}
+
+// servingCore is the core that serves; nil where none does.
+func (w *World) servingCore() *controlplane.Core {
+	for _, n := range w.nodes(membership.Core) {
+		if n.up && !n.frozen && n.Core.IsServing() {
+			return n.Core
 		}
-		return true
 	}
-	return false
+	return nil
 }
 
-// membersOf are the daemons that hold a copy under an assignment.
-func membersOf(a replication.Assignment) []string {
-	return a.IDs()
+// areLive says whether these are at least so many daemons, and all live.
+func (w *World) areLive(ids []string, minCount int) bool {
+	isDead := func(id string) bool { return !w.isLive(id) }
+	return len(ids) >= minCount && !slices.ContainsFunc(ids, isDead)
 }
 
-// replicasOf are the daemons that hold a copy of a slot, as the primary has it.
+// replicasOf are the daemons that hold a replica of a shard, as the primary core has it.
 func (w *World) replicasOf(shardNumber int) []*Node {
-	var out []*Node
 	primary := w.primary()
 	if !primary.up || primary.Core == nil || shardNumber >= len(primary.Core.State().Shards) {
 		return nil
 	}
-	for _, id := range membersOf(primary.Core.State().Shards[shardNumber]) {
+	var out []*Node
+	for _, id := range primary.Core.State().Shards[shardNumber].IDs() {
 		if n := w.nodeByID(id); n != nil {
 			out = append(out, n)
 		}
@@ -65,36 +61,33 @@
 }
 
 func (w *World) isLive(id string) bool {
-	for _, name := range w.nodeNames {
-		if n := w.Nodes[name]; n.ID == id {
-			return n.up && !n.frozen
-		}
-	}
-	return false
+	n := w.nodeByID(id)
+	return n != nil && n.up && !n.frozen
 }
 
-// Describe is what the fleet looks like, for a breach.
+// Describe describes the control state and the shards that lack a replica, for a violation.
 func (w *World) Describe() string {
 	var out []string
-	for _, name := range w.Names(membership.Core) {
-		n := w.Nodes[name]
+	for _, n := range w.nodes(membership.Core) {
 		if !n.up {
-			out = append(out, name+" down")
+			out = append(out, n.Name+" down")
 			continue
 		}
 		vote := n.Core.Vote()
-		out = append(out, fmt.Sprintf("%s(%s) %s term %d pending %v committed %d %v", name, n.ID, n.Core.Groups().Group("core").Role, vote.Term, vote.Pending.IDs(), vote.Committed.Epoch, vote.Committed.IDs()))
-		if n.Core.IsServing() {
-			for shardNumber, p := range n.Core.State().Shards {
-				if !p.Complete || slices.ContainsFunc(membersOf(p), func(id string) bool { return !w.isLive(id) }) {
-					out = append(out, fmt.Sprintf("slot %d %+v", shardNumber, p))
-				}
+		out = append(out, fmt.Sprintf("%s(%s) %s term %d pending %v committed %d %v", n.Name, n.ID, n.Core.Groups().Group("core").Role, vote.Term, vote.Pending.IDs(), vote.Committed.Epoch, vote.Committed.IDs()))
+		if !n.Core.IsServing() {
+			continue
+		}
+		for shardNumber, assignment := range n.Core.State().Shards {
+			if !assignment.Complete || !w.areLive(assignment.IDs(), 0) {
+				out = append(out, fmt.Sprintf("shard %d %+v", shardNumber, assignment))
 			}
 		}
 	}
 	return strings.Join(out, "; ")
 }
 
+// shardCount is the number of shards, as an edge knows it.
 func (w *World) shardCount() int {
 	for _, name := range w.Names(membership.Edge) {
 		if n := w.Nodes[name]; n.edge != nil && len(n.edge.Reader.ShardMap().Shards) > 0 {
--- a/test/simulator/scenarios_acknowledgements.go
+++ b/test/simulator/scenarios_acknowledgements.go
@@ -34,7 +34,7 @@
 func (w *World) wipeAtConfigurationAck() func() {
 	primary := w.primary()
 	var members []*Node
-	for _, id := range membersOf(primary.Core.Vote().Committed) {
+	for _, id := range primary.Core.Vote().Committed.IDs() {
 		if n := w.nodeByID(id); n != nil && n.up {
 			members = append(members, n)
 		}
--- a/test/simulator/workload.go
+++ b/test/simulator/workload.go
@@ -63,6 +63,9 @@
 		drainPeriods: map[string][]drainPeriod{}, endpointUpdates: map[string]int{}, LastServed: map[string]clock.Micros{}, OutcomeCounts: map[string]int{}, MaxWaiting: map[string]int{}}
 }
 
+// configurationsServed is the key in LastServed of confirmed configurations.
+const configurationsServed = "configurations"
+
 // randomEdge picks a live edge.
 func (v *Workload) randomEdge() *Node {
 	var live []*Node
