--- a/test/simulator/batches.go
+++ b/test/simulator/batches.go
@@ -121,8 +121,8 @@
 func itemInput(key string, item int) string { return key + "#" + strconv.Itoa(item) }
 
 // removeOperation removes an operation from the history.
-func (v *Workload) removeOperation(op *BatchOperation) {
-	v.BatchOperations = slices.DeleteFunc(v.BatchOperations, func(other *BatchOperation) bool { return other == op })
+func (h *History) removeOperation(op *BatchOperation) {
+	h.BatchOperations = slices.DeleteFunc(h.BatchOperations, func(other *BatchOperation) bool { return other == op })
 }
 
 // EndBatch cancels an accepted batch, and tries again until that is acknowledged.
--- a/test/simulator/check_service.go
+++ b/test/simulator/check_service.go
@@ -34,7 +34,7 @@
 	w.RunUntil(serviceTimeout, func() bool {
 		for _, s := range services {
 			if s.restoredAt == 0 && s.recent < maxRecentAttempts {
-				s.try(w)
+				s.attemptNow(w)
 			}
 		}
 		return !slices.ContainsFunc(services, func(s *service) bool { return s.restoredAt == 0 })
@@ -50,7 +50,7 @@
 	}
 }
 
-func (s *service) try(w *World) {
+func (s *service) attemptNow(w *World) {
 	s.recent++
 	s.attempt(func() {
 		if s.restoredAt == 0 {
--- a/test/simulator/history.go
+++ b/test/simulator/history.go
@@ -13,6 +13,22 @@
 // one order has to explain what every caller was answered, those of unknown outcome included
 // (DESIGN §9).
 
+// History is what callers and operators were answered, as the checks of histories need it.
+type History struct {
+	ConfigurationPuts  []*ConfigurationPut
+	ConfigurationReads []*ConfigurationRead
+	BatchOperations    []*BatchOperation
+	ClaimAttempts      []*ClaimAttempt
+
+	configurationBodies map[uint64]string // in force, by version
+	documentNumbers     map[string]int    // by body: documents numbered in the order they were written
+	lastDocument        int
+	claimWinners        map[string]string // by key
+	// UndecidedHistories counts histories that the checker did not decide in time. It
+	// depends on the speed of the machine.
+	UndecidedHistories int
+}
+
 type claimOutput struct {
 	winner  string
 	unknown bool
@@ -107,9 +123,9 @@
 }
 
 // batchOperations are the operations on each batch as the checker takes them.
-func (v *Workload) batchOperations() map[string][]porcupine.Operation {
+func (h *History) batchOperations() map[string][]porcupine.Operation {
 	byBatch := map[string][]porcupine.Operation{}
-	for i, op := range v.BatchOperations {
+	for i, op := range h.BatchOperations {
 		output, end := op.batchOutput, int64(op.AnsweredAt)
 		if op.AnsweredAt == 0 || op.unknown {
 			if op.isStatus {
@@ -123,9 +139,9 @@
 }
 
 // claimOperations are the claims of each key as the checker takes them.
-func (v *Workload) claimOperations() map[string][]porcupine.Operation {
+func (h *History) claimOperations() map[string][]porcupine.Operation {
 	byKey := map[string][]porcupine.Operation{}
-	for i, c := range v.ClaimAttempts {
+	for i, c := range h.ClaimAttempts {
 		output, end := claimOutput{winner: c.Winner, unknown: c.Unknown}, int64(c.AnsweredAt)
 		if c.AnsweredAt == 0 || c.Unknown {
 			output.unknown, end = true, math.MaxInt64
--- a/test/simulator/history_configurations.go
+++ b/test/simulator/history_configurations.go
@@ -201,9 +201,9 @@
 }
 
 // documentsByDigest are the numbers of the documents by their digest.
-func (v *Workload) documentsByDigest() map[state.Digest]int {
+func (h *History) documentsByDigest() map[state.Digest]int {
 	documents := map[state.Digest]int{}
-	for body, document := range v.documentNumbers {
+	for body, document := range h.documentNumbers {
 		if digest, err := state.DigestOf([]byte(body)); err == nil {
 			documents[digest] = document
 		}
