--- a/test/simulator/configurations.go
+++ b/test/simulator/configurations.go
@@ -9,19 +9,19 @@
 	"tuliprudder/test/modelcontent"
 )
 
-// ConfigurationPut is a configuration as its operator saw it.
+// ConfigurationPut is one put of a configuration as its operator saw it.
 type ConfigurationPut struct {
-	Document         int
+	Document         int // its number among the documents of the run
 	Body             string
 	Base             uint64
 	HasBase          bool
 	CalledAt         clock.Micros
-	AnsweredAt       clock.Micros
-	Version          uint64 // 0: turned away
-	Stale            bool
-	Rejected         bool
-	Unknown          bool
-	RequestedVersion uint64 // the operator's own number; 0: the core numbers it
+	AnsweredAt       clock.Micros // 0: not yet
+	Version          uint64       // confirmed; 0: it was not
+	Stale            bool         // rejected for its base, or its number
+	Rejected         bool         // rejected for another reason
+	Unknown          bool         // the outcome is not known
+	RequestedVersion uint64       // the operator's own number; 0: the core numbers it
 }
 
 // PutConfiguration puts a configuration with or without a base.
@@ -40,7 +40,7 @@
 	v.world.Call(n, n.coreUpdate.Peer, controlplane.PutConfigurationRequest{Body: body, Base: p.Base, HasBase: withBase, By: "sim", Timeout: 4 * clock.Second}, 5*clock.Second, func(response any, err error) {
 		v.PendingCalls--
 		p.AnsweredAt = v.world.Now
-		v.world.Tracef("plan number %d (base %d %v): %v %v", p.Document, p.Base, withBase, response, err)
+		v.world.Tracef("configuration %d (base %d %v): %v %v", p.Document, p.Base, withBase, response, err)
 		ack, ok := response.(controlplane.PutConfigurationResponse)
 		switch {
 		case err == nil && ok:
@@ -55,8 +55,8 @@
 	})
 }
 
-// checkInForceEverywhere looks, 2 s after a configuration was confirmed, whether it is in force at every
-// edge and store that nothing was done to meanwhile.
+// checkInForceEverywhere checks, 2 s after a configuration was confirmed, that it is in force
+// at every edge and store that had no fault meanwhile.
 func (v *Workload) checkInForceEverywhere(p *ConfigurationPut) {
 	for _, name := range v.world.nodeNames {
 		n := v.world.Nodes[name]
@@ -74,12 +74,13 @@
 		}
 		v.countCheck(configurationInForce)
 		if version < p.Version {
-			v.reportViolation(configurationInForce, "%s acts by plan %d, 2 s after %d was confirmed", n.Name, version, p.Version)
+			v.reportViolation(configurationInForce, "%s uses configuration %d, 2 s after %d was confirmed", n.Name, version, p.Version)
 		}
 	}
 }
 
-// RetireStore asks the primary to retire a store, or takes it back, until it is told.
+// RetireStore requests that the primary retires a store, or cancels that, until it is
+// answered.
 func (v *Workload) RetireStore(id string, cancel bool) {
 	v.PendingCalls++
 	attempts := 0
@@ -96,7 +97,7 @@
 		}
 		v.world.Call(n, n.coreUpdate.Peer, controlplane.RetireRequest{ID: id, Cancel: cancel, Timeout: 4 * clock.Second}, 5*clock.Second, func(response any, err error) {
 			if _, ok := response.(controlplane.RetireResponse); err == nil && ok || errs.Is(err, errs.Rejected) || errs.Is(err, errs.NotFound) {
-				v.world.Tracef("retire %s back %v: %v %v", id, cancel, response, err)
+				v.world.Tracef("retire %s, cancel %v: %v %v", id, cancel, response, err)
 				v.PendingCalls--
 				return
 			}
@@ -106,13 +107,14 @@
 	attempt()
 }
 
+// configurationReceived checks a configuration that a daemon receives as the newest.
 func (v *Workload) configurationReceived(n *Node, version state.Version) {
 	if version.Number < n.configurationVersion {
-		v.reportViolation(configurationInForce, "%s goes back from plan %d to %d", n.Name, n.configurationVersion, version.Number)
+		v.reportViolation(configurationInForce, "%s goes back from configuration %d to %d", n.Name, n.configurationVersion, version.Number)
 	}
 	n.configurationVersion = version.Number
 	if known, ok := v.configurationBodies[version.Number]; ok && known != string(version.Body) {
-		v.reportViolation(configurationInForce, "plan version %d is %s at %s and was %s", version.Number, version.Body, n.Name, known)
+		v.reportViolation(configurationInForce, "configuration %d is %s at %s and was %s", version.Number, version.Body, n.Name, known)
 	}
 	v.configurationBodies[version.Number] = string(version.Body)
 }
@@ -130,7 +132,7 @@
 	}
 	for _, name := range v.world.nodeNames {
 		if n := v.world.Nodes[name]; n.up && n.configurationVersion < latest {
-			v.reportViolation(configurationInForce, "%s has plan %d in force, not %d", name, n.configurationVersion, latest)
+			v.reportViolation(configurationInForce, "%s has configuration %d in force, not %d", name, n.configurationVersion, latest)
 		}
 	}
 }
@@ -149,12 +151,13 @@
 		}
 		v.countCheck(configurationInForce)
 		if bodies[p.Version] != p.Body && !listsPut(list, p) {
-			v.reportViolation(configurationInForce, "confirmed plan %d does not read back at %s", p.Version, n.Name)
+			v.reportViolation(configurationInForce, "confirmed configuration %d does not read back at %s", p.Version, n.Name)
 		}
 	}
 }
 
-// readConfigurations asks the primary over an edge, some times if need be.
+// readConfigurations reads the configurations of the primary over an edge, more than once if
+// need be.
 func (v *Workload) readConfigurations(n *Node, request controlplane.ConfigurationsRequest) (configurations controlplane.ConfigurationsResponse) {
 	for attempts, answered := 0, false; attempts < 5 && !answered; attempts++ {
 		finished := false
@@ -169,9 +172,8 @@
 	return configurations
 }
 
-// listsPut tells whether the list has a confirmed put's version under the digest
-// of this very document, and holds only so many documents that this one may have
-// given way.
+// listsPut says whether the response has a confirmed put's version under the digest of this
+// very document, and newer documents, to which this one may have given way.
 func listsPut(list controlplane.ConfigurationsResponse, p *ConfigurationPut) bool {
 	digest, err := state.DigestOf([]byte(p.Body))
 	if err != nil || len(list.Versions) == 0 || p.Version >= list.Versions[0].Number {
@@ -196,25 +198,27 @@
 		}
 	}
 	for _, p := range v.ConfigurationPuts {
-		// One whose outcome is not known may be in force as well.
-		if p.Version >= newest && p.Version > 0 || p.Version == 0 && (p.AnsweredAt == 0 || p.Unknown) {
+		isCurrent := p.Version >= newest && p.Version > 0
+		mayBeInForce := p.Version == 0 && (p.AnsweredAt == 0 || p.Unknown)
+		if isCurrent || mayBeInForce {
 			out = append(out, p.Document)
 		}
 	}
 	return out
 }
 
-// checkStartInForce judges a start of the route extra by the newest configurations: those that
-// were in force at any time since the order was sent, and a while before.
+// checkStartInForce checks a start of the route extra against the configurations that were in
+// force at any time since the request was sent, and a while before.
 func (v *Workload) checkStartInForce(req *Request, start modelcontent.Start) {
 	if req.Route != "extra" {
 		return
 	}
 	v.countCheck(configurationInForce)
-	for _, number := range v.documentsInForceSince(req.SentAt - 3*clock.Second - timingGrace) {
+	documents := v.documentsInForceSince(req.SentAt - 3*clock.Second - timingGrace)
+	for _, number := range documents {
 		if hasExtraRoute(number) && extraRouteHalf(number) == v.world.serverByName(start.Server).halfLabel() {
 			return
 		}
 	}
-	v.reportViolation(configurationInForce, "%s, asked %d us ago at %s, runs on %s though none of the plans that can be in force sends it there: %v", req.Input, start.At-req.SentAt, req.Edge, start.Server, v.documentsInForceSince(req.SentAt-3*clock.Second-timingGrace))
+	v.reportViolation(configurationInForce, "%s, sent %d us ago to %s, runs on %s though none of the configurations that can be in force sends it there: %v", req.Input, start.At-req.SentAt, req.Edge, start.Server, documents)
 }
--- a/test/simulator/events.go
+++ b/test/simulator/events.go
@@ -8,12 +8,15 @@
 	"tuliprudder/internal/clock"
 )
 
+// event is something that happens at a point of virtual time; events of one time happen in
+// the order they were added.
 type event struct {
 	at  clock.Micros
 	seq uint64
 	run func()
 }
 
+// events is a heap of events.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -36,12 +39,13 @@
 	return last
 }
 
-// After does something later.
+// After has something happen later.
 func (w *World) After(duration clock.Micros, do func()) {
 	w.lastSeq++
 	heap.Push(&w.eventQueue, event{at: w.Now + duration, seq: w.lastSeq, run: do})
 }
 
+// randomBetween draws a number from low to high, both included.
 func (w *World) randomBetween(low, high clock.Micros) clock.Micros {
 	return low + clock.Micros(w.Random.Int63n(int64(high-low+1)))
 }
@@ -58,7 +62,8 @@
 	w.Now = end
 }
 
-// RunUntil lets time pass until a condition holds; false when it does not in time.
+// RunUntil lets time pass until a condition holds, which it checks every 50 ms; false where
+// it does not hold in time.
 func (w *World) RunUntil(timeout clock.Micros, condition func() bool) bool {
 	end := w.Now + timeout
 	for !condition() {
@@ -70,23 +75,29 @@
 	return true
 }
 
-// Tracef adds a line to the trace, which keeps only the newest.
+// The trace keeps the newest lines: of maxTraceLines it drops all but keptTraceLines.
+const (
+	maxTraceLines  = 4000
+	keptTraceLines = 2000
+)
+
+// Tracef adds a line to the trace.
 func (w *World) Tracef(format string, args ...any) {
-	w.Trace = append(w.Trace, fmt.Sprintf("%9.3fs ", float64(w.Now-1_000_000_000)/1e6)+fmt.Sprintf(format, args...))
-	if len(w.Trace) > 4000 {
-		w.Trace = w.Trace[len(w.Trace)-2000:]
+	w.Trace = append(w.Trace, fmt.Sprintf("%9.3fs ", float64(w.Now-startOfTime)/1e6)+fmt.Sprintf(format, args...))
+	if len(w.Trace) > maxTraceLines {
+		w.Trace = w.Trace[len(w.Trace)-keptTraceLines:]
 	}
 }
 
-// Report is a day's breaches with the tail of its trace.
+// Report is a run's violations with the last lines of its trace.
 func (w *World) Report(lines int) string {
 	trace := w.Trace
 	if len(trace) > lines {
 		trace = trace[len(trace)-lines:]
 	}
 	var violations []string
-	for _, b := range w.Workload.Violations {
-		violations = append(violations, b.String())
+	for _, violation := range w.Workload.Violations {
+		violations = append(violations, violation.String())
 	}
-	return fmt.Sprintf("breaches:\n  %s\ntrace:\n  %s", strings.Join(violations, "\n  "), strings.Join(trace, "\n  "))
+	return fmt.Sprintf("violations:\n  %s\ntrace:\n  %s", strings.Join(violations, "\n  "), strings.Join(trace, "\n  "))
 }
--- a/test/simulator/forwarded_batches.go
+++ b/test/simulator/forwarded_batches.go
@@ -14,15 +14,15 @@
 	"tuliprudder/test/modelcontent"
 )
 
-// This file is batches of requests that are passed on unchanged (DESIGN §12.5):
-// how they are handed in and read, and how a store passes an item on.
+// This file is batches of requests that are forwarded unchanged (DESIGN §12.5): how they are
+// submitted and read, and how a store forwards an item.
 
-// itemIdleTimeout is the longest that a store waits for an item's next event. The
-// daemon's own bound is longer; the day's end would have to wait for it.
+// itemIdleTimeout is the maximum time that a store waits for an item's next event. The
+// daemon's own bound is longer; the end of the run would have to wait for it.
 const itemIdleTimeout = 6 * clock.Second
 
-// forwardItem passes an item on to its server and gathers the events of its answer,
-// as the daemon's shell does (internal/daemon/effects).
+// forwardItem forwards an item to its server and collects the events of its answer, as the
+// daemon's shell does (internal/daemon/effects).
 func (n *Node) forwardItem(item execution.Attempt) {
 	w := n.world
 	result := execution.AttemptResult{AttemptID: item.ID, Outcome: modelclient.Interrupted, LastEventID: item.ForwardedItem.LastEventID}
@@ -54,7 +54,7 @@
 	n.serverCalls[item.ID] = call
 }
 
-// expectedOutput is what the row of an item holds when it is whole.
+// expectedOutput is what the result of an item holds when it is complete.
 func (b *Batch) expectedOutput(item int) string {
 	input := itemInput(b.Key, item)
 	if b.Forwarded {
@@ -63,9 +63,9 @@
 	return modelcontent.Answer(input, chunksPerAnswer)
 }
 
-// submitRequest is the call that hands the batch in.
+// submitRequest is the call that submits the batch.
 func (b *Batch) submitRequest() any {
-	var list []shard.Item
+	var items []shard.Item
 	for i := 0; i < b.ItemCount; i++ {
 		item := shard.Item{ID: strconv.Itoa(i)}
 		if input := itemInput(b.Key, i); b.Forwarded {
@@ -73,15 +73,15 @@
 		} else {
 			item.Input = input
 		}
-		list = append(list, item)
+		items = append(items, item)
 	}
 	if b.Forwarded {
-		return requests.SubmitForwardedBatchRequest{Route: batchRoute, ID: b.ID, Items: list}
+		return requests.SubmitForwardedBatchRequest{Route: batchRoute, ID: b.ID, Items: items}
 	}
-	return requests.SubmitBatchRequest{APIKey: callerKey, Route: "r", IdempotencyKey: b.Key, Items: list}
+	return requests.SubmitBatchRequest{APIKey: callerKey, Route: "r", IdempotencyKey: b.Key, Items: items}
 }
 
-// statusRequest is the call that asks how the batch stands, or ends it.
+// statusRequest is the call that reads the status of the batch, or cancels it.
 func (b *Batch) statusRequest(end bool) any {
 	if b.Forwarded {
 		return requests.ForwardedBatchStatusRequest{Batch: b.ID, Cancel: end}
@@ -89,7 +89,7 @@
 	return requests.BatchStatusRequest{APIKey: callerKey, Batch: b.ID, Cancel: end}
 }
 
-// pageRequest is the call that reads its list.
+// pageRequest is the call that reads a page of its results.
 func (b *Batch) pageRequest(read reader.Request) any {
 	read.BatchID = b.ID
 	if b.Forwarded {
@@ -98,7 +98,7 @@
 	return requests.PageRequest{APIKey: callerKey, Read: read}
 }
 
-// SubmitForwardedBatch hands in a batch of requests to be passed on.
+// SubmitForwardedBatch submits a batch of requests to be forwarded.
 func (v *Workload) SubmitForwardedBatch(items, attempts int) *Batch {
 	v.lastNumber++
 	key := fmt.Sprintf("bulk-%d", v.lastNumber)
--- a/test/simulator/response_faults.go
+++ b/test/simulator/response_faults.go
@@ -6,15 +6,16 @@
 	"tuliprudder/test/modelcontent"
 )
 
-// This file is the servers' side of requests that are passed on unchanged: what a
-// server may do wrong with one, and at which moment.
+// This file is the servers' side of requests that are forwarded unchanged: what a server may
+// do wrong with one, and at which moment.
 
-// responseFault is what a server does wrong with requests that are passed on to it.
+// responseFault is what a server does wrong with requests that are forwarded to it. The
+// spellings are part of the names of faults (Fault.Name).
 type responseFault string
 
-// The troubles. A server resets or closes the connection, says nothing more, fails
-// the request with its own word, answers late, answers a second time, or goes on
-// with a stream at the wrong event.
+// The faults: a server resets or closes the connection, sends nothing more, fails the
+// request with an error of its own, answers late, answers a second time, or goes on with a
+// stream at the wrong event.
 const (
 	noResponseFault   responseFault = ""
 	connectionReset   responseFault = "reset"
@@ -28,28 +29,29 @@
 
 var responseFaults = []responseFault{connectionReset, connectionClosed, noResponse, errorResponse, lateResponse, duplicateResponse, wrongEvent}
 
-// The words by which a shell tells refusals apart.
+// The reasons of a server's error responses; a daemon's shell acts on the first.
 const (
 	reasonNotRun = "503"
 	reasonFailed = "500"
 )
 
-// forwardedRequest is a request that is passed on to a server unchanged, on its server.
+// forwardedRequest is a forwarded request on its server.
 type forwardedRequest struct {
-	lastEvent  int // the last event the caller has; 0 for none
+	lastEvent  int // the last event that the caller has received; 0: none
 	fault      responseFault
-	faultAfter int // pieces sent by this server before the trouble strikes
-	chunksSent int
+	faultAfter int // chunks sent by this server before the fault; below 0: before it starts
+	chunksSent int // by this server
 }
 
-// forward sends a request to the server at an address, unchanged.
-func (w *World) forward(n *Node, request modelclient.Request, lastEvent int, event func(id int, text string), done func(modelclient.Outcome, string)) *serverCall {
+// forward sends a request to the server at an address, unchanged. Events go to onEvent as
+// they come, and the outcome to onDone, once.
+func (w *World) forward(n *Node, request modelclient.Request, lastEvent int, onEvent func(id int, text string), onDone func(modelclient.Outcome, string)) *serverCall {
 	p := &forwardedRequest{lastEvent: lastEvent, faultAfter: w.Random.Intn(chunksPerAnswer+2) - 1}
 	if s := w.serverByAddress[request.Address]; s != nil && s.responseFault != noResponseFault && w.Random.Intn(2) == 0 {
 		p.fault = s.responseFault
 	}
 	if p.fault == wrongEvent && lastEvent+1 >= chunksPerAnswer {
-		p.fault = noResponseFault // without a further event nobody could tell
+		p.fault = noResponseFault // without a further event it could not be noticed
 	}
 	id := lastEvent
 	if p.fault == wrongEvent && lastEvent > 0 {
@@ -57,13 +59,13 @@
 	}
 	call := w.callServer(n, request, func(text string) {
 		id++
-		event(id, text)
-	}, done)
+		onEvent(id, text)
+	}, onDone)
 	call.forwarded = p
 	return call
 }
 
-// withoutReceived drops the events that the caller has.
+// withoutReceived drops the events that the caller has received.
 func (p *forwardedRequest) withoutReceived(remaining []string) []string {
 	from := p.lastEvent
 	if p.fault == wrongEvent && p.lastEvent > 0 {
@@ -80,7 +82,7 @@
 	}
 }
 
-// maxResponseDelay is the longest that a late answer waits.
+// maxResponseDelay is the maximum delay of a late answer.
 const maxResponseDelay = 5 * clock.Second
 
 func (p *forwardedRequest) delay(w *World) clock.Micros {
@@ -90,13 +92,16 @@
 	return w.randomBetween(clock.Second, maxResponseDelay)
 }
 
-// applyFault strikes where the request's trouble is due: true when the server does
+// applyFault brings the request's fault about where it is due: true when the server does
 // nothing more for it. A connection may break before the server has run anything.
 func (p *forwardedRequest) applyFault(call *serverCall) bool {
 	s := call.server
 	started := p.chunksSent > 0 || len(call.remaining) > 0
-	due := p.faultAfter < 0 && !started || started && p.chunksSent >= max(0, p.faultAfter)
-	if !due {
+	isDue := started && p.chunksSent >= max(0, p.faultAfter)
+	if !started {
+		isDue = p.faultAfter < 0
+	}
+	if !isDue {
 		return false
 	}
 	switch p.fault {
@@ -105,20 +110,20 @@
 		call.reset("the connection ended: " + string(p.fault))
 	case errorResponse:
 		if !started {
-			return false // it fails what it has begun
+			return false // it fails only what it has started
 		}
 		s.remove(call)
 		s.world.Workload.itemFailed(call.request.Input)
 		call.transmit(func() { call.finish(modelclient.Rejected, reasonFailed) })
 	case noResponse:
-		// It holds its slot until the client goes.
+		// It keeps its slot until the client closes the connection.
 	default:
 		return false
 	}
 	return true
 }
 
-// sendDuplicate sends the whole answer once more on the same connection.
+// sendDuplicate sends the complete answer once more on the same connection.
 func (p *forwardedRequest) sendDuplicate(call *serverCall) {
 	if p == nil || p.fault != duplicateResponse {
 		return
@@ -133,10 +138,10 @@
 	call.transmit(func() { call.finish(modelclient.Complete, "") })
 }
 
-// injectResponseFault lets a server do one thing wrong with what is passed on to it.
-func (s *Server) injectResponseFault(fault responseFault) func() {
+// injectResponseFault has a server do one thing wrong with what is forwarded to it.
+func (s *Server) injectResponseFault(fault responseFault) (restore func()) {
 	s.responseFault = fault
-	s.world.Tracef("%s: %s for requests that are passed on", s.Name, fault)
+	s.world.Tracef("%s: %s for forwarded requests", s.Name, fault)
 	return func() {
 		s.responseFault = noResponseFault
 		s.world.Tracef("%s: no more %s", s.Name, fault)
--- a/test/simulator/run.go
+++ b/test/simulator/run.go
@@ -10,31 +10,35 @@
 	"tuliprudder/internal/membership"
 )
 
-// Run is one simulated day.
+// Run is one simulated run: a fleet, callers, and faults one after the other.
 type Run struct {
 	Seed       int64
 	Shape      Shape
 	Conditions Conditions
-	Faults     int    // how many failures
-	SkipFaults []int  // acts left out, for shrinking
-	Filter     string // only acts whose names hold this
+	Faults     int    // how many
+	SkipFaults []int  // numbers of faults that are left out, for shrinking
+	Filter     string // only faults whose names contain it
 	AllCalls   bool   // the callers use every kind of call early on
-	// Forwarding adds requests that are passed on unchanged, alone and in batches.
+	// Forwarding adds requests that are forwarded unchanged, alone and in batches.
 	Forwarding bool
-	// Scenarios adds the directed scenarios (Scenarios) to the acts.
+	// Scenarios adds the directed scenarios (Scenarios) to the faults.
 	Scenarios bool
-	// MeasureRecovery times, before the acts, how fast the fleet recovers (Recovery).
+	// MeasureRecovery times, before the faults, how fast the fleet recovers (Recovery).
 	MeasureRecovery bool
-	InjectBug       func(n *Node)
 
-	OnEffect      func(n *Node, effect machine.Effect) // as in World
-	DeliveryFault func(from, to string, body any) (bool, bool, clock.Micros)
+	// As in World.
+	InjectBug     func(n *Node)
+	OnEffect      func(n *Node, effect machine.Effect)
+	DeliveryFault func(from, to string, body any) (drop, duplicate bool, delay clock.Micros)
 }
 
-// Execute lives the day through and gives the world back.
+// Execute runs it to its end and returns the world with its violations.
 func (r Run) Execute() *World {
 	w := NewWorld(r.Seed, r.Shape, r.Conditions)
-	w.InjectBug, w.DeliveryFault, w.OnEffect, w.Forwarding = r.InjectBug, r.DeliveryFault, r.OnEffect, r.Forwarding
+	w.InjectBug = r.InjectBug
+	w.DeliveryFault = r.DeliveryFault
+	w.OnEffect = r.OnEffect
+	w.Forwarding = r.Forwarding
 	v := w.Workload
 	if !w.RunUntil(10*clock.Second, w.allEdgesReady) {
 		v.reportViolation(serviceRestored, "the fleet is not ready 10 s after boot: %s", w.Describe())
@@ -58,7 +62,7 @@
 	return w
 }
 
-// allEdgesReady tells whether every edge can serve.
+// allEdgesReady says whether every edge can serve.
 func (w *World) allEdgesReady() bool {
 	for _, name := range w.Names(membership.Edge) {
 		if e := w.Nodes[name].edge; e == nil || !e.Reader.IsReady() {
@@ -68,7 +72,7 @@
 	return true
 }
 
-// candidateFaults are the acts this day may pick from.
+// candidateFaults are the faults that the run may pick from.
 func (r Run) candidateFaults() []Fault {
 	faults := append(UntimedFaults(r.Shape.Shards), TriggeredFaults(r.Shape.Shards)...)
 	if r.Scenarios {
@@ -77,35 +81,29 @@
 	return faults
 }
 
-// Validate tells what is wrong with a day; nil when nothing is.
+// Validate returns what is wrong with a run, or nil.
 func (r Run) Validate() error {
 	matches := func(fault Fault) bool { return strings.Contains(fault.Name, r.Filter) }
 	if !slices.ContainsFunc(r.candidateFaults(), matches) {
-		return fmt.Errorf("no failure's name holds %q; see the lists in test/simulator", r.Filter)
+		return fmt.Errorf("no fault's name contains %q; see the lists in test/simulator", r.Filter)
 	}
 	return r.Shape.Validate()
 }
 
-// injectFaults lets the day's failures happen one after the other; false ends the day.
+// injectFaults injects the faults one after the other; false ends the run.
 func (r Run) injectFaults(w *World) bool {
-	faults, skip := r.candidateFaults(), map[int]bool{}
-	for _, i := range r.SkipFaults {
-		skip[i] = true
-	}
-	for i := 0; i < r.Faults; i++ {
+	candidates := r.candidateFaults()
+	for i := range r.Faults {
 		w.RunFor(w.randomBetween(200, 3000) * clock.Millisecond)
-		fault := faults[w.Random.Intn(len(faults))]
-		for r.Filter != "" && !strings.Contains(fault.Name, r.Filter) {
-			fault = faults[w.Random.Intn(len(faults))]
-		}
-		if skip[i] || fault.CoresLost >= r.Shape.Cores {
+		fault := r.pickFault(w, candidates)
+		if slices.Contains(r.SkipFaults, i) || fault.CoresLost >= r.Shape.Cores {
 			continue
 		}
 		if !w.awaitTolerance(fault) {
-			w.Workload.reportViolation(batchKept, "no second copy %d s after a failure: %s", repairTimeout/clock.Second, w.Describe())
+			w.Workload.reportViolation(batchKept, "no second replica %d s after a fault: %s", repairTimeout/clock.Second, w.Describe())
 			return false
 		}
-		w.Tracef("act %d: %s", i, fault.Name)
+		w.Tracef("fault %d: %s", i, fault.Name)
 		w.Workload.FaultsInjected++
 		undo := fault.Inject(w)
 		w.RunFor(fault.Duration/2 + w.randomBetween(0, fault.Duration))
@@ -119,15 +117,26 @@
 	return true
 }
 
-// awaitTolerance waits until an act's losses are within the fleet's tolerance: false when
-// the fleet does not restore its copies in time. Where the tolerance allows, an act
-// comes before the copies of the one before are restored.
+// pickFault draws faults until one passes the filter.
+func (r Run) pickFault(w *World, candidates []Fault) Fault {
+	for {
+		fault := candidates[w.Random.Intn(len(candidates))]
+		if strings.Contains(fault.Name, r.Filter) {
+			return fault
+		}
+	}
+}
+
+// awaitTolerance waits until a fault's losses are within the fleet's tolerance: false when
+// the fleet does not restore its replicas in time. Where the tolerance allows, a fault
+// comes before the replicas that the one before took are restored.
 func (w *World) awaitTolerance(fault Fault) bool {
 	if !fault.ReducesRedundancy {
 		return true
 	}
-	counted := fault.StoresLost+fault.CoresLost > 0
-	if counted && w.Shape.tolerance() > 1 && w.canLose(membership.Store, fault.StoresLost) && w.canLose(membership.Core, fault.CoresLost) {
+	losesDisks := fault.StoresLost+fault.CoresLost > 0
+	isTolerated := w.canLose(membership.Store, fault.StoresLost) && w.canLose(membership.Core, fault.CoresLost)
+	if losesDisks && isTolerated && w.Shape.tolerance() > 1 {
 		return true
 	}
 	return w.RunUntil(repairTimeout, w.checkFullyReplicated)
--- a/test/simulator/shapes.go
+++ b/test/simulator/shapes.go
@@ -11,9 +11,9 @@
 type Shape struct {
 	Zones, Cores, Stores, Edges, Shards, Servers int
 	// Tolerance is how many daemons of a kind may lose their disks before the
-	// fleet has restored its copies; 0 counts as 1.
+	// fleet has restored its replicas; 0 counts as 1.
 	Tolerance int
-	// CoreZones and StoreZones say how many daemons stand in each zone, where
+	// CoreZones and StoreZones say how many daemons are in each zone, where
 	// they are not spread evenly.
 	CoreZones, StoreZones []int
 }
@@ -27,22 +27,22 @@
 	"one":    {Zones: 3, Cores: 1, Stores: 3, Edges: 2, Shards: 8},
 }
 
-// Validate tells what is wrong with a shape; nil when nothing is.
+// Validate returns what is wrong with a shape, or nil.
 func (s Shape) Validate() error {
-	for name, list := range map[string][]int{"core": s.CoreZones, "store": s.StoreZones} {
+	for name, perZone := range map[string][]int{"core": s.CoreZones, "store": s.StoreZones} {
 		sum := 0
-		for _, count := range list {
+		for _, count := range perZone {
 			sum += count
 		}
-		if want := s.daemonCount(name); len(list) > 0 && sum != want {
-			return fmt.Errorf("the zones hold %d daemons of kind %s; there are %d", sum, name, want)
+		if want := s.daemonCount(name); len(perZone) > 0 && sum != want {
+			return fmt.Errorf("the zones have %d daemons of kind %s; there are %d", sum, name, want)
 		}
-		if len(list) > s.Zones {
-			return fmt.Errorf("%d zones for daemons of kind %s; there are %d", len(list), name, s.Zones)
+		if len(perZone) > s.Zones {
+			return fmt.Errorf("%d zones for daemons of kind %s; there are %d", len(perZone), name, s.Zones)
 		}
 	}
 	if s.Stores <= s.tolerance() {
-		return fmt.Errorf("%d stores can't bear the loss of %d", s.Stores, s.tolerance())
+		return fmt.Errorf("%d stores don't tolerate the loss of %d", s.Stores, s.tolerance())
 	}
 	return nil
 }
@@ -56,7 +56,7 @@
 
 func (s Shape) tolerance() int { return max(1, s.Tolerance) }
 
-// replicas is how many copies there have to be among so many daemons.
+// replicas is how many replicas there have to be among so many daemons.
 func (s Shape) replicas(daemons int) int { return min(s.tolerance()+1, daemons) }
 
 // zoneOf is the zone of the daemon of a kind with a number from 0.
@@ -71,10 +71,10 @@
 	return fmt.Sprintf("zone-%d", 1+number%s.Zones)
 }
 
-// repairTimeout is how long the fleet may take to restore its copies after a loss.
+// repairTimeout is how long the fleet may take to restore its replicas after a loss.
 const repairTimeout = 20 * clock.Second
 
-// checkFullyReplicated remembers when the fleet was last seen to have all its copies.
+// checkFullyReplicated records when the fleet was last seen to have all its replicas.
 func (w *World) checkFullyReplicated() bool {
 	if !w.FullyReplicated() {
 		return false
@@ -84,8 +84,8 @@
 }
 
 // countLost counts the daemons of a kind that count as lost: those that are down,
-// and those that were down, cut off, frozen or emptied since the fleet was last
-// seen to have all its copies.
+// and those that were down, isolated, frozen or wiped since the fleet was last seen to have
+// all its replicas.
 func (w *World) countLost(kind string) int {
 	count := 0
 	for _, name := range w.Names(kind) {
@@ -96,7 +96,7 @@
 	return count
 }
 
-// canLose tells whether so many more daemons of a kind may lose their disks now
+// canLose says whether so many more daemons of a kind may lose their disks now
 // within the fleet's tolerance.
 func (w *World) canLose(kind string, count int) bool {
 	return count == 0 || w.countLost(kind)+count <= w.Shape.tolerance()
--- a/test/simulator/world.go
+++ b/test/simulator/world.go
@@ -1,6 +1,10 @@
-// Package simulator is the simulator (DESIGN §9): the daemons' own machines under
-// seeded virtual time, links that drop, repeat, delay and cut, and disks that
-// lose what was not synced, stall, or are wiped.
+// Package simulator runs the daemons' own machines under seeded virtual time (DESIGN §9):
+// links drop, repeat, delay and block messages, disks lose what was not synced, stall or are
+// wiped, model servers fail. Callers and operators use the fleet meanwhile, and every
+// guarantee of the product is checked (Guarantees).
+//
+// A Run with its seed gives the same World each time, whatever the machine it runs on. A World
+// belongs to one goroutine; runs may go on in parallel.
 package simulator
 
 import (
@@ -15,84 +19,115 @@
 	"tuliprudder/internal/membership"
 )
 
-// Conditions say how bad links and disks are.
+// Conditions say how unreliable links are, and how fast disks.
 type Conditions struct {
-	DropRate, DuplicateRate, DelayRate float64
-	MaxDelay                           clock.Micros
-	SyncTime                           clock.Micros
+	DropRate, DuplicateRate, DelayRate float64      // shares of the messages
+	MaxDelay                           clock.Micros // of a message that is delayed
+	SyncTime                           clock.Micros // of a disk; each takes from half to twice of it
 }
 
-// MildConditions gives the conditions of an ordinary day.
+// MildConditions gives the conditions of an ordinary run.
 func MildConditions() Conditions {
-	return Conditions{DropRate: 0.002, DuplicateRate: 0.002, DelayRate: 0.01, MaxDelay: 60 * clock.Millisecond, SyncTime: 2 * clock.Millisecond}
+	return Conditions{
+		DropRate:      0.002,
+		DuplicateRate: 0.002,
+		DelayRate:     0.01,
+		MaxDelay:      60 * clock.Millisecond,
+		SyncTime:      2 * clock.Millisecond,
+	}
 }
 
-// World is a whole fleet.
+// startOfTime is the virtual time at which every run begins.
+const startOfTime = 1000 * clock.Second
+
+// World is a fleet with its links, model servers, callers and virtual time.
 type World struct {
-	Now             clock.Micros
-	Random          *rand.Rand
-	Conditions      Conditions
-	eventQueue      events
-	lastSeq         uint64
-	Nodes           map[string]*Node
-	nodeNames       []string
-	nodeByPeer      map[string]*Node
+	Now        clock.Micros
+	Random     *rand.Rand // draws everything that is random; the order of draws is part of a seed
+	Conditions Conditions
+	Shape      Shape
+	eventQueue events
+	lastSeq    uint64 // numbers events, calls on servers and crash hooks
+
+	Nodes           map[string]*Node // by name
+	nodeNames       []string         // in the order they were made
+	nodeByPeer      map[string]*Node // by address
 	Servers         []*Server
 	serverByAddress map[string]*Server
 	blockedLinks    map[link]bool
-	Trace           []string
-	Workload        *Workload
-	Steps           int
-	Messages        int
-	Syncs           int
-	// InjectBug lets a test plant a fault in the machines it starts.
+	seeds           []string // addresses that nodes boot with
+	// fullyReplicatedAt is when the fleet was last seen to have all its replicas.
+	fullyReplicatedAt clock.Micros
+
+	Workload *Workload
+	// Forwarding adds requests and batches of requests that are forwarded unchanged.
+	Forwarding bool
+
+	Trace                  []string
+	Steps, Messages, Syncs int // events, messages sent, syncs of disks so far
+
+	// InjectBug lets a test plant a bug in the machines that boot; nil: none.
 	InjectBug func(n *Node)
 	// DeliveryFault may change the fate of one message; nil leaves it to the conditions.
 	DeliveryFault func(from, to string, body any) (drop, duplicate bool, delay clock.Micros)
-	// OnSend sees each message as it is sent; Wrote each node whose disk has just
-	// synced, before its machine hears of it.
+	// OnSend receives each message as it is sent; nil: nobody does.
 	OnSend func(from, to *Node, body any)
+	// OnSync receives each node whose disk has just synced, before its machine is notified.
 	OnSync func(n *Node)
-	// OnEffect sees each effect just before it is carried out.
+	// OnEffect receives each effect just before it is carried out.
 	OnEffect func(n *Node, effect machine.Effect)
-	Shape    Shape
-	// Forwarding adds requests and batches of requests that are passed on unchanged.
-	Forwarding bool
-	seeds      []string
-	// fullyReplicatedAt is when the fleet was last seen to have all its copies.
-	fullyReplicatedAt clock.Micros
 }
 
-// NewWorld makes a fleet that has not booted.
+// NewWorld makes a fleet whose nodes boot within the first 200 ms.
 func NewWorld(seed int64, shape Shape, conditions Conditions) *World {
-	w := &World{Now: 1_000_000_000, Random: rand.New(rand.NewSource(seed)), Conditions: conditions, Nodes: map[string]*Node{}, nodeByPeer: map[string]*Node{}, serverByAddress: map[string]*Server{}, blockedLinks: map[link]bool{}, Shape: shape}
-	w.Workload = newWorkload(w)
-	add := func(kind, word string, count int) {
-		for i := 0; i < count; i++ {
-			name := fmt.Sprintf("%s-%d", word, i+1)
-			n := &Node{world: w, Name: name, Kind: kind, Zone: shape.zoneOf(kind, i), Peer: fmt.Sprintf("10.0.%d.%d:1", len(w.nodeNames)+1, i+1)}
-			n.ID = fmt.Sprintf("%s-%02d", kind, i+1)
-			w.Nodes[name], w.nodeByPeer[n.Peer] = n, n
-			w.nodeNames = append(w.nodeNames, name)
-			if kind == membership.Core {
-				w.seeds = append(w.seeds, n.Peer)
-			}
-		}
+	w := &World{
+		Now:             startOfTime,
+		Random:          rand.New(rand.NewSource(seed)),
+		Conditions:      conditions,
+		Shape:           shape,
+		Nodes:           map[string]*Node{},
+		nodeByPeer:      map[string]*Node{},
+		serverByAddress: map[string]*Server{},
+		blockedLinks:    map[link]bool{},
 	}
-	add(membership.Core, "core", shape.Cores)
-	add(membership.Store, "store", shape.Stores)
-	add(membership.Edge, "edge", shape.Edges)
-	for i := 0; i < max(shape.Servers, 4); i++ {
+	w.Workload = newWorkload(w)
+	w.addNodes(membership.Core, "core", shape.Cores)
+	w.addNodes(membership.Store, "store", shape.Stores)
+	w.addNodes(membership.Edge, "edge", shape.Edges)
+	for i := range max(shape.Servers, minServers) {
 		s := newServer(w, i+1, fmt.Sprintf("zone-%d", 1+i%shape.Zones))
-		w.Servers, w.serverByAddress[s.Address] = append(w.Servers, s), s
+		w.Servers = append(w.Servers, s)
+		w.serverByAddress[s.Address] = s
 	}
-	for _, name := range w.nodeNames {
-		n := w.Nodes[name]
+	for _, n := range w.allNodes() {
 		w.After(w.randomBetween(0, 200*clock.Millisecond), func() { n.Boot(shape.Shards) })
 	}
 	return w
 }
 
+// minServers is how many model servers there are at least.
+const minServers = 4
+
+// addNodes adds the nodes of a kind; cores are the seeds of all.
+func (w *World) addNodes(kind, namePrefix string, count int) {
+	for i := range count {
+		n := &Node{
+			world: w,
+			Name:  fmt.Sprintf("%s-%d", namePrefix, i+1),
+			Kind:  kind,
+			Zone:  w.Shape.zoneOf(kind, i),
+			Peer:  fmt.Sprintf("10.0.%d.%d:1", len(w.nodeNames)+1, i+1),
+			ID:    fmt.Sprintf("%s-%02d", kind, i+1),
+		}
+		w.Nodes[n.Name] = n
+		w.nodeByPeer[n.Peer] = n
+		w.nodeNames = append(w.nodeNames, n.Name)
+		if kind == membership.Core {
+			w.seeds = append(w.seeds, n.Peer)
+		}
+	}
+}
+
 // Names lists the nodes of a kind in order.
 func (w *World) Names(kind string) []string {
 	var out []string
@@ -140,7 +175,7 @@
 	return w.randomNode(membership.Core)
 }
 
-// busiestStore is the live store that has listed most.
+// busiestStore is the live store that has listed most results.
 func (w *World) busiestStore() *Node {
 	var best *Node
 	for _, name := range w.Names(membership.Store) {
@@ -154,7 +189,7 @@
 	return best
 }
 
-// quotaOwner is the edge that holds a tenant's account.
+// quotaOwner is the edge that owns a tenant's quota.
 func (w *World) quotaOwner(tenant string) *Node {
 	if n := w.Workload.randomEdge(); n != nil {
 		id := endpoints.RendezvousOwner("account/"+tenant, n.edge.Members(), membership.Edge)
@@ -167,7 +202,7 @@
 	return w.randomNode(membership.Edge)
 }
 
-// ownerOf is the store that keeps a batch, as an edge knows it.
+// ownerOf is the store that owns a batch's shard, as an edge knows it.
 func (w *World) ownerOf(b *Batch) *Node {
 	if n := w.Workload.randomEdge(); n != nil {
 		if _, owner, err := n.edge.Reader.Locate(b.ID); err == nil && w.nodeByPeer[owner.Peer] != nil {
@@ -198,7 +233,7 @@
 	return slices.DeleteFunc(w.allNodes(), func(n *Node) bool { return n.Zone != zone })
 }
 
-// randomZones are at least one zone, and not all.
+// randomZones are at least one zone, and not all of them.
 func (w *World) randomZones() map[string]bool {
 	zones := map[string]bool{}
 	for _, name := range w.nodeNames {
