--- a/test/simulator/history_configurations.go
+++ b/test/simulator/history_configurations.go
@@ -110,7 +110,8 @@
 	if number == 0 {
 		number = s.latest() + 1
 	}
-	fits := number > s.latest() && (!in.hasBase || in.base == s.latest())
+	buildsOnLatest := !in.hasBase || in.base == s.latest()
+	fits := number > s.latest() && buildsOnLatest
 	switch {
 	case out.unknown && fits:
 		return []any{s, s.withVersion(number, in.document)}
--- a/test/simulator/operators.go
+++ b/test/simulator/operators.go
@@ -7,16 +7,16 @@
 	"tuliprudder/internal/membership"
 )
 
-// This file is operators who number their own configurations, build them on the
-// version they read, and send an order again when its answer does not come.
+// This file is operators who number their own configurations, build them on the version
+// they read, and send a request again when its response does not come.
 
-// ConfigurationRead is one reading of the latest configuration as its operator saw it.
+// ConfigurationRead is one read of the latest configuration as its operator saw it.
 type ConfigurationRead struct {
 	CalledAt, AnsweredAt clock.Micros
 	Version              uint64
-	Document             int // its number among the documents of the day; -1 when unknown
+	Document             int // its number among the documents of the run; -1 when unknown
 	NotFound             bool
-	Failed               bool // no answer, or none that says anything
+	Failed               bool // no response, or none that says anything
 }
 
 // configurationChange is an operator's numbered configuration; it may be sent more than once.
@@ -25,10 +25,12 @@
 	body      []byte
 	version   uint64 // 0: the core numbers it, whatever is in force
 	base      uint64
-	confirmed bool // an acknowledgement was given, whether the operator heard of it or not
-	resolved  bool // the operator has a clear answer
+	confirmed bool // an acknowledgement was given, whether the operator received it or not
+	resolved  bool // the operator has a clear response
 }
 
+// operatorTimeout is the timeout that a request carries; operatorGrace is how much longer its
+// operator waits for the response.
 const (
 	operatorTimeout = 4 * clock.Second
 	operatorGrace   = 500 * clock.Millisecond
@@ -43,46 +45,74 @@
 	return change
 }
 
-// SendConfiguration sends an order to a core, which asks whom it takes for the primary. Where
-// the answer is lost the operator hears nothing. told may be nil.
+// SendConfiguration sends a change to a core's view of the primary. With dropResponse the
+// operator does not receive the response. The callback, which may be nil, runs once; with nil
+// where the core can't send.
 func (v *Workload) SendConfiguration(at *Node, change *configurationChange, dropResponse bool, callback func(p *ConfigurationPut)) {
 	w := v.world
+	if callback == nil {
+		callback = func(*ConfigurationPut) {}
+	}
 	if !at.up || at.coreUpdate.Peer == "" {
-		if callback != nil {
-			w.After(clock.Millisecond, func() { callback(nil) })
-		}
+		w.After(clock.Millisecond, func() { callback(nil) })
 		return
 	}
-	p := &ConfigurationPut{Document: change.document, Body: string(change.body), CalledAt: w.Now, HasBase: change.version > 0, Base: change.base, RequestedVersion: change.version}
+	p := change.newPut(w.Now)
 	v.ConfigurationPuts = append(v.ConfigurationPuts, p)
 	v.PendingCalls++
-	request := controlplane.PutConfigurationRequest{Body: change.body, Number: change.version, Base: change.base, HasBase: change.version > 0, By: at.Name, Timeout: operatorTimeout}
-	w.Call(at, at.coreUpdate.Peer, request, operatorTimeout+operatorGrace, func(response any, err error) {
+	w.Call(at, at.coreUpdate.Peer, change.request(at.Name), operatorTimeout+operatorGrace, func(response any, err error) {
 		v.PendingCalls--
 		p.AnsweredAt = w.Now
-		ack, ok := response.(controlplane.PutConfigurationResponse)
-		w.Tracef("%s: order %d as version %d on %d: %v %v, answer lost %v", at.Name, change.document, change.version, change.base, response, err, dropResponse)
-		v.checkResponse(change, err, err == nil && ok)
-		switch {
-		case dropResponse:
-			p.Unknown = true
-		case err == nil && ok:
-			change.resolved = true
-			v.configurationConfirmed(p, ack)
-		case errs.Is(err, errs.StaleBase), errs.Is(err, errs.InvalidConfiguration):
-			p.Stale, change.resolved = true, true
-		case errs.Is(err, errs.OutcomeUnknown):
-			p.Unknown = true
-		default:
-			p.Rejected = true
-		}
-		if callback != nil {
-			callback(p)
-		}
+		w.Tracef("%s: document %d as version %d on %d: %v %v, response lost %v", at.Name, change.document, change.version, change.base, response, err, dropResponse)
+		v.recordResponse(change, p, response, err, dropResponse)
+		callback(p)
 	})
 }
 
-// checkResponse judges an answer by what the order's earlier tries were given.
+// newPut is one put of the change, sent now.
+func (change *configurationChange) newPut(now clock.Micros) *ConfigurationPut {
+	return &ConfigurationPut{
+		Document:         change.document,
+		Body:             string(change.body),
+		CalledAt:         now,
+		HasBase:          change.version > 0,
+		Base:             change.base,
+		RequestedVersion: change.version,
+	}
+}
+
+func (change *configurationChange) request(by string) controlplane.PutConfigurationRequest {
+	return controlplane.PutConfigurationRequest{
+		Body:    change.body,
+		Number:  change.version,
+		Base:    change.base,
+		HasBase: change.version > 0,
+		By:      by,
+		Timeout: operatorTimeout,
+	}
+}
+
+// recordResponse records what a put came to, and checks it.
+func (v *Workload) recordResponse(change *configurationChange, p *ConfigurationPut, response any, err error, dropped bool) {
+	ack, ok := response.(controlplane.PutConfigurationResponse)
+	confirmed := err == nil && ok
+	v.checkResponse(change, err, confirmed)
+	switch {
+	case dropped:
+		p.Unknown = true
+	case confirmed:
+		change.resolved = true
+		v.configurationConfirmed(p, ack)
+	case errs.Is(err, errs.StaleBase), errs.Is(err, errs.InvalidConfiguration):
+		p.Stale, change.resolved = true, true
+	case errs.Is(err, errs.OutcomeUnknown):
+		p.Unknown = true
+	default:
+		p.Rejected = true
+	}
+}
+
+// checkResponse checks a response against those that earlier attempts of the change had.
 func (v *Workload) checkResponse(change *configurationChange, err error, confirmed bool) {
 	if confirmed {
 		change.confirmed = true
@@ -90,22 +120,22 @@
 	}
 	v.countCheck(resendAcknowledged)
 	if change.confirmed && (errs.Is(err, errs.StaleBase) || errs.Is(err, errs.InvalidConfiguration)) {
-		v.reportViolation(resendAcknowledged, "version %d was confirmed; sent again, it is refused: %v", change.version, err)
+		v.reportViolation(resendAcknowledged, "version %d was confirmed; sent again, it is rejected: %v", change.version, err)
 	}
 }
 
-// configurationConfirmed notes an acknowledgement, and looks later whether it is in force.
+// configurationConfirmed records an acknowledgement, and checks later that it is in force.
 func (v *Workload) configurationConfirmed(p *ConfigurationPut, ack controlplane.PutConfigurationResponse) {
 	p.Version = ack.Version
 	v.LastServed[configurationsServed] = v.world.Now
 	if known, applied := v.configurationBodies[ack.Version]; applied && known != p.Body {
-		v.reportViolation(configurationInForce, "plan version %d confirmed as %s and as %s", ack.Version, known, p.Body)
+		v.reportViolation(configurationInForce, "configuration %d confirmed as %s and as %s", ack.Version, known, p.Body)
 	}
 	v.configurationBodies[ack.Version] = p.Body
 	v.world.After(2*clock.Second, func() { v.checkInForceEverywhere(p) })
 }
 
-// SendUntilResolved sends an order again, to any core, until its outcome is clear.
+// SendUntilResolved sends a change again, to any core, until its outcome is clear.
 func (v *Workload) SendUntilResolved(change *configurationChange, attempts int) {
 	if change.resolved || attempts == 0 {
 		return
@@ -120,7 +150,8 @@
 	w := v.world
 	r := &ConfigurationRead{CalledAt: w.Now, Document: -1}
 	if !at.up || at.coreUpdate.Peer == "" {
-		w.After(clock.Millisecond, func() { r.Failed = true; callback(r) })
+		r.Failed = true
+		w.After(clock.Millisecond, func() { callback(r) })
 		return
 	}
 	v.ConfigurationReads = append(v.ConfigurationReads, r)
@@ -138,28 +169,25 @@
 			if document, known := v.documentNumbers[string(configurations.Versions[0].Body)]; known {
 				r.Document = document
 			} else {
-				v.reportViolation(configurationInForce, "%s reads back version %d with a document that nobody put", at.Name, r.Version)
+				v.reportViolation(configurationInForce, "%s reads back version %d with a document that no operator put", at.Name, r.Version)
 			}
 		}
 		callback(r)
 	})
 }
 
-// operator is one who reads, and puts the next version on what was read.
+// operator reads the latest configuration and puts the next version on it, again and again.
 type operator struct {
-	workload *Workload
-	cores    []*Node
-	latest   uint64
-	// Confirmed is when each of this operator's orders was confirmed.
-	Confirmed []*ConfigurationPut
+	workload  *Workload
+	cores     []*Node
+	latest    uint64
+	confirmed []*ConfigurationPut
 	stopped   bool
 	changes   []*configurationChange
 }
 
-// StartOperator lets an operator work at some cores until it is stopped.
-//
-//revive:disable-next-line:unexported-return callers only hold what it returns
-func (v *Workload) StartOperator(cores []*Node) *operator {
+// startOperator lets an operator work at some cores until it is stopped.
+func (v *Workload) startOperator(cores []*Node) *operator {
 	op := &operator{workload: v, cores: cores}
 	if len(cores) > 0 {
 		op.read()
@@ -198,13 +226,13 @@
 	op.send(change, 3)
 }
 
-// send sends an order, and again at other cores while nothing is clear.
+// send sends a change, and again at other cores while its outcome is not clear.
 func (op *operator) send(change *configurationChange, attempts int) {
 	v := op.workload
 	v.SendConfiguration(op.randomCore(), change, v.world.Random.Intn(6) == 0, func(p *ConfigurationPut) {
 		if p != nil && p.Version > 0 {
 			op.latest = max(op.latest, p.Version)
-			op.Confirmed = append(op.Confirmed, p)
+			op.confirmed = append(op.confirmed, p)
 		}
 		if !change.resolved && attempts > 1 {
 			op.pauseThen(func() { op.send(change, attempts-1) })
@@ -214,8 +242,8 @@
 	})
 }
 
-// stop ends the operator's work; what is not clear yet is sent again to any core,
-// and some of what was confirmed too, though newer versions have come.
+// stop ends the operator's work. Changes whose outcome is not clear are sent again to any core,
+// and some of those that were confirmed too, though newer versions have come.
 func (op *operator) stop() {
 	op.stopped = true
 	for _, change := range op.changes {
--- a/test/simulator/readers.go
+++ b/test/simulator/readers.go
@@ -9,7 +9,7 @@
 	"tuliprudder/internal/dataplane/requests"
 )
 
-// allHealthySince tells whether nothing was done to any daemon since a time.
+// allHealthySince says whether no daemon had a fault since a time.
 func (v *Workload) allHealthySince(since clock.Micros) bool {
 	for _, name := range v.world.nodeNames {
 		if !v.world.Nodes[name].healthySince(since) {
@@ -19,8 +19,8 @@
 	return true
 }
 
-// followBatch follows one batch's list at edges that change only when one gives no
-// answer, as a waiting reader does, and times each row.
+// followBatch reads one batch's results as they come, at edges that change only when one gives
+// no answer, as a waiting reader does, and checks how soon it has each.
 func (v *Workload) followBatch(b *Batch, token string) {
 	n := v.randomEdge()
 	if !v.Reading || b.EndedAt > 0 || b.resultsRead >= b.ItemCount {
@@ -41,27 +41,45 @@
 		for _, result := range page.Results {
 			b.resultsRead++
 			v.checkResult(result, "list")
-			done := b.completedAt[result.Item]
-			if done == 0 {
-				continue
-			}
-			// Nobody can wait for a list before its acknowledgement.
-			lag := v.world.Now - max(done, b.AcceptedAt)
-			v.countCheck(resultsTimely)
-			switch {
-			case v.allHealthySince(max(done, b.AcceptedAt) - 15*clock.Second):
-				v.SlowestResult = max(v.SlowestResult, lag)
-				if lag > clock.Second {
-					v.reportViolation(resultsTimely, "%s/%d was whole %d us before a waiting reader at %s could have it", b.ID, result.Item, lag, n.Name)
-				}
-			case lag > 13*clock.Second && v.allHealthySince(max(done, b.AcceptedAt)+clock.Second):
-				v.reportViolation(resultsTimely, "%s/%d was whole %d us before a waiting reader at %s could have it", b.ID, result.Item, lag, n.Name)
-			}
+			v.checkResultTime(b, result, n)
 		}
 		v.followBatch(b, page.NextToken)
 	})
 }
 
+const (
+	// maxResultLag is the maximum from a complete result to a waiting reader.
+	maxResultLag = clock.Second
+	// maxResultLagAfterFault is the same for a result that a fault may have delayed.
+	maxResultLagAfterFault = 13 * clock.Second
+	// faultEffect is how long a fault may have an effect.
+	faultEffect = 15 * clock.Second
+)
+
+// checkResultTime checks how long a result was complete before a waiting reader had it.
+func (v *Workload) checkResultTime(b *Batch, result shard.Result, n *Node) {
+	if b.completedAt[result.Item] == 0 {
+		return
+	}
+	// No caller can wait for a batch's results before its acknowledgement.
+	readableAt := max(b.completedAt[result.Item], b.AcceptedAt)
+	lag := v.world.Now - readableAt
+	v.countCheck(resultsTimely)
+	isLate := false
+	switch {
+	case v.allHealthySince(readableAt - faultEffect):
+		v.SlowestResult = max(v.SlowestResult, lag)
+		isLate = lag > maxResultLag
+	case v.allHealthySince(readableAt + clock.Second):
+		isLate = lag > maxResultLagAfterFault
+	}
+	if isLate {
+		v.reportViolation(resultsTimely, "%s/%d was complete %d us before a waiting reader at %s could have it", b.ID, result.Item, lag, n.Name)
+	}
+}
+
+// checkResult checks a result that a reader received: its status, its output, and that its
+// position in the store has never been another item's.
 func (v *Workload) checkResult(result shard.Result, source string) {
 	key := fmt.Sprintf("%d@%d", result.Writer, result.Position)
 	item := fmt.Sprintf("%s/%d", result.Batch, result.Item)
@@ -99,22 +117,13 @@
 			return
 		}
 		v.lastNumber++
-		v.callEdge(n, requests.PageRequest{APIKey: callerKey, Read: reader.Request{ID: fmt.Sprintf("f-%d", v.lastNumber), Token: v.feedToken, Limit: 1 + v.world.Random.Intn(20)}}, func(response any, err error) {
+		read := reader.Request{ID: fmt.Sprintf("f-%d", v.lastNumber), Token: v.feedToken, Limit: 1 + v.world.Random.Intn(20)}
+		v.callEdge(n, requests.PageRequest{APIKey: callerKey, Read: read}, func(response any, err error) {
 			if page, ok := response.(reader.Page); ok && err == nil {
 				v.feedToken = page.NextToken
 				v.LastServed[n.Name+" feed"] = v.world.Now
 				for _, result := range page.Results {
-					v.FeedResults++
-					v.checkResult(result, "feed")
-					v.countCheck(readerResumes)
-					item := fmt.Sprintf("%s/%d", result.Batch, result.Item)
-					if v.feedItemCounts[item]++; v.feedItemCounts[item] > 1 {
-						v.reportViolation(readerResumes, "feed: %s seen twice", item)
-					}
-					if result.Position <= v.feedLastPositions[result.Batch] {
-						v.reportViolation(readerResumes, "feed: bundle %s goes back from position %d to %d", result.Batch, v.feedLastPositions[result.Batch], result.Position)
-					}
-					v.feedLastPositions[result.Batch] = result.Position
+					v.checkFeedResult(result)
 				}
 			}
 			v.world.After(v.world.randomBetween(20, 150)*clock.Millisecond, next)
@@ -123,38 +132,71 @@
 	next()
 }
 
-// readBack reads a batch's list page by page from the start.
+// checkFeedResult checks that the feed gives each item once, and a batch's in the order of
+// their positions.
+func (v *Workload) checkFeedResult(result shard.Result) {
+	v.FeedResults++
+	v.checkResult(result, "feed")
+	v.countCheck(readerResumes)
+	item := fmt.Sprintf("%s/%d", result.Batch, result.Item)
+	v.feedItemCounts[item]++
+	if v.feedItemCounts[item] > 1 {
+		v.reportViolation(readerResumes, "feed: %s seen twice", item)
+	}
+	last := v.feedLastPositions[result.Batch]
+	if result.Position <= last {
+		v.reportViolation(readerResumes, "feed: batch %s goes back from position %d to %d", result.Batch, last, result.Position)
+	}
+	v.feedLastPositions[result.Batch] = result.Position
+}
+
+// maxPages bounds the pages that are read of one batch.
+const maxPages = 200
+
+// readBack reads a batch's results page by page from the start, and checks that they are all
+// there.
 func (v *Workload) readBack(b *Batch) {
 	w := v.world
-	token, count, done, attempts := "", 0, false, 0
-	seen := map[int]bool{}
-	last := int64(0)
-	for !done && attempts < 200 {
-		attempts++
+	read := &batchRead{seen: map[int]bool{}}
+	for attempt := 0; !read.complete && attempt < maxPages; attempt++ {
 		answered := false
-		v.callEdge(v.randomEdge(), b.pageRequest(reader.Request{ID: "all", Token: token, Limit: 1 + w.Random.Intn(30)}), func(response any, err error) {
+		n := v.randomEdge()
+		request := reader.Request{ID: "all", Token: read.token, Limit: 1 + w.Random.Intn(30)}
+		v.callEdge(n, b.pageRequest(request), func(response any, err error) {
 			answered = true
-			page, ok := response.(reader.Page)
-			if err != nil || !ok {
-				return
-			}
-			token = page.NextToken
-			for _, result := range page.Results {
-				v.checkResult(result, "list")
-				if seen[result.Item] || result.Position <= last {
-					v.reportViolation(resultsExactlyOnce, "list of %s: item %d at position %d after %d", b.ID, result.Item, result.Position, last)
-				}
-				seen[result.Item], last = true, result.Position
-				count++
+			if page, ok := response.(reader.Page); ok && err == nil {
+				v.checkPage(b, read, page)
 			}
-			done = count >= b.ItemCount && page.State != string(shard.Open)
 		})
 		w.RunUntil(3*clock.Second, func() bool { return answered })
-		if !done {
+		if !read.complete {
 			w.RunFor(30 * clock.Millisecond)
 		}
 	}
-	if count != b.ItemCount || !done {
-		v.reportViolation(batchKept, "list of %s: %d of %d results at the day's end", b.ID, count, b.ItemCount)
+	if read.count != b.ItemCount || !read.complete {
+		v.reportViolation(batchKept, "list of %s: %d of %d results at the end of the run", b.ID, read.count, b.ItemCount)
+	}
+}
+
+// batchRead is how far a batch's results have been read.
+type batchRead struct {
+	token        string
+	seen         map[int]bool // items
+	lastPosition int64
+	count        int  // results
+	complete     bool // the batch is closed and all its results were read
+}
+
+func (v *Workload) checkPage(b *Batch, read *batchRead, page reader.Page) {
+	read.token = page.NextToken
+	for _, result := range page.Results {
+		v.checkResult(result, "list")
+		if read.seen[result.Item] || result.Position <= read.lastPosition {
+			v.reportViolation(resultsExactlyOnce, "list of %s: item %d at position %d after %d", b.ID, result.Item, result.Position, read.lastPosition)
+		}
+		read.seen[result.Item] = true
+		read.lastPosition = result.Position
+		read.count++
 	}
+	read.complete = read.count >= b.ItemCount && page.State != string(shard.Open)
 }
--- a/test/simulator/recovery.go
+++ b/test/simulator/recovery.go
@@ -8,19 +8,18 @@
 	"tuliprudder/internal/membership"
 )
 
-// Recovery is how fast a fleet recovered, each in a run of its own on a fleet that
-// had all its copies before.
+// Recovery is how fast a fleet recovered, each time from a loss on a fully replicated fleet.
 type Recovery struct {
-	// FailoverAfterKill and FailoverAfterIsolation are from the loss of the primary core to the acknowledgement of
-	// a configuration that was sent after it.
+	// FailoverAfterKill and FailoverAfterIsolation are from the loss of the primary core to
+	// the acknowledgement of a configuration that was sent after it.
 	FailoverAfterKill, FailoverAfterIsolation clock.Micros
-	// CoreRepair and StoreRepair are from the start of an empty machine, in place of
-	// one that lost its disk, until every group has all its copies again.
+	// CoreRepair and StoreRepair are from the start of an empty daemon, in place of one
+	// that lost its disk, until every group has all its replicas again.
 	CoreRepair, StoreRepair clock.Micros
 }
 
-// probeInterval is the time between two probes of a recovery.
-const probeInterval = 50 * clock.Millisecond
+// recoveryCheckInterval is the time between two checks whether the fleet has recovered.
+const recoveryCheckInterval = 50 * clock.Millisecond
 
 // measureRecovery brings each loss about once and times the recovery; false where the fleet
 // did not recover.
@@ -29,24 +28,27 @@
 		return true // there is no other core to take over
 	}
 	v := w.Workload
+	killPrimary := func(n *Node) func() { return crash(n, shards) }
+	isolatePrimary := func(n *Node) func() { return isolate(w, n) }
 	steps := []struct {
-		name   string
-		result *clock.Micros
-		do     func() clock.Micros
+		name    string
+		result  *clock.Micros
+		measure func() clock.Micros
 	}{
-		{"a kill of the primary", &v.Recovery.FailoverAfterKill, func() clock.Micros { return w.timeFailover(func(n *Node) func() { return crash(n, shards) }) }},
-		{"a cut of the primary", &v.Recovery.FailoverAfterIsolation, func() clock.Micros { return w.timeFailover(func(n *Node) func() { return isolate(w, n) }) }},
-		{"an empty core", &v.Recovery.CoreRepair, func() clock.Micros { return w.timeRepair(w.randomNode(membership.Core), shards) }},
-		{"an empty store", &v.Recovery.StoreRepair, func() clock.Micros { return w.timeRepair(w.randomNode(membership.Store), shards) }},
+		{"a kill of the primary", &v.Recovery.FailoverAfterKill, func() clock.Micros { return w.timeFailover(killPrimary) }},
+		{"an isolation of the primary", &v.Recovery.FailoverAfterIsolation, func() clock.Micros { return w.timeFailover(isolatePrimary) }},
+		{"an empty core", &v.Recovery.CoreRepair, func() clock.Micros { return w.timeRepair(randomCore(w), shards) }},
+		{"an empty store", &v.Recovery.StoreRepair, func() clock.Micros { return w.timeRepair(randomStore(w), shards) }},
 	}
 	for _, step := range steps {
 		if !w.RunUntil(repairTimeout, w.checkFullyReplicated) {
-			v.reportViolation(serviceRestored, "not settled before %s: %s", step.name, w.Describe())
+			v.reportViolation(serviceRestored, "not fully replicated before %s: %s", step.name, w.Describe())
 			return false
 		}
 		w.RunFor(w.randomBetween(0, 2*clock.Second))
 		w.Tracef("measuring: %s", step.name)
-		if *step.result = step.do(); *step.result == 0 {
+		*step.result = step.measure()
+		if *step.result == 0 {
 			v.reportViolation(serviceRestored, "no recovery within %d s after %s: %s", repairTimeout/clock.Second, step.name, w.Describe())
 			return false
 		}
@@ -54,8 +56,8 @@
 	return w.RunUntil(repairTimeout, w.checkFullyReplicated)
 }
 
-// timeFailover takes the primary away and has an operator send at the other cores
-// until one of the orders is confirmed.
+// timeFailover takes the primary from the fleet and has an operator send changes at the other
+// cores until one is confirmed; 0 where none is in time.
 func (w *World) timeFailover(lose func(n *Node) (undo func())) clock.Micros {
 	lost := w.primary()
 	var others []*Node
@@ -75,30 +77,31 @@
 				first = p.AnsweredAt - from
 			}
 		})
-		w.RunFor(probeInterval)
+		w.RunFor(recoveryCheckInterval)
 	}
 	w.RunFor(2 * clock.Second)
 	undo()
 	return first
 }
 
-// timeRepair empties a daemon and times the repair from the empty one's start.
+// timeRepair wipes a daemon and times the repair from the empty one's start; 0 where it is not
+// repaired in time.
 func (w *World) timeRepair(n *Node, shards int) clock.Micros {
 	boot := wipe(n, shards)
 	w.RunFor(1500 * clock.Millisecond)
 	from := w.Now
 	boot()
-	w.RunFor(probeInterval)
+	w.RunFor(recoveryCheckInterval)
 	for w.Now < from+repairTimeout {
 		if w.checkFullyReplicated() && w.isRepaired(n) {
 			return w.Now - from
 		}
-		w.RunFor(probeInterval)
+		w.RunFor(recoveryCheckInterval)
 	}
 	return 0
 }
 
-// isRepaired tells whether a core has a seat; a store is whole where the groups are.
+// isRepaired says whether a core votes again; a store is repaired where the groups are.
 func (w *World) isRepaired(n *Node) bool {
 	if n.Core == nil {
 		return true
--- a/test/simulator/scenarios.go
+++ b/test/simulator/scenarios.go
@@ -7,9 +7,9 @@
 	"tuliprudder/internal/membership"
 )
 
-// The families of directed scenarios: each brings about, at a random moment, one of
-// the five kinds of trouble that operators of such systems report. The names of a
-// family's acts begin with its name.
+// The families of directed scenarios: each brings about, at a random moment, one of the five
+// kinds of fault that operators of such systems report. The names of a family's faults begin
+// with its name.
 const (
 	familyPartition  = "cut-off: "
 	familyOperators  = "operators: "
@@ -20,32 +20,39 @@
 
 // Scenarios are the directed scenarios for a fleet of a shape.
 func Scenarios(shape Shape) []Fault {
-	return slices.Concat(isolationScenarios(shape), operatorScenarios(shape.Shards), secondLossScenarios(shape), acknowledgementScenarios(shape), manyChangesScenarios(shape), responseFaultScenarios(shape.Shards))
+	return slices.Concat(
+		isolationScenarios(shape),
+		operatorScenarios(shape.Shards),
+		secondLossScenarios(shape),
+		acknowledgementScenarios(shape),
+		manyChangesScenarios(shape),
+		responseFaultScenarios(shape.Shards),
+	)
 }
 
-// isolationScenarios cut daemons off for about twenty seconds, alone or in twos, while
+// isolationScenarios isolate daemons for about twenty seconds, alone or in twos, while
 // operators put and read on both sides.
 func isolationScenarios(shape Shape) []Fault {
 	const duration = 20 * clock.Second
-	cut := func(name string, pick func(w *World) []*Node) Fault {
+	isolated := func(name string, pick func(w *World) []*Node) Fault {
 		return Fault{Name: familyPartition + name, Duration: duration, Inject: func(w *World) func() { return isolateWithOperators(w, pick(w)) }}
 	}
 	anyOf := func(kind string) func(w *World) []*Node {
 		return func(w *World) []*Node { return []*Node{w.randomNode(kind)} }
 	}
 	faults := []Fault{
-		cut("a core alone", anyOf(membership.Core)),
-		cut("the primary alone", func(w *World) []*Node { return []*Node{w.primary()} }),
-		cut("a store alone", anyOf(membership.Store)),
-		cut("a core with a store", func(w *World) []*Node { return []*Node{w.randomNode(membership.Core), w.randomNode(membership.Store)} }),
-		cut("the primary with a store", func(w *World) []*Node { return []*Node{w.primary(), w.randomNode(membership.Store)} }),
+		isolated("a core alone", anyOf(membership.Core)),
+		isolated("the primary alone", func(w *World) []*Node { return []*Node{w.primary()} }),
+		isolated("a store alone", anyOf(membership.Store)),
+		isolated("a core with a store", func(w *World) []*Node { return []*Node{w.randomNode(membership.Core), w.randomNode(membership.Store)} }),
+		isolated("the primary with a store", func(w *World) []*Node { return []*Node{w.primary(), w.randomNode(membership.Store)} }),
 	}
 	if shape.Cores > 1 {
 		faults = append(faults,
-			cut("two cores", func(w *World) []*Node { return w.withAnother(w.randomNode(membership.Core)) }),
-			cut("the primary with a core", func(w *World) []*Node { return w.withAnother(w.primary()) }))
+			isolated("two cores", func(w *World) []*Node { return w.withAnother(w.randomNode(membership.Core)) }),
+			isolated("the primary with a core", func(w *World) []*Node { return w.withAnother(w.primary()) }))
 	}
-	return append(faults, cut("two stores", func(w *World) []*Node { return w.withAnother(w.randomNode(membership.Store)) }))
+	return append(faults, isolated("two stores", func(w *World) []*Node { return w.withAnother(w.randomNode(membership.Store)) }))
 }
 
 // withAnother is a node with another of its kind.
@@ -54,25 +61,25 @@
 	return []*Node{one, others[w.Random.Intn(len(others))]}
 }
 
-// setGroupIsolated cuts or heals every link between a group and the rest of the fleet.
-func (w *World) setGroupIsolated(group []*Node, cut bool) {
+// setGroupIsolated blocks or heals every link between a group and the rest of the fleet.
+func (w *World) setGroupIsolated(group []*Node, blocked bool) {
 	inside := func(name string) bool {
 		return slices.ContainsFunc(group, func(n *Node) bool { return n.Name == name })
 	}
 	for _, n := range group {
 		for _, other := range w.nodeNames {
 			if !inside(other) {
-				w.SetLinkBlocked(n.Name, other, cut)
+				w.SetLinkBlocked(n.Name, other, blocked)
 			}
 		}
 		for _, s := range w.Servers {
-			w.SetLinkBlocked(n.Name, s.Name, cut)
+			w.SetLinkBlocked(n.Name, s.Name, blocked)
 		}
-		w.Tracef("%s is cut off: %v", n.Name, cut)
+		w.Tracef("%s is isolated: %v", n.Name, blocked)
 	}
 }
 
-// tolerates tells whether the fleet goes on without a group.
+// tolerates says whether the fleet goes on without a group.
 func (w *World) tolerates(group []*Node) bool {
 	count := map[string]int{}
 	for _, n := range group {
@@ -81,16 +88,16 @@
 	return max(count[membership.Core], count[membership.Store]) <= w.Shape.tolerance()
 }
 
-// leaseTime is within which a core that lost contact with the majority has stopped
-// confirming, and takeoverTime within which the majority confirms again.
+// leaseTime is within which a core that can't reach the majority has stopped confirming, and
+// takeoverTime within which the majority confirms again.
 const (
 	leaseTime    = 10 * clock.Second
 	takeoverTime = 12 * clock.Second
 )
 
-// isolateWithOperators cuts a group off and lets operators work on both sides. Where
-// the fleet bears the group's loss the rest has to confirm orders again; the side
-// without most of the cores may confirm none that come after its lease has lapsed.
+// isolateWithOperators isolates a group and lets operators work on both sides. Where the fleet
+// tolerates the group's loss the others have to confirm changes again; the side without the
+// majority of the cores may confirm none that come after its lease has ended.
 func isolateWithOperators(w *World, group []*Node) func() {
 	v, replicated := w.Workload, w.FullyReplicated()
 	var inside, outside []*Node
@@ -101,9 +108,9 @@
 			outside = append(outside, core)
 		}
 	}
-	from := w.Now
+	isolatedAt := w.Now
 	w.setGroupIsolated(group, true)
-	one, other := v.StartOperator(inside), v.StartOperator(outside)
+	one, other := v.startOperator(inside), v.startOperator(outside)
 	return func() {
 		one.stop()
 		other.stop()
@@ -111,46 +118,49 @@
 		if 2*len(inside) > w.Shape.Cores {
 			minority, majority = other, one
 		}
-		for _, p := range minority.Confirmed {
+		for _, p := range minority.confirmed {
 			v.countCheck(configurationInForce)
-			if p.CalledAt > from+leaseTime {
-				v.reportViolation(configurationInForce, "version %d, sent %d us into the cut, was confirmed without contact with most of the cores", p.Version, p.CalledAt-from)
+			if p.CalledAt > isolatedAt+leaseTime {
+				v.reportViolation(configurationInForce, "version %d, sent %d us into the partition, was confirmed without the majority of the cores", p.Version, p.CalledAt-isolatedAt)
 			}
 		}
-		// Most of the cores without the stores and edges can have nothing in force.
-		if replicated && majority == other && w.tolerates(group) && w.Now > from+takeoverTime {
+		// A majority of the cores without the stores and edges can have nothing in force.
+		mustConfirm := replicated && majority == other && w.tolerates(group)
+		if mustConfirm && w.Now > isolatedAt+takeoverTime {
 			v.countCheck(serviceRestored)
-			if len(majority.Confirmed) == 0 {
-				v.reportViolation(serviceRestored, "most of the cores confirmed nothing in %d us of a cut: %s", w.Now-from, w.Describe())
+			if len(majority.confirmed) == 0 {
+				v.reportViolation(serviceRestored, "the majority of the cores confirmed nothing in %d us of a partition: %s", w.Now-isolatedAt, w.Describe())
 			}
 		}
 		w.setGroupIsolated(group, false)
 	}
 }
 
-// responseFaultScenarios let servers spoil, lose or delay the answers to requests that are
-// passed on.
+// responseFaultScenarios let servers spoil, lose or delay the answers to forwarded requests.
 func responseFaultScenarios(shards int) []Fault {
 	var faults []Fault
 	for _, fault := range responseFaults {
 		faults = append(faults, Fault{Name: familyResponses + string(fault) + " at a server", Duration: 4 * clock.Second, Inject: func(w *World) func() { return w.randomServer().injectResponseFault(fault) }})
 	}
-	every := Fault{Name: familyResponses + "all servers, each in its way", Duration: 3 * clock.Second, Inject: func(w *World) func() {
-		var undos []func()
-		for _, s := range w.Servers {
-			undos = append(undos, s.injectResponseFault(responseFaults[w.Random.Intn(len(responseFaults))]))
-		}
-		return func() { undoAll(undos) }
-	}}
-	edge := Fault{Name: familyResponses + "resets while an edge restarts", Duration: 2 * clock.Second, Inject: func(w *World) func() {
-		heal := w.randomServer().injectResponseFault(connectionReset)
-		boot := crash(w.randomNode(membership.Edge), shards)
-		return func() { boot(); heal() }
-	}}
-	store := Fault{Name: familyResponses + "silence while a store is cut off", Duration: 5 * clock.Second, Inject: func(w *World) func() {
-		restore := w.randomServer().injectResponseFault(noResponse)
-		heal := isolate(w, w.randomNode(membership.Store))
-		return func() { heal(); restore() }
-	}}
-	return append(faults, every, edge, store)
+	return append(faults,
+		Fault{Name: familyResponses + "all servers, each in its way", Duration: 3 * clock.Second, Inject: injectResponseFaultsEverywhere},
+		Fault{Name: familyResponses + "resets while an edge restarts", Duration: 2 * clock.Second, Inject: func(w *World) func() {
+			restore := w.randomServer().injectResponseFault(connectionReset)
+			boot := crash(randomEdge(w), shards)
+			return func() { boot(); restore() }
+		}},
+		Fault{Name: familyResponses + "silence while a store is cut off", Duration: 5 * clock.Second, Inject: func(w *World) func() {
+			restore := w.randomServer().injectResponseFault(noResponse)
+			heal := isolate(w, randomStore(w))
+			return func() { heal(); restore() }
+		}})
+}
+
+func injectResponseFaultsEverywhere(w *World) (restore func()) {
+	var undos []func()
+	for _, s := range w.Servers {
+		fault := responseFaults[w.Random.Intn(len(responseFaults))]
+		undos = append(undos, s.injectResponseFault(fault))
+	}
+	return func() { undoAll(undos) }
 }
--- a/test/simulator/scenarios_acknowledgements.go
+++ b/test/simulator/scenarios_acknowledgements.go
@@ -5,8 +5,8 @@
 	"tuliprudder/internal/clock"
 )
 
-// extraSyncTime is what one copy's disk takes longer while its fellows are lost: an acknowledgement
-// that does not wait for the last copy is given in that time.
+// extraSyncTime is how much longer one replica's disk takes while the others are lost: an
+// acknowledgement that does not wait for the last replica is given in that time.
 const extraSyncTime = 300 * clock.Millisecond
 
 // slowDownDisk makes a daemon's disk slow until it is healed.
@@ -16,8 +16,8 @@
 	return func() { n.disk.extraSyncTime, n.lastFaultAt = 0, n.world.Now }
 }
 
-// acknowledgementScenarios take every copy but the slowest, as far as the fleet bears it, in
-// the moment in which a caller or an operator is told that all is on disk.
+// acknowledgementScenarios wipe every replica but the slowest, as far as the fleet tolerates
+// it, at the moment in which a caller or an operator receives its acknowledgement.
 func acknowledgementScenarios(shape Shape) []Fault {
 	const duration = 1500 * clock.Millisecond
 	faults := []Fault{{Name: familySecondLoss + "all copies of a slot but the slowest right after a receipt", Duration: duration, ReducesRedundancy: true, Inject: func(w *World) func() {
@@ -29,8 +29,8 @@
 	return faults
 }
 
-// wipeAtConfigurationAck puts configurations until one is confirmed, and empties then
-// the members of the control state's group but the slowest.
+// wipeAtConfigurationAck puts configurations until one is confirmed, and wipes then the
+// members of the control state's group but the slowest.
 func (w *World) wipeAtConfigurationAck() func() {
 	primary := w.primary()
 	var members []*Node
@@ -45,7 +45,7 @@
 	slowest := members[len(members)-1]
 	heal := slowDownDisk(slowest)
 	var boot func()
-	for attempts := 0; attempts < 5 && boot == nil; attempts++ {
+	for attempt := 0; attempt < 5 && boot == nil; attempt++ {
 		finished := false
 		w.Workload.SendConfiguration(primary, w.Workload.newConfigurationChange(0, 0), false, func(p *ConfigurationPut) {
 			finished = true
@@ -63,8 +63,8 @@
 	}
 }
 
-// wipeAtBatchAck hands in batches of a slot until one is accepted, and empties then
-// the slot's holders but the slowest.
+// wipeAtBatchAck submits batches until one of a shard is accepted, and wipes then the shard's
+// replicas but the slowest.
 func (w *World) wipeAtBatchAck(shardNumber int) func() {
 	replicas := w.replicasOf(shardNumber)
 	if len(replicas) < 2 {
@@ -73,12 +73,14 @@
 	heal := slowDownDisk(replicas[len(replicas)-1])
 	var boot func()
 	w.Workload.OnAcknowledgement = func(b *Batch, owner string) {
-		if boot == nil && owner == replicas[0].ID && shard.ShardOf(b.ID, w.shardCount()) == shardNumber && replicas[0].up {
-			w.Tracef("the copies of slot %d but the slowest are lost right after the receipt for %s", shardNumber, b.ID)
+		primary := replicas[0]
+		isOfShard := owner == primary.ID && shard.ShardOf(b.ID, w.shardCount()) == shardNumber
+		if boot == nil && isOfShard && primary.up {
+			w.Tracef("the replicas of shard %d but the slowest are lost right after the acknowledgement of %s", shardNumber, b.ID)
 			boot = wipeAll(replicas[:min(w.Shape.tolerance(), len(replicas)-1)], w.Shape.Shards)
 		}
 	}
-	for i := 0; i < 4*w.Shape.Shards; i++ {
+	for range 4 * w.Shape.Shards {
 		w.Workload.SubmitBatch(1, 200)
 	}
 	w.RunUntil(4*clock.Second, func() bool { return boot != nil })
--- a/test/simulator/scenarios_control.go
+++ b/test/simulator/scenarios_control.go
@@ -5,8 +5,8 @@
 	"tuliprudder/internal/membership"
 )
 
-// operatorScenarios are operators who choose the same number, orders whose answers
-// are lost, and both while the primary is lost.
+// operatorScenarios are operators who choose the same number, changes whose responses are
+// lost, and both while the primary is lost.
 func operatorScenarios(shards int) []Fault {
 	const duration = 2 * clock.Second
 	during := func(name string, lose func(w *World) func(), conflict func(w *World)) Fault {
@@ -18,12 +18,12 @@
 	}
 	nothing := func(_ *World) func() { return nil }
 	killed := func(w *World) func() { return crash(w.primary(), shards) }
-	cut := func(w *World) func() { return isolate(w, w.primary()) }
+	isolated := func(w *World) func() { return isolate(w, w.primary()) }
 	frozen := func(w *World) func() { return freeze(w.primary()) }
 	return []Fault{
 		during("two under one number", nothing, putSameVersion(2)),
 		during("two under one number as the primary dies", killed, putSameVersion(2)),
-		during("two under one number as the primary is cut off", cut, putSameVersion(2)),
+		during("two under one number as the primary is cut off", isolated, putSameVersion(2)),
 		during("two under one number as the primary freezes", frozen, putSameVersion(2)),
 		during("eight at once", nothing, putSameVersion(8)),
 		during("eight at once as the primary dies", killed, putSameVersion(8)),
@@ -33,8 +33,8 @@
 	}
 }
 
-// putSameVersion has operators send different documents under one number at once, each
-// at a core of its own choice, and each again until its outcome is clear.
+// putSameVersion has operators send different documents under one number at once, each at a
+// core of its own choice, and each again until its outcome is clear.
 func putSameVersion(count int) func(w *World) {
 	return func(w *World) {
 		v := w.Workload
@@ -53,8 +53,8 @@
 	}
 }
 
-// resendAfterLostResponse loses the answer to an order and sends it again at another core: at
-// once, and again after newer versions came.
+// resendAfterLostResponse loses the response to a change and sends it again at another core:
+// at once, and again after newer versions came.
 func resendAfterLostResponse(w *World) {
 	v := w.Workload
 	v.ReadLatestConfiguration(w.randomNode(membership.Core), func(r *ConfigurationRead) {
@@ -74,16 +74,16 @@
 	})
 }
 
-// manyChangesScenarios puts hundreds of configurations while a core is away, and then has
-// the cores start again: who was away has to catch up, and may lead.
+// manyChangesScenarios put hundreds of configurations while a core is unavailable, and have the
+// cores restart then: the one that was unavailable has to catch up, and may lead.
 func manyChangesScenarios(shape Shape) []Fault {
 	shards := shape.Shards
-	away := func(name string, disk bool, disrupt func(w *World, n *Node) func()) Fault {
-		cores := 0
-		if disk {
-			cores = 1
+	unavailable := func(name string, losesDisk bool, disrupt func(w *World, n *Node) func()) Fault {
+		coresLost := 0
+		if losesDisk {
+			coresLost = 1
 		}
-		return Fault{Name: familyChanges + name, Duration: 500 * clock.Millisecond, ReducesRedundancy: disk, CoresLost: cores, Inject: func(w *World) func() {
+		return Fault{Name: familyChanges + name, Duration: 500 * clock.Millisecond, ReducesRedundancy: losesDisk, CoresLost: coresLost, Inject: func(w *World) func() {
 			n := w.randomNode(membership.Core)
 			w.putConfigurations(20 + w.Random.Intn(40))
 			restore := disrupt(w, n)
@@ -96,26 +96,28 @@
 		}}
 	}
 	return []Fault{
-		away("a core is killed meanwhile", false, func(_ *World, n *Node) func() { return crash(n, shards) }),
-		away("a core is frozen meanwhile", false, func(_ *World, n *Node) func() { return freeze(n) }),
-		away("a core is cut off meanwhile", false, func(w *World, n *Node) func() { return isolate(w, n) }),
-		away("a core is emptied meanwhile", true, func(_ *World, n *Node) func() { return wipe(n, shards) }),
-		away("a core is replaced meanwhile", true, func(w *World, n *Node) func() { return replaceDaemon(w, n, shards) }),
+		unavailable("a core is killed meanwhile", false, func(_ *World, n *Node) func() { return crash(n, shards) }),
+		unavailable("a core is frozen meanwhile", false, func(_ *World, n *Node) func() { return freeze(n) }),
+		unavailable("a core is cut off meanwhile", false, func(w *World, n *Node) func() { return isolate(w, n) }),
+		unavailable("a core is emptied meanwhile", true, func(_ *World, n *Node) func() { return wipe(n, shards) }),
+		unavailable("a core is replaced meanwhile", true, func(w *World, n *Node) func() { return replaceDaemon(w, n, shards) }),
 	}
 }
 
 // putConfigurations has an operator put configurations one after the other, as fast as they
 // are confirmed.
 func (w *World) putConfigurations(count int) {
-	v, done := w.Workload, 0
+	v, confirmed := w.Workload, 0
 	latest := v.world.randomNode(membership.Edge).configurationVersion
-	for failures := 0; done < count && failures < 40; {
-		at, change, finished := w.randomNode(membership.Core), v.newConfigurationChange(latest+1, latest), false
+	for failures := 0; confirmed < count && failures < 40; {
+		at := w.randomNode(membership.Core)
+		change := v.newConfigurationChange(latest+1, latest)
+		finished := false
 		v.SendConfiguration(at, change, false, func(p *ConfigurationPut) {
 			finished = true
 			if p != nil && p.Version > 0 {
 				latest = p.Version
-				done++
+				confirmed++
 				return
 			}
 			failures++
@@ -123,24 +125,22 @@
 		for !finished {
 			w.RunFor(10 * clock.Millisecond)
 		}
-		if !change.resolved || change.resolved && !change.confirmed {
+		if !change.resolved || !change.confirmed {
 			v.SendUntilResolved(change, 10)
 			v.ReadLatestConfiguration(w.randomNode(membership.Core), func(r *ConfigurationRead) { latest = max(latest, r.Version) })
 			w.RunFor(300 * clock.Millisecond)
 		}
 	}
-	w.Tracef("%d configurations put", done)
+	w.Tracef("%d configurations put", confirmed)
 }
 
 // restartCores restarts the cores: all at once, one after the other, or all but the
-// one that was away, so that it may lead.
-func (w *World) restartCores(away *Node, shards int) func() {
+// one that was unavailable, so that it may lead.
+func (w *World) restartCores(unavailable *Node, shards int) (boot func()) {
 	var undos []func()
 	switch w.Random.Intn(3) {
 	case 0:
-		for _, n := range w.nodes(membership.Core) {
-			undos = append(undos, crash(n, shards))
-		}
+		return crashAll(w.nodes(membership.Core), shards)
 	case 1:
 		for _, n := range w.nodes(membership.Core) {
 			boot := crash(n, shards)
@@ -149,7 +149,7 @@
 			w.RunFor(w.randomBetween(100, 1500) * clock.Millisecond)
 		}
 	default:
-		if primary := w.primary(); primary != away {
+		if primary := w.primary(); primary != unavailable {
 			undos = append(undos, crash(primary, shards))
 			w.RunFor(w.randomBetween(1000, 4000) * clock.Millisecond)
 		}
--- a/test/simulator/scenarios_losses.go
+++ b/test/simulator/scenarios_losses.go
@@ -7,8 +7,8 @@
 	"tuliprudder/internal/membership"
 )
 
-// secondLossScenarios are further losses right after a repair, a replacement or a
-// retirement, as many as the fleet's tolerance allows.
+// secondLossScenarios are further losses right after a repair, a replacement or a retirement,
+// as many as the fleet tolerates.
 func secondLossScenarios(shape Shape) []Fault {
 	shards, limit := shape.Shards, shape.tolerance()
 	const duration = 1500 * clock.Millisecond
@@ -39,8 +39,7 @@
 	return faults
 }
 
-// wipePeersOfRetiring retires a store that holds a slot, and has the others that
-// hold it lose their disks in the midst of that.
+// wipePeersOfRetiring retires a replica of a shard, and wipes the others while it retires.
 func wipePeersOfRetiring(w *World, limit, shards int) func() {
 	replicas := w.replicasOf(w.Random.Intn(shards))
 	if len(replicas) < 2 {
@@ -56,15 +55,15 @@
 	return func() { lost(); w.Workload.RetireStore(id, true) }
 }
 
-// wipeAfterRepair replaces a daemon, and has as many others as the fleet bears lose
-// their disks as soon as all copies are there again.
+// wipeAfterRepair replaces a daemon, and wipes as many others as the fleet tolerates as soon as
+// all replicas are restored.
 func wipeAfterRepair(w *World, kind string, limit, shards int) func() {
 	first := w.randomNode(kind)
 	boot := replaceDaemon(w, first, shards)
 	w.RunFor(w.randomBetween(200, 1500) * clock.Millisecond)
 	boot()
 	if !w.RunUntil(repairTimeout, w.checkFullyReplicated) {
-		w.Workload.reportViolation(batchKept, "no second copy %d s after a disk was lost: %s", repairTimeout/clock.Second, w.Describe())
+		w.Workload.reportViolation(batchKept, "no second replica %d s after a disk was lost: %s", repairTimeout/clock.Second, w.Describe())
 		return nil
 	}
 	others := slices.DeleteFunc(w.nodes(kind), func(n *Node) bool { return n == first })
@@ -72,8 +71,8 @@
 	return wipeAll(others[:min(limit, len(others))], shards)
 }
 
-// killWhileEmptyJoins empties a core and kills another, whose disk stays, while the
-// empty one joins.
+// killWhileEmptyJoins wipes a core and crashes another, whose disk stays, while the empty one
+// joins.
 func killWhileEmptyJoins(w *World, shards int) func() {
 	cores := w.nodes(membership.Core)
 	w.Random.Shuffle(len(cores), func(i, j int) { cores[i], cores[j] = cores[j], cores[i] })
