--- a/test/simulator/disk.go
+++ b/test/simulator/disk.go
@@ -4,8 +4,8 @@
 	"slices"
 
 	"tuliprudder/internal/clock"
-	"tuliprudder/internal/errs"
 	"tuliprudder/internal/machine"
+	"tuliprudder/test/memstorage"
 )
 
 // write is one write to a disk: records appended, all records replaced, or an archive file
@@ -33,41 +33,11 @@
 	return write{}
 }
 
-// archive is the archive on a simulated disk: bodies by file and unit.
-type archive struct{ files map[uint64]map[string][]byte }
-
-// Get returns the body of a unit in a file; errs.Corrupt where there is none.
-func (a *archive) Get(file uint64, unit string) ([]byte, error) {
-	if body, ok := a.files[file][unit]; ok {
-		return body, nil
-	}
-	return nil, errs.New(errs.Corrupt, "", "no %s in archive file %d", unit, file)
-}
-
-// Files are the numbers of the files in order.
-func (a *archive) Files() []uint64 {
-	var out []uint64
-	for file := range a.files {
-		out = append(out, file)
-	}
-	slices.Sort(out)
-	return out
-}
-
-// LastFile is the highest number of a file; 0 where there is none.
-func (a *archive) LastFile() uint64 {
-	last := uint64(0)
-	for file := range a.files {
-		last = max(last, file)
-	}
-	return last
-}
-
 // disk is a daemon's disk. Writes wait in the queue and are lost at a crash until a sync
 // makes them durable.
 type disk struct {
 	durable       []machine.Record
-	archive       archive
+	archive       memstorage.Archive // of a store
 	queue         []write
 	syncing       bool
 	stalledUntil  clock.Micros
@@ -154,16 +124,10 @@
 func (n *Node) persist(group []write) {
 	for _, written := range group {
 		if written.archiveFile > 0 {
-			bodies := map[string][]byte{}
-			for _, record := range written.records {
-				bodies[record.Unit] = record.Body
-			}
-			n.disk.archive.files[written.archiveFile] = bodies
+			n.disk.archive.Put(written.archiveFile, written.records)
 			continue
 		}
-		for _, file := range written.deleteFiles {
-			delete(n.disk.archive.files, file)
-		}
+		n.disk.archive.Delete(written.deleteFiles)
 		if written.compact {
 			n.disk.durable = nil
 		}
--- a/test/simulator/lifecycle.go
+++ b/test/simulator/lifecycle.go
@@ -61,7 +61,7 @@
 func (n *Node) Wipe() {
 	n.wipeCount++
 	n.world.Tracef("%s is wiped", n.Name)
-	n.disk.durable, n.disk.archive.files = nil, nil
+	n.disk.durable, n.disk.archive = nil, nil
 	n.ID = fmt.Sprintf("%s-%02d%c", n.Kind, n.number(), 'a'+n.wipeCount%26)
 	n.incarnation = 0
 }
--- a/test/simulator/node.go
+++ b/test/simulator/node.go
@@ -62,8 +62,8 @@
 
 // onCrash adds a hook that runs when the node crashes, until it is removed.
 func (n *Node) onCrash(callback func()) (removeCrashHook func()) {
-	n.world.lastSeq++
-	number := n.world.lastSeq
+	n.world.lastNumber++
+	number := n.world.lastNumber
 	n.crashHooks[number] = callback
 	return func() { delete(n.crashHooks, number) }
 }
--- a/test/simulator/node_boot.go
+++ b/test/simulator/node_boot.go
@@ -12,6 +12,7 @@
 	"tuliprudder/internal/gossip"
 	"tuliprudder/internal/machine"
 	"tuliprudder/internal/membership"
+	"tuliprudder/test/memstorage"
 )
 
 const (
@@ -79,10 +80,10 @@
 	w := n.world
 	settings := batchstore.Defaults()
 	settings.CompactAfter = compactAfter
-	if n.disk.archive.files == nil {
-		n.disk.archive.files = map[uint64]map[string][]byte{}
+	if n.disk.archive == nil {
+		n.disk.archive = memstorage.Archive{}
 	}
-	n.Store = batchstore.New(batchstore.Self{ID: n.ID, Zone: n.Zone, Peer: n.Peer, Incarnation: incarnation}, settings, n.disk.durable, &n.disk.archive)
+	n.Store = batchstore.New(batchstore.Self{ID: n.ID, Zone: n.Zone, Peer: n.Peer, Incarnation: incarnation}, settings, n.disk.durable, n.disk.archive)
 	n.Store.OnDamage = func(err error) { w.Workload.reportViolation(batchKept, "%s: %v", n.Name, err) }
 	n.scheduled = machines.NewStore(n.ID, n.Store, settings.MaxItems, w.Random.Int63())
 	n.machine = n.scheduled
--- a/test/simulator/server.go
+++ b/test/simulator/server.go
@@ -96,8 +96,8 @@
 
 func (s *Server) enqueue(call *serverCall) {
 	w := s.world
-	w.lastSeq++
-	call.arrival = w.lastSeq
+	w.lastNumber++
+	call.arrival = w.lastNumber
 	// A client that dies closes its connections.
 	call.removeCrashHook = call.node.onCrash(func() { call.transmit(func() { s.remove(call) }) })
 	if len(s.running) >= s.slots {
--- a/test/simulator/events.go
+++ b/test/simulator/time.go
@@ -1,66 +1,19 @@
 package simulator
 
 import (
-	"container/heap"
 	"fmt"
 	"strings"
 
 	"tuliprudder/internal/clock"
 )
 
-// event is something that happens at a point of virtual time; events of one time happen in
-// the order they were added.
-type event struct {
-	at  clock.Micros
-	seq uint64
-	run func()
-}
-
-// events is a heap of events.
-type events []event
-
-func (e events) Len() int { return len(e) }
-
-func (e events) Less(i, j int) bool {
-	if e[i].at != e[j].at {
-		return e[i].at < e[j].at
-	}
-	return e[i].seq < e[j].seq
-}
-
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
-
-func (e *events) Pop() any {
-	old := *e
-	last := old[len(old)-1]
-	*e = old[:len(old)-1]
-	return last
-}
-
-// After has something happen later.
-func (w *World) After(duration clock.Micros, do func()) {
-	w.lastSeq++
-	heap.Push(&w.eventQueue, event{at: w.Now + duration, seq: w.lastSeq, run: do})
-}
-
 // randomBetween draws a number from low to high, both included.
 func (w *World) randomBetween(low, high clock.Micros) clock.Micros {
 	return low + clock.Micros(w.Random.Int63n(int64(high-low+1)))
 }
 
 // RunFor lets time pass.
-func (w *World) RunFor(duration clock.Micros) {
-	end := w.Now + duration
-	for len(w.eventQueue) > 0 && w.eventQueue[0].at <= end {
-		next := heap.Pop(&w.eventQueue).(event)
-		w.Now = next.at
-		w.Steps++
-		next.run()
-	}
-	w.Now = end
-}
+func (w *World) RunFor(duration clock.Micros) { w.Steps += w.Queue.RunFor(duration) }
 
 // RunUntil lets time pass until a condition holds, which it checks every 50 ms; false where
 // it does not hold in time.
--- a/test/simulator/world.go
+++ b/test/simulator/world.go
@@ -17,6 +17,7 @@
 	"tuliprudder/internal/dataplane/endpoints"
 	"tuliprudder/internal/machine"
 	"tuliprudder/internal/membership"
+	"tuliprudder/test/virtualtime"
 )
 
 // Conditions say how unreliable links are, and how fast disks.
@@ -42,12 +43,11 @@
 
 // World is a fleet with its links, model servers, callers and virtual time.
 type World struct {
-	Now        clock.Micros
+	virtualtime.Queue            // Now, and the events to come
 	Random     *rand.Rand // draws everything that is random; the order of draws is part of a seed
 	Conditions Conditions
 	Shape      Shape
-	eventQueue events
-	lastSeq    uint64 // numbers events, calls on servers and crash hooks
+	lastNumber uint64 // numbers calls on servers and crash hooks
 
 	Nodes           map[string]*Node // by name
 	nodeNames       []string         // in the order they were made
@@ -81,7 +81,7 @@
 // NewWorld makes a fleet whose nodes boot within the first 200 ms.
 func NewWorld(seed int64, shape Shape, conditions Conditions) *World {
 	w := &World{
-		Now:             startOfTime,
+		Queue:           virtualtime.Queue{Now: startOfTime},
 		Random:          rand.New(rand.NewSource(seed)),
 		Conditions:      conditions,
 		Shape:           shape,
