--- a/test/capacitymodel/bench_test.go
+++ b/test/capacitymodel/bench_test.go
@@ -24,7 +24,7 @@
 )
 
 // The figures of docs/CAPACITY.md that are not of whole fleets:
-// GOMAXPROCS=1 go test -run Nothing -bench . -benchtime 2s ./proof/hollow
+// GOMAXPROCS=1 go test -run Nothing -bench . -benchtime 2s ./test/capacitymodel
 
 type notifyingHandler struct{ received chan struct{} }
 
--- a/test/capacitymodel/codec.go
+++ b/test/capacitymodel/codec.go
@@ -10,12 +10,12 @@
 	"tuliprudder/internal/transport"
 )
 
-// A message is encoded and decoded for real, by the encoder that net/rpc uses.
-// A line has an encoder of its own, so that the descriptions of types cross it
-// once. Thousands of encoders that each keep a buffer of the largest message
-// would not fit into one process: one pair of encoder and decoder that has sent
-// all descriptions carries the messages, and what the descriptions would add to
-// a line is measured with fresh encoders and counted at their first use.
+// A message is encoded and decoded for real, by the encoder that net/rpc uses. A connection
+// has an encoder of its own, so that the descriptions of types cross it once. Thousands of
+// encoders that each keep a buffer of the largest message would not fit into one process: one
+// encoder and one decoder that have exchanged all descriptions carry the messages, and what
+// the descriptions would add to a connection is measured with fresh encoders and counted at
+// their first use.
 
 // kindSet is a set of message kinds, by number.
 type kindSet [2]uint64
@@ -25,16 +25,18 @@
 func (k *kindSet) add(kind int) { k[kind/64] |= 1 << (kind % 64) }
 
 const (
-	kindDeliver   = iota // what each line for messages opens with
-	kindRequest          // what each line for asks opens with
+	kindDeliver   = iota // what each connection for messages opens with
+	kindRequest          // what each connection for requests opens with
 	firstBodyKind        // the first kind of body
 )
 
+// descriptionKey is a kind and what its connection has described before it.
 type descriptionKey struct {
 	sent kindSet
 	kind int
 }
 
+// codec encodes and decodes all messages of a fleet.
 type codec struct {
 	buffer           bytes.Buffer
 	encoder          *gob.Encoder
@@ -44,7 +46,7 @@
 	descriptionSizes map[descriptionKey]int
 	sizeEncoder      *gob.Encoder
 	sizeCounter      byteCounter
-	// Requests and answers frame what travels; their sizes hardly differ.
+	// Sizes of what net/rpc frames a call and its reply with; they hardly differ.
 	deliverCallFrame, deliverReplyFrame, requestCallFrame, requestReplyFrame int
 }
 
@@ -80,6 +82,7 @@
 	return c
 }
 
+// must panics on an error that only a message of this program can cause.
 func must(err error) {
 	if err != nil {
 		panic(err) // a message of ours that the encoder does not take
@@ -94,7 +97,7 @@
 		kind = len(c.samples)
 		c.kindNumbers[name] = kind
 		c.samples = append(c.samples, body)
-		// The shared pairs learn the type now, outside of any count.
+		// The shared encoders describe the type now, outside of any count.
 		must(c.encoder.Encode(transport.MessageBatch{Messages: []transport.Envelope{{Body: body}}}))
 		must(c.decoder.Decode(&transport.MessageBatch{}))
 		must(c.encoder.Encode(transport.CallReply{Body: body}))
@@ -105,7 +108,8 @@
 	return kind
 }
 
-// descriptionSize is what the descriptions that a kind still needs add to a line.
+// descriptionSize is how many bytes the descriptions that a kind still needs add to a
+// connection.
 func (c *codec) descriptionSize(sent *kindSet, kind int) int {
 	if sent.has(kind) {
 		return 0
@@ -114,17 +118,17 @@
 	size, ok := c.descriptionSizes[key]
 	if !ok {
 		var s byteCounter
-		line := gob.NewEncoder(&s)
+		encoder := gob.NewEncoder(&s)
 		for other := range c.samples {
 			if sent.has(other) {
-				c.encodeSample(line, other)
+				c.encodeSample(encoder, other)
 			}
 		}
 		before := s.bytes
-		c.encodeSample(line, kind)
+		c.encodeSample(encoder, kind)
 		with := s.bytes - before
 		before = s.bytes
-		c.encodeSample(line, kind)
+		c.encodeSample(encoder, kind)
 		size = with - (s.bytes - before)
 		c.descriptionSizes[key] = size
 	}
@@ -132,20 +136,20 @@
 	return size
 }
 
-func (c *codec) encodeSample(line *gob.Encoder, kind int) {
+func (c *codec) encodeSample(encoder *gob.Encoder, kind int) {
 	switch kind {
 	case kindDeliver:
-		must(line.Encode(&rpc.Request{}))
-		must(line.Encode(transport.MessageBatch{}))
+		must(encoder.Encode(&rpc.Request{}))
+		must(encoder.Encode(transport.MessageBatch{}))
 	case kindRequest:
-		must(line.Encode(&rpc.Request{}))
-		must(line.Encode(transport.Envelope{}))
+		must(encoder.Encode(&rpc.Request{}))
+		must(encoder.Encode(transport.Envelope{}))
 	default:
-		must(line.Encode(transport.MessageBatch{Messages: []transport.Envelope{{Body: c.samples[kind]}}}))
+		must(encoder.Encode(transport.MessageBatch{Messages: []transport.Envelope{{Body: c.samples[kind]}}}))
 	}
 }
 
-// messageSize is a letter's own size in a batch, without descriptions.
+// messageSize is a message's own size in a batch, without descriptions.
 func (c *codec) messageSize(envelope transport.Envelope) int {
 	before := c.sizeCounter.bytes
 	must(c.sizeEncoder.Encode(transport.MessageBatch{Messages: []transport.Envelope{envelope}}))
--- a/test/capacitymodel/connection.go
+++ b/test/capacitymodel/connection.go
@@ -1,11 +1,7 @@
 package capacitymodel
 
 import (
-	"fmt"
-
 	"tuliprudder/internal/clock"
-	"tuliprudder/internal/errs"
-	"tuliprudder/internal/machine"
 	"tuliprudder/internal/transport"
 )
 
@@ -18,121 +14,136 @@
 
 type connectionKey struct{ from, to *daemon }
 
-// connection carries what waits for one daemon in one call, and waits for its answer
+// connection carries the messages queued for one daemon in one call, and awaits its response
 // before the next call.
 type connection struct {
 	connectionKey
-	describedToPeer, describedByPeer kindSet // described to the other end, and by it
-	messages                         []transport.Envelope
-	busy                             bool
-	isScheduled                      bool
+	described   kindSet // kinds whose types were described to the peer
+	messages    []transport.Envelope
+	busy        bool // a call is under way
+	isScheduled bool // it is among the fleet's scheduled ones
 }
 
-// send queues a message on its line; what one step sends travels together.
+// send queues a message on its connection; what one step sends travels together.
 func (f *Fleet) send(from *daemon, peer string, body any) {
 	to := f.byPeer[peer]
 	if to == nil || to == from {
 		return
 	}
 	key := connectionKey{from, to}
-	l := f.connections[key]
-	if l == nil {
-		l = &connection{connectionKey: key}
-		f.openConnection(l)
+	conn := f.connections[key]
+	if conn == nil {
+		conn = &connection{connectionKey: key}
+		f.openConnection(conn)
 	}
-	if len(l.messages) >= queueCapacity {
+	if len(conn.messages) >= queueCapacity {
 		f.tallyOf(from).lost++
 		return
 	}
-	l.messages = append(l.messages, transport.Envelope{From: from.peer, Body: body})
-	if !l.busy && !l.isScheduled {
-		l.isScheduled = true
-		f.scheduled = append(f.scheduled, l)
+	conn.messages = append(conn.messages, transport.Envelope{From: from.peer, Body: body})
+	if !conn.busy && !conn.isScheduled {
+		conn.isScheduled = true
+		f.scheduled = append(f.scheduled, conn)
 	}
 }
 
-// openConnection adds a line; a daemon that has as many as it may lets an idle one go.
-func (f *Fleet) openConnection(l *connection) {
-	f.connections[l.connectionKey] = l
-	if l.from.connections = append(l.from.connections, l); len(l.from.connections) <= maxConnections {
+// openConnection adds a connection; a daemon that has as many as it may closes an idle one.
+func (f *Fleet) openConnection(conn *connection) {
+	f.connections[conn.connectionKey] = conn
+	from := conn.from
+	from.connections = append(from.connections, conn)
+	if len(from.connections) <= maxConnections {
 		return
 	}
-	at := f.rng.Intn(len(l.from.connections) - 1)
-	for i := range len(l.from.connections) - 1 {
-		old := l.from.connections[(at+i)%(len(l.from.connections)-1)]
+	last := len(from.connections) - 1
+	start := f.rng.Intn(last)
+	for i := range last {
+		at := (start + i) % last
+		old := from.connections[at]
 		if len(old.messages) == 0 && !old.busy {
 			delete(f.connections, old.connectionKey)
-			l.from.connections[(at+i)%(len(l.from.connections)-1)] = l
-			l.from.connections = l.from.connections[:len(l.from.connections)-1]
-			f.tallyOf(l.from).reconnects++
+			from.connections[at] = conn
+			from.connections = from.connections[:last]
+			f.tallyOf(from).reconnects++
 			return
 		}
 	}
 }
 
-// flush sends what the last step left on idle lines.
+// flush sends what the last step queued on idle connections.
 func (f *Fleet) flush() {
 	for len(f.scheduled) > 0 {
 		woken := f.scheduled
 		f.scheduled = nil
-		for _, l := range woken {
-			l.isScheduled = false
-			f.sendBatch(l)
+		for _, conn := range woken {
+			conn.isScheduled = false
+			f.sendBatch(conn)
 		}
 	}
 }
 
-func (f *Fleet) sendBatch(l *connection) {
-	if l.busy || len(l.messages) == 0 || !l.from.up {
+// sendBatch sends what an idle connection has queued, up to maxBatchMessages, in one call.
+func (f *Fleet) sendBatch(conn *connection) {
+	if conn.busy || len(conn.messages) == 0 || !conn.from.up {
 		return
 	}
-	count := min(maxBatchMessages, len(l.messages))
-	envelopes := l.messages[:count:count]
-	if l.messages = l.messages[count:]; len(l.messages) == 0 {
-		l.messages = nil
-	}
-	l.busy = true
-	if f.isPartitioned(l.from, l.to) || !l.to.up {
-		// Nobody takes the call: it expires and closes its connection.
-		l.describedToPeer, l.describedByPeer = kindSet{}, kindSet{}
-		f.tallyOf(l.from).lost += int64(count)
-		f.schedule(clock.Second, func() { f.completeCall(l) })
+	count := min(maxBatchMessages, len(conn.messages))
+	envelopes := conn.messages[:count:count]
+	conn.messages = conn.messages[count:]
+	if len(conn.messages) == 0 {
+		conn.messages = nil // the array is freed
+	}
+	conn.busy = true
+	if f.isPartitioned(conn.from, conn.to) || !conn.to.up {
+		// The call times out and closes the connection.
+		conn.described = kindSet{}
+		f.tallyOf(conn.from).lost += int64(count)
+		f.After(clock.Second, func() { f.completeCall(conn) })
 		return
 	}
-	// The descriptions are learnt first, outside of the clock.
-	extra := f.codec.descriptionSize(&l.describedToPeer, kindDeliver)
-	kinds := make([]int, count)
-	for i, envelope := range envelopes {
-		kinds[i] = f.codec.kindOf(envelope.Body)
-		extra += f.codec.descriptionSize(&l.describedToPeer, kinds[i])
-	}
-	batch := transport.MessageBatch{Messages: envelopes}
-	was := f.chargeCPU(l.from)
-	must(f.codec.encoder.Encode(batch))
+	arrived := f.encodeBatch(conn, envelopes)
+	generation := conn.to.generation
+	f.After(f.networkDelay(conn.from, conn.to), func() {
+		if conn.to.generation == generation && conn.to.up {
+			f.deliverBatch(conn.to, arrived)
+		}
+		f.After(f.networkDelay(conn.to, conn.from), func() { f.completeCall(conn) })
+	})
+}
+
+// encodeBatch encodes messages for the sender and decodes them for the receiver, each at its
+// own cost, and counts them.
+func (f *Fleet) encodeBatch(conn *connection, envelopes []transport.Envelope) transport.MessageBatch {
+	// The types are described first, which no daemon is charged for.
+	extra := f.codec.descriptionSize(&conn.described, kindDeliver)
+	for _, envelope := range envelopes {
+		extra += f.codec.descriptionSize(&conn.described, f.codec.kindOf(envelope.Body))
+	}
+	was := f.chargeCPU(conn.from)
+	must(f.codec.encoder.Encode(transport.MessageBatch{Messages: envelopes}))
 	size := f.codec.buffer.Len()
 	var arrived transport.MessageBatch
-	f.chargeCPU(l.to)
+	f.chargeCPU(conn.to)
 	must(f.codec.decoder.Decode(&arrived))
 	f.chargeCPU(was)
-	f.countBatch(l.from, envelopes, size, f.codec.deliverCallFrame+extra)
-	generation := l.to.generation
-	f.schedule(f.networkDelay(l.from, l.to), func() {
-		if l.to.generation == generation && l.to.up {
-			f.tallyOf(l.to).bytes += int64(f.codec.deliverReplyFrame)
-			l.to.runStep(func() {
-				for _, envelope := range arrived.Messages {
-					l.to.deliver(envelope.From, envelope.Body)
-				}
-			})
+	f.countBatch(conn.from, envelopes, size, f.codec.deliverCallFrame+extra)
+	return arrived
+}
+
+// deliverBatch has a daemon take the messages of one call in one step.
+func (f *Fleet) deliverBatch(to *daemon, batch transport.MessageBatch) {
+	f.tallyOf(to).bytes += int64(f.codec.deliverReplyFrame)
+	to.runStep(func() {
+		for _, envelope := range batch.Messages {
+			to.deliver(envelope.From, envelope.Body)
 		}
-		f.schedule(f.networkDelay(l.to, l.from), func() { f.completeCall(l) })
 	})
 }
 
-// completeCall lets a line go on after its call's answer.
-func (f *Fleet) completeCall(l *connection) {
-	l.busy = false
-	f.sendBatch(l)
+// completeCall lets a connection go on after the response to its call.
+func (f *Fleet) completeCall(conn *connection) {
+	conn.busy = false
+	f.sendBatch(conn)
 	f.flush()
 }
 
@@ -160,81 +171,3 @@
 		t.addKind(envelope.Body, share*float64(size+frame))
 	}
 }
-
-// request is a question with an answer and an deadline, on a connection of its own.
-//
-//revive:disable-next-line:function-length the steps of one call share its state
-func (f *Fleet) request(from *daemon, peer string, body any, timeout clock.Micros, onReply func(any, error)) {
-	to := f.byPeer[peer]
-	finished := false
-	finish := func(answer any, err error) {
-		if !finished {
-			finished = true
-			onReply(answer, err)
-		}
-	}
-	f.schedule(timeout, func() {
-		finish(nil, errs.New(errs.OutcomeUnknown, "ask again", "no answer in time"))
-	})
-	if to == nil || f.isPartitioned(from, to) {
-		return
-	}
-	conn := from.requestConnections[to]
-	if conn == nil {
-		conn = &connection{}
-		from.requestConnections[to] = conn
-	}
-	kind := f.codec.kindOf(body)
-	frame := f.codec.requestCallFrame + f.codec.descriptionSize(&conn.describedToPeer, kindRequest) + f.codec.descriptionSize(&conn.describedToPeer, kind)
-	was := f.chargeCPU(from)
-	must(f.codec.encoder.Encode(transport.Envelope{From: from.peer, Body: body}))
-	size := f.codec.buffer.Len() + frame
-	var envelope transport.Envelope
-	f.chargeCPU(to)
-	must(f.codec.decoder.Decode(&envelope))
-	f.chargeCPU(was)
-	t := f.tallyOf(from)
-	t.messages, t.calls, t.bytes = t.messages+1, t.calls+1, t.bytes+int64(size)
-	t.addKind(body, float64(size))
-	f.schedule(f.networkDelay(from, to), func() {
-		if !to.up || to.machine == nil {
-			return
-		}
-		to.runStep(func() {
-			to.call(envelope.Body, func(a machine.Reply) {
-				reply := transport.CallReply{Body: a.Body}
-				if a.Err != nil {
-					reply = transport.CallReply{Err: errs.Of(a.Err)}
-				} else if a.Body != nil {
-					f.codec.kindOf(a.Body)
-				}
-				must(f.codec.encoder.Encode(reply))
-				size := f.codec.buffer.Len() + f.codec.requestReplyFrame
-				was := f.chargeCPU(from)
-				reply = transport.CallReply{}
-				must(f.codec.decoder.Decode(&reply))
-				f.chargeCPU(was)
-				t := f.tallyOf(to)
-				t.bytes += int64(size)
-				t.addKind(a.Body, float64(size))
-				if f.isPartitioned(to, from) {
-					return
-				}
-				f.schedule(f.networkDelay(to, from), func() {
-					if from.up {
-						finish(reply.Body, replyError(reply))
-					}
-				})
-			})
-		})
-	})
-}
-
-func replyError(reply transport.CallReply) error {
-	if reply.Err != nil {
-		return reply.Err
-	}
-	return nil
-}
-
-func typeName(body any) string { return fmt.Sprintf("%T", body) }
--- a/test/capacitymodel/fit.go
+++ b/test/capacitymodel/fit.go
@@ -5,9 +5,9 @@
 // Shape is the kind of curve that was fitted.
 type Shape string
 
-// The shapes there are.
+// The shapes, as the page prints them.
 const (
-	Line     Shape = "line"
+	Linear   Shape = "line"
 	Parabola Shape = "parabola"
 	PowerLaw Shape = "power law"
 )
@@ -16,24 +16,26 @@
 // that the small ones count as much as the large.
 type Fit struct {
 	Shape         Shape
-	A, B, C       float64 // a + b·x + c·x²; of a power law the same between the logarithms
-	Power         float64 // exponent of a power law through the same points
-	Residual      float64 // root mean square of the relative residuals
-	WorstResidual float64 // the largest of them
-	IsLinear      bool    // a line is off by a tenth at most
-	inverse       [3][3]float64
-	dimension     int
+	A, B, C       float64       // a + b·x + c·x²; of a power law the same between the logarithms
+	Power         float64       // exponent of a power law through the same points
+	Residual      float64       // root mean square of the relative residuals
+	WorstResidual float64       // the largest of them
+	IsLinear      bool          // a line is off by linearTolerance at most
+	inverse       [3][3]float64 // of the normal matrix
+	dimension     int           // parameters of the curve
 }
 
 // linearTolerance is the relative residual up to which a line counts as straight.
 const linearTolerance = 0.1
 
-// FitCurve fits a line, and where the line is off by more than a tenth the
-// nearest of a line, a rising parabola and a power law. A falling one says of
-// larger sizes what nobody saw.
+// FitCurve fits a line, and where the line is off by more than a tenth the nearest of a line,
+// a parabola that opens upwards, and a power law. A parabola that opens downwards would predict
+// falling figures for larger sizes, which no run has shown.
 func FitCurve(x, y []float64) Fit {
 	best := leastSquares(x, y, 2)
-	best.Shape, best.Power, best.IsLinear = Line, fitExponent(x, y), best.Residual <= linearTolerance
+	best.Shape = Linear
+	best.Power = fitExponent(x, y)
+	best.IsLinear = best.Residual <= linearTolerance
 	if best.IsLinear || len(x) < 4 {
 		return best
 	}
@@ -132,7 +134,7 @@
 		m[i], m[pivot], out[i], out[pivot] = m[pivot], m[i], out[pivot], out[i]
 		by := m[i][i]
 		if by == 0 {
-			return [3][3]float64{} // all points lie at one place
+			return [3][3]float64{} // all points have the same x
 		}
 		for k := range dimension {
 			m[i][k] /= by
--- a/test/capacitymodel/fit_test.go
+++ b/test/capacitymodel/fit_test.go
@@ -15,7 +15,7 @@
 		return out
 	}
 	line := FitCurve(xs, draw(func(x float64) float64 { return 100 + 3*x }))
-	if line.Shape != Line || math.Abs(line.At(350)-1150) > 40 || line.PredictionMargin(350) > 100 || line.PredictionMargin(350) < 10 {
+	if line.Shape != Linear || math.Abs(line.At(350)-1150) > 40 || line.PredictionMargin(350) > 100 || line.PredictionMargin(350) < 10 {
 		t.Fatalf("line: %+v, %v ± %v at 350", line, line.At(350), line.PredictionMargin(350))
 	}
 	curve := FitCurve(xs, draw(func(x float64) float64 { return 10 + x + 0.1*x*x }))
--- a/test/capacitymodel/meter.go
+++ b/test/capacitymodel/meter.go
@@ -9,17 +9,18 @@
 	"tuliprudder/internal/membership"
 )
 
-// Roles for which figures are told apart. A duty holder is the whole edge that
-// reads most servers; the primary is the core that serves.
+// Roles are those with figures of their own, as the tables spell them: "duty" is the full edge
+// that polls most servers, "hollow" are the simulated edges, "primary" is the core that serves.
 var Roles = []string{"edge", "hollow", "duty", "store", "core", "primary"}
 
-// tally is what one role has done since counting began.
+// tally is what the daemons of one role did since counting began.
 type tally struct {
 	messages, calls, bytes, lost, reconnects, syncs, polls, largestCall int64
-	cpuNanos                                                            int64 // ns
+	cpuNanos                                                            int64
 	kinds                                                               map[string]*kindTally
 }
 
+// kindTally is what was sent of one kind of message.
 type kindTally struct {
 	Messages int64
 	Bytes    float64
@@ -54,7 +55,7 @@
 
 var discarded = &tally{kinds: map[string]*kindTally{}}
 
-// tallyOf is where a daemon's figures go; before counting begins, nowhere.
+// tallyOf is where a daemon's figures are counted; before counting begins they are discarded.
 func (f *Fleet) tallyOf(d *daemon) *tally {
 	if f.warmingUp {
 		discarded.kinds = map[string]*kindTally{}
@@ -69,14 +70,14 @@
 	return t
 }
 
-// cpuMeter charges this thread's processor time to whom it works for.
+// cpuMeter charges this thread's processor time to the daemon that it works for.
 type cpuMeter struct {
-	owner    *daemon
-	since    int64
-	readCost int64 // of one look at the clock
+	owner    *daemon // nil: nobody is charged
+	since    int64   // reading of the clock when the owner was set
+	readCost int64   // of one reading of the clock, in ns
 }
 
-// chargeCPU goes on for another daemon, or for none, and tells for whom it was.
+// chargeCPU charges what follows to another daemon, or to none, and returns the one before.
 func (f *Fleet) chargeCPU(to *daemon) *daemon {
 	was := f.cpu.owner
 	if was == to {
@@ -90,15 +91,17 @@
 	return was
 }
 
+// calibrate measures what one reading of the clock costs.
 func (m *cpuMeter) calibrate() {
-	const looks = 20_000
+	const readings = 20_000
 	began := threadCPU()
-	for range looks {
+	for range readings {
 		threadCPU()
 	}
-	m.readCost = (threadCPU() - began) / looks
+	m.readCost = (threadCPU() - began) / readings
 }
 
+// Clocks of clock_gettime(2).
 const (
 	clockProcess = 2
 	clockThread  = 3
@@ -115,7 +118,7 @@
 
 func processCPU() int64 { return readClock(clockProcess) }
 
-// Kinds lists what each role sent by kind, per daemon and second.
+// kindFigures lists what each role sent by kind, per daemon and second.
 func (r *Result) kindFigures() [][]string {
 	var out [][]string
 	for _, role := range Roles {
--- a/test/capacitymodel/model_test.go
+++ b/test/capacitymodel/model_test.go
@@ -60,8 +60,8 @@
 // would be a measurement that does not measure.
 func TestASmallFleetIsMeasured(t *testing.T) {
 	r := Run(smallSettings(), io.Discard)
-	if r.SettledAfterSeconds < 0 || r.StaleShare > 0 || r.StopReason != "" {
-		t.Fatalf("settled after %v s, share of old news %v, stopped: %q", r.SettledAfterSeconds, r.StaleShare, r.StopReason)
+	if r.StableAfterSeconds < 0 || r.StaleShare > 0 || r.StopReason != "" {
+		t.Fatalf("settled after %v s, share of old news %v, stopped: %q", r.StableAfterSeconds, r.StaleShare, r.StopReason)
 	}
 	if r.Changes == 0 || r.ChangeMaxMS > 2000 || r.ItemsPerSecond < 20 || r.BatchesRejectedShare > 0 {
 		t.Fatalf("%d changes in force, the slowest in %v ms; %v items a second, share of bundles refused %v", r.Changes, r.ChangeMaxMS, r.ItemsPerSecond, r.BatchesRejectedShare)
--- a/test/capacitymodel/workload.go
+++ b/test/capacitymodel/workload.go
@@ -19,45 +19,62 @@
 	pending             map[uint64]*configurationChange
 	durations           []clock.Micros
 	submitted, rejected int
-	bytes               int
-	lastError           string // of the last that was not put, or not known to be
+	bytes               int    // of one configuration
+	lastError           string // of the last that was rejected or of unknown outcome
 }
 
+// configurationChange is one change until all daemons have it in force.
 type configurationChange struct {
 	submittedAt clock.Micros
 	awaiting    map[*daemon]bool
 }
 
-// configurationDocument is a configuration of the users' size; each number makes another.
+// document is a JSON object of a configuration, with the keys that operators write.
+type document map[string]any
+
+// configurationDocument is a configuration of the users' size; each number gives another one.
 func (f *Fleet) configurationDocument(number int) []byte {
-	classes, tenants, pools, routes := []any{}, []any{}, []any{}, []any{}
+	var classes, tenants, pools, routes []document
 	for i := range 5 {
-		classes = append(classes, map[string]any{"name": fmt.Sprintf("class-%d", i), "rank": 100 * (i + 1), "allowance": 1_000_000, "labels": map[string]any{"live": "yes"}})
+		classes = append(classes, document{"name": fmt.Sprintf("class-%d", i), "rank": 100 * (i + 1), "allowance": 1_000_000, "labels": document{"live": "yes"}})
 	}
 	for i := range f.Settings.Tenants {
-		tenants = append(tenants, map[string]any{"name": fmt.Sprintf("tenant-%03d", i), "key": fmt.Sprintf("key-of-tenant-%03d-%x", i, 0x9e3779b97f4a7c15*uint64(i+1)), "class": fmt.Sprintf("class-%d", i%5)})
+		key := fmt.Sprintf("key-of-tenant-%03d-%x", i, 0x9e3779b97f4a7c15*uint64(i+1))
+		tenants = append(tenants, document{"name": fmt.Sprintf("tenant-%03d", i), "key": key, "class": fmt.Sprintf("class-%d", i%5)})
 	}
-	kinds := []string{config.OneShot, config.Stream, config.Batch}
-	for i := range 20 {
-		pools = append(pools, map[string]any{"name": fmt.Sprintf("pool-%02d", i), "labels": map[string]any{"use": fmt.Sprintf("model-%02d", i)}, "servers": map[string]any{"model": fmt.Sprintf("model-%02d", i)}})
+	for i := range modelCount {
+		model := fmt.Sprintf("model-%02d", i)
+		pools = append(pools, document{"name": fmt.Sprintf("pool-%02d", i), "labels": document{"use": model}, "servers": document{"model": model}})
 	}
 	for i := range f.Settings.Routes {
-		kind := kinds[i%3]
-		route := map[string]any{"name": fmt.Sprintf("route-%03d", i), "kind": kind, "classes": map[string]any{"live": "yes"}, "pools": map[string]any{"use": fmt.Sprintf("model-%02d", i/3%20)},
-			"model": fmt.Sprintf("model-%02d", i/3%20), "prefix": strings.Repeat("Answer in one word. ", 10), "max_tokens": 256}
-		if kind == config.Batch {
-			route["most_items"] = 10_000
-		} else {
-			route["expiry_us"] = 10_000_000
-		}
-		routes = append(routes, route)
+		routes = append(routes, routeDocument(i))
 	}
-	data, err := json.Marshal(map[string]any{"classes": classes, "customers": tenants, "pools": pools, "routes": routes, "judges": map[string]any{"speed": 1 + float64(number)/1e6}})
+	data, err := json.Marshal(document{"classes": classes, "customers": tenants, "pools": pools, "routes": routes, "judges": document{"speed": 1 + float64(number)/1e6}})
 	must(err)
 	return data
 }
 
-// submitConfiguration hands a configuration to the primary.
+func routeDocument(i int64) document {
+	kinds := []string{config.OneShot, config.Stream, config.Batch}
+	kind, model := kinds[i%3], fmt.Sprintf("model-%02d", i/3%modelCount)
+	route := document{
+		"name":       fmt.Sprintf("route-%03d", i),
+		"kind":       kind,
+		"classes":    document{"live": "yes"},
+		"pools":      document{"use": model},
+		"model":      model,
+		"prefix":     strings.Repeat("Answer in one word. ", 10),
+		"max_tokens": 256,
+	}
+	if kind == config.Batch {
+		route["most_items"] = 10_000
+	} else {
+		route["expiry_us"] = 10_000_000
+	}
+	return route
+}
+
+// submitConfiguration puts a configuration at the primary.
 func (f *Fleet) submitConfiguration() {
 	p := f.primary()
 	f.configurations.submitted++
@@ -72,98 +89,115 @@
 	for f.configurations.pending[version] != nil {
 		version++
 	}
-	round := &configurationChange{submittedAt: f.Now, awaiting: map[*daemon]bool{}}
+	change := &configurationChange{submittedAt: f.Now, awaiting: map[*daemon]bool{}}
 	for _, d := range f.daemons {
 		if d.up {
-			round.awaiting[d] = true
+			change.awaiting[d] = true
 		}
 	}
 	if f.configurations.pending == nil {
 		f.configurations.pending = map[uint64]*configurationChange{}
 	}
-	f.configurations.pending[version] = round
+	f.configurations.pending[version] = change
 	p.runStep(func() {
-		p.call(controlplane.PutConfigurationRequest{Body: body, By: "hollow", Timeout: 2 * clock.Second}, func(a machine.Reply) {
-			if a.Err != nil {
+		p.call(controlplane.PutConfigurationRequest{Body: body, By: "hollow", Timeout: 2 * clock.Second}, func(reply machine.Reply) {
+			if reply.Err != nil {
 				f.configurations.rejected++
-				f.configurations.lastError = a.Err.Error()
+				f.configurations.lastError = reply.Err.Error()
 			}
 		})
 	})
 }
 
-// versionReached notes that a daemon has come as far as a version.
+// versionReached records that a daemon has a version in force.
 func (p *configurationChanges) versionReached(f *Fleet, d *daemon, version uint64) {
-	for number, round := range p.pending {
+	for number, change := range p.pending {
 		if number > version {
 			continue
 		}
-		delete(round.awaiting, d)
-		for other := range round.awaiting {
+		delete(change.awaiting, d)
+		for other := range change.awaiting {
 			if !other.up {
-				delete(round.awaiting, other)
+				delete(change.awaiting, other)
 			}
 		}
-		if len(round.awaiting) == 0 {
+		if len(change.awaiting) == 0 {
 			delete(p.pending, number)
 			if !f.warmingUp {
-				p.durations = append(p.durations, f.Now-round.submittedAt)
+				p.durations = append(p.durations, f.Now-change.submittedAt)
 			}
 		}
 	}
 }
 
-// batchSubmissions hand batches in at a steady pace.
+// batchSubmissions counts the batches that were submitted.
 type batchSubmissions struct {
 	submitted, rejected int64
 	// warmupSubmitted and warmupRejected are those of the warm-up, which don't count.
 	warmupSubmitted, warmupRejected int64
 }
 
-// endWarmup ends the warm-up.
-func (b *batchSubmissions) endWarmup() { b.warmupSubmitted, b.warmupRejected = b.submitted, b.rejected }
+// endWarmup starts the count.
+func (b *batchSubmissions) endWarmup() {
+	b.warmupSubmitted, b.warmupRejected = b.submitted, b.rejected
+}
 
-// counted is what was handed in and refused since the warm-up.
+// counted is what was submitted and rejected since the warm-up.
 func (b *batchSubmissions) counted() (submitted, rejected int64) {
 	return b.submitted - b.warmupSubmitted, b.rejected - b.warmupRejected
 }
 
-const itemOutput = "a label and two sentences that say why it was given, about as long as an answer"
+// Texts of an item, as long as those of the users.
+const (
+	itemInput  = "the text of one item, as long as a short note that a customer has written about something"
+	itemOutput = "a label and two sentences that say why it was given, about as long as an answer"
+)
 
-// submitBatch hands one batch in at the store that owns its slot, as an edge would.
+// submitBatch submits one batch to the store that owns its shard, as an edge would.
 func (f *Fleet) submitBatch() {
-	p := f.primary()
 	f.batches.submitted++
-	if p == nil || len(p.core.State().Shards) == 0 {
+	primary := f.primary()
+	if primary == nil || len(primary.core.State().Shards) == 0 {
 		f.batches.rejected++
 		return
 	}
-	shards := p.core.State().Shards
+	shards := primary.core.State().Shards
 	id := fmt.Sprintf("bundle-%d-%d", f.Settings.Seed, f.batches.submitted)
 	shardIndex := shard.ShardOf(id, len(shards))
-	var owner, edge *daemon
-	for _, d := range f.daemons {
-		if d.id == shards[shardIndex].Primary.ID && d.up {
-			owner = d
-		}
-		if d.kind == membership.Edge && d.up && (edge == nil || f.rng.Intn(4) == 0) {
-			edge = d
-		}
-	}
+	owner, edge := f.pickStoreAndEdge(shards[shardIndex].Primary.ID)
 	if owner == nil || edge == nil {
 		f.batches.rejected++
 		return
 	}
-	tenant := f.rng.Int63n(f.Settings.Tenants)
-	batch := shard.Batch{ID: id, Tenant: fmt.Sprintf("tenant-%03d", tenant), Key: id, Hash: id, Route: fmt.Sprintf("route-%03d", 2+3*f.rng.Int63n(max(1, f.Settings.Routes/3)))}
-	for i := range f.Settings.BatchItems {
-		batch.Items = append(batch.Items, shard.Item{ID: fmt.Sprintf("item-%d", i), Input: "the text of one item, as long as a short note that a customer has written about something"})
-	}
+	request := batchstore.SubmitRequest{Shard: shardIndex, Batch: f.newBatch(id), Timeout: 2 * clock.Second}
 	edge.runStep(func() {
-		f.request(edge, owner.peer, batchstore.SubmitRequest{Shard: shardIndex, Batch: batch, Timeout: 2 * clock.Second}, 3*clock.Second, func(_ any, err error) {
+		f.request(edge, owner.peer, request, 3*clock.Second, func(_ any, err error) {
 			if err != nil {
 				f.batches.rejected++
 			}
 		})
 	})
 }
+
+// pickStoreAndEdge are the store of an identity and an edge at random; nil where it is down.
+func (f *Fleet) pickStoreAndEdge(storeID string) (store, edge *daemon) {
+	for _, d := range f.daemons {
+		if d.id == storeID && d.up {
+			store = d
+		}
+		if d.kind == membership.Edge && d.up && (edge == nil || f.rng.Intn(4) == 0) {
+			edge = d
+		}
+	}
+	return store, edge
+}
+
+func (f *Fleet) newBatch(id string) shard.Batch {
+	tenant := f.rng.Int63n(f.Settings.Tenants)
+	route := 2 + 3*f.rng.Int63n(max(1, f.Settings.Routes/3)) // every third is one for batches
+	batch := shard.Batch{ID: id, Tenant: fmt.Sprintf("tenant-%03d", tenant), Key: id, Hash: id, Route: fmt.Sprintf("route-%03d", route)}
+	for i := range f.Settings.BatchItems {
+		batch.Items = append(batch.Items, shard.Item{ID: fmt.Sprintf("item-%d", i), Input: itemInput})
+	}
+	return batch
+}
