--- a/test/faultinject/configurations.go
+++ b/test/faultinject/configurations.go
@@ -10,35 +10,44 @@
 	"sync"
 	"time"
 
+	"github.com/pkg/errors"
+
 	"tuliprudder/internal/controlplane/state"
 	"tuliprudder/test/localfleet"
 	"tuliprudder/test/verify"
 )
 
-// configurationPutter puts whole configurations for as long as callers call, and checks how they come
-// into force.
+// configurationPutter puts configurations for as long as the callers call, and checks how they
+// come into force.
 type configurationPutter struct {
-	fleet      *localfleet.Fleet
-	mu         sync.Mutex
+	fleet *localfleet.Fleet
+
+	mu         sync.Mutex // guards what follows
 	guarantee  verify.Guarantee
 	confirmed  map[uint64]string // documents by version
-	newestSeen map[string]uint64 // the newest version seen, by edge
+	newestSeen map[string]uint64 // newest version seen, by edge
 }
 
 const (
-	putInterval = 700 * time.Millisecond  // between two configurations
-	applyBound  = 2500 * time.Millisecond // "2 s", with a grace
+	// putInterval is the time between two configurations.
+	putInterval = 700 * time.Millisecond
+	// applyBound is within which a confirmed configuration has to be in force: 2 s, with a grace.
+	applyBound = 2500 * time.Millisecond
 	// readBackBound is how long a version may take to be read back.
 	readBackBound = 15 * time.Second
 )
 
-// startConfigurationPuts puts whole configurations all the while, now and then two at once, and watches
-// that each is in force everywhere within 2 s and that nobody goes back. The
-// returned function ends it and gives the verdict.
-func startConfigurationPuts(ctx context.Context, c *localfleet.Fleet) func() verify.Guarantee {
+// startConfigurationPuts puts configurations until it is finished, now and then two at once, and
+// checks that each is in force everywhere within 2 s and that no edge goes back. The
+// returned function ends it and returns the verdict.
+func startConfigurationPuts(ctx context.Context, fleet *localfleet.Fleet) (finish func() verify.Guarantee) {
 	ctx, cancel := context.WithCancel(ctx)
-	p := &configurationPutter{fleet: c, confirmed: map[uint64]string{}, newestSeen: map[string]uint64{},
-		guarantee: verify.Guarantee{Name: "a confirmed plan is in force within 2 s, never slips back, reads back", IsTimeBound: true}}
+	p := &configurationPutter{
+		fleet:      fleet,
+		confirmed:  map[uint64]string{},
+		newestSeen: map[string]uint64{},
+		guarantee:  verify.Guarantee{Name: "a confirmed configuration is in force within 2 s, never goes back, reads back", IsTimeBound: true},
+	}
 	done := make(chan struct{})
 	go func() { defer close(done); p.run(ctx) }()
 	return func() verify.Guarantee {
@@ -55,6 +64,7 @@
 	p.guarantee.Violations = append(p.guarantee.Violations, fmt.Sprintf(format, args...))
 }
 
+// run puts configurations until ctx ends.
 func (p *configurationPutter) run(ctx context.Context) {
 	random := rand.New(rand.NewSource(5))
 	for number := 1; ctx.Err() == nil; number += 2 {
@@ -90,13 +100,10 @@
 
 // put puts a configuration at an edge and returns its version; 0 where it was not confirmed.
 func (p *configurationPutter) put(number int, edge string) uint64 {
-	var configuration map[string]any
-	data, err := os.ReadFile(p.fleet.Spec.ConfigurationFile)
-	if err != nil || json.Unmarshal(data, &configuration) != nil {
+	body, err := p.document(number)
+	if err != nil {
 		return 0
 	}
-	configuration["judges"] = map[string]any{"speed": 1 + float64(number)/1000}
-	body, _ := json.Marshal(configuration)
 	var got struct {
 		Version uint64 `json:"version"`
 	}
@@ -105,15 +112,29 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if known, taken := p.confirmed[got.Version]; taken && known != string(body) {
-		p.guarantee.Violations = append(p.guarantee.Violations, fmt.Sprintf("version %d was confirmed for two plans", got.Version))
+	if known, confirmed := p.confirmed[got.Version]; confirmed && known != string(body) {
+		p.guarantee.Violations = append(p.guarantee.Violations, fmt.Sprintf("version %d was confirmed for two documents", got.Version))
 	}
 	p.confirmed[got.Version] = string(body)
 	return got.Version
 }
 
-// awaitInForce waits until an edge has a version in force. An edge that is out of
-// reach has no configuration in force to judge.
+// document is the deployment's configuration with a scoring weight that tells it from others.
+func (p *configurationPutter) document(number int) ([]byte, error) {
+	data, err := os.ReadFile(p.fleet.Spec.ConfigurationFile)
+	if err != nil {
+		return nil, errors.Wrap(err, "reading the configuration")
+	}
+	var configuration map[string]any
+	if err := json.Unmarshal(data, &configuration); err != nil {
+		return nil, errors.Wrap(err, "decoding the configuration")
+	}
+	configuration["judges"] = map[string]float64{"speed": 1 + float64(number)/1000}
+	return json.Marshal(configuration)
+}
+
+// awaitInForce waits until an edge has a version in force. An edge that can't be reached is
+// not checked.
 func (p *configurationPutter) awaitInForce(ctx context.Context, edge string, newest uint64, confirmed time.Time) {
 	for newest > 0 && ctx.Err() == nil {
 		version := p.versionInForce(edge)
@@ -122,7 +143,7 @@
 		}
 		if time.Since(confirmed) > applyBound {
 			if p.fleet.Call(edge, http.MethodGet, "/ready", nil, nil) == nil {
-				p.addViolation("%s had plan %d in force %v after %d was confirmed", edge, version, time.Since(confirmed), newest)
+				p.addViolation("%s had configuration %d in force %v after %d was confirmed", edge, version, time.Since(confirmed), newest)
 			}
 			return
 		}
@@ -131,7 +152,7 @@
 }
 
 // versionInForce is the version in force at an edge, which may never go back; 0 where the
-// edge is out of reach.
+// edge can't be reached.
 func (p *configurationPutter) versionInForce(edge string) uint64 {
 	var got struct {
 		Version uint64 `json:"version"`
@@ -142,14 +163,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if got.Version < p.newestSeen[edge] {
-		p.guarantee.Violations = append(p.guarantee.Violations, fmt.Sprintf("%s went back from plan %d to %d", edge, p.newestSeen[edge], got.Version))
+		p.guarantee.Violations = append(p.guarantee.Violations, fmt.Sprintf("%s went back from configuration %d to %d", edge, p.newestSeen[edge], got.Version))
 	}
 	p.newestSeen[edge] = got.Version
 	return got.Version
 }
 
-// configurationList is what an edge lists of the configurations: the versions whose documents can be read
-// back, and the orders that are recognised by the digest of theirs.
+// configurationList is an edge's list of the configurations: the versions whose documents can
+// be read back, and those whose documents are recognised by their digest.
 type configurationList struct {
 	Configurations []struct {
 		Version uint64 `json:"version"`
@@ -160,8 +181,8 @@
 	} `json:"orders"`
 }
 
-// readBack reads every confirmed version back; one whose document gave way to newer ones
-// has to stand in the list under the digest of that very document.
+// readBack reads every confirmed version back; one whose document gave way to newer ones has to
+// be listed under the digest of that very document.
 func (p *configurationPutter) readBack() {
 	edge := p.fleet.Names("edge")[0]
 	var list configurationList
@@ -170,7 +191,7 @@
 		return p.fleet.Call(edge, http.MethodGet, "/v1/operator/plans", nil, &list)
 	})
 	if err != nil {
-		p.addViolation("the plans can't be listed: %v", err)
+		p.addViolation("the configurations can't be listed: %v", err)
 	}
 	kept, digests := map[uint64]bool{}, map[uint64]string{}
 	for _, configuration := range list.Configurations {
@@ -183,7 +204,7 @@
 		if kept[version] {
 			p.readDocumentBack(edge, version, body)
 		} else if digest, err := state.DigestOf([]byte(body)); err != nil || digests[version] != digest.String() {
-			p.addViolation("plan %d is neither kept nor known by its digest: %v", version, err)
+			p.addViolation("configuration %d is neither kept nor known by its digest: %v", version, err)
 		}
 		p.guarantee.Checked++
 	}
@@ -198,52 +219,26 @@
 		return p.fleet.Call(edge, http.MethodGet, fmt.Sprintf("/v1/operator/plans/%d", version), nil, &got)
 	})
 	if err != nil || string(got.Configuration) != body {
-		p.addViolation("plan %d does not read back: %v", version, err)
+		p.addViolation("configuration %d does not read back: %v", version, err)
 	}
 }
 
-// startQuotaAudit adds up what waits of each tenant over all daemons.
-func startQuotaAudit(ctx context.Context, c *localfleet.Fleet) func() verify.Guarantee {
-	ctx, cancel := context.WithCancel(ctx)
-	p := verify.Guarantee{Name: "a customer's waiting work stays within its allowance, by about a tenth"}
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		for ctx.Err() == nil {
-			waiting, quota := map[string]int64{}, map[string]int64{}
-			for _, name := range append(c.Names("edge"), c.Names("store")...) {
-				var got struct {
-					Shares map[string]struct {
-						Waiting int64 `json:"held"`
-					} `json:"shares"`
-					Accounts map[string]struct {
-						Quota int64 `json:"allowance"`
-					} `json:"accounts"`
-				}
-				if c.Call(name, http.MethodGet, "/v1/operator/purse", nil, &got) != nil {
-					continue
-				}
-				for tenant, share := range got.Shares {
-					waiting[tenant] += share.Waiting
-				}
-				for tenant, account := range got.Accounts {
-					quota[tenant] = max(quota[tenant], account.Quota)
-				}
-			}
-			for tenant, limit := range quota {
-				if limit == 0 {
-					continue
-				}
-				p.Checked++
-				if waiting[tenant]*10 > limit*11 {
-					p.Violations = append(p.Violations, fmt.Sprintf("%d of %s wait; its allowance is %d", waiting[tenant], tenant, limit))
-				}
-			}
-			select {
-			case <-time.After(150 * time.Millisecond):
-			case <-ctx.Done():
+// readConfigurationsBack reads every configuration that an edge lists at the end of the run.
+func readConfigurationsBack(fleet *localfleet.Fleet) error {
+	edge := fleet.Names("edge")[0]
+	return localfleet.WaitUntil(15*time.Second, func() error {
+		var list configurationList
+		if err := fleet.Call(edge, http.MethodGet, "/v1/operator/plans", nil, &list); err != nil {
+			return err
+		}
+		for _, configuration := range list.Configurations {
+			if err := fleet.Call(edge, http.MethodGet, fmt.Sprintf("/v1/operator/plans/%d", configuration.Version), nil, nil); err != nil {
+				return err
 			}
 		}
-	}()
-	return func() verify.Guarantee { cancel(); <-done; return p }
+		if len(list.Configurations) == 0 {
+			return errors.New("no configuration can be read back")
+		}
+		return nil
+	})
 }
--- a/test/faultinject/counters.go
+++ b/test/faultinject/counters.go
@@ -8,31 +8,53 @@
 	"tuliprudder/test/localfleet"
 )
 
-// CounterSummary adds up what the daemons counted, for the measurements page.
-func CounterSummary(c *localfleet.Fleet) string {
+// kindFigures are the counters of the daemons of one kind.
+type kindFigures struct {
+	daemons                 int
+	maxHeap, maxResident    int64 // bytes
+	messagesSent, bytesSent int64
+	syncs                   int64
+	entriesConfirmed, reads int64
+}
+
+func readFigures(fleet *localfleet.Fleet, kind string) kindFigures {
+	var f kindFigures
+	for _, name := range fleet.Names(kind) {
+		var counters map[string]int64
+		if fleet.Call(name, http.MethodGet, "/counters", nil, &counters) != nil {
+			continue
+		}
+		f.daemons++
+		f.maxHeap = max(f.maxHeap, counters["heap_bytes"])
+		f.maxResident = max(f.maxResident, fleet.ResidentBytes(name))
+		f.messagesSent += counters["messages_sent"]
+		f.bytesSent += counters["bytes_out"]
+		f.syncs += counters["disk_syncs"]
+		f.entriesConfirmed += counters["entries_confirmed"]
+		f.reads += counters["reads"]
+	}
+	return f
+}
+
+func mebibytes(bytes int64) float64 { return float64(bytes) / (1 << 20) }
+
+// CounterSummary adds up the counters of the daemons, for the measurements page.
+func CounterSummary(fleet *localfleet.Fleet) string {
 	var out strings.Builder
-	sums := map[string]int64{}
+	var entries, reads, storeSyncs int64
 	for _, kind := range []string{"edge", "store", "core"} {
-		var heap, resident, sent, bytes, syncs int64
-		count := 0
-		for _, name := range c.Names(kind) {
-			var counters map[string]int64
-			if c.Call(name, http.MethodGet, "/counters", nil, &counters) != nil {
-				continue
-			}
-			count++
-			heap, resident = max(heap, counters["heap_bytes"]), max(resident, c.ResidentBytes(name))
-			sent, bytes, syncs = sent+counters["messages_sent"], bytes+counters["bytes_out"], syncs+counters["disk_syncs"]
-			for _, counter := range []string{"entries_confirmed", "reads"} {
-				sums[counter] += counters[counter]
-			}
+		f := readFigures(fleet, kind)
+		fmt.Fprintf(&out, "figures  %d %ss: largest resident %.1f MiB, heap %.1f MiB; messages %d, bytes sent %.2f MiB, syncs %d\n",
+			f.daemons, kind, mebibytes(f.maxResident), mebibytes(f.maxHeap), f.messagesSent, mebibytes(f.bytesSent), f.syncs)
+		entries += f.entriesConfirmed
+		reads += f.reads
+		if kind == "store" {
+			storeSyncs = f.syncs
 		}
-		sums["syncs"] += syncs
-		fmt.Fprintf(&out, "figures  %d %ss: largest resident %.1f MiB, heap %.1f MiB; messages %d, bytes sent %.2f MiB, syncs %d\n", count, kind, float64(resident)/(1<<20), float64(heap)/(1<<20), sent, float64(bytes)/(1<<20), syncs)
-		sums[kind+" syncs"] = syncs
 	}
-	if entries := sums["entries_confirmed"]; entries > 0 {
-		fmt.Fprintf(&out, "figures  store syncs for each entry (bundle, row, claim) on two disks: %.2f (%d entries); asks of readers: %d\n", float64(sums["store syncs"])/float64(entries), entries, sums["reads"])
+	if entries > 0 {
+		fmt.Fprintf(&out, "figures  store syncs for each entry (batch, result, claim) on two disks: %.2f (%d entries); reads: %d\n",
+			float64(storeSyncs)/float64(entries), entries, reads)
 	}
 	return out.String()
 }
--- a/test/faultinject/daemons.go
+++ b/test/faultinject/daemons.go
@@ -1,14 +1,11 @@
 package faultinject
 
 import (
-	"net/http"
 	"os"
 	"path/filepath"
 	"time"
 
 	"github.com/pkg/errors"
-
-	"tuliprudder/test/localfleet"
 )
 
 func (s *scenario) crash(choose chooseDaemon, downtime time.Duration, wipe bool) error {
@@ -71,40 +68,37 @@
 	return nil
 }
 
+// restartAll kills all daemons of a kind at once and starts them again.
 func (s *scenario) restartAll(kind string) error {
 	names := s.fleet.Names(kind)
 	for _, name := range names {
 		s.fleet.Kill(name)
 	}
 	s.wait(time.Second)
-	for _, name := range names {
-		if err := s.fleet.StartDaemon(name); err != nil {
-			return err
-		}
-	}
-	return nil
+	return s.startAll(names)
 }
 
 func (s *scenario) restartAllCores() error { return s.restartAll("core") }
 
 func (s *scenario) restartAllStores() error { return s.restartAll("store") }
 
-// stallDisk holds back every write of the busiest store's disk for a span.
+// stallDisk has the disk of the busiest store sync nothing for a span: its build looks for a
+// file of this name.
 func (s *scenario) stallDisk(span time.Duration) error {
 	name, err := s.busiestStore()
 	if err != nil {
 		return err
 	}
-	mark := filepath.Join(s.fleet.Get(name).Data, "STALL")
-	if err := os.WriteFile(mark, nil, 0o644); err != nil {
+	stallFile := filepath.Join(s.fleet.Get(name).Data, "STALL")
+	if err := os.WriteFile(stallFile, nil, 0o644); err != nil {
 		return errors.Wrap(err, "stalling a disk")
 	}
 	s.wait(span)
-	return errors.Wrap(os.Remove(mark), "letting a disk go on")
+	return errors.Wrap(os.Remove(stallFile), "ending the stall of a disk")
 }
 
-// rollingRestart drains and starts every daemon in turn, as a release of them does;
-// each has to be ready before the next one goes.
+// rollingRestart drains and starts every daemon in turn, as a release of them does; each has to
+// be ready before the next one drains.
 func (s *scenario) rollingRestart() error {
 	for _, kind := range []string{"store", "core", "edge"} {
 		for _, name := range s.fleet.Names(kind) {
@@ -112,7 +106,7 @@
 			if err := s.fleet.StartDaemon(name); err != nil {
 				return err
 			}
-			if err := localfleet.WaitUntil(60*time.Second, func() error { return s.fleet.Call(name, http.MethodGet, "/ready", nil, nil) }); err != nil {
+			if err := s.awaitReady(name); err != nil {
 				return errors.Wrap(err, name)
 			}
 			s.wait(time.Second)
--- a/test/faultinject/faults.go
+++ b/test/faultinject/faults.go
@@ -1,17 +1,19 @@
-// Package faultinject takes a running fleet through a failure while callers call, and
-// scorers (DESIGN §9).
+// Package faultinject injects a fault into a running fleet while callers use it, and returns the
+// verdict on every guarantee (DESIGN §9). Faults are known by name; flags of cmd/localfleet and
+// cmd/zonedrill give them, so the names stay. A fleet takes one Run at a time.
 package faultinject
 
 import (
 	"fmt"
 	"io"
-	"sort"
+	"maps"
+	"slices"
 	"time"
 )
 
-// faultActions are the failures that can be caused, by name.
+// faultActions are the faults by name.
 var faultActions = map[string]func(s *scenario) error{
-	"none":         func(*scenario) error { return nil },
+	noFault:        func(*scenario) error { return nil },
 	"kill-writer":  func(s *scenario) error { return s.crash(s.busiestStore, 4*time.Second, false) },
 	"wipe-writer":  func(s *scenario) error { return s.crash(s.busiestStore, 4*time.Second, true) },
 	"freeze-store": func(s *scenario) error { return s.pause(s.busiestStore, 9*time.Second) },
@@ -45,21 +47,16 @@
 	"surge":        func(s *scenario) error { return s.surge() },
 }
 
-// FaultNames lists the names.
+// FaultNames lists the names of the faults.
 func FaultNames() []string {
-	out := make([]string, 0, len(faultActions))
-	for name := range faultActions {
-		out = append(out, name)
-	}
-	sort.Strings(out)
-	return out
+	return slices.Sorted(maps.Keys(faultActions))
 }
 
 // formerFaultNames has the names of the release before; they are read for one release,
 // with a warning.
 var formerFaultNames = map[string]string{"flock": "surge", "flock-kill": "surge-kill"}
 
-// currentFaultName is a failure's name as it is now.
+// currentFaultName is a fault's name as it is now; a former name is warned of.
 func currentFaultName(name string, warnings io.Writer) string {
 	current, former := formerFaultNames[name]
 	if !former {
--- a/test/faultinject/run.go
+++ b/test/faultinject/run.go
@@ -2,9 +2,6 @@
 
 import (
 	"context"
-	"fmt"
-	"net/http"
-	"strings"
 	"time"
 
 	"github.com/pkg/errors"
@@ -13,105 +10,107 @@
 	"tuliprudder/test/verify"
 )
 
-// Run lets callers call, causes the failure, and scorers.
-func Run(ctx context.Context, c *localfleet.Fleet, set Settings) (verify.Verdict, error) {
-	workload := set.Workload(func() []string {
-		var out []string
-		for _, name := range c.Names("edge") {
-			out = append(out, c.Get(name).HTTP)
-		}
-		return out
+const (
+	// noFault is the name of the run without a fault.
+	noFault = "none"
+	// timeBeforeFault is how long the callers call before the fault.
+	timeBeforeFault = 2 * time.Second
+	// minBatchesForCoverage is from how many batches on a run has to check every guarantee.
+	minBatchesForCoverage = 9
+)
+
+// Run lets callers call, injects the fault of the settings, and returns the verdict. An error
+// means that the fault could not be injected or the records not be read.
+func Run(ctx context.Context, fleet *localfleet.Fleet, settings Settings) (verify.Verdict, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel() // ends the puts and the audit on every path
+	s := &scenario{ctx: ctx, fleet: fleet, settings: settings}
+	workload := settings.Workload(s.edgeAddresses)
+	workload.NoFaults = settings.Fault == noFault
+	finishPuts := startConfigurationPuts(ctx, fleet)
+	finishAudit := startQuotaAudit(ctx, fleet)
+	if err := s.injectDuring(workload); err != nil {
+		return verify.Verdict{}, errors.Wrap(err, "injecting the fault")
+	}
+	if err := readConfigurationsBack(fleet); err != nil {
+		return verify.Verdict{}, err
+	}
+	return s.verdict(workload, func() []verify.Guarantee {
+		return []verify.Guarantee{finishPuts(), finishAudit()}
 	})
-	workload.NoFaults = set.Fault == "none"
-	s := &scenario{ctx: ctx, fleet: c, settings: set}
-	finishPuts := startConfigurationPuts(ctx, c)
-	finishAudit := startQuotaAudit(ctx, c)
+}
+
+// injectDuring runs the workload to its end, and injects the fault meanwhile.
+func (s *scenario) injectDuring(workload *verify.Workload) error {
 	done := make(chan struct{})
-	go func() { defer close(done); workload.Run(ctx) }()
-	var failed error
-	if set.Fault != "none" {
+	go func() {
+		defer close(done)
+		workload.Run(s.ctx)
+	}()
+	var err error
+	if s.settings.Fault != noFault {
 		select {
-		case <-time.After(2 * time.Second):
-			failed = faultActions[set.Fault](s)
+		case <-time.After(timeBeforeFault):
+			err = faultActions[s.settings.Fault](s)
 		case <-done:
 		}
 	}
 	<-done
-	if failed != nil {
-		return verify.Verdict{}, errors.Wrap(failed, "causing the failure")
-	}
-	if err := readConfigurationsBack(c); err != nil {
-		return verify.Verdict{}, err
-	}
-	var files []string
-	for _, name := range c.Names("modelserver") {
-		files = append(files, c.StartsFile(name))
-	}
-	starts, err := verify.ReadStarts(files)
+	return err
+}
+
+// verdict checks the records of all workloads, and adds the guarantees that were checked while
+// they ran.
+func (s *scenario) verdict(workload *verify.Workload, finish func() []verify.Guarantee) (verify.Verdict, error) {
+	starts, err := verify.ReadStarts(s.startLogs())
 	if err != nil {
 		return verify.Verdict{}, err
 	}
 	verdict := workload.Verdict(starts, s.drainingSpans)
-	verdict.Guarantees = append(verdict.Guarantees, finishPuts(), finishAudit())
-	if set.LiveWorkers > 0 && set.Batches > 8 {
-		addUnchecked(verdict.Guarantees, set.Fault)
+	verdict.Guarantees = append(verdict.Guarantees, finish()...)
+	if s.settings.LiveWorkers > 0 && s.settings.Batches >= minBatchesForCoverage {
+		addUnchecked(verdict.Guarantees, s.settings.Fault)
 	}
-	for _, other := range s.workloads {
-		more := other.Verdict(starts, s.drainingSpans)
-		for _, guarantee := range more.Guarantees {
-			guarantee.Name = "surge: " + guarantee.Name
-			verdict.Guarantees = append(verdict.Guarantees, guarantee)
-		}
-		for name, count := range more.Counts {
-			verdict.Counts["surge: "+name] = count
-		}
+	for _, surge := range s.workloads {
+		mergeSurge(&verdict, surge.Verdict(starts, s.drainingSpans))
 	}
 	return verdict, nil
 }
 
-// optionalGuarantees lists what a run need not put to the test, by the beginning of the
-// promise's name; the failure that causes it must.
+func (s *scenario) startLogs() []string {
+	var files []string
+	for _, name := range s.fleet.Names("modelserver") {
+		files = append(files, s.fleet.StartsFile(name))
+	}
+	return files
+}
+
+// mergeSurge adds the verdict of a surge under names of its own.
+func mergeSurge(verdict *verify.Verdict, surge verify.Verdict) {
+	for _, guarantee := range surge.Guarantees {
+		guarantee.Name = "surge: " + guarantee.Name
+		verdict.Guarantees = append(verdict.Guarantees, guarantee)
+	}
+	for name, count := range surge.Counts {
+		verdict.Counts["surge: "+name] = count
+	}
+}
+
+// optionalGuarantees lists what a run need not check, by name; the faults that concern it
+// must.
 var optionalGuarantees = map[string]map[string]bool{
-	"a leaving server": {"leave-server": true, "roll-servers": true},
+	verify.DrainingGuarantee: {"leave-server": true, "roll-servers": true},
 }
 
-// addUnchecked makes a breach of every promise that the run had to put to the test and
-// did not: a verdict of nothing proves nothing.
+// addUnchecked makes a violation of every guarantee that the run had to check and did not: a
+// verdict on nothing proves nothing.
 func addUnchecked(guarantees []verify.Guarantee, fault string) {
 	for i := range guarantees {
 		p := &guarantees[i]
-		mandatory := true
-		for name, causes := range optionalGuarantees {
-			if strings.HasPrefix(p.Name, name) {
-				mandatory = causes[fault]
-			}
-		}
-		if mandatory && p.Checked == 0 {
-			p.Violations = append(p.Violations, "the run did not put it to the test")
+		faults, isOptional := optionalGuarantees[p.Name]
+		isMandatory := !isOptional || faults[fault]
+		if isMandatory && p.Checked == 0 {
+			p.Violations = append(p.Violations, "the run did not check it")
 		}
 	}
 }
-
-// readConfigurationsBack reads every configuration version back at the end of the day.
-func readConfigurationsBack(c *localfleet.Fleet) error {
-	edge := c.Names("edge")[0]
-	return localfleet.WaitUntil(15*time.Second, func() error {
-		var list struct {
-			Configurations []struct {
-				Version uint64 `json:"version"`
-			} `json:"plans"`
-		}
-		if err := c.Call(edge, http.MethodGet, "/v1/operator/plans", nil, &list); err != nil {
-			return err
-		}
-		for _, configuration := range list.Configurations {
-			if err := c.Call(edge, http.MethodGet, fmt.Sprintf("/v1/operator/plans/%d", configuration.Version), nil, nil); err != nil {
-				return err
-			}
-		}
-		if len(list.Configurations) == 0 {
-			return errors.New("no plan can be read back")
-		}
-		return nil
-	})
-}
--- a/test/faultinject/scenario.go
+++ b/test/faultinject/scenario.go
@@ -12,14 +12,16 @@
 	"tuliprudder/test/verify"
 )
 
+// scenario is a fleet with the callers and the fault of one run.
 type scenario struct {
 	ctx           context.Context
 	fleet         *localfleet.Fleet
 	settings      Settings
 	drainingSpans []verify.DrainingSpan
-	workloads     []*verify.Workload // others' than the run's own
+	workloads     []*verify.Workload // of surges, beside the run's own
 }
 
+// wait waits for a span, or until the run is cancelled.
 func (s *scenario) wait(d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -27,6 +29,16 @@
 	}
 }
 
+// edgeAddresses are the HTTP addresses of the edges that there are now.
+func (s *scenario) edgeAddresses() []string {
+	var out []string
+	for _, name := range s.fleet.Names("edge") {
+		out = append(out, s.fleet.Get(name).HTTP)
+	}
+	return out
+}
+
+// get reads from the first edge that answers.
 func (s *scenario) get(path string, into any) error {
 	var err error
 	for _, edge := range s.fleet.Names("edge") {
@@ -47,7 +59,7 @@
 	return "", errors.Errorf("no daemon at %s", peer)
 }
 
-// busiestStore is the store that owns most slots.
+// busiestStore is the store that owns most shards.
 func (s *scenario) busiestStore() (string, error) {
 	var m state.Map
 	if err := s.get("/v1/operator/map", &m); err != nil {
@@ -64,6 +76,7 @@
 	return s.nameByPeer(m.Stores[best].Peer)
 }
 
+// primary is the core that serves.
 func (s *scenario) primary() (string, error) {
 	var core state.CoreUpdate
 	if err := s.get("/v1/operator/core", &core); err != nil {
@@ -76,4 +89,5 @@
 
 func (s *scenario) firstServer() (string, error) { return s.fleet.Names("modelserver")[0], nil }
 
+// chooseDaemon names the daemon that a fault is for.
 type chooseDaemon func() (string, error)
--- a/test/faultinject/settings.go
+++ b/test/faultinject/settings.go
@@ -12,35 +12,37 @@
 
 // Settings of a run; a deployment's file gives most.
 type Settings struct {
-	Name, ConfigurationFile      string
-	Zones, Edges, Stores         int64
-	Cores, Servers, Items        int64
-	ServerSlots, Chunks, ChunkUS int64
-	LiveKeys, BatchKey           string
-	BatchRoute                   string
-	LiveWorkers, Batches         int64
-	BatchIntervalUS, Seed        int64
-	Fault                        string
-	Race, KeepFiles              bool
-	Zone                         string
-	ReadTimeout                  time.Duration // to read a batch whole; 0: the callers' own
+	Name, ConfigurationFile              string
+	Zones, Edges, Stores, Cores, Servers int64
+	ServerSlots                          int64  // concurrency slots of a server
+	Items                                int64  // of a batch
+	Chunks, ChunkUS                      int64  // of an answer, and the time to make one in µs
+	LiveKeys                             string // API keys of live callers, with commas between
+	BatchKey, BatchRoute                 string // of the caller of batches
+	LiveWorkers, Batches                 int64
+	BatchIntervalUS                      int64 // between two batches, in µs
+	Seed                                 int64
+	Fault                                string // one of FaultNames
+	Zone                                 string // that a fault of a zone is for; "": zone-1
+	Race, KeepFiles                      bool
+	ReadTimeout                          time.Duration // to read a complete batch; 0: the callers' own
 }
 
-// BuildArgs are the compiler's words for the build.
+// BuildArgs are the arguments of go build.
 func (s *Settings) BuildArgs() []string {
 	var args []string
 	if s.Race {
 		args = append(args, "-race")
 	}
 	if s.Fault == "stall-disk" {
-		// A disk can't be stalled from outside: these stores can hold writes back.
+		// A disk can't be stalled from outside: stores of this build can delay their writes.
 		os.Setenv("TULIPRUDDER_PLANT", "stall")
 		args = append(args, "-tags", "planted")
 	}
 	return args
 }
 
-// Flags hangs the settings on a reader.
+// Flags defines the flags of the settings, and checks them.
 func (s *Settings) Flags(r *settings.Reader) {
 	r.Flags.StringVar(&s.Name, "name", "fleet", "name of the deployment")
 	r.Flags.StringVar(&s.ConfigurationFile, "plan", "deploy/ghent.plan.json", "the plan to put")
@@ -71,21 +73,46 @@
 	})
 }
 
-// Spec is the fleet the settings describe.
+// Spec is the fleet that the settings describe.
 func (s *Settings) Spec() localfleet.Spec {
-	return localfleet.Spec{Name: s.Name, Zones: int(s.Zones), Edges: int(s.Edges), Stores: int(s.Stores), Cores: int(s.Cores), Servers: int(s.Servers),
-		Items: int(s.Items), ConfigurationFile: s.ConfigurationFile, Chunks: int(s.Chunks), ChunkUS: s.ChunkUS, ServerSlots: int(s.ServerSlots)}
+	return localfleet.Spec{
+		Name:              s.Name,
+		Zones:             int(s.Zones),
+		Edges:             int(s.Edges),
+		Stores:            int(s.Stores),
+		Cores:             int(s.Cores),
+		Servers:           int(s.Servers),
+		Items:             int(s.Items),
+		ConfigurationFile: s.ConfigurationFile,
+		Chunks:            int(s.Chunks),
+		ChunkUS:           s.ChunkUS,
+		ServerSlots:       int(s.ServerSlots),
+	}
 }
 
-// Workload is the callers the settings describe.
+// Workload is the callers that the settings describe.
 func (s *Settings) Workload(edges func() []string) *verify.Workload {
-	return &verify.Workload{Edges: edges, Seed: s.Seed, LiveKeys: strings.Split(s.LiveKeys, ","), BatchKey: s.BatchKey, BatchRoute: s.BatchRoute,
-		Items: int(s.Items), Chunks: int(s.Chunks), LiveWorkers: int(s.LiveWorkers), Batches: int(s.Batches), BatchInterval: time.Duration(s.BatchIntervalUS) * time.Microsecond, ReadTimeout: s.ReadTimeout}
+	return &verify.Workload{
+		Edges:         edges,
+		Seed:          s.Seed,
+		LiveKeys:      strings.Split(s.LiveKeys, ","),
+		BatchKey:      s.BatchKey,
+		BatchRoute:    s.BatchRoute,
+		Items:         int(s.Items),
+		Chunks:        int(s.Chunks),
+		LiveWorkers:   int(s.LiveWorkers),
+		Batches:       int(s.Batches),
+		BatchInterval: time.Duration(s.BatchIntervalUS) * time.Microsecond,
+		ReadTimeout:   s.ReadTimeout,
+	}
 }
 
+// defaultFaultZone is the zone that faults of a zone are for where none is named.
+const defaultFaultZone = "zone-1"
+
 func (s *Settings) faultZone() string {
 	if s.Zone != "" {
 		return s.Zone
 	}
-	return "zone-1"
+	return defaultFaultZone
 }
--- /dev/null
+++ b/test/localfleet/daemon.go
@@ -0,0 +1,165 @@
+package localfleet
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"syscall"
+
+	"github.com/pkg/errors"
+)
+
+// Kinds of daemon: the names of their programs.
+const (
+	kindCore        = "core"
+	kindStore       = "store"
+	kindEdge        = "edge"
+	kindModelServer = "modelserver"
+)
+
+// Daemon is one process and how it is started.
+type Daemon struct {
+	Name, Kind, Zone string
+	IP               string
+	Peer             string // address for other daemons; they reach it through the network
+	HTTP             string // address for callers and operators
+	Data             string // folder; "" where it has none
+
+	args   []string
+	cmd    *exec.Cmd     // guarded by the fleet's mu
+	exited chan struct{} // closed once the process has ended; guarded by the fleet's mu
+}
+
+// addressesPerOctet is how many addresses are used of each last octet.
+const addressesPerOctet = 200
+
+// newAddress gives each process an address of its own on the loopback network.
+func (f *Fleet) newAddress() string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.nextAddress++
+	return fmt.Sprintf("127.%d.%d.%d", f.octet, 1+f.nextAddress/addressesPerOctet, 1+f.nextAddress%addressesPerOctet)
+}
+
+// freeAddress is an address with a port that the kernel finds free.
+func freeAddress(ip string) (string, error) {
+	listener, err := net.Listen("tcp", ip+":0")
+	if err != nil {
+		return "", errors.Wrap(err, "finding a free port")
+	}
+	defer listener.Close()
+	return listener.Addr().String(), nil
+}
+
+// prepare lays a daemon out without starting it.
+func (f *Fleet) prepare(kind, name, zone string) (*Daemon, error) {
+	d := &Daemon{Name: name, Kind: kind, Zone: zone, IP: f.newAddress()}
+	var err error
+	if d.Peer, err = freeAddress(d.IP); err != nil {
+		return nil, err
+	}
+	if d.HTTP, err = freeAddress(d.IP); err != nil {
+		return nil, err
+	}
+	if kind != kindModelServer {
+		if err := f.prepareArgs(d); err != nil {
+			return nil, err
+		}
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.daemons[name] = d
+	return d, nil
+}
+
+// prepareArgs puts a daemon behind the network and gives it its folder.
+func (f *Fleet) prepareArgs(d *Daemon) error {
+	listen, err := freeAddress(d.IP)
+	if err != nil {
+		return err
+	}
+	if err := f.Network.Relay(d.Peer, listen); err != nil {
+		return err
+	}
+	d.args = []string{"-zone", d.Zone, "-peer", d.Peer, "-peer-listen", listen, "-http", d.HTTP, "-log", filepath.Join(f.Dir, d.Name+".log")}
+	if d.Kind != kindEdge {
+		d.Data = filepath.Join(f.Dir, d.Name+".data")
+		d.args = append(d.args, "-data", d.Data)
+	}
+	return nil
+}
+
+// StartDaemon starts a daemon's process. It is killed when this process ends.
+func (f *Fleet) StartDaemon(name string) error {
+	d := f.Get(name)
+	cmd := exec.Command(filepath.Join(f.Bin, d.Kind), d.args...)
+	stderr, err := os.OpenFile(filepath.Join(f.Dir, name+".stderr"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	if err != nil {
+		return errors.Wrap(err, "opening the error file")
+	}
+	cmd.Stdout, cmd.Stderr = stderr, stderr
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := cmd.Start(); err != nil {
+		stderr.Close()
+		return errors.Wrapf(err, "starting %s", name)
+	}
+	exited := make(chan struct{})
+	go func() {
+		defer close(exited)
+		defer stderr.Close()
+		cmd.Wait() // most processes end by a signal: their status says nothing
+	}()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	d.cmd = cmd
+	d.exited = exited
+	return nil
+}
+
+const killSignal = syscall.SIGKILL
+
+func (f *Fleet) signal(name string, signal syscall.Signal) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if d := f.daemons[name]; d != nil && d.cmd != nil {
+		d.cmd.Process.Signal(signal)
+	}
+}
+
+// Kill kills a process and waits for its end.
+func (f *Fleet) Kill(name string) {
+	f.signal(name, killSignal)
+	f.Wait(name)
+}
+
+// Drain requests a graceful shutdown and waits for the end of the process.
+func (f *Fleet) Drain(name string) {
+	f.signal(name, syscall.SIGTERM)
+	f.Wait(name)
+}
+
+// Wait waits for a process to end.
+func (f *Fleet) Wait(name string) {
+	f.mu.Lock()
+	var exited chan struct{}
+	if d := f.daemons[name]; d != nil {
+		exited = d.exited
+	}
+	f.mu.Unlock()
+	if exited != nil {
+		<-exited
+	}
+}
+
+// Pause stops a process without ending it.
+func (f *Fleet) Pause(name string) { f.signal(name, syscall.SIGSTOP) }
+
+// Resume lets a paused process go on.
+func (f *Fleet) Resume(name string) { f.signal(name, syscall.SIGCONT) }
+
+// Wipe empties a daemon's data folder; its process has to have ended.
+func (f *Fleet) Wipe(name string) error {
+	return errors.Wrap(os.RemoveAll(f.Get(name).Data), "wiping a data folder")
+}
--- a/test/localfleet/localfleet_test.go
+++ b/test/localfleet/localfleet_test.go
@@ -15,36 +15,74 @@
 	"tuliprudder/test/localfleet"
 )
 
-// A small real fleet of processes, with a failure on the way; every promise is
-// judged by what callers and servers saw. Bounds are generous: the verdict does
-// not hang on the machine's speed.
-func TestASmallFleet(t *testing.T) {
-	if testing.Short() {
-		t.Skip("starts processes")
+// testSettings are those of a small fleet.
+func testSettings(root, fault string) faultinject.Settings {
+	return faultinject.Settings{
+		Name:              fault,
+		ConfigurationFile: filepath.Join(root, "deploy/ghent.plan.json"),
+		Zones:             3,
+		Edges:             2,
+		Stores:            3,
+		Cores:             3,
+		Servers:           3,
+		Items:             10,
+		ServerSlots:       8,
+		Chunks:            6,
+		ChunkUS:           4000,
+		LiveKeys:          "key-buyers,key-sellers",
+		BatchKey:          "key-notes",
+		BatchRoute:        "seller-notes",
+		LiveWorkers:       4,
+		Batches:           16,
+		BatchIntervalUS:   400_000,
+		Seed:              1,
+		Fault:             fault,
 	}
+}
+
+// build builds the programs and returns the repository's root and their folder.
+func build(t *testing.T, args ...string) (root, bin string) {
+	t.Helper()
 	root, err := filepath.Abs("../..")
 	if err != nil {
 		t.Fatal(err)
 	}
-	bin := filepath.Join(t.TempDir(), "bin")
-	if err := localfleet.Build(root, bin); err != nil {
+	bin = filepath.Join(t.TempDir(), "bin")
+	if err := localfleet.Build(root, bin, args...); err != nil {
+		t.Fatal(err)
+	}
+	return root, bin
+}
+
+// startFleet starts a fleet that is ready to serve, until the test ends.
+func startFleet(t *testing.T, set faultinject.Settings, bin string) *localfleet.Fleet {
+	t.Helper()
+	f := localfleet.New(set.Spec(), filepath.Join(t.TempDir(), "fleet"), bin)
+	t.Cleanup(f.Stop)
+	if err := f.Start(); err != nil {
 		t.Fatal(err)
 	}
+	if err := f.MakeReady(90 * time.Second); err != nil {
+		t.Fatal(err, logTails(f))
+	}
+	return f
+}
+
+// A small real fleet of processes, with a fault; every guarantee is checked by what callers
+// and servers recorded. Bounds on time are left out: the verdict does not depend on the
+// machine's speed.
+func TestASmallFleet(t *testing.T) {
+	if testing.Short() {
+		t.Skip("starts processes")
+	}
+	root, bin := build(t)
 	checkBadSettings(t, bin)
 	for _, fault := range []string{"kill-writer", "wipe-writer", "freeze-store", "kill-primary", "restart-edge", "leave-server", "retire-store"} {
 		t.Run(fault, func(t *testing.T) {
-			set := faultinject.Settings{Name: fault, ConfigurationFile: filepath.Join(root, "deploy/ghent.plan.json"), Zones: 3, Edges: 2, Stores: 3, Cores: 3, Servers: 3, Items: 10,
-				ServerSlots: 8, Chunks: 6, ChunkUS: 4000, LiveKeys: "key-buyers,key-sellers", BatchKey: "key-notes", BatchRoute: "seller-notes", LiveWorkers: 4, Batches: 16, BatchIntervalUS: 400_000, Seed: 1, Fault: fault}
-			f := localfleet.New(set.Spec(), filepath.Join(t.TempDir(), "fleet"), bin)
-			defer f.Stop()
-			if err := f.Start(); err != nil {
-				t.Fatal(err)
-			}
+			set := testSettings(root, fault)
+			f := startFleet(t, set, bin)
 			ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 			defer cancel()
-			if err := f.MakeReady(90 * time.Second); err != nil {
-				t.Fatal(err, logTails(f))
-			}
 			verdict, err := faultinject.Run(ctx, f, set)
 			if err != nil {
 				t.Fatal(err, logTails(f))
@@ -61,9 +99,10 @@
 	}
 }
 
-// checkBadSettings starts daemons with settings that are wrong: each names every
-// fault and ends with code 2.
+// checkBadSettings starts daemons with invalid settings: each names every fault and exits with
+// code 2.
 func checkBadSettings(t *testing.T, bin string) {
+	t.Helper()
 	for _, program := range []string{"edge", "store", "core"} {
 		out, err := exec.Command(filepath.Join(bin, program), "-zone", "z", "-peer", "nowhere", "-colour", "red").CombinedOutput()
 		var exit *exec.ExitError
@@ -77,45 +116,34 @@
 	}
 }
 
-// The zone drill catches a breach planted on purpose: stores that take one disk
-// for two lose what they accepted when their zone goes.
+// The zone drill catches a bug planted on purpose: stores that take one disk for two lose what
+// they accepted when their zone is wiped.
 func TestTheZoneDrillCatchesAPlantedViolation(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
-	root, err := filepath.Abs("../..")
-	if err != nil {
-		t.Fatal(err)
-	}
-	bin := filepath.Join(t.TempDir(), "bin")
-	if err := localfleet.Build(root, bin, "-tags", "planted"); err != nil {
-		t.Fatal(err)
-	}
+	root, bin := build(t, "-tags", "planted")
 	t.Setenv("TULIPRUDDER_PLANT", "one-disk")
-	for zone := 1; zone <= 3; zone++ {
-		set := faultinject.Settings{Name: "planted", ConfigurationFile: filepath.Join(root, "deploy/ghent.plan.json"), Zones: 3, Edges: 3, Stores: 3, Cores: 3, Servers: 3, Items: 10,
-			ServerSlots: 8, Chunks: 6, ChunkUS: 4000, LiveKeys: "key-buyers,key-sellers", BatchKey: "key-notes", BatchRoute: "seller-notes", LiveWorkers: 2, Batches: 24, BatchIntervalUS: 150_000, Seed: 1,
-			Fault: "zone-wipe", Zone: fmt.Sprintf("zone-%d", zone), ReadTimeout: 12 * time.Second}
-		f := localfleet.New(set.Spec(), filepath.Join(t.TempDir(), "fleet"), bin)
-		broken := func() bool {
-			defer f.Stop()
-			if err := f.Start(); err != nil {
-				t.Fatal(err)
-			}
-			if err := f.MakeReady(90 * time.Second); err != nil {
-				t.Fatal(err, logTails(f))
-			}
-			verdict, err := faultinject.Run(context.Background(), f, set)
-			return err != nil || verdict.IsBrokenUntimed()
-		}()
-		if broken {
-			return
-		}
+	caught := false
+	for zone := 1; zone <= 3 && !caught; zone++ {
+		t.Run(fmt.Sprintf("zone-%d", zone), func(t *testing.T) {
+			set := testSettings(root, "zone-wipe")
+			set.Zone = fmt.Sprintf("zone-%d", zone)
+			set.Edges = 3
+			set.LiveWorkers = 2
+			set.Batches = 24
+			set.BatchIntervalUS = 150_000
+			set.ReadTimeout = 12 * time.Second
+			verdict, err := faultinject.Run(context.Background(), startFleet(t, set, bin), set)
+			caught = err != nil || verdict.IsBrokenUntimed()
+		})
+	}
+	if !caught {
+		t.Fatal("the planted bug was not caught in any zone")
 	}
-	t.Fatal("the planted breach was not caught in any zone")
 }
 
-// logTails gathers the ends of the logs, for a failure.
+// logTails collects the last lines of the logs, for a failure.
 func logTails(f *localfleet.Fleet) string {
 	out := ""
 	for _, name := range f.Names("") {
--- a/test/localfleet/memory.go
+++ b/test/localfleet/memory.go
@@ -6,17 +6,18 @@
 	"strings"
 )
 
-// ResidentBytes is how much memory a daemon's process has resident, in bytes.
+// ResidentBytes is how much memory a daemon's process has resident, in bytes; 0 where it has
+// ended.
 func (f *Fleet) ResidentBytes(name string) int64 {
-	d := f.Get(name)
-	if d == nil || d.cmd == nil {
+	pid, started := f.pid(name)
+	if !started {
 		return 0
 	}
-	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.cmd.Process.Pid))
+	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
 	}
-	for _, line := range strings.Split(string(data), "\n") {
+	for line := range strings.Lines(string(data)) {
 		var kib int64
 		if _, err := fmt.Sscanf(line, "VmRSS: %d kB", &kib); err == nil {
 			return kib << 10
@@ -24,3 +25,13 @@
 	}
 	return 0
 }
+
+func (f *Fleet) pid(name string) (pid int, started bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	d := f.daemons[name]
+	if d == nil || d.cmd == nil {
+		return 0, false
+	}
+	return d.cmd.Process.Pid, true
+}
--- a/test/netproxy/netproxy.go
+++ b/test/netproxy/netproxy.go
@@ -1,6 +1,7 @@
-// Package netproxy stands in for the network between daemons (DESIGN §9): each
-// daemon is reached through one, and it sees who speaks by the address the
-// connection comes from. A cut link swallows what is sent; nothing is closed.
+// Package netproxy stands in for the network between daemons (DESIGN §9): each daemon is
+// reached through a relay, which knows the sender by the address that its connection comes
+// from. A blocked link delays what is sent until it is healed, and closes nothing. Methods may
+// be called from several goroutines; Close ends all of the network's own.
 package netproxy
 
 import (
@@ -11,48 +12,52 @@
 	"github.com/pkg/errors"
 )
 
+// link is one direction between two addresses.
+type link struct{ from, to netip.Addr }
+
 // Network is all links of a fleet.
 type Network struct {
-	mu      sync.Mutex
-	changed *sync.Cond
-	cut     map[[2]netip.Addr]bool
-	closers []func()
-	closed  bool
+	mu        sync.Mutex // guards what follows
+	changed   *sync.Cond // a link was blocked or healed, or the network closed
+	blocked   map[link]bool
+	listeners []net.Listener
+	closed    bool
 }
 
-// New makes a net without cuts.
+// New makes a network without blocked links.
 func New() *Network {
-	n := &Network{cut: map[[2]netip.Addr]bool{}}
+	n := &Network{blocked: map[link]bool{}}
 	n.changed = sync.NewCond(&n.mu)
 	return n
 }
 
-// SetCut cuts or heals the link from one address to another, in that direction.
-func (n *Network) SetCut(from, to string, cut bool) {
+// SetBlocked blocks or heals the link from one IP address to another, in that direction.
+func (n *Network) SetBlocked(from, to string, blocked bool) {
 	n.mu.Lock()
-	n.cut[[2]netip.Addr{netip.MustParseAddr(from), netip.MustParseAddr(to)}] = cut
+	defer n.mu.Unlock()
+	n.blocked[link{netip.MustParseAddr(from), netip.MustParseAddr(to)}] = blocked
 	n.changed.Broadcast()
-	n.mu.Unlock()
 }
 
-// waitUntilOpen waits while a link is cut; false once the net has ended.
-func (n *Network) waitUntilOpen(link [2]netip.Addr) bool {
+// waitUntilOpen waits while a link is blocked; false once the network is closed.
+func (n *Network) waitUntilOpen(l link) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for n.cut[link] && !n.closed {
+	for n.blocked[l] && !n.closed {
 		n.changed.Wait()
 	}
 	return !n.closed
 }
 
-// Relay listens for a daemon and passes on to where it really listens.
+// Relay listens at a daemon's address and forwards connections to where the daemon itself
+// listens.
 func (n *Network) Relay(listen, target string) error {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return errors.Wrap(err, "listening for a relay")
 	}
 	n.mu.Lock()
-	n.closers = append(n.closers, func() { listener.Close() })
+	n.listeners = append(n.listeners, listener)
 	n.mu.Unlock()
 	to := netip.MustParseAddrPort(listen).Addr()
 	go func() {
@@ -67,10 +72,11 @@
 	return nil
 }
 
+// relayConnection forwards one connection, both ways, until one side closes it.
 func (n *Network) relayConnection(in net.Conn, to netip.Addr, target string) {
 	defer in.Close()
 	from := in.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
-	if !n.waitUntilOpen([2]netip.Addr{from, to}) {
+	if !n.waitUntilOpen(link{from, to}) {
 		return
 	}
 	out, err := net.Dial("tcp", target)
@@ -79,38 +85,41 @@
 	}
 	defer out.Close()
 	done := make(chan struct{}, 2)
-	copyData := func(dst, src net.Conn, link [2]netip.Addr) {
-		defer func() { done <- struct{}{} }()
-		buffer := make([]byte, 32<<10)
-		for {
-			count, err := src.Read(buffer)
-			if count > 0 {
-				if !n.waitUntilOpen(link) {
-					return
-				}
-				if _, err := dst.Write(buffer[:count]); err != nil {
-					return
-				}
+	go func() { n.forward(out, in, link{from, to}); done <- struct{}{} }()
+	go func() { n.forward(in, out, link{to, from}); done <- struct{}{} }()
+	<-done // closing both connections ends the other direction
+}
+
+// bufferSize is how many bytes of a direction are in the relay at the most.
+const bufferSize = 32 << 10
+
+// forward forwards one direction of a connection, for as long as its link is open.
+func (n *Network) forward(to, from net.Conn, l link) {
+	buffer := make([]byte, bufferSize)
+	for {
+		count, err := from.Read(buffer)
+		if count > 0 {
+			if !n.waitUntilOpen(l) {
+				return
 			}
-			if err != nil {
+			if _, err := to.Write(buffer[:count]); err != nil {
 				return
 			}
 		}
+		if err != nil {
+			return
+		}
 	}
-	go copyData(out, in, [2]netip.Addr{from, to})
-	go copyData(in, out, [2]netip.Addr{to, from})
-	<-done
 }
 
-// Close closes all.
+// Close ends all relays; what waits at blocked links is dropped.
 func (n *Network) Close() {
 	n.mu.Lock()
+	defer n.mu.Unlock()
 	n.closed = true
-	ends := n.closers
-	n.closers = nil
-	n.changed.Broadcast()
-	n.mu.Unlock()
-	for _, end := range ends {
-		end()
+	for _, listener := range n.listeners {
+		listener.Close()
 	}
+	n.listeners = nil
+	n.changed.Broadcast()
 }
--- a/test/verify/feed.go
+++ b/test/verify/feed.go
@@ -3,49 +3,50 @@
 import (
 	"context"
 	"math/rand"
-	"sync"
 )
 
-// followFeed reads the feed over changing edges.
+// feedPath is the path of the feed: the results of all batches of a tenant.
+const feedPath = "/v1/results"
+
+// maxFeedPages bounds the pages that are read to the feed's end.
+const maxFeedPages = 200
+
+// followFeed reads the feed over changing edges until ctx ends.
 func (t *Workload) followFeed(ctx context.Context, rng *rand.Rand) {
-	token := ""
 	for ctx.Err() == nil {
-		p, ok := t.readPage(ctx, rng, "/v1/results", token, 1+rng.Intn(50))
-		if !ok {
-			continue
+		p, ok := t.readPage(ctx, rng, pageRequest{path: feedPath, token: t.feedToken, limit: 1 + rng.Intn(50)})
+		if ok {
+			t.recordFeedPage(p)
 		}
-		token = p.Next
-		t.mu.Lock()
-		t.feed = append(t.feed, p.Results...)
-		t.mu.Unlock()
 	}
 	t.mu.Lock()
-	t.counts["feed token bytes"] = len(token)
-	t.lastNumber++
-	t.mu.Unlock()
-	t.keepLastToken(token)
+	defer t.mu.Unlock()
+	t.counts[feedTokenBytes] = len(t.feedToken)
 }
 
-var lastTokens sync.Map
+// feedTokenBytes is the count that says that the feed was read.
+const feedTokenBytes = "feed token bytes"
 
-func (t *Workload) keepLastToken(token string) { lastTokens.Store(t, token) }
+func (t *Workload) recordFeedPage(p resultPage) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.feedToken = p.Next
+	t.feed = append(t.feed, p.Results...)
+}
 
-// readFeedToEnd reads the feed to its end, after all batches are whole.
+// readFeedToEnd reads the feed to its end, after all batches are complete: two pages in a row
+// without results.
 func (t *Workload) readFeedToEnd(ctx context.Context) {
 	rng := rand.New(rand.NewSource(t.Seed - 2))
-	value, _ := lastTokens.LoadAndDelete(t)
-	token, _ := value.(string)
 	emptyPages := 0
-	for attempts := 0; emptyPages < 2 && attempts < 200 && ctx.Err() == nil; attempts++ {
-		p, ok := t.readPage(ctx, rng, "/v1/results", token, 500)
+	for page := 0; emptyPages < 2 && page < maxFeedPages && ctx.Err() == nil; page++ {
+		p, ok := t.readPage(ctx, rng, pageRequest{path: feedPath, token: t.feedToken, limit: 500})
 		if !ok {
 			continue
 		}
-		token = p.Next
-		t.feed = append(t.feed, p.Results...)
-		if len(p.Results) == 0 {
-			emptyPages++
-		} else {
+		t.recordFeedPage(p)
+		emptyPages++
+		if len(p.Results) > 0 {
 			emptyPages = 0
 		}
 	}
--- a/test/verify/live.go
+++ b/test/verify/live.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"bytes"
 	"context"
 	"encoding/json"
 	"io"
@@ -12,106 +11,150 @@
 	"time"
 )
 
-// LiveRequest is one live order as its caller saw it.
+// LiveRequest is one live request as its caller saw it.
 type LiveRequest struct {
-	Input, Route       string
-	Outcome            Outcome
-	Output             string
-	EndSeen            bool // a stream with its end mark
-	SentAt, AnsweredAt int64
-	ErrorKind          string
-	Key                string
-	AtMostOnce         bool
+	Input, Route string
+	Key          string // API key
+	AtMostOnce   bool   // it may run no more than once
+	Outcome      Outcome
+	Output       string
+	EndSeen      bool   // of a stream: its end event came
+	ErrorKind    string // "": no error
+	SentAt       int64  // microseconds since 1970
+	AnsweredAt   int64  // the same; 0: not yet
 }
 
+// Routes of the live callers.
+const (
+	oneShotRoute = "verdict"
+	streamRoute  = "label"
+)
+
+// pauseAfterFailure is how long a live caller waits after a request that was not answered.
+const pauseAfterFailure = 100 * time.Millisecond
+
+// addLive records a request before it is sent.
+func (t *Workload) addLive(l *LiveRequest) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.liveRequests = append(t.liveRequests, l)
+}
+
+// liveResult is how a request ended.
+type liveResult struct {
+	outcome   Outcome
+	output    string
+	endSeen   bool
+	errorKind string
+}
+
+// recordLive records how a request ended, and pauses its caller where it was not answered.
+func (t *Workload) recordLive(l *LiveRequest, result liveResult) {
+	t.mu.Lock()
+	l.Outcome = result.outcome
+	l.Output = result.output
+	l.EndSeen = result.endSeen
+	l.ErrorKind = result.errorKind
+	l.AnsweredAt = nowMicros()
+	t.mu.Unlock()
+	if result.outcome != OK {
+		time.Sleep(pauseAfterFailure)
+	}
+}
+
+// sendLive sends one live request: a one-shot one or a stream.
 func (t *Workload) sendLive(ctx context.Context, rng *rand.Rand) {
 	key := t.LiveKeys[rng.Intn(len(t.LiveKeys))]
 	if rng.Intn(2) == 0 {
 		t.sendStream(ctx, rng, key)
 		return
 	}
-	l := &LiveRequest{Input: t.newName("once"), Route: "verdict", SentAt: nowMicros(), AtMostOnce: true, Key: key}
-	t.mu.Lock()
-	t.liveRequests = append(t.liveRequests, l)
-	t.mu.Unlock()
-	idempotencyKey := ""
+	t.sendOneShot(ctx, rng, key)
+}
+
+func liveCall(route, key, input string) apiCall {
+	return apiCall{
+		method: http.MethodPost,
+		path:   "/v1/routes/" + route + "/orders",
+		apiKey: key,
+		body:   map[string]string{"input": input},
+	}
+}
+
+// sendOneShot sends a one-shot request, one in three with an idempotency key.
+func (t *Workload) sendOneShot(ctx context.Context, rng *rand.Rand, key string) {
+	l := &LiveRequest{Input: t.newName("once"), Route: oneShotRoute, SentAt: nowMicros(), AtMostOnce: true, Key: key}
+	t.addLive(l)
+	request := liveCall(l.Route, key, l.Input)
 	if rng.Intn(3) == 0 {
-		idempotencyKey = "k-" + l.Input
+		request.idempotencyKey = "k-" + l.Input
 	}
-	got, err := t.call(ctx, t.randomEdge(rng), http.MethodPost, "/v1/routes/verdict/orders", key, idempotencyKey, map[string]any{"input": l.Input})
-	outcome, output := got.outcome(err), readOutput(got)
-	if idempotencyKey != "" && (outcome == Unknown || rng.Intn(2) == 0) {
-		// The same key at another edge: never a second run.
-		repeated, err := t.call(ctx, t.randomEdge(rng), http.MethodPost, "/v1/routes/verdict/orders", key, idempotencyKey, map[string]any{"input": l.Input})
-		second := repeated.outcome(err)
-		if outcome == OK && second == OK && readOutput(repeated) != output {
-			t.addViolation(guaranteeOnce, "a repeated key got another answer: %s", l.Input)
-		}
-		if second == OK {
-			outcome, output = OK, readOutput(repeated)
-		}
-		if outcome == Rejected && second != Rejected {
-			outcome = second
-		}
-		t.addCount("keys repeated", 1)
+	got, err := t.call(ctx, t.randomEdge(rng), request)
+	result := liveResult{outcome: got.outcome(err), output: readOutput(got), errorKind: got.errorKind}
+	if request.idempotencyKey != "" && (result.outcome == Unknown || rng.Intn(2) == 0) {
+		t.resend(ctx, rng, request, l, &result)
 	}
-	t.mu.Lock()
-	l.Outcome, l.Output, l.AnsweredAt, l.ErrorKind = outcome, output, nowMicros(), got.errorKind
-	t.mu.Unlock()
-	if outcome != OK {
-		time.Sleep(100 * time.Millisecond)
+	t.recordLive(l, result)
+}
+
+// resend sends a request with the same key to another edge: it never runs a second time, and
+// has the first one's answer.
+func (t *Workload) resend(ctx context.Context, rng *rand.Rand, request apiCall, l *LiveRequest, first *liveResult) {
+	repeated, err := t.call(ctx, t.randomEdge(rng), request)
+	second := repeated.outcome(err)
+	if first.outcome == OK && second == OK && readOutput(repeated) != first.output {
+		t.addViolation(guaranteeOnce, "a repeated key got another answer: %s", l.Input)
+	}
+	if second == OK {
+		first.outcome, first.output = OK, readOutput(repeated)
+	}
+	if first.outcome == Rejected && second != Rejected {
+		first.outcome = second
 	}
+	t.addCount("keys repeated", 1)
 }
 
 func readOutput(a callResult) string {
 	var body struct {
 		Output string `json:"output"`
 	}
-	json.Unmarshal(a.body, &body)
+	json.Unmarshal(a.body, &body) // an error response has no output
 	return body.Output
 }
 
+// sendStream sends a request whose answer is a stream.
 func (t *Workload) sendStream(ctx context.Context, rng *rand.Rand, key string) {
-	l := &LiveRequest{Input: t.newName("stream"), Route: "label", SentAt: nowMicros(), Key: key}
-	t.mu.Lock()
-	t.liveRequests = append(t.liveRequests, l)
-	t.mu.Unlock()
-	data, _ := json.Marshal(map[string]any{"input": l.Input})
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+t.randomEdge(rng)+"/v1/routes/label/orders", bytes.NewReader(data))
+	l := &LiveRequest{Input: t.newName("stream"), Route: streamRoute, SentAt: nowMicros(), Key: key}
+	t.addLive(l)
+	request, err := liveCall(l.Route, key, l.Input).newRequest(ctx, t.randomEdge(rng))
 	if err != nil {
 		return
 	}
-	request.Header.Set("Authorization", "Bearer "+key)
-	outcome, output, ended, kind := Unknown, "", false, ""
+	t.recordLive(l, t.streamResult(request))
+}
+
+func (t *Workload) streamResult(request *http.Request) liveResult {
+	result := liveResult{outcome: Unknown}
 	response, err := t.client.Do(request)
-	if err == nil {
-		defer response.Body.Close()
-		if response.StatusCode != http.StatusOK {
-			body, _ := io.ReadAll(response.Body)
-			var failure struct {
-				Error struct {
-					Kind string `json:"kind"`
-				} `json:"error"`
-			}
-			json.Unmarshal(body, &failure)
-			kind = failure.Error.Kind
-			outcome = callResult{status: response.StatusCode, errorKind: kind}.outcome(nil)
-		} else {
-			output, ended = readStream(response.Body)
-			if ended {
-				outcome = OK
-			}
-		}
+	if err != nil {
+		return result
 	}
-	t.mu.Lock()
-	l.Outcome, l.Output, l.EndSeen, l.AnsweredAt, l.ErrorKind = outcome, output, ended, nowMicros(), kind
-	t.mu.Unlock()
-	if outcome != OK {
-		time.Sleep(100 * time.Millisecond)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		body, _ := io.ReadAll(response.Body) // a body that breaks off has no kind
+		result.errorKind = errorKind(body)
+		result.outcome = callResult{status: response.StatusCode, errorKind: result.errorKind}.outcome(nil)
+		return result
+	}
+	result.output, result.endSeen = readStream(response.Body)
+	if result.endSeen {
+		result.outcome = OK
 	}
+	return result
 }
 
-// readStream gathers the pieces; whole tells whether the end mark came.
+// readStream joins the chunks of a stream; complete says whether its end event came. Events
+// are spelled as the callers' API has them.
 func readStream(body io.Reader) (text string, complete bool) {
 	lines := bufio.NewScanner(body)
 	event := ""
--- a/test/verify/start_log.go
+++ b/test/verify/start_log.go
@@ -10,7 +10,8 @@
 	"tuliprudder/test/modelcontent"
 )
 
-// ReadStarts reads the servers' logs.
+// ReadStarts reads the servers' logs of starts. A file that is not there is skipped, and so is
+// a line that a killed server did not finish.
 func ReadStarts(files []string) ([]modelcontent.Start, error) {
 	var out []modelcontent.Start
 	for _, name := range files {
--- a/test/verify/verdict.go
+++ b/test/verify/verdict.go
@@ -2,27 +2,29 @@
 
 import (
 	"fmt"
-	"sort"
+	"maps"
+	"slices"
 	"strings"
 
 	"tuliprudder/test/modelcontent"
 )
 
-// Guarantee is one promise's verdict.
+// Guarantee is one guarantee with what was checked of it. Its JSON keys are those of the
+// reports that are kept.
 type Guarantee struct {
 	Name        string   `json:"promise"`
 	Checked     int      `json:"checked"`
 	Violations  []string `json:"breaches"`
-	IsTimeBound bool     `json:"timed"` // a bound on time: a slow machine may break it
+	IsTimeBound bool     `json:"timed"` // a bound on time: a slow machine may violate it
 }
 
-// Verdict is all of them, with what was counted.
+// Verdict is all guarantees, with what was counted.
 type Verdict struct {
 	Guarantees []Guarantee    `json:"promises"`
 	Counts     map[string]int `json:"counts"`
 }
 
-// IsBroken tells whether any promise was broken.
+// IsBroken says whether any guarantee was violated.
 func (v Verdict) IsBroken() bool {
 	for _, p := range v.Guarantees {
 		if len(p.Violations) > 0 {
@@ -32,7 +34,7 @@
 	return false
 }
 
-// IsBrokenUntimed tells whether a promise was broken that is not a bound on time.
+// IsBrokenUntimed says whether a guarantee was violated that is not a bound on time.
 func (v Verdict) IsBrokenUntimed() bool {
 	for _, p := range v.Guarantees {
 		if len(p.Violations) > 0 && !p.IsTimeBound {
@@ -42,49 +44,64 @@
 	return false
 }
 
-// String is the verdict promise by promise.
+// maxShownViolations is how many violations of a guarantee a report shows.
+const maxShownViolations = 12
+
+// String is the verdict guarantee by guarantee.
 func (v Verdict) String() string {
 	var out strings.Builder
 	for _, p := range v.Guarantees {
-		word := "kept"
-		if len(p.Violations) > 0 {
-			word = "BROKEN"
-		} else if p.Checked == 0 {
-			word = "not seen"
-		}
-		fmt.Fprintf(&out, "%-9s %-74s %6d checked, %d breaches\n", word, p.Name, p.Checked, len(p.Violations))
+		fmt.Fprintf(&out, "%-11s %-74s %6d checked, %d violations\n", p.state(), p.Name, p.Checked, len(p.Violations))
 		for i, violation := range p.Violations {
-			if i == 12 {
-				fmt.Fprintf(&out, "          ... and %d more\n", len(p.Violations)-12)
+			if i == maxShownViolations {
+				fmt.Fprintf(&out, "          ... and %d more\n", len(p.Violations)-maxShownViolations)
 				break
 			}
 			fmt.Fprintf(&out, "          %s\n", violation)
 		}
 	}
-	names := make([]string, 0, len(v.Counts))
-	for name := range v.Counts {
-		names = append(names, name)
-	}
-	sort.Strings(names)
-	for _, name := range names {
+	for _, name := range slices.Sorted(maps.Keys(v.Counts)) {
 		fmt.Fprintf(&out, "          %s: %d\n", name, v.Counts[name])
 	}
 	return out.String()
 }
 
-// DrainingSpan is a server marked as leaving at a time.
+// state is the guarantee's verdict in a word or two.
+func (p *Guarantee) state() string {
+	switch {
+	case len(p.Violations) > 0:
+		return "VIOLATED"
+	case p.Checked == 0:
+		return "not checked"
+	}
+	return "kept"
+}
+
+func (p *Guarantee) addViolation(format string, args ...any) {
+	p.Violations = append(p.Violations, fmt.Sprintf(format, args...))
+}
+
+func (p *Guarantee) check(ok bool, format string, args ...any) {
+	p.Checked++
+	if !ok {
+		p.addViolation(format, args...)
+	}
+}
+
+// DrainingSpan is when a server was listed as draining, in microseconds since 1970.
 type DrainingSpan struct {
 	Server   string
-	From, To int64
+	From, To int64 // To 0: it drains still
 }
 
+// Bounds of the guarantees, in microseconds.
 const (
 	drainGraceUS    = 3_300_000  // "about 3 seconds"
 	recoveryBoundUS = 12_500_000 // "about 12 seconds"
 	readBoundUS     = 1_200_000  // "about a second"
 )
 
-// Verdict checks every promise against what the servers logged.
+// Verdict checks every guarantee by the records of the callers and the logs of the servers.
 func (t *Workload) Verdict(starts []modelcontent.Start, spans []DrainingSpan) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/test/verify/workload.go
+++ b/test/verify/workload.go
@@ -1,5 +1,9 @@
-// Package verify stands in for the callers and checks every promise by what
-// they and the servers saw (DESIGN §9).
+// Package verify stands in for the callers of a running fleet, and checks every guarantee
+// that callers can see by what they and the model servers recorded (DESIGN §9).
+//
+// A Workload is one run of callers: Run sends requests and batches and reads results until
+// all batches are complete, Verdict then checks the records. Run uses many goroutines of its
+// own and ends them; a Workload runs once.
 package verify
 
 import (
@@ -11,18 +15,11 @@
 	"time"
 )
 
-// The outcomes.
-const (
-	OK       Outcome = "ok"
-	Rejected Outcome = "turned away"
-	Unknown  Outcome = "unknown"
-)
-
-// guaranteeID names the promise that a breach is of.
+// guaranteeID names the guarantee that a violation is of.
 type guaranteeID string
 
-// The promises that callers see broken themselves; the others are judged from all
-// records together.
+// The guarantees that callers see violated themselves; the others are checked on all records
+// together.
 const (
 	guaranteeKept  guaranteeID = "kept"
 	guaranteeExact guaranteeID = "exact"
@@ -30,6 +27,7 @@
 	guaranteeTyped guaranteeID = "typed"
 )
 
+// observedViolation is a violation that a caller saw.
 type observedViolation struct {
 	guarantee guaranteeID
 	text      string
@@ -39,94 +37,111 @@
 type Workload struct {
 	Edges         func() []string // HTTP addresses of edges
 	Seed          int64
-	LiveKeys      []string
-	BatchKey      string
+	LiveKeys      []string // API keys of live callers
+	BatchKey      string   // API key of the caller of batches
 	BatchRoute    string
-	Items         int
-	Chunks        int
-	LiveWorkers   int
-	NoFaults      bool          // nothing fails on the way: rows have to come within a second
-	Batches       int           // batches to hand in
-	BatchInterval time.Duration // between two batches
-	MaxAttempts   int
-	ReadTimeout   time.Duration // to read a batch whole
-
-	mu           sync.Mutex
+	Items         int // of a batch
+	Chunks        int // of an answer
+	LiveWorkers   int // live callers at once
+	Batches       int // to submit
+	BatchInterval time.Duration
+	MaxAttempts   int           // to submit or cancel a batch; 0: defaultMaxAttempts
+	ReadTimeout   time.Duration // to read a complete batch; 0: defaultReadTimeout
+	NoFaults      bool          // no fault is injected: results have to be readable within a second
+
+	client    *http.Client
+	feedToken string // where the feed's reader is; only its goroutine uses it
+
+	mu           sync.Mutex // guards what follows while Run runs
 	liveRequests []*LiveRequest
 	batches      []*Batch
 	feed         []Result
 	violations   []observedViolation
 	counts       map[string]int
-	client       *http.Client
 	lastNumber   int
 }
 
+const (
+	defaultMaxAttempts = 60
+	defaultReadTimeout = 60 * time.Second
+	callTimeout        = 40 * time.Second
+	idleConnections    = 64 // to an edge
+	maxViolations      = 500
+)
+
 func nowMicros() int64 { return time.Now().UnixMicro() }
 
-// addViolation notes what a caller saw with its own eyes, under the promise it breaks.
+// addViolation records what a caller saw, under the guarantee that it violates.
 func (t *Workload) addViolation(guarantee guaranteeID, format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.violations) < 500 {
+	if len(t.violations) < maxViolations {
 		t.violations = append(t.violations, observedViolation{guarantee, fmt.Sprintf(format, args...)})
 	}
 }
 
-func (t *Workload) addCount(what string, by int) {
+func (t *Workload) addCount(name string, by int) {
 	t.mu.Lock()
-	t.counts[what] += by
-	t.mu.Unlock()
+	defer t.mu.Unlock()
+	t.counts[name] += by
 }
 
-func (t *Workload) newName(word string) string {
+// newName is a name that no other request of the run has.
+func (t *Workload) newName(prefix string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lastNumber++
-	return fmt.Sprintf("%s-%d-%d", word, t.Seed, t.lastNumber)
+	return fmt.Sprintf("%s-%d-%d", prefix, t.Seed, t.lastNumber)
 }
 
-// Run runs the workload: live workers go on until all batches are read or ctx ends.
+// Run runs the workload: live callers go on until all batches are read or ctx ends.
 func (t *Workload) Run(ctx context.Context) {
 	t.counts = map[string]int{}
-	t.client = &http.Client{Timeout: 40 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
+	t.client = &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections}}
 	defer t.client.CloseIdleConnections()
 	if t.MaxAttempts == 0 {
-		t.MaxAttempts = 60
+		t.MaxAttempts = defaultMaxAttempts
 	}
 	if t.ReadTimeout == 0 {
-		t.ReadTimeout = 60 * time.Second
+		t.ReadTimeout = defaultReadTimeout
 	}
-	began := time.Now()
-	liveCtx, stop := context.WithCancel(ctx)
-	var live, batches sync.WaitGroup
-	for i := 0; i < t.LiveWorkers; i++ {
-		live.Add(1)
-		go func() {
-			defer live.Done()
+	startedAt := time.Now()
+	liveCtx, stopLive := context.WithCancel(ctx)
+	defer stopLive()
+	var live sync.WaitGroup
+	t.startLive(ctx, liveCtx, &live)
+	t.runBatches(ctx)
+	stopLive()
+	live.Wait()
+	t.addCount("milliseconds of live callers", int(time.Since(startedAt).Milliseconds()))
+	if ctx.Err() == nil {
+		t.readFeedToEnd(ctx)
+		t.readAllBatchesBack(ctx)
+	}
+}
+
+// startLive starts the live callers and the feed's reader. They begin nothing new once
+// liveCtx ends; what they have begun goes on for as long as ctx.
+func (t *Workload) startLive(ctx, liveCtx context.Context, live *sync.WaitGroup) {
+	for i := range t.LiveWorkers {
+		live.Go(func() {
 			rng := rand.New(rand.NewSource(t.Seed + int64(i)))
 			for liveCtx.Err() == nil {
 				t.sendLive(ctx, rng)
 			}
-		}()
+		})
 	}
-	live.Add(1)
-	go func() { defer live.Done(); t.followFeed(liveCtx, rand.New(rand.NewSource(t.Seed-1))) }()
+	live.Go(func() { t.followFeed(liveCtx, rand.New(rand.NewSource(t.Seed-1))) })
+}
+
+// runBatches submits all batches, one each BatchInterval, and returns when they are read.
+func (t *Workload) runBatches(ctx context.Context) {
+	var batches sync.WaitGroup
 	for i := 0; i < t.Batches && ctx.Err() == nil; i++ {
-		batches.Add(1)
-		go func() {
-			defer batches.Done()
-			t.runBatch(ctx, rand.New(rand.NewSource(t.Seed*1000+int64(i))), i)
-		}()
+		batches.Go(func() { t.runBatch(ctx, rand.New(rand.NewSource(t.Seed*1000+int64(i))), i) })
 		time.Sleep(t.BatchInterval)
 	}
 	batches.Wait()
-	stop()
-	live.Wait()
-	t.addCount("milliseconds of live callers", int(time.Since(began).Milliseconds()))
-	if ctx.Err() == nil {
-		t.readFeedToEnd(ctx)
-		t.readAllBatchesBack(ctx)
-	}
 }
 
 func (t *Workload) randomEdge(rng *rand.Rand) string {
