--- a/test/storedformat/doc.go
+++ b/test/storedformat/doc.go
@@ -10,9 +10,9 @@
 //	go test ./test/storedformat -run TestWriteFixtures -write-fixtures
 //	go test ./test/storedformat -run TestFoldersOfAnEarlierBuild -write-fixtures
 //
-// The first plays a small fleet with the real machines on the real storage folders
+// The first runs a small fleet with the real machines on the real storage folders
 // (fleet_test.go, scenario_test.go), and is deterministic; the second writes down what is
 // read back, which was then checked against the bytes of the folders by other means.
-// Fixtures are added, and never written anew to make a test pass: they stand for the disks
-// that are out there.
+// Fixtures are added, and never written anew to make a test pass: they represent the disks of
+// running deployments.
 package storedformat
--- a/test/storedformat/fleet_test.go
+++ b/test/storedformat/fleet_test.go
@@ -19,21 +19,21 @@
 // fleet is a few daemons in one process, each with a data folder of its own. Messages
 // arrive at once and in order, so that the same scenario writes the same bytes.
 type fleet struct {
-	t       *testing.T
-	root    string
-	now     clock.Micros
-	cores   map[string]*controlplane.Core // by peer address
-	stores  map[string]*batchstore.Store  // by peer address
-	ids     map[string]string             // a store's peer address by its id
-	disks   map[string]*disk              // by peer address
-	mail    []mail
-	answers map[uint64]machine.Reply
-	calls   uint64
-	written map[string]bool // the forms of records and updates so far (forms_test.go)
+	t        *testing.T
+	root     string
+	now      clock.Micros
+	cores    map[string]*controlplane.Core // by peer address
+	stores   map[string]*batchstore.Store  // by peer address
+	ids      map[string]string             // a store's peer address by its id
+	disks    map[string]*disk              // by peer address
+	inFlight []envelope
+	replies  map[uint64]machine.Reply
+	calls    uint64
+	written  map[string]bool // the forms of records and updates so far (forms_test.go)
 }
 
-// mail is a message on its way.
-type mail struct {
+// envelope is a message in flight.
+type envelope struct {
 	from, to string
 	body     any
 }
@@ -41,13 +41,13 @@
 // disk is the data folder of one daemon.
 type disk struct {
 	folder  *storage.Folder
-	shelf   *storage.Archive
+	archive *storage.Archive
 	pending []machine.Effect
 }
 
 const (
 	tick         = 50 * clock.Millisecond
-	slots        = 4
+	shardCount   = 4
 	callDeadline = 5 * clock.Second
 )
 
@@ -56,7 +56,7 @@
 
 func newFleet(t *testing.T) *fleet {
 	return &fleet{t: t, root: t.TempDir(), now: 1_700_000_000 * clock.Second, cores: map[string]*controlplane.Core{}, stores: map[string]*batchstore.Store{},
-		ids: map[string]string{}, disks: map[string]*disk{}, answers: map[uint64]machine.Reply{}, written: map[string]bool{}}
+		ids: map[string]string{}, disks: map[string]*disk{}, replies: map[uint64]machine.Reply{}, written: map[string]bool{}}
 }
 
 // dataFolder is the data folder of a daemon.
@@ -72,34 +72,34 @@
 	must(f.t, err)
 	folder, _, err := eventloop.OpenRecords(f.dataFolder(id))
 	must(f.t, err)
-	shelf, err := eventloop.OpenArchive(f.dataFolder(id))
+	archive, err := eventloop.OpenArchive(f.dataFolder(id))
 	must(f.t, err)
-	f.disks[peer] = &disk{folder: folder, shelf: shelf}
+	f.disks[peer] = &disk{folder: folder, archive: archive}
 	return who, f.disks[peer]
 }
 
 func (f *fleet) startCore(id, peer, zone string) {
 	who, _ := f.openDisk("cairn", id, peer)
 	set := controlplane.Defaults()
-	set.Shards, set.Bootstrap = slots, true
+	set.Shards, set.Bootstrap = shardCount, true
 	f.cores[peer] = controlplane.New(controlplane.CoreRef{ID: id, Peer: peer, Zone: zone}, who.Incarnation, coreSeeds, set, nil)
 	for _, storePeer := range slices.Sorted(maps.Keys(f.stores)) {
-		f.nameCores(storePeer)
+		f.sendCorePeers(storePeer)
 	}
 }
 
-// nameCores tells a store the cores' addresses.
-func (f *fleet) nameCores(peer string) {
+// sendCorePeers gives a store the cores' addresses.
+func (f *fleet) sendCorePeers(peer string) {
 	f.step(peer, f.stores[peer].Do(batchstore.CorePeers{Peers: slices.Sorted(maps.Keys(f.cores))}, f.now))
 }
 
 func (f *fleet) startStore(id, peer, zone, name string) {
 	who, disk := f.openDisk("refuge", id, peer)
 	set := batchstore.Defaults()
-	set.RetainFinished = keepDone
-	f.stores[peer] = batchstore.New(batchstore.Self{ID: id, Zone: zone, Peer: peer, Incarnation: who.Incarnation, Name: name}, set, nil, disk.shelf)
+	set.RetainFinished = retention
+	f.stores[peer] = batchstore.New(batchstore.Self{ID: id, Zone: zone, Peer: peer, Incarnation: who.Incarnation, Name: name}, set, nil, disk.archive)
 	f.ids[id] = peer
-	f.nameCores(peer)
+	f.sendCorePeers(peer)
 }
 
 // stop ends a daemon; its folder stays.
@@ -109,18 +109,18 @@
 	delete(f.disks, peer)
 }
 
-// step carries out what a machine decided.
+// step carries out effects.
 func (f *fleet) step(peer string, effects []machine.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case machine.Send:
-			f.mail = append(f.mail, mail{peer, e.To, e.Body})
+			f.inFlight = append(f.inFlight, envelope{peer, e.To, e.Body})
 		case machine.Persist, machine.Compact, machine.Archive, machine.DeleteArchive:
 			f.disks[peer].pending = append(f.disks[peer].pending, effect)
 		case machine.Reply:
-			f.answers[e.Call] = e
+			f.replies[e.Call] = e
 		case machine.Broadcast:
-			f.answers[e.Call] = machine.Reply{Call: e.Call, Body: e.Body}
+			f.replies[e.Call] = machine.Reply{Call: e.Call, Body: e.Body}
 			f.publish(e.Update)
 		case machine.Publish:
 			f.publish(e.Update)
@@ -130,19 +130,19 @@
 	}
 }
 
-// publish brings an update to the stores, as the gossip does.
+// publish gives an update to the stores, as the gossip does.
 func (f *fleet) publish(update machine.Update) {
-	f.notePublished(update)
+	f.recordPublished(update)
 	for _, peer := range slices.Sorted(maps.Keys(f.stores)) {
 		f.step(peer, f.stores[peer].Do(batchstore.UpdateReceived{Update: update}, f.now))
 	}
 }
 
-// deliver brings the mail that waits.
+// deliver delivers the messages in flight.
 func (f *fleet) deliver() {
-	for len(f.mail) > 0 {
-		waiting := f.mail
-		f.mail = nil
+	for len(f.inFlight) > 0 {
+		waiting := f.inFlight
+		f.inFlight = nil
 		for _, m := range waiting {
 			switch {
 			case f.cores[m.to] != nil:
@@ -154,10 +154,10 @@
 	}
 }
 
-// sync writes what waits for the disks: one commit group for each.
+// sync writes what is pending to the disks: one commit group for each.
 func (f *fleet) sync() {
 	for _, peer := range slices.Sorted(maps.Keys(f.disks)) {
-		f.noteWritten(f.disks[peer].pending)
+		f.recordWritten(f.disks[peer].pending)
 		tokens := f.disks[peer].write(f.t)
 		for _, token := range tokens {
 			if core := f.cores[peer]; core != nil {
@@ -169,7 +169,7 @@
 	}
 }
 
-// write brings to disk what waits, in order, and tells the tokens of it.
+// write writes what is pending, in order, and returns the tokens that it acknowledges.
 func (d *disk) write(t *testing.T) []uint64 {
 	t.Helper()
 	var group []machine.Record
@@ -191,11 +191,11 @@
 			must(t, d.folder.Compact(e.Records))
 		case machine.Archive:
 			commit()
-			must(t, d.shelf.Put(e.File, e.Records, d.folder))
+			must(t, d.archive.Put(e.File, e.Records, d.folder))
 			tokens = append(tokens, e.Token)
 		case machine.DeleteArchive:
 			commit()
-			d.shelf.Delete(e.Files)
+			d.archive.Delete(e.Files)
 		}
 	}
 	commit()
@@ -219,39 +219,39 @@
 	}
 }
 
-// askPrimary asks the primary core and waits for its answer.
-func (f *fleet) askPrimary(body any) any {
+// callPrimary calls the primary core and waits for its reply.
+func (f *fleet) callPrimary(body any) any {
 	f.t.Helper()
 	for peer, core := range f.cores {
 		if core.IsServing() {
 			f.calls++
 			f.step(peer, core.Do(controlplane.Call{Number: f.calls, Body: body}, f.now))
-			return f.awaitAnswer()
+			return f.awaitReply()
 		}
 	}
 	f.t.Fatal("no core serves")
 	return nil
 }
 
-// askStore asks the store that leads a shard and waits for its answer.
-func (f *fleet) askStore(slot int, body any) any {
+// callStore calls the store that owns a shard and waits for its reply.
+func (f *fleet) callStore(shardIndex int, body any) any {
 	f.t.Helper()
-	peer := f.ids[f.state().Shards[slot].Primary.ID]
+	peer := f.ids[f.state().Shards[shardIndex].Primary.ID]
 	f.calls++
 	f.step(peer, f.stores[peer].Do(batchstore.Call{Number: f.calls, Body: body}, f.now))
-	return f.awaitAnswer()
+	return f.awaitReply()
 }
 
-func (f *fleet) awaitAnswer() any {
+func (f *fleet) awaitReply() any {
 	f.t.Helper()
 	for range 100 {
-		if answer, ok := f.answers[f.calls]; ok {
+		if answer, ok := f.replies[f.calls]; ok {
 			must(f.t, answer.Err)
 			return answer.Body
 		}
 		f.pass(tick)
 	}
-	f.t.Fatalf("call %d got no answer", f.calls)
+	f.t.Fatalf("call %d got no reply", f.calls)
 	return nil
 }
 
@@ -266,8 +266,8 @@
 	return nil
 }
 
-// settled waits until every shard has a complete group.
-func (f *fleet) settled() {
+// awaitStable waits until every shard has all its replicas.
+func (f *fleet) awaitStable() {
 	f.t.Helper()
 	for range 2000 {
 		f.pass(tick)
@@ -276,45 +276,45 @@
 			return
 		}
 	}
-	f.t.Fatal("the fleet never settled")
+	f.t.Fatal("the fleet never became stable")
 }
 
-// submit hands a batch in.
+// submit submits a batch.
 func (f *fleet) submit(batch shard.Batch) {
 	f.t.Helper()
-	slot := shard.ShardOf(batch.ID, slots)
-	f.askStore(slot, batchstore.SubmitRequest{Shard: slot, Batch: batch, Timeout: callDeadline})
+	shardIndex := shard.ShardOf(batch.ID, shardCount)
+	f.callStore(shardIndex, batchstore.SubmitRequest{Shard: shardIndex, Batch: batch, Timeout: callDeadline})
 }
 
-// result brings the result of one item.
+// result gives the store the result of one item.
 func (f *fleet) result(batch string, item int, status, output string) {
 	f.t.Helper()
-	slot := shard.ShardOf(batch, slots)
-	peer := f.ids[f.state().Shards[slot].Primary.ID]
-	f.step(peer, f.stores[peer].Do(batchstore.ItemFinished{Shard: slot, Batch: batch, Item: item, Status: status, Output: output, Server: "server-a"}, f.now))
+	shardIndex := shard.ShardOf(batch, shardCount)
+	peer := f.ids[f.state().Shards[shardIndex].Primary.ID]
+	f.step(peer, f.stores[peer].Do(batchstore.ItemFinished{Shard: shardIndex, Batch: batch, Item: item, Status: status, Output: output, Server: "server-a"}, f.now))
 	f.pass(tick)
 }
 
-// end ends a batch.
+// end cancels a batch.
 func (f *fleet) end(batch, tenant string) {
 	f.t.Helper()
-	slot := shard.ShardOf(batch, slots)
-	f.askStore(slot, batchstore.EndRequest{Shard: slot, Batch: batch, Tenant: tenant, Timeout: callDeadline})
+	shardIndex := shard.ShardOf(batch, shardCount)
+	f.callStore(shardIndex, batchstore.EndRequest{Shard: shardIndex, Batch: batch, Tenant: tenant, Timeout: callDeadline})
 }
 
-// claim begins an idempotency claim; complete notes how it went.
+// claim begins an idempotency claim, and complete completes it.
 func (f *fleet) claim(tenant, key string) {
 	f.t.Helper()
-	slot := shard.ShardOf(shard.ClaimID(tenant, key), slots)
+	shardIndex := shard.ShardOf(shard.ClaimID(tenant, key), shardCount)
 	claim := shard.Claim{Tenant: tenant, Key: key, Hash: "hash of " + key, RequestID: "order-" + key}
-	f.askStore(slot, batchstore.ClaimRequest{Shard: slot, Claim: claim, Timeout: callDeadline})
+	f.callStore(shardIndex, batchstore.ClaimRequest{Shard: shardIndex, Claim: claim, Timeout: callDeadline})
 }
 
 func (f *fleet) complete(tenant, key, claimState, answer string) {
 	f.t.Helper()
 	id := shard.ClaimID(tenant, key)
-	slot := shard.ShardOf(id, slots)
-	f.askStore(slot, batchstore.CompleteClaimRequest{Shard: slot, ID: id, State: claimState, Response: []byte(answer), Timeout: callDeadline})
+	shardIndex := shard.ShardOf(id, shardCount)
+	f.callStore(shardIndex, batchstore.CompleteClaimRequest{Shard: shardIndex, ID: id, State: claimState, Response: []byte(answer), Timeout: callDeadline})
 }
 
 func must(t *testing.T, err error) {
--- a/test/storedformat/folders_test.go
+++ b/test/storedformat/folders_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// A daemon knows itself again by its identity file, in its next life.
+// A daemon keeps the identity of its file, in its next incarnation.
 func TestIdentityOfAnEarlierBuild(t *testing.T) {
 	for kind, want := range map[string]eventloop.Identity{
 		"core":  {Kind: "cairn", ID: "cairn-00000000000a", Incarnation: 4},
@@ -55,21 +55,21 @@
 	}
 }
 
-// Archived batches are read through the shelf, and files of the shelf that nothing refers
-// to are removed.
-func TestShelfOfAnEarlierBuild(t *testing.T) {
+// Archived batches are read from the archive, and files of the archive that nothing refers to
+// are removed.
+func TestArchiveOfAnEarlierBuild(t *testing.T) {
 	folder := copyFolder(t, "after-snapshot", "store")
-	shelf, err := eventloop.OpenArchive(folder)
+	archive, err := eventloop.OpenArchive(folder)
 	must(t, err)
-	if !slices.Equal(shelf.Files(), []uint64{1, 2}) || shelf.LastFile() != 2 {
-		t.Errorf("the shelf holds %v up to %d", shelf.Files(), shelf.LastFile())
+	if !slices.Equal(archive.Files(), []uint64{1, 2}) || archive.LastFile() != 2 {
+		t.Errorf("the archive has %v up to %d", archive.Files(), archive.LastFile())
 	}
-	body, err := shelf.Get(1, "b-12f514de20d9fb5c6cd8e6d2")
+	body, err := archive.Get(1, "b-12f514de20d9fb5c6cd8e6d2")
 	must(t, err)
 	const want = `{"id":"b-12f514de20d9fb5c6cd8e6d2","customer":"customer-1","key":"forgotten","hash":"2a348d0ed7c4e4ce8816f638","route":"nightly","plan":100,"items":[{"id":"item-a"}],` +
 		`"state":"done","enrolled":1700000003500000,"changed":0,"rows":[{"writer":1,"position":1,"bundle":"b-12f514de20d9fb5c6cd8e6d2","item":0,"item_id":"item-a","status":"ok","output":"one's result","server":"server-a"}]}`
 	if string(body) != want {
-		t.Errorf("the shelf has %s, not %s", body, want)
+		t.Errorf("the archive has %s, not %s", body, want)
 	}
 	_, effects := startStore(t, folder)
 	unused := slices.IndexFunc(effects, func(effect machine.Effect) bool {
@@ -96,7 +96,7 @@
 	return records
 }
 
-// startCore starts a core on a folder, and gives what it does at first.
+// startCore starts a core on a folder; the effects are those of its first tick.
 func startCore(t *testing.T, folder string) (*controlplane.Core, []machine.Effect) {
 	t.Helper()
 	ref := controlplane.CoreRef{ID: keptCore, Peer: coreSeeds[0], Zone: "zone-a"}
@@ -108,13 +108,13 @@
 	return core, effects
 }
 
-// startStore starts a store on a folder, and gives what it does at first.
+// startStore starts a store on a folder; the effects are those of its first tick.
 func startStore(t *testing.T, folder string) (*batchstore.Store, []machine.Effect) {
 	t.Helper()
-	shelf, err := eventloop.OpenArchive(folder)
+	archive, err := eventloop.OpenArchive(folder)
 	must(t, err)
 	self := batchstore.Self{ID: keptStore, Zone: "zone-a", Peer: "10.0.1.1:7100", Incarnation: 4, Name: "machine-1"}
-	machine := batchstore.New(self, batchstore.Defaults(), openRecords(t, folder), shelf)
+	machine := batchstore.New(self, batchstore.Defaults(), openRecords(t, folder), archive)
 	effects := machine.Do(batchstore.Tick{}, startedAt)
 	if machine.BadRecord != nil {
 		t.Fatalf("a record can't be read: %v", machine.BadRecord)
@@ -203,19 +203,19 @@
 	return object{"fleet": machine.Fleet(), "writer": machine.Writer(), "next_position": nextPosition(t, machine), "groups": groupObjects(machine.Groups()), "shards": shards}
 }
 
-// nextPosition is the position after all that an earlier life has reserved.
+// nextPosition is the position after all that an earlier incarnation has reserved.
 func nextPosition(t *testing.T, machine *batchstore.Store) int64 {
 	t.Helper()
 	for _, effect := range machine.Do(batchstore.Call{Number: 1, Body: batchstore.StatusRequest{}}, startedAt) {
-		if next, ok := shownNext(effect); ok {
+		if next, ok := nextOf(effect); ok {
 			return next
 		}
 	}
-	t.Fatal("the store gives no account of itself")
+	t.Fatal("the store does not report its status")
 	return 0
 }
 
-func shownNext(effect machine.Effect) (int64, bool) {
+func nextOf(effect machine.Effect) (int64, bool) {
 	answer, ok := effect.(machine.Reply)
 	if !ok {
 		return 0, false
@@ -224,19 +224,19 @@
 	return shown.Next, ok
 }
 
-// shardObject is a shard as it lies in memory (brief), with what is read through the
-// shelf (whole) beside it.
-func shardObject(t *testing.T, brief, whole [][]byte) object {
+// shardObject is a shard as it is in memory (its local snapshot), with the batches as the
+// archive completes them (its snapshot).
+func shardObject(t *testing.T, local, complete [][]byte) object {
 	t.Helper()
-	kept, err := shard.Restore(brief)
+	kept, err := shard.Restore(local)
 	must(t, err)
-	full, err := shard.Restore(whole)
+	full, err := shard.Restore(complete)
 	must(t, err)
 	batches, claims, spans := object{}, object{}, []object{}
 	for id, batch := range kept.Batches {
 		one := batchObject(full.Batches[id])
-		if place := batch.Archived; place != nil {
-			one["archived"] = object{"file": place.File, "items": place.Items, "rows": place.Results, "last": place.LastPositions}
+		if archived := batch.Archived; archived != nil {
+			one["archived"] = object{"file": archived.File, "items": archived.Items, "rows": archived.Results, "last": archived.LastPositions}
 		}
 		batches[id] = one
 	}
--- a/test/storedformat/forms_test.go
+++ b/test/storedformat/forms_test.go
@@ -18,8 +18,8 @@
 // of files. Reading alone does not tell: some kinds are never looked at again.
 func TestWrittenForms(t *testing.T) {
 	f := newFleet(t)
-	f.playToSnapshot()
-	f.playOn()
+	f.runToSnapshot()
+	f.runOn()
 	want := []string{
 		"published core", "published map", "published plan", "published writer/#",
 		"record core adopt", "record core copy",
@@ -39,14 +39,14 @@
 	}
 }
 
-// noteWritten notes the forms of what is about to be written.
-func (f *fleet) noteWritten(effects []machine.Effect) {
+// recordWritten notes the forms of what is about to be written.
+func (f *fleet) recordWritten(effects []machine.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case machine.Persist:
-			f.noteRecords(e.Records)
+			f.recordForms(e.Records)
 		case machine.Compact:
-			f.noteRecords(e.Records)
+			f.recordForms(e.Records)
 		case machine.Archive:
 			for _, record := range e.Records {
 				f.written["shelf "+record.Kind] = true
@@ -55,7 +55,7 @@
 	}
 }
 
-func (f *fleet) noteRecords(records []machine.Record) {
+func (f *fleet) recordForms(records []machine.Record) {
 	for _, record := range records {
 		form := "record " + withoutNumber(record.Unit) + " " + record.Kind
 		if record.Kind == "entry" {
@@ -65,7 +65,7 @@
 	}
 }
 
-func (f *fleet) notePublished(update machine.Update) {
+func (f *fleet) recordPublished(update machine.Update) {
 	f.written["published "+withoutNumber(update.Key)] = true
 }
 
--- a/test/storedformat/golden_test.go
+++ b/test/storedformat/golden_test.go
@@ -30,13 +30,13 @@
 // itself have the same test there.
 func jsonValues(t *testing.T) map[string]any {
 	t.Helper()
-	whole := state.New()
-	must(t, whole.Requests.UnmarshalJSON([]byte(`{"forgotten":7,"packed":"AgEAAQIDBAUGBwgJCgsMDQ4P"}`)))
+	controlState := state.New()
+	must(t, controlState.Requests.UnmarshalJSON([]byte(`{"forgotten":7,"packed":"AgEAAQIDBAUGBwgJCgsMDQ4P"}`)))
 	return map[string]any{
 		// On disk.
 		"record.json":          &machine.Record{},
 		"vote.json":            &controlplane.Vote{},
-		"control-state.json":   whole,
+		"control-state.json":   controlState,
 		"assignment.json":      &replication.Assignment{},
 		"batch.json":           &shard.Batch{},
 		"claim.json":           &shard.Claim{},
@@ -68,7 +68,7 @@
 // goldenFile is the path of a golden file.
 func goldenFile(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// Each struct is written byte for byte as the earlier build wrote it, and read back whole.
+// Each struct is written byte for byte as the earlier build wrote it, and read back completely.
 func TestGoldenJSON(t *testing.T) {
 	for name, pointer := range jsonValues(t) {
 		if err := goldenjson.Check(goldenFile(name), pointer); err != nil {
@@ -131,10 +131,10 @@
 	for _, pointer := range []any{&batch, &claim, &span} {
 		must(t, goldenjson.Fill(pointer))
 	}
-	slot := shard.New()
-	slot.Batches[batch.ID], slot.Claims[claim.Key] = &batch, &claim
-	slot.LastPositions, slot.Ownerships = map[int]int64{3: 9}, []shard.Ownership{span}
-	if err := goldenjson.CheckBytes(goldenFile("shard-snapshot"), bytes.Join(slot.Snapshot(nil), []byte("\n"))); err != nil {
+	filled := shard.New()
+	filled.Batches[batch.ID], filled.Claims[claim.Key] = &batch, &claim
+	filled.LastPositions, filled.Ownerships = map[int]int64{3: 9}, []shard.Ownership{span}
+	if err := goldenjson.CheckBytes(goldenFile("shard-snapshot"), bytes.Join(filled.Snapshot(nil), []byte("\n"))); err != nil {
 		t.Error(err)
 	}
 }
--- a/test/storedformat/scenario_test.go
+++ b/test/storedformat/scenario_test.go
@@ -24,8 +24,8 @@
 	group      = replication.Group
 )
 
-// keepDone is how long the stores of the scenario keep what is finished.
-const keepDone = 30 * clock.Second
+// retention is how long the stores of the scenario keep finished batches.
+const retention = 30 * clock.Second
 
 // The daemons whose folders are kept.
 const (
@@ -33,50 +33,50 @@
 	keptStore = "refuge-00000000000a"
 )
 
-// TestWriteFixtures plays the scenario and writes testdata/folders. Without the flag it
+// TestWriteFixtures runs the scenario and writes testdata/folders. Without the flag it
 // does nothing: the folders in testdata are those of an earlier build.
 func TestWriteFixtures(t *testing.T) {
 	if !*writeFixtures {
 		return
 	}
 	f := newFleet(t)
-	f.playToSnapshot()
+	f.runToSnapshot()
 	f.keep("before-snapshot")
-	f.playOn()
+	f.runOn()
 	f.keep("after-snapshot")
 	writeFirstForm(t)
 	writeMessages(t)
 }
 
-// playToSnapshot plays the scenario up to the first snapshot.
-func (f *fleet) playToSnapshot() {
-	f.found()
+// runToSnapshot runs the scenario up to the first snapshot.
+func (f *fleet) runToSnapshot() {
+	f.bootstrap()
 	f.writeConfigurations()
 	f.writeEarlyBatches()
 	f.joinAndMove()
 }
 
-// playOn plays the rest of it.
-func (f *fleet) playOn() {
+// runOn runs the rest of it.
+func (f *fleet) runOn() {
 	f.takeSnapshots()
 	f.writeAfterSnapshot()
 }
 
-// found starts three cores and two stores.
-func (f *fleet) found() {
+// bootstrap starts three cores and two stores.
+func (f *fleet) bootstrap() {
 	f.startCore(keptCore, coreSeeds[0], "zone-a")
 	f.startCore("cairn-00000000000b", coreSeeds[1], "zone-b")
 	f.startCore("cairn-00000000000c", coreSeeds[2], "zone-c")
 	f.startStore(keptStore, "10.0.1.1:7100", "zone-a", "machine-1")
 	f.startStore("refuge-00000000000b", "10.0.1.2:7100", "zone-b", "machine-2")
-	f.settled()
+	f.awaitStable()
 	f.pass(2 * clock.Second)
 }
 
 // put puts a configuration; number 0 is one that the core numbers.
 func (f *fleet) put(number, base uint64, hasBase bool, document string) uint64 {
 	f.t.Helper()
-	answer := f.askPrimary(controlplane.PutConfigurationRequest{Body: []byte(document), Number: number, Base: base, HasBase: hasBase, By: "operator-1", Timeout: callDeadline})
+	answer := f.callPrimary(controlplane.PutConfigurationRequest{Body: []byte(document), Number: number, Base: base, HasBase: hasBase, By: "operator-1", Timeout: callDeadline})
 	acknowledgement, ok := answer.(controlplane.PutConfigurationResponse)
 	if !ok {
 		f.t.Fatalf("a configuration was answered with %T", answer)
@@ -84,7 +84,7 @@
 	return acknowledgement.Version
 }
 
-// announceServer tells every core of a server, as the gossip does.
+// announceServer gives every core an update of a server, as the gossip does.
 func (f *fleet) announceServer(server endpoints.Server, epoch, seq uint64) {
 	update := endpoints.ServerUpdate(server, machine.Update{}, 0)
 	update.Epoch, update.Seq = epoch, seq
@@ -111,7 +111,7 @@
 	return batch
 }
 
-// requestBatch is a batch of requests that are passed on unchanged, under its own name.
+// requestBatch is a batch of requests that are forwarded unchanged, under its own name.
 func requestBatch(id string, bodies ...string) shard.Batch {
 	batch := shard.Batch{ID: id, Tenant: "forwarded", Hash: shard.Hash(bodies...), Route: "forwarded", ConfigurationVersion: 100}
 	for i, body := range bodies {
@@ -124,14 +124,14 @@
 // batchID is the id of a batch of inputs.
 func batchID(tenant, key string) string { return shard.BatchID(tenant, key) }
 
-// writeEarlyBatches hands batches in that are finished, ended and archived before the
+// writeEarlyBatches submits batches that are finished, cancelled and archived before the
 // snapshot, one of which is dropped again for its age. The tenants are chosen so that
 // the batches' shards stay with the store whose folder is kept.
 func (f *fleet) writeEarlyBatches() {
 	f.submit(inputBatch("customer-1", "forgotten", "one"))
 	f.result(batchID("customer-1", "forgotten"), 0, "ok", "one's result")
 	f.claim("customer-1", "forgotten-claim")
-	f.pass(61 * clock.Second) // beyond keepDone, and the next round of the clean-up
+	f.pass(61 * clock.Second) // beyond retention, and the next round of the clean-up
 	f.submit(inputBatch("customer-2", "archived-done", "first", "second"))
 	f.result(batchID("customer-2", "archived-done"), 1, "failed", "no server took it")
 	f.result(batchID("customer-2", "archived-done"), 0, "ok", "first result, a<b & c>é")
@@ -154,15 +154,15 @@
 func (f *fleet) joinAndMove() {
 	f.startStore("refuge-00000000000c", "10.0.1.3:7100", "zone-c", "machine-3")
 	f.pass(12 * clock.Second)
-	f.settled()
-	f.askPrimary(controlplane.RetireRequest{ID: "refuge-00000000000c", Timeout: callDeadline})
+	f.awaitStable()
+	f.callPrimary(controlplane.RetireRequest{ID: "refuge-00000000000c", Timeout: callDeadline})
 	f.pass(tick)
-	f.askPrimary(controlplane.RetireRequest{ID: "refuge-00000000000c", Cancel: true, Timeout: callDeadline})
-	f.settled()
+	f.callPrimary(controlplane.RetireRequest{ID: "refuge-00000000000c", Cancel: true, Timeout: callDeadline})
+	f.awaitStable()
 	f.stop(coreSeeds[2])
 	f.startCore("cairn-00000000000d", "10.0.0.4:7000", "zone-c")
 	f.pass(10 * clock.Second)
-	f.settled()
+	f.awaitStable()
 }
 
 func (f *fleet) takeSnapshots() {
