--- a/internal/batchstore/archive.go
+++ b/internal/batchstore/archive.go
@@ -52,12 +52,12 @@
 	file := k.lastArchiveFile
 	records := make([]machine.Record, len(pack))
 	for i, batch := range pack {
-		batch.MarkArchiving()
-		records[i] = machine.Record{Unit: batch.ID, Kind: kindBatch, Body: batch.Encode()}
+		batch.BeginArchiving()
+		records[i] = machine.Record{Unit: batch.ID, Kind: kindBatch, Body: batch.EncodeForArchive()}
 	}
 	token := k.groups.RegisterWrite(func(_ clock.Micros) {
 		for _, batch := range pack {
-			batch.MarkArchived(file)
+			batch.CompleteArchiving(file)
 		}
 		k.BatchesArchived += int64(len(pack))
 	})
@@ -107,7 +107,7 @@
 			if batch.Archived != nil {
 				used[batch.Archived.File] = true
 			}
-			moving = moving || batch.IsArchiving()
+			moving = moving || batch.IsBeingArchived()
 		}
 	}
 	if moving {
--- /dev/null
+++ b/internal/batchstore/shard/archive_test.go
@@ -0,0 +1,38 @@
+package shard
+
+import (
+	"reflect"
+	"testing"
+)
+
+func TestArchivedBatchIsReadBackComplete(t *testing.T) {
+	s := apply(submitOpen(2), listed(1, 5), listed(0, 9))
+	batch := s.Batches["b"]
+	before := *batch
+	batch.BeginArchiving()
+	if batch.IsArchivable() || !batch.IsBeingArchived() {
+		t.Fatal("a batch that is being archived may be archived again")
+	}
+	data := batch.EncodeForArchive()
+	batch.CompleteArchiving(4)
+	if batch.IsArchivable() || batch.IsBeingArchived() || batch.Items != nil || batch.Results != nil {
+		t.Fatalf("archived it is %+v", batch)
+	}
+	want := ArchiveLocation{File: 4, Items: 2, Results: 2, LastPositions: map[int]int64{1: 9}}
+	if !reflect.DeepEqual(*batch.Archived, want) {
+		t.Fatalf("it lies at %+v, not at %+v", *batch.Archived, want)
+	}
+	if items, results := batch.Counts(); items != 2 || results != 2 {
+		t.Fatalf("it counts %d items and %d results", items, results)
+	}
+	back, err := DecodeArchived(data)
+	if err != nil || !reflect.DeepEqual(back.Results, before.Results) || !reflect.DeepEqual(back.Items, before.Items) || back.State != Done || back.Archived != nil {
+		t.Fatalf("it is read back as %+v, %v", back, err)
+	}
+}
+
+func TestOpenBatchIsNotArchivable(t *testing.T) {
+	if apply(submitOpen(2), listed(0, 5)).Batches["b"].IsArchivable() {
+		t.Fatal("an open batch may be archived")
+	}
+}
--- /dev/null
+++ b/internal/batchstore/shard/batch.go
@@ -0,0 +1,103 @@
+package shard
+
+import "tuliprudder/internal/clock"
+
+// Batch is a batch of items and the list of their results, in the order in which they
+// were listed. It is stored, and sent between daemons: its keys and the names of its fields
+// never change.
+type Batch struct {
+	ID                   string       `json:"id"`
+	Tenant               string       `json:"customer"`
+	Key                  string       `json:"key"`  // idempotency key; "" where the caller has none
+	Hash                 string       `json:"hash"` // of the caller's body, see Hash
+	Route                string       `json:"route"`
+	ConfigurationVersion uint64       `json:"plan,omitempty"` // in force when it was submitted
+	Items                []Item       `json:"items"`
+	State                BatchState   `json:"state"`
+	SubmittedAt          clock.Micros `json:"enrolled"`
+	ChangedAt            clock.Micros `json:"changed"` // when it was ended by its tenant; 0 otherwise
+	Results              []Result     `json:"rows"`
+	// Archived is set once the items and results have left memory; both lists are empty then.
+	Archived *ArchiveLocation `json:"shelved,omitempty"`
+	// hasResult holds the indices of the items that have their result.
+	hasResult map[int]bool
+	// archiving is set while an archive file with this batch is being written.
+	archiving bool
+}
+
+// BatchState is where a batch is in its life; the states are in stored_names.go.
+type BatchState string
+
+// Item is one item of a batch: an input for the route's model, or a request that is
+// forwarded to a server unchanged.
+type Item struct {
+	ID      string   `json:"id"`
+	Input   string   `json:"input,omitempty"`
+	Request *Request `json:"request,omitempty"` // nil where there is an input
+}
+
+// Request is an item that is forwarded to a server unchanged (docs/DESIGN.md §12.5).
+type Request struct {
+	Target string            `json:"target"` // path and query
+	Host   string            `json:"host"`
+	Header map[string]string `json:"header,omitempty"`
+	Body   []byte            `json:"body,omitempty"`
+	Size   int               `json:"size,omitempty"` // in bytes, of a body that lies behind its entry (entry_bodies.go)
+	Tokens int64             `json:"tokens"`         // what it counts for in the route's limit of queued tokens
+}
+
+// Result is the result of one item, with its position in its writer's sequence.
+type Result struct {
+	Writer   int    `json:"writer"`
+	Position int64  `json:"position"`
+	Batch    string `json:"bundle"`
+	Item     int    `json:"item"` // index in the batch
+	ItemID   string `json:"item_id"`
+	Status   string `json:"status"` // StatusOK or StatusFailed
+	Output   string `json:"output"`
+	Server   string `json:"server,omitempty"`
+}
+
+// Weight is what an item counts for while it is queued: a request's tokens, otherwise 1.
+func (r *Request) Weight() int {
+	if r == nil || r.Tokens < 1 {
+		return 1
+	}
+	return int(r.Tokens)
+}
+
+// releaseInput drops what only a run of the item needs. The request is replaced, not
+// changed: an attempt that is under way still refers to it.
+func (i *Item) releaseInput() {
+	i.Input = ""
+	if r := i.Request; r != nil {
+		i.Request = &Request{Target: r.Target, Host: r.Host, Tokens: r.Tokens}
+	}
+}
+
+// Counts are the numbers of items and of results, archived or not.
+func (b *Batch) Counts() (items, results int) {
+	if b.Archived != nil {
+		return b.Archived.Items, b.Archived.Results
+	}
+	return len(b.Items), len(b.Results)
+}
+
+// HasResult tells whether an item has its result.
+func (b *Batch) HasResult(item int) bool { return b.hasResult[item] }
+
+// AwaitsResult tells whether a result of the item can still be listed: the batch is open,
+// it has such an item, and the item has no result yet.
+func (b *Batch) AwaitsResult(item int) bool {
+	return b.State == Open && item >= 0 && item < len(b.Items) && !b.hasResult[item]
+}
+
+// PendingItem finds, by its ID, an item whose result can still be listed.
+func (b *Batch) PendingItem(id string) (*Item, bool) {
+	for i := range b.Items {
+		if b.Items[i].ID == id && b.AwaitsResult(i) {
+			return &b.Items[i], true
+		}
+	}
+	return nil, false
+}
--- /dev/null
+++ b/internal/batchstore/shard/end_batch.go
@@ -0,0 +1,22 @@
+package shard
+
+import "tuliprudder/internal/clock"
+
+// EndBatch ends a batch before all of its items have results.
+type EndBatch struct {
+	Batch string       `json:"Bundle"`
+	At    clock.Micros `json:"At"`
+}
+
+// Apply ends the batch if it is open. Results that were listed stay; no more are added.
+func (e EndBatch) Apply(s *State) {
+	batch := s.Batches[e.Batch]
+	if batch == nil || batch.State != Open {
+		return
+	}
+	batch.State = Ended
+	batch.ChangedAt = e.At
+	for i := range batch.Items {
+		batch.Items[i].releaseInput()
+	}
+}
--- /dev/null
+++ b/internal/batchstore/shard/state_test.go
@@ -0,0 +1,54 @@
+package shard
+
+import "testing"
+
+// apply makes the state after some entries.
+func apply(entries ...Entry) *State {
+	s := New()
+	for _, entry := range entries {
+		entry.Apply(s)
+	}
+	return s
+}
+
+// submitOpen submits the batch "b" with the given number of items with inputs.
+func submitOpen(items int) SubmitBatch {
+	batch := Batch{ID: "b", Tenant: "t", State: Open}
+	for range items {
+		batch.Items = append(batch.Items, Item{Input: "input"})
+	}
+	return SubmitBatch{Batch: batch}
+}
+
+// listed lists a result of an item of the batch "b" by writer 1.
+func listed(item int, position int64) ListResult {
+	return ListResult{Result: Result{Writer: 1, Position: position, Batch: "b", Item: item, Status: StatusOK}}
+}
+
+func TestHasOpenBatch(t *testing.T) {
+	for name, c := range map[string]struct {
+		state *State
+		want  bool
+	}{
+		"an empty shard":               {apply(), false},
+		"a batch without results":      {apply(submitOpen(2)), true},
+		"a batch with one of two":      {apply(submitOpen(2), listed(0, 1)), true},
+		"a batch with all its results": {apply(submitOpen(1), listed(0, 1)), false},
+		"a batch that was ended":       {apply(submitOpen(2), EndBatch{Batch: "b"}), false},
+	} {
+		if got := c.state.HasOpenBatch(); got != c.want {
+			t.Errorf("%s: %v", name, got)
+		}
+	}
+}
+
+func TestHighestPositionIsOfAnyWriter(t *testing.T) {
+	s := apply()
+	if got := s.HighestPosition(); got != 0 {
+		t.Fatalf("an empty shard has position %d", got)
+	}
+	s.LastPositions = map[int]int64{1: 7, 2: 90, 3: 12}
+	if got := s.HighestPosition(); got != 90 {
+		t.Fatalf("the highest position is %d, not 90", got)
+	}
+}
--- a/internal/batchstore/shard/stored_names.go
+++ b/internal/batchstore/shard/stored_names.go
@@ -1,20 +1,20 @@
 package shard
 
-// The kinds of changes. These spellings are on disk; they never change.
+// The kinds of entries. These spellings are on disk; they never change.
 const (
-	kindEnrol  = "enrol"
-	kindList   = "list"
-	kindEnd    = "end"
-	kindClaim  = "claim"
-	kindSettle = "settle"
-	kindForget = "forget"
+	kindSubmitBatch   = "enrol"
+	kindListResult    = "list"
+	kindEndBatch      = "end"
+	kindBeginClaim    = "claim"
+	kindCompleteClaim = "settle"
+	kindForget        = "forget"
 )
 
-// rawFormat begins a change with the bodies of requests behind it (raw.go); no JSON does.
-// This byte is on disk; it never changes.
-const rawFormat = 0
+// formatWithBodies begins an entry whose requests' bodies follow its JSON
+// (entry_bodies.go); no JSON begins with it. This byte is on disk; it never changes.
+const formatWithBodies = 0
 
-// Statuses of a row. These spellings are on disk; they never change.
+// Statuses of a result. These spellings are on disk; they never change.
 const (
 	StatusOK     = "ok"
 	StatusFailed = "failed"
@@ -22,20 +22,20 @@
 
 // The states of a batch. These spellings are on disk; they never change.
 const (
-	Open  BatchState = "open"
-	Done  BatchState = "done"
-	Ended BatchState = "ended"
+	Open  BatchState = "open"  // results are still listed
+	Done  BatchState = "done"  // every item has its result
+	Ended BatchState = "ended" // ended by its tenant before that
 )
 
 // States of a claim. These spellings are on disk; they never change.
 const (
-	Claimed  = "claimed"
-	Answered = "answered"
-	Voided   = "turned-away"
+	Claimed  = "claimed"     // the request's outcome is not known yet
+	Answered = "answered"    // the response is stored with the claim
+	Voided   = "turned-away" // the request was rejected and never ran: the key is free again
 )
 
-// What the names of claims and of batches begin with. These spellings are on disk, and
-// callers hold them; they never change.
+// Prefixes of the IDs of claims and of batches. These spellings are on disk, and callers
+// hold them; they never change.
 const (
 	claimPrefix = "c-"
 	batchPrefix = "b-"
