--- a/internal/batchstore/positions/positions.go
+++ b/internal/batchstore/positions/positions.go
@@ -1,12 +1,19 @@
-// Package positions gives out a writer's positions and knows its persisted-up-to
-// position: the one before which all have finished (DESIGN §6.2).
+// Package positions allocates one writer's positions and keeps its persisted-up-to
+// position: the highest position up to which every allocated one is finished (docs/DESIGN.md
+// §6.2). Positions are integers from 1 on and strictly rise; there are gaps.
+//
+// Invariants: a position is allocated only within a reservation that is durable, so that no
+// later incarnation of the daemon allocates it again; PersistedUpTo never falls.
+//
+// An Allocator has no lock; its caller serializes the calls.
 package positions
 
-// Allocator is one writer's positions. Gaps are normal: a position given above a
-// floor leaves one, and so does a restart.
+// Allocator allocates the positions of one writer.
 type Allocator struct {
-	last       int64 // last position given
-	reserved   int64 // positions up to here are reserved on disk
+	last     int64 // highest position allocated, or skipped
+	reserved int64 // positions up to here are reserved on disk
+	// unfinished begins with the lowest position that is not finished; those behind it
+	// may be finished. It is in the order of positions.
 	unfinished []allocation
 }
 
@@ -18,60 +25,67 @@
 // ReservationSize is how many positions one reservation covers.
 const ReservationSize = 4096
 
-// New starts after everything that an earlier life may have given.
+// minReserved is how many reserved positions are left when the next reservation is made.
+const minReserved = ReservationSize / 4
+
+// New returns an allocator that starts above everything an earlier incarnation may have
+// allocated: above its last durable reservation.
 func New(reserved int64) *Allocator { return &Allocator{last: reserved, reserved: reserved} }
 
-// RaiseAbove leaves a gap so that the next position is above the floor.
-func (l *Allocator) RaiseAbove(floor int64) { l.last = max(l.last, floor) }
+// RaiseAbove makes the next position higher than the floor.
+func (a *Allocator) RaiseAbove(floor int64) { a.last = max(a.last, floor) }
 
-// NextReservation is the reservation that should be made durable next; 0 when there is
-// room enough.
-func (l *Allocator) NextReservation() int64 {
-	if l.reserved-l.last > ReservationSize/4 {
+// NextReservation is the position up to which should be reserved durably next; 0 while
+// enough positions are reserved.
+func (a *Allocator) NextReservation() int64 {
+	if a.reserved-a.last > minReserved {
 		return 0
 	}
-	return l.last + ReservationSize
+	return a.last + ReservationSize
 }
 
-// ConfirmReservation notes a durable reservation.
-func (l *Allocator) ConfirmReservation(upTo int64) { l.reserved = max(l.reserved, upTo) }
+// ConfirmReservation records that positions up to upTo are reserved on disk.
+func (a *Allocator) ConfirmReservation(upTo int64) { a.reserved = max(a.reserved, upTo) }
 
-// Allocate gives the next position, or false until the reservation is durable.
-func (l *Allocator) Allocate() (int64, bool) {
-	if l.last >= l.reserved {
+// Allocate returns the next position; false while no durable reservation covers it.
+func (a *Allocator) Allocate() (position int64, ok bool) {
+	if a.last >= a.reserved {
 		return 0, false
 	}
-	l.last++
-	l.unfinished = append(l.unfinished, allocation{position: l.last})
-	return l.last, true
+	a.last++
+	a.unfinished = append(a.unfinished, allocation{position: a.last})
+	return a.last, true
 }
 
-// Finish marks a position as finished: durable on both, or void for good.
-func (l *Allocator) Finish(position int64) {
-	for i := range l.unfinished {
-		if l.unfinished[i].position == position {
-			l.unfinished[i].finished = true
+// Finish records that a position's result is durable on every replica, or that the position
+// will never have a result. The persisted-up-to position advances when it was the lowest
+// unfinished one.
+func (a *Allocator) Finish(position int64) {
+	for i := range a.unfinished {
+		if a.unfinished[i].position == position {
+			a.unfinished[i].finished = true
 			break
 		}
 	}
-	for len(l.unfinished) > 0 && l.unfinished[0].finished {
-		l.unfinished = l.unfinished[1:]
+	for len(a.unfinished) > 0 && a.unfinished[0].finished {
+		a.unfinished = a.unfinished[1:]
 	}
 }
 
 // PersistedUpTo is the persisted-up-to position.
-func (l *Allocator) PersistedUpTo() int64 {
-	if len(l.unfinished) > 0 {
-		return l.unfinished[0].position - 1
+func (a *Allocator) PersistedUpTo() int64 {
+	if len(a.unfinished) > 0 {
+		return a.unfinished[0].position - 1
 	}
-	return l.last
+	return a.last
 }
 
-// Next is the position that would be given next; Open how many are unfinished.
-func (l *Allocator) Next() int64 { return l.last + 1 }
+// Next is the position that is allocated next.
+func (a *Allocator) Next() int64 { return a.last + 1 }
 
-// Unfinished is how many positions are unfinished.
-func (l *Allocator) Unfinished() int { return len(l.unfinished) }
+// Unfinished is how many positions hold the persisted-up-to position back: those from the
+// lowest unfinished one on.
+func (a *Allocator) Unfinished() int { return len(a.unfinished) }
 
-// ReservedUpTo is up to where positions are reserved on disk.
-func (l *Allocator) ReservedUpTo() int64 { return l.reserved }
+// ReservedUpTo is the position up to which positions are reserved on disk.
+func (a *Allocator) ReservedUpTo() int64 { return a.reserved }
--- a/internal/batchstore/positions/positions_test.go
+++ b/internal/batchstore/positions/positions_test.go
@@ -2,70 +2,89 @@
 
 import "testing"
 
-func give(t *testing.T, l *Allocator) int64 {
+func allocate(t *testing.T, a *Allocator) int64 {
 	t.Helper()
-	position, ok := l.Allocate()
+	position, ok := a.Allocate()
 	if !ok {
-		t.Fatal("no position given")
+		t.Fatal("no position was allocated")
 	}
 	return position
 }
 
-// The source's own example (DESIGN §6.2): A gets 5, B gets 6, B finishes first.
-func TestOutOfOrder(t *testing.T) {
-	l := New(4)
-	l.ConfirmReservation(100)
-	a, b := give(t, l), give(t, l)
+// The source's own example (docs/DESIGN.md §6.2): A gets 5, B gets 6, B finishes first.
+func TestPersistedUpToWaitsForTheLowestUnfinished(t *testing.T) {
+	allocator := New(4)
+	allocator.ConfirmReservation(100)
+	a, b := allocate(t, allocator), allocate(t, allocator)
 	if a != 5 || b != 6 {
 		t.Fatalf("A got %d and B %d, not 5 and 6", a, b)
 	}
-	l.Finish(b)
-	if l.PersistedUpTo() != 4 {
-		t.Fatalf("B done, A not: up to %d, not 4", l.PersistedUpTo())
+	allocator.Finish(b)
+	if allocator.PersistedUpTo() != 4 {
+		t.Fatalf("B is finished, A is not: up to %d, not 4", allocator.PersistedUpTo())
 	}
-	l.Finish(a)
-	if l.PersistedUpTo() != 6 {
-		t.Fatalf("both done: up to %d, not 6", l.PersistedUpTo())
+	if allocator.Unfinished() != 2 {
+		t.Fatalf("%d positions are held back, not 2", allocator.Unfinished())
+	}
+	allocator.Finish(a)
+	if allocator.PersistedUpTo() != 6 {
+		t.Fatalf("both are finished: up to %d, not 6", allocator.PersistedUpTo())
 	}
 }
 
-func TestGapsAreNormal(t *testing.T) {
-	l := New(10)
-	l.ConfirmReservation(1000)
-	first := give(t, l)
-	l.Finish(first)
-	l.RaiseAbove(500)
-	second := give(t, l)
+func TestRaiseAboveSkipsPositions(t *testing.T) {
+	allocator := New(10)
+	allocator.ConfirmReservation(1000)
+	first := allocate(t, allocator)
+	allocator.Finish(first)
+	allocator.RaiseAbove(500)
+	second := allocate(t, allocator)
 	if second != 501 {
-		t.Fatalf("after a floor of 500 the position is %d", second)
+		t.Fatalf("above a floor of 500 the position is %d", second)
+	}
+	if allocator.PersistedUpTo() != 500 {
+		t.Fatalf("up to %d while 501 is unfinished, not 500", allocator.PersistedUpTo())
 	}
-	if l.PersistedUpTo() != 500 {
-		t.Fatalf("up to %d while 501 is open, not 500", l.PersistedUpTo())
+	allocator.Finish(second)
+	if allocator.PersistedUpTo() != 501 {
+		t.Fatalf("up to %d, not 501", allocator.PersistedUpTo())
 	}
-	l.Finish(second)
-	if l.PersistedUpTo() != 501 {
-		t.Fatalf("up to %d, not 501", l.PersistedUpTo())
+	allocator.RaiseAbove(3)
+	if allocator.Next() != 502 {
+		t.Fatalf("a floor of 3 made the next position %d, not 502", allocator.Next())
 	}
 }
 
-// A position is only given when a durable reservation covers it, so that no
-// later life can give it again.
-func TestNothingBeyondTheReservation(t *testing.T) {
-	l := New(7)
-	if position, ok := l.Allocate(); ok {
-		t.Fatalf("gave %d without a reservation", position)
+// A position is only allocated when a durable reservation covers it, so that no later
+// incarnation can allocate it again.
+func TestNothingIsAllocatedBeyondTheReservation(t *testing.T) {
+	allocator := New(7)
+	if position, ok := allocator.Allocate(); ok {
+		t.Fatalf("allocated %d without a reservation", position)
 	}
-	wanted := l.NextReservation()
-	l.ConfirmReservation(wanted)
+	wanted := allocator.NextReservation()
+	allocator.ConfirmReservation(wanted)
 	for i := int64(8); i <= wanted; i++ {
-		if position := give(t, l); position != i {
-			t.Fatalf("gave %d, not %d", position, i)
+		if position := allocate(t, allocator); position != i {
+			t.Fatalf("allocated %d, not %d", position, i)
 		}
 	}
-	if _, ok := l.Allocate(); ok {
-		t.Fatal("gave a position beyond the reservation")
+	if _, ok := allocator.Allocate(); ok {
+		t.Fatal("allocated a position beyond the reservation")
 	}
 	if next := New(wanted); next.Next() <= wanted {
-		t.Fatal("a later life would give a position again")
+		t.Fatal("a later incarnation would allocate a position again")
+	}
+}
+
+// The next reservation is made before the last one is used up.
+func TestReservationIsRenewedEarly(t *testing.T) {
+	allocator := New(0)
+	allocator.ConfirmReservation(allocator.NextReservation())
+	for allocator.NextReservation() == 0 {
+		allocate(t, allocator)
+	}
+	if left := allocator.ReservedUpTo() - allocator.Next() + 1; left != minReserved {
+		t.Fatalf("%d reserved positions are left, not %d", left, minReserved)
 	}
 }
--- a/internal/batchstore/token/position_view.go
+++ b/internal/batchstore/token/position_view.go
@@ -2,57 +2,32 @@
 
 import (
 	"encoding/json"
-	"fmt"
+	"maps"
 
-	"tuliprudder/internal/batchstore/shard"
 	"tuliprudder/internal/machine"
 )
 
-// OwnedShard is a shard that a writer serves, as it announces it.
-type OwnedShard struct {
-	Shard         int           `json:"slot"`
-	Epoch         uint64        `json:"epoch"`
-	LastPositions map[int]int64 `json:"last"` // where each former writer's rows end
-	// Ownerships are the shard's newest runs of rows, writer by writer.
-	Ownerships []shard.Ownership `json:"tenures,omitempty"`
-}
-
-// Announcement is a writer's own word: its persisted-up-to position and the
-// shards it serves. It is complete each time, so a lost one is mended by the
-// next or by a digest.
-type Announcement struct {
-	Writer        int          `json:"writer"`
-	Store         string       `json:"store"`
-	Peer          string       `json:"peer"`
-	PersistedUpTo int64        `json:"up_to"`
-	Shards        []OwnedShard `json:"slots"`
-}
-
-// Key is the updates key of a writer.
-func Key(writer int) string { return fmt.Sprintf(KeyPrefix+"%d", writer) }
-
-// Owner is who serves a shard by the highest epoch announced.
-type Owner struct {
-	Writer int
-	Peer   string
-	OwnedShard
-}
-
-// PositionView is what one reading daemon knows of the writers.
+// PositionView is what one reading daemon knows of all writers' positions, from their
+// announcements and from the cluster map. It has no lock; its caller serializes the calls.
 type PositionView struct {
 	announcements map[int]Announcement
-	versions      map[int]machine.Update
+	versions      map[int]machine.Update // epoch and sequence number of each announcement
 	owners        map[int]Owner
 	shards        int
-	minEpochs     map[int]uint64 // epochs the map told of, whether complete or not
+	minEpochs     map[int]uint64 // by shard: the epoch in the map, whether its group is complete or not
 }
 
-// NewPositionView is an empty view.
+// NewPositionView returns a view that knows nothing.
 func NewPositionView() *PositionView {
-	return &PositionView{announcements: map[int]Announcement{}, versions: map[int]machine.Update{}, owners: map[int]Owner{}, minEpochs: map[int]uint64{}}
+	return &PositionView{
+		announcements: map[int]Announcement{},
+		versions:      map[int]machine.Update{},
+		owners:        map[int]Owner{},
+		minEpochs:     map[int]uint64{},
+	}
 }
 
-// SetMap tells the view how many shards there are and their epochs.
+// SetMap takes the epochs of all shards from the cluster map.
 func (v *PositionView) SetMap(epochs []uint64) {
 	v.shards = len(epochs)
 	for shard, epoch := range epochs {
@@ -60,8 +35,8 @@
 	}
 }
 
-// Receive takes a writer's announcement; an older one changes nothing. It tells
-// whether anything changed.
+// Receive takes a writer's announcement and tells whether anything changed: one that is
+// older than the last, or can't be read, changes nothing.
 func (v *PositionView) Receive(update machine.Update) bool {
 	var a Announcement
 	if json.Unmarshal(update.Value, &a) != nil || a.Writer == 0 {
@@ -71,9 +46,8 @@
 		return false
 	}
 	v.versions[a.Writer] = machine.Update{Epoch: update.Epoch, Seq: update.Seq}
-	if old := v.announcements[a.Writer]; old.PersistedUpTo > a.PersistedUpTo {
-		a.PersistedUpTo = old.PersistedUpTo
-	}
+	// It never falls: what was readable stays readable.
+	a.PersistedUpTo = max(a.PersistedUpTo, v.announcements[a.Writer].PersistedUpTo)
 	v.announcements[a.Writer] = a
 	for _, owned := range a.Shards {
 		if owner, ok := v.owners[owned.Shard]; !ok || owned.Epoch >= owner.Epoch {
@@ -83,7 +57,8 @@
 	return true
 }
 
-// Owner is who serves a shard; false while it is in passage.
+// Owner is the owner of a shard, by the highest epoch announced; false while the map has a
+// higher epoch whose owner has not announced itself yet.
 func (v *PositionView) Owner(shard int) (Owner, bool) {
 	owner, ok := v.owners[shard]
 	if !ok || owner.Epoch < v.minEpochs[shard] {
@@ -92,75 +67,82 @@
 	return owner, true
 }
 
-// ReadableInShard is how far a reader may read a writer's rows within one shard: the
-// writer's own word while it serves the shard; all that its successor settled
-// once the shard has passed on.
+// ReadableInShard is up to which positions a reader may read within one shard: the
+// persisted-up-to position of its owner, and of former writers everything that their
+// successors have committed. Without an owner it is empty.
 func (v *PositionView) ReadableInShard(shard int) Vector {
 	owner, ok := v.Owner(shard)
 	if !ok {
 		return Vector{}
 	}
 	out := Vector{}
-	for writer, last := range owner.LastPositions {
-		out[writer] = last
-	}
+	maps.Copy(out, owner.LastPositions)
 	out[owner.Writer] = v.announcements[owner.Writer].PersistedUpTo
 	return out
 }
 
-// ReadableUpTo is the vector for reading over all shards. A writer that serves none any
-// more is read to its end once every shard has settled. A successor is held
-// below its first row in a shard only while a former writer's rows there can't be
-// read yet: so no batch's order is turned round. It tells whether every shard
-// has an owner to ask.
-func (v *PositionView) ReadableUpTo() (Vector, bool) {
-	complete := v.shards > 0
-	serving := map[int]bool{}
-	ends := Vector{}
-	for shard := 0; shard < v.shards; shard++ {
+// ReadableUpTo is up to which positions a reader may read over all shards, and whether
+// every shard has an owner that can be asked (docs/DESIGN.md §6.5).
+//
+// A writer that owns no shard any more is read to its end once all owners are known. A
+// successor is limited to positions below its first one in a shard only while a former
+// writer's results there can't all be read: so the order of a batch's results stays.
+func (v *PositionView) ReadableUpTo() (upTo Vector, complete bool) {
+	upTo = Vector{}
+	for writer, announcement := range v.announcements {
+		upTo[writer] = announcement.PersistedUpTo
+	}
+	formerWriters, complete := v.formerWriters()
+	if complete {
+		for writer, last := range formerWriters {
+			upTo[writer] = max(upTo[writer], last)
+		}
+	}
+	// Limiting one writer may limit others.
+	for v.limitSuccessors(upTo) {
+	}
+	return upTo, complete
+}
+
+// formerWriters is the last position of each writer that owns no shard any more, and whether
+// every shard has an owner.
+func (v *PositionView) formerWriters() (last Vector, complete bool) {
+	last = Vector{}
+	complete = v.shards > 0
+	owners := map[int]bool{}
+	for shard := range v.shards {
 		owner, ok := v.Owner(shard)
 		if !ok {
 			complete = false
 			continue
 		}
-		serving[owner.Writer] = true
-		for writer, last := range owner.LastPositions {
-			ends[writer] = max(ends[writer], last)
-		}
-	}
-	out := Vector{}
-	for writer, announcement := range v.announcements {
-		out[writer] = announcement.PersistedUpTo
-	}
-	if complete {
-		for writer, last := range ends {
-			if !serving[writer] {
-				out[writer] = max(out[writer], last)
-			}
+		owners[owner.Writer] = true
+		for writer, position := range owner.LastPositions {
+			last[writer] = max(last[writer], position)
 		}
 	}
-	for v.holdBack(out) {
+	for writer := range owners {
+		delete(last, writer)
 	}
-	return out, complete
+	return last, complete
 }
 
-// holdBack keeps each writer below its first row in a shard while an earlier run of
-// that shard can't be read to its end; it tells whether anything changed. Holding
-// one may hold others, so it is repeated until nothing changes.
-func (v *PositionView) holdBack(out Vector) bool {
-	changed := false
-	for shard := 0; shard < v.shards; shard++ {
+// limitSuccessors limits each writer to positions below its first one in a shard while an
+// earlier ownership of that shard can't be read to its end. It tells whether anything
+// changed.
+func (v *PositionView) limitSuccessors(upTo Vector) (changed bool) {
+	for shard := range v.shards {
 		owner, ok := v.Owner(shard)
 		if !ok {
 			continue
 		}
-		unread := false
+		earlierUnread := false
 		for _, ownership := range owner.Ownerships {
-			if unread && out[ownership.Writer] >= ownership.First {
-				out[ownership.Writer] = ownership.First - 1
+			if earlierUnread && upTo[ownership.Writer] >= ownership.First {
+				upTo[ownership.Writer] = ownership.First - 1
 				changed = true
 			}
-			unread = unread || out[ownership.Writer] < ownership.Last
+			earlierUnread = earlierUnread || upTo[ownership.Writer] < ownership.Last
 		}
 	}
 	return changed
--- /dev/null
+++ b/internal/batchstore/token/position_view_test.go
@@ -0,0 +1,109 @@
+package token
+
+import (
+	"encoding/json"
+	"testing"
+
+	"tuliprudder/internal/batchstore/shard"
+	"tuliprudder/internal/machine"
+)
+
+// update is a writer's announcement as it is gossiped.
+func update(seq uint64, a Announcement) machine.Update {
+	value, _ := json.Marshal(a)
+	return machine.Update{Key: Key(a.Writer), Epoch: 1, Seq: seq, Value: value}
+}
+
+// twoWriters is a view of writer 1, which owns shard 0, and writer 2, which owns shard 1.
+func twoWriters() *PositionView {
+	v := NewPositionView()
+	v.SetMap([]uint64{1, 1})
+	v.Receive(update(1, Announcement{Writer: 1, PersistedUpTo: 10, Shards: []OwnedShard{{Shard: 0, Epoch: 1}}}))
+	v.Receive(update(1, Announcement{Writer: 2, PersistedUpTo: 3, Shards: []OwnedShard{{Shard: 1, Epoch: 1}}}))
+	return v
+}
+
+// movedToWriter2 is shard 0 after it moved from writer 1 to writer 2.
+var movedToWriter2 = OwnedShard{
+	Shard:         0,
+	Epoch:         2,
+	LastPositions: map[int]int64{1: 14},
+	Ownerships:    []shard.Ownership{{Writer: 1, First: 2, Last: 14}, {Writer: 2, First: 21, Last: 29}},
+}
+
+// Taking the minimum over all writers would hold the others back.
+func TestIdleWriterHoldsNobodyBack(t *testing.T) {
+	v := twoWriters()
+	v.Receive(update(2, Announcement{Writer: 1, PersistedUpTo: 25, Shards: []OwnedShard{{Shard: 0, Epoch: 1}}}))
+	upTo, complete := v.ReadableUpTo()
+	if !complete || upTo[1] != 25 || upTo[2] != 3 {
+		t.Fatalf("up to %v, complete %v", upTo, complete)
+	}
+}
+
+// A lost announcement is made good by the next one.
+func TestOlderAnnouncementChangesNothing(t *testing.T) {
+	v := twoWriters()
+	v.Receive(update(4, Announcement{Writer: 1, PersistedUpTo: 40, Shards: []OwnedShard{{Shard: 0, Epoch: 1}}}))
+	if v.Receive(update(3, Announcement{Writer: 1, PersistedUpTo: 30})) {
+		t.Fatal("an older announcement was taken")
+	}
+	if upTo, _ := v.ReadableUpTo(); upTo[1] != 40 {
+		t.Fatalf("writer 1 is at %d", upTo[1])
+	}
+}
+
+// A shard that moved is read up to what its new owner has committed of the former writer.
+func TestFormerWriterIsReadToItsEnd(t *testing.T) {
+	v := twoWriters()
+	v.SetMap([]uint64{2, 1})
+	if _, ok := v.Owner(0); ok {
+		t.Fatal("shard 0 is moving and has an owner")
+	}
+	if _, complete := v.ReadableUpTo(); complete {
+		t.Fatal("the feed is complete while a shard is moving")
+	}
+	v.Receive(update(2, Announcement{Writer: 2, PersistedUpTo: 30, Shards: []OwnedShard{movedToWriter2, {Shard: 1, Epoch: 1}}}))
+	if got := v.ReadableInShard(0); got[1] != 14 || got[2] != 30 {
+		t.Fatalf("shard 0 may be read up to %v", got)
+	}
+	upTo, complete := v.ReadableUpTo()
+	if !complete || upTo[1] != 14 || upTo[2] != 30 {
+		t.Fatalf("writer 1 owns nothing any more: up to %v, complete %v", upTo, complete)
+	}
+}
+
+// While the new owner of another shard of the former writer is not known, the successor is
+// limited to below its first position, so that the order of a batch's results stays.
+func TestSuccessorIsLimitedUntilThePredecessorIsRead(t *testing.T) {
+	v := NewPositionView()
+	v.SetMap([]uint64{1, 1, 1})
+	v.Receive(update(1, Announcement{Writer: 1, PersistedUpTo: 10, Shards: []OwnedShard{{Shard: 0, Epoch: 1}, {Shard: 1, Epoch: 1}}}))
+	v.Receive(update(1, Announcement{Writer: 2, PersistedUpTo: 3, Shards: []OwnedShard{{Shard: 2, Epoch: 1}}}))
+	v.SetMap([]uint64{2, 2, 1})
+	v.Receive(update(2, Announcement{Writer: 2, PersistedUpTo: 30, Shards: []OwnedShard{movedToWriter2, {Shard: 2, Epoch: 1}}}))
+	upTo, complete := v.ReadableUpTo()
+	if complete || upTo[1] != 10 || upTo[2] != 20 {
+		t.Fatalf("up to %v, complete %v; writer 2 has to stay below 21", upTo, complete)
+	}
+	v.Receive(update(3, Announcement{Writer: 2, PersistedUpTo: 30, Shards: []OwnedShard{movedToWriter2, {Shard: 1, Epoch: 2, LastPositions: map[int]int64{1: 12}, Ownerships: []shard.Ownership{{Writer: 1, First: 1, Last: 12}}}, {Shard: 2, Epoch: 1}}}))
+	upTo, complete = v.ReadableUpTo()
+	if !complete || upTo[1] != 14 || upTo[2] != 30 {
+		t.Fatalf("all owners are known: up to %v, complete %v", upTo, complete)
+	}
+}
+
+// A shard that moved twice: the middle writer, which owns another shard, is limited too
+// while the first one's results can't be read.
+func TestEveryLaterOwnershipIsLimited(t *testing.T) {
+	v := NewPositionView()
+	v.SetMap([]uint64{3, 1, 2})
+	v.Receive(update(1, Announcement{Writer: 1, PersistedUpTo: 10}))
+	v.Receive(update(1, Announcement{Writer: 2, PersistedUpTo: 90, Shards: []OwnedShard{{Shard: 1, Epoch: 1}}}))
+	v.Receive(update(1, Announcement{Writer: 3, PersistedUpTo: 200, Shards: []OwnedShard{{Shard: 0, Epoch: 3, LastPositions: map[int]int64{1: 14, 2: 40},
+		Ownerships: []shard.Ownership{{Writer: 1, First: 2, Last: 14}, {Writer: 2, First: 21, Last: 40}, {Writer: 3, First: 120, Last: 130}}}}}))
+	upTo, complete := v.ReadableUpTo()
+	if complete || upTo[1] != 10 || upTo[2] != 20 || upTo[3] != 119 {
+		t.Fatalf("shard 2 is moving: up to %v, complete %v", upTo, complete)
+	}
+}
--- a/internal/batchstore/token/token.go
+++ b/internal/batchstore/token/token.go
@@ -1,5 +1,9 @@
-// Package token is the readers' side of the design page's mechanism (DESIGN
-// §6.4): the position token, and the last position announced by each writer.
+// Package token is the readers' side of positions (docs/DESIGN.md §6.4, §6.5): the position
+// token that a caller carries from one read to the next, the announcements by which writers
+// publish their persisted-up-to positions, and what a reading daemon derives from them.
+//
+// Tokens and vectors are values; PositionView is not safe for concurrent use. Nothing here
+// reads a clock or does I/O.
 package token
 
 import (
@@ -7,7 +11,8 @@
 	"encoding/binary"
 	"hash/crc32"
 	"hash/fnv"
-	"sort"
+	"maps"
+	"slices"
 
 	"tuliprudder/internal/errs"
 )
@@ -15,23 +20,24 @@
 // Vector holds a position for each writer.
 type Vector map[int]int64
 
-// Token is a minimum position, pairs for the writers ahead of it, and the
-// highest writer id it knows: a writer enrolled later counts from nothing.
+// Token is a compact Vector: a minimum that all writers up to Highest have reached, and the
+// positions of those that are ahead of it. A writer with a higher ID registered after the
+// token was made, and is read from its start.
 type Token struct {
-	Fleet   uint32
+	Fleet   uint32 // see FleetTag
 	Minimum int64
-	Highest int
+	Highest int // highest writer ID known to the token
 	Ahead   Vector
 }
 
-// FleetTag marks a token as one of this fleet's.
+// FleetTag marks the tokens of a fleet, so that those of another fleet are rejected.
 func FleetTag(fleet string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(fleet))
 	return h.Sum32()
 }
 
-// NewToken makes the shortest token that says the vector.
+// NewToken makes the shortest token that holds the positions.
 func NewToken(fleet string, positions Vector) Token {
 	t := Token{Fleet: FleetTag(fleet), Ahead: Vector{}}
 	for writer := range positions {
@@ -50,7 +56,7 @@
 	return t
 }
 
-// At is the position the token holds for a writer.
+// At is the token's position of a writer; 0 for one that the token does not know.
 func (t Token) At(writer int) int64 {
 	if position, ok := t.Ahead[writer]; ok {
 		return position
@@ -61,7 +67,7 @@
 	return 0
 }
 
-// Vector spells the token out.
+// Vector is the token's positions of all writers that it knows.
 func (t Token) Vector() Vector {
 	v := Vector{}
 	for writer := 1; writer <= t.Highest; writer++ {
@@ -70,19 +76,27 @@
 	return v
 }
 
-// String is the text a caller carries.
+// The binary form of a token, before base64: the version (1 byte), the fleet (4 bytes),
+// then uvarints: minimum, highest writer, number of writers ahead and, for each of them,
+// its ID and its distance from the minimum; last the CRC-32 of all this (4 bytes).
+const (
+	headerBytes   = 5
+	checksumBytes = 4
+	// maxTextBytes is more than any token that a fleet makes; longer texts aren't decoded.
+	maxTextBytes = 4096
+	// maxWriterID and maxNumber bound what a token with a valid checksum may claim.
+	maxWriterID = 1 << 20
+	maxNumber   = 1 << 62
+)
+
+// String is the text that a caller carries.
 func (t Token) String() string {
 	data := []byte{tokenVersion}
 	data = binary.BigEndian.AppendUint32(data, t.Fleet)
 	data = binary.AppendUvarint(data, uint64(t.Minimum))
 	data = binary.AppendUvarint(data, uint64(t.Highest))
-	writers := make([]int, 0, len(t.Ahead))
-	for writer := range t.Ahead {
-		writers = append(writers, writer)
-	}
-	sort.Ints(writers)
-	data = binary.AppendUvarint(data, uint64(len(writers)))
-	for _, writer := range writers {
+	data = binary.AppendUvarint(data, uint64(len(t.Ahead)))
+	for _, writer := range slices.Sorted(maps.Keys(t.Ahead)) {
 		data = binary.AppendUvarint(data, uint64(writer))
 		data = binary.AppendUvarint(data, uint64(t.Ahead[writer]-t.Minimum))
 	}
@@ -90,64 +104,80 @@
 	return base64.RawURLEncoding.EncodeToString(data)
 }
 
-const tokenRemedy = "send the token exactly as the last answer gave it, or leave it out to read from the start"
-
-// Parse reads a token; a bad or foreign one is turned away, never read as
-// "from the start". The empty text is the start.
-//
-//revive:disable-next-line:cyclomatic still to be split (issue 18)
+// Parse reads a caller's token. The empty text is the start of the feed; anything else that
+// is not a token of this fleet is an error of kind errs.BadToken, never read as the start.
 func Parse(fleet, text string) (Token, error) {
 	if text == "" {
 		return Token{Fleet: FleetTag(fleet), Ahead: Vector{}}, nil
 	}
-	bad := func(reason string) (Token, error) {
-		return Token{}, errs.New(errs.BadToken, tokenRemedy, "the position token is %s", reason)
+	body, err := decodeText(text)
+	if err != nil {
+		return Token{}, err
 	}
-	if len(text) > 4096 {
-		return bad("too long")
+	if body[0] != tokenVersion {
+		return Token{}, badToken("from another release")
 	}
-	data, err := base64.RawURLEncoding.Strict().DecodeString(text)
-	if err != nil || len(data) < 9 {
-		return bad("damaged")
+	tag := binary.BigEndian.Uint32(body[1:headerBytes])
+	if tag != FleetTag(fleet) {
+		return Token{}, badToken("from another fleet")
 	}
-	body, sum := data[:len(data)-4], binary.BigEndian.Uint32(data[len(data)-4:])
-	if crc32.ChecksumIEEE(body) != sum {
-		return bad("damaged")
+	return decodePositions(tag, body[headerBytes:])
+}
+
+func badToken(reason string) error {
+	return errs.New(errs.BadToken, "send the token exactly as the last response gave it, or omit it to read from the start", "the position token is %s", reason)
+}
+
+// decodeText undoes base64 and verifies the checksum; it returns what the checksum covers,
+// which has at least a header.
+func decodeText(text string) ([]byte, error) {
+	if len(text) > maxTextBytes {
+		return nil, badToken("too long")
 	}
-	if body[0] != tokenVersion {
-		return bad("of another release")
-	}
-	t := Token{Fleet: binary.BigEndian.Uint32(body[1:5]), Ahead: Vector{}}
-	if t.Fleet != FleetTag(fleet) {
-		return bad("of another fleet")
-	}
-	rest := body[5:]
-	broken := false
-	number := func() uint64 {
-		v, n := binary.Uvarint(rest)
-		if n <= 0 || v > 1<<62 {
-			broken = true
-			return 0
-		}
-		rest = rest[n:]
-		return v
+	data, err := base64.RawURLEncoding.Strict().DecodeString(text)
+	if err != nil || len(data) < headerBytes+checksumBytes {
+		return nil, badToken("damaged")
 	}
-	t.Minimum = int64(number())
-	highest := number()
-	count := number()
-	if broken || highest > 1<<20 || count > highest {
-		return bad("damaged")
+	body, checksum := data[:len(data)-checksumBytes], data[len(data)-checksumBytes:]
+	if crc32.ChecksumIEEE(body) != binary.BigEndian.Uint32(checksum) {
+		return nil, badToken("damaged")
 	}
-	t.Highest = int(highest)
+	return body, nil
+}
+
+// decodePositions reads what follows the header.
+func decodePositions(tag uint32, data []byte) (Token, error) {
+	numbers := uvarintReader{rest: data}
+	minimum, highest, count := numbers.next(), numbers.next(), numbers.next()
+	if numbers.failed || highest > maxWriterID || count > highest {
+		return Token{}, badToken("damaged")
+	}
+	t := Token{Fleet: tag, Minimum: int64(minimum), Highest: int(highest), Ahead: Vector{}}
 	for range count {
-		writer, ahead := number(), number()
-		if broken || writer == 0 || writer > highest {
-			return bad("damaged")
+		writer, distance := numbers.next(), numbers.next()
+		if numbers.failed || writer == 0 || writer > highest {
+			return Token{}, badToken("damaged")
 		}
-		t.Ahead[int(writer)] = t.Minimum + int64(ahead)
+		t.Ahead[int(writer)] = t.Minimum + int64(distance)
 	}
-	if len(rest) != 0 {
-		return bad("damaged")
+	if len(numbers.rest) != 0 {
+		return Token{}, badToken("damaged")
 	}
 	return t, nil
 }
+
+// uvarintReader reads numbers one after the other; failed is set once one can't be read.
+type uvarintReader struct {
+	rest   []byte
+	failed bool
+}
+
+func (r *uvarintReader) next() uint64 {
+	number, n := binary.Uvarint(r.rest)
+	if n <= 0 || number > maxNumber {
+		r.failed = true
+		return 0
+	}
+	r.rest = r.rest[n:]
+	return number
+}
