--- a/cmd/store/planted_fault.go
+++ b/cmd/store/planted_fault.go
@@ -18,7 +18,7 @@
 	case "one-disk":
 		ledger.Groups().SkipReplicas = true
 	case "early":
-		ledger.SkipDurability = true
+		ledger.Faults.SkipDurability = true
 	case "stall":
 		// The disk holds a write back for as long as a file named STALL is there.
 		dataFolder.BeforeStep = func(step string) error {
--- a/internal/batchstore/archive.go
+++ b/internal/batchstore/archive.go
@@ -1,129 +1,172 @@
 package batchstore
 
 import (
+	"maps"
+	"slices"
+
 	"tuliprudder/internal/batchstore/shard"
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/machine"
 	"tuliprudder/internal/replication"
 )
 
-// Memory is bounded by open work (DESIGN §6.7): a settled batch's rows lie in
-// files of their own and are read back when somebody asks.
+// The archive bounds a store's memory by its open work (docs/DESIGN.md §6.7): the items and
+// results of finished batches are written to files of their own, leave memory, and are read
+// back when somebody asks for them.
 
-// Archive is where settled batches lie on this daemon's disk.
+// Archive reads the archive files on this daemon's disk; the machine.Archive and
+// machine.DeleteArchive effects write and delete them.
 type Archive interface {
+	// Get returns the body of the record of a unit, here a batch's ID.
 	Get(file uint64, unit string) ([]byte, error)
+	// Files are the numbers of the files that there are.
 	Files() []uint64
+	// LastFile is the highest number ever used.
 	LastFile() uint64
 }
 
 const (
-	archiveFileSize   = 256 << 10 // bytes of batches in one file, about
-	archiveBatchLimit = 256       // batches looked at in one round
+	// archiveFileSize is about how many bytes of outputs one file holds.
+	archiveFileSize = 256 << 10
+	// archiveBatchLimit is how many batches one file holds at most.
+	archiveBatchLimit = 256
+	// resultOverhead is about how many bytes a result takes besides its output.
+	resultOverhead = 128
 )
 
-// archiveFinished packs settled batches of whole pairs into a file. They are let go
-// only once it is on disk; the entries that made them stay on disk until a view
-// refers to the file.
-func (k *Store) archiveFinished() {
-	var pack []*shard.Batch
-	size := 0
-	for _, group := range k.groups.All() {
-		quiet := group.Role == replication.Serving && group.Unconfirmed() == 0 || group.Role == replication.Replicating && group.SyncedSeq == group.Seq
-		if !quiet {
-			continue
-		}
-		state := k.shard(group.Unit).state
-		for _, id := range sortedBatches(state) {
-			batch := state.Batches[id]
-			if !batch.IsArchivable() || len(pack) >= archiveBatchLimit || size >= archiveFileSize {
-				continue
-			}
-			pack = append(pack, batch)
-			for _, result := range batch.Results {
-				size += len(result.Output) + 128
-			}
+// archiver keeps account of the archive files.
+type archiver struct {
+	archive  Archive
+	lastFile uint64
+	files    map[uint64]bool // files on the disk that may have to be deleted some time
+}
+
+func newArchiver(archive Archive) archiver {
+	a := archiver{archive: archive, lastFile: archive.LastFile(), files: map[uint64]bool{}}
+	for _, file := range archive.Files() {
+		a.files[file] = true
+	}
+	return a
+}
+
+// nextFile is the number of a new file.
+func (a *archiver) nextFile() uint64 {
+	a.lastFile++
+	return a.lastFile
+}
+
+// read reads an archived batch back.
+func (a *archiver) read(batch *shard.Batch) (*shard.Batch, error) {
+	data, err := a.archive.Get(batch.Archived.File, batch.ID)
+	if err != nil {
+		return nil, err
+	}
+	return shard.DecodeArchived(data)
+}
+
+// takeUnused returns the files that are not in use, and does not return them again.
+func (a *archiver) takeUnused(used map[uint64]bool) []uint64 {
+	var unused []uint64
+	for _, file := range slices.Sorted(maps.Keys(a.files)) {
+		if !used[file] {
+			unused = append(unused, file)
+			delete(a.files, file)
 		}
 	}
-	if len(pack) == 0 {
+	maps.Copy(a.files, used)
+	return unused
+}
+
+// archiveFinished writes finished batches into a file. They leave memory only once it is
+// durable; the entries that made them stay on disk until a compaction refers to the file.
+func (s *Store) archiveFinished() {
+	batches := s.archivableBatches()
+	if len(batches) == 0 {
 		return
 	}
-	k.lastArchiveFile++
-	file := k.lastArchiveFile
-	records := make([]machine.Record, len(pack))
-	for i, batch := range pack {
+	file := s.archiver.nextFile()
+	records := make([]machine.Record, len(batches))
+	for i, batch := range batches {
 		batch.BeginArchiving()
 		records[i] = machine.Record{Unit: batch.ID, Kind: kindBatch, Body: batch.EncodeForArchive()}
 	}
-	token := k.groups.RegisterWrite(func(_ clock.Micros) {
-		for _, batch := range pack {
+	writeToken := s.groups.RegisterWrite(func(clock.Micros) {
+		for _, batch := range batches {
 			batch.CompleteArchiving(file)
 		}
-		k.BatchesArchived += int64(len(pack))
+		s.BatchesArchived += int64(len(batches))
 	})
-	k.Emit(machine.Archive{Token: token, File: file, Records: records})
+	s.Emit(machine.Archive{Token: writeToken, File: file, Records: records})
 }
 
-// unarchive reads a shelved batch back. A file that can't be read is damage: the
-// store says so and stops, so that its pair's other end serves.
-func (k *Store) unarchive(b *shard.Batch) *shard.Batch {
-	data, err := k.archive.Get(b.Archived.File, b.ID)
-	if err == nil {
-		var batch *shard.Batch
-		if batch, err = shard.DecodeArchived(data); err == nil {
-			return batch
+// archivableBatches are the batches for the next file, of shards whose entries are all
+// durable.
+func (s *Store) archivableBatches() []*shard.Batch {
+	var batches []*shard.Batch
+	size := 0
+	for _, group := range s.groups.All() {
+		if !isStable(group) {
+			continue
+		}
+		state := s.shard(group.Unit).state
+		for _, id := range sortedBatches(state) {
+			if len(batches) >= archiveBatchLimit || size >= archiveFileSize {
+				return batches
+			}
+			batch := state.Batches[id]
+			if !batch.IsArchivable() {
+				continue
+			}
+			batches = append(batches, batch)
+			for _, result := range batch.Results {
+				size += len(result.Output) + resultOverhead
+			}
 		}
 	}
-	k.BadRecord = err
-	if k.OnDamage != nil {
-		k.OnDamage(err)
+	return batches
+}
+
+// isStable tells whether every entry that this member has is durable: on all members at the
+// primary, on its own disk at a replica.
+func isStable(group *replication.Group) bool {
+	switch group.Role {
+	case replication.Serving:
+		return group.Unconfirmed() == 0
+	case replication.Replicating:
+		return group.SyncedSeq == group.Seq
 	}
-	return b
+	return false
 }
 
-// resultsAfter are a batch's rows after a vector, read back only where there are any.
-func (k *Store) resultsAfter(b *shard.Batch, after func(writer int) int64) []shard.Result {
-	if b.Archived == nil {
-		return b.Results
+// readArchived reads an archived batch back. One that can't be read is damage: it is
+// reported, so that the daemon ends and another member of the group serves the shard.
+func (s *Store) readArchived(batch *shard.Batch) *shard.Batch {
+	complete, err := s.archiver.read(batch)
+	if err == nil {
+		return complete
 	}
-	for writer, last := range b.Archived.LastPositions {
-		if last > after(writer) {
-			return k.unarchive(b).Results
-		}
+	s.BadRecord = err
+	if s.OnDamage != nil {
+		s.OnDamage(err)
 	}
-	return nil
+	return batch
 }
 
-// deleteUnusedArchives removes shelf files that no batch refers to any more. At the start it
-// is told what there is; later it looks only for what it put there itself.
-func (k *Store) deleteUnusedArchives(pending []uint64) {
-	for _, file := range pending {
-		k.archiveFiles[file] = true
-	}
+// deleteUnusedArchives deletes the archive files that no batch refers to any more. It waits
+// while a file is being written: no batch refers to that one yet.
+func (s *Store) deleteUnusedArchives() {
 	used := map[uint64]bool{}
-	moving := false
-	for _, unit := range sortedKeys(k.shards) {
-		for _, batch := range k.shards[unit].state.Batches {
+	for _, local := range s.shards {
+		for _, batch := range local.state.Batches {
+			if batch.IsBeingArchived() {
+				return
+			}
 			if batch.Archived != nil {
 				used[batch.Archived.File] = true
 			}
-			moving = moving || batch.IsBeingArchived()
-		}
-	}
-	if moving {
-		return
-	}
-	var unused []uint64
-	for _, file := range sortedKeys(k.archiveFiles) {
-		if !used[file] {
-			unused = append(unused, file)
-			delete(k.archiveFiles, file)
 		}
 	}
-	if len(unused) > 0 {
-		k.Emit(machine.DeleteArchive{Files: unused})
-	}
-	for file := range used {
-		k.archiveFiles[file] = true
+	if unused := s.archiver.takeUnused(used); len(unused) > 0 {
+		s.Emit(machine.DeleteArchive{Files: unused})
 	}
 }
--- /dev/null
+++ b/internal/batchstore/archive_test.go
@@ -0,0 +1,54 @@
+package batchstore
+
+import (
+	"slices"
+	"testing"
+
+	"tuliprudder/internal/clock"
+)
+
+func TestUnusedArchiveFilesAreTakenOnce(t *testing.T) {
+	a := newArchiver(memoryArchive{})
+	a.files = map[uint64]bool{1: true, 2: true, 3: true}
+	if got := a.takeUnused(map[uint64]bool{2: true, 4: true}); !slices.Equal(got, []uint64{1, 3}) {
+		t.Fatalf("unused are %v", got)
+	}
+	if got := a.takeUnused(map[uint64]bool{4: true}); !slices.Equal(got, []uint64{2}) {
+		t.Fatalf("then unused are %v", got)
+	}
+	if got := a.takeUnused(map[uint64]bool{4: true}); len(got) != 0 {
+		t.Fatalf("then unused are %v", got)
+	}
+}
+
+// A batch leaves memory once the file is durable, and not before.
+func TestBatchLeavesMemoryOnceItsArchiveIsDurable(t *testing.T) {
+	c := newCluster(t)
+	c.mustCall(forwardedBatch("one", 1))
+	c.do("a", finished("one", 0))
+	c.delayed = true
+	c.advance(3 * clock.Second)
+	batch := c.stores["a"].shard(Unit(0)).state.Batches["one"]
+	if batch.Archived != nil || !batch.IsBeingArchived() {
+		t.Fatalf("while its file is being written the batch is %+v", batch)
+	}
+	c.release()
+	if batch.Archived == nil || batch.IsBeingArchived() || len(batch.Results) != 0 {
+		t.Fatalf("once its file is durable the batch is %+v", batch)
+	}
+}
+
+// A batch that can't be read back is reported.
+func TestDamagedArchiveIsReported(t *testing.T) {
+	c := newCluster(t)
+	c.mustCall(forwardedBatch("one", 1))
+	c.do("a", finished("one", 0))
+	c.advance(3 * clock.Second)
+	var damage error
+	c.stores["a"].OnDamage = func(err error) { damage = err }
+	clear(c.archives["a"])
+	c.mustCall(BatchStatusRequest{Batch: "one", Operator: true})
+	if damage == nil || c.stores["a"].BadRecord == nil {
+		t.Fatal("nothing was reported")
+	}
+}
--- /dev/null
+++ b/internal/batchstore/claim.go
@@ -0,0 +1,43 @@
+package batchstore
+
+import (
+	"tuliprudder/internal/batchstore/shard"
+	"tuliprudder/internal/clock"
+)
+
+// beginClaim claims an idempotency key for a one-shot request, or replies with the claim of
+// an earlier one. A voided claim's request never ran, so its key is free.
+func (s *Store) beginClaim(call uint64, request ClaimRequest, now clock.Micros) {
+	served, err := s.requireServing(request.Shard, now)
+	if err != nil {
+		s.replyError(call, err)
+		return
+	}
+	id := shard.ClaimID(request.Claim.Tenant, request.Claim.Key)
+	if known := served.state.Claims[id]; known != nil && known.State != shard.Voided {
+		if known.Hash != request.Claim.Hash {
+			s.replyError(call, errClaimKeyReused())
+			return
+		}
+		isRequesters := known.RequestID == request.Claim.RequestID
+		s.replyOnceDurable(served, pendingCall{number: call, deadline: now + request.Timeout, response: ClaimResponse{Yours: isRequesters, Claim: *known}})
+		return
+	}
+	claim := request.Claim
+	claim.State = shard.Claimed
+	claim.At = now
+	s.appendEntry(served.group.Unit, shard.BeginClaim{Claim: claim}, now)
+	s.replyOnceDurable(served, pendingCall{number: call, deadline: now + request.Timeout, response: ClaimResponse{Yours: true, Claim: claim}})
+}
+
+// completeClaim records the outcome of a claimed request.
+func (s *Store) completeClaim(call uint64, request CompleteClaimRequest, now clock.Micros) {
+	served, err := s.requireServing(request.Shard, now)
+	if err != nil {
+		s.replyError(call, err)
+		return
+	}
+	entry := shard.CompleteClaim{ID: request.ID, State: request.State, Response: request.Response}
+	s.appendEntry(served.group.Unit, entry, now)
+	s.replyOnceDurable(served, pendingCall{number: call, deadline: now + request.Timeout, response: CompleteClaimResponse{}})
+}
--- a/internal/batchstore/disk_test.go
+++ b/internal/batchstore/disk_test.go
@@ -11,104 +11,114 @@
 )
 
 var diskFull = DiskStateChanged{machine.DiskState{Reason: "the disk is full"}}
-var diskWell = DiskStateChanged{machine.DiskState{Writable: true}}
+var diskWritable = DiskStateChanged{machine.DiskState{Writable: true}}
 
-// stalledHeartbeat is what the last beat among some effects says of the disk.
-func stalledHeartbeat(effects []machine.Effect) (stalled, told bool) {
-	for _, effect := range effects {
-		if send, ok := effect.(machine.Send); ok {
-			if heartbeat, ok := send.Body.(Heartbeat); ok {
-				stalled, told = heartbeat.Stalled, true
-			}
+func TestDiskIsStalledByAnOldWriteUntilAfterTheProbation(t *testing.T) {
+	const timeout, probation = 10, 100
+	d := newDiskMonitor(timeout, probation)
+	d.writeStarted(1, 1000)
+	d.writeStarted(2, 1005)
+	for _, step := range []struct {
+		now     clock.Micros
+		stalled bool
+	}{{1000 + timeout, false}, {1000 + timeout + 1, true}} {
+		if got := d.checkStalled(step.now); got != step.stalled {
+			t.Fatalf("at %d: stalled %v", step.now, got)
 		}
 	}
-	return stalled, told
+	d.writeCompleted(1)
+	d.writeCompleted(2)
+	if got := d.oldestWrite(1011); got != 0 {
+		t.Fatalf("without writes the oldest is %d old", got)
+	}
+	if !d.checkStalled(1011+probation-1) || d.checkStalled(1011+probation) {
+		t.Fatal("the probation does not end in time")
+	}
 }
 
-// A store whose disk is full tells the cores at once that its shards should pass on,
-// and takes them again once the disk has kept up for a while.
-func TestAFullDiskIsToldAtOnce(t *testing.T) {
-	k := New(Self{ID: "s", Zone: "z", Peer: "p", Incarnation: 1}, Defaults(), nil, shelf{})
-	k.Do(CorePeers{Peers: []string{"c"}}, clock.Second)
-	now := clock.Micros(2 * clock.Second)
-	if stalled, told := stalledHeartbeat(k.Do(diskFull, now)); !told || !stalled {
-		t.Fatalf("told %v, stalled %v", told, stalled)
+// A store whose disk is full tells the cores at once that its shards should move, and takes
+// shards again once the disk has kept up for the probation.
+func TestAFullDiskIsReportedAtOnce(t *testing.T) {
+	s := newStore(Self{ID: "s", Zone: "z", Peer: "p", Incarnation: 1})
+	s.Do(CorePeers{Peers: []string{"c"}}, clock.Second)
+	expect := func(when string, effects []machine.Effect, stalled bool) {
+		t.Helper()
+		heartbeat := lastHeartbeat(effects)
+		if heartbeat == nil || heartbeat.Stalled != stalled {
+			t.Fatalf("%s the heartbeat is %+v", when, heartbeat)
+		}
 	}
+	now := clock.Micros(2 * clock.Second)
+	expect("at once", s.Do(diskFull, now), true)
 	now += 60 * clock.Second
-	if stalled, told := stalledHeartbeat(k.Do(Tick{}, now)); !told || !stalled {
-		t.Fatalf("a minute later: told %v, stalled %v", told, stalled)
-	}
-	if stalled, told := stalledHeartbeat(k.Do(diskWell, now)); !told || !stalled {
-		t.Fatalf("the disk is well only now: told %v, stalled %v", told, stalled)
-	}
+	expect("a minute later", s.Do(Tick{}, now), true)
+	expect("as soon as the disk is writable", s.Do(diskWritable, now), true)
 	now += Defaults().DiskProbation + 1
-	if stalled, told := stalledHeartbeat(k.Do(Tick{}, now)); !told || stalled {
-		t.Fatalf("after the proof: told %v, stalled %v", told, stalled)
-	}
+	expect("after the probation", s.Do(Tick{}, now), false)
 }
 
-// What would have to be written is turned away at once, and what was confirmed is
-// still read; once the disk is well the same ask is taken.
-func TestAFullDiskTakesNothingNew(t *testing.T) {
-	b := newBench(t)
-	b.must(lot("one", 1))
-	b.do("a", diskFull)
-	for _, request := range []any{lot("two", 1), EndRequest{Batch: "one", AnyTenant: true, Timeout: clock.Second}} {
-		b.refused(errs.NotReady, request)
+// What would have to be written is rejected at once, and what is durable is still read;
+// once the disk is writable the same request is accepted.
+func TestAFullDiskAcceptsNothingNew(t *testing.T) {
+	c := newCluster(t)
+	c.mustCall(forwardedBatch("one", 1))
+	c.do("a", diskFull)
+	for _, request := range []any{forwardedBatch("two", 1), EndRequest{Batch: "one", AnyTenant: true, Timeout: clock.Second}} {
+		c.mustReject(errs.NotReady, request)
 	}
-	if b.keepers["a"].shard(Unit(0)).state.Batches["two"] != nil {
-		t.Fatal("a bundle that was turned away is there")
+	if c.stores["a"].shard(Unit(0)).state.Batches["two"] != nil {
+		t.Fatal("a batch that was rejected is there")
 	}
-	if status := b.must(BatchStatusRequest{Batch: "one", AnyTenant: true}).(BatchStatus); status.Items != 1 {
-		t.Fatalf("it stands so: %+v", status)
+	if status := c.mustCall(BatchStatusRequest{Batch: "one", AnyTenant: true}).(BatchStatus); status.Items != 1 {
+		t.Fatalf("the status is %+v", status)
 	}
-	b.do("a", diskWell)
-	b.must(lot("two", 1))
+	c.do("a", diskWritable)
+	c.mustCall(forwardedBatch("two", 1))
 }
 
-// A backup whose disk is full takes no entry and acknowledges none: it would only
-// wait in memory. The owner repeats it, and it is taken once the disk is well.
-func TestABackupWithAFullDiskTakesNoEntries(t *testing.T) {
-	b := newBench(t)
-	backup := b.keepers["b"].groups.Group(Unit(0))
-	before := backup.Seq
-	b.do("b", diskFull)
-	if answer, err := b.ask(lot("one", 1)); answer != nil || err != nil {
-		t.Fatalf("told %v %v with one copy", answer, err)
+// A replica whose disk is full takes no entry and acknowledges none: it would only wait in
+// memory. The primary repeats it, and it is taken once the disk is writable.
+func TestAReplicaWithAFullDiskTakesNoEntries(t *testing.T) {
+	c := newCluster(t)
+	replica := c.stores["b"].groups.Group(Unit(0))
+	before := replica.Seq
+	c.do("b", diskFull)
+	if response, err := c.call(forwardedBatch("one", 1)); response != nil || err != nil {
+		t.Fatalf("replied %v %v while one member has it", response, err)
 	}
-	if backup.Seq != before {
+	if replica.Seq != before {
 		t.Fatal("the entry was taken")
 	}
-	b.do("b", diskWell)
-	b.pass(clock.Second)
-	if b.answers[b.call].Body == nil || backup.Seq == before {
-		t.Fatalf("after the disk is well: %+v", b.answers[b.call])
+	c.do("b", diskWritable)
+	c.advance(clock.Second)
+	if c.replies[c.lastCall].Body == nil || replica.Seq == before {
+		t.Fatalf("once the disk is writable: %+v", c.replies[c.lastCall])
 	}
 }
 
-// A copy of a whole unit is not taken either.
-func TestNoCopyIsTakenByAFullDisk(t *testing.T) {
-	k := New(Self{ID: "s", Zone: "z", Peer: "p", Incarnation: 1}, Defaults(), nil, shelf{})
-	k.Do(diskFull, clock.Second)
-	view := shard.New().Snapshot(nil)
-	for _, effect := range k.Do(Message{From: "o", Body: replication.SnapshotChunk{Unit: Unit(0), Epoch: 3, Seq: 1, Count: 1, Parts: view}}, 2*clock.Second) {
+// A snapshot is not taken either.
+func TestNoSnapshotIsTakenByAFullDisk(t *testing.T) {
+	s := newStore(Self{ID: "s", Zone: "z", Peer: "p", Incarnation: 1})
+	s.Do(diskFull, clock.Second)
+	chunk := replication.SnapshotChunk{Unit: Unit(0), Epoch: 3, Seq: 1, Count: 1, Parts: shard.New().Snapshot(nil)}
+	for _, effect := range s.Do(Message{From: "o", Body: chunk}, 2*clock.Second) {
 		switch effect.(type) {
 		case machine.Persist, machine.Send:
-			t.Fatalf("it has %T", effect)
+			t.Fatalf("it has the effect %T", effect)
 		}
 	}
 }
 
-// A view that could not be written is made anew when the shell asks for it.
-func TestAViewIsMadeAgain(t *testing.T) {
-	b := newBench(t)
-	folds := 0
-	for _, effect := range b.keepers["a"].Do(CompactAgain{}, b.now) {
+// A compaction that could not be written is made anew when the event loop asks for it.
+func TestACompactionIsMadeAgain(t *testing.T) {
+	c := newCluster(t)
+	compactions := 0
+	for _, effect := range c.stores["a"].Do(CompactAgain{}, c.now) {
 		if _, ok := effect.(machine.Compact); ok {
-			folds++
+			compactions++
 		}
 	}
-	if folds != 1 {
-		t.Fatalf("%d views", folds)
+	if compactions != 1 {
+		t.Fatalf("%d compactions", compactions)
 	}
 }
--- a/internal/batchstore/events.go
+++ b/internal/batchstore/events.go
@@ -7,7 +7,7 @@
 
 // The log events of a store.
 type (
-	// ShardOwned tells that this store was assigned a shard as its primary.
+	// ShardOwned tells that this store became the primary of a shard.
 	ShardOwned struct {
 		machine.Info
 		Shard      int      `json:"shard"`
@@ -15,7 +15,8 @@
 		Replicas   []string `json:"replicas"`
 		FormerRole string   `json:"former_role"`
 	}
-	// ShardServing tells that a shard's group is complete, and that this store serves it.
+	// ShardServing tells that every member of a shard's group has the state, and that this
+	// store serves the shard.
 	ShardServing struct {
 		machine.Info
 		Shard         int    `json:"shard"`
@@ -28,19 +29,21 @@
 		Shard               int `json:"shard"`
 		UnfinishedPositions int `json:"unfinished_positions"`
 	}
-	// ForeignCoreIgnored tells that a core of another fleet answered this store.
+	// ForeignCoreIgnored tells that a core of another fleet tried to register this store.
 	ForeignCoreIgnored struct {
 		machine.Warning
 		Peer   string `json:"peer"`
 		Fleet  string `json:"fleet"`
 		Remedy string `json:"remedy"`
 	}
-	// DiskWritable tells that the disk takes writes again; shards come back after probation.
+	// DiskWritable tells that the disk takes writes again; the store gets shards again after
+	// the probation.
 	DiskWritable struct {
 		machine.Info
 		ResumesAfterUS clock.Micros `json:"resumes_after_us"`
 	}
-	// DiskUnwritable tells that the disk takes no writes; the store's shards pass on.
+	// DiskUnwritable tells that the disk takes no writes; the store's shards move to other
+	// stores.
 	DiskUnwritable struct {
 		machine.Warning
 		Reason      string `json:"reason"`
--- a/internal/batchstore/heartbeat_test.go
+++ b/internal/batchstore/heartbeat_test.go
@@ -3,21 +3,50 @@
 import (
 	"testing"
 
+	"tuliprudder/internal/clock"
 	"tuliprudder/internal/machine"
 )
 
-// A store tells the cores the operator's name of its machine.
-func TestABeatCarriesTheName(t *testing.T) {
-	k := New(Self{ID: "s", Zone: "z", Peer: "p", Incarnation: 1, Name: "machine"}, Defaults(), nil, shelf{})
-	k.Do(CorePeers{Peers: []string{"c"}}, 1000)
-	told := false
-	for _, effect := range k.Do(Tick{}, 1_000_000) {
+// lastHeartbeat is the last heartbeat among some effects; nil without one.
+func lastHeartbeat(effects []machine.Effect) *Heartbeat {
+	var last *Heartbeat
+	for _, effect := range effects {
 		if send, ok := effect.(machine.Send); ok {
-			heartbeat, ok := send.Body.(Heartbeat)
-			told = told || ok && heartbeat.Name == "machine" && heartbeat.ID == "s"
+			if heartbeat, ok := send.Body.(Heartbeat); ok {
+				last = &heartbeat
+			}
 		}
 	}
-	if !told {
-		t.Fatal("no beat carries the name")
+	return last
+}
+
+func TestHeartbeatCarriesTheOperatorsName(t *testing.T) {
+	s := newStore(Self{ID: "s", Zone: "z", Peer: "p", Incarnation: 1, Name: "machine"})
+	s.Do(CorePeers{Peers: []string{"c"}}, 1000)
+	heartbeat := lastHeartbeat(s.Do(Tick{}, clock.Second))
+	if heartbeat == nil || heartbeat.Name != "machine" || heartbeat.ID != "s" {
+		t.Fatalf("the heartbeat is %+v", heartbeat)
+	}
+}
+
+// A shard is reported as busy while it has an open batch.
+func TestHeartbeatNamesBusyShards(t *testing.T) {
+	c := newCluster(t)
+	busy := func() int { return len(c.stores["a"].heartbeat(c.now).Busy) }
+	c.mustCall(forwardedBatch("one", 1))
+	if got := busy(); got != 1 {
+		t.Fatalf("%d shards are busy with an open batch", got)
+	}
+	c.mustCall(EndRequest{Batch: "one", AnyTenant: true, Timeout: clock.Second})
+	if got := busy(); got != 0 {
+		t.Fatalf("%d shards are busy once it has ended", got)
+	}
+}
+
+func TestDrainIsReportedAtOnce(t *testing.T) {
+	s := newStore(Self{ID: "s", Incarnation: 1})
+	s.Do(CorePeers{Peers: []string{"c"}}, clock.Second)
+	if heartbeat := lastHeartbeat(s.Do(Drain{}, clock.Second)); heartbeat == nil || !heartbeat.Draining {
+		t.Fatalf("the heartbeat is %+v", heartbeat)
 	}
 }
--- /dev/null
+++ b/internal/batchstore/item_body.go
@@ -0,0 +1,20 @@
+package batchstore
+
+import "tuliprudder/internal/clock"
+
+// replyItemBody replies with the body of a forwarded item that may still run. Once the item
+// has its result, or its batch has ended, there is nothing left to run.
+func (s *Store) replyItemBody(call uint64, request ItemBodyRequest, now clock.Micros) {
+	served, err := s.requireServing(request.Shard, now)
+	if err != nil {
+		s.replyError(call, err)
+		return
+	}
+	if batch := served.state.Batches[request.Batch]; batch != nil {
+		if item, ok := batch.PendingItem(request.Item); ok && item.Request != nil {
+			s.reply(call, ItemBodyResponse{Body: item.Request.Body})
+			return
+		}
+	}
+	s.replyError(call, errNoPendingItem(request.Batch, request.Item))
+}
--- /dev/null
+++ b/internal/batchstore/item_body_test.go
@@ -0,0 +1,59 @@
+package batchstore
+
+import (
+	"testing"
+
+	"tuliprudder/internal/batchstore/shard"
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/errs"
+)
+
+// A forwarded item is run complete; its body is released once it has its result or its
+// batch has ended, its weight stays, and an attempt under way keeps the body.
+func TestBodiesAreReleasedOnceNobodyNeedsThem(t *testing.T) {
+	c := newCluster(t)
+	c.mustCall(forwardedBatch("one", 2))
+	c.mustCall(forwardedBatch("two", 1))
+	var first RunItem
+	for _, task := range c.tasks {
+		if item, ok := task.(RunItem); ok && item.Batch == "one" && item.Item == 0 {
+			first = item
+		}
+	}
+	if first.ItemID != "i0" || first.Request == nil || string(first.Request.Body) != "body 0" {
+		t.Fatalf("the task is %+v", first)
+	}
+	if got := c.mustCall(ItemBodyRequest{Batch: "one", Item: "i0"}).(ItemBodyResponse); string(got.Body) != "body 0" {
+		t.Fatalf("the body is %q", got.Body)
+	}
+	c.do("a", ItemFinished{Batch: "one", Item: 0, Status: shard.StatusOK, Output: "x"})
+	c.mustCall(EndRequest{Batch: "two", AnyTenant: true, Timeout: clock.Second})
+	for _, s := range c.stores {
+		for _, id := range []string{"one", "two"} {
+			request := s.shard(Unit(0)).state.Batches[id].Items[0].Request
+			if len(request.Body)+len(request.Header) > 0 || request.Tokens != 10 {
+				t.Fatalf("%s at %s keeps %+v", id, s.self.ID, request)
+			}
+		}
+	}
+	if string(first.Request.Body) != "body 0" {
+		t.Fatal("an attempt under way lost its body")
+	}
+	for _, request := range []ItemBodyRequest{{Batch: "one", Item: "i0"}, {Batch: "two", Item: "i0"}, {Batch: "one", Item: "i9"}, {Batch: "three", Item: "i0"}} {
+		c.mustReject(errs.NotFound, request)
+	}
+	if got := c.mustCall(ItemBodyRequest{Batch: "one", Item: "i1"}).(ItemBodyResponse); string(got.Body) != "body 1" {
+		t.Fatalf("the body is %q", got.Body)
+	}
+	if again := c.mustCall(forwardedBatch("one", 2)).(SubmitResponse); !again.Repeated || again.Items != 2 {
+		t.Fatalf("submitted again: %+v", again)
+	}
+}
+
+// Without a valid lease a store does not deny an item: its successor may have it.
+func TestAnItemIsDeniedOnlyUnderALease(t *testing.T) {
+	c := newCluster(t)
+	c.mustReject(errs.NotFound, ItemBodyRequest{Batch: "one", Item: "i0"})
+	c.now += 10 * clock.Second
+	c.mustReject(errs.NotReady, ItemBodyRequest{Batch: "one", Item: "i0"})
+}
--- /dev/null
+++ b/internal/batchstore/items.go
@@ -0,0 +1,94 @@
+package batchstore
+
+import (
+	"maps"
+	"slices"
+
+	"tuliprudder/internal/batchstore/shard"
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/machine"
+	"tuliprudder/internal/replication"
+)
+
+// RunItem is the task of running one item on a server. It is repeated until the item has
+// its result; whoever runs items ignores those that it has already.
+type RunItem struct {
+	Shard                int
+	Epoch                uint64
+	Batch                string
+	Item                 int // index in the batch
+	Tenant               string
+	Route                string
+	ItemID               string
+	Input                string
+	Request              *shard.Request // forwarded unchanged; nil where there is an input
+	SubmittedAt          clock.Micros
+	ConfigurationVersion uint64 // in force when the batch was submitted
+}
+
+// CancelItems is the task of dropping all items of a batch, or of a shard, that have not
+// finished.
+type CancelItems struct {
+	Batch string
+	Shard int // -1 where a batch is meant
+}
+
+// MayStart tells, right before an item starts on a server, whether this store may start it:
+// it is the shard's primary under a valid lease, and the item still needs a result.
+func (s *Store) MayStart(shardIndex int, batchID string, item int, now clock.Micros) bool {
+	unit := Unit(shardIndex)
+	group := s.groups.Group(unit)
+	if group.Role != replication.Serving || now >= group.LeaseUntil() {
+		return false
+	}
+	batch := s.shard(unit).state.Batches[batchID]
+	return batch != nil && batch.State == shard.Open && !batch.HasResult(item)
+}
+
+// startItems has the items of an open batch run that have no result.
+func (s *Store) startItems(unit, batchID string) {
+	local := s.shard(unit)
+	batch := local.state.Batches[batchID]
+	if batch == nil || batch.State != shard.Open {
+		return
+	}
+	epoch := s.groups.Group(unit).Epoch
+	for i, item := range batch.Items {
+		if batch.HasResult(i) {
+			continue
+		}
+		s.Emit(machine.Execute{Task: RunItem{
+			Shard:                local.index,
+			Epoch:                epoch,
+			Batch:                batchID,
+			Item:                 i,
+			Tenant:               batch.Tenant,
+			Route:                batch.Route,
+			ItemID:               item.ID,
+			Input:                item.Input,
+			Request:              item.Request,
+			SubmittedAt:          batch.SubmittedAt,
+			ConfigurationVersion: batch.ConfigurationVersion,
+		}})
+	}
+}
+
+// startShardItems does the same for all batches of a shard.
+func (s *Store) startShardItems(unit string) {
+	for _, id := range sortedBatches(s.shard(unit).state) {
+		s.startItems(unit, id)
+	}
+}
+
+// resumeItems repeats the items that have no result: some were dropped while the lease was
+// not valid or a queue was full.
+func (s *Store) resumeItems() {
+	for _, group := range s.groups.All() {
+		if group.Role == replication.Serving && group.Unconfirmed() == 0 {
+			s.startShardItems(group.Unit)
+		}
+	}
+}
+
+// sortedBatches are the IDs of a shard's batches, in an order that depends on them only.
+func sortedBatches(state *shard.State) []string { return slices.Sorted(maps.Keys(state.Batches)) }
--- /dev/null
+++ b/internal/batchstore/items_test.go
@@ -0,0 +1,49 @@
+package batchstore
+
+import (
+	"testing"
+
+	"tuliprudder/internal/clock"
+)
+
+// An item may start only at the primary, under a valid lease, and while it needs a result.
+func TestItemMayStart(t *testing.T) {
+	c := newCluster(t)
+	c.mustCall(forwardedBatch("one", 2))
+	c.mustCall(forwardedBatch("ended", 1))
+	c.mustCall(EndRequest{Batch: "ended", AnyTenant: true, Timeout: clock.Second})
+	c.do("a", finished("one", 0))
+	for name, test := range map[string]struct {
+		store string
+		batch string
+		item  int
+		now   clock.Micros
+		want  bool
+	}{
+		"it needs a result":        {"a", "one", 1, c.now, true},
+		"it has its result":        {"a", "one", 0, c.now, false},
+		"its batch has ended":      {"a", "ended", 0, c.now, false},
+		"its batch is not known":   {"a", "unknown", 0, c.now, false},
+		"the lease has ended":      {"a", "one", 1, c.now + 10*clock.Second, false},
+		"the store is the replica": {"b", "one", 1, c.now, false},
+	} {
+		if got := c.stores[test.store].MayStart(0, test.batch, test.item, test.now); got != test.want {
+			t.Errorf("%s: %v", name, got)
+		}
+	}
+}
+
+// Items without a result are repeated from time to time: their run may have been dropped.
+func TestUnfinishedItemsAreRepeated(t *testing.T) {
+	c := newCluster(t)
+	c.mustCall(forwardedBatch("one", 2))
+	c.do("a", finished("one", 0))
+	c.tasks = nil
+	c.advance(resumeInterval)
+	if len(c.tasks) != 1 {
+		t.Fatalf("the tasks are %v", c.tasks)
+	}
+	if item, ok := c.tasks[0].(RunItem); !ok || item.ItemID != "i1" || item.Epoch != 1 {
+		t.Fatalf("the task is %+v", c.tasks[0])
+	}
+}
--- a/internal/batchstore/messages.go
+++ b/internal/batchstore/messages.go
@@ -7,160 +7,144 @@
 	"tuliprudder/internal/transport"
 )
 
-// What reading daemons ask a store; each has an deadline in its own body, so
-// that the store answers before the asker gives up.
+// The requests of reading daemons to a store, and its responses. They are sent as gob: the
+// names of types and fields never change; neither do the JSON keys. A Timeout is in
+// microseconds; when it has passed, the store answers that the outcome is unknown, before
+// its caller gives up.
 type (
-	// SubmitRequest hands a batch in.
+	// SubmitRequest submits a batch.
 	SubmitRequest struct {
 		Shard   int
 		Batch   shard.Batch
 		Timeout clock.Micros
 	}
-	// SubmitResponse is the answer once the batch is on two disks.
+	// SubmitResponse acknowledges a batch, once it is durable on every member of its
+	// shard's group.
 	SubmitResponse struct {
 		Batch    string
 		Items    int
-		Repeated bool
+		Repeated bool // the shard had the batch already
 		Store    string
 	}
-	// EndRequest ends a batch.
+	// EndRequest ends a batch; the response is its BatchStatus.
 	EndRequest struct {
 		Shard         int
 		Batch, Tenant string
 		AnyTenant     bool // see BatchStatusRequest
 		Timeout       clock.Micros
 	}
-	// BatchStatusRequest asks how a batch stands.
+	// BatchStatusRequest asks for the status of a batch.
 	BatchStatusRequest struct {
 		Shard         int
 		Batch, Tenant string
-		AnyTenant     bool // the caller carries no key: a batch without one is found by its name alone
-		Operator      bool // of any tenant, with its items' servers
+		AnyTenant     bool // the caller has no key: it finds a batch that has none either by its ID alone
+		Operator      bool // the batch may be any tenant's; the response has its results
 	}
-	// BatchStatus is how a batch stands at its store.
+	// BatchStatus is the status of a batch.
 	BatchStatus struct {
 		Batch       string         `json:"bundle"`
 		Route       string         `json:"route"`
-		State       string         `json:"state"`
+		State       string         `json:"state"` // a shard.BatchState
 		Items       int            `json:"items"`
-		Finished    int            `json:"listed"`
+		Finished    int            `json:"listed"` // items that have their result
 		Store       string         `json:"keeper"`
 		Writer      int            `json:"writer"`
 		Shard       int            `json:"slot"`
 		Epoch       uint64         `json:"epoch"`
-		Replicas    []string       `json:"replicas"`
-		SubmittedAt clock.Micros   `json:"enrolled_us"`
+		Replicas    []string       `json:"replicas"`    // addresses of the group's other members
+		SubmittedAt clock.Micros   `json:"enrolled_us"` // a point in time
 		Tenant      string         `json:"customer"`
-		Results     []shard.Result `json:"rows"` // for operators
+		Results     []shard.Result `json:"rows"` // for operators, without their outputs
 	}
-	// ReadRequest reads rows after a vector, up to a vector: of one batch, or of
-	// all a tenant's batches in the shards named with their epochs.
+	// ReadRequest reads results after a vector of positions, up to another one: of one
+	// batch, or of all batches of a tenant in the given shards.
 	ReadRequest struct {
-		Shards        map[int]uint64
-		Batch, Tenant string
-		AnyTenant     bool // see BatchStatusRequest
+		Shards        map[int]uint64 // the epoch of each shard that is read
+		Batch, Tenant string         // Batch is "" for all batches
+		AnyTenant     bool           // see BatchStatusRequest
 		After         token.Vector
-		Bound         map[int]token.Vector // by shard
-		Limit         int
-		// Indexed reads one batch's own list by index instead: from From on, as
-		// far as every row before is readable, with at most MaxBytes of outputs
-		// (0: no bound) but at least one row where one is readable.
+		Bound         map[int]token.Vector // by shard: the last positions that may be read
+		Limit         int                  // of results; 0 is no limit
+		// Indexed reads the list of one batch from the index From on instead, as far as
+		// every result before may be read. Outputs have at most MaxBytes bytes together (0
+		// is no limit), unless the first result alone has more.
 		Indexed  bool
 		From     int
 		MaxBytes int
 	}
-	// ReadResponse answers a read; More when the page was cut.
+	// ReadResponse is a page of results.
 	ReadResponse struct {
 		Results []shard.Result
-		State   string
-		Items   int // all the batch has, shelved or not
-		More    bool
-		Index   int // of the first row in the batch's list, where it was read by index
+		State   string // of the batch, as far as the reader may read it
+		Items   int    // of the batch
+		More    bool   // the page was cut at a limit
+		Index   int    // of the first result in the batch's list; of an indexed read only
 	}
-	// ItemBodyRequest asks for the body of an item, by its id, that is not listed yet.
+	// ItemBodyRequest asks for the body of a forwarded item that has no result yet.
 	ItemBodyRequest struct {
 		Shard       int
-		Batch, Item string
+		Batch, Item string // IDs
 	}
 	// ItemBodyResponse is that body.
 	ItemBodyResponse struct{ Body []byte }
-	// ClaimRequest claims a key for a one-shot order.
+	// ClaimRequest claims an idempotency key for a one-shot request.
 	ClaimRequest struct {
 		Shard   int
 		Claim   shard.Claim
 		Timeout clock.Micros
 	}
-	// ClaimResponse says whether the claim is the asker's, or how the earlier
-	// order of the key went.
+	// ClaimResponse is the claim on the key: the requester's own, or that of an earlier
+	// request.
 	ClaimResponse struct {
 		Yours bool
 		Claim shard.Claim
 	}
-	// CompleteClaimRequest notes how a claimed order went.
+	// CompleteClaimRequest records the outcome of a claimed request.
 	CompleteClaimRequest struct {
 		Shard    int
-		ID       string
-		State    string
+		ID       string // of the claim
+		State    string // shard.Answered or shard.Voided
 		Response []byte
 		Timeout  clock.Micros
 	}
-	// CompleteClaimResponse answers it.
+	// CompleteClaimResponse acknowledges that the outcome is durable. Done is not used.
 	CompleteClaimResponse struct{ Done bool }
-	// StatusRequest asks for the store's own account of itself.
+	// StatusRequest asks for the status of the store. Brief is not used.
 	StatusRequest struct{ Brief bool }
-	// StatusResponse is that account.
+	// StatusResponse is the status of the store.
 	StatusResponse struct {
 		Store         string        `json:"store"`
 		Zone          string        `json:"zone"`
 		Writer        int           `json:"writer"`
 		Incarnation   uint64        `json:"life"`
 		PersistedUpTo int64         `json:"up_to"`
-		Next          int64         `json:"next"`
-		Unfinished    int           `json:"unfinished"`
+		Next          int64         `json:"next"`       // position
+		Unfinished    int           `json:"unfinished"` // positions
 		Shards        []ShardStatus `json:"slots"`
 	}
-	// ShardStatus is one shard of it.
+	// ShardStatus is the status of one shard of it.
 	ShardStatus struct {
 		Shard   int    `json:"slot"`
 		Role    string `json:"role"`
 		Epoch   uint64 `json:"epoch"`
-		Seq     uint64 `json:"seq"`
-		Open    int    `json:"open"`
+		Seq     uint64 `json:"seq"`  // of the last entry
+		Open    int    `json:"open"` // entries that are not durable on every member
 		Batches int    `json:"bundles"`
-		Peer    string `json:"peer"`
-	}
-	// Heartbeat is a store's word to the cores.
-	Heartbeat struct {
-		ID, Zone, Peer string
-		Name           string // the operator's name of the machine; "": none
-		Incarnation    uint64
-		Ready          map[int]uint64 // shards copied, by epoch
-		Fleet          string         // "" before a core gave it a writer id
-		Draining       bool
-		Stalled        bool                        // its disk holds writes back
-		Unreachable    map[int]UnreachableReplicas // of the shards it leads
-		Busy           []int                       // owned shards with batches that are open: moving them runs items again
-	}
-	// UnreachableReplicas are the replicas that don't answer the primary of an epoch, by
-	// their addresses.
-	UnreachableReplicas struct {
-		Epoch uint64
-		Peers []string
-	}
-	// RegistrationRejected turns a store away for good: its folder is a copy, or an old one.
-	RegistrationRejected struct {
-		ID          string
-		Incarnation uint64
-		Reason      string
-	}
-	// Registered tells a store its writer id and the fleet.
-	Registered struct {
-		Fleet  string
-		Writer int
-		Seq    uint64
+		Peer    string `json:"peer"` // address of the primary, at the primary of the first replica
 	}
 )
 
+// Response is a response of a store to a Call.
+type Response interface{ response() }
+
+func (SubmitResponse) response()        {}
+func (BatchStatus) response()           {}
+func (ReadResponse) response()          {}
+func (ItemBodyResponse) response()      {}
+func (ClaimResponse) response()         {}
+func (CompleteClaimResponse) response() {}
+func (StatusResponse) response()        {}
+
 func init() {
 	transport.Register(SubmitRequest{}, SubmitResponse{}, EndRequest{}, BatchStatusRequest{}, BatchStatus{}, ReadRequest{}, ReadResponse{}, ItemBodyRequest{}, ItemBodyResponse{},
 		ClaimRequest{}, ClaimResponse{}, CompleteClaimRequest{}, CompleteClaimResponse{}, StatusRequest{}, StatusResponse{}, Heartbeat{}, Registered{}, RegistrationRejected{})
--- /dev/null
+++ b/internal/batchstore/pending_calls.go
@@ -0,0 +1,61 @@
+package batchstore
+
+import (
+	"maps"
+	"slices"
+
+	"tuliprudder/internal/clock"
+)
+
+// pendingCall is a call that is answered once an entry is durable.
+type pendingCall struct {
+	number   uint64
+	deadline clock.Micros // the outcome is unknown to the caller from here on
+	response Response
+}
+
+// pendingCalls are the calls that wait for their entries, in the order in which they came.
+type pendingCalls struct{ byEntry byEntry[[]pendingCall] }
+
+func newPendingCalls() pendingCalls { return pendingCalls{byEntry: byEntry[[]pendingCall]{}} }
+
+// add makes a call wait for an entry.
+func (p pendingCalls) add(unit string, seq uint64, call pendingCall) {
+	p.byEntry.put(unit, seq, append(p.byEntry[unit][seq], call))
+}
+
+// takeDurable removes and returns the calls that wait for an entry.
+func (p pendingCalls) takeDurable(unit string, seq uint64) []pendingCall {
+	calls, _ := p.byEntry.take(unit, seq)
+	return calls
+}
+
+// takeUnit removes and returns all calls that wait for entries of a unit.
+func (p pendingCalls) takeUnit(unit string) []pendingCall {
+	return slices.Concat(p.byEntry.takeUnit(unit)...)
+}
+
+// takeExpired removes and returns the calls whose deadline has passed, in the order of
+// units and entries.
+func (p pendingCalls) takeExpired(now clock.Micros) []pendingCall {
+	var expired []pendingCall
+	for _, unit := range slices.Sorted(maps.Keys(p.byEntry)) {
+		entries := p.byEntry[unit]
+		for _, seq := range slices.Sorted(maps.Keys(entries)) {
+			var remaining []pendingCall
+			for _, call := range entries[seq] {
+				if now >= call.deadline {
+					expired = append(expired, call)
+				} else {
+					remaining = append(remaining, call)
+				}
+			}
+			if len(remaining) == 0 {
+				delete(entries, seq)
+			} else {
+				entries[seq] = remaining
+			}
+		}
+	}
+	return expired
+}
--- a/internal/batchstore/pending_weights.go
+++ b/internal/batchstore/pending_weights.go
@@ -6,77 +6,90 @@
 	"tuliprudder/internal/replication"
 )
 
-// What waits of the requests that are passed on is counted from the ledger itself
-// (DESIGN §11.3, §12.5): what was accepted counts at its shard's owner from the
-// moment it is written, through restarts and passages, until it is listed or ended.
+// The weights of forwarded requests that are queued or run are counted from the shards'
+// state itself (docs/DESIGN.md §11.3, §12.5): what was accepted counts at its shard's owner
+// from its entry on, through restarts and moves, until it has its result or is ended.
 
-// formerShardGrace is how long a shard that passed on still counts here: its new owner has
-// told by then.
+// formerShardGrace is how long a shard that moved still counts at its former owner: by then
+// the new one has reported its weights.
 const formerShardGrace = clock.Second
 
+// weights are the weights of pending requests by tenant, see shard.Request.Weight.
+type weights map[string]int
+
+func (w weights) add(other weights) {
+	for tenant, weight := range other {
+		w[tenant] += weight
+	}
+}
+
+// formerShards are the weights of shards that moved to another store not long ago.
+type formerShards []formerShard
+
 type formerShard struct {
-	until   clock.Micros
-	pending map[string]int
+	countsUntil clock.Micros
+	pending     weights
 }
 
-// PendingWeights is what the requests that wait or run here count for, by tenant.
-func (k *Store) PendingWeights(now clock.Micros) map[string]int {
-	out := map[string]int{}
-	for _, group := range k.groups.All() {
-		if k.countsShard(group) {
-			addWeights(out, pendingWeights(k.shard(group.Unit).state))
-		}
-	}
-	for _, former := range k.formerShards {
-		if now < former.until {
-			addWeights(out, former.pending)
+// add makes the weights of a shard that moved now count for formerShardGrace.
+func (f *formerShards) add(pending weights, now clock.Micros) {
+	remaining := (*f)[:0]
+	for _, former := range *f {
+		if now < former.countsUntil {
+			remaining = append(remaining, former)
 		}
 	}
-	return out
+	*f = append(remaining, formerShard{countsUntil: now + formerShardGrace, pending: pending})
 }
 
-// countsShard tells whether a shard's work counts here: at its owner, and at one that
-// was its owner in an earlier life until another is.
-func (k *Store) countsShard(group *replication.Group) bool {
-	if group.IsPrimary() {
-		return true
+// addTo adds the weights that still count.
+func (f formerShards) addTo(sum weights, now clock.Micros) {
+	for _, former := range f {
+		if now < former.countsUntil {
+			sum.add(former.pending)
+		}
 	}
-	shard := shardOfUnit(group.Unit)
-	return group.Role == replication.Idle && shard < len(k.clusterMap.Shards) && k.clusterMap.Shards[shard].Primary.ID == k.self.ID
 }
 
-// rememberFormerShard keeps what a shard counted for in mind for a while.
-func (k *Store) rememberFormerShard(unit string, now clock.Micros) {
-	kept := k.formerShards[:0]
-	for _, former := range k.formerShards {
-		if now < former.until {
-			kept = append(kept, former)
+// PendingWeights are the weights of the forwarded requests that are queued or run here, by
+// tenant.
+func (s *Store) PendingWeights(now clock.Micros) map[string]int {
+	sum := weights{}
+	for _, group := range s.groups.All() {
+		if s.countsWeightsOf(group) {
+			sum.add(pendingWeights(s.shard(group.Unit).state))
 		}
 	}
-	k.formerShards = append(kept, formerShard{until: now + formerShardGrace, pending: pendingWeights(k.shard(unit).state)})
+	s.formerShards.addTo(sum, now)
+	return sum
 }
 
-func addWeights(to, from map[string]int) {
-	for tenant, count := range from {
-		to[tenant] += count
+// countsWeightsOf tells whether a shard's requests count here: at its primary, and at a
+// store that restarted, for as long as the map still has it as the primary.
+func (s *Store) countsWeightsOf(group *replication.Group) bool {
+	if group.IsPrimary() {
+		return true
+	}
+	if group.Role != replication.Idle {
+		return false
 	}
+	shardIndex := shardOfUnit(group.Unit)
+	assignments := s.clusterMap.Shards
+	return shardIndex < len(assignments) && assignments[shardIndex].Primary.ID == s.self.ID
 }
 
-// pendingWeights counts a shard's requests that are not listed.
-func pendingWeights(state *shard.State) map[string]int {
-	out := map[string]int{}
+// pendingWeights are the weights of a shard's forwarded requests that have no result.
+func pendingWeights(state *shard.State) weights {
+	sum := weights{}
 	for _, batch := range state.Batches {
 		if batch.State != shard.Open {
 			continue
 		}
 		for i, item := range batch.Items {
 			if item.Request != nil && !batch.HasResult(i) {
-				out[batch.Tenant] += item.Request.Weight()
+				sum[batch.Tenant] += item.Request.Weight()
 			}
 		}
 	}
-	return out
+	return sum
 }
-
-// HasClusterMap tells whether the store knows which shards are its own.
-func (k *Store) HasClusterMap() bool { return k.clusterMap.Seq > 0 }
--- a/internal/batchstore/replicated_state.go
+++ b/internal/batchstore/replicated_state.go
@@ -1,110 +1,86 @@
 package batchstore
 
 import (
-	"sort"
-
 	"tuliprudder/internal/batchstore/shard"
 	"tuliprudder/internal/clock"
-	"tuliprudder/internal/errs"
 	"tuliprudder/internal/machine"
+	"tuliprudder/internal/replication"
 )
 
-// This file is what the replication group asks of the store that holds its state.
+// This file is the store as the state machine of its replication groups.
+var _ replication.StateMachine = (*Store)(nil)
 
-// Snapshot is the shard's whole state for a copy.
-func (k *Store) Snapshot(unit string) [][]byte { return k.shard(unit).state.Snapshot(k.unarchive) }
+// Snapshot is the complete state of a shard, for another member of the group.
+func (s *Store) Snapshot(unit string) [][]byte {
+	return s.shard(unit).state.Snapshot(s.readArchived)
+}
 
-// LocalSnapshot is its state for this daemon's own disk.
-func (k *Store) LocalSnapshot(unit string) [][]byte { return k.shard(unit).state.Snapshot(nil) }
+// LocalSnapshot is the state of a shard for this daemon's own disk: it refers to the archive.
+func (s *Store) LocalSnapshot(unit string) [][]byte {
+	return s.shard(unit).state.Snapshot(nil)
+}
 
-// Restore replaces a shard's state.
-func (k *Store) Restore(unit string, parts [][]byte) {
-	state, err := shard.Restore(parts)
+// Restore replaces the state of a shard by a snapshot; without parts it is empty then.
+func (s *Store) Restore(unit string, parts [][]byte) {
+	restored, err := shard.Restore(parts)
 	if err != nil {
-		k.BadRecord = err
+		s.BadRecord = err
 		return
 	}
-	k.shard(unit).state = state
+	s.shard(unit).state = restored
 }
 
-// ApplyEntry applies an entry on the backup or when read back.
-func (k *Store) ApplyEntry(unit string, data []byte) {
+// ApplyEntry applies an entry at a replica, or one that was read back from the disk.
+func (s *Store) ApplyEntry(unit string, data []byte) {
 	entry, err := shard.Decode(data)
 	if err != nil {
-		k.BadRecord = err
+		s.BadRecord = err
 		return
 	}
-	entry.Apply(k.shard(unit).state)
+	entry.Apply(s.shard(unit).state)
 }
 
-// Confirmed answers who waits, finishes the position and starts new work.
-func (k *Store) Confirmed(unit string, seq uint64, _ clock.Micros) {
-	k.EntriesConfirmed++
-	if position, ok := k.assignedPositions[unit][seq]; ok {
-		delete(k.assignedPositions[unit], seq)
-		k.positions.Finish(position)
-		k.announceNeeded = true
-	}
-	if batch, ok := k.submittedBatches[unit][seq]; ok {
-		delete(k.submittedBatches[unit], seq)
-		k.startItems(unit, batch)
-	}
-	for _, w := range k.pendingCalls[unit][seq] {
-		k.Emit(machine.Reply{Call: w.call, Body: w.answer})
-	}
-	delete(k.pendingCalls[unit], seq)
+// appendEntry applies an entry at the primary and appends it to the group's log; the caller
+// has checked that the group serves. The entry is durable once Confirmed is called with its
+// sequence number.
+func (s *Store) appendEntry(unit string, entry shard.Entry, now clock.Micros) (seq uint64) {
+	data := shard.Encode(entry)
+	entry.Apply(s.shard(unit).state)
+	seq, _ = s.groups.Append(unit, data, now)
+	return seq
 }
 
-// startItems hands a batch's open items to the path.
-func (k *Store) startItems(unit, id string) {
-	p := k.shard(unit)
-	batch := p.state.Batches[id]
-	if batch == nil || batch.State != shard.Open {
-		return
+// Confirmed is called at the primary once an entry is durable on every member of the group.
+// Here a position is finished, which lets the persisted-up-to position advance; a batch that
+// was submitted begins to run; and the calls that wait for the entry are answered.
+func (s *Store) Confirmed(unit string, seq uint64, _ clock.Micros) {
+	s.EntriesConfirmed++
+	if s.positions.finishEntry(unit, seq) {
+		s.announcer.request()
 	}
-	epoch := k.groups.Group(unit).Epoch
-	for i, item := range batch.Items {
-		if !batch.HasResult(i) {
-			k.Emit(machine.Execute{Task: RunItem{Shard: p.shard, Epoch: epoch, Batch: id, Item: i,
-				Tenant: batch.Tenant, Route: batch.Route, ItemID: item.ID, Input: item.Input, Request: item.Request, SubmittedAt: batch.SubmittedAt, ConfigurationVersion: batch.ConfigurationVersion}})
-		}
+	if batch, ok := s.submitted.take(unit, seq); ok {
+		s.startItems(unit, batch)
 	}
-}
-
-// GroupReady tells the cores that a copy is on two disks.
-func (k *Store) GroupReady(_ string, _ uint64, now clock.Micros) { k.sendHeartbeats(now) }
-
-// Deposed says "outcome unknown" to who waits and leaves the shard's unfinished
-// positions open until its new owner has settled.
-func (k *Store) Deposed(unit string, epoch uint64, now clock.Micros) {
-	k.failPendingCalls(unit, "the slot passed to another keeper")
-	k.rememberFormerShard(unit, now)
-	shard := shardOfUnit(unit)
-	var positions []int64
-	for _, position := range k.assignedPositions[unit] {
-		positions = append(positions, position)
-	}
-	delete(k.assignedPositions, unit)
-	delete(k.submittedBatches, unit)
-	if len(positions) > 0 {
-		sort.Slice(positions, func(i, j int) bool { return positions[i] < positions[j] })
-		k.orphanedPositions = append(k.orphanedPositions, orphanedPositions{shard: shard, epoch: epoch, positions: positions})
+	for _, call := range s.pendingCalls.takeDurable(unit, seq) {
+		s.reply(call.number, call.response)
 	}
-	k.Emit(machine.Execute{Task: CancelItems{Shard: shard}})
-	k.Emit(machine.LogEvent{Event: ShardHandedOver{Shard: shard, UnfinishedPositions: len(positions)}})
-	k.announceNeeded = true
 }
 
-func (k *Store) failPendingCalls(unit, reason string) {
-	for _, seq := range sortedKeys(k.pendingCalls[unit]) {
-		for _, w := range k.pendingCalls[unit][seq] {
-			k.replyUnknown(w.call, reason)
-		}
-	}
-	delete(k.pendingCalls, unit)
-}
+// GroupReady tells the cores that every member has the state of a new epoch.
+func (s *Store) GroupReady(_ string, _ uint64, now clock.Micros) { s.sendHeartbeats(now) }
 
-func (k *Store) replyUnknown(call uint64, reason string) {
-	k.UnknownOutcomes++
-	k.Emit(machine.Reply{Call: call, Err: errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "ask again with the same idempotency key", "it is not known whether this was made durable: %s", reason)})
+// Deposed is called once this store is no longer the primary of an epoch. Whether an entry
+// that was not durable is part of the shard is the next primary's to decide: its caller is
+// told that the outcome is unknown, and its position stays unfinished until then.
+func (s *Store) Deposed(unit string, epoch uint64, now clock.Micros) {
+	for _, call := range s.pendingCalls.takeUnit(unit) {
+		s.replyUnknownOutcome(call, "the shard moved to another store")
+	}
+	s.formerShards.add(pendingWeights(s.shard(unit).state), now)
+	s.submitted.takeUnit(unit)
+	unfinished := s.positions.orphan(unit, epoch)
+	shardIndex := shardOfUnit(unit)
+	s.Emit(machine.Execute{Task: CancelItems{Shard: shardIndex}})
+	s.Emit(machine.LogEvent{Event: ShardHandedOver{Shard: shardIndex, UnfinishedPositions: unfinished}})
+	s.announcer.request()
 }
--- a/internal/batchstore/results.go
+++ b/internal/batchstore/results.go
@@ -1,97 +1,109 @@
 package batchstore
 
 import (
-	"cmp"
-	"slices"
-
 	"tuliprudder/internal/batchstore/shard"
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/machine"
 	"tuliprudder/internal/replication"
 )
 
-// This file gives results their positions and lists them (DESIGN §6.2).
-
-func sortedBatches(s *shard.State) []string { return sortedKeys(s.Batches) }
-
-// sortedKeys gives a map an order, so that the same inputs have the same
-// effects in the same order.
-func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
-	keys := make([]K, 0, len(m))
-	for key := range m {
-		keys = append(keys, key)
-	}
-	slices.Sort(keys)
-	return keys
-}
-
-// ItemFinished is the path's word that an item has its result.
+// ItemFinished is the outcome of an item's run.
 type ItemFinished struct {
 	Shard  int
 	Batch  string
-	Item   int
-	Status string
+	Item   int    // index in the batch
+	Status string // shard.StatusOK or shard.StatusFailed
 	Output string
-	Server string
+	Server string // "" where none ran it
 }
 
-// Apply gives the result its position and lists it.
-func (r ItemFinished) Apply(k *Store, now clock.Micros) {
-	k.pendingResults = append(k.pendingResults, pendingResult{shard: r.Shard, result: shard.Result{Batch: r.Batch, Item: r.Item, Status: r.Status, Output: r.Output, Server: r.Server}})
-	k.listPendingResults(now)
+// Apply lists the result, or keeps it until that is possible.
+func (r ItemFinished) Apply(s *Store, now clock.Micros) {
+	result := shard.Result{
+		Batch:  r.Batch,
+		Item:   r.Item,
+		Status: r.Status,
+		Output: r.Output,
+		Server: r.Server,
+	}
+	s.pendingResults = append(s.pendingResults, pendingResult{shard: r.Shard, result: result})
+	s.listPendingResults(now)
+}
+
+// pendingResult is a result that has no position yet.
+type pendingResult struct {
+	shard  int
+	result shard.Result
 }
 
-// listPendingResults lists held results as far as pairs serve and positions are reserved.
-func (k *Store) listPendingResults(now clock.Micros) {
-	if len(k.pendingResults) == 0 {
+// listPendingResults lists results as far as their groups serve and positions are reserved;
+// the others wait.
+func (s *Store) listPendingResults(now clock.Micros) {
+	if len(s.pendingResults) == 0 {
 		return
 	}
-	pending := k.pendingResults
-	k.pendingResults = nil
-	for _, f := range pending {
-		unit := Unit(f.shard)
-		group := k.groups.Group(unit)
-		batch := k.shard(unit).state.Batches[f.result.Batch]
-		if !group.IsPrimary() || batch == nil || batch.State != shard.Open || f.result.Item < 0 || f.result.Item >= len(batch.Items) || batch.HasResult(f.result.Item) {
-			continue // another store runs it, or it needs no row any more
-		}
-		if group.Role != replication.Serving {
-			k.pendingResults = append(k.pendingResults, f)
-			continue
-		}
-		position, ok := k.positions.Allocate()
-		if !ok {
-			k.reservePositions()
-			k.pendingResults = append(k.pendingResults, f)
-			continue
+	pending := s.pendingResults
+	s.pendingResults = nil
+	for _, result := range pending {
+		if !s.listResult(result, now) {
+			s.pendingResults = append(s.pendingResults, result)
 		}
-		result := f.result
-		result.Writer, result.Position, result.ItemID = k.writer, position, batch.Items[result.Item].ID
-		seq := k.appendEntry(unit, shard.ListResult{Result: result}, now)
-		if k.SkipDurability {
-			k.positions.Finish(position)
-			k.announceNeeded = true
-		} else {
-			if k.assignedPositions[unit] == nil {
-				k.assignedPositions[unit] = map[uint64]int64{}
-			}
-			k.assignedPositions[unit][seq] = position
-		}
-		k.ResultsListed++
 	}
-	k.reservePositions()
+	s.reservePositions()
 }
 
-// appendEntry applies an entry and appends it; the caller has seen the pair serve.
-func (k *Store) appendEntry(unit string, entry shard.Entry, now clock.Micros) uint64 {
-	data := shard.Encode(entry)
-	entry.Apply(k.shard(unit).state)
-	seq, _ := k.groups.Append(unit, data, now)
-	return seq
+// listResult gives a result the next position and appends its entry. It returns false if
+// the result has to wait. A result that this store can't list any more is dropped:
+// another store runs the item, or the item needs none.
+func (s *Store) listResult(pending pendingResult, now clock.Micros) (handled bool) {
+	unit := Unit(pending.shard)
+	group := s.groups.Group(unit)
+	result := pending.result
+	batch := s.shard(unit).state.Batches[result.Batch]
+	if !group.IsPrimary() || batch == nil || !batch.AwaitsResult(result.Item) {
+		return true
+	}
+	if group.Role != replication.Serving {
+		return false
+	}
+	position, ok := s.positions.Allocate()
+	if !ok {
+		return false
+	}
+	result.Writer = s.registration.Writer
+	result.Position = position
+	result.ItemID = batch.Items[result.Item].ID
+	seq := s.appendEntry(unit, shard.ListResult{Result: result}, now)
+	s.ResultsListed++
+	if s.Faults.SkipDurability {
+		s.positions.Finish(position)
+		s.announcer.request()
+		return true
+	}
+	s.positions.assign(unit, seq, position)
+	return true
+}
+
+// reservePositions writes the next reservation when it is due. Without a writer ID there is
+// no sequence of positions yet.
+func (s *Store) reservePositions() {
+	if s.registration.Writer == 0 {
+		return
+	}
+	upTo, needed := s.positions.beginReservation()
+	if !needed {
+		return
+	}
+	s.groups.Persist([]machine.Record{reservationRecord(upTo)}, func(now clock.Micros) {
+		s.positions.completeReservation(upTo)
+		s.listPendingResults(now)
+	})
 }
 
-func (k *Store) replyWhenConfirmed(unit string, seq, call uint64, deadline clock.Micros, answer any) {
-	if k.pendingCalls[unit] == nil {
-		k.pendingCalls[unit] = map[uint64][]pendingCall{}
+// finishOrphans finishes positions of a shard that moved, now that an owner of the epoch
+// serves it.
+func (s *Store) finishOrphans(shardIndex int, ownerEpoch uint64) {
+	if s.positions.finishOrphans(shardIndex, ownerEpoch) {
+		s.announcer.request()
 	}
-	k.pendingCalls[unit][seq] = append(k.pendingCalls[unit][seq], pendingCall{call: call, deadline: deadline, answer: answer})
 }
--- /dev/null
+++ b/internal/batchstore/retention.go
@@ -0,0 +1,43 @@
+package batchstore
+
+import (
+	"maps"
+	"slices"
+
+	"tuliprudder/internal/batchstore/shard"
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/replication"
+)
+
+// forgetExpired drops finished batches and claims whose retention has passed, in the shards
+// that this store serves, and then the archive files that nothing refers to any more.
+func (s *Store) forgetExpired(now clock.Micros) {
+	for _, group := range s.groups.All() {
+		if group.Role != replication.Serving {
+			continue
+		}
+		entry := expired(s.shard(group.Unit).state, now-s.settings.RetainFinished)
+		if !entry.IsEmpty() {
+			s.appendEntry(group.Unit, entry, now)
+		}
+	}
+	s.deleteUnusedArchives()
+}
+
+// expired lists the finished batches that were submitted before a point in time, and the
+// claims that began before it.
+func expired(state *shard.State, before clock.Micros) shard.Forget {
+	var entry shard.Forget
+	for _, id := range sortedBatches(state) {
+		batch := state.Batches[id]
+		if batch.State != shard.Open && batch.SubmittedAt < before {
+			entry.Batches = append(entry.Batches, id)
+		}
+	}
+	for _, id := range slices.Sorted(maps.Keys(state.Claims)) {
+		if state.Claims[id].At < before {
+			entry.Claims = append(entry.Claims, id)
+		}
+	}
+	return entry
+}
--- /dev/null
+++ b/internal/batchstore/retention_test.go
@@ -0,0 +1,45 @@
+package batchstore
+
+import (
+	"testing"
+
+	"tuliprudder/internal/batchstore/shard"
+	"tuliprudder/internal/clock"
+)
+
+// Finished batches and claims are dropped once their retention has passed; open batches are
+// kept.
+func TestExpiredBatchesAndClaimsAreForgotten(t *testing.T) {
+	c := newCluster(t)
+	for _, s := range c.stores {
+		s.settings.RetainFinished = 90 * clock.Second
+	}
+	c.mustCall(forwardedBatch("open", 1))
+	c.mustCall(forwardedBatch("done", 1))
+	c.do("a", finished("done", 0))
+	c.mustCall(claimRequest("1", "h"))
+	c.advance(60 * clock.Second)
+	state := c.stores["a"].shard(Unit(0)).state
+	if len(state.Batches) != 2 || len(state.Claims) != 1 {
+		t.Fatalf("before their retention has passed there are %v and %v", state.Batches, state.Claims)
+	}
+	c.advance(100 * clock.Second)
+	for id, s := range c.stores {
+		state := s.shard(Unit(0)).state
+		if len(state.Batches) != 1 || state.Batches["open"] == nil || len(state.Claims) != 0 {
+			t.Fatalf("afterwards %s has %v and %v", id, state.Batches, state.Claims)
+		}
+	}
+}
+
+func TestRetentionEndsAfterItsTimeNotAtIt(t *testing.T) {
+	state := shard.New()
+	state.Batches["b"] = &shard.Batch{ID: "b", State: shard.Done, SubmittedAt: 10}
+	state.Claims["c"] = &shard.Claim{At: 10}
+	if entry := expired(state, 10); !entry.IsEmpty() {
+		t.Fatalf("expired at the limit: %+v", entry)
+	}
+	if entry := expired(state, 11); len(entry.Batches) != 1 || len(entry.Claims) != 1 {
+		t.Fatalf("expired after it: %+v", entry)
+	}
+}
--- /dev/null
+++ b/internal/batchstore/status_test.go
@@ -0,0 +1,39 @@
+package batchstore
+
+import (
+	"testing"
+
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/errs"
+)
+
+// A batch without an idempotency key is found by its ID alone; one with a key stays its
+// tenant's own.
+func TestBatchWithoutAKeyIsFoundByItsID(t *testing.T) {
+	c := newCluster(t)
+	c.mustCall(forwardedBatch("one", 1))
+	mine := forwardedBatch("mine", 1)
+	mine.Batch.Tenant = "c"
+	mine.Batch.Key = "k"
+	c.mustCall(mine)
+	c.mustReject(errs.NotFound, BatchStatusRequest{Batch: "one"})
+	if status := c.mustCall(BatchStatusRequest{Batch: "one", AnyTenant: true}).(BatchStatus); status.Items != 1 {
+		t.Fatalf("the status is %+v", status)
+	}
+	c.mustCall(ReadRequest{Shards: map[int]uint64{0: 1}, Batch: "one", AnyTenant: true})
+	c.mustReject(errs.NotFound, BatchStatusRequest{Batch: "mine", AnyTenant: true})
+	c.mustReject(errs.NotFound, EndRequest{Batch: "mine", AnyTenant: true, Timeout: clock.Second})
+	c.mustReject(errs.NotFound, ReadRequest{Shards: map[int]uint64{0: 1}, Batch: "mine", AnyTenant: true})
+	c.mustCall(BatchStatusRequest{Batch: "mine", Tenant: "c"})
+}
+
+// An operator sees any tenant's batch, with its results but not their outputs.
+func TestOperatorSeesResultsWithoutOutputs(t *testing.T) {
+	c := newCluster(t)
+	c.mustCall(forwardedBatch("one", 2))
+	c.do("a", finished("one", 1))
+	status := c.mustCall(BatchStatusRequest{Batch: "one", Operator: true}).(BatchStatus)
+	if status.Finished != 1 || len(status.Results) != 1 || status.Results[0].ItemID != "i1" || status.Results[0].Output != "" {
+		t.Fatalf("the status is %+v", status)
+	}
+}
--- a/internal/batchstore/store.go
+++ b/internal/batchstore/store.go
@@ -1,15 +1,30 @@
-// Package batchstore is the machine of a store daemon (DESIGN §6): it holds shards
-// as owner or backup, gives positions to results, and announces its
-// persisted-up-to position to the readers itself.
+// Package batchstore is the state machine of a store daemon (docs/DESIGN.md §6). A store
+// is the primary or a replica of the replication groups of some shards. As a primary it
+// accepts batches, has their items run, gives each result a position, and serves reads;
+// it announces its persisted-up-to position to the reading daemons itself.
+//
+// Inputs are commands (Call, Message, Persisted, UpdateReceived, Tick, …), each with the
+// time; outputs are effects (machine.Effect), in an order that depends on the inputs only.
+// The machine does no I/O and reads no clock.
+//
+// Invariants, and where they are kept:
+//   - A batch is acknowledged, and its items run, only once its entry is durable on every
+//     member of the shard's group (Store.submit, Store.Confirmed).
+//   - A result gets its position when its entry is appended (Store.listResult), and the
+//     persisted-up-to position passes it once that entry is durable (Store.Confirmed,
+//     positionTracker).
+//   - An item's result is listed once (shard.ListResult).
+//   - Calls are served only as the primary under a valid lease (Store.requireServing), and
+//     reads only at the epoch that the reader knows (Store.requireServingAt).
+//
+// A Store has no lock: one goroutine, the daemon's event loop, makes all calls.
 package batchstore
 
 import (
-	"encoding/json"
 	"fmt"
 	"strconv"
 	"strings"
 
-	"tuliprudder/internal/batchstore/positions"
 	"tuliprudder/internal/batchstore/shard"
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/controlplane/state"
@@ -17,214 +32,124 @@
 	"tuliprudder/internal/replication"
 )
 
-// Settings of a store; the defaults are ours.
-type Settings struct {
-	MaxItems       int          // items that wait, over all its shards
-	CompactAfter   int          // stores between two views on disk
-	RetainFinished clock.Micros // how long a finished batch stays readable
-	HeartbeatEvery clock.Micros
-	AnnounceEvery  clock.Micros
-	DiskTimeout    clock.Micros // a write that takes longer means a stalled disk
-	DiskProbation  clock.Micros // how long it has to keep up before it counts again
-}
-
-// Defaults are the starting values.
-func Defaults() Settings {
-	return Settings{MaxItems: 50_000, CompactAfter: 2000, RetainFinished: 48 * 3600 * clock.Second,
-		HeartbeatEvery: 300 * clock.Millisecond, AnnounceEvery: 15 * clock.Millisecond,
-		DiskTimeout: 1500 * clock.Millisecond, DiskProbation: 5 * clock.Second}
-}
-
-// Self says who the store is.
-type Self struct {
-	ID, Zone, Peer string
-	Incarnation    uint64
-	Name           string // the operator's name of the machine; "": none
-}
-
-// RunItem is one item to be run on a server.
-type RunItem struct {
-	Shard                int
-	Epoch                uint64
-	Batch                string
-	Item                 int
-	Tenant               string
-	Route                string
-	ItemID               string
-	Input                string
-	Request              *shard.Request // passed on unchanged; nil where there is an input
-	SubmittedAt          clock.Micros
-	ConfigurationVersion uint64 // version of the configuration it was handed in under
-}
-
-// CancelItems tells the path to drop what it still has of a batch, or of a shard.
-type CancelItems struct {
-	Batch string
-	Shard int // -1 when a batch is meant
-}
-
-type shardState struct {
-	shard int
-	state *shard.State
-}
-
-type pendingCall struct {
-	call     uint64
-	deadline clock.Micros
-	answer   any
-}
-
-type orphanedPositions struct {
-	shard     int
-	epoch     uint64
-	positions []int64
-}
-
-type pendingResult struct {
-	shard  int
-	result shard.Result
-}
-
-// Store is the machine.
+// Store is the state machine of a store daemon.
 type Store struct {
 	machine.Effects
-	set                    Settings
-	self                   Self
-	groups                 *replication.Groups
-	shards                 map[string]*shardState
-	fleet                  string
-	writer                 int
-	positions              *positions.Allocator
-	reserving              bool // a reservation is being written
-	clusterMap             state.Map
-	cores                  []string
-	pendingCalls           map[string]map[uint64][]pendingCall
-	assignedPositions      map[string]map[uint64]int64 // unit, entry -> position
-	submittedBatches       map[string]map[uint64]string
-	orphanedPositions      []orphanedPositions
-	formerShards           []formerShard   // shards that passed on, counted for a while
-	pendingResults         []pendingResult // results that wait for a position or a serving pair
-	announcementSeq        uint64
-	announceNeeded         bool
+	Counters
+	// Faults are set by tests only.
+	Faults InjectedFaults
+	// BadRecord is the error of the last record that could not be read, from the disk, a
+	// peer or the archive; nil without one.
+	BadRecord error
+	// OnDamage, if set, is called with the error when an archived batch can't be read.
+	OnDamage func(error)
+
+	settings Settings
+	self     Self
+
+	registration registration
+	clusterMap   state.Map
+	cores        []string // the cores' addresses
+	groups       *replication.Groups
+	shards       map[string]*localShard // by unit
+	formerShards formerShards
+	draining     bool
+
+	pendingCalls   pendingCalls
+	submitted      byEntry[string] // IDs of batches whose items run once their entry is durable
+	pendingResults []pendingResult // they wait for a position, or for their group to serve
+	positions      positionTracker
+	announcer      announcer
+
+	archiver archiver
+	disk     diskMonitor
+	// recordsSinceCompaction counts the Persist effects since the last Compact effect.
 	recordsSinceCompaction int
-	writesInFlight         map[uint64]clock.Micros // on their way to the disk, since when
-	stalledAt              clock.Micros            // the disk was last seen stalled
-	disk                   machine.DiskState
-	next                   struct{ sendHeartbeats, announce, forgetExpired, resumeItems clock.Micros }
-	draining               bool
-	// Counters for the operators.
-	ResultsListed, BatchesSubmitted, UnknownOutcomes, Takeovers, EntriesConfirmed, Reads int64
-	// SkipDurability is a fault planted by tests: positions count as finished
-	// before they are durable.
-	SkipDurability bool
-	// RejectAfterWrite is a fault planted by tests: a batch is turned away after its
-	// entry was written.
-	RejectAfterWrite bool
-	// SkipLease is a fault planted by tests: asks are answered without a lease.
-	SkipLease       bool
-	BadRecord       error
-	archive         Archive
-	lastArchiveFile uint64 // last file put on the shelf
-	archiveFiles    map[uint64]bool
-	// BatchesArchived counts batches put away; Damaged is told of one that can't be read.
-	BatchesArchived int64
-	OnDamage        func(error)
+	due                    schedule
 }
 
-// Unit is the name of a shard's pair.
-func Unit(shard int) string { return fmt.Sprintf(unitShard+"%03d", shard) }
-
-func shardOfUnit(unit string) int {
-	shard, _ := strconv.Atoi(strings.TrimPrefix(unit, unitShard))
-	return shard
+// localShard is this daemon's state of a shard, in any role.
+type localShard struct {
+	index int
+	state *shard.State
 }
 
-type registration struct {
-	Fleet  string `json:"fleet"`
-	Writer int    `json:"writer"`
+// New makes a store from the records that were read back from its disk. Whether one could
+// not be read is told by BadRecord.
+func New(self Self, settings Settings, records []machine.Record, archive Archive) *Store {
+	s := &Store{
+		settings:     settings,
+		self:         self,
+		shards:       map[string]*localShard{},
+		pendingCalls: newPendingCalls(),
+		submitted:    byEntry[string]{},
+		archiver:     newArchiver(archive),
+		disk:         newDiskMonitor(settings.DiskTimeout, settings.DiskProbation),
+	}
+	s.groups = replication.NewGroups(&s.Effects, s)
+	s.positions = newPositionTracker(s.replay(records))
+	s.deleteUnusedArchives()
+	return s
 }
 
-// New makes a store from what was read back from its disk.
-func New(self Self, set Settings, records []machine.Record, shelf Archive) *Store {
-	k := &Store{set: set, self: self, archive: shelf, lastArchiveFile: shelf.LastFile(), archiveFiles: map[uint64]bool{}, shards: map[string]*shardState{},
-		pendingCalls: map[string]map[uint64][]pendingCall{}, assignedPositions: map[string]map[uint64]int64{},
-		submittedBatches: map[string]map[uint64]string{}, writesInFlight: map[uint64]clock.Micros{}, disk: machine.DiskState{Writable: true}}
-	k.groups = replication.NewGroups(&k.Effects, k)
-	reserved := int64(0)
+// replay applies the records and returns up to where positions are reserved.
+func (s *Store) replay(records []machine.Record) (reservedUpTo int64) {
 	for _, record := range records {
 		switch {
 		case record.Unit == unitSelf && record.Kind == kindReserved:
-			reserved = max(reserved, int64(record.Seq))
+			reservedUpTo = max(reservedUpTo, int64(record.Seq))
 		case record.Unit == unitSelf && record.Kind == kindWriter:
-			var who registration
-			if json.Unmarshal(record.Body, &who) == nil {
-				k.fleet, k.writer = who.Fleet, who.Writer
-			}
+			s.registration.replay(record)
 		default:
-			k.groups.Recover(record)
+			s.groups.Recover(record)
 		}
 	}
-	k.positions = positions.New(reserved)
-	k.deleteUnusedArchives(shelf.Files())
-	return k
+	return reservedUpTo
 }
 
 // Command is an input of the store.
 type Command = machine.Command[*Store]
 
-// Do applies a command and hands over the effects.
-func (k *Store) Do(command Command, now clock.Micros) []machine.Effect {
-	command.Apply(k, now)
-	if k.recordsSinceCompaction >= k.set.CompactAfter {
-		k.recordsSinceCompaction = 0
-		k.Emit(machine.Compact{Records: append(k.ownRecords(), k.groups.CompactedRecords()...)})
+// Do applies a command and returns the effects.
+func (s *Store) Do(command Command, now clock.Micros) []machine.Effect {
+	command.Apply(s, now)
+	if s.recordsSinceCompaction >= s.settings.CompactAfter {
+		s.recordsSinceCompaction = 0
+		s.Emit(machine.Compact{Records: append(s.ownRecords(), s.groups.CompactedRecords()...)})
 	}
-	out := k.Drain()
-	for _, effect := range out {
-		if store, ok := effect.(machine.Persist); ok {
-			k.recordsSinceCompaction++
-			k.writesInFlight[store.Token] = now
+	effects := s.Drain()
+	for _, effect := range effects {
+		if write, ok := effect.(machine.Persist); ok {
+			s.recordsSinceCompaction++
+			s.disk.writeStarted(write.Token, now)
 		}
 	}
-	return out
+	return effects
 }
 
-func (k *Store) ownRecords() []machine.Record {
-	body, _ := json.Marshal(registration{k.fleet, k.writer})
-	return []machine.Record{{Unit: unitSelf, Kind: kindWriter, Body: body},
-		{Unit: unitSelf, Kind: kindReserved, Seq: uint64(max(k.positions.Next()-1, k.reservedUpTo()))}}
+// ownRecords are the compacted records of the store itself, which belong to no shard.
+func (s *Store) ownRecords() []machine.Record {
+	reservedUpTo := max(s.positions.Next()-1, s.positions.ReservedUpTo())
+	return []machine.Record{s.registration.record(), reservationRecord(reservedUpTo)}
 }
 
-func (k *Store) reservedUpTo() int64 { return k.positions.ReservedUpTo() }
-
-// ClusterMap is the map of the stores as this one knows it.
-func (k *Store) ClusterMap() state.Map { return k.clusterMap }
-
 // Groups is the replication groups of this store, for tests and operators.
-func (k *Store) Groups() *replication.Groups { return k.groups }
+func (s *Store) Groups() *replication.Groups { return s.groups }
 
-// Writer is the store's writer id; 0 before the core gave it one.
-func (k *Store) Writer() int { return k.writer }
+// Unit is the name of a shard's replication group.
+func Unit(shardIndex int) string { return fmt.Sprintf(unitShard+"%03d", shardIndex) }
 
-// Fleet is the fleet the store belongs to.
-func (k *Store) Fleet() string { return k.fleet }
-
-// MayStart tells, right before a start on a server, whether this store may
-// start work of a batch: epoch, fresh lease, and the batch still open.
-func (k *Store) MayStart(shardIndex int, bundle string, item int, now clock.Micros) bool {
-	group := k.groups.Group(Unit(shardIndex))
-	if group.Role != replication.Serving || now >= group.LeaseUntil() {
-		return false
-	}
-	batch := k.shard(Unit(shardIndex)).state.Batches[bundle]
-	return batch != nil && batch.State == shard.Open && !batch.HasResult(item)
+func shardOfUnit(unit string) int {
+	index, _ := strconv.Atoi(strings.TrimPrefix(unit, unitShard))
+	return index
 }
 
-func (k *Store) shard(unit string) *shardState {
-	p := k.shards[unit]
-	if p == nil {
-		p = &shardState{shard: shardOfUnit(unit), state: shard.New()}
-		k.shards[unit] = p
+// shard is this daemon's state of the shard of a unit; it is empty when new.
+func (s *Store) shard(unit string) *localShard {
+	local := s.shards[unit]
+	if local == nil {
+		local = &localShard{index: shardOfUnit(unit), state: shard.New()}
+		s.shards[unit] = local
 	}
-	return p
+	return local
 }
--- /dev/null
+++ b/internal/batchstore/submit_test.go
@@ -0,0 +1,76 @@
+package batchstore
+
+import (
+	"testing"
+
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/errs"
+)
+
+// A batch is acknowledged and run only once it is durable on both members.
+func TestBatchIsAcknowledgedOnceItIsDurable(t *testing.T) {
+	c := newCluster(t)
+	c.delayed = true
+	if response, err := c.call(forwardedBatch("one", 1)); response != nil || err != nil {
+		t.Fatalf("not durable: %v %v", response, err)
+	}
+	first := c.lastCall
+	if response, err := c.call(forwardedBatch("one", 1)); response != nil || err != nil {
+		t.Fatalf("repeated and not durable: %v %v", response, err)
+	}
+	if len(c.tasks) != 0 {
+		t.Fatalf("before it is durable there are the tasks %v", c.tasks)
+	}
+	c.release()
+	if got, ok := c.replies[first].Body.(SubmitResponse); !ok || got.Repeated {
+		t.Fatalf("durable: %+v", c.replies[first])
+	}
+	if got, ok := c.replies[c.lastCall].Body.(SubmitResponse); !ok || !got.Repeated {
+		t.Fatalf("repeated and durable: %+v", c.replies[c.lastCall])
+	}
+	if len(c.tasks) != 1 {
+		t.Fatalf("the tasks are %v", c.tasks)
+	}
+}
+
+func TestOutcomeIsUnknownAtTheDeadline(t *testing.T) {
+	c := newCluster(t)
+	c.delayed = true
+	if response, err := c.call(forwardedBatch("one", 1)); response != nil || err != nil {
+		t.Fatalf("not durable: %v %v", response, err)
+	}
+	c.advance(clock.Second + 100*clock.Millisecond)
+	if err := c.replies[c.lastCall].Err; !errs.Is(err, errs.OutcomeUnknown) {
+		t.Fatalf("at the deadline: %v", err)
+	}
+	if got := c.stores["a"].UnknownOutcomes; got != 1 {
+		t.Fatalf("%d unknown outcomes were counted", got)
+	}
+}
+
+func TestBatchIsRejectedBeforeAnythingIsWritten(t *testing.T) {
+	for name, test := range map[string]struct {
+		prepare func(*cluster)
+		kind    errs.Kind
+	}{
+		"the key was used for another body": {func(c *cluster) {
+			other := forwardedBatch("one", 1)
+			other.Batch.Hash = "other"
+			c.mustCall(other)
+		}, errs.Conflict},
+		"the store is draining": {func(c *cluster) { c.do("a", Drain{}) }, errs.NotReady},
+		"the store is full":     {func(c *cluster) { c.stores["a"].settings.MaxItems = 0 }, errs.Busy},
+		"the lease has ended":   {func(c *cluster) { c.now += 10 * clock.Second }, errs.NotReady},
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := newCluster(t)
+			test.prepare(c)
+			group := c.stores["a"].groups.Group(Unit(0))
+			before := group.Seq
+			c.mustReject(test.kind, forwardedBatch("one", 1))
+			if group.Seq != before {
+				t.Fatal("an entry was appended")
+			}
+		})
+	}
+}
