--- a/internal/batchstore/cluster_map.go
+++ b/internal/batchstore/cluster_map.go
@@ -125,9 +125,9 @@
 	group := s.groups.Group(Unit(shardIndex))
 	switch transitionFor(s.member(), assignment, group.Epoch) {
 	case continueEpoch:
-		s.continueEpoch(group, assignment, now)
+		s.handleSameEpoch(group, assignment, now)
 	case becomePrimary:
-		s.becomePrimary(group, assignment, now)
+		s.takeOver(group, assignment, now)
 	case becomeReplica:
 		primary := s.clusterMap.Stores[assignment.Primary.ID]
 		s.groups.BecomeReplica(group.Unit, assignment.Epoch, primary.Peer, now)
@@ -139,9 +139,9 @@
 	}
 }
 
-// continueEpoch begins to serve once the cores have recorded the group as complete, or drops
+// handleSameEpoch begins to serve once the cores have recorded the group as complete, or drops
 // the data if the complete group does not include this store.
-func (s *Store) continueEpoch(group *replication.Group, assignment replication.Assignment, now clock.Micros) {
+func (s *Store) handleSameEpoch(group *replication.Group, assignment replication.Assignment, now clock.Micros) {
 	if !assignment.Complete {
 		return
 	}
@@ -154,7 +154,9 @@
 	}
 }
 
-func (s *Store) becomePrimary(group *replication.Group, assignment replication.Assignment, now clock.Micros) {
+// takeOver makes this store the shard's primary. It serves once every member has the state
+// and the cores have recorded that (handleSameEpoch).
+func (s *Store) takeOver(group *replication.Group, assignment replication.Assignment, now clock.Micros) {
 	s.Takeovers++
 	s.Emit(machine.LogEvent{Event: ShardOwned{
 		Shard:      shardOfUnit(group.Unit),
--- a/internal/batchstore/settings.go
+++ b/internal/batchstore/settings.go
@@ -45,26 +45,3 @@
 	Incarnation uint64
 	Name        string // the operator's name of the machine; "" where there is none
 }
-
-// InjectedFaults are faults that a test plants to show that the checkers notice them. They
-// are set by tests only.
-type InjectedFaults struct {
-	// SkipDurability finishes a position before its result is durable.
-	SkipDurability bool
-	// RejectAfterWrite rejects a batch with an even number of items after its entry was
-	// written.
-	RejectAfterWrite bool
-	// SkipLease serves calls without a valid lease.
-	SkipLease bool
-}
-
-// Counters count what the store did since its start.
-type Counters struct {
-	ResultsListed    int64
-	BatchesSubmitted int64
-	BatchesArchived  int64
-	UnknownOutcomes  int64 // calls that were answered with errs.OutcomeUnknown
-	Takeovers        int64 // shards that were assigned to this store as their primary
-	EntriesConfirmed int64 // entries that became durable on every member of their group
-	Reads            int64
-}
