--- a/test/capacitymodel/run.go
+++ b/test/capacitymodel/run.go
@@ -13,10 +13,10 @@
 	"tuliprudder/internal/membership"
 )
 
-// Bounds of the settling before the warm-up, in seconds of virtual time.
+// Bounds of the time until the fleet is stable, in seconds of virtual time.
 const (
-	maxSettleSeconds    = 90
-	settleReportSeconds = 5
+	maxStabilizeSeconds    = 90
+	progressSeconds = 5
 )
 
 // run is a run on its way.
@@ -64,10 +64,10 @@
 	fmt.Fprintf(r.progress, "%6.1f s (virtual %6.1f s): %s\n", time.Since(r.began).Seconds(), virtual, fmt.Sprintf(format, args...))
 }
 
-// awaitStable lets time pass until the fleet is stable, at most maxSettleSeconds; false where
+// awaitStable lets time pass until the fleet is stable, at most maxStabilizeSeconds; false where
 // the run outgrew its memory.
 func (r *run) awaitStable() bool {
-	for second := range maxSettleSeconds {
+	for second := range maxStabilizeSeconds {
 		r.fleet.RunFor(clock.Second)
 		if r.fleet.isStable() {
 			r.result.StableAfterSeconds = float64(second + 1)
@@ -76,7 +76,7 @@
 		if !r.isWithinMemory() {
 			return false
 		}
-		if second%settleReportSeconds == settleReportSeconds-1 {
+		if second%progressSeconds == progressSeconds-1 {
 			r.logf("not stable yet")
 		}
 	}
--- a/test/modelcheck/network.go
+++ b/test/modelcheck/network.go
@@ -74,7 +74,7 @@
 func (w *World) deliverAll() {
 	for range maxDeliveryRounds {
 		synced := w.syncAll()
-		delivered := w.deliverRound()
+		delivered := w.deliverInFlight()
 		if !synced && !delivered {
 			return
 		}
@@ -92,13 +92,13 @@
 	return synced
 }
 
-// deliverRound delivers the messages in flight, not those sent meanwhile; false where none
+// deliverInFlight delivers the messages in flight, not those sent meanwhile; false where none
 // travelled.
-func (w *World) deliverRound() bool {
-	round := w.inFlight
+func (w *World) deliverInFlight() bool {
+	sent := w.inFlight
 	w.inFlight = nil
 	delivered := false
-	for _, m := range round {
+	for _, m := range sent {
 		if w.staysInFlight(m) {
 			w.inFlight = append(w.inFlight, m)
 			continue
--- a/test/modelcheck/trace_config.go
+++ b/test/modelcheck/trace_config.go
@@ -15,8 +15,8 @@
 func ParseConfig(text string) (*Config, error) {
 	c := &Config{Voters: 3, MaxLosses: -1, Limits: DefaultLimits()}
 	for line := range strings.Lines(text) {
-		fields, found := strings.CutPrefix(strings.TrimSpace(line), configPrefix)
-		if !found {
+		fields, isConfig := strings.CutPrefix(strings.TrimSpace(line), configPrefix)
+		if !isConfig {
 			continue
 		}
 		flags := flag.NewFlagSet("config", flag.ContinueOnError)
--- a/test/simulator/batches.go
+++ b/test/simulator/batches.go
@@ -162,7 +162,7 @@
 	op := &BatchOperation{ID: b.ID, CalledAt: v.world.Now, batchOutput: batchOutput{isStatus: true}}
 	v.BatchOperations = append(v.BatchOperations, op)
 	v.callEdge(n, b.statusRequest(false), func(_ any, err error) {
-		if op.found = err == nil; op.found || errs.Is(err, errs.NotFound) {
+		if op.exists = err == nil; op.exists || errs.Is(err, errs.NotFound) {
 			op.AnsweredAt = v.world.Now
 		}
 		v.countCheck(batchKept)
--- a/test/simulator/history.go
+++ b/test/simulator/history.go
@@ -56,7 +56,7 @@
 
 // batchOutput is one attempt to submit a batch, or one read of its status.
 type batchOutput struct {
-	isStatus, found, duplicate, unknown bool
+	isStatus, exists, duplicate, unknown bool
 }
 
 // batchModel is one batch in its shard: absent, then present for good. An acknowledgement
@@ -66,7 +66,7 @@
 	Step: func(state, _, output any) []any {
 		present, out := state.(bool), output.(batchOutput)
 		switch {
-		case out.isStatus && out.found == present:
+		case out.isStatus && out.exists == present:
 			return []any{present}
 		case out.isStatus:
 			return nil
--- a/test/simulator/world.go
+++ b/test/simulator/world.go
@@ -44,10 +44,10 @@
 // World is a fleet with its links, model servers, callers and virtual time.
 type World struct {
 	virtualtime.Queue            // Now, and the events to come
-	Random     *rand.Rand // draws everything that is random; the order of draws is part of a seed
-	Conditions Conditions
-	Shape      Shape
-	lastNumber uint64 // numbers calls on servers and crash hooks
+	Random            *rand.Rand // draws everything that is random; the order of draws is part of a seed
+	Conditions        Conditions
+	Shape             Shape
+	lastNumber        uint64 // numbers calls on servers and crash hooks
 
 	Nodes           map[string]*Node // by name
 	nodeNames       []string         // in the order they were made
