--- a/test/simulator/digest_test.go
+++ b/test/simulator/digest_test.go
@@ -12,27 +12,26 @@
 
 var digestFlags = decisiondigest.AddFlags(flag.CommandLine)
 
-// digestFile has the records of the days below.
+// digestFile has the records of the runs below.
 const digestFile = "testdata/decisions.txt"
 
-// digestDay is a day whose decisions are recorded. Its name stays when the words of the
-// failures do not: only picks the same failures then.
-type digestDay struct {
+// digestRun is a run whose decisions are recorded under its name.
+type digestRun struct {
 	name  string
 	shape string
-	only  string
+	only  string // faults whose names contain it
 	seed  int64
-	acts  int
-	plain bool // without directed scenarios and requests that are passed on
-	busy  bool
-	// script is what happens instead of a day's failures, where it is set.
+	acts  int  // faults
+	plain bool // without directed scenarios and forwarded requests
+	busy  bool // with every kind of call
+	// script is what happens instead of faults, where it is set.
 	script func(w *World)
 }
 
-// momentActs begins the names of the failures that come at a chosen moment.
-const momentActs = "moment: "
+// triggeredFaults begins the names of TriggeredFaults.
+const triggeredFaults = "moment: "
 
-var digestDays = []digestDay{
+var digestRuns = []digestRun{
 	{name: "quiet", shape: "three", seed: 1, plain: true, busy: true},
 	{name: "mixed-1", shape: "three", seed: 1, acts: 3},
 	{name: "mixed-2", shape: "three", seed: 2, acts: 3},
@@ -42,7 +41,7 @@
 	{name: "second-loss", shape: "three", seed: 13, acts: 2, only: familySecondLoss},
 	{name: "answers", shape: "three", seed: 14, acts: 2, only: familyResponses},
 	{name: "copied-folder", shape: "three", seed: 8, script: startCopiedFolder},
-	{name: "moments", shape: "three", seed: 15, acts: 2, only: momentActs},
+	{name: "moments", shape: "three", seed: 15, acts: 2, only: triggeredFaults},
 
 	{name: "mixed-1", shape: "five", seed: 1, acts: 3},
 	{name: "mixed-2", shape: "five", seed: 2, acts: 3},
@@ -50,7 +49,7 @@
 	{name: "cut-off", shape: "five", seed: 21, acts: 1, only: familyPartition},
 	{name: "operators", shape: "five", seed: 22, acts: 2, only: familyOperators},
 	{name: "second-loss", shape: "five", seed: 23, acts: 2, only: familySecondLoss},
-	{name: "moments", shape: "five", seed: 24, acts: 2, only: momentActs},
+	{name: "moments", shape: "five", seed: 24, acts: 2, only: triggeredFaults},
 
 	{name: "mixed-1", shape: "uneven", seed: 2, acts: 3},
 	{name: "mixed-2", shape: "uneven", seed: 5, acts: 3},
@@ -58,13 +57,13 @@
 	{name: "operators", shape: "uneven", seed: 31, acts: 2, only: familyOperators},
 	{name: "second-loss", shape: "uneven", seed: 32, acts: 2, only: familySecondLoss},
 	{name: "many-changes", shape: "uneven", seed: 33, acts: 1, only: familyChanges},
-	{name: "moments", shape: "uneven", seed: 34, acts: 2, only: momentActs},
+	{name: "moments", shape: "uneven", seed: 34, acts: 2, only: triggeredFaults},
 }
 
-func (r digestDay) fullName() string { return r.shape + "/" + r.name }
+func (r digestRun) fullName() string { return r.shape + "/" + r.name }
 
-// startCopiedFolder starts a store from a copy of another one's folder: it is turned away
-// and ends itself.
+// startCopiedFolder starts a store from a copy of another one's folder: it is rejected and ends
+// itself.
 func startCopiedFolder(w *World) {
 	w.RunUntil(10*clock.Second, w.FullyReplicated)
 	w.Workload.Start()
@@ -76,8 +75,8 @@
 	w.RunFor(5 * clock.Second)
 }
 
-// live lives the day through and tells what it came to.
-func (r digestDay) live(t *testing.T) decisiondigest.Record {
+// record runs it and returns its record.
+func (r digestRun) record(t *testing.T) decisiondigest.Record {
 	digest := decisiondigest.New()
 	digestFlags.Trace(r.fullName(), digest, t.Logf)
 	w := r.run(t, func(n *Node, effect machine.Effect) {
@@ -89,8 +88,8 @@
 	return decisiondigest.NewRecord(r.fullName(), digest, outcomes(w)...)
 }
 
-// run lives the day and shows its effects.
-func (r digestDay) run(t *testing.T, onEffect func(*Node, machine.Effect)) *World {
+// run runs it and shows its effects.
+func (r digestRun) run(t *testing.T, onEffect func(*Node, machine.Effect)) *World {
 	shape := Shapes[r.shape]
 	if r.script != nil {
 		w := NewWorld(r.seed, shape, MildConditions())
@@ -101,13 +100,13 @@
 	}
 	run := Run{Seed: r.seed, Shape: shape, Conditions: MildConditions(), Faults: r.acts, Filter: r.only, AllCalls: r.busy, Forwarding: !r.plain, Scenarios: !r.plain, OnEffect: onEffect}
 	if err := run.Validate(); err != nil {
-		t.Fatalf("the words of the failures have changed: change those of this test (%v)", err)
+		t.Fatalf("the names of the faults have changed: change those of this test (%v)", err)
 	}
 	return run.Execute()
 }
 
-// outcomes are the numbers that a day came to. What depends on the machine's speed
-// (Watch.Undecided) is none of them.
+// outcomes are the figures of a run. What depends on the machine's speed
+// (History.UndecidedHistories) is none of them.
 func outcomes(w *World) []decisiondigest.Count {
 	v := w.Workload
 	counts := []decisiondigest.Count{}
@@ -126,38 +125,38 @@
 	return counts
 }
 
-// The decisions of fixed days are those that were recorded (test/decisiondigest): names,
-// places of code and words of the log change none of them.
+// The decisions of fixed runs are those that were recorded (test/decisiondigest): names,
+// packages and texts of the log change none of them.
 func TestDecisionsAreAsRecorded(t *testing.T) {
 	recorded, err := decisiondigest.ReadRecords(digestFile)
 	if err != nil && !digestFlags.Write {
 		t.Fatal(err)
 	}
-	lived := make([]decisiondigest.Record, len(digestDays))
+	made := make([]decisiondigest.Record, len(digestRuns))
 	t.Run("days", func(t *testing.T) {
-		for i, run := range digestDays {
+		for i, run := range digestRuns {
 			t.Run(run.fullName(), func(t *testing.T) {
 				t.Parallel()
-				lived[i] = run.live(t)
+				made[i] = run.record(t)
 				if digestFlags.Write {
 					return
 				}
-				for _, difference := range recorded[run.fullName()].Differences(lived[i]) {
+				for _, difference := range recorded[run.fullName()].Differences(made[i]) {
 					t.Error(difference)
 				}
 			})
 		}
 	})
 	if !digestFlags.Write {
-		if len(recorded) != len(digestDays) {
-			t.Errorf("%d days are recorded, and %d are lived", len(recorded), len(digestDays))
+		if len(recorded) != len(digestRuns) {
+			t.Errorf("%d runs are recorded, and %d are made", len(recorded), len(digestRuns))
 		}
 		return
 	}
-	if slices.ContainsFunc(lived, func(r decisiondigest.Record) bool { return r.Digest == "" }) || t.Failed() {
-		t.Fatal("not all days were lived: nothing is written")
+	if slices.ContainsFunc(made, func(r decisiondigest.Record) bool { return r.Digest == "" }) || t.Failed() {
+		t.Fatal("not all runs were made: nothing is written")
 	}
-	if err := decisiondigest.WriteRecords(digestFile, lived); err != nil {
+	if err := decisiondigest.WriteRecords(digestFile, made); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/test/simulator/main_test.go
+++ b/test/simulator/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Days are short and make much garbage: a larger heap is cheaper than more collections.
+// Runs are short and allocate much: a larger heap is cheaper than more collections.
 func TestMain(m *testing.M) {
 	debug.SetGCPercent(400)
 	os.Exit(m.Run())
--- a/test/simulator/scenarios_test.go
+++ b/test/simulator/scenarios_test.go
@@ -8,10 +8,10 @@
 	"tuliprudder/internal/clock"
 )
 
-// families are the five kinds of trouble that are brought about on purpose.
+// families are the five kinds of fault that are brought about on purpose.
 var families = []string{familyPartition, familyOperators, familySecondLoss, familyChanges, familyResponses}
 
-// A day of each family, with requests that are passed on, keeps every promise.
+// A run of each family, with forwarded requests, keeps every guarantee.
 func TestFamilies(t *testing.T) {
 	for i, family := range families {
 		t.Run(strings.TrimSuffix(family, ": "), func(t *testing.T) {
@@ -21,13 +21,13 @@
 				t.Fatal(w.Report(*traceLines))
 			}
 			if w.Workload.FaultsInjected != 2 || w.Workload.ForwardedRequests == 0 || w.Workload.CheckCounts[answeredByDeadline] == 0 {
-				t.Errorf("%d acts, %d requests passed on, %d judged", w.Workload.FaultsInjected, w.Workload.ForwardedRequests, w.Workload.CheckCounts[answeredByDeadline])
+				t.Errorf("%d faults, %d requests forwarded, %d checked", w.Workload.FaultsInjected, w.Workload.ForwardedRequests, w.Workload.CheckCounts[answeredByDeadline])
 			}
 		})
 	}
 }
 
-// A day on each shape of fleet, with what is timed before the failures.
+// A run on each shape of fleet, with the recovery measured before the faults.
 func TestShapes(t *testing.T) {
 	for name, shape := range Shapes {
 		t.Run(name, func(t *testing.T) {
@@ -38,14 +38,14 @@
 			}
 			measured := w.Workload.Recovery
 			if shape.Cores > 1 && (measured.FailoverAfterKill == 0 || measured.FailoverAfterIsolation == 0 || measured.CoreRepair == 0 || measured.StoreRepair == 0) {
-				t.Errorf("not all was timed: %+v", measured)
+				t.Errorf("not all was measured: %+v", measured)
 			}
 			t.Logf("%+v", measured)
 		})
 	}
 }
 
-// With a tolerance of two, two disks go at once and nothing is lost.
+// With a tolerance of two, two disks are lost at once and no data is.
 func TestTwoDisksAtOnce(t *testing.T) {
 	w := Run{Seed: 500, Shape: Shapes["five"], Conditions: MildConditions(), Faults: 4, Filter: "at once", Forwarding: true, Scenarios: true}.Execute()
 	if len(w.Workload.Violations) > 0 {
@@ -53,15 +53,15 @@
 	}
 }
 
-// A word that no failure's name holds is told before a day is lived.
-func TestUnknownFailures(t *testing.T) {
+// A filter that no fault's name contains is rejected before the run.
+func TestUnknownFaultsAreRejected(t *testing.T) {
 	run := Run{Shape: defaultShape, Filter: "no such failure", Scenarios: true}
 	if run.Validate() == nil {
-		t.Error("a day of failures that there are none of is taken")
+		t.Error("a run with a filter for no fault is accepted")
 	}
 	for _, family := range families {
 		if run.Filter = family; run.Validate() != nil {
-			t.Errorf("no failure of the family %q: %v", family, run.Validate())
+			t.Errorf("no fault of the family %q: %v", family, run.Validate())
 		}
 	}
 }
--- a/test/simulator/simulation_test.go
+++ b/test/simulator/simulation_test.go
@@ -19,7 +19,7 @@
 	seedCount  = flag.Int("seeds", 4, "seeds to sweep")
 	firstSeed  = flag.Int64("first", 1, "first seed")
 	traceLines = flag.Int("lines", 60, "lines of trace")
-	faultCount = flag.Int("acts", 6, "failures a day")
+	faultCount = flag.Int("acts", 6, "faults of a run")
 )
 
 func TestRunWithoutFaults(t *testing.T) {
@@ -36,23 +36,22 @@
 			t.Errorf("seed %d: %s", seed, w.Report(*traceLines))
 			return
 		}
-		t.Logf("seed %d: %d bundles, %d rows, %d plans, %d claims, %d live orders (%s), %d starts, %d steps; slowest row %d ms, back %d ms (%s), most waiting %v, not seen %v", seed, len(w.Workload.Batches), w.Workload.FeedResults, len(w.Workload.ConfigurationPuts), len(w.Workload.ClaimAttempts),
+		t.Logf("seed %d: %d batches, %d results, %d configurations, %d claims, %d live requests (%s), %d starts, %d steps; slowest result %d ms, restored in %d ms (%s), maximum waiting %v, not checked %v", seed, len(w.Workload.Batches), w.Workload.FeedResults, len(w.Workload.ConfigurationPuts), len(w.Workload.ClaimAttempts),
 			len(w.Workload.Requests), w.Workload.OutcomeSummary(), w.Workload.RequestsStarted, w.Steps, w.Workload.SlowestResult/1000, w.Workload.SlowestRecovery/1000, w.Workload.SlowestService, w.Workload.MaxWaiting, w.Workload.UncheckedGuarantees())
 	}
 }
 
-// unsentKinds are the kinds of message that no simulated day sends, each with its
-// reason.
+// unsentKinds are the kinds of message that no simulated run sends, each with the reason.
 var unsentKinds = map[string]string{
-	"batchstore.StatusRequest": "an operator's look", "batchstore.StatusResponse": "an operator's look",
-	"replication.StaleEpoch":     "a deposed owner has to write on: the pairs' own test mutates it",
-	"controlplane.StatusRequest": "an operator's look", "controlplane.StatusResponse": "an operator's look",
-	"batchstore.ItemBodyRequest": "a server's look at an opaque item: the keeper's own test", "batchstore.ItemBodyResponse": "the same",
+	"batchstore.StatusRequest": "an operator's read", "batchstore.StatusResponse": "an operator's read",
+	"replication.StaleEpoch":     "a deposed owner has to go on writing: the test of replication groups mutates it",
+	"controlplane.StatusRequest": "an operator's read", "controlplane.StatusResponse": "an operator's read",
+	"batchstore.ItemBodyRequest": "a server's read of an opaque item: the store's own test", "batchstore.ItemBodyResponse": "the same",
 	"batchstore.RegistrationRejected": "TestCopiedFoldersAreRejected sends it",
 }
 
-// One message of a kind is dropped, repeated, made late, or swapped with those
-// behind it, for every kind there is; every promise holds whichever it is.
+// One message of a kind is dropped, repeated, delayed, or swapped with those behind it, for
+// every kind there is; every guarantee holds whichever it is.
 func TestOneMessageMutated(t *testing.T) {
 	quiet := Conditions{SyncTime: 2 * clock.Millisecond}
 	small := Shape{Zones: 3, Cores: 3, Stores: 3, Edges: 2, Shards: 4}
@@ -72,7 +71,7 @@
 	for _, kind := range transport.Kinds() {
 		if counts[kind] == 0 {
 			if unsentKinds[kind] == "" {
-				t.Errorf("no day sends a %s: give it a day that does, or name the reason", kind)
+				t.Errorf("no run sends a %s: add one that does, or name the reason", kind)
 			}
 			continue
 		}
@@ -89,7 +88,7 @@
 	}
 }
 
-// The same seed lives the same day: verdicts do not depend on the machine.
+// The same seed gives the same run: verdicts do not depend on the machine.
 func TestSameSeedIsSameRun(t *testing.T) {
 	run := Run{Seed: 5, Shape: defaultShape, Conditions: MildConditions(), Faults: 4}
 	one, two := run.Execute(), run.Execute()
@@ -98,8 +97,8 @@
 	}
 }
 
-// A store's disk stalls for half a minute: its slots pass on, and batches are
-// taken in again long before it is back.
+// A store's disk stalls for half a minute: its shards get other owners, and batches are accepted
+// again long before the disk goes on.
 func TestStalledDiskHandsItsShardsOver(t *testing.T) {
 	w := NewWorld(3, defaultShape, Conditions{SyncTime: 2 * clock.Millisecond})
 	w.RunUntil(10*clock.Second, w.FullyReplicated)
@@ -118,7 +117,7 @@
 		}
 	}
 	if accepted != 30 {
-		t.Fatalf("8 s into the stall only %d of 30 bundles were taken in: %s %s", accepted, w.Describe(), w.Report(*traceLines))
+		t.Fatalf("8 s into the stall only %d of 30 batches were accepted: %s %s", accepted, w.Describe(), w.Report(*traceLines))
 	}
 	w.RunFor(25 * clock.Second)
 	if w.Workload.Finish(20 * clock.Second); len(w.Workload.Violations) > 0 {
@@ -126,9 +125,9 @@
 	}
 }
 
-// Two stores that both live can't reach each other for half a minute: their
-// slots find other partners, and batches are taken in meanwhile.
-func TestAPairThatIsCutFindsOtherPartners(t *testing.T) {
+// Two stores that both live can't reach each other for half a minute: their shards get other
+// replicas, and batches are accepted meanwhile.
+func TestReplicasThatCannotReachEachOtherAreReplaced(t *testing.T) {
 	w := NewWorld(4, defaultShape, Conditions{SyncTime: 2 * clock.Millisecond})
 	w.RunUntil(10*clock.Second, w.FullyReplicated)
 	w.Workload.Start()
@@ -141,7 +140,7 @@
 	w.RunFor(4 * clock.Second)
 	for _, b := range w.Workload.Batches {
 		if b.AcceptedAt == 0 {
-			t.Fatalf("12 s into the cut bundle %s was not taken in: %s %s", b.ID, w.Describe(), w.Report(60))
+			t.Fatalf("12 s into the partition batch %s was not accepted: %s %s", b.ID, w.Describe(), w.Report(60))
 		}
 	}
 	w.SetLinkBlocked("store-1", "store-2", false)
@@ -151,13 +150,13 @@
 	}
 }
 
-// A data folder copied from another machine, and an old copy of a dead one's, are
-// turned away with the remedy; nothing that was confirmed is lost.
+// A data folder copied from another machine, and an old copy of one that has ended, are rejected
+// with the remedy; nothing that was confirmed is lost.
 func TestCopiedFoldersAreRejected(t *testing.T) {
 	for _, kind := range []string{"store-1", "core-1"} {
 		for _, alive := range []bool{true, false} {
 			if kind == "core-1" && !alive {
-				continue // a core's old copy has an old epoch: it can claim nothing
+				continue // an old copy of a core has an old epoch: it is granted nothing
 			}
 			w := NewWorld(8, defaultShape, Conditions{SyncTime: 2 * clock.Millisecond})
 			w.RunUntil(10*clock.Second, w.FullyReplicated)
@@ -169,7 +168,7 @@
 			original := w.Nodes[kind]
 			copied := w.CloneNode(original, "copy")
 			if !alive {
-				// The original lives two lives more, takes batches in, and dies.
+				// The original restarts twice, accepts batches, and ends.
 				for i := 0; i < 2; i++ {
 					original.Crash()
 					w.RunFor(500 * clock.Millisecond)
@@ -198,8 +197,8 @@
 	}
 }
 
-// A store and a core of another fleet that were given this fleet's seeds end with
-// the remedy, and change nothing here.
+// A store and a core of another fleet that are started with this fleet's seeds end with the
+// remedy, and change nothing here.
 func TestSeedsOfAnotherFleet(t *testing.T) {
 	for kind, record := range map[string]machine.Record{
 		"store-1": {Unit: "self", Kind: "writer", Body: []byte(`{"fleet":"f-other","writer":3}`)},
@@ -218,7 +217,7 @@
 			t.Errorf("%s of another fleet: ended with %v", kind, stranger.HaltError)
 		}
 		if now := w.primary().Core.State(); fmt.Sprint(now.Shards) != shards || len(now.Stores) != 3 {
-			t.Errorf("%s of another fleet changed the map: %d stores", kind, len(now.Stores))
+			t.Errorf("%s of another fleet changed the shard map: %d stores", kind, len(now.Stores))
 		}
 	}
 }
@@ -237,9 +236,9 @@
 		added.ID, added.Zone, added.incarnation, added.disk.durable = "refuge-05", fmt.Sprintf("zone-%d", zone), 0, nil
 		added.Boot(24)
 		if !w.RunUntil(60*clock.Second, func() bool { return added.Store.OwnedShards() >= 3 }) {
-			t.Errorf("in zone-%d the added store owns %d of 24 slots after a minute", zone, added.Store.OwnedShards())
+			t.Errorf("in zone-%d the added store owns %d of 24 shards after a minute", zone, added.Store.OwnedShards())
 		}
-		// Then it comes to rest: nothing is moved to and fro.
+		// Then the placement is stable: nothing is moved to and fro.
 		epochs := func() (sum uint64) {
 			for _, p := range w.primary().Core.State().Shards {
 				sum += p.Epoch
@@ -249,7 +248,7 @@
 		w.RunFor(25 * clock.Second)
 		before := epochs()
 		if w.RunFor(10 * clock.Second); epochs() != before {
-			t.Errorf("in zone-%d: slots still move after 25 s", zone)
+			t.Errorf("in zone-%d: shards still move after 25 s", zone)
 		}
 		if w.Workload.Finish(20 * clock.Second); len(w.Workload.Violations) > 0 {
 			t.Error(w.Report(20))
@@ -257,14 +256,14 @@
 	}
 }
 
-// Lossy and slow links, and pauses shorter than the leases, move no slot and
-// depose no core: a false takeover would show as a pairing made anew.
+// Lossy and slow links, and pauses shorter than the leases, move no shard and depose no core: a
+// false takeover would show as a new epoch.
 func TestLossyLinksAloneMoveNothing(t *testing.T) {
 	moved := 0
 	for seed := int64(1); seed <= 3; seed++ {
 		w := NewWorld(seed, defaultShape, Conditions{DropRate: 0.02, DuplicateRate: 0.02, DelayRate: 0.2, MaxDelay: 150 * clock.Millisecond, SyncTime: 10 * clock.Millisecond})
 		if !w.RunUntil(15*clock.Second, w.FullyReplicated) {
-			t.Fatalf("seed %d: not settled: %s", seed, w.Describe())
+			t.Fatalf("seed %d: not fully replicated: %s", seed, w.Describe())
 		}
 		w.RunFor(10 * clock.Second)
 		epochs := func() (out string) {
@@ -287,18 +286,17 @@
 		}
 	}
 	if moved > 0 {
-		t.Fatalf("%d of 3 days had a false takeover", moved)
+		t.Fatalf("%d of 3 runs had a false takeover", moved)
 	}
 }
 
-// Each of these days once broke a promise; the commit that fixed it names the
-// seed.
+// Each of these runs once violated a guarantee; the commit that fixed it names the seed.
 func TestRegressions(t *testing.T) {
 	for _, run := range []Run{
-		{Seed: 5005, Shape: defaultShape, Conditions: MildConditions(), Faults: 0},                     // a founding whose grants were lost
-		{Seed: 1004, Shape: defaultShape, Conditions: MildConditions(), Faults: 8},                     // a deposed writer's open positions never settled
-		{Seed: 6011, Shape: defaultShape, Conditions: MildConditions(), Faults: 8},                     // a slot that passed on twice turned its order round in the feed
-		{Seed: 45, Shape: defaultShape, Conditions: MildConditions(), Faults: 6, Filter: "cut a zone"}, // a deposed store in a cut zone denied an accepted batch
+		{Seed: 5005, Shape: defaultShape, Conditions: MildConditions(), Faults: 0},                     // a bootstrap whose grants were lost
+		{Seed: 1004, Shape: defaultShape, Conditions: MildConditions(), Faults: 8},                     // a deposed writer's open positions were never closed
+		{Seed: 6011, Shape: defaultShape, Conditions: MildConditions(), Faults: 8},                     // a shard that moved twice reversed its results in the feed
+		{Seed: 45, Shape: defaultShape, Conditions: MildConditions(), Faults: 6, Filter: "cut a zone"}, // a deposed store in an isolated zone denied an accepted batch
 	} {
 		if w := run.Execute(); len(w.Workload.Violations) > 0 {
 			t.Errorf("seed %d: %s", run.Seed, w.Report(40))
