--- /dev/null
+++ b/internal/dataplane/proxy/admission.go
@@ -0,0 +1,57 @@
+package proxy
+
+import (
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/config"
+	"tuliprudder/internal/errs"
+)
+
+// IsIdempotent tells whether the requests of a route may run more than once.
+func IsIdempotent(route *config.Route) bool {
+	return route.Kind == config.Repeatable || route.Kind == config.Resumable
+}
+
+// handleRequest finds the route of a request and schedules its first attempt. Without a
+// configuration the daemon can't tell whether a route exists: it says that it is not ready.
+func (p *Proxy) handleRequest(call uint64, request Request, now clock.Micros) {
+	configuration := p.scheduler.Configuration()
+	if configuration == nil {
+		p.fail(call, errs.NewWithRetry(errs.NotReady, p.settings.MinRetryAfter, "use another daemon; this one has just started", "no configuration has arrived yet"))
+		return
+	}
+	route := configuration.MatchRoute(request.Host, request.Path)
+	if route == nil {
+		p.fail(call, errs.New(errs.UnknownRoute, "correct host and path, or have the operators add a route", "no route for host %q and path %q", request.Host, request.Path))
+		return
+	}
+	if route.Kind == config.Batch {
+		p.decide(call, BatchSubmission{Route: route})
+		return
+	}
+	r := &activeRequest{
+		Request:        request,
+		route:          route,
+		call:           call,
+		deadline:       deadline(request, route, now),
+		avoidedServers: map[string]int{},
+	}
+	if class := configuration.ClassOfTenant(route.Name); class != nil {
+		r.priority = class.Priority
+	}
+	p.inFlight[request.ID] = r
+	p.scheduleAttempt(r, nil, now)
+}
+
+// deadline is when a request's time is over: the route's time-out or the caller's, whichever
+// is shorter, counted from the arrival of its head.
+func deadline(request Request, route *config.Route, now clock.Micros) clock.Micros {
+	receivedAt := now
+	if request.ReceivedAt > 0 {
+		receivedAt = min(request.ReceivedAt, now)
+	}
+	timeout := route.Timeout
+	if request.CallerTimeout > 0 {
+		timeout = min(timeout, request.CallerTimeout)
+	}
+	return receivedAt + timeout
+}
--- /dev/null
+++ b/internal/dataplane/proxy/attempts.go
@@ -0,0 +1,187 @@
+package proxy
+
+import (
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/config"
+	"tuliprudder/internal/dataplane/scheduler"
+	"tuliprudder/internal/errs"
+)
+
+const (
+	// maxUnsentAttempts is how many servers that accept no connection are passed over: each
+	// may cost the caller the time-out of a dial.
+	maxUnsentAttempts = 3
+	// maxLocalFailures is the same for servers to which no connection is free here, which
+	// cost no time.
+	maxLocalFailures = 32
+)
+
+// scheduleAttempt queues a request for a server. lastErr is why the attempt before failed, nil
+// for the first one: if no server becomes free, the request fails with it.
+func (p *Proxy) scheduleAttempt(r *activeRequest, lastErr error, now clock.Micros) {
+	if now >= r.deadline {
+		p.failRequest(r, errs.NewWithRetry(errs.DeadlineExceeded, p.settings.MinRetryAfter, "retry with a later deadline", "the deadline of the request has passed"), now)
+		return
+	}
+	r.schedulerRequest = &scheduler.Request{
+		ID:             r.ID,
+		Tenant:         r.route.Name,
+		Route:          r.route,
+		Priority:       r.priority,
+		Prefix:         sharedPrefix(r.PromptSegments),
+		PromptTokens:   r.PromptTokens,
+		Pools:          p.choosePools(r.route),
+		Deadline:       p.queueDeadline(r, now),
+		AvoidedServers: r.avoidedServers,
+		Start:          func(assignment *scheduler.Assignment, _ clock.Micros) { p.startAttempt(r, assignment) },
+		Drop: func(err error, now clock.Micros) {
+			if lastErr != nil {
+				err = lastErr
+			}
+			p.failRequest(r, err, now)
+		},
+	}
+	if err := p.scheduler.Submit(r.schedulerRequest, now); err != nil {
+		p.failRequest(r, err, now)
+	}
+}
+
+// queueDeadline is until when a request may wait for a server. One that has waited longer is
+// better rejected: its caller learns when to retry while there is still time for it.
+func (p *Proxy) queueDeadline(r *activeRequest, now clock.Micros) clock.Micros {
+	limit := now + p.settings.MaxQueueTime
+	if latencyTarget := r.route.Forward.LatencyTarget; latencyTarget > 0 {
+		limit = min(limit, now+latencyTarget/p.settings.QueueTimeDivisor)
+	}
+	return min(limit, r.deadline)
+}
+
+// choosePools draws the pools that a request of a split route goes to, by their weights; nil
+// leaves them to the route.
+func (p *Proxy) choosePools(route *config.Route) config.Selector {
+	total := int64(0)
+	for _, weighted := range route.Forward.Split {
+		total += weighted.Weight
+	}
+	if total == 0 {
+		return nil
+	}
+	draw := p.random.Int63n(total)
+	for _, weighted := range route.Forward.Split {
+		if draw -= weighted.Weight; draw < 0 {
+			return weighted.Pools
+		}
+	}
+	return nil
+}
+
+// sharedPrefix names the segment that most other requests share, the first: servers are
+// chosen by whose prefix cache may hold it.
+func sharedPrefix(segments []PromptSegment) string {
+	if len(segments) == 0 {
+		return ""
+	}
+	return segments[0].ID
+}
+
+// startAttempt has the gateway send the request to the server that the scheduler assigned.
+func (p *Proxy) startAttempt(r *activeRequest, assignment *scheduler.Assignment) {
+	r.assignment = assignment
+	r.attempts++
+	p.decide(r.call, Attempt{
+		Address:  assignment.Server.Address,
+		Server:   assignment.Server.Name,
+		Route:    r.route,
+		Deadline: r.deadline,
+		IsLast:   !r.hasAttemptsLeft(),
+	})
+}
+
+// hasAttemptsLeft tells whether the route allows an attempt on a further server.
+func (r *activeRequest) hasAttemptsLeft() bool {
+	return r.attempts < max(1, r.route.Forward.MaxAttempts)
+}
+
+func (p *Proxy) handleAttemptStarted(call uint64, started AttemptStarted, now clock.Micros) {
+	if r := p.inFlight[started.RequestID]; r != nil && r.assignment != nil {
+		r.assignment.PrefillDone(now)
+	}
+	p.decide(call, nil)
+}
+
+// handleAttemptResult frees the server of an attempt and decides what follows.
+func (p *Proxy) handleAttemptResult(call uint64, result AttemptResult, now clock.Micros) {
+	r := p.inFlight[result.RequestID]
+	if r == nil || r.assignment == nil {
+		p.fail(call, errs.New(errs.OutcomeUnknown, "send the request again", "no attempt of request %q is in flight here", result.RequestID))
+		return
+	}
+	assignment := r.assignment
+	r.call = call
+	r.assignment = nil
+	r.schedulerRequest = nil
+	releaseServer(assignment, result, now)
+	switch result.Outcome {
+	case Complete:
+		p.Forwarded++
+		delete(p.inFlight, r.ID)
+		p.decide(call, Done{})
+	case Invalid:
+		delete(p.inFlight, r.ID)
+		p.fail(call, errs.New(errs.BadInput, "correct the request", "%s", result.Reason))
+	default:
+		r.recordFailure(result)
+		r.avoidedServers[assignment.Server.Name] = scheduler.ExcludeServer
+		p.retryOrFail(r, result, now)
+	}
+}
+
+// releaseServer ends an assignment with what the result says about the server.
+func releaseServer(assignment *scheduler.Assignment, result AttemptResult, now clock.Micros) {
+	switch {
+	case result.Outcome == Complete:
+		assignment.Release(now-assignment.AssignedAt, true, now)
+	case result.Outcome == NotRun:
+		assignment.Rejected(now)
+	case result.Outcome == Failed:
+		assignment.Release(0, true, now) // it did respond: it is reachable
+	case result.concernsServer():
+		assignment.Release(0, false, now)
+	default:
+		assignment.Abandon(now)
+	}
+}
+
+// recordFailure keeps what a failed attempt means for the request. An attempt that reached
+// no server is not counted as one.
+func (r *activeRequest) recordFailure(result AttemptResult) {
+	switch result.Outcome {
+	case NotSent:
+		r.attempts--
+		if result.LocalFailure {
+			r.localFailures++
+		} else {
+			r.unsentAttempts++
+		}
+	case Failed, Interrupted:
+		r.mayHaveRun = true
+	}
+}
+
+func (p *Proxy) retryOrFail(r *activeRequest, result AttemptResult, now clock.Micros) {
+	cause := errs.NewWithRetry(errs.NotReady, p.settings.MinRetryAfter, "retry", "no server completed the request: %s", result.Reason)
+	if !p.mayRetry(r, result) {
+		p.failRequest(r, cause, now)
+		return
+	}
+	p.Retries++
+	p.scheduleAttempt(r, cause, now)
+}
+
+// mayRetry tells whether another attempt may follow a failed one.
+func (p *Proxy) mayRetry(r *activeRequest, result AttemptResult) bool {
+	mayRunTwice := r.mayHaveRun && !IsIdempotent(r.route) && !p.InjectedFaults.RetryUnsafely
+	cannotContinue := result.ResponseStarted && r.route.Kind != config.Resumable
+	exhausted := !r.hasAttemptsLeft() || r.unsentAttempts > maxUnsentAttempts || r.localFailures > maxLocalFailures
+	return !result.ContextDone && !mayRunTwice && !cannotContinue && !exhausted
+}
--- /dev/null
+++ b/internal/dataplane/proxy/attempts_test.go
@@ -0,0 +1,326 @@
+package proxy
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/config"
+	"tuliprudder/internal/errs"
+)
+
+// What may follow an attempt depends on the kind of the route, on the attempt's outcome, and
+// on how many attempts are left. The table is written by hand, not computed by the rules that
+// it checks.
+func TestWhatFollowsAnAttempt(t *testing.T) {
+	const (
+		one, rep, str, res = config.OneShot, config.Repeatable, config.Stream, config.Resumable
+		last               = 1 // no further server is allowed
+		more               = 2 // one more is
+	)
+	for _, c := range []struct {
+		kinds           []string
+		outcome         Outcome
+		responseStarted bool
+		attempts        int64
+		want            string
+	}{
+		{[]string{one, rep, str, res}, Complete, true, last, "proxy.Done"},
+		{[]string{one, rep, str, res}, Complete, true, more, "proxy.Done"},
+		// Nothing reached the server: it does not count as an attempt, and another follows.
+		{[]string{one, rep, str, res}, NotSent, false, last, "attempt"},
+		{[]string{one, rep, str, res}, NotSent, false, more, "attempt"},
+		// The server states that it did not run: attempts follow while there are any, then
+		// a rejection with the time after which to retry.
+		{[]string{one, rep, str, res}, NotRun, false, more, "attempt"},
+		{[]string{one, rep, str, res}, NotRun, false, last, "rejected"},
+		// It has failed: it has run, and is never rejected.
+		{[]string{one, str}, Failed, false, more, "unknown"},
+		{[]string{one, str}, Failed, false, last, "unknown"},
+		{[]string{rep, res}, Failed, false, more, "attempt"},
+		{[]string{rep, res}, Failed, false, last, "unknown"},
+		// It may have run.
+		{[]string{one, str}, Interrupted, false, more, "unknown"},
+		{[]string{one, str}, Interrupted, false, last, "unknown"},
+		{[]string{rep, res}, Interrupted, false, more, "attempt"},
+		{[]string{rep, res}, Interrupted, false, last, "unknown"},
+		// Some of it has reached the caller: only a resumable stream continues.
+		{[]string{one, rep, str}, Interrupted, true, more, "unknown"},
+		{[]string{res}, Interrupted, true, more, "attempt"},
+		{[]string{one, rep, str, res}, Interrupted, true, last, "unknown"},
+	} {
+		for _, kind := range c.kinds {
+			name := fmt.Sprintf("%s, outcome %d, response started %v, %d attempts", kind, c.outcome, c.responseStarted, c.attempts)
+			b := newBench(t, []string{"a", "a", "a"}, newRoute(kind, c.attempts))
+			first := b.attempt(b.submit("o", kind))
+			if first.IsLast != (c.attempts == last) || first.Route.Kind != kind || first.Address != "at-"+first.Server || first.Deadline != b.now+5*clock.Second {
+				t.Errorf("%s: first sent as %+v", name, first)
+			}
+			call := b.send(AttemptResult{RequestID: "o", Outcome: c.outcome, ResponseStarted: c.responseStarted, Reason: "x"})
+			if got := b.outcomeOf(call); got != c.want {
+				t.Errorf("%s: %s (%v), not %s", name, got, b.replies[call].Err, c.want)
+			}
+			if c.want == "attempt" {
+				if second := b.attempt(call); second.Server == first.Server || second.Deadline != first.Deadline {
+					t.Errorf("%s: after %s it goes to %s, with deadline %d", name, first.Server, second.Server, second.Deadline)
+				}
+				b.send(AttemptResult{RequestID: "o", Outcome: Complete, ResponseStarted: true})
+			}
+			b.checkIdle(name)
+		}
+	}
+}
+
+// After the caller has disconnected, or its deadline has passed, no attempt follows; the
+// request is rejected only where nothing can have run.
+func TestNoAttemptAfterTheCallerLeft(t *testing.T) {
+	for _, kind := range []string{config.OneShot, config.Repeatable, config.Stream, config.Resumable} {
+		for outcome, want := range map[Outcome]string{NotSent: "rejected", NotRun: "rejected", Failed: "unknown", Interrupted: "unknown"} {
+			b := newBench(t, []string{"a", "a"}, newRoute(kind, 5))
+			b.submit("o", kind)
+			if got := b.outcomeOf(b.send(AttemptResult{RequestID: "o", Outcome: outcome, ContextDone: true})); got != want {
+				t.Errorf("%s, outcome %d: %s, not %s", kind, outcome, got, want)
+			}
+			b.checkIdle(kind)
+		}
+	}
+}
+
+// Once an attempt may have run, no later one that certainly did not turns the outcome into a
+// rejection: not the server's statement, not a failed connection, not a full queue.
+func TestAPossibleRunIsNeverForgotten(t *testing.T) {
+	for _, kind := range []string{config.Repeatable, config.Resumable} {
+		for _, first := range []Outcome{Failed, Interrupted} {
+			for _, second := range []Outcome{NotRun, NotSent, Failed, Interrupted} {
+				b := newBench(t, []string{"a", "a"}, newRoute(kind, 2))
+				b.submit("o", kind)
+				b.send(AttemptResult{RequestID: "o", Outcome: first})
+				call := b.send(AttemptResult{RequestID: "o", Outcome: second})
+				b.advance(clock.Second) // where it waits for a third server, none comes
+				if got := b.outcomeOf(call); got != "unknown" {
+					t.Errorf("%s, outcomes %d and %d: %s", kind, first, second, got)
+				}
+				b.checkIdle(kind)
+			}
+			b := newBench(t, []string{"a"}, newRoute(kind, 3))
+			b.submit("o", kind)
+			call := b.send(AttemptResult{RequestID: "o", Outcome: first})
+			b.advance(clock.Second)
+			if got := b.outcomeOf(call); got != "unknown" {
+				t.Errorf("%s, outcome %d and no other server: %s", kind, first, got)
+			}
+		}
+	}
+}
+
+// A route's attempts are the servers that a request is sent to; one that nothing reached
+// does not count.
+func TestAttemptsAreCounted(t *testing.T) {
+	for _, attempts := range []int64{0, 1, 2, 3} {
+		b := newBench(t, []string{"a", "a", "a", "a", "a"}, newRoute(config.OneShot, attempts))
+		b.submit("o", config.OneShot)
+		call := b.send(AttemptResult{RequestID: "o", Outcome: NotSent})
+		sent, servers := int64(0), map[string]bool{}
+		for b.outcomeOf(call) == "attempt" {
+			if servers[b.attempt(call).Server] {
+				t.Fatalf("%s is attempted twice", b.attempt(call).Server)
+			}
+			servers[b.attempt(call).Server] = true
+			sent++
+			if b.attempt(call).IsLast != (sent == max(1, attempts)) {
+				t.Errorf("of %d attempts, number %d is marked as the last: %v", attempts, sent, b.attempt(call).IsLast)
+			}
+			call = b.send(AttemptResult{RequestID: "o", Outcome: NotRun})
+		}
+		if sent != max(1, attempts) || b.outcomeOf(call) != "rejected" {
+			t.Errorf("with %d attempts it was sent to %d servers, and then: %s", attempts, sent, b.outcomeOf(call))
+		}
+	}
+}
+
+// Servers to which no connection is free here are passed over, however many there are: that
+// costs no time, and a further one may have a free slot.
+func TestServersWithoutAFreeConnectionArePassedOver(t *testing.T) {
+	const full = 2 * maxUnsentAttempts
+	b := newBench(t, slices.Repeat([]string{"a"}, full+1), newRoute(config.OneShot, 1))
+	call := b.submit("o", config.OneShot)
+	for i := range full {
+		if b.outcomeOf(call) != "attempt" {
+			t.Fatalf("after %d servers: %s", i, b.outcomeOf(call))
+		}
+		call = b.send(AttemptResult{RequestID: "o", Outcome: NotSent, LocalFailure: true})
+	}
+	if b.outcomeOf(call) != "attempt" {
+		t.Fatalf("after %d servers: %s, though one is left", full, b.outcomeOf(call))
+	}
+	b.send(AttemptResult{RequestID: "o", Outcome: Complete, ResponseStarted: true})
+	b.checkIdle("served")
+	// Where each of very many has none free, there is an end.
+	b = newBench(t, slices.Repeat([]string{"a"}, maxLocalFailures+5), newRoute(config.OneShot, 1))
+	call = b.submit("o", config.OneShot)
+	looked := 0
+	for ; b.outcomeOf(call) == "attempt"; looked++ {
+		call = b.send(AttemptResult{RequestID: "o", Outcome: NotSent, LocalFailure: true})
+	}
+	if looked != maxLocalFailures+1 || b.outcomeOf(call) != "rejected" {
+		t.Errorf("after %d servers: %s", looked, b.outcomeOf(call))
+	}
+}
+
+// A request is queued no longer than a share of its latency target, an upper bound, its
+// caller's time-out and its route's; then it is rejected with the time after which to retry.
+func TestQueueTimeIsBounded(t *testing.T) {
+	for name, c := range map[string]struct {
+		latencyTarget, deadline, wait, want clock.Micros
+	}{
+		"a share of the latency target": {300 * millisecond, 5 * clock.Second, 0, 60 * millisecond},
+		"a long latency target":         {60 * clock.Second, 500 * clock.Second, 0, 200 * millisecond},
+		"no latency target":             {0, 5 * clock.Second, 0, 200 * millisecond},
+		"a short caller time-out":       {300 * millisecond, 5 * clock.Second, 20 * millisecond, 20 * millisecond},
+		"a short route time-out":        {300 * millisecond, 10 * millisecond, clock.Second, 10 * millisecond},
+	} {
+		r := newRoute(config.OneShot, 2)
+		r.Forward.LatencyTarget, r.Timeout = c.latencyTarget, c.deadline
+		b := newBench(t, nil, r)
+		call := b.send(Request{ID: "o", Host: config.OneShot, Path: "/x/y", CallerTimeout: c.wait})
+		b.advance(c.want - 1)
+		if got := b.outcomeOf(call); got != "waits" {
+			t.Errorf("%s: right before: %s", name, got)
+		}
+		b.advance(1)
+		if got := b.outcomeOf(call); got != "rejected" {
+			t.Errorf("%s: at the limit: %s", name, got)
+		}
+		b.checkIdle(name)
+	}
+}
+
+// A queued request is sent as soon as a server is known, with its deadline unchanged.
+func TestANewServerServesTheQueue(t *testing.T) {
+	b := newBench(t, nil, newRoute(config.OneShot, 2))
+	call := b.send(Request{ID: "o", Host: config.OneShot, Path: "/x/y", CallerTimeout: clock.Second})
+	deadline := b.now + clock.Second
+	b.advance(50 * millisecond)
+	b.addServer("late", "a", 4)
+	b.collectReplies()
+	if attempt := b.attempt(call); attempt.Server != "late" || attempt.Deadline != deadline {
+		t.Errorf("sent as %+v", attempt)
+	}
+}
+
+// Once its deadline has passed, no attempt of a request follows.
+func TestNoAttemptAfterTheDeadline(t *testing.T) {
+	for outcome, want := range map[Outcome]string{NotRun: "rejected", NotSent: "rejected", Interrupted: "unknown"} {
+		b := newBench(t, []string{"a", "a"}, newRoute(config.Repeatable, 5))
+		b.submit("o", config.Repeatable)
+		b.now += 5 * clock.Second
+		if got := b.outcomeOf(b.send(AttemptResult{RequestID: "o", Outcome: outcome})); got != want {
+			t.Errorf("outcome %d: %s", outcome, got)
+		}
+	}
+}
+
+// A split route's requests are distributed by the weights; pools of weight 0 get none.
+func TestSplitShares(t *testing.T) {
+	r := newRoute(config.OneShot, 1)
+	weighted := func(pool string, share int64) config.WeightedPools {
+		return config.WeightedPools{Pools: config.Selector{"u": {pool}}, Weight: share}
+	}
+	for name, c := range map[string]struct {
+		split           []config.WeightedPools
+		atLeast, atMost int // of 2000 that go to b
+	}{
+		"nine to one": {[]config.WeightedPools{weighted("a", 90_000), weighted("b", 10_000)}, 140, 260},
+		"halves":      {[]config.WeightedPools{weighted("a", 1), weighted("b", 1)}, 900, 1100},
+		"all to b":    {[]config.WeightedPools{weighted("a", 0), weighted("b", 7)}, 2000, 2000},
+		"none to b":   {[]config.WeightedPools{weighted("a", 7), weighted("b", 0)}, 0, 0},
+	} {
+		r.Forward.Split = c.split
+		b := newBench(t, []string{"a", "b"}, r)
+		for i := range 2000 {
+			requestID := fmt.Sprint(i)
+			b.submit(requestID, config.OneShot)
+			b.send(AttemptResult{RequestID: requestID, Outcome: Complete, ResponseStarted: true})
+		}
+		got := 0
+		for _, response := range b.replies {
+			if attempt, ok := response.Body.(Attempt); ok && attempt.Server == "b1" {
+				got++
+			}
+		}
+		if got < c.atLeast || got > c.atMost || b.Forwarded != 2000 {
+			t.Errorf("%s: %d of %d went to b", name, got, b.Forwarded)
+		}
+	}
+}
+
+// The higher priority is served first when servers are scarce; a result of a request that
+// is not in flight is answered with an error.
+func TestPriorityAndUnknownRequests(t *testing.T) {
+	low, high := newRoute(config.OneShot, 1), newRoute(config.Repeatable, 1)
+	b := newBench(t, nil, low, high)
+	configuration := *b.scheduler.Configuration()
+	configuration.Version, configuration.Classes = 2, []config.PriorityClass{{Name: "low", Priority: 1}, {Name: "high", Priority: 9}}
+	configuration.Tenants = []config.Tenant{{Name: low.Name, Class: "low"}, {Name: high.Name, Class: "high"}}
+	configuration.Index()
+	b.scheduler.SetConfiguration(&configuration, b.now)
+	first, second := b.submit("low", config.OneShot), b.submit("high", config.Repeatable)
+	b.addServer("only", "a", 1)
+	b.collectReplies()
+	if b.outcomeOf(first) != "waits" || b.outcomeOf(second) != "attempt" {
+		t.Errorf("lower priority: %s, higher priority: %s", b.outcomeOf(first), b.outcomeOf(second))
+	}
+	if got := b.outcomeOf(b.send(AttemptResult{RequestID: "nobody", Outcome: Complete})); got != string(errs.OutcomeUnknown) {
+		t.Errorf("a result of an unknown request: %s", got)
+	}
+	if got := b.outcomeOf(b.send(AttemptResult{RequestID: "low", Outcome: Complete})); got != string(errs.OutcomeUnknown) {
+		t.Errorf("a result of a request that was not sent: %s", got)
+	}
+	b.send(AttemptStarted{RequestID: "high"})
+	b.send(AttemptStarted{RequestID: "nobody"})
+	if b.Call(1, 5, b.now) {
+		t.Error("the proxy handles a message that is not its own")
+	}
+}
+
+// countSecondRuns counts, over all kinds and outcomes, the attempts of requests that must
+// not run twice after one that may have run.
+func countSecondRuns(t *testing.T, injected bool) (runs int) {
+	for _, kind := range []string{config.OneShot, config.Stream} {
+		for _, outcome := range []Outcome{Failed, Interrupted} {
+			b := newBench(t, []string{"a", "a"}, newRoute(kind, 2))
+			b.InjectedFaults.RetryUnsafely = injected
+			b.submit("o", kind)
+			if b.outcomeOf(b.send(AttemptResult{RequestID: "o", Outcome: outcome})) == "attempt" {
+				runs++
+			}
+		}
+	}
+	return runs
+}
+
+// The check on second runs detects the injected one.
+func TestAnInjectedSecondRunIsCaught(t *testing.T) {
+	if runs := countSecondRuns(t, false); runs != 0 {
+		t.Errorf("%d requests that may have run were attempted again", runs)
+	}
+	if runs := countSecondRuns(t, true); runs == 0 {
+		t.Error("the injected fault was not detected")
+	}
+}
+
+// A configuration without the route ends its queued requests.
+func TestARemovedRouteEndsItsRequests(t *testing.T) {
+	b := newBench(t, nil, newRoute(config.OneShot, 2))
+	call := b.submit("o", config.OneShot)
+	other := newRoute(config.Stream, 1)
+	configuration := &config.Configuration{Version: 2, Routes: []config.Route{other}}
+	addTenants(configuration)
+	b.scheduler.SetConfiguration(configuration, b.now)
+	b.collectReplies()
+	if got := b.outcomeOf(call); got != string(errs.UnknownRoute) {
+		t.Errorf("the request: %s", got)
+	}
+	b.checkIdle("the route goes")
+}
--- a/internal/dataplane/proxy/fairness_test.go
+++ b/internal/dataplane/proxy/fairness_test.go
@@ -9,17 +9,17 @@
 	"tuliprudder/internal/config"
 )
 
-// serviceRatio counts how many of the requests of one sort were served.
+// serviceRatio counts how many requests of one category were served.
 type serviceRatio struct{ requested, served int }
 
 func (s serviceRatio) ratio() float64 { return float64(s.served) / float64(max(1, s.requested)) }
 
-// contention is more requests than the servers have places for.
+// contention is a load of more requests than the servers have slots for.
 type contention struct {
 	*bench
 	random  *rand.Rand
 	waiting map[uint64]contentionRequest
-	running map[string]clock.Micros // by order: when it ends
+	running map[string]clock.Micros // by request: when it ends
 	ratios  map[string]*serviceRatio
 	next    int
 }
@@ -43,7 +43,7 @@
 	}
 }
 
-// arrive has a request come by a route, in one of many sessions; a tenth of them are
+// submitTo sends a request to a route, in one of many sessions; a tenth of the requests are
 // ten times as large as the others.
 func (c *contention) submitTo(route string) {
 	c.next++
@@ -58,7 +58,7 @@
 	c.waiting[call] = request
 }
 
-// step lets a moment pass: what has run is done, and what waited starts or is refused.
+// step advances the time: what has run completes, and what was queued starts or is rejected.
 func (c *contention) step(span clock.Micros) {
 	c.advance(span)
 	for requestID, end := range c.running {
@@ -71,7 +71,7 @@
 		switch c.outcomeOf(call) {
 		case "waits":
 			continue
-		case "again":
+		case "attempt":
 			c.count(request.categories, true)
 			c.running[request.id] = c.now + 60*millisecond + clock.Micros(request.size)*100
 		}
@@ -79,8 +79,8 @@
 	}
 }
 
-// With half as many requests again as there are places for, no kind of request, size or
-// session is left out, nor a route that was added later.
+// With 1.5 times as many requests as there are slots for, no kind of request, size or session
+// is starved, nor a route that was added later.
 func TestNobodyIsStarvedUnderContention(t *testing.T) {
 	kinds := []string{config.OneShot, config.Repeatable, config.Stream, config.Resumable}
 	var routes []config.Route
@@ -111,7 +111,7 @@
 	all := c.ratios["all"].ratio()
 	t.Logf("served %.2f of all, %.2f of the large ones, %.2f on the later route", all, c.ratios["large"].ratio(), c.ratios["route later"].ratio())
 	if all > 0.9 || all < 0.4 {
-		t.Fatalf("%.2f of the requests are served: this is no crowd", all)
+		t.Fatalf("%.2f of the requests are served: there is no contention", all)
 	}
 	for category, one := range c.ratios {
 		minRatio := 0.8 * all
--- /dev/null
+++ b/internal/dataplane/proxy/messages.go
@@ -0,0 +1,115 @@
+package proxy
+
+import (
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/config"
+)
+
+// Input is what the gateway reports of a request and waits for the Decision on: a Request,
+// then the AttemptResult of each Attempt.
+type Input interface{ input() }
+
+func (Request) input()       {}
+func (AttemptResult) input() {}
+
+// Request is a request that a caller sent.
+type Request struct {
+	// ID is the edge's own name for the request, unique among those in flight.
+	ID string
+	// Host and Path select the route. Host comes without a port, Path escaped.
+	Host, Path string
+	// ReceivedAt is when its head arrived; 0 means now.
+	ReceivedAt clock.Micros
+	// CallerTimeout is how long the caller waits for the response; 0 if it did not say.
+	CallerTimeout clock.Micros
+	// PromptSegments are the segments of its prompt, in order.
+	PromptSegments []PromptSegment
+	// PromptTokens is how many tokens the server reads (prefill).
+	PromptTokens int64
+	// MaxOutputTokens is how many tokens the server generates at most (decode). No decision
+	// depends on it yet.
+	MaxOutputTokens int64
+	// ResumesStream: the caller resumes a stream that was interrupted. No decision depends
+	// on it yet.
+	ResumesStream bool
+}
+
+// PromptSegment is a segment of a prompt that requests may share.
+type PromptSegment struct {
+	ID     string
+	Tokens int64
+}
+
+// AttemptStarted reports that the server of the current attempt has sent the first part of
+// its response: its prefill is done. The reply is empty.
+type AttemptStarted struct{ RequestID string }
+
+// AttemptResult reports how an Attempt went.
+type AttemptResult struct {
+	RequestID string
+	Outcome   Outcome
+	// ResponseStarted: a part of the response has reached the caller.
+	ResponseStarted bool
+	// ContextDone: the caller disconnected, or the deadline passed.
+	ContextDone bool
+	// LocalFailure: the cause is in this daemon and says nothing about the server.
+	LocalFailure bool
+	// Reason is the cause, for people.
+	Reason string
+}
+
+// Outcome is what is certain about an attempt (docs/ANSWERS.md).
+type Outcome int
+
+// The outcomes.
+const (
+	// NotSent: no byte of the request reached a server.
+	NotSent Outcome = iota
+	// NotRun: the server stated that it did not run the request.
+	NotRun
+	// Complete: the caller has the complete response.
+	Complete
+	// Failed: the server's response is a failure, of which nothing was forwarded.
+	Failed
+	// Interrupted: the response is missing or incomplete; the request may have run.
+	Interrupted
+	// Invalid: the request can't be sent to any server.
+	Invalid
+)
+
+// concernsServer tells whether a result that is neither a response nor a rejection by the
+// server counts as a failure of the server.
+func (result AttemptResult) concernsServer() bool {
+	switch result.Outcome {
+	case Invalid:
+		return false
+	case NotSent:
+		return !result.LocalFailure && !result.ContextDone
+	}
+	return !result.ContextDone
+}
+
+// Decision is what the gateway has to do next about a request: an Attempt, a BatchSubmission
+// or nothing more (Done).
+type Decision interface{ decision() }
+
+func (Attempt) decision()         {}
+func (BatchSubmission) decision() {}
+func (Done) decision()            {}
+
+// Attempt decides that the request is sent to a server; the gateway reports the AttemptResult.
+type Attempt struct {
+	Address, Server string // of the server: IP and port, and its name
+	Route           *config.Route
+	Deadline        clock.Micros
+	// IsLast: no attempt on another server can follow, so that the server's own failure is
+	// forwarded to the caller.
+	IsLast bool
+}
+
+// BatchSubmission decides that the request's body is a batch to submit to the stores; the
+// request goes to no server.
+type BatchSubmission struct{ Route *config.Route }
+
+// Done decides that the request is finished.
+type Done struct{}
--- a/internal/dataplane/scheduler/match.go
+++ b/internal/dataplane/scheduler/match.go
@@ -108,7 +108,7 @@
 	offset := int(sc.serverOffset * float64(len(names)))
 	for i, name := range names {
 		s := sc.servers[name]
-		if !sc.serves(r, s.server.Labels) || avoided[name] >= 3 {
+		if !sc.serves(r, s.server.Labels) || avoided[name] >= ExcludeServer {
 			continue
 		}
 		candidate := sc.candidate(s, r, now)
@@ -192,7 +192,7 @@
 // avoids; one that is full or rests counts, for it will take orders again.
 func (sc *Scheduler) hasOtherServer(r *Request, names []string) bool {
 	for _, name := range names {
-		if s := sc.servers[name]; r.AvoidedServers[name] < 3 && s.isHealthy() && !s.server.Draining && sc.serves(r, s.server.Labels) {
+		if s := sc.servers[name]; r.AvoidedServers[name] < ExcludeServer && s.isHealthy() && !s.server.Draining && sc.serves(r, s.server.Labels) {
 			return true
 		}
 	}
