--- /dev/null
+++ b/internal/dataplane/requests/authorization.go
@@ -0,0 +1,56 @@
+package requests
+
+import (
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/config"
+	"tuliprudder/internal/errs"
+)
+
+// caller is an authenticated caller, with the configuration that says what it may do.
+type caller struct {
+	configuration *config.Configuration
+	tenant        *config.Tenant
+	class         *config.PriorityClass
+}
+
+// currentConfiguration is the configuration in force; errs.NotReady before the first one.
+func (m *Machine) currentConfiguration() (*config.Configuration, error) {
+	configuration := m.scheduler.Configuration()
+	if configuration == nil {
+		return nil, errs.NewWithRetry(errs.NotReady, clock.Second, "retry; the daemon has just started", "no configuration has arrived yet")
+	}
+	return configuration, nil
+}
+
+// authenticate finds the tenant that an API key belongs to.
+func (m *Machine) authenticate(apiKey string) (caller, error) {
+	configuration, err := m.currentConfiguration()
+	if err != nil {
+		return caller{}, err
+	}
+	if apiKey == "" {
+		return caller{}, errs.New(errs.Unauthorised, "send the header Authorization: Bearer KEY", "the request carries no API key")
+	}
+	tenant, class, ok := configuration.TenantByKey(apiKey)
+	if !ok {
+		return caller{}, errs.New(errs.Unauthorised, "check the key, or have the operators add the tenant to the configuration", "no tenant has this API key")
+	}
+	return caller{configuration: configuration, tenant: tenant, class: class}, nil
+}
+
+// authorizeRoute finds a route and checks that the caller's priority class may use it, for a
+// batch or for a live request.
+func (c caller) authorizeRoute(name string, batch bool) (*config.Route, error) {
+	route, ok := c.configuration.Route(name)
+	if !ok || route.Forward != nil || !route.Classes.Matches(c.class.Labels) {
+		return nil, errs.New(errs.UnknownRoute, "name a route that the configuration opens to the tenant's priority class", "no route %q for this tenant", name)
+	}
+	if batch != (route.Kind == config.Batch) {
+		return nil, errs.New(errs.BadInput, "send batches to /bundles of routes of kind bundle, live requests to /orders of the others", "route %q is of kind %s", name, route.Kind)
+	}
+	return route, nil
+}
+
+// maxIdempotencyKeyBytes bounds a caller's idempotency key, and the ID that a caller gives to a
+// batch of opaque requests.
+const maxIdempotencyKeyBytes = 256
--- a/internal/dataplane/requests/batches.go
+++ b/internal/dataplane/requests/batches.go
@@ -10,149 +10,191 @@
 	"tuliprudder/internal/machine"
 )
 
-// submitBatch takes a batch in: whole and on two disks, or not at all.
+// access is by what right a batch is read or changed: as its tenant's or, for batches of opaque
+// requests, whose callers carry no API key, as anybody's who knows its ID.
+type access struct {
+	tenant    string
+	anyTenant bool
+}
+
+// submitBatch submits a tenant's batch; the store acknowledges it once all of it is durable on
+// two disks.
 func (m *Machine) submitBatch(call uint64, request SubmitBatchRequest, now clock.Micros) {
-	configuration, tenant, class, route, err := m.authorizeBatch(request)
+	batch, err := m.newBatch(request)
 	if err != nil {
 		m.reply(call, nil, err)
 		return
 	}
-	if err := validateItems(request.Items, int(route.MaxItems), false); err != nil {
-		m.reply(call, nil, err)
-		return
+	m.submit(call, batch, now)
+}
+
+// newBatch checks a tenant's batch and names it by its idempotency key.
+func (m *Machine) newBatch(request SubmitBatchRequest) (shard.Batch, error) {
+	c, err := m.authenticate(request.APIKey)
+	if err != nil {
+		return shard.Batch{}, err
 	}
-	if int64(len(request.Items)) > class.Quota {
-		m.reply(call, nil, errs.New(errs.OverQuota, "send a smaller bundle, or buy a larger allowance", "%d items are more than the whole allowance of %d", len(request.Items), class.Quota))
-		return
+	route, err := c.authorizeRoute(request.Route, true)
+	if err != nil {
+		return shard.Batch{}, err
 	}
-	hashInputs := []string{route.Name}
-	for _, item := range request.Items {
-		hashInputs = append(hashInputs, item.ID, item.Input)
+	if request.IdempotencyKey == "" || len(request.IdempotencyKey) > maxIdempotencyKeyBytes {
+		return shard.Batch{}, errs.New(errs.BadInput, "use a key of at most 256 bytes", "the idempotency key is missing or too long")
 	}
-	id := shard.BatchID(tenant.Name, request.IdempotencyKey)
-	m.callStore(id, func(shardIndex int) any {
-		return batchstore.SubmitRequest{Shard: shardIndex, Timeout: m.settings.CommitTimeout, Batch: shard.Batch{ID: id, Tenant: tenant.Name, Key: request.IdempotencyKey, Hash: shard.Hash(hashInputs...), Route: route.Name, ConfigurationVersion: configuration.Version, Items: request.Items}}
-	}, m.settings.CommitTimeout+clock.Second, now, m.relayReply(call))
+	if err := validateItems(request.Items, int(route.MaxItems), false); err != nil {
+		return shard.Batch{}, err
+	}
+	if int64(len(request.Items)) > c.class.Quota {
+		return shard.Batch{}, errs.New(errs.OverQuota, "send a smaller batch, or have the quota raised", "%d items are more than the complete quota of %d", len(request.Items), c.class.Quota)
+	}
+	return shard.Batch{
+		ID:                   shard.BatchID(c.tenant.Name, request.IdempotencyKey),
+		Tenant:               c.tenant.Name,
+		Key:                  request.IdempotencyKey,
+		Hash:                 hashItems(route.Name, request.Items),
+		Route:                route.Name,
+		ConfigurationVersion: c.configuration.Version,
+		Items:                request.Items,
+	}, nil
 }
 
-func (m *Machine) authorizeBatch(request SubmitBatchRequest) (*config.Configuration, *config.Tenant, *config.PriorityClass, *config.Route, error) {
-	configuration, tenant, class, err := m.authenticate(request.APIKey)
+// submitForwardedBatch submits a batch of opaque requests, as submitBatch does one of inputs.
+func (m *Machine) submitForwardedBatch(call uint64, request SubmitForwardedBatchRequest, now clock.Micros) {
+	batch, err := m.newForwardedBatch(request)
 	if err != nil {
-		return nil, nil, nil, nil, err
-	}
-	route, err := authorizeRoute(configuration, class, request.Route, true)
-	if err == nil && (request.IdempotencyKey == "" || len(request.IdempotencyKey) > 256) {
-		err = errs.New(errs.BadInput, "use a key of at most 256 bytes", "the idempotency key is missing or too long")
+		m.reply(call, nil, err)
+		return
 	}
-	return configuration, tenant, class, route, err
+	m.submit(call, batch, now)
 }
 
-// relayReply hands a store's answer to who called.
-func (m *Machine) relayReply(call uint64) machine.Callback {
-	return func(body any, err error, _ clock.Micros) { m.reply(call, body, err) }
+// newForwardedBatch checks a batch of opaque requests. Its route stands for the tenant.
+func (m *Machine) newForwardedBatch(request SubmitForwardedBatchRequest) (shard.Batch, error) {
+	configuration, err := m.currentConfiguration()
+	if err != nil {
+		return shard.Batch{}, err
+	}
+	route, _ := configuration.Route(request.Route)
+	if route == nil || route.Forward == nil || route.Kind != config.Batch {
+		return shard.Batch{}, errs.New(errs.UnknownRoute, "name a route of the configuration in force that forwards batches", "the configuration forwards no batches by a route %q", request.Route)
+	}
+	if err := checkBatchID(request.ID); err != nil {
+		return shard.Batch{}, err
+	}
+	if err := validateItems(request.Items, int(route.MaxItems), true); err != nil {
+		return shard.Batch{}, err
+	}
+	return shard.Batch{
+		ID:                   request.ID,
+		Tenant:               route.Name,
+		Hash:                 hashItems(route.Name, request.Items),
+		Route:                route.Name,
+		ConfigurationVersion: configuration.Version,
+		Items:                request.Items,
+	}, nil
 }
 
-// statusTimeout is how long a store may take to say how things stand.
-const statusTimeout = 2 * clock.Second
+func checkBatchID(id string) error {
+	if id == "" || len(id) > maxIdempotencyKeyBytes {
+		return errs.New(errs.BadInput, "use an ID of at most 256 bytes", "the batch's ID is missing or too long")
+	}
+	return nil
+}
 
-// relayStatus hands on the answer to a question that changes nothing: where none
-// came, asking again is always safe.
-func (m *Machine) relayStatus(call uint64) machine.Callback {
-	return func(body any, err error, _ clock.Micros) {
-		if err != nil && errs.Of(err).Kind == errs.OutcomeUnknown {
-			err = errs.NewWithRetry(errs.NotReady, clock.Second, "ask again; nothing was changed", "the store gave no answer: %v", err)
+// hashItems is the hash by which a store tells a repeated batch from another one with the same
+// ID. It is stored: what goes into it never changes.
+func hashItems(route string, items []shard.Item) string {
+	parts := []string{route}
+	for _, item := range items {
+		content := item.Input
+		if item.Request != nil {
+			content = string(item.Request.Body)
 		}
-		m.reply(call, body, err)
+		parts = append(parts, item.ID, content)
 	}
+	return shard.Hash(parts...)
 }
 
-// submitForwardedBatch takes a batch of requests in, as handIn does one of inputs. Its
-// route stands for the tenant.
-func (m *Machine) submitForwardedBatch(call uint64, request SubmitForwardedBatchRequest, now clock.Micros) {
-	configuration := m.scheduler.Configuration()
-	if configuration == nil {
-		m.reply(call, nil, errs.NewWithRetry(errs.NotReady, clock.Second, "ask again; the daemon has just started", "no plan has arrived yet"))
-		return
+func (m *Machine) submit(call uint64, batch shard.Batch, now clock.Micros) {
+	newRequest := func(shardIndex int) any {
+		return batchstore.SubmitRequest{Shard: shardIndex, Timeout: m.settings.CommitTimeout, Batch: batch}
 	}
-	route, _ := configuration.Route(request.Route)
-	if route == nil || route.Forward == nil || route.Kind != config.Batch {
-		m.reply(call, nil, errs.New(errs.UnknownRoute, "name a route of the plan in force that passes bundles on", "the plan passes no bundles on by a route %q", request.Route))
+	m.callStore(batch.ID, newRequest, m.commitCallTimeout(), now, m.relayReply(call))
+}
+
+// batchStatus reads the status of a tenant's batch, or cancels it.
+func (m *Machine) batchStatus(call uint64, request BatchStatusRequest, now clock.Micros) {
+	c, err := m.authenticate(request.APIKey)
+	if err != nil {
+		m.reply(call, nil, err)
 		return
 	}
-	err := checkBatchID(request.ID)
-	if err == nil {
-		err = validateItems(request.Items, int(route.MaxItems), true)
+	by := access{tenant: c.tenant.Name}
+	if request.Cancel {
+		m.cancelBatch(call, request.Batch, by, now)
+		return
 	}
-	if err != nil {
-		m.reply(call, nil, err)
+	m.readStatus(request.Batch, by, now, m.relayReply(call))
+}
+
+// forwardedBatchStatus reads the status of a batch of opaque requests, or cancels it.
+func (m *Machine) forwardedBatchStatus(call uint64, request ForwardedBatchStatusRequest, now clock.Micros) {
+	by := access{anyTenant: true}
+	if request.Cancel {
+		m.cancelBatch(call, request.Batch, by, now)
 		return
 	}
-	hashInputs := []string{route.Name}
-	for _, item := range request.Items {
-		hashInputs = append(hashInputs, item.ID, string(item.Request.Body))
+	m.readStatus(request.Batch, by, now, m.relayStatus(call))
+}
+
+func (m *Machine) cancelBatch(call uint64, batch string, by access, now clock.Micros) {
+	newRequest := func(shardIndex int) any {
+		return batchstore.EndRequest{Shard: shardIndex, Batch: batch, Tenant: by.tenant, AnyTenant: by.anyTenant, Timeout: m.settings.CommitTimeout}
 	}
-	m.callStore(request.ID, func(shardIndex int) any {
-		return batchstore.SubmitRequest{Shard: shardIndex, Timeout: m.settings.CommitTimeout, Batch: shard.Batch{ID: request.ID, Tenant: route.Name, Hash: shard.Hash(hashInputs...), Route: route.Name, ConfigurationVersion: configuration.Version, Items: request.Items}}
-	}, m.settings.CommitTimeout+clock.Second, now, m.relayReply(call))
+	m.callStore(batch, newRequest, m.commitCallTimeout(), now, m.relayReply(call))
 }
 
-func checkBatchID(batch string) error {
-	if batch == "" || len(batch) > 256 {
-		return errs.New(errs.BadInput, "use a name of at most 256 bytes", "the bundle's name is missing or too long")
+func (m *Machine) readStatus(batch string, by access, now clock.Micros, callback machine.Callback) {
+	newRequest := func(shardIndex int) any {
+		return batchstore.BatchStatusRequest{Shard: shardIndex, Batch: batch, Tenant: by.tenant, AnyTenant: by.anyTenant}
 	}
-	return nil
+	m.callStore(batch, newRequest, statusTimeout, now, callback)
 }
 
-func (m *Machine) forwardedBatchStatus(call uint64, request ForwardedBatchStatusRequest, now clock.Micros) {
-	if request.Cancel {
-		m.callStore(request.Batch, func(shardIndex int) any {
-			return batchstore.EndRequest{Shard: shardIndex, Batch: request.Batch, AnyTenant: true, Timeout: m.settings.CommitTimeout}
-		}, m.settings.CommitTimeout+clock.Second, now, m.relayReply(call))
+// readPage reads results of one batch of a tenant, or of all.
+func (m *Machine) readPage(call uint64, request PageRequest, now clock.Micros) {
+	c, err := m.authenticate(request.APIKey)
+	if err != nil {
+		m.reply(call, nil, err)
 		return
 	}
-	m.callStore(request.Batch, func(shardIndex int) any {
-		return batchstore.BatchStatusRequest{Shard: shardIndex, Batch: request.Batch, AnyTenant: true}
-	}, statusTimeout, now, m.relayStatus(call))
+	m.read(call, request.Read, access{tenant: c.tenant.Name}, now)
 }
 
-// readForwardedPage reads one batch: without a tenant there is no feed.
+// readForwardedPage reads results of one batch of opaque requests: without a tenant there is no
+// feed over many.
 func (m *Machine) readForwardedPage(call uint64, request ForwardedPageRequest, now clock.Micros) {
 	if err := checkBatchID(request.Read.BatchID); err != nil {
 		m.reply(call, nil, err)
 		return
 	}
 	if request.Read.FromIndex < 0 {
-		m.reply(call, nil, errs.New(errs.BadInput, "count from 0", "the list has no row %d", request.Read.FromIndex))
+		m.reply(call, nil, errs.New(errs.BadInput, "count from 0", "there is no result %d", request.Read.FromIndex))
 		return
 	}
-	request.Read.Tenant, request.Read.AnyTenant = "", true
-	m.reader.Start(request.Read, now, func(page reader.Page, err error, _ clock.Micros) { m.reply(call, page, err) })
+	m.read(call, request.Read, access{anyTenant: true}, now)
 }
 
-// batchStatus asks a batch's store how it stands, or ends it.
-func (m *Machine) batchStatus(call uint64, request BatchStatusRequest, now clock.Micros) {
-	_, tenant, _, err := m.authenticate(request.APIKey)
-	if err != nil {
-		m.reply(call, nil, err)
-		return
-	}
-	if request.Cancel {
-		m.callStore(request.Batch, func(shardIndex int) any {
-			return batchstore.EndRequest{Shard: shardIndex, Batch: request.Batch, Tenant: tenant.Name, Timeout: m.settings.CommitTimeout}
-		}, m.settings.CommitTimeout+clock.Second, now, m.relayReply(call))
-		return
-	}
-	m.callStore(request.Batch, func(shardIndex int) any {
-		return batchstore.BatchStatusRequest{Shard: shardIndex, Batch: request.Batch, Tenant: tenant.Name}
-	}, statusTimeout, now, m.relayReply(call))
+func (m *Machine) read(call uint64, request reader.Request, by access, now clock.Micros) {
+	request.Tenant = by.tenant
+	request.AnyTenant = by.anyTenant
+	m.reader.Start(request, now, func(page reader.Page, err error, _ clock.Micros) { m.reply(call, page, err) })
 }
 
-func (m *Machine) readPage(call uint64, request PageRequest, now clock.Micros) {
-	_, tenant, _, err := m.authenticate(request.APIKey)
-	if err != nil {
-		m.reply(call, nil, err)
-		return
+// readItemBody reads the body of an item without a result, in a batch of opaque requests.
+func (m *Machine) readItemBody(call uint64, request ItemBodyRequest, now clock.Micros) {
+	newRequest := func(shardIndex int) any {
+		return batchstore.ItemBodyRequest{Shard: shardIndex, Batch: request.Batch, Item: request.Item}
 	}
-	request.Read.Tenant, request.Read.AnyTenant = tenant.Name, false
-	m.reader.Start(request.Read, now, func(page reader.Page, err error, _ clock.Micros) { m.reply(call, page, err) })
+	m.callStore(request.Batch, newRequest, statusTimeout, now, m.relayStatus(call))
 }
--- a/internal/dataplane/requests/machine.go
+++ b/internal/dataplane/requests/machine.go
@@ -1,26 +1,35 @@
-// Package requests is the way of callers' orders through an edge (DESIGN §7): who
-// calls, what the configuration opens to them, the quota, the claim of a key, the
-// queue, the tries on servers, and what the caller may be told for certain. It
-// is a part of the edge's machine: the sockets are the event loop's.
+// Package requests decides what becomes of callers' live requests and batches at an edge
+// (DESIGN §7): who calls, what the configuration opens to them, the quota, the claim of an
+// idempotency key, the queue, the attempts on servers, and what the caller may be assured of.
+//
+// Inputs are the messages of messages.go, each answered by one machine.Reply. A live request is
+// a dialogue: the gateway sends an Input and carries out the Decision, until that is a Response
+// or an error. Batches and their results belong to the stores; this package authorizes the
+// caller, checks the input, and relays to the shard's owner.
+//
+// Two invariants hold for every live request:
+//   - A one-shot request that may have run is never run again.
+//   - An error other than errs.OutcomeUnknown assures the caller that nothing ran and nothing
+//     will: a claimed idempotency key is voided durably before.
+//
+// The package is a part of the edge's state machine: it opens no socket and reads no clock.
+// Nothing here is safe for concurrent use: the daemon's event loop is the one caller.
 package requests
 
 import (
-	"tuliprudder/internal/batchstore"
 	"tuliprudder/internal/clock"
-	"tuliprudder/internal/config"
 	"tuliprudder/internal/dataplane/decisionlog"
 	"tuliprudder/internal/dataplane/quota"
 	"tuliprudder/internal/dataplane/reader"
 	"tuliprudder/internal/dataplane/scheduler"
-	"tuliprudder/internal/errs"
 	"tuliprudder/internal/machine"
 )
 
-// Settings of the orders; Defaults has the usual values.
+// Settings bound the attempts and waits; Defaults has the usual values.
 type Settings struct {
-	MaxAttempts   int
-	IdleTimeout   clock.Micros // longest wait for a server's next piece
-	CommitTimeout clock.Micros // how long an acknowledgement may take before its outcome is unknown
+	MaxAttempts   int          // attempts of a live request; default 4
+	IdleTimeout   clock.Micros // longest wait for a server's next chunk; default 5 s
+	CommitTimeout clock.Micros // after which a store's missing acknowledgement leaves the outcome unknown; default 3 s
 }
 
 // Defaults are the values used where nothing is set.
@@ -28,7 +37,16 @@
 	return Settings{MaxAttempts: 4, IdleTimeout: 5 * clock.Second, CommitTimeout: 3 * clock.Second}
 }
 
-// Machine holds the orders under way.
+// InjectedFaults are set by tests only, to show that their checks find such faults.
+type InjectedFaults struct {
+	RetryUnsafely        bool // a one-shot request of unknown outcome is run again elsewhere
+	RejectAfterRun       bool // a request that may have run is rejected
+	RestartResumedStream bool // a resumed stream starts from its beginning
+	AcceptInterrupted    bool // an interrupted response is taken for a complete one
+	SkipIdempotencyClaim bool // an idempotency key is not claimed before the first attempt
+}
+
+// Machine holds the live requests in flight.
 type Machine struct {
 	settings  Settings
 	calls     *machine.Calls
@@ -36,61 +54,52 @@
 	quota     *quota.Quota
 	reader    *reader.Reader
 	decisions *decisionlog.Log
-	inFlight  map[string]*activeRequest
-	// RetryUnsafely is a fault planted by tests: a one-shot order whose outcome is
-	// not known is run again elsewhere.
-	RetryUnsafely bool
-	// RejectAfterRun is a fault planted by tests: an order that may have run is said
-	// to be rejected.
-	RejectAfterRun bool
-	// RestartResumedStream is a fault planted by tests: a stream that is gone on with begins
-	// anew.
-	RestartResumedStream bool
-	// AcceptInterrupted is a fault planted by tests: an answer that was cut is taken as whole.
-	AcceptInterrupted bool
-	// SkipIdempotencyClaim is a fault planted by tests: a key is not claimed first.
-	SkipIdempotencyClaim bool
+	inFlight  map[string]*activeRequest // by request ID
+
+	InjectedFaults InjectedFaults
 }
 
-// New makes the part of an edge's machine that carries orders.
+// New makes the part of an edge's machine that serves callers' requests.
 func New(settings Settings, calls *machine.Calls, sched *scheduler.Scheduler, quotas *quota.Quota, r *reader.Reader, decisions *decisionlog.Log) *Machine {
-	return &Machine{settings: settings, calls: calls, scheduler: sched, quota: quotas, reader: r, decisions: decisions, inFlight: map[string]*activeRequest{}}
+	return &Machine{
+		settings:  settings,
+		calls:     calls,
+		scheduler: sched,
+		quota:     quotas,
+		reader:    r,
+		decisions: decisions,
+		inFlight:  map[string]*activeRequest{},
+	}
 }
 
-// InFlight is how many live orders are under way.
+// InFlight is how many live requests are in flight.
 func (m *Machine) InFlight() int { return len(m.inFlight) }
 
-// Call takes what the event loop hands in; false for anything else.
+// Call handles a message of the gateway's; false if the message is not for this package.
 func (m *Machine) Call(call uint64, body any, now clock.Micros) bool {
-	switch request := body.(type) {
+	switch message := body.(type) {
 	case LiveRequest:
-		m.admitRequest(call, request, now)
+		m.admitRequest(call, message, now)
 	case AttemptResult:
-		m.handleAttemptResult(call, request, now)
+		m.handleAttemptResult(call, message, now)
 	case AttemptStarted:
-		if r := m.inFlight[request.RequestID]; r != nil {
-			r.releaseQuota(now)
-		}
-		m.reply(call, nil, nil)
+		m.handleAttemptStarted(call, message, now)
 	case CallerDisconnected:
-		m.handleDisconnect(request.RequestID, now)
-		m.reply(call, nil, nil)
+		m.handleDisconnect(call, message, now)
 	case SubmitBatchRequest:
-		m.submitBatch(call, request, now)
+		m.submitBatch(call, message, now)
 	case BatchStatusRequest:
-		m.batchStatus(call, request, now)
+		m.batchStatus(call, message, now)
 	case PageRequest:
-		m.readPage(call, request, now)
+		m.readPage(call, message, now)
 	case SubmitForwardedBatchRequest:
-		m.submitForwardedBatch(call, request, now)
+		m.submitForwardedBatch(call, message, now)
 	case ForwardedBatchStatusRequest:
-		m.forwardedBatchStatus(call, request, now)
+		m.forwardedBatchStatus(call, message, now)
 	case ForwardedPageRequest:
-		m.readForwardedPage(call, request, now)
+		m.readForwardedPage(call, message, now)
 	case ItemBodyRequest:
-		m.callStore(request.Batch, func(shardIndex int) any {
-			return batchstore.ItemBodyRequest{Shard: shardIndex, Batch: request.Batch, Item: request.Item}
-		}, statusTimeout, now, m.relayStatus(call))
+		m.readItemBody(call, message, now)
 	default:
 		return false
 	}
@@ -100,31 +109,3 @@
 func (m *Machine) reply(call uint64, body any, err error) {
 	m.calls.Emit(machine.Reply{Call: call, Body: body, Err: err})
 }
-
-// authenticate finds who calls by the key it carries.
-func (m *Machine) authenticate(key string) (*config.Configuration, *config.Tenant, *config.PriorityClass, error) {
-	configuration := m.scheduler.Configuration()
-	if configuration == nil {
-		return nil, nil, nil, errs.NewWithRetry(errs.NotReady, clock.Second, "ask again; the daemon has just started", "no plan has arrived yet")
-	}
-	if key == "" {
-		return nil, nil, nil, errs.New(errs.Unauthorised, "send the header Authorization: Bearer KEY", "the order carries no customer key")
-	}
-	tenant, class, ok := configuration.TenantByKey(key)
-	if !ok {
-		return nil, nil, nil, errs.New(errs.Unauthorised, "check the key, or have the operators add the customer to the plan", "no customer has this key")
-	}
-	return configuration, tenant, class, nil
-}
-
-// authorizeRoute finds the route and checks that the tenant's class may use it.
-func authorizeRoute(configuration *config.Configuration, class *config.PriorityClass, name string, batch bool) (*config.Route, error) {
-	route, ok := configuration.Route(name)
-	if !ok || route.Forward != nil || !route.Classes.Matches(class.Labels) {
-		return nil, errs.New(errs.UnknownRoute, "name a route that the plan opens to this customer's class", "no route %q for this customer", name)
-	}
-	if batch != (route.Kind == config.Batch) {
-		return nil, errs.New(errs.BadInput, "hand bundles to /bundles of bundle routes, live orders to /orders of the others", "route %q is of kind %s", name, route.Kind)
-	}
-	return route, nil
-}
--- a/internal/dataplane/requests/messages.go
+++ b/internal/dataplane/requests/messages.go
@@ -14,6 +14,34 @@
 func (LiveRequest) input()   {}
 func (AttemptResult) input() {}
 
+// LiveRequest is a live request that a caller sent.
+type LiveRequest struct {
+	ID             string // the edge's own name for it, unique among those in flight
+	APIKey         string // authenticates the caller
+	Route          string
+	IdempotencyKey string // "" for none
+	Input          string
+	MaxTokens      int64        // 0: the route's
+	TimeoutUS      clock.Micros // from its arrival on; 0: the route's
+}
+
+// AttemptResult reports how an Attempt went.
+type AttemptResult struct {
+	RequestID   string
+	Outcome     modelclient.Outcome
+	Reason      string // what went wrong, for people
+	Output      string // all output so far, over all attempts
+	ContextDone bool   // the deadline passed, or the caller disconnected
+}
+
+// AttemptStarted reports that the server of the current attempt has sent its first chunk. Until
+// then the request counts as queued for the quota, in the server's own queue as well. The reply
+// is empty.
+type AttemptStarted struct{ RequestID string }
+
+// CallerDisconnected reports that the caller of a live request has left. The reply is empty.
+type CallerDisconnected struct{ RequestID string }
+
 // Decision is what the gateway has to do next about a live request: an Attempt, or to give
 // the caller its Response.
 type Decision interface{ decision() }
@@ -21,80 +49,63 @@
 func (Attempt) decision()  {}
 func (Response) decision() {}
 
-// What the event loop hands in; each is a call, whose answer is the next word.
-type (
-	// LiveRequest is a live order as it came.
-	LiveRequest struct {
-		ID             string // the name this edge gave it
-		APIKey         string // the key the caller carries
-		Route          string
-		IdempotencyKey string // idempotency key; "" for none
-		Input          string
-		MaxTokens      int64
-		TimeoutUS      int64 // 0: the route's
-	}
-	// AttemptResult tells how a try on a server went.
-	AttemptResult struct {
-		RequestID   string
-		Outcome     modelclient.Outcome
-		Reason      string // what went wrong
-		Output      string // all that has come so far, over all tries
-		ContextDone bool   // the order's deadline passed, or its caller left
-	}
-	// AttemptStarted tells that a server has begun the order: until then it waits, in the
-	// server's own queue as well.
-	AttemptStarted struct{ RequestID string }
-	// CallerDisconnected tells that the caller has gone.
-	CallerDisconnected struct{ RequestID string }
-	// SubmitBatchRequest is a batch as it came.
-	SubmitBatchRequest struct {
-		APIKey         string
-		Route          string
-		IdempotencyKey string
-		Items          []shard.Item
-	}
-	// BatchStatusRequest asks how a batch stands; End ends it.
-	BatchStatusRequest struct {
-		APIKey, Batch string
-		Cancel        bool
-	}
-	// PageRequest reads one batch's list, or the feed.
-	PageRequest struct {
-		APIKey string
-		Read   reader.Request
-	}
-	// SubmitForwardedBatchRequest is a batch of requests to be passed on, under its own name; no
-	// caller's key comes with it (DESIGN §12.5).
-	SubmitForwardedBatchRequest struct {
-		Route string
-		ID    string
-		Items []shard.Item
-	}
-	// ForwardedBatchStatusRequest asks how such a batch stands; End ends it.
-	ForwardedBatchStatusRequest struct {
-		Batch  string
-		Cancel bool
-	}
-	// ForwardedPageRequest reads such a batch's list.
-	ForwardedPageRequest struct{ Read reader.Request }
-	// ItemBodyRequest asks for the body of an item of such a batch that is not listed yet.
-	ItemBodyRequest struct{ Batch, Item string }
-)
+// Attempt decides that the request is run on a server; the gateway reports the AttemptResult.
+type Attempt struct {
+	Request   modelclient.Request
+	RouteKind string // config.OneShot and so on
+	Deadline  clock.Micros
+}
 
-// What the event loop is told.
-type (
-	// Attempt says: run the order on this server, then tell how it went.
-	Attempt struct {
-		Request   modelclient.Request
-		RouteKind string // of the route
-		Deadline  clock.Micros
-	}
-	// Response is the end of an order that is whole.
-	Response struct {
-		RequestID string `json:"order"`
-		Status    string `json:"status"`
-		Output    string `json:"output"`
-		Server    string `json:"server"`
-		Replayed  bool   `json:"-"` // it is the key's first order's
-	}
-)
+// Response is a complete response. Its JSON is the callers' wire form, and stored in the claim
+// of an idempotency key.
+type Response struct {
+	RequestID string `json:"order"`
+	Status    string `json:"status"`
+	Output    string `json:"output"`
+	Server    string `json:"server"`
+	// Replayed: it is the stored response of the first request with the same key.
+	Replayed bool `json:"-"`
+}
+
+// SubmitBatchRequest submits a tenant's batch; the reply is a batchstore.SubmitResponse.
+type SubmitBatchRequest struct {
+	APIKey         string
+	Route          string
+	IdempotencyKey string
+	Items          []shard.Item
+}
+
+// BatchStatusRequest reads the status of a tenant's batch, or cancels it; the reply is a
+// batchstore.BatchStatus.
+type BatchStatusRequest struct {
+	APIKey, Batch string
+	Cancel        bool
+}
+
+// PageRequest reads results of one batch of a tenant, or of all (the change feed); the reply
+// is a reader.Page.
+type PageRequest struct {
+	APIKey string
+	Read   reader.Request
+}
+
+// SubmitForwardedBatchRequest submits a batch of opaque requests, under its own ID. The caller
+// carries no API key (DESIGN §12.5). The reply is a batchstore.SubmitResponse.
+type SubmitForwardedBatchRequest struct {
+	Route string
+	ID    string
+	Items []shard.Item
+}
+
+// ForwardedBatchStatusRequest is a BatchStatusRequest for a batch of opaque requests.
+type ForwardedBatchStatusRequest struct {
+	Batch  string
+	Cancel bool
+}
+
+// ForwardedPageRequest reads results of a batch of opaque requests; the reply is a reader.Page.
+type ForwardedPageRequest struct{ Read reader.Request }
+
+// ItemBodyRequest reads the body of an item without a result, in a batch of opaque requests; the
+// reply is a batchstore.ItemBodyResponse.
+type ItemBodyRequest struct{ Batch, Item string }
--- /dev/null
+++ b/internal/dataplane/requests/store_calls.go
@@ -0,0 +1,45 @@
+package requests
+
+import (
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/errs"
+	"tuliprudder/internal/machine"
+)
+
+// statusTimeout is how long a store may take for a request that changes nothing.
+const statusTimeout = 2 * clock.Second
+
+// commitCallTimeout is how long a store may take for a request that it has to commit: its own
+// time-out, and a margin for the messages.
+func (m *Machine) commitCallTimeout() clock.Micros { return m.settings.CommitTimeout + clock.Second }
+
+// callStore sends a request to the owner of the shard of a batch or a claim; the callback is
+// called once, with the owner's response or an error.
+func (m *Machine) callStore(id string, newRequest func(shardIndex int) any, timeout, now clock.Micros, callback machine.Callback) {
+	shardIndex, owner, err := m.reader.Locate(id)
+	if err != nil {
+		callback(nil, err, now)
+		return
+	}
+	m.calls.Request(owner.Peer, newRequest(shardIndex), timeout, callback)
+}
+
+// relayReply gives a store's response to the caller.
+func (m *Machine) relayReply(call uint64) machine.Callback {
+	return func(body any, err error, _ clock.Micros) { m.reply(call, body, err) }
+}
+
+// relayStatus gives the response to a request that changes nothing to the caller. Without a
+// response, a retry is always safe.
+func (m *Machine) relayStatus(call uint64) machine.Callback {
+	return func(body any, err error, _ clock.Micros) {
+		if errs.Is(err, errs.OutcomeUnknown) {
+			err = errs.NewWithRetry(errs.NotReady, clock.Second, "retry; nothing was changed", "the store did not respond: %v", err)
+		}
+		m.reply(call, body, err)
+	}
+}
+
+func unexpectedReplyError(body any) error {
+	return errs.New(errs.ServerFault, "run the same release on all daemons", "the store's response is a %T", body)
+}
