--- /dev/null
+++ b/internal/dataplane/execution/deferral_test.go
@@ -0,0 +1,53 @@
+package execution
+
+import (
+	"testing"
+
+	"tuliprudder/internal/batchstore"
+	"tuliprudder/internal/batchstore/shard"
+	"tuliprudder/internal/clock"
+)
+
+// An item that is deferred and submitted again keeps its attempts and events.
+func TestADeferredItemKeepsWhatItHas(t *testing.T) {
+	b := newBench(t, "s")
+	mayRun := true
+	b.mayRun = func(int, string, int, clock.Micros) bool { return mayRun }
+	b.submitItem(0, 1)
+	b.finishNext(AttemptResult{ServerFailed: true, Events: []string{"e1"}, LastEventID: 1})
+	mayRun, b.now = false, b.now+5*clock.Second
+	if attempts := b.startedAttempts(); len(attempts) != 0 || len(b.deferred) != 1 {
+		t.Fatalf("%d attempts without a lease, %d deferred", len(attempts), len(b.deferred))
+	}
+	mayRun = true
+	b.submitItem(0, 1)
+	if attempt := b.finishNext(AttemptResult{ServerFailed: true}); attempt.ForwardedItem.LastEventID != 1 {
+		t.Fatalf("it is resumed after %d", attempt.ForwardedItem.LastEventID)
+	}
+	b.expectNone()
+	b.finishNext(AttemptResult{ServerFailed: true, Reason: "500"})
+	b.expectOnly(shard.StatusFailed, "its attempts have failed: 500")
+}
+
+// An item that found no fresh lease when the store began to serve its shard starts as soon as there
+// is one; the store does not have to submit it again.
+func TestADeferredItemStartsOnceItMay(t *testing.T) {
+	b := newBench(t, "s")
+	lease := false
+	b.Runner = New(Defaults(), b.machineCalls, b.scheduler, func(int, string, int, clock.Micros) bool { return lease }, func(batchstore.ItemFinished, clock.Micros) {})
+	b.submitItem(0, 1)
+	if attempts := b.startedAttempts(); len(attempts) != 0 {
+		t.Fatalf("%d attempts without a lease", len(attempts))
+	}
+	b.now += retryInterval
+	b.Tick(b.now)
+	if attempts := b.startedAttempts(); len(attempts) != 0 {
+		t.Fatalf("%d attempts without a lease", len(attempts))
+	}
+	lease = true
+	b.now += retryInterval
+	b.Tick(b.now)
+	if attempts := b.startedAttempts(); len(attempts) != 1 {
+		t.Fatalf("%d attempts with a lease, not one", len(attempts))
+	}
+}
--- a/internal/dataplane/execution/events.go
+++ b/internal/dataplane/execution/events.go
@@ -2,16 +2,16 @@
 
 import "tuliprudder/internal/machine"
 
-// ItemDeferred is the log event of an item that found no room in the queue; the store
-// submits it again later.
+// ItemDeferred is the log event of an item that the queue did not accept; it is submitted again
+// later.
 type ItemDeferred struct {
 	machine.Info
 	Item   string `json:"item"`
 	Reason string `json:"reason"`
 }
 
-// ItemOutputDropped is the log event of an item whose events are more than is kept
-// between attempts; it begins anew.
+// ItemOutputDropped is the log event of an opaque item whose events are more than is kept between
+// attempts; its next attempt starts from the beginning.
 type ItemOutputDropped struct {
 	machine.Warning
 	Item   string `json:"item"`
--- /dev/null
+++ b/internal/dataplane/execution/harness_test.go
@@ -0,0 +1,100 @@
+package execution
+
+import (
+	"fmt"
+	"testing"
+
+	"tuliprudder/internal/batchstore"
+	"tuliprudder/internal/batchstore/shard"
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/config"
+	"tuliprudder/internal/dataplane/endpoints"
+	"tuliprudder/internal/dataplane/scheduler"
+	"tuliprudder/internal/machine"
+)
+
+// bench is a runner whose event loop and store are the test.
+type bench struct {
+	*Runner
+	t            *testing.T
+	scheduler    *scheduler.Scheduler
+	machineCalls *machine.Calls
+	now          clock.Micros
+	results      []batchstore.ItemFinished
+}
+
+const hour = 3600 * clock.Second
+
+func newBench(t *testing.T, servers ...string) *bench {
+	b := &bench{t: t, machineCalls: machine.NewCalls(), scheduler: scheduler.New(scheduler.Defaults(), 1), now: hour}
+	b.Runner = New(Defaults(), b.machineCalls, b.scheduler, func(int, string, int, clock.Micros) bool { return true },
+		func(result batchstore.ItemFinished, _ clock.Micros) { b.results = append(b.results, result) })
+	b.setConfiguration(1, config.Forward{MaxAttempts: 3, ItemRetention: 24 * hour})
+	for _, name := range servers {
+		b.scheduler.SetServer(endpoints.Server{Name: name, Address: name + ":1", Slots: 4})
+	}
+	return b
+}
+
+// setConfiguration puts a configuration in force with a route that forwards batches and one that
+// does not.
+func (b *bench) setConfiguration(version uint64, forward config.Forward) {
+	configuration := &config.Configuration{Version: version, ScorerWeights: map[string]float64{"spread": 1}, Pools: []config.Pool{{Name: "p"}},
+		Routes: []config.Route{{Name: "r", Kind: config.Batch, Forward: &forward}, {Name: "chat", Kind: config.Batch}}}
+	configuration.Index()
+	b.scheduler.SetConfiguration(configuration, b.now)
+}
+
+func (b *bench) submitItem(item int, tokens int64) {
+	b.Submit(batchstore.RunItem{Batch: "b", Item: item, ItemID: fmt.Sprint("i", item), Tenant: "r", Route: "r", SubmittedAt: hour, ConfigurationVersion: 1,
+		Request: &shard.Request{Target: "/x", Body: []byte(fmt.Sprint("body ", item)), Tokens: tokens}}, b.now)
+}
+
+// startedAttempts are the attempts that start now.
+func (b *bench) startedAttempts() []Attempt {
+	b.scheduler.AdvanceFreshness(b.now)
+	b.scheduler.MatchUntilStable(b.now)
+	var out []Attempt
+	for _, effect := range b.machineCalls.Drain() {
+		if work, ok := effect.(machine.Execute); ok {
+			if attempt, ok := work.Task.(Attempt); ok {
+				out = append(out, attempt)
+			}
+		}
+	}
+	return out
+}
+
+// nextAttempt waits until the servers are considered again, for the one attempt there is.
+func (b *bench) nextAttempt() Attempt {
+	b.t.Helper()
+	b.now += 5 * clock.Second
+	attempts := b.startedAttempts()
+	if len(attempts) != 1 {
+		b.t.Fatalf("%d attempts, not one: %+v", len(attempts), attempts)
+	}
+	return attempts[0]
+}
+
+// finishNext reports the result of the one attempt there is.
+func (b *bench) finishNext(result AttemptResult) Attempt {
+	b.t.Helper()
+	attempt := b.nextAttempt()
+	result.AttemptID = attempt.ID
+	b.HandleAttemptResult(result, b.now)
+	return attempt
+}
+
+func (b *bench) expectOnly(status, output string) {
+	b.t.Helper()
+	if len(b.results) != 1 || b.results[0].Status != status || b.results[0].Output != output || b.Pending() != 0 {
+		b.t.Fatalf("results %+v, %d pending; want %s %q", b.results, b.Pending(), status, output)
+	}
+}
+
+func (b *bench) expectNone() {
+	b.t.Helper()
+	if len(b.results) > 0 {
+		b.t.Fatalf("results %+v", b.results)
+	}
+}
--- /dev/null
+++ b/internal/dataplane/execution/results_test.go
@@ -0,0 +1,78 @@
+package execution
+
+import (
+	"testing"
+
+	"tuliprudder/internal/batchstore/shard"
+	"tuliprudder/internal/dataplane/modelclient"
+)
+
+// An opaque item is resumed after the last event that came, on whichever server, and its result
+// has the events of all attempts.
+func TestAnOpaqueItemGoesOnAfterItsLastEvent(t *testing.T) {
+	b := newBench(t, "s")
+	b.submitItem(7, 1)
+	first := b.finishNext(AttemptResult{Outcome: modelclient.Interrupted, Events: []string{"e1", "e2"}, LastEventID: 2})
+	if f := first.ForwardedItem; f == nil || f.Batch != "b" || f.ItemID != "i7" || f.Instance != "s" || f.LastEventID != 0 || string(f.Request.Body) != "body 7" || first.Request.Address != "s:1" {
+		t.Fatalf("the attempt is %+v %+v", first, first.ForwardedItem)
+	}
+	if second := b.finishNext(AttemptResult{Outcome: modelclient.NotStarted}); second.ForwardedItem.LastEventID != 2 {
+		t.Fatalf("it is resumed after %d", second.ForwardedItem.LastEventID)
+	}
+	// Events without IDs can't be resumed after: they come again, and are not kept.
+	b.finishNext(AttemptResult{Outcome: modelclient.Interrupted, Events: []string{"no id"}})
+	b.finishNext(AttemptResult{ServerFailed: true, Events: []string{"e3"}, LastEventID: 3})
+	b.expectNone()
+	if last := b.finishNext(AttemptResult{Outcome: modelclient.Complete, Events: []string{"e4", "end"}, LastEventID: 4}); last.ForwardedItem.LastEventID != 3 {
+		t.Fatalf("it is resumed after %d", last.ForwardedItem.LastEventID)
+	}
+	b.expectOnly(shard.StatusOK, "e1\ne2\ne3\ne4\nend")
+}
+
+// The events kept between attempts are bounded: beyond that the item starts from its beginning,
+// and does not fail.
+func TestEventsBetweenAttemptsAreBounded(t *testing.T) {
+	b := newBench(t, "s")
+	b.settings.MaxOutputBytes = 5
+	b.submitItem(0, 1)
+	b.finishNext(AttemptResult{Outcome: modelclient.Interrupted, Events: []string{"abc"}, LastEventID: 1})
+	b.finishNext(AttemptResult{Outcome: modelclient.Interrupted, Events: []string{"def"}, LastEventID: 2})
+	if attempt := b.finishNext(AttemptResult{Outcome: modelclient.Complete, Events: []string{"abc", "def", "g"}, LastEventID: 3}); attempt.ForwardedItem.LastEventID != 0 {
+		t.Fatalf("it is resumed after %d", attempt.ForwardedItem.LastEventID)
+	}
+	b.expectOnly(shard.StatusOK, "abc\ndef\ng")
+}
+
+// Only failed attempts count, and only as many as the route allows.
+func TestOnlyFailedAttemptsCount(t *testing.T) {
+	b := newBench(t, "s")
+	b.submitItem(0, 1)
+	for i := 0; i < 3*Defaults().MaxAttempts; i++ {
+		b.finishNext(AttemptResult{Outcome: []modelclient.Outcome{modelclient.NotStarted, modelclient.Interrupted}[i%2], Reason: "broken off"})
+	}
+	b.finishNext(AttemptResult{ServerFailed: true, Reason: "500"})
+	b.finishNext(AttemptResult{ServerFailed: true, Reason: "500"})
+	b.expectNone()
+	b.finishNext(AttemptResult{ServerFailed: true, Reason: "500"})
+	b.expectOnly(shard.StatusFailed, "its attempts have failed: 500")
+}
+
+// What a server rejects fails at once.
+func TestARejectedItemFinishesAtOnce(t *testing.T) {
+	b := newBench(t, "s")
+	b.submitItem(0, 1)
+	b.finishNext(AttemptResult{Outcome: modelclient.Rejected, Reason: "422"})
+	b.expectOnly(shard.StatusFailed, "the server rejected it: 422")
+}
+
+// A failed attempt is followed by one on another server where there is one.
+func TestAFailedAttemptIsFollowedByOneElsewhere(t *testing.T) {
+	b := newBench(t, "s1", "s2")
+	b.submitItem(0, 1)
+	first := b.finishNext(AttemptResult{ServerFailed: true})
+	if second := b.finishNext(AttemptResult{ServerFailed: true}); second.ForwardedItem.Instance == first.ForwardedItem.Instance {
+		t.Fatalf("both went to %s", first.ForwardedItem.Instance)
+	}
+	b.finishNext(AttemptResult{Outcome: modelclient.Complete, Events: []string{"x"}, LastEventID: 1})
+	b.expectOnly(shard.StatusOK, "x")
+}
--- /dev/null
+++ b/internal/dataplane/execution/retention.go
@@ -0,0 +1,75 @@
+package execution
+
+import (
+	"maps"
+
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/config"
+)
+
+// retentionCheckInterval is the time between two searches for items that exceed their route's
+// retention.
+const retentionCheckInterval = clock.Second
+
+// failureReason is why an item can't run any more, as the output of its result; "" if it can.
+func (j *job) failureReason(route *config.Route, now clock.Micros) string {
+	switch {
+	case !j.isAcceptedBy(route):
+		return outputRouteRemoved
+	case j.exceedsRetention(route, now):
+		return outputRetentionExceeded
+	}
+	return ""
+}
+
+// exceedsRetention tells whether an opaque item has waited for longer than its route keeps it.
+func (j *job) exceedsRetention(route *config.Route, now clock.Micros) bool {
+	if !j.isOpaque() || route.Forward.ItemRetention <= 0 {
+		return false
+	}
+	return now > j.item.SubmittedAt+route.Forward.ItemRetention
+}
+
+// Tick submits deferred items that may start now, and fails opaque items that exceed their route's
+// retention or have no route any more. Items on a server are left to it.
+func (r *Runner) Tick(now clock.Micros) {
+	configuration := r.scheduler.Configuration()
+	if configuration == nil {
+		return
+	}
+	r.retryDeferred(configuration, now)
+	if now < r.nextRetentionCheck {
+		return
+	}
+	r.nextRetentionCheck = now + retentionCheckInterval
+	for _, one := range r.expiredItems(configuration, now) {
+		if r.takeDeferred(one.job.name) == nil {
+			r.scheduler.Cancel(one.job.schedulerRequest)
+		}
+		r.failItem(one.job, one.reason, "", now)
+	}
+}
+
+// expiredItem is an item that can't run any more.
+type expiredItem struct {
+	job    *job
+	reason string
+}
+
+// expiredItems lists the opaque items that wait and can't run any more, in the order of their names.
+func (r *Runner) expiredItems(configuration *config.Configuration, now clock.Micros) []expiredItem {
+	waiting := maps.Clone(r.jobs)
+	maps.Copy(waiting, r.deferred)
+	var expired []expiredItem
+	for _, name := range sortedNames(waiting) {
+		j := waiting[name]
+		if j.assignment != nil || !j.isOpaque() || configuration.Version < j.item.ConfigurationVersion {
+			continue
+		}
+		route, _ := configuration.Route(j.item.Route)
+		if reason := j.failureReason(route, now); reason != "" {
+			expired = append(expired, expiredItem{job: j, reason: reason})
+		}
+	}
+	return expired
+}
--- a/test/simulator/injected_bugs_test.go
+++ b/test/simulator/injected_bugs_test.go
@@ -50,16 +50,20 @@
 		}, "bounce", 1, 8 * ms, 1, []Guarantee{rejectedNeverRuns}},
 		"sync skipped": {func(n *Node) { n.disk.skipsSync = true }, "", 10, 8 * ms, 1, []Guarantee{batchKept, resultsExactlyOnce, readerResumes, configurationInForce}},
 		"a one-shot order is run again elsewhere": {onEdge(func(n *Node) { n.edge.Requests.InjectedFaults.RetryUnsafely = true }), "server", 6, 2 * ms, 1, []Guarantee{runsAtMostOnce}},
-		"turned away after it may have run":       {onEdge(func(n *Node) { n.edge.Requests.InjectedFaults.RejectAfterRun, n.edge.Requests.InjectedFaults.RetryUnsafely = true, true }), "server", 6, 2 * ms, 1, []Guarantee{runsAtMostOnce}},
-		"a key is not claimed":                    {onEdge(func(n *Node) { n.edge.Requests.InjectedFaults.SkipIdempotencyClaim = true }), "server", 4, 2 * ms, 1, []Guarantee{runsAtMostOnce}},
-		"a stream is begun anew":                  {onEdge(func(n *Node) { n.edge.Requests.InjectedFaults.RestartResumedStream = true }), "streams", 6, 2 * ms, 1, []Guarantee{streamIntact}},
-		"a cut answer is taken as whole":          {onEdge(func(n *Node) { n.edge.Requests.InjectedFaults.AcceptInterrupted = true }), "streams", 4, 2 * ms, 1, []Guarantee{answerIntact}},
-		"old news are taken for fresh":            {onScheduling(func(n *Node) { n.scheduling().Scheduler.IgnoreStaleness = true }), "leaves", 4, 2 * ms, 1, []Guarantee{drainingRespected}},
-		"what waits goes by the old plan":         {onScheduling(func(n *Node) { n.scheduling().Scheduler.KeepOldConfiguration = true }), "", 8, 2 * ms, 27, []Guarantee{configurationInForce}},
-		"neighbours alone make news fresh":        {func(n *Node) { n.gossip.SkipVoterMajority = true }, "mark a server in each part", 4, 2 * ms, 1, []Guarantee{drainingRespected, configurationInForce}},
-		"work goes on without permit":             {onStore(func(n *Node) { n.ledger.Runner.SkipLeaseCheck, n.ledger.Runner.IgnoreRevoke = true, true }), "a bundle ends", 5, 2 * ms, 7, []Guarantee{endedBatchStops}},
-		"every order is let in":                   {onScheduling(func(n *Node) { n.scheduling().Quota.Unlimited = true }), "a flock comes", 4, 2 * ms, 1, []Guarantee{withinQuota}},
-		"a waiting reader is not woken":           {onEdge(func(n *Node) { n.edge.Reader.SkipWakeups = true }), "a crowd comes", 10, 2 * ms, 6, []Guarantee{resultsTimely}},
+		"turned away after it may have run": {onEdge(func(n *Node) {
+			n.edge.Requests.InjectedFaults.RejectAfterRun, n.edge.Requests.InjectedFaults.RetryUnsafely = true, true
+		}), "server", 6, 2 * ms, 1, []Guarantee{runsAtMostOnce}},
+		"a key is not claimed":             {onEdge(func(n *Node) { n.edge.Requests.InjectedFaults.SkipIdempotencyClaim = true }), "server", 4, 2 * ms, 1, []Guarantee{runsAtMostOnce}},
+		"a stream is begun anew":           {onEdge(func(n *Node) { n.edge.Requests.InjectedFaults.RestartResumedStream = true }), "streams", 6, 2 * ms, 1, []Guarantee{streamIntact}},
+		"a cut answer is taken as whole":   {onEdge(func(n *Node) { n.edge.Requests.InjectedFaults.AcceptInterrupted = true }), "streams", 4, 2 * ms, 1, []Guarantee{answerIntact}},
+		"old news are taken for fresh":     {onScheduling(func(n *Node) { n.scheduling().Scheduler.IgnoreStaleness = true }), "leaves", 4, 2 * ms, 1, []Guarantee{drainingRespected}},
+		"what waits goes by the old plan":  {onScheduling(func(n *Node) { n.scheduling().Scheduler.KeepOldConfiguration = true }), "", 8, 2 * ms, 27, []Guarantee{configurationInForce}},
+		"neighbours alone make news fresh": {func(n *Node) { n.gossip.SkipVoterMajority = true }, "mark a server in each part", 4, 2 * ms, 1, []Guarantee{drainingRespected, configurationInForce}},
+		"work goes on without permit": {onStore(func(n *Node) {
+			n.ledger.Runner.InjectedFaults.SkipLeaseCheck, n.ledger.Runner.InjectedFaults.IgnoreRevoke = true, true
+		}), "a bundle ends", 5, 2 * ms, 7, []Guarantee{endedBatchStops}},
+		"every order is let in":         {onScheduling(func(n *Node) { n.scheduling().Quota.Unlimited = true }), "a flock comes", 4, 2 * ms, 1, []Guarantee{withinQuota}},
+		"a waiting reader is not woken": {onEdge(func(n *Node) { n.edge.Reader.SkipWakeups = true }), "a crowd comes", 10, 2 * ms, 6, []Guarantee{resultsTimely}},
 	}
 	for name, p := range bugs {
 		t.Run(name, func(t *testing.T) {
