--- /dev/null
+++ b/internal/dataplane/modelclient/outcome_test.go
@@ -0,0 +1,14 @@
+package modelclient
+
+import (
+	"fmt"
+	"testing"
+)
+
+// The names of outcomes stand in the decision log.
+func TestOutcomeNames(t *testing.T) {
+	names := []string{NotStarted.String(), Complete.String(), Interrupted.String(), Rejected.String()}
+	if got := fmt.Sprint(names); got != "[not started complete cut rejected]" {
+		t.Error(got)
+	}
+}
--- /dev/null
+++ b/internal/dataplane/modelclient/request.go
@@ -0,0 +1,91 @@
+package modelclient
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+
+	"github.com/pkg/errors"
+
+	"tuliprudder/internal/clock"
+)
+
+// Request is a completion that a server is asked for.
+type Request struct {
+	Address       string // of the server: IP and port
+	RequestID     string
+	Model         string
+	Prefix        string // the system message; "" for none
+	Input         string // the user's message
+	PartialOutput string // what earlier attempts produced, to be continued
+	MaxTokens     int64
+	Priority      int          // 0 is served first
+	IdleTimeout   clock.Micros // longest wait for the next line of the response
+}
+
+// The roles of messages.
+const (
+	roleSystem    = "system"
+	roleUser      = "user"
+	roleAssistant = "assistant"
+)
+
+type message struct {
+	Role    string `json:"role"`
+	Content string `json:"content"`
+}
+
+// completionRequest is the JSON body of a request; its keys are the servers' wire form.
+type completionRequest struct {
+	Model                string    `json:"model"`
+	Messages             []message `json:"messages"`
+	MaxTokens            int64     `json:"max_tokens"`
+	Stream               bool      `json:"stream"`
+	User                 string    `json:"user,omitempty"`
+	Priority             int       `json:"priority"`
+	ContinueFinalMessage bool      `json:"continue_final_message,omitempty"`
+	AddGenerationPrompt  *bool     `json:"add_generation_prompt,omitempty"`
+}
+
+// payload is the body of the request. A partial output is given as the beginning of the
+// assistant's message, which the server is asked to continue.
+func (r Request) payload() completionRequest {
+	payload := completionRequest{
+		Model:     r.Model,
+		MaxTokens: r.MaxTokens,
+		Stream:    true,
+		User:      r.RequestID,
+		Priority:  r.Priority,
+	}
+	if r.Prefix != "" {
+		payload.Messages = append(payload.Messages, message{roleSystem, r.Prefix})
+	}
+	payload.Messages = append(payload.Messages, message{roleUser, r.Input})
+	if r.PartialOutput != "" {
+		addGenerationPrompt := false
+		payload.Messages = append(payload.Messages, message{roleAssistant, r.PartialOutput})
+		payload.ContinueFinalMessage = true
+		payload.AddGenerationPrompt = &addGenerationPrompt
+	}
+	return payload
+}
+
+// httpRequest is the request as it is sent.
+func (r Request) httpRequest(ctx context.Context) (*http.Request, error) {
+	data, err := json.Marshal(r.payload())
+	if err != nil {
+		return nil, errors.Wrap(err, "encoding the request")
+	}
+	// A body of a type that net/http can't rewind: it never sends the request a second time.
+	body := io.NopCloser(bytes.NewReader(data))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.Address+"/v1/chat/completions", body)
+	if err != nil {
+		return nil, errors.Wrap(err, "making the HTTP request")
+	}
+	request.ContentLength = int64(len(data))
+	request.Header.Set("Content-Type", "application/json")
+	request.Header.Set("X-Request-Id", r.RequestID)
+	return request, nil
+}
