--- a/internal/dataplane/gateway/failure_table_linux_test.go
+++ b/internal/dataplane/gateway/failure_table_linux_test.go
@@ -20,7 +20,7 @@
 const (
 	beforeFirstByte failurePoint = "before the first byte"
 	midRequest      failurePoint = "partway through the request"
-	requestSent     failurePoint = "all sent"
+	requestSent     failurePoint = "request sent"
 	inResponseHead  failurePoint = "within the head"
 	inResponseBody  failurePoint = "within the body"
 	afterResponse   failurePoint = "after the end"
@@ -32,11 +32,11 @@
 const (
 	connectionReset       failureMode = "reset"
 	connectionClosed      failureMode = "close"
-	noResponse            failureMode = "silence"
-	surplusResponse       failureMode = "late or surplus answer"
+	noResponse            failureMode = "no response"
+	surplusResponse       failureMode = "late or surplus response"
 	wrongID               failureMode = "wrong request id"
-	corruptBytes          failureMode = "spoilt bytes"
-	idleConnectionDropped failureMode = "idle connection forgotten"
+	corruptBytes          failureMode = "corrupt bytes"
+	idleConnectionDropped failureMode = "idle connection dropped"
 	addressReused         failureMode = "address reused"
 	kindOnce                          = "once"
 	kindIdempotent                    = "again"
@@ -57,10 +57,10 @@
 
 // What a caller may get. The strings stand in the table of docs/ANSWERS.md.
 const (
-	completeResponse  = "whole"   // the server's answer, to its last byte
-	truncatedResponse = "cut"     // the beginning of the server's answer, visibly broken off
-	rejected          = "refused" // the edge's own 503: the request has not run and never will
-	unknownOutcome    = "unknown" // the edge's own 502, which guarantees nothing
+	completeResponse  = "complete"    // a server's response, to its last byte
+	truncatedResponse = "interrupted" // the beginning of a server's response, visibly broken off
+	rejected          = "rejected"    // the edge's own 503: the request has not run and never will
+	unknownOutcome    = "unknown"     // the edge's own 502, which guarantees nothing
 )
 
 func (c caseOutcome) String() string {
@@ -80,63 +80,63 @@
 	return map[string]string{kindOnce: c.once, kindIdempotent: c.idempotent, kindStream: c.stream, kindResumable: c.resumable}[kind]
 }
 
-// responseTable is the table of docs/ANSWERS.md. "2/1 whole" means: sent to a server twice,
+// responseTable is the table of docs/ANSWERS.md. "2/1 complete" means: sent to a server twice,
 // executed once, and the caller got a complete response.
 var responseTable = []failureCase{
-	{beforeFirstByte, connectionReset, "1/1 whole", "1/1 whole", "1/1 whole", "1/1 whole", false},
-	{beforeFirstByte, connectionClosed, "1/1 whole", "1/1 whole", "1/1 whole", "1/1 whole", false},
+	{beforeFirstByte, connectionReset, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", false},
+	{beforeFirstByte, connectionClosed, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", false},
 	// No connection is established: the idle one leads to the server that works.
-	{beforeFirstByte, noResponse, "1/1 whole", "1/1 whole", "1/1 whole", "1/1 whole", true},
-	{beforeFirstByte, surplusResponse, "1/1 whole", "1/1 whole", "1/1 whole", "1/1 whole", false},
-	{beforeFirstByte, wrongID, "1/1 whole", "1/1 whole", "1/1 whole", "1/1 whole", false},
-	{beforeFirstByte, corruptBytes, "1/1 whole", "1/1 whole", "1/1 whole", "1/1 whole", false},
-	{beforeFirstByte, idleConnectionDropped, "1/1 whole", "1/1 whole", "1/1 whole", "1/1 whole", false},
-	{beforeFirstByte, addressReused, "2/1 whole", "2/1 whole", "2/1 whole", "2/1 whole", false},
+	{beforeFirstByte, noResponse, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", true},
+	{beforeFirstByte, surplusResponse, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", false},
+	{beforeFirstByte, wrongID, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", false},
+	{beforeFirstByte, corruptBytes, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", false},
+	{beforeFirstByte, idleConnectionDropped, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", false},
+	{beforeFirstByte, addressReused, "2/1 complete", "2/1 complete", "2/1 complete", "2/1 complete", false},
 
-	{midRequest, connectionReset, "1/0 unknown", "2/1 whole", "1/0 unknown", "2/1 whole", false},
-	{midRequest, connectionClosed, "1/0 unknown", "2/1 whole", "1/0 unknown", "2/1 whole", false},
+	{midRequest, connectionReset, "1/0 unknown", "2/1 complete", "1/0 unknown", "2/1 complete", false},
+	{midRequest, connectionClosed, "1/0 unknown", "2/1 complete", "1/0 unknown", "2/1 complete", false},
 	{midRequest, noResponse, "1/0 unknown", "1/0 unknown", "1/0 unknown", "1/0 unknown", false},
-	{midRequest, surplusResponse, "1/1 unknown", "2/2 whole", "1/1 unknown", "2/2 whole", false},
-	{midRequest, wrongID, "1/1 unknown", "2/2 whole", "1/1 unknown", "2/2 whole", false},
-	{midRequest, corruptBytes, "1/0 unknown", "2/1 whole", "1/0 unknown", "2/1 whole", false},
-	{midRequest, idleConnectionDropped, "1/0 unknown", "2/1 whole", "1/0 unknown", "2/1 whole", false},
-	{midRequest, addressReused, "1/0 unknown", "2/1 whole", "1/0 unknown", "2/1 whole", false},
+	{midRequest, surplusResponse, "1/1 unknown", "2/2 complete", "1/1 unknown", "2/2 complete", false},
+	{midRequest, wrongID, "1/1 unknown", "2/2 complete", "1/1 unknown", "2/2 complete", false},
+	{midRequest, corruptBytes, "1/0 unknown", "2/1 complete", "1/0 unknown", "2/1 complete", false},
+	{midRequest, idleConnectionDropped, "1/0 unknown", "2/1 complete", "1/0 unknown", "2/1 complete", false},
+	{midRequest, addressReused, "1/0 unknown", "2/1 complete", "1/0 unknown", "2/1 complete", false},
 
-	{requestSent, connectionReset, "1/1 unknown", "2/2 whole", "1/1 unknown", "2/2 whole", false},
-	{requestSent, connectionClosed, "1/1 unknown", "2/2 whole", "1/1 unknown", "2/2 whole", false},
+	{requestSent, connectionReset, "1/1 unknown", "2/2 complete", "1/1 unknown", "2/2 complete", false},
+	{requestSent, connectionClosed, "1/1 unknown", "2/2 complete", "1/1 unknown", "2/2 complete", false},
 	{requestSent, noResponse, "1/1 unknown", "1/1 unknown", "1/1 unknown", "1/1 unknown", false},
-	{requestSent, surplusResponse, "1/1 unknown", "2/2 whole", "1/1 unknown", "2/2 whole", false},
-	{requestSent, wrongID, "1/1 unknown", "2/2 whole", "1/1 unknown", "2/2 whole", false},
-	{requestSent, corruptBytes, "1/1 unknown", "2/2 whole", "1/1 unknown", "2/2 whole", false},
-	{requestSent, idleConnectionDropped, "1/1 unknown", "2/2 whole", "1/1 unknown", "2/2 whole", false},
-	{requestSent, addressReused, "1/1 unknown", "2/2 whole", "1/1 unknown", "2/2 whole", false},
+	{requestSent, surplusResponse, "1/1 unknown", "2/2 complete", "1/1 unknown", "2/2 complete", false},
+	{requestSent, wrongID, "1/1 unknown", "2/2 complete", "1/1 unknown", "2/2 complete", false},
+	{requestSent, corruptBytes, "1/1 unknown", "2/2 complete", "1/1 unknown", "2/2 complete", false},
+	{requestSent, idleConnectionDropped, "1/1 unknown", "2/2 complete", "1/1 unknown", "2/2 complete", false},
+	{requestSent, addressReused, "1/1 unknown", "2/2 complete", "1/1 unknown", "2/2 complete", false},
 
-	{inResponseHead, connectionReset, "1/1 unknown", "2/2 whole", "1/1 unknown", "2/2 whole", false},
-	{inResponseHead, connectionClosed, "1/1 unknown", "2/2 whole", "1/1 unknown", "2/2 whole", false},
+	{inResponseHead, connectionReset, "1/1 unknown", "2/2 complete", "1/1 unknown", "2/2 complete", false},
+	{inResponseHead, connectionClosed, "1/1 unknown", "2/2 complete", "1/1 unknown", "2/2 complete", false},
 	{inResponseHead, noResponse, "1/1 unknown", "1/1 unknown", "1/1 unknown", "1/1 unknown", false},
-	{inResponseHead, surplusResponse, "1/1 unknown", "2/2 whole", "1/1 unknown", "2/2 whole", false},
-	{inResponseHead, wrongID, "1/1 unknown", "2/2 whole", "1/1 unknown", "2/2 whole", false},
-	{inResponseHead, corruptBytes, "1/1 unknown", "2/2 whole", "1/1 unknown", "2/2 whole", false},
-	{inResponseHead, idleConnectionDropped, "1/1 unknown", "2/2 whole", "1/1 unknown", "2/2 whole", false},
-	{inResponseHead, addressReused, "1/1 unknown", "2/2 whole", "1/1 unknown", "2/2 whole", false},
+	{inResponseHead, surplusResponse, "1/1 unknown", "2/2 complete", "1/1 unknown", "2/2 complete", false},
+	{inResponseHead, wrongID, "1/1 unknown", "2/2 complete", "1/1 unknown", "2/2 complete", false},
+	{inResponseHead, corruptBytes, "1/1 unknown", "2/2 complete", "1/1 unknown", "2/2 complete", false},
+	{inResponseHead, idleConnectionDropped, "1/1 unknown", "2/2 complete", "1/1 unknown", "2/2 complete", false},
+	{inResponseHead, addressReused, "1/1 unknown", "2/2 complete", "1/1 unknown", "2/2 complete", false},
 
-	{inResponseBody, connectionReset, "1/1 unknown", "2/2 whole", "1/1 cut", "2/2 whole", false},
-	{inResponseBody, connectionClosed, "1/1 unknown", "2/2 whole", "1/1 cut", "2/2 whole", false},
-	{inResponseBody, noResponse, "1/1 unknown", "1/1 unknown", "1/1 cut", "1/1 cut", false},
-	{inResponseBody, surplusResponse, "1/1 unknown", "2/2 whole", "1/1 cut", "2/2 whole", false},
-	{inResponseBody, wrongID, "1/1 unknown", "2/2 whole", "1/1 cut", "2/2 whole", false},
-	{inResponseBody, corruptBytes, "1/1 unknown", "2/2 whole", "1/1 cut", "2/2 whole", false},
-	{inResponseBody, idleConnectionDropped, "1/1 unknown", "2/2 whole", "1/1 cut", "2/2 whole", false},
-	{inResponseBody, addressReused, "1/1 unknown", "2/2 whole", "1/1 cut", "2/2 whole", false},
+	{inResponseBody, connectionReset, "1/1 unknown", "2/2 complete", "1/1 interrupted", "2/2 complete", false},
+	{inResponseBody, connectionClosed, "1/1 unknown", "2/2 complete", "1/1 interrupted", "2/2 complete", false},
+	{inResponseBody, noResponse, "1/1 unknown", "1/1 unknown", "1/1 interrupted", "1/1 interrupted", false},
+	{inResponseBody, surplusResponse, "1/1 unknown", "2/2 complete", "1/1 interrupted", "2/2 complete", false},
+	{inResponseBody, wrongID, "1/1 unknown", "2/2 complete", "1/1 interrupted", "2/2 complete", false},
+	{inResponseBody, corruptBytes, "1/1 unknown", "2/2 complete", "1/1 interrupted", "2/2 complete", false},
+	{inResponseBody, idleConnectionDropped, "1/1 unknown", "2/2 complete", "1/1 interrupted", "2/2 complete", false},
+	{inResponseBody, addressReused, "1/1 unknown", "2/2 complete", "1/1 interrupted", "2/2 complete", false},
 
-	{afterResponse, connectionReset, "1/1 whole", "1/1 whole", "1/1 whole", "1/1 whole", false},
-	{afterResponse, connectionClosed, "1/1 whole", "1/1 whole", "1/1 whole", "1/1 whole", false},
-	{afterResponse, noResponse, "1/1 whole", "1/1 whole", "1/1 whole", "1/1 whole", true},
-	{afterResponse, surplusResponse, "1/1 whole", "1/1 whole", "1/1 whole", "1/1 whole", false},
-	{afterResponse, wrongID, "1/1 whole", "1/1 whole", "1/1 whole", "1/1 whole", false},
-	{afterResponse, corruptBytes, "1/1 whole", "1/1 whole", "1/1 whole", "1/1 whole", false},
-	{afterResponse, idleConnectionDropped, "1/1 whole", "1/1 whole", "1/1 whole", "1/1 whole", false},
-	{afterResponse, addressReused, "1/1 whole", "1/1 whole", "1/1 whole", "1/1 whole", false},
+	{afterResponse, connectionReset, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", false},
+	{afterResponse, connectionClosed, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", false},
+	{afterResponse, noResponse, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", true},
+	{afterResponse, surplusResponse, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", false},
+	{afterResponse, wrongID, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", false},
+	{afterResponse, corruptBytes, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", false},
+	{afterResponse, idleConnectionDropped, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", false},
+	{afterResponse, addressReused, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", false},
 }
 
 // Each kind of request meets each mode of failure at each point, through the real server and
@@ -168,12 +168,12 @@
 		faults upstream.InjectedFaults
 		found  []string
 	}{
-		"the id of an answer is not checked": {upstream.InjectedFaults{SkipIDCheck: true}, []string{
-			"once, all sent, late or surplus answer", "flow, all sent, wrong request id", "resume, within the head, wrong request id"}},
-		"a connection is kept after a silence": {upstream.InjectedFaults{KeepAfterTimeout: true}, []string{
-			"once, all sent, silence", "again, all sent, silence", "flow, within the head, silence"}},
-		"a request is sent again after a reset": {upstream.InjectedFaults{ResendAfterLoss: true}, []string{
-			"once, all sent, reset", "flow, within the head, reset", "once, all sent, close"}},
+		"the ID of a response is not checked": {upstream.InjectedFaults{SkipIDCheck: true}, []string{
+			"once, request sent, late or surplus response", "flow, request sent, wrong request id", "resume, within the head, wrong request id"}},
+		"a connection is kept after a time-out": {upstream.InjectedFaults{KeepAfterTimeout: true}, []string{
+			"once, request sent, no response", "again, request sent, no response", "flow, within the head, no response"}},
+		"a request is sent again after a loss": {upstream.InjectedFaults{ResendAfterLoss: true}, []string{
+			"once, request sent, reset", "flow, within the head, reset", "once, request sent, close"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			differences := runTable(t, responseTable, injected.faults)
@@ -200,11 +200,11 @@
 
 func markdownTable(cells []failureCase) string {
 	var out strings.Builder
-	out.WriteString("| moment | way | once only | repeatable | stream | resumable | connection |\n|---|---|---|---|---|---|---|\n")
+	out.WriteString("| point | mode | once only | idempotent | stream | resumable | connection |\n|---|---|---|---|---|---|---|\n")
 	for _, c := range cells {
 		connection := "closed"
 		if c.reused {
-			connection = "used again"
+			connection = "reused"
 		}
 		fmt.Fprintf(&out, "| %s | %s | %s | %s | %s | %s | %s |\n", c.at, c.mode, c.once, c.idempotent, c.stream, c.resumable, connection)
 	}
@@ -226,7 +226,7 @@
 						wrong = append(wrong, fmt.Sprintf("%s, not %s", got, c.want(kind)))
 					}
 					if got.reused != c.reused {
-						wrong = append(wrong, fmt.Sprintf("connection used again: %v", got.reused))
+						wrong = append(wrong, fmt.Sprintf("connection reused: %v", got.reused))
 					}
 					if len(wrong) > 0 {
 						mu.Lock()
@@ -309,7 +309,7 @@
 	}
 	response, err := http.DefaultTransport.RoundTrip(request)
 	if err != nil {
-		return "no answer: " + err.Error()
+		return "no response: " + err.Error()
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
--- a/internal/dataplane/gateway/response_test.go
+++ b/internal/dataplane/gateway/response_test.go
@@ -186,6 +186,20 @@
 	}
 }
 
+// interruptedThen is a server that aborts a stream after two events, and serves requests that
+// resume it with another handler.
+func interruptedThen(resumed http.HandlerFunc) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		if r.Header.Get(headerNames.LastEventID) != "" {
+			resumed(w, r)
+			return
+		}
+		setResponseHead(w, r, "stamp", eventStream)
+		writeAndFlush(w, eventTexts(1, 2))
+		abortConnection()
+	}
+}
+
 // A resumed stream that every other server rejects or fails is broken off and does not look
 // complete.
 func TestResumedStreamThatNobodyGoesOnWith(t *testing.T) {
@@ -203,15 +217,7 @@
 		},
 		"cut before the head": func(http.ResponseWriter, *http.Request) { abortConnection() },
 	} {
-		handler := func(w http.ResponseWriter, r *http.Request) {
-			if r.Header.Get(headerNames.LastEventID) != "" {
-				later(w, r)
-				return
-			}
-			setResponseHead(w, r, "stamp", eventStream)
-			writeAndFlush(w, eventTexts(1, 2))
-			abortConnection()
-		}
+		handler := interruptedThen(later)
 		c := newClusterWithServers(t, handler, handler, handler)
 		if response := c.do("POST", "/resume/x", "y"); response.status != 200 || response.body != eventTexts(1, 2) || response.err == nil {
 			t.Errorf("%s: %+v", name, response)
@@ -252,15 +258,7 @@
 			writeAndFlush(w, eventTexts(4, 6))
 		},
 	} {
-		handler := func(w http.ResponseWriter, r *http.Request) {
-			if r.Header.Get(headerNames.LastEventID) != "" {
-				later(w, r)
-				return
-			}
-			setResponseHead(w, r, "stamp", eventStream)
-			writeAndFlush(w, eventTexts(1, 2))
-			abortConnection()
-		}
+		handler := interruptedThen(later)
 		c := newClusterWithServers(t, handler, handler, handler)
 		if response := c.do("POST", "/resume/x", "y"); response.status != 200 || response.body != eventTexts(1, 2) || response.err == nil {
 			t.Errorf("%s: %+v", name, response)
