--- a/internal/dataplane/proxy/attempts.go
+++ b/internal/dataplane/proxy/attempts.go
@@ -106,7 +106,7 @@
 	if r := p.inFlight[started.RequestID]; r != nil && r.assignment != nil {
 		r.assignment.PrefillDone(now)
 	}
-	p.decide(call, nil)
+	p.acknowledge(call)
 }
 
 // handleAttemptResult frees the server of an attempt and decides what follows.
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -115,10 +115,17 @@
 	return true
 }
 
+// decide replies with what the gateway has to do next.
 func (p *Proxy) decide(call uint64, decision Decision) {
 	p.calls.Emit(machine.Reply{Call: call, Body: decision})
 }
 
+// acknowledge replies to a report that nothing follows from.
+func (p *Proxy) acknowledge(call uint64) {
+	p.calls.Emit(machine.Reply{Call: call})
+}
+
+// fail replies with an error, the caller's final answer.
 func (p *Proxy) fail(call uint64, err error) {
 	p.calls.Emit(machine.Reply{Call: call, Err: err})
 }
--- a/internal/dataplane/requests/attempts.go
+++ b/internal/dataplane/requests/attempts.go
@@ -48,7 +48,7 @@
 	if m.InjectedFaults.RestartResumedStream {
 		r.partialOutput = ""
 	}
-	m.reply(r.call, Attempt{
+	m.decide(r.call, Attempt{
 		RouteKind: r.route.Kind,
 		Deadline:  r.deadline,
 		Request: modelclient.Request{
@@ -62,7 +62,7 @@
 			Priority:      m.scheduler.ServerPriority(r.schedulerRequest),
 			IdleTimeout:   m.settings.IdleTimeout,
 		},
-	}, nil)
+	})
 }
 
 // handleAttemptStarted releases the quota: it counts requests that wait.
@@ -70,14 +70,14 @@
 	if r := m.inFlight[started.RequestID]; r != nil {
 		r.releaseQuota(now)
 	}
-	m.reply(call, nil, nil)
+	m.acknowledge(call)
 }
 
 // handleAttemptResult records an attempt and decides what follows.
 func (m *Machine) handleAttemptResult(call uint64, result AttemptResult, now clock.Micros) {
 	r := m.inFlight[result.RequestID]
 	if r == nil || r.assignment == nil {
-		m.reply(call, nil, errs.New(errs.OutcomeUnknown, "send the request again", "no attempt of request %q is in flight here", result.RequestID))
+		m.fail(call, errs.New(errs.OutcomeUnknown, "send the request again", "no attempt of request %q is in flight here", result.RequestID))
 		return
 	}
 	assignment := r.assignment
@@ -113,10 +113,10 @@
 		m.failRequest(r, errs.New(errs.BadInput, "correct the input for this route's model", "%s", result.Reason), now)
 	case mustNotRunTwice:
 		assignment.Release(0, false, now)
-		m.finish(r, nil, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "find out by other means whether it ran before sending it again", "the request started on a server and its response is incomplete: %s", result.Reason), now)
+		m.finishWithError(r, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "find out by other means whether it ran before sending it again", "the request started on a server and its response is incomplete: %s", result.Reason), now)
 	case cannotContinue:
 		assignment.Release(0, result.ContextDone, now)
-		m.finish(r, nil, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "send the request again; this stream is not resumed", "the stream was interrupted: %s", result.Reason), now)
+		m.finishWithError(r, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "send the request again; this stream is not resumed", "the stream was interrupted: %s", result.Reason), now)
 	default:
 		// Nothing has reached the caller yet, or the stream may be resumed.
 		assignment.Release(0, false, now)
@@ -128,12 +128,12 @@
 func (m *Machine) completeRequest(r *activeRequest, output, server string, now clock.Micros) {
 	response := Response{RequestID: r.ID, Status: answerOK, Output: output, Server: server}
 	if !r.keyClaimed {
-		m.finish(r, response, nil, now)
+		m.finishWithResponse(r, response, now)
 		return
 	}
 	// The response is complete and given in any case: without its stored copy, a repeated key
 	// is answered errs.OutcomeUnknown.
-	m.completeClaim(r, shard.Answered, &response, now, func(_ error, now clock.Micros) { m.finish(r, response, nil, now) })
+	m.completeClaim(r, shard.Answered, &response, now, func(_ error, now clock.Micros) { m.finishWithResponse(r, response, now) })
 }
 
 // retryElsewhere retries a request that a server did not start.
--- a/internal/dataplane/requests/batches.go
+++ b/internal/dataplane/requests/batches.go
@@ -22,7 +22,7 @@
 func (m *Machine) submitBatch(call uint64, request SubmitBatchRequest, now clock.Micros) {
 	batch, err := m.newBatch(request)
 	if err != nil {
-		m.reply(call, nil, err)
+		m.fail(call, err)
 		return
 	}
 	m.submit(call, batch, now)
@@ -62,7 +62,7 @@
 func (m *Machine) submitForwardedBatch(call uint64, request SubmitForwardedBatchRequest, now clock.Micros) {
 	batch, err := m.newForwardedBatch(request)
 	if err != nil {
-		m.reply(call, nil, err)
+		m.fail(call, err)
 		return
 	}
 	m.submit(call, batch, now)
@@ -126,7 +126,7 @@
 func (m *Machine) batchStatus(call uint64, request BatchStatusRequest, now clock.Micros) {
 	c, err := m.authenticate(request.APIKey)
 	if err != nil {
-		m.reply(call, nil, err)
+		m.fail(call, err)
 		return
 	}
 	by := access{tenant: c.tenant.Name}
@@ -165,7 +165,7 @@
 func (m *Machine) readPage(call uint64, request PageRequest, now clock.Micros) {
 	c, err := m.authenticate(request.APIKey)
 	if err != nil {
-		m.reply(call, nil, err)
+		m.fail(call, err)
 		return
 	}
 	m.read(call, request.Read, access{tenant: c.tenant.Name}, now)
@@ -175,11 +175,11 @@
 // feed over many.
 func (m *Machine) readForwardedPage(call uint64, request ForwardedPageRequest, now clock.Micros) {
 	if err := checkBatchID(request.Read.BatchID); err != nil {
-		m.reply(call, nil, err)
+		m.fail(call, err)
 		return
 	}
 	if request.Read.FromIndex < 0 {
-		m.reply(call, nil, errs.New(errs.BadInput, "count from 0", "there is no result %d", request.Read.FromIndex))
+		m.fail(call, errs.New(errs.BadInput, "count from 0", "there is no result %d", request.Read.FromIndex))
 		return
 	}
 	m.read(call, request.Read, access{anyTenant: true}, now)
@@ -188,7 +188,7 @@
 func (m *Machine) read(call uint64, request reader.Request, by access, now clock.Micros) {
 	request.Tenant = by.tenant
 	request.AnyTenant = by.anyTenant
-	m.reader.Start(request, now, func(page reader.Page, err error, _ clock.Micros) { m.reply(call, page, err) })
+	m.reader.Start(request, now, func(page reader.Page, err error, _ clock.Micros) { m.relay(call, page, err) })
 }
 
 // readItemBody reads the body of an item without a result, in a batch of opaque requests.
--- a/internal/dataplane/requests/claims.go
+++ b/internal/dataplane/requests/claims.go
@@ -25,9 +25,9 @@
 		response, ok := body.(batchstore.ClaimResponse)
 		switch {
 		case err != nil:
-			m.finish(r, nil, err, now)
+			m.finishWithError(r, err, now)
 		case !ok:
-			m.finish(r, nil, unexpectedReplyError(body), now)
+			m.finishWithError(r, unexpectedReplyError(body), now)
 		case response.Yours:
 			r.keyClaimed = true
 			m.scheduleAttempt(r, nil, now)
@@ -42,16 +42,16 @@
 // request's response if there is one.
 func (m *Machine) replayResponse(r *activeRequest, first shard.Claim, now clock.Micros) {
 	if first.State != shard.Answered {
-		m.finish(r, nil, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "retry with the same key for the first request's response", "the key's first request (%s) is in flight, or was interrupted", first.RequestID), now)
+		m.finishWithError(r, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "retry with the same key for the first request's response", "the key's first request (%s) is in flight, or was interrupted", first.RequestID), now)
 		return
 	}
 	var response Response
 	if err := json.Unmarshal(first.Response, &response); err != nil {
-		m.finish(r, nil, errs.New(errs.ServerFault, "run the same release on all daemons", "the stored response of the key's first request (%s) can't be decoded: %v", first.RequestID, err), now)
+		m.finishWithError(r, errs.New(errs.ServerFault, "run the same release on all daemons", "the stored response of the key's first request (%s) can't be decoded: %v", first.RequestID, err), now)
 		return
 	}
 	response.Replayed = true
-	m.finish(r, response, nil, now)
+	m.finishWithResponse(r, response, now)
 }
 
 // completeClaim stores how a request with a claimed key ended, for requests that repeat the
--- a/internal/dataplane/requests/live.go
+++ b/internal/dataplane/requests/live.go
@@ -36,13 +36,13 @@
 func (m *Machine) admitRequest(call uint64, request LiveRequest, now clock.Micros) {
 	r := &activeRequest{LiveRequest: request, call: call, receivedAt: now, avoidedServers: map[string]int{}}
 	if err := m.validate(r, now); err != nil {
-		m.reply(call, nil, err)
+		m.fail(call, err)
 		return
 	}
 	m.inFlight[r.ID] = r
 	m.quota.Reserve(r.tenant.Name, r.class.Quota, r.configurationVersion, 1, now, func(release quota.Release, err error, now clock.Micros) {
 		if err != nil {
-			m.finish(r, nil, err, now)
+			m.finishWithError(r, err, now)
 			return
 		}
 		r.releaseQuota = release
@@ -102,30 +102,39 @@
 	return nil
 }
 
-// finish gives the caller of a request its final answer.
-func (m *Machine) finish(r *activeRequest, response any, err error, now clock.Micros) {
+// finishWithResponse gives the caller of a request its response.
+func (m *Machine) finishWithResponse(r *activeRequest, response Response, now clock.Micros) {
+	m.release(r, now)
+	m.decide(r.call, response)
+}
+
+// finishWithError gives the caller of a request an error as its final answer.
+func (m *Machine) finishWithError(r *activeRequest, err error, now clock.Micros) {
+	m.release(r, now)
+	m.decisions.RecordOutcome(r.ID, err.Error())
+	m.fail(r.call, err)
+}
+
+// release ends what a request holds here.
+func (m *Machine) release(r *activeRequest, now clock.Micros) {
 	delete(m.inFlight, r.ID)
 	if r.releaseQuota != nil {
 		r.releaseQuota(now)
 	}
-	if err != nil {
-		m.decisions.RecordOutcome(r.ID, err.Error())
-	}
-	m.reply(r.call, response, err)
 }
 
 // rejectRequest fails a request that has not run and never will. A claimed key is voided
 // durably first; where that can't be confirmed, the outcome is unknown.
 func (m *Machine) rejectRequest(r *activeRequest, cause error, now clock.Micros) {
 	if !r.keyClaimed {
-		m.finish(r, nil, cause, now)
+		m.finishWithError(r, cause, now)
 		return
 	}
 	m.completeClaim(r, shard.Voided, nil, now, func(err error, now clock.Micros) {
 		if err != nil {
 			cause = errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "retry with the same key", "the request did not run, but its key could not be released: %v", err)
 		}
-		m.finish(r, nil, cause, now)
+		m.finishWithError(r, cause, now)
 	})
 }
 
@@ -133,7 +142,7 @@
 // it may have run.
 func (m *Machine) failRequest(r *activeRequest, cause error, now clock.Micros) {
 	if r.mayHaveRun && !m.InjectedFaults.RejectAfterRun {
-		m.finish(r, nil, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "send the request again; this stream is not resumed", "an attempt of the request may have run in part: %v", cause), now)
+		m.finishWithError(r, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "send the request again; this stream is not resumed", "an attempt of the request may have run in part: %v", cause), now)
 		return
 	}
 	m.rejectRequest(r, cause, now)
@@ -149,7 +158,7 @@
 			m.failRequest(r, disconnectedError(), now)
 		}
 	}
-	m.reply(call, nil, nil)
+	m.acknowledge(call)
 }
 
 func disconnectedError() error {
--- a/internal/dataplane/requests/machine.go
+++ b/internal/dataplane/requests/machine.go
@@ -106,6 +106,22 @@
 	return true
 }
 
-func (m *Machine) reply(call uint64, body any, err error) {
+// decide replies with what the gateway has to do next about a live request.
+func (m *Machine) decide(call uint64, decision Decision) {
+	m.calls.Emit(machine.Reply{Call: call, Body: decision})
+}
+
+// fail replies with an error, the caller's final answer.
+func (m *Machine) fail(call uint64, err error) {
+	m.calls.Emit(machine.Reply{Call: call, Err: err})
+}
+
+// acknowledge replies to a report that nothing follows from.
+func (m *Machine) acknowledge(call uint64) {
+	m.calls.Emit(machine.Reply{Call: call})
+}
+
+// relay replies with what a store or the reader answered.
+func (m *Machine) relay(call uint64, body any, err error) {
 	m.calls.Emit(machine.Reply{Call: call, Body: body, Err: err})
 }
--- a/internal/dataplane/requests/store_calls.go
+++ b/internal/dataplane/requests/store_calls.go
@@ -26,7 +26,7 @@
 
 // relayReply gives a store's response to the caller.
 func (m *Machine) relayReply(call uint64) machine.Callback {
-	return func(body any, err error, _ clock.Micros) { m.reply(call, body, err) }
+	return func(body any, err error, _ clock.Micros) { m.relay(call, body, err) }
 }
 
 // relayStatus gives the response to a request that changes nothing to the caller. Without a
@@ -36,7 +36,7 @@
 		if errs.Is(err, errs.OutcomeUnknown) {
 			err = errs.NewWithRetry(errs.NotReady, clock.Second, "retry; nothing was changed", "the store did not respond: %v", err)
 		}
-		m.reply(call, body, err)
+		m.relay(call, body, err)
 	}
 }
 
