--- a/internal/controlplane/bootstrap_test.go
+++ b/internal/controlplane/bootstrap_test.go
@@ -21,7 +21,7 @@
 		return isCopy && b.now < until
 	}
 	b.pass(clock.Second)
-	if founder := b.cores["c1"]; founder.TermsWon != 1 || founder.Vote().Term != 1 || !founder.IsServing() {
-		t.Errorf("a second on, the founder won %d terms, the last granted is %d, it serves: %v; wanted the first alone", founder.TermsWon, founder.Vote().Term, founder.IsServing())
+	if founder := b.cores["c1"]; founder.election.TermsWon != 1 || founder.Vote().Term != 1 || !founder.IsServing() {
+		t.Errorf("a second on, the founder won %d terms, the last granted is %d, it serves: %v; wanted the first alone", founder.election.TermsWon, founder.Vote().Term, founder.IsServing())
 	}
 }
--- a/internal/controlplane/changes.go
+++ b/internal/controlplane/changes.go
@@ -1,165 +1,129 @@
 package controlplane
 
 import (
-	"slices"
-
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/changequeue"
+	"tuliprudder/internal/controlplane/election"
+	"tuliprudder/internal/controlplane/placement"
 	"tuliprudder/internal/controlplane/state"
 	"tuliprudder/internal/errs"
 	"tuliprudder/internal/machine"
 )
 
-// This file takes the changes of the control state through the group one at a time (DESIGN §5.4).
-
-// change is one change that waits for its turn, or is on its way to the replicas.
-// The core's own changes have an entry from the start; what an operator asks for
-// gets one when it is judged.
-type change struct {
-	entry         state.Entry
-	configuration *pendingConfiguration
-	retire        *pendingRetire
-	call          uint64
-	response      func() any
-	deadline      clock.Micros
-}
+// This file takes the changes of the control state through the replication group, one at a
+// time (DESIGN §5.4).
 
-// decide judges an operator's ask at its turn: what is to be written, and the answer.
-func (c *change) decide(s *Core, now clock.Micros) error {
-	switch {
-	case c.configuration != nil:
-		entry, number, err := c.configuration.decide(s.state)
-		c.entry, c.response = entry, func() any { return PutConfigurationResponse{Version: number} }
-		return err
-	case c.retire != nil:
-		entry, id, err := c.retire.decide(s, now)
-		c.entry, c.response = entry, func() any {
-			return RetireResponse{ID: id, Done: s.state.Stores[id].Retired, ShardsLeft: s.dependentShards(id)}
-		}
-		return err
-	}
-	return nil
-}
+// broadcastTimeout is how long a configuration may take until a majority of the voters for
+// updates know it.
+const broadcastTimeout = 2 * clock.Second
 
-func (s *Core) propose(c change, now clock.Micros) {
-	s.queue = append(s.queue, c)
-	s.processQueue(now)
+// propose queues a change of the core's own.
+func (c *Core) propose(entry state.Entry, now clock.Micros) {
+	c.queue.Add(changequeue.Change{Entry: entry})
+	c.processQueue(now)
 }
 
 // processQueue takes one change at a time through the group, so that two operators'
-// configurations stand in one order. Nothing is judged without a fresh lease.
-func (s *Core) processQueue(now clock.Micros) {
-	for s.inFlight == nil && s.HoldsLease(now) {
-		at := s.nextChangeIndex()
-		if at < 0 {
+// configurations have one order. Nothing is decided without the lease.
+func (c *Core) processQueue(now clock.Micros) {
+	for !c.queue.HasInFlight() && c.HoldsLease(now) {
+		change, ok, err := c.queue.Next(c.state, func(id string) error { return c.canRetire(id, now) })
+		if !ok {
 			return
 		}
-		c := s.queue[at]
-		s.queue = slices.Delete(s.queue, at, at+1)
-		if err := c.decide(s, now); err != nil {
-			s.Emit(machine.Reply{Call: c.call, Err: err})
+		if err != nil {
+			c.Emit(machine.Reply{Call: change.Call, Err: err})
 			continue
 		}
-		if c.entry == nil {
+		if change.Entry == nil {
 			// Nothing to write; all in the state is confirmed, as nothing is in flight.
-			s.replyToChange(c)
+			c.replyToChange(change)
 			continue
 		}
-		s.Changes++
-		data := state.Encode(c.entry)
-		if err := s.state.ApplyEntry(data); err != nil {
-			s.haltOnDamage(err)
+		if !c.replicate(change, now) {
 			return
 		}
-		s.inFlight = &c
-		s.groups.Append(unitCore, data, now)
 	}
 }
 
-// nextChangeIndex is the place in the queue of the change whose turn it is; -1 where all
-// wait. A configuration waits for the one that it is built on, where that waits, too.
-func (s *Core) nextChangeIndex() int {
-	for at := range s.queue {
-		c := &s.queue[at]
-		if c.configuration != nil && s.baseIsPending(c.configuration) {
-			continue
-		}
-		return at
+// replicate applies a change here and sends it to the replicas; false when it can't be applied.
+func (c *Core) replicate(change changequeue.Change, now clock.Micros) bool {
+	c.Changes++
+	data := state.Encode(change.Entry)
+	if err := c.state.ApplyEntry(data); err != nil {
+		c.haltOnDamage(err)
+		return false
 	}
-	return -1
+	c.queue.Start(change)
+	c.groups.Append(election.GroupUnit, data, now)
+	return true
 }
 
-// baseIsPending tells whether the configuration that another is built on waits here, or may
-// yet come: its order may have overtaken that one on the way.
-func (s *Core) baseIsPending(put *pendingConfiguration) bool {
-	return put.awaitsBase(s.state) || slices.ContainsFunc(s.queue, func(other change) bool {
-		return other.configuration != nil && put.dependsOn(other.configuration)
-	})
+// canRetire is why a store can't be retired; nil when it can.
+func (c *Core) canRetire(id string, now clock.Micros) error {
+	return placement.CheckRetirement(c.settings.placement(), c.stores.View(c.state, now), id)
 }
 
 // replyToChange tells who asked for a change that it is confirmed. A configuration is in
-// force once most of the roll know it (DESIGN §8.2): then the acknowledgement.
-func (s *Core) replyToChange(c change) {
-	if c.call == 0 {
+// force once a majority of the voters for updates know it (DESIGN §8.2): only then it is acknowledged.
+func (c *Core) replyToChange(change changequeue.Change) {
+	if change.Call == 0 {
 		return
 	}
-	if latest, ok := s.state.Latest(); ok && c.configuration != nil {
-		s.published.configuration = max(s.published.configuration, latest.Number)
-		s.Emit(machine.Broadcast{Update: configurationUpdate(latest), Call: c.call, Body: c.response(), Timeout: broadcastTimeout})
+	if change.Configuration != nil {
+		c.broadcastConfiguration(change)
 		return
 	}
-	s.Emit(machine.Reply{Call: c.call, Body: c.response()})
+	id := change.Retirement.StoreID()
+	c.Emit(machine.Reply{Call: change.Call, Body: RetireResponse{
+		ID:         id,
+		Done:       c.state.Stores[id].Retired,
+		ShardsLeft: c.state.DependentShards(id),
+	}})
 }
 
-// expireChanges answers those whose time is over while they waited.
-func (s *Core) expireChanges(now clock.Micros) {
-	if s.inFlight != nil && now >= s.inFlight.deadline && s.inFlight.call != 0 {
-		s.replyUnknown(s.inFlight.call)
-		s.inFlight.call = 0
-	}
-	waiting := s.queue
-	s.queue = nil
-	var over []change
-	for _, c := range waiting {
-		if c.call != 0 && now >= c.deadline {
-			over = append(over, c)
-		} else {
-			s.queue = append(s.queue, c)
-		}
-	}
-	for _, c := range over {
-		if s.mayBeApplied(c) {
-			s.replyUnknown(c.call)
+// broadcastConfiguration spreads the configuration in force and then acknowledges the one that was asked
+// for; a repeated request may be about an earlier one.
+func (c *Core) broadcastConfiguration(change changequeue.Change) {
+	latest, _ := c.state.Latest()
+	c.published.configuration = max(c.published.configuration, latest.Number)
+	c.Emit(machine.Broadcast{
+		Update:  configurationUpdate(latest),
+		Call:    change.Call,
+		Body:    PutConfigurationResponse{Version: change.Configuration.Version()},
+		Timeout: broadcastTimeout,
+	})
+}
+
+// expireChanges answers those whose deadlines passed while they waited.
+func (c *Core) expireChanges(now clock.Micros) {
+	for _, expired := range c.queue.Expire(c.state, now) {
+		if expired.MayBeApplied {
+			c.replyUnknown(expired.Call)
 			continue
 		}
-		s.Emit(machine.Reply{Call: c.call, Err: errs.NewWithRetry(errs.NotReady, 2*clock.Second, "send it again; it was not put", "the cores had no complete group in time")})
+		c.Emit(machine.Reply{Call: expired.Call, Err: errs.NewWithRetry(errs.NotReady, 2*clock.Second,
+			"send it again; it was not put", "the cores had no complete group in time")})
 	}
 }
 
-// mayBeApplied tells whether the very same was or may yet be taken at another's call.
-func (s *Core) mayBeApplied(c change) bool {
-	if c.configuration == nil {
-		return s.inFlight != nil && retiresStore(s.inFlight.entry)
-	}
-	if _, taken := c.configuration.appliedVersion(s.state); taken || c.configuration.isForgotten(s.state) {
-		return true
-	}
-	return slices.ContainsFunc(s.queue, func(other change) bool {
-		return other.configuration != nil && c.configuration.isSameRequest(other.configuration)
-	})
+// replyUnknown tells a caller that its change may or may not be applied.
+func (c *Core) replyUnknown(call uint64) {
+	c.UnknownOutcomes++
+	c.Emit(machine.Reply{Call: call, Err: errs.NewWithRetry(errs.OutcomeUnknown, clock.Second,
+		"read back what is in force before you send it again", "it is not known whether this was made durable")})
 }
 
-func (s *Core) hasQueuedChange(match func(state.Entry) bool) bool {
-	if s.inFlight != nil && s.inFlight.entry != nil && match(s.inFlight.entry) {
-		return true
-	}
-	for _, c := range s.queue {
-		if c.entry != nil && match(c.entry) {
-			return true
-		}
-	}
-	return false
+// assignsShards tells whether an entry assigns shards.
+func assignsShards(e state.Entry) bool {
+	_, ok := e.(state.AssignShards)
+	return ok
 }
 
-func assignsShards(e state.Entry) bool { _, ok := e.(state.AssignShards); return ok }
-
-func retiresStore(e state.Entry) bool { _, ok := e.(state.Retire); return ok }
+// registersStore tells of an entry whether it registers a store.
+func registersStore(id string) func(state.Entry) bool {
+	return func(e state.Entry) bool {
+		registration, ok := e.(state.RegisterStore)
+		return ok && registration.Store.ID == id
+	}
+}
--- /dev/null
+++ b/internal/controlplane/commands.go
@@ -0,0 +1,72 @@
+package controlplane
+
+import (
+	"tuliprudder/internal/batchstore"
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/machine"
+)
+
+// Command is an input of a core.
+type Command = machine.Command[*Core]
+
+// The commands of a core.
+type (
+	// Persisted tells that the write of a machine.Persist effect is synced.
+	Persisted struct{ Token uint64 }
+	// Suspicion tells what the membership takes a store for.
+	Suspicion struct {
+		ID        string
+		Unhealthy bool
+	}
+	// CorePeers tells the addresses of the cores that the membership knows.
+	CorePeers struct{ Peers []string }
+	// FreshnessAdvanced tells up to when this daemon's updates include what a majority of the
+	// voters for updates knew.
+	FreshnessAdvanced struct{ At clock.Micros }
+	// EndpointUpdate is an update of the platform on a model server.
+	EndpointUpdate struct{ Update machine.Update }
+	// Message is a message that was received.
+	Message struct {
+		From string
+		Body any // one of the types that are given to transport.Register
+	}
+	// Tick lets the core do what is due.
+	Tick struct{}
+	// Drain tells the core that it is about to stop: others take its duties over.
+	Drain struct{}
+)
+
+// Apply runs what waits for the write.
+func (d Persisted) Apply(c *Core, now clock.Micros) { c.groups.Persisted(d.Token, now) }
+
+// Apply records it.
+func (n Suspicion) Apply(c *Core, _ clock.Micros) { c.stores.SetSuspected(n.ID, n.Unhealthy) }
+
+// Apply sends these cores a heartbeat.
+func (p CorePeers) Apply(c *Core, now clock.Micros) { c.election.Greet(p.Peers, now) }
+
+// Apply records it.
+func (f FreshnessAdvanced) Apply(c *Core, _ clock.Micros) { c.stores.SetFreshUntil(f.At) }
+
+// Apply hands the message to the part that it is for.
+func (m Message) Apply(c *Core, now clock.Micros) {
+	if c.groups.HandleMessage(m.From, m.Body, now) || c.election.HandleMessage(m.From, m.Body, now) {
+		return
+	}
+	if heartbeat, ok := m.Body.(batchstore.Heartbeat); ok {
+		c.handleStoreHeartbeat(m.From, heartbeat, now)
+	}
+}
+
+// Apply does what is due.
+func (Tick) Apply(c *Core, now clock.Micros) {
+	c.republishEndpoints()
+	c.groups.Tick(now)
+	c.election.Tick(now)
+	c.expireChanges(now)
+	c.processQueue(now)
+	c.reconcileWhenDue(now)
+}
+
+// Apply tells the other cores.
+func (Drain) Apply(c *Core, now clock.Micros) { c.election.Drain(now) }
--- a/internal/controlplane/core_test.go
+++ b/internal/controlplane/core_test.go
@@ -2,11 +2,13 @@
 
 import (
 	"fmt"
+	"maps"
 	"slices"
 	"testing"
 
 	"tuliprudder/internal/batchstore"
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/errs"
 	"tuliprudder/internal/machine"
 	"tuliprudder/internal/replication"
@@ -29,6 +31,7 @@
 	now     clock.Micros
 	set     Settings
 	cores   map[string]*Core // by peer
+	starts  map[string]start // by peer, the latest
 	stores  []*fakeStore
 	wire    []letter
 	drop    func(l letter) bool
@@ -40,15 +43,46 @@
 	holds func(peer string, write machine.Persist) bool
 }
 
+// start is what a core is made of, besides its disk.
+type start struct {
+	self        election.CoreRef
+	incarnation uint64
+	seeds       []string
+	set         Settings
+}
+
+func (s start) core(records []machine.Record) *Core {
+	return New(s.self, s.incarnation, s.seeds, s.set, records)
+}
+
+// next is the next start of the same core.
+func (s start) next() start {
+	s.incarnation++
+	return s
+}
+
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+
+func hasVote(voters []election.CoreRef, id string) bool { return slices.Contains(idsOf(voters), id) }
+
+// idsOf lists the ids of some cores in order.
+func idsOf(refs []election.CoreRef) (ids []string) {
+	for _, ref := range refs {
+		ids = append(ids, ref.ID)
+	}
+	slices.Sort(ids)
+	return ids
+}
+
 func newBench(set Settings) *bench {
-	return &bench{now: 1000, set: set, cores: map[string]*Core{}, answers: map[uint64]machine.Reply{}}
+	return &bench{now: 1000, set: set, cores: map[string]*Core{}, starts: map[string]start{}, answers: map[uint64]machine.Reply{}}
 }
 
 // core adds an empty core; its peer address is its name.
 func (b *bench) core(id, peer, zone string, seeds ...string) *Core {
-	s := New(CoreRef{ID: id, Peer: peer, Zone: zone}, 1, seeds, b.set, nil)
-	b.cores[peer] = s
-	return s
+	b.starts[peer] = start{election.CoreRef{ID: id, Peer: peer, Zone: zone}, 1, seeds, b.set}
+	b.cores[peer] = b.starts[peer].core(nil)
+	return b.cores[peer]
 }
 
 // store adds a store.
@@ -101,7 +135,7 @@
 func (b *bench) pass(span clock.Micros) {
 	for end := b.now + span; b.now < end; {
 		b.now += 50 * clock.Millisecond
-		for _, peer := range sortedIDs(b.cores) {
+		for _, peer := range sortedKeys(b.cores) {
 			core := b.cores[peer]
 			b.take(peer, core.Do(FreshnessAdvanced{b.now}, b.now))
 			b.take(peer, core.Do(Tick{}, b.now))
@@ -184,7 +218,7 @@
 	t.Helper()
 	for i := 0; i < 400; i++ {
 		b.pass(50 * clock.Millisecond)
-		if p := b.primary(); p != nil && p.inFlight == nil && whole(p) {
+		if p := b.primary(); p != nil && !p.queue.HasInFlight() && whole(p) {
 			return
 		}
 	}
@@ -576,7 +610,7 @@
 		}
 	}
 	add(5)
-	b.drop = func(l letter) bool { _, grant := l.body.(VoteResponse); return grant && l.from == "c5" }
+	b.drop = func(l letter) bool { _, grant := l.body.(election.VoteResponse); return grant && l.from == "c5" }
 	b.pass(5 * clock.Second)
 	if b.primary() != nil {
 		t.Fatal("founded without the grant of one of the five")
@@ -624,7 +658,7 @@
 		if !early {
 			stranger()
 		}
-		var first []CoreRef
+		var first []election.CoreRef
 		for i := 0; i < 400 && first == nil; i++ {
 			b.pass(50 * clock.Millisecond)
 			for _, core := range b.cores {
@@ -633,7 +667,7 @@
 				}
 			}
 		}
-		if got := fmt.Sprint(voterIDs(first)); got != "[core-1 core-2 core-3]" {
+		if got := fmt.Sprint(idsOf(first)); got != "[core-1 core-2 core-3]" {
 			t.Errorf("strangers early %v: founded by %s", early, got)
 		}
 		// The others are given votes by agreement, one at a time.
@@ -652,14 +686,14 @@
 	for i := 1; i <= 4; i++ {
 		b.core(fmt.Sprint("core-", i), fmt.Sprint("c", i), fmt.Sprint("zone-", i), "c2", "c3", "c4")
 	}
-	b.drop = func(l letter) bool { _, claim := l.body.(VoteRequest); return claim }
+	b.drop = func(l letter) bool { _, claim := l.body.(election.VoteRequest); return claim }
 	b.pass(clock.Second)
 	witness := b.cores["c2"]
-	var refs []CoreRef
+	var refs []election.CoreRef
 	for i := 1; i <= 3; i++ {
 		refs = append(refs, b.cores[fmt.Sprint("c", i)].self)
 	}
-	claim := VoteRequest{Fleet: "f-core-1", Assignment: replication.Assignment{Epoch: 1}, Voters: refs, Candidate: refs[0], Bootstrap: true}
+	claim := election.VoteRequest{Fleet: "f-core-1", Assignment: replication.Assignment{Epoch: 1}, Voters: refs, Candidate: refs[0], Bootstrap: true}
 	witness.Do(Message{"c1", claim}, b.now)
 	if witness.Vote().Fleet != "" {
 		t.Fatal("granted the founding of other cores")
@@ -680,8 +714,8 @@
 		b := fleet(t, set)
 		b.pass(3 * clock.Second)
 		lose := func() (string, *Core) {
-			for _, peer := range sortedIDs(b.cores) {
-				if core := b.cores[peer]; core != b.primary() && !slices.Contains(b.primary().Vote().Committed.IDs(), core.self.ID) && isVoter(b.primary().Vote().Voters, core.self.ID) {
+			for _, peer := range sortedKeys(b.cores) {
+				if core := b.cores[peer]; core != b.primary() && !slices.Contains(b.primary().Vote().Committed.IDs(), core.self.ID) && hasVote(b.primary().Vote().Voters, core.self.ID) {
 					delete(b.cores, peer)
 					return core.self.ID, core
 				}
@@ -719,14 +753,14 @@
 	set.StoreTimeout = 60 * clock.Second
 	b := fleet(t, set)
 	core := b.primary()
-	if core.dependentShards("store-1") == 0 {
+	if core.state.DependentShards("store-1") == 0 {
 		t.Fatal("no slot depends on the store; the test shows nothing")
 	}
 	late := b.stores[0].Heartbeat
 	b.stores[0].silent = true
 	b.store("store-9", "s1", "zone-1")
 	b.pass(clock.Second)
-	if n := core.dependentShards("store-1"); n != 0 || !whole(core) {
+	if n := core.state.DependentShards("store-1"); n != 0 || !whole(core) {
 		t.Fatalf("after a second %d slots depend on the store that was replaced, all whole %v", n, whole(core))
 	}
 	b.take(core.self.Peer, core.Do(Message{"s1", late}, b.now))
--- a/internal/controlplane/degraded_test.go
+++ b/internal/controlplane/degraded_test.go
@@ -42,10 +42,10 @@
 	}
 }
 
-// living tells whether every member of an assignment lives the life it was assigned in.
-func (s *Core) living(assignment replication.Assignment, now clock.Micros) bool {
+// living tells whether every member of an assignment runs in the incarnation it was assigned in.
+func (c *Core) living(assignment replication.Assignment, now clock.Micros) bool {
 	for _, member := range assignment.Members() {
-		if incarnation, ok := s.storeIncarnation(member.ID, now); !ok || incarnation != member.Incarnation {
+		if incarnation, ok := c.stores.Incarnation(c.state, member.ID, now); !ok || incarnation != member.Incarnation {
 			return false
 		}
 	}
--- a/internal/controlplane/disk.go
+++ b/internal/controlplane/disk.go
@@ -2,102 +2,103 @@
 
 import (
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/errs"
 	"tuliprudder/internal/machine"
 )
 
 // This file is what a core does while its disk takes no writes (DESIGN §5): nothing
-// that others could count on. It neither greets nor grants, takes no entries and
+// that others could depend on. It sends no heartbeat, grants no vote, takes no entries and
 // leads nobody, as if it were frozen, so that the other cores go on without it. What
 // it had decided before waits for its disk, in order, and is acknowledged by nobody
 // until it is synced.
 
-// diskProbation is how long a disk has to take writes again before its core does more
+// probationSpan is how long a disk has to take writes again before its core does more
 // than listen.
-const diskProbation = clock.Second
+const probationSpan = clock.Second
 
-// diskProbationState is what a core knows of its disk.
-type diskProbationState struct {
+// diskProbation is what a core knows of its disk.
+type diskProbation struct {
 	unwritable    bool
 	reason        string
-	writableSince clock.Micros // when an ill disk took writes again; 0: it was never ill, or the proof is over
+	writableSince clock.Micros // since when the disk takes writes again; 0: it always did, or the probation is over
 }
 
-// DiskStateChanged is the shell's word on the disk.
+// isOver tells whether the core may do all its duties.
+func (p diskProbation) isOver() bool { return !p.unwritable && p.writableSince == 0 }
+
+// DiskStateChanged tells whether the disk takes writes.
 type DiskStateChanged struct{ State machine.DiskState }
 
-// Apply notes it. Operators who wait are told at once that the outcome is not known,
+// Apply records it. Operators who wait are told at once that the outcome is not known,
 // so that they ask another core.
-func (d DiskStateChanged) Apply(s *Core, now clock.Micros) {
-	if d.State.Writable == !s.disk.unwritable {
-		s.disk.reason = d.State.Reason
+func (d DiskStateChanged) Apply(c *Core, now clock.Micros) {
+	if d.State.Writable == !c.disk.unwritable {
+		c.disk.reason = d.State.Reason
 		return
 	}
-	s.disk = diskProbationState{unwritable: !d.State.Writable, reason: d.State.Reason}
-	if !s.disk.unwritable {
-		s.disk.writableSince = now
-		s.Emit(machine.LogEvent{Event: DiskWritable{ResumesAfterUS: diskProbation}})
+	c.disk = diskProbation{unwritable: !d.State.Writable, reason: d.State.Reason}
+	if d.State.Writable {
+		c.disk.writableSince = now
+		c.Emit(machine.LogEvent{Event: DiskWritable{ResumesAfterUS: probationSpan}})
 		return
 	}
-	s.Emit(machine.LogEvent{Event: DiskUnwritable{Reason: d.State.Reason, Role: s.group().Role.String()}})
-	s.replyUnknownToAll()
-}
-
-// replyUnknownToAll answers all who wait for a change. Those whose change was not taken
-// up yet are not kept for later.
-func (s *Core) replyUnknownToAll() {
-	if s.inFlight != nil {
-		s.replyUnknown(s.inFlight.call)
-		s.inFlight.call = 0
-	}
-	kept := s.queue[:0]
-	for _, c := range s.queue {
-		if c.call == 0 {
-			kept = append(kept, c)
-			continue
-		}
-		s.replyUnknown(c.call)
+	c.Emit(machine.LogEvent{Event: DiskUnwritable{Reason: d.State.Reason, Role: c.group().Role.String()}})
+	for _, call := range c.queue.ReleaseCalls() {
+		c.replyUnknown(call)
 	}
-	s.queue = kept
 }
 
-// CompactAgain asks for a view of now: the last one could not be written.
+// CompactAgain asks for another snapshot: the last one could not be written.
 type CompactAgain struct{}
 
-// Apply has the view made with this step's effects.
-func (CompactAgain) Apply(s *Core, _ clock.Micros) { s.recordsSinceCompaction = s.set.CompactAfter }
+// Apply has the snapshot made with this step's effects.
+func (CompactAgain) Apply(c *Core, _ clock.Micros) {
+	c.recordsSinceCompaction = c.settings.CompactAfter
+}
 
-// rejectedForDisk tells whether a command is passed over for the disk's sake. The disk's own
-// words are not, nor what only makes this core know more.
-func (s *Core) rejectedForDisk(command Command, now clock.Micros) bool {
-	if !s.disk.unwritable && s.disk.writableSince == 0 {
+// rejectedForDisk tells whether a command is ignored, as the disk takes no writes or is on
+// probation.
+func (c *Core) rejectedForDisk(command Command, now clock.Micros) bool {
+	if c.disk.isOver() {
 		return false
 	}
-	if !s.disk.unwritable && now-s.disk.writableSince >= diskProbation {
-		s.resumeDuties(now)
+	if !c.disk.unwritable && now-c.disk.writableSince >= probationSpan {
+		c.resumeDuties(now)
 		return false
 	}
-	switch c := command.(type) {
-	case Persisted, DiskStateChanged, CompactAgain, Suspicion, EndpointUpdate, FreshnessAdvanced:
+	if isAllowedWithoutDisk(command) {
 		return false
+	}
+	if call, ok := command.(Call); ok {
+		c.Emit(machine.Reply{Call: call.Number, Err: errs.NewWithRetry(errs.NotReady, clock.Second,
+			"ask another core; this one is back once its disk takes writes", "core %s can't write: %s", c.self.ID, c.disk.reason)})
+	}
+	return true
+}
+
+// isAllowedWithoutDisk tells whether a command is handled while the disk takes no writes:
+// what the disk itself tells, and what only makes this core know more.
+func isAllowedWithoutDisk(command Command) bool {
+	switch command := command.(type) {
+	case Persisted, DiskStateChanged, CompactAgain, Suspicion, EndpointUpdate, FreshnessAdvanced:
+		return true
 	case Message:
-		_, greeting := c.Body.(Heartbeat)
-		return !greeting
+		_, isHeartbeat := command.Body.(election.Heartbeat)
+		return isHeartbeat
 	case Call:
-		if _, ok := c.Body.(StatusRequest); ok {
-			return false
-		}
-		s.Emit(machine.Reply{Call: c.Number, Err: errs.NewWithRetry(errs.NotReady, clock.Second, "ask another core; this one is back once its disk takes writes", "core %s can't write: %s", s.self.ID, s.disk.reason)})
+		_, isStatus := command.Body.(StatusRequest)
+		return isStatus
 	}
-	return true
+	return false
 }
 
-// resumeDuties begins anew to listen: this core has heard no store meanwhile, and
-// judges none before it had the time to.
-func (s *Core) resumeDuties(now clock.Micros) {
-	s.disk = diskProbationState{}
-	if s.IsServing() {
-		s.servingSince = now
+// resumeDuties ends the probation. This core has heard no store meanwhile, and
+// listens anew until it decides on any.
+func (c *Core) resumeDuties(now clock.Micros) {
+	c.disk = diskProbation{}
+	if c.IsServing() {
+		c.stores.StartServing(now)
 	}
-	s.Emit(machine.LogEvent{Event: DutiesResumed{Role: s.group().Role.String()}})
+	c.Emit(machine.LogEvent{Event: DutiesResumed{Role: c.group().Role.String()}})
 }
--- a/internal/controlplane/disk_test.go
+++ b/internal/controlplane/disk_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/errs"
 	"tuliprudder/internal/machine"
 	"tuliprudder/internal/replication"
@@ -116,8 +117,8 @@
 	}
 	b.settle(t)
 	b.primaryAcknowledges(t, 9, 8)
-	if _, heard := b.primary().incarnationOf(old.self.ID, b.now); old != b.primary() && !heard {
-		t.Fatal("the core whose disk is well again is not heard")
+	if silent := b.primary().election.Status(b.now).UnreachableVoters; silent != 0 || !hasVote(b.primary().Vote().Voters, old.self.ID) {
+		t.Fatalf("%d voters are not heard, and the core whose disk is well again should be one that is", silent)
 	}
 }
 
@@ -164,7 +165,7 @@
 		t.Fatal("a plan was confirmed with one copy")
 	}
 	vote := backup.Vote()
-	b.take(backup.self.Peer, backup.Do(Message{"c9", VoteRequest{Fleet: vote.Fleet, Assignment: replication.Assignment{Epoch: vote.Term + 1}, Voters: vote.Voters, Base: vote.Committed.Epoch, Candidate: primary.self}}, b.now))
+	b.take(backup.self.Peer, backup.Do(Message{"c9", election.VoteRequest{Fleet: vote.Fleet, Assignment: replication.Assignment{Epoch: vote.Term + 1}, Voters: vote.Voters, Base: vote.Committed.Epoch, Candidate: primary.self}}, b.now))
 	if backup.Vote().Term != vote.Term || len(disks.waiting[backup.self.Peer]) != 0 {
 		t.Fatal("a vote was granted without the disk")
 	}
@@ -187,16 +188,16 @@
 	b := fleet(t, small())
 	b.primaryAcknowledges(t, 1, 0)
 	disks, before := withFullDisks(b), append([]replication.Assignment(nil), b.primary().State().Shards...)
-	for _, peer := range sortedIDs(b.cores) {
+	for _, peer := range sortedKeys(b.cores) {
 		disks.fill(b.cores[peer], nil)
 	}
 	b.pass(20 * clock.Second)
-	for _, peer := range sortedIDs(b.cores) {
+	for _, peer := range sortedKeys(b.cores) {
 		if answer := b.told(t, b.ask(b.cores[peer], put(2, 1, `{"a":2}`))); !errs.Is(answer.Err, errs.NotReady) {
 			t.Fatalf("%s told %v %v", peer, answer.Body, answer.Err)
 		}
 	}
-	for _, peer := range sortedIDs(b.cores) {
+	for _, peer := range sortedKeys(b.cores) {
 		disks.clear(b.cores[peer])
 	}
 	b.pass(4 * clock.Second)
@@ -217,15 +218,15 @@
 func TestNoStoreIsJudgedBeforeItIsHeard(t *testing.T) {
 	b := fleet(t, small())
 	disks, before := withFullDisks(b), append([]replication.Assignment(nil), b.primary().State().Shards...)
-	for _, peer := range sortedIDs(b.cores) {
+	for _, peer := range sortedKeys(b.cores) {
 		disks.fill(b.cores[peer], nil)
 	}
 	b.pass(20 * clock.Second)
-	for _, peer := range sortedIDs(b.cores) {
+	for _, peer := range sortedKeys(b.cores) {
 		disks.clear(b.cores[peer])
 	}
 	b.stores[0].silent = true
-	b.pass(diskProbation + clock.Second)
+	b.pass(probationSpan + clock.Second)
 	b.stores[0].silent = false
 	b.pass(3 * clock.Second)
 	b.settle(t)
--- /dev/null
+++ b/internal/controlplane/election/campaign.go
@@ -0,0 +1,218 @@
+package election
+
+import (
+	"slices"
+
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/machine"
+)
+
+// A campaign asks the voters for a term (DESIGN §5.1 to §5.3). A core becomes primary by
+// one, and the primary changes the members of its group or the voters by one.
+
+const (
+	// voteTimeout is how long a campaign waits for its votes.
+	voteTimeout = 900 * clock.Millisecond
+	// candidateStagger is how much longer each successor waits than the one before it, so
+	// that two seldom campaign against each other.
+	candidateStagger = 250 * clock.Millisecond
+	// termCommitTimeout is how long a term that was won may take until it is committed.
+	termCommitTimeout = 4 * clock.Second
+	// grantTimeout is how long a grant keeps its voter from a campaign of its own
+	// although nothing is heard of the candidate that it was granted to.
+	grantTimeout = clock.Second
+)
+
+// campaign is a term that the voters are asked for.
+type campaign struct {
+	request      VoteRequest
+	quorums      quorums
+	votersBefore []CoreRef // that have to agree besides the request's voters
+	unanimous    bool      // a bootstrap: every founder has to agree
+	granted      map[string]bool
+	startedAt    clock.Micros
+	won          bool // its majorities have granted it
+}
+
+// hasEnoughVotes tells whether all the votes that it takes are granted.
+func (c *campaign) hasEnoughVotes() bool {
+	if !c.unanimous {
+		return c.quorums.haveMajorities(c.granted)
+	}
+	return !slices.ContainsFunc(c.request.Voters, func(ref CoreRef) bool { return !c.granted[ref.ID] })
+}
+
+// maybeCampaign starts a campaign where this core wants another term for long enough, and
+// ends one whose votes did not come in time.
+func (e *Election) maybeCampaign(now clock.Micros) {
+	if e.campaign != nil {
+		if now-e.campaign.startedAt < voteTimeout {
+			return
+		}
+		e.campaign = nil
+	}
+	if e.vote.Committed.IsZero() {
+		e.maybeBootstrap(now)
+		return
+	}
+	proposal, ok := e.proposeTerm(now)
+	if !ok {
+		e.unhealthySince = 0
+		return
+	}
+	if e.unhealthySince == 0 {
+		e.unhealthySince = now
+	}
+	if now-e.unhealthySince < clock.Micros(1+e.rank(now))*candidateStagger {
+		return
+	}
+	e.unhealthySince = now
+	e.startCampaign(proposal, now)
+}
+
+// rank is this core's index among the members of the group that are heard.
+func (e *Election) rank(now clock.Micros) int {
+	rank := 0
+	for _, id := range e.vote.Committed.IDs() {
+		if id == e.contacts.self.ID {
+			break
+		}
+		if _, heard := e.contacts.incarnationOf(id, now); heard {
+			rank++
+		}
+	}
+	return rank
+}
+
+// startCampaign begins a campaign under a term above all that are known.
+func (e *Election) startCampaign(wanted proposal, now clock.Micros) {
+	wanted.assignment.Epoch = e.nextTerm(wanted.assignment.Epoch)
+	e.CampaignsStarted++
+	e.effects.Emit(machine.LogEvent{Event: CampaignStarted{
+		Term:   wanted.assignment.Epoch,
+		Member: e.contacts.self.ID,
+		Reason: wanted.reason,
+		Group:  wanted.assignment.IDs(),
+		Voters: voterIDs(wanted.voters),
+	}})
+	e.requestVotes(&campaign{
+		request: VoteRequest{
+			Fleet:      e.vote.Fleet,
+			Assignment: wanted.assignment,
+			Voters:     wanted.voters,
+			Base:       e.vote.Committed.Epoch,
+			Candidate:  e.contacts.self,
+		},
+		quorums:      e.quorumsFor(wanted.voters),
+		votersBefore: e.vote.votersBefore(wanted.voters),
+	}, now)
+}
+
+// nextTerm is a term above those that are known to be granted, the proposed one at least.
+func (e *Election) nextTerm(proposed uint64) uint64 {
+	epoch := max(proposed, e.vote.Term+1)
+	for _, heard := range e.contacts.byID {
+		if heard.heartbeat.Fleet == e.vote.Fleet {
+			epoch = max(epoch, heard.heartbeat.Vote.Term+1)
+		}
+	}
+	return epoch
+}
+
+// quorumsFor are the sets of voters that a term with the next voters needs.
+func (e *Election) quorumsFor(next []CoreRef) quorums {
+	if e.faults.SkipOldVoters {
+		return quorums{next}
+	}
+	return e.vote.quorumsFor(next)
+}
+
+// requestVotes asks the voters.
+func (e *Election) requestVotes(c *campaign, now clock.Micros) {
+	self := e.contacts.self.ID
+	c.startedAt = now
+	c.granted = map[string]bool{self: true}
+	e.campaign = c
+	for _, ref := range c.quorums.voters() {
+		if ref.ID != self {
+			e.effects.Emit(machine.Send{To: ref.Peer, Body: c.request})
+		}
+	}
+	e.countVotes(now)
+}
+
+// handleVoteResponse counts a vote, or learns why it was refused.
+func (e *Election) handleVoteResponse(response VoteResponse, now clock.Micros) {
+	if !response.Granted {
+		e.learnCommitted(response.Vote, now)
+	}
+	c := e.campaign
+	isOpen := c != nil && !c.won && response.Epoch == c.request.Assignment.Epoch
+	if !isOpen || !response.Granted {
+		return
+	}
+	if response.Vote.Committed.Epoch > c.request.Base {
+		e.learnCommitted(response.Vote, now)
+		return
+	}
+	c.granted[response.From] = true
+	e.countVotes(now)
+}
+
+// countVotes ends a campaign that has its majorities. This core's own grant is written
+// last: until then it may still grant another candidate's term.
+func (e *Election) countVotes(now clock.Micros) {
+	c := e.campaign
+	if c.won || !c.hasEnoughVotes() {
+		return
+	}
+	epoch := c.request.Assignment.Epoch
+	if e.vote.Term >= epoch || e.vote.Committed.Epoch > c.request.Base {
+		e.campaign = nil // another term was granted meanwhile
+		return
+	}
+	c.won = true
+	e.grantVote(c.request, now, func(now clock.Micros) {
+		if e.campaign == c {
+			e.campaign = nil
+		}
+		if e.vote.Term == epoch {
+			e.becomePrimary(c, now)
+		}
+	})
+}
+
+// becomePrimary makes this core the primary of the term that it was granted. It serves
+// once the term is committed.
+func (e *Election) becomePrimary(c *campaign, now clock.Micros) {
+	e.TermsWon++
+	e.commitRound = nil
+	e.wonCampaign = c
+	e.wonTermAt = now
+	assignment := c.request.Assignment
+	var peers []string
+	for _, member := range assignment.Replicas {
+		i := slices.IndexFunc(c.request.Voters, func(ref CoreRef) bool { return ref.ID == member.ID })
+		peers = append(peers, c.request.Voters[i].Peer)
+	}
+	if e.formerPrimaryRestarted(now) {
+		e.groups.VoidGrantedLease(GroupUnit)
+	}
+	e.effects.Emit(machine.LogEvent{Event: TermWon{
+		Term:   assignment.Epoch,
+		Member: e.contacts.self.ID,
+		Group:  assignment.IDs(),
+	}})
+	e.groups.BecomePrimary(GroupUnit, assignment.Epoch, peers, now)
+}
+
+// formerPrimaryRestarted tells whether the incarnation that may hold a lease granted by this
+// core has ended: the former primary is this core, or runs in a later incarnation.
+func (e *Election) formerPrimaryRestarted(now clock.Micros) bool {
+	former := e.vote.Committed.Primary
+	if former.ID == e.contacts.self.ID {
+		return true
+	}
+	incarnation, heard := e.contacts.incarnationOf(former.ID, now)
+	return heard && incarnation > former.Incarnation
+}
--- /dev/null
+++ b/internal/controlplane/election/commit.go
@@ -0,0 +1,126 @@
+package election
+
+import (
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/machine"
+)
+
+// This file is how a term is committed: once every member of the group holds the
+// state, majorities of all quorums write it down, and only then the primary serves.
+
+// commitRound is a term that is being committed.
+type commitRound struct {
+	message   Commit
+	quorums   quorums
+	committed map[string]bool // the voters that have it on disk
+}
+
+// GroupReady tells that every member of the group holds the whole state: the voters are asked to
+// write that down. It is called again until they have.
+func (e *Election) GroupReady(epoch uint64) {
+	if e.wonCampaign == nil || e.wonCampaign.request.Assignment.Epoch != epoch {
+		return
+	}
+	if e.commitRound == nil || e.commitRound.message.Assignment.Epoch != epoch {
+		e.commitRound = newCommitRound(e.wonCampaign)
+	}
+	round := e.commitRound
+	for _, ref := range round.quorums.voters() {
+		switch {
+		case round.committed[ref.ID]:
+		case ref.ID == e.contacts.self.ID:
+			e.handleCommit(round.message, "")
+		default:
+			e.effects.Emit(machine.Send{To: ref.Peer, Body: round.message})
+		}
+	}
+}
+
+func newCommitRound(won *campaign) *commitRound {
+	return &commitRound{
+		quorums:   won.quorums,
+		committed: map[string]bool{},
+		message: Commit{
+			Fleet:      won.request.Fleet,
+			Assignment: won.request.Assignment.Completed(),
+			Voters:     won.request.Voters,
+			OldVoters:  won.votersBefore,
+		},
+	}
+}
+
+// handleCommit writes down that the group of a term is complete. from is "" where this core
+// is the primary itself.
+func (e *Election) handleCommit(m Commit, from string) {
+	if !e.mayCommit(m) {
+		return
+	}
+	epoch := m.Assignment.Epoch
+	e.unhealthySince = 0
+	e.vote.Fleet = m.Fleet
+	e.vote.CommittedByAll = m.CommittedByAll || e.vote.CommittedByAll && epoch == e.vote.Committed.Epoch
+	e.vote.Committed = m.Assignment
+	e.vote.Voters = m.Voters
+	e.vote.OldVoters = m.OldVoters
+	e.vote.Term = epoch
+	e.vote.Pending = m.Assignment
+	e.vote.PendingVoters = m.Voters
+	self := e.contacts.self.ID
+	e.persistVote(func(now clock.Micros) {
+		if from == "" {
+			e.handleCommitAck(self, epoch, now)
+			return
+		}
+		e.effects.Emit(machine.Send{To: from, Body: CommitAck{Epoch: epoch, From: self}})
+	})
+}
+
+// mayCommit tells whether a voter commits a term: one that is not stale, of its own fleet, that
+// it is or was a voter of. Refusing a term below the highest granted one is half of why
+// there is one line of terms (docs/CONTROL.md).
+func (e *Election) mayCommit(m Commit) bool {
+	epoch := m.Assignment.Epoch
+	isForeign := e.vote.Fleet != "" && m.Fleet != e.vote.Fleet && !e.vote.Committed.IsZero()
+	isStale := epoch < e.vote.Term || epoch < e.vote.Committed.Epoch
+	if isForeign || isStale {
+		return false
+	}
+	self := e.contacts.self.ID
+	return isVoter(m.Voters, self) || isVoter(m.OldVoters, self)
+}
+
+// handleCommitAck counts the voters that committed the term; with the majorities this core
+// serves.
+func (e *Election) handleCommitAck(id string, epoch uint64, now clock.Micros) {
+	round := e.commitRound
+	if round == nil || round.message.Assignment.Epoch != epoch || e.group().Epoch != epoch {
+		return
+	}
+	round.committed[id] = true
+	if !round.quorums.haveMajorities(round.committed) || !e.groups.CommitGroup(GroupUnit, epoch, now) {
+		return
+	}
+	e.nextHeartbeatAt = now
+	e.vote.CommittedByAll = true
+	e.persistVote(nil)
+	e.effects.Emit(machine.LogEvent{Event: BecamePrimary{
+		Term:   epoch,
+		Member: e.contacts.self.ID,
+		Group:  e.vote.Committed.IDs(),
+		Voters: voterIDs(e.vote.Voters),
+	}})
+	e.announceCommitted(round)
+	e.startedServing(now)
+}
+
+// announceCommitted tells the voters that majorities of all quorums have committed the term: from
+// then on the voters before it are no longer needed.
+func (e *Election) announceCommitted(round *commitRound) {
+	message := round.message
+	message.CommittedByAll = true
+	for _, ref := range round.quorums.voters() {
+		if ref.ID != e.contacts.self.ID {
+			e.effects.Emit(machine.Send{To: ref.Peer, Body: message})
+		}
+	}
+}
--- /dev/null
+++ b/internal/controlplane/election/status.go
@@ -0,0 +1,36 @@
+package election
+
+import "tuliprudder/internal/clock"
+
+// Status is an account of the election for the operators.
+type Status struct {
+	Term              uint64
+	CampaignsStarted  int64
+	TermsWon          int64
+	Voters            int
+	UnreachableVoters int
+	CopiesMissing     int // of the control state, by the members of the committed group
+}
+
+// Status tells how the election stands.
+func (e *Election) Status(now clock.Micros) Status {
+	return Status{
+		Term:              e.vote.Term,
+		CampaignsStarted:  e.CampaignsStarted,
+		TermsWon:          e.TermsWon,
+		Voters:            len(e.vote.Voters),
+		UnreachableVoters: e.unreachableVoters(now),
+		CopiesMissing:     max(0, e.copiesFor(len(e.vote.Voters))-len(e.vote.Committed.Members())),
+	}
+}
+
+// unreachableVoters counts the voters that are not heard.
+func (e *Election) unreachableVoters(now clock.Micros) int {
+	unreachable := 0
+	for _, ref := range e.vote.Voters {
+		if _, heard := e.contacts.incarnationOf(ref.ID, now); !heard {
+			unreachable++
+		}
+	}
+	return unreachable
+}
--- /dev/null
+++ b/internal/controlplane/reconcile.go
@@ -0,0 +1,57 @@
+package controlplane
+
+import (
+	"maps"
+	"slices"
+
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/placement"
+	"tuliprudder/internal/controlplane/state"
+	"tuliprudder/internal/machine"
+)
+
+// reconcileInterval is between two comparisons of the map of shards with the stores that live.
+const reconcileInterval = 100 * clock.Millisecond
+
+func (c *Core) reconcileWhenDue(now clock.Micros) {
+	if now >= c.nextReconcileAt {
+		c.nextReconcileAt = now + reconcileInterval
+		c.reconcileShards(now)
+	}
+}
+
+// reconcileShards compares the map of shards with the stores that live, and has shards assigned anew
+// where they differ (DESIGN §5.4). One such change at a time: the next one is decided on its outcome.
+func (c *Core) reconcileShards(now clock.Micros) {
+	mayAssign := c.HoldsLease(now) && c.state.Fleet != "" && c.stores.HasHeardEnough(c.state, now)
+	if !mayAssign || c.queue.HasEntry(assignsShards) {
+		return
+	}
+	c.evictUnreachableStores(now)
+	decision := placement.Decide(c.settings.placement(), c.stores.View(c.state, now), c.placementMemory)
+	c.placementMemory = decision.Memory
+	for _, event := range decision.Events {
+		c.Emit(machine.LogEvent{Event: event})
+	}
+	if len(decision.Assignments) > 0 {
+		c.propose(state.AssignShards{Shards: decision.Assignments}, now)
+		return
+	}
+	// Every group is complete before a store may go, and requests that came first are decided first.
+	if decision.AllComplete && c.queue.IsIdle() && c.stores.HasQuorumContact(c.state, now) {
+		c.finishRetirement(now)
+	}
+}
+
+// finishRetirement writes down that nothing depends on a retiring store any more, one
+// store at a time.
+func (c *Core) finishRetirement(now clock.Micros) {
+	for _, id := range slices.Sorted(maps.Keys(c.state.Stores)) {
+		store := c.state.Stores[id]
+		if store.Retiring && !store.Retired && c.state.DependentShards(id) == 0 {
+			c.Emit(machine.LogEvent{Event: StoreRetired{Store: id}})
+			c.propose(state.Retire{ID: id, Done: true}, now)
+			return
+		}
+	}
+}
--- a/internal/controlplane/reconcile_test.go
+++ b/internal/controlplane/reconcile_test.go
@@ -11,21 +11,22 @@
 func TestANewPrimaryJudgesOnceItHasHeardEveryStore(t *testing.T) {
 	b := fleet(t, small())
 	p := b.primary()
-	p.servingSince = b.now + 1
-	if p.hasHeardEnoughStores(b.now + 2) {
+	began := b.now + 1
+	p.stores.StartServing(began)
+	if p.stores.HasHeardEnough(p.state, b.now+2) {
 		t.Fatal("it judges before any store has spoken")
 	}
 	b.stores[2].silent = true
 	b.pass(100 * clock.Millisecond)
-	if p.hasHeardEnoughStores(b.now) {
+	if p.stores.HasHeardEnough(p.state, b.now) {
 		t.Fatal("it judges before the third store has spoken")
 	}
-	if !p.hasHeardEnoughStores(p.servingSince + p.set.SettleDelay) {
+	if !p.stores.HasHeardEnough(p.state, began+p.settings.SettleDelay) {
 		t.Fatal("it waits for a silent store for ever")
 	}
 	b.stores[2].silent = false
 	b.pass(100 * clock.Millisecond)
-	if !p.hasHeardEnoughStores(b.now) {
+	if !p.stores.HasHeardEnough(p.state, b.now) {
 		t.Fatal("it has heard every store and does not judge")
 	}
 }
--- a/internal/controlplane/repeated_requests_test.go
+++ b/internal/controlplane/repeated_requests_test.go
@@ -22,7 +22,7 @@
 	for i := 0; i < 400; i++ {
 		b.pass(50 * clock.Millisecond)
 		for _, core := range b.cores {
-			if core != old && core.HoldsLease(b.now) && core.inFlight == nil {
+			if core != old && core.HoldsLease(b.now) && !core.queue.HasInFlight() {
 				return core
 			}
 		}
@@ -145,7 +145,7 @@
 	var wrong []string
 	var acknowledgements, refusals int
 	mayRefuse := !survived && r.newer > 0 // its base was passed, and it was never taken
-	for _, peer := range sortedIDs(b.cores) {
+	for _, peer := range sortedKeys(b.cores) {
 		calls := []uint64{b.ask(b.cores[peer], request), b.ask(b.cores[peer], request)}
 		b.pass(request.Timeout + clock.Second)
 		for _, call := range calls {
@@ -192,7 +192,7 @@
 
 // A snapshot without the table of orders is caught: a planted fault.
 func TestASnapshotWithoutTheOrdersIsCaught(t *testing.T) {
-	r := repeatedOrder{lost: confirmedThen, after: isKilled, newer: 1, plant: func(core *Core) { core.SkipRequestTable = true }}
+	r := repeatedOrder{lost: confirmedThen, after: isKilled, newer: 1, plant: func(core *Core) { core.InjectFaults(InjectedFaults{SkipRequestTable: true}) }}
 	// The new primary fills its own replica by a snapshot; that one takes over next.
 	b := fleet(t, small())
 	for _, core := range b.cores {
@@ -251,7 +251,7 @@
 	b.drop = nil
 	b.pass(5 * clock.Second)
 	for round := 0; round < 3; round++ {
-		for _, peer := range sortedIDs(b.cores) {
+		for _, peer := range sortedKeys(b.cores) {
 			call := b.ask(b.cores[peer], first)
 			b.pass(4 * clock.Second)
 			if answer := b.told(t, call); answer.Err == nil {
--- /dev/null
+++ b/internal/controlplane/replicated_state.go
@@ -0,0 +1,80 @@
+package controlplane
+
+import (
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/state"
+	"tuliprudder/internal/machine"
+)
+
+// This file has the callbacks of the replication group (replication.StateMachine). The
+// core has one group, so the unit that they are given is always the same.
+
+// Snapshot is the whole state as a snapshot.
+func (c *Core) Snapshot(string) [][]byte {
+	if c.faults.SkipRequestTable {
+		bare := *c.state
+		bare.Requests = state.RequestTable{}
+		return bare.Snapshot()
+	}
+	return c.state.Snapshot()
+}
+
+// LocalSnapshot is the same: a core archives nothing.
+func (c *Core) LocalSnapshot(unit string) [][]byte { return c.Snapshot(unit) }
+
+// Restore replaces the state by a snapshot.
+func (c *Core) Restore(_ string, parts [][]byte) {
+	fresh, err := state.Restore(parts)
+	if err != nil {
+		c.haltOnDamage(err)
+		return
+	}
+	c.state = fresh
+}
+
+// ApplyEntry applies a change on a replica or when read back.
+func (c *Core) ApplyEntry(_ string, data []byte) {
+	if err := c.state.ApplyEntry(data); err != nil {
+		c.haltOnDamage(err)
+	}
+}
+
+// haltOnDamage records that stored data can't be read, and ends the daemon: going on would
+// answer for a state that this core does not hold.
+func (c *Core) haltOnDamage(err error) {
+	if c.BadRecord == nil {
+		c.BadRecord = err
+	}
+	c.Emit(machine.Halt{Err: err})
+}
+
+// Confirmed answers the operator whose change every replica has on disk, and starts the next change.
+func (c *Core) Confirmed(_ string, _ uint64, now clock.Micros) {
+	if confirmed, ok := c.queue.Confirm(); ok {
+		c.replyToChange(confirmed)
+	}
+	c.publish()
+	c.processQueue(now)
+}
+
+// GroupReady has the voters commit the term: every member of its group has the state.
+func (c *Core) GroupReady(_ string, epoch uint64, _ clock.Micros) { c.election.GroupReady(epoch) }
+
+// Deposed answers "outcome unknown" to all who wait: this core is no longer primary.
+func (c *Core) Deposed(_ string, epoch uint64, _ clock.Micros) {
+	c.election.Deposed()
+	for _, call := range c.queue.Clear() {
+		c.replyUnknown(call)
+	}
+	c.Emit(machine.LogEvent{Event: LostPrimary{Epoch: epoch}})
+}
+
+// startServing is called when this core begins to serve as the primary of a committed term.
+func (c *Core) startServing(now clock.Micros) {
+	c.stores.StartServing(now)
+	if c.state.Fleet == "" {
+		c.propose(state.Bootstrap{Fleet: c.Vote().Fleet, Shards: c.settings.Shards}, now)
+	}
+	c.publish()
+	c.processQueue(now)
+}
--- a/internal/controlplane/restart_test.go
+++ b/internal/controlplane/restart_test.go
@@ -23,14 +23,14 @@
 	b.wire = nil
 	last := b.now
 	starts := map[string]*restarted{}
-	for _, peer := range sortedIDs(b.cores) {
+	for _, peer := range sortedKeys(b.cores) {
 		at := b.now + rng.Int63n(spread)
 		last = max(last, at)
 		starts[peer] = &restarted{b.again(peer), at}
 	}
 	b.cores = map[string]*Core{}
 	for ; b.now < last+timeout; b.now += step {
-		for _, peer := range sortedIDs(starts) {
+		for _, peer := range sortedKeys(starts) {
 			if start := starts[peer]; b.now >= start.due {
 				start.due = b.now + tick
 				b.cores[peer] = start.core
@@ -48,12 +48,12 @@
 
 // again is a core in its next life, with what its disk holds.
 func (b *bench) again(peer string) *Core {
-	old := b.cores[peer]
+	b.starts[peer] = b.starts[peer].next()
 	records := append([]machine.Record(nil), b.disk(peer).snapshot...)
 	for _, write := range b.disk(peer).writes {
 		records = append(records, write...)
 	}
-	return New(old.self, old.incarnation+1, old.seeds, old.set, records)
+	return b.starts[peer].core(records)
 }
 
 // deliver hands over what is on the wire now; answers to it come with the next step.
--- a/internal/controlplane/shards_test.go
+++ b/internal/controlplane/shards_test.go
@@ -20,7 +20,7 @@
 	for shard, assignment := range core.State().Shards {
 		living := 0
 		for _, member := range assignment.Members() {
-			if incarnation, ok := core.storeIncarnation(member.ID, b.now); ok && incarnation == member.Incarnation {
+			if incarnation, ok := core.stores.Incarnation(core.state, member.ID, b.now); ok && incarnation == member.Incarnation {
 				living++
 			}
 		}
--- a/internal/controlplane/state/state.go
+++ b/internal/controlplane/state/state.go
@@ -199,6 +199,17 @@
 	return false
 }
 
+// DependentShards counts the shards that still need a store.
+func (s *State) DependentShards(id string) int {
+	count := 0
+	for _, assignment := range s.Shards {
+		if assignment.MustKeep(id) {
+			count++
+		}
+	}
+	return count
+}
+
 // StoresAt lists the stores that count and were last heard at an address.
 func (s *State) StoresAt(peer string) []string {
 	var out []string
--- a/internal/controlplane/state_size_test.go
+++ b/internal/controlplane/state_size_test.go
@@ -103,7 +103,7 @@
 	out := figures{changes: changes}
 	written := b.disk(primary.self.Peer)
 	out.joinedAfter = b.join(t, primary, &out)
-	out.start(t, primary, written)
+	out.start(t, b.starts[primary.self.Peer].next(), primary, written)
 	return out
 }
 
@@ -138,7 +138,7 @@
 }
 
 // start writes a core's disk down and starts a core from it.
-func (f *figures) start(t *testing.T, of *Core, written *disk) {
+func (f *figures) start(t *testing.T, again start, of *Core, written *disk) {
 	t.Helper()
 	folder := t.TempDir()
 	f.diskFiles, f.diskBytes = written.writeTo(t, folder)
@@ -150,7 +150,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	core := New(of.self, of.incarnation+1, of.seeds, of.set, records)
+	core := again.core(records)
 	f.startedIn = time.Since(began)
 	records = nil
 	collect()
--- /dev/null
+++ b/internal/controlplane/stores/view.go
@@ -0,0 +1,36 @@
+package stores
+
+import (
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/placement"
+	"tuliprudder/internal/controlplane/state"
+)
+
+// View is what the placement has to know: the shards, and the registered stores as they are
+// heard.
+func (t *Table) View(current *state.State, now clock.Micros) placement.ClusterView {
+	view := placement.ClusterView{
+		Now:          now,
+		ServingSince: t.servingSince,
+		Shards:       current.Shards,
+		Stores:       make(map[string]placement.Store, len(current.Stores)),
+	}
+	for id, registered := range current.Stores {
+		heard := t.byID[id]
+		incarnation, live := t.Incarnation(current, id, now)
+		view.Stores[id] = placement.Store{
+			Zone:         registered.Zone,
+			Peer:         registered.Peer,
+			Incarnation:  incarnation,
+			Live:         live,
+			Retiring:     registered.Retiring,
+			Draining:     heard.heartbeat.Draining,
+			Stalled:      heard.heartbeat.Stalled,
+			HeardAt:      heard.heardAt,
+			FirstHeardAt: heard.firstHeardAt,
+			Unreachable:  heard.heartbeat.Unreachable,
+			Busy:         heard.heartbeat.Busy,
+		}
+	}
+	return view
+}
--- a/internal/controlplane/voters_test.go
+++ b/internal/controlplane/voters_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/replication"
 )
 
@@ -233,7 +234,7 @@
 	for round := range 3 {
 		leaver := b.member(t, round%2)
 		b.set.Bootstrap = false
-		b.core(fmt.Sprint("new-", round), fmt.Sprint("n", round), leaver.self.Zone, sortedIDs(b.cores)...)
+		b.core(fmt.Sprint("new-", round), fmt.Sprint("n", round), leaver.self.Zone, sortedKeys(b.cores)...)
 		b.pass(3 * clock.Second)
 		b.take(leaver.self.Peer, leaver.Do(Drain{}, b.now))
 		b.await(t, "nobody counts on the core that leaves", func() bool { return !leaver.IsNeeded(b.now) })
@@ -244,7 +245,7 @@
 		}
 		b.kill(lost)
 		b.await(t, "a majority leads after the next loss", func() bool { return b.leading(t) != nil })
-		b.core(fmt.Sprint("spare-", round), fmt.Sprint("p", round), lost.self.Zone, sortedIDs(b.cores)...)
+		b.core(fmt.Sprint("spare-", round), fmt.Sprint("p", round), lost.self.Zone, sortedKeys(b.cores)...)
 		b.await(t, "three have votes again", func() bool { return len(b.seats()) == 3 && !slices.Contains(b.seats(), lost.self.ID) })
 		b.settle(t)
 	}
@@ -265,7 +266,7 @@
 			for at := range shape.tolerance {
 				lost := b.member(t, 0)
 				b.kill(lost)
-				b.core(fmt.Sprintf("new-%d-%d", round, at), fmt.Sprintf("n%d.%d", round, at), lost.self.Zone, sortedIDs(b.cores)...)
+				b.core(fmt.Sprintf("new-%d-%d", round, at), fmt.Sprintf("n%d.%d", round, at), lost.self.Zone, sortedKeys(b.cores)...)
 				b.await(t, "somebody leads after the loss", func() bool { return b.leading(t) != nil })
 			}
 			b.pass(syncTime)
@@ -299,11 +300,11 @@
 			return apart(l)
 		}
 		ack, copied := l.body.(replication.AppendAck)
-		parted = copied && ack.SnapshotInstalled && isVoter(lead.Vote().PendingVoters, "core-9")
+		parted = copied && ack.SnapshotInstalled && hasVote(lead.Vote().PendingVoters, "core-9")
 		return l.from == third.self.Peer || l.to == third.self.Peer
 	}
-	b.await(t, "the new core writes its voters down", func() bool { return isVoter(fresh.Vote().Voters, "core-9") })
-	if b.leading(t) == lead && isVoter(lead.Vote().Voters, "core-9") {
+	b.await(t, "the new core writes its voters down", func() bool { return hasVote(fresh.Vote().Voters, "core-9") })
+	if b.leading(t) == lead && hasVote(lead.Vote().Voters, "core-9") {
 		t.Fatal("the primary leads under voters that the old ones have not written down")
 	}
 	// The old majority leads, and the other two don't, though they are one of the new voters.
@@ -328,7 +329,7 @@
 	wiped := b.member(t, 1)
 	b.kill(wiped)
 	again := b.core("core-8", wiped.self.Peer, wiped.self.Zone, "c1", "c2", "c3")
-	request := VoteRequest{Fleet: again.Vote().Fleet, Assignment: replication.Assignment{Epoch: 99}, Voters: b.leading(t).Vote().Voters, Candidate: wiped.self}
+	request := election.VoteRequest{Fleet: again.Vote().Fleet, Assignment: replication.Assignment{Epoch: 99}, Voters: b.leading(t).Vote().Voters, Candidate: wiped.self}
 	again.Do(Message{wiped.self.Peer, request}, b.now)
 	if again.Vote().Term != 0 {
 		t.Fatal("an empty core granted a term to voters that it is none of")
--- a/internal/daemon/roles/roles.go
+++ b/internal/daemon/roles/roles.go
@@ -10,6 +10,7 @@
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/config"
 	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/daemon/effects"
 	"tuliprudder/internal/daemon/eventloop"
 	"tuliprudder/internal/daemon/host"
@@ -124,7 +125,7 @@
 	if settings.CheckConfiguration == nil {
 		settings.CheckConfiguration = config.Validate
 	}
-	core := controlplane.New(controlplane.CoreRef{ID: d.Identity.ID, Peer: d.Common.Peer, Zone: d.Common.Zone}, d.Identity.Incarnation, d.Common.Seeds, settings, records)
+	core := controlplane.New(election.CoreRef{ID: d.Identity.ID, Peer: d.Common.Peer, Zone: d.Common.Zone}, d.Identity.Incarnation, d.Common.Seeds, settings, records)
 	if core.BadRecord != nil {
 		return nil, core.BadRecord
 	}
--- a/test/capacitymodel/daemon.go
+++ b/test/capacitymodel/daemon.go
@@ -9,6 +9,7 @@
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/config"
 	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/controlplane/state"
 	"tuliprudder/internal/daemon/eventloop"
 	"tuliprudder/internal/daemon/machines"
@@ -112,7 +113,7 @@
 	case d.kind == membership.Core:
 		settings := controlplane.Defaults()
 		settings.Shards, settings.CheckConfiguration, settings.Bootstrap = int(f.Settings.Shards), config.Validate, d.generation == 1
-		d.core = controlplane.New(controlplane.CoreRef{ID: d.id, Peer: d.peer, Zone: d.zone}, d.incarnation, f.seeds, settings, d.disk.durable)
+		d.core = controlplane.New(election.CoreRef{ID: d.id, Peer: d.peer, Zone: d.zone}, d.incarnation, f.seeds, settings, d.disk.durable)
 		d.machine = machines.NewCore(d.core)
 	case d.kind == membership.Store:
 		if d.disk.archive == nil {
--- a/test/decisiondigest/digest_test.go
+++ b/test/decisiondigest/digest_test.go
@@ -7,7 +7,7 @@
 
 	"tuliprudder/internal/batchstore"
 	"tuliprudder/internal/clock"
-	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/errs"
 	"tuliprudder/internal/machine"
 )
@@ -160,20 +160,20 @@
 }
 
 func TestWordsThatRestateDoNotCount(t *testing.T) {
-	refused := func(reason string) taken { return sent(controlplane.VoteResponse{Epoch: 3, Reason: reason}) }
+	refused := func(reason string) taken { return sent(election.VoteResponse{Epoch: 3, Reason: reason}) }
 	if digestOf(refused("a higher term"), refused("another fleet")) != digestOf(refused("stale term"), refused("wrong cluster")) {
 		t.Error("other words change the digest")
 	}
 	if digestOf(refused("a higher term"), refused("another fleet")) == digestOf(refused("a higher term"), refused("a higher term")) {
 		t.Error("another reason has the same digest")
 	}
-	if digestOf(sent(controlplane.Heartbeat{Role: "backing"})) != digestOf(sent(controlplane.Heartbeat{Role: "replica"})) {
+	if digestOf(sent(election.Heartbeat{Role: "backing"})) != digestOf(sent(election.Heartbeat{Role: "replica"})) {
 		t.Error("another word for a role changes the digest")
 	}
 	if digestOf(sent(batchstore.RegistrationRejected{Reason: "a copy"})) != digestOf(sent(batchstore.RegistrationRejected{Reason: "a clone"})) {
 		t.Error("other words for a refusal change the digest")
 	}
-	if digestOf(sent(controlplane.VoteResponse{From: "a"})) == digestOf(sent(controlplane.VoteResponse{From: "b"})) {
+	if digestOf(sent(election.VoteResponse{From: "a"})) == digestOf(sent(election.VoteResponse{From: "b"})) {
 		t.Error("another text of the message is left out")
 	}
 }
--- a/test/decisiondigest/effects.go
+++ b/test/decisiondigest/effects.go
@@ -5,7 +5,7 @@
 	"reflect"
 
 	"tuliprudder/internal/batchstore"
-	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/machine"
 )
 
@@ -69,8 +69,8 @@
 // their words may change.
 func restatedTexts() textFields {
 	out := textFields{}
-	restated(out, func(reply *controlplane.VoteResponse) *string { return &reply.Reason })
-	restated(out, func(heartbeat *controlplane.Heartbeat) *string { return &heartbeat.Role })
+	restated(out, func(reply *election.VoteResponse) *string { return &reply.Reason })
+	restated(out, func(heartbeat *election.Heartbeat) *string { return &heartbeat.Role })
 	restated(out, func(refusal *batchstore.RegistrationRejected) *string { return &refusal.Reason })
 	return out
 }
--- a/test/modelcheck/check.go
+++ b/test/modelcheck/check.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/controlplane/state"
 	"tuliprudder/internal/errs"
 	"tuliprudder/internal/machine"
@@ -239,7 +240,7 @@
 // recordVotes notes the durable votes among some records.
 func (w *World) recordVotes(p *process, records []machine.Record) {
 	for _, record := range records {
-		var vote controlplane.Vote
+		var vote election.Vote
 		if record.Unit != voteUnit || json.Unmarshal(record.Body, &vote) != nil || vote.Pending.IsZero() {
 			continue
 		}
@@ -264,7 +265,7 @@
 	if vote.Term != p.epoch || vote.Committed.Epoch >= p.epoch {
 		return // it leads no more, or its term is complete
 	}
-	for _, voters := range [][]controlplane.CoreRef{vote.Voters, vote.PendingVoters} {
+	for _, voters := range [][]election.CoreRef{vote.Voters, vote.PendingVoters} {
 		granted := 0
 		for _, voter := range voters {
 			if slices.Contains(w.history.grants, grant{p.epoch, voter.ID, p.id()}) {
@@ -281,9 +282,9 @@
 func (w *World) checkSender(m message) {
 	from := ""
 	switch body := m.body.(type) {
-	case controlplane.VoteResponse:
+	case election.VoteResponse:
 		from = body.From
-	case controlplane.CommitAck:
+	case election.CommitAck:
 		from = body.From
 	}
 	if from != "" && slices.Contains(w.history.wiped, from) {
--- a/test/modelcheck/config.go
+++ b/test/modelcheck/config.go
@@ -15,6 +15,7 @@
 
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/machine"
 )
 
@@ -128,7 +129,7 @@
 	if c.Zones > 0 {
 		zone = i % c.Zones
 	}
-	self := controlplane.CoreRef{ID: id, Peer: address, Zone: fmt.Sprint("zone-", zone)}
+	self := election.CoreRef{ID: id, Peer: address, Zone: fmt.Sprint("zone-", zone)}
 	return &process{name: name, generation: generation, boot: bootState{self: self, bootstrap: generation == 0}}
 }
 
--- a/test/modelcheck/faults.go
+++ b/test/modelcheck/faults.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 )
 
 // plantedFault is a mistake planted to show that the checks catch it.
@@ -24,16 +25,25 @@
 	}
 }
 
+// inject plants faults of a core, injectElection those of its election.
+func inject(faults controlplane.InjectedFaults) func(core *controlplane.Core) {
+	return func(core *controlplane.Core) { core.InjectFaults(faults) }
+}
+
+func injectElection(faults election.InjectedFaults) func(core *controlplane.Core) {
+	return inject(controlplane.InjectedFaults{Election: faults})
+}
+
 // plantedFaults are the planted mistakes by name.
 var plantedFaults = map[string]plantedFault{
 	"wiped-identity-votes": {KeepIdentity: true},
 	"one-copy-confirms":    {PlantInCore: func(core *controlplane.Core) { core.Groups().SkipReplicas = true }},
 	"last-copy-missing":    {PlantInCore: func(core *controlplane.Core) { core.Groups().SkipLastReplica = true }},
 	"only-copy-removed":    {PlantInCore: func(core *controlplane.Core) { core.Groups().SkipSnapshot = true }},
-	"lease-without-quorum": {PlantInCore: func(core *controlplane.Core) { core.SkipLease = true }},
-	"new-voters-only":      {PlantInCore: func(core *controlplane.Core) { core.SkipOldVoters = true }},
-	"empty-member-leads":   {PlantInCore: func(core *controlplane.Core) { core.SkipStateCheck = true }},
-	"no-order-table":       {PlantInCore: func(core *controlplane.Core) { core.SkipRequestTable = true }},
+	"lease-without-quorum": {PlantInCore: injectElection(election.InjectedFaults{SkipLease: true})},
+	"new-voters-only":      {PlantInCore: injectElection(election.InjectedFaults{SkipOldVoters: true})},
+	"empty-member-leads":   {PlantInCore: injectElection(election.InjectedFaults{SkipStateCheck: true})},
+	"no-order-table":       {PlantInCore: inject(controlplane.InjectedFaults{SkipRequestTable: true})},
 	"synced-too-early":     {EarlySync: true},
 }
 
--- a/test/modelcheck/message_kinds.go
+++ b/test/modelcheck/message_kinds.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/replication"
 )
 
@@ -31,15 +31,15 @@
 //revive:disable-next-line:cyclomatic one case for each type of message
 func (m message) kind() string {
 	switch m.body.(type) {
-	case controlplane.Heartbeat:
+	case election.Heartbeat:
 		return kindHeartbeat
-	case controlplane.VoteRequest:
+	case election.VoteRequest:
 		return kindVoteRequest
-	case controlplane.VoteResponse:
+	case election.VoteResponse:
 		return kindVoteResponse
-	case controlplane.Commit:
+	case election.Commit:
 		return kindCommit
-	case controlplane.CommitAck:
+	case election.CommitAck:
 		return kindCommitAck
 	case replication.SnapshotChunk:
 		return kindSnapshotChunk
--- a/test/modelcheck/process.go
+++ b/test/modelcheck/process.go
@@ -6,6 +6,7 @@
 
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/machine"
 )
 
@@ -29,7 +30,7 @@
 
 // bootState is what a process started from.
 type bootState struct {
-	self        controlplane.CoreRef
+	self        election.CoreRef
 	incarnation uint64
 	bootstrap   bool // the disk is the one that the fleet began with
 	records     []machine.Record
--- a/test/modelcheck/world.go
+++ b/test/modelcheck/world.go
@@ -6,6 +6,7 @@
 
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/machine"
 	"tuliprudder/internal/replication"
 )
@@ -21,7 +22,7 @@
 // again, and the coarse runs let it travel while time goes by.
 func (m message) isRoutine() bool {
 	switch m.body.(type) {
-	case controlplane.Heartbeat, replication.LeaseRequest, replication.LeaseGrant:
+	case election.Heartbeat, replication.LeaseRequest, replication.LeaseGrant:
 		return true
 	}
 	return false
--- a/test/simulator/faults_triggered.go
+++ b/test/simulator/faults_triggered.go
@@ -2,7 +2,7 @@
 
 import (
 	"tuliprudder/internal/clock"
-	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/membership"
 )
 
@@ -77,7 +77,7 @@
 			w.Workload.PutConfiguration(false)
 			triggered := false
 			w.OnSend = func(_, to *Node, body any) {
-				if _, ok := body.(controlplane.CommitAck); ok && !triggered && to.up {
+				if _, ok := body.(election.CommitAck); ok && !triggered && to.up {
 					triggered = true
 					w.After(1, func() { undos = append(undos, crash(to, shards)) })
 				}
--- a/test/simulator/node.go
+++ b/test/simulator/node.go
@@ -9,6 +9,7 @@
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/config"
 	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/controlplane/state"
 	"tuliprudder/internal/daemon/eventloop"
 	"tuliprudder/internal/daemon/machines"
@@ -102,7 +103,7 @@
 		settings := controlplane.Defaults()
 		settings.Shards, settings.Founders, settings.CheckConfiguration = shards, w.Shape.Cores, config.Validate
 		settings.Tolerance, settings.Bootstrap = w.Shape.tolerance(), n.generation == 1
-		n.Core = controlplane.New(controlplane.CoreRef{ID: n.ID, Peer: n.Peer, Zone: n.Zone}, incarnation, w.seeds, settings, n.disk.durable)
+		n.Core = controlplane.New(election.CoreRef{ID: n.ID, Peer: n.Peer, Zone: n.Zone}, incarnation, w.seeds, settings, n.disk.durable)
 		n.machine = machines.NewCore(n.Core)
 	case membership.Store:
 		settings := batchstore.Defaults()
--- a/test/simulator/recovery.go
+++ b/test/simulator/recovery.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"tuliprudder/internal/clock"
-	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/membership"
 )
 
@@ -103,5 +103,5 @@
 	if n.Core == nil {
 		return true
 	}
-	return slices.ContainsFunc(w.primary().Core.Vote().Voters, func(ref controlplane.CoreRef) bool { return ref.ID == n.ID })
+	return slices.ContainsFunc(w.primary().Core.Vote().Voters, func(ref election.CoreRef) bool { return ref.ID == n.ID })
 }
--- a/test/simulator/scenarios_test.go
+++ b/test/simulator/scenarios_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane"
 )
 
 // families are the five kinds of trouble that are brought about on purpose.
@@ -89,7 +90,7 @@
 		from      int64 // seed to begin with: one that was seen to catch it
 		violates  []Guarantee
 	}{
-		"a snapshot without what recognises repeated orders": {onCore(func(n *Node) { n.Core.SkipRequestTable = true }), familyOperators, defaultShape, 1, []Guarantee{configurationInForce, resendAcknowledged}},
+		"a snapshot without what recognises repeated orders": {onCore(func(n *Node) { n.Core.InjectFaults(controlplane.InjectedFaults{SkipRequestTable: true}) }), familyOperators, defaultShape, 1, []Guarantee{configurationInForce, resendAcknowledged}},
 		"a bundle is confirmed before the last copy":         {onStore(func(n *Node) { n.Store.Groups().SkipLastReplica = true }), "slot but the slowest", Shapes["five"], 1, []Guarantee{batchKept, resultsExactlyOnce, readerResumes}},
 		"a configuration is confirmed before the last copy":  {onCore(func(n *Node) { n.Core.Groups().SkipLastReplica = true }), "control state but the slowest", Shapes["five"], 1, []Guarantee{configurationInForce, resendAcknowledged}},
 		"a request that is passed on runs again elsewhere":   {onEdge(func(n *Node) { n.edge.Proxy.RetryUnsafely = true }), familyResponses, defaultShape, 1, []Guarantee{runsAtMostOnce}},
--- a/test/storedformat/fleet_test.go
+++ b/test/storedformat/fleet_test.go
@@ -10,6 +10,7 @@
 	"tuliprudder/internal/batchstore/shard"
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/controlplane/state"
 	"tuliprudder/internal/daemon/eventloop"
 	"tuliprudder/internal/machine"
@@ -82,7 +83,7 @@
 	who, _ := f.openDisk("cairn", id, peer)
 	set := controlplane.Defaults()
 	set.Shards, set.Bootstrap = slots, true
-	f.cores[peer] = controlplane.New(controlplane.CoreRef{ID: id, Peer: peer, Zone: zone}, who.Incarnation, coreSeeds, set, nil)
+	f.cores[peer] = controlplane.New(election.CoreRef{ID: id, Peer: peer, Zone: zone}, who.Incarnation, coreSeeds, set, nil)
 	for _, storePeer := range slices.Sorted(maps.Keys(f.stores)) {
 		f.nameCores(storePeer)
 	}
--- a/test/storedformat/folders_test.go
+++ b/test/storedformat/folders_test.go
@@ -13,6 +13,7 @@
 	"tuliprudder/internal/batchstore/shard"
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/controlplane/state"
 	"tuliprudder/internal/daemon/eventloop"
 	"tuliprudder/internal/machine"
@@ -99,7 +100,7 @@
 // startCore starts a core on a folder, and gives what it does at first.
 func startCore(t *testing.T, folder string) (*controlplane.Core, []machine.Effect) {
 	t.Helper()
-	ref := controlplane.CoreRef{ID: keptCore, Peer: coreSeeds[0], Zone: "zone-a"}
+	ref := election.CoreRef{ID: keptCore, Peer: coreSeeds[0], Zone: "zone-a"}
 	core := controlplane.New(ref, 4, coreSeeds, controlplane.Defaults(), openRecords(t, folder))
 	effects := core.Do(controlplane.Tick{}, startedAt)
 	if core.BadRecord != nil {
@@ -129,7 +130,7 @@
 	return object{"vote": voteObject(core.Vote()), "groups": groupObjects(core.Groups()), "state": stateObject(t, core.State()), "endpoint_updates": updateObjects(effects)}
 }
 
-func voteObject(vote controlplane.Vote) object {
+func voteObject(vote election.Vote) object {
 	return object{
 		"fleet": vote.Fleet, "term": vote.Term, "settled": vote.CommittedByAll,
 		"pending": assignmentObject(vote.Pending), "pending_voters": voterObjects(vote.PendingVoters),
@@ -137,7 +138,7 @@
 	}
 }
 
-func voterObjects(voters []controlplane.CoreRef) []object {
+func voterObjects(voters []election.CoreRef) []object {
 	out := []object{}
 	for _, ref := range voters {
 		out = append(out, object{"id": ref.ID, "peer": ref.Peer, "zone": ref.Zone})
--- a/test/storedformat/golden_test.go
+++ b/test/storedformat/golden_test.go
@@ -8,7 +8,7 @@
 	"tuliprudder/internal/batchstore"
 	"tuliprudder/internal/batchstore/shard"
 	"tuliprudder/internal/batchstore/token"
-	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/controlplane/state"
 	"tuliprudder/internal/daemon/admin"
 	"tuliprudder/internal/daemon/discovery"
@@ -35,7 +35,7 @@
 	return map[string]any{
 		// On disk.
 		"record.json":          &machine.Record{},
-		"vote.json":            &controlplane.Vote{},
+		"vote.json":            &election.Vote{},
 		"control-state.json":   whole,
 		"assignment.json":      &replication.Assignment{},
 		"batch.json":           &shard.Batch{},
--- a/test/storedformat/messages_test.go
+++ b/test/storedformat/messages_test.go
@@ -11,7 +11,7 @@
 
 	"tuliprudder/internal/batchstore"
 	"tuliprudder/internal/batchstore/shard"
-	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/gossip"
 	"tuliprudder/internal/machine"
 	"tuliprudder/internal/replication"
@@ -21,11 +21,11 @@
 // messages is a batch of messages between daemons, as the net/rpc call carries it.
 func messages() transport.MessageBatch {
 	member := replication.Member{ID: "cairn-1", Incarnation: 3}
-	vote := controlplane.Vote{Fleet: "f-1", Term: 7, Pending: assignment{Epoch: 7, Primary: member}, Voters: []controlplane.CoreRef{{ID: "cairn-1", Peer: "10.0.0.1:7000", Zone: "zone-a"}}, CommittedByAll: true}
+	vote := election.Vote{Fleet: "f-1", Term: 7, Pending: assignment{Epoch: 7, Primary: member}, Voters: []election.CoreRef{{ID: "cairn-1", Peer: "10.0.0.1:7000", Zone: "zone-a"}}, CommittedByAll: true}
 	batch := shard.Batch{ID: "b-1", Tenant: "customer-1", Key: "k", Hash: "h", Route: "nightly", ConfigurationVersion: 9, State: shard.Open, SubmittedAt: 12,
 		Items: []shard.Item{{ID: "x", Input: "in"}, {ID: "y", Request: &shard.Request{Target: "/t", Host: "h", Header: map[string]string{"A": "b"}, Body: []byte("body"), Tokens: 4}}}}
 	bodies := []any{
-		controlplane.VoteResponse{Epoch: 7, From: "cairn-2", Granted: true, Reason: "because", Vote: vote},
+		election.VoteResponse{Epoch: 7, From: "cairn-2", Granted: true, Reason: "because", Vote: vote},
 		batchstore.Heartbeat{ID: "refuge-1", Zone: "zone-a", Peer: "10.0.1.1:7100", Name: "machine-1", Incarnation: 5, Ready: map[int]uint64{2: 8}, Fleet: "f-1", Draining: true, Stalled: true, Unreachable: map[int]batchstore.UnreachableReplicas{3: {Epoch: 9, Peers: []string{"10.0.1.2:7100"}}}, Busy: []int{1, 2}},
 		batchstore.SubmitRequest{Shard: 2, Batch: batch, Timeout: 77},
 		replication.Append{Unit: "slot/002", Epoch: 8, Seq: 4, Entry: []byte("entry")},
