--- /dev/null
+++ b/internal/controlplane/changequeue/queue_test.go
@@ -0,0 +1,217 @@
+package changequeue
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"testing"
+
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/state"
+	"tuliprudder/internal/errs"
+)
+
+// put is an operator's request to put a configuration of the operator's own number.
+func put(t *testing.T, call, number, base uint64) Change {
+	t.Helper()
+	body := fmt.Appendf(nil, `{"n":%d}`, number)
+	digest, err := state.DigestOf(body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return Change{Call: call, Deadline: clock.Second, Configuration: &Configuration{Number: number, Base: base, HasBase: true, Body: body, Digest: digest}}
+}
+
+// inForce is a state with configurations of these numbers.
+func inForce(numbers ...uint64) *state.State {
+	s := state.New()
+	for _, number := range numbers {
+		state.PutConfiguration{Version: state.Version{Number: number, Body: json.RawMessage(fmt.Sprintf(`{"n":%d}`, number))}}.Apply(s)
+	}
+	return s
+}
+
+func anyStore(string) error { return nil }
+
+func TestDecisionsOnConfigurations(t *testing.T) {
+	for name, c := range map[string]struct {
+		current      *state.State
+		number, base uint64
+		want         uint64    // the version it gets
+		entry        bool      // it is written
+		refused      errs.Kind // "" where it is not
+		waits        bool
+	}{
+		"on the version in force":          {inForce(5), 7, 5, 7, true, "", false},
+		"the first one":                    {inForce(), 3, 0, 3, true, "", false},
+		"applied before":                   {inForce(5, 7), 7, 5, 7, false, "", false},
+		"on a version that was succeeded":  {inForce(5, 7), 9, 5, 0, false, errs.StaleBase, false},
+		"applied before, succeeded since":  {inForce(5, 7), 5, 7, 5, false, "", false},
+		"a number below the one in force":  {inForce(5, 7), 6, 7, 0, false, errs.InvalidConfiguration, false},
+		"on a version that is yet to come": {inForce(5), 9, 8, 0, false, "", true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var q Queue
+			q.Add(put(t, 1, c.number, c.base))
+			change, ok, err := q.Next(c.current, anyStore)
+			if ok == c.waits {
+				t.Fatalf("its turn came: %v", ok)
+			}
+			if c.waits {
+				return
+			}
+			if c.refused != "" {
+				if !errs.Is(err, c.refused) || errs.Of(err).Remedy == "" {
+					t.Errorf("refused with %v", err)
+				}
+				return
+			}
+			if err != nil || change.Configuration.Version() != c.want || (change.Entry != nil) != c.entry {
+				t.Errorf("version %d, entry %v, %v", change.Configuration.Version(), change.Entry, err)
+			}
+		})
+	}
+}
+
+// A number is given to one document only.
+func TestAnotherDocumentOfANumberIsRefused(t *testing.T) {
+	var q Queue
+	other := put(t, 1, 7, 5)
+	other.Configuration.Digest[0] ^= 1
+	q.Add(other)
+	if _, ok, err := q.Next(inForce(5, 7), anyStore); !ok || !errs.Is(err, errs.StaleBase) {
+		t.Errorf("its turn came: %v, %v", ok, err)
+	}
+}
+
+// A configuration that overtook the one that it is built on waits for it.
+func TestAConfigurationWaitsForItsBase(t *testing.T) {
+	var q Queue
+	q.Add(put(t, 1, 3, 2))
+	q.Add(put(t, 2, 2, 1))
+	current := inForce(1)
+	change, ok, err := q.Next(current, anyStore)
+	if !ok || err != nil || change.Call != 2 {
+		t.Fatalf("first is call %d, %v", change.Call, err)
+	}
+	change.Entry.Apply(current)
+	if change, ok, err = q.Next(current, anyStore); !ok || err != nil || change.Call != 1 {
+		t.Fatalf("second is call %d, %v", change.Call, err)
+	}
+}
+
+func TestDecisionsOnRetirements(t *testing.T) {
+	current := state.New()
+	state.RegisterStore{Store: state.Store{ID: "s1", Peer: "p1", Name: "m1"}}.Apply(current)
+	state.RegisterStore{Store: state.Store{ID: "s2", Peer: "p2", Name: "m2"}}.Apply(current)
+	state.Retire{ID: "s2"}.Apply(current)
+	tooFew := errs.New(errs.Rejected, "add one", "too few")
+	for name, c := range map[string]struct {
+		request Retirement
+		check   error
+		store   string
+		entry   state.Entry
+		refused errs.Kind
+	}{
+		"by id":                   {Retirement{ID: "s1"}, nil, "s1", state.Retire{ID: "s1"}, ""},
+		"by name":                 {Retirement{Name: "m1"}, nil, "s1", state.Retire{ID: "s1"}, ""},
+		"unknown id":              {Retirement{ID: "s9"}, nil, "", nil, errs.NotFound},
+		"unknown name":            {Retirement{Name: "m9"}, nil, "", nil, errs.NotFound},
+		"no name":                 {Retirement{}, nil, "", nil, errs.NotFound},
+		"too few would remain":    {Retirement{ID: "s1"}, tooFew, "", nil, errs.Rejected},
+		"retiring already":        {Retirement{ID: "s2"}, tooFew, "s2", nil, ""},
+		"only a look":             {Retirement{ID: "s1", ReadOnly: true}, tooFew, "s1", nil, ""},
+		"cancelled":               {Retirement{ID: "s2", Cancel: true}, tooFew, "s2", state.Retire{ID: "s2", Cancel: true}, ""},
+		"cancelled, never wanted": {Retirement{ID: "s1", Cancel: true}, nil, "s1", nil, ""},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var q Queue
+			q.Add(Change{Call: 1, Retirement: &c.request})
+			change, ok, err := q.Next(current, func(string) error { return c.check })
+			if !ok || change.Entry != c.entry || c.request.StoreID() != c.store {
+				t.Errorf("store %q, entry %v", c.request.StoreID(), change.Entry)
+			}
+			if c.refused == "" && err != nil || c.refused != "" && !errs.Is(err, c.refused) {
+				t.Errorf("refused with %v", err)
+			}
+		})
+	}
+}
+
+func TestExpiredCalls(t *testing.T) {
+	retire := func(call uint64) Change {
+		return Change{Call: call, Deadline: clock.Second, Retirement: &Retirement{ID: "s1"}}
+	}
+	retiring := retire(1)
+	retiring.Entry = state.Retire{ID: "s1"}
+	later := put(t, 3, 7, 0)
+	later.Deadline = 60 * clock.Second
+	for name, c := range map[string]struct {
+		inFlight *Change
+		waiting  []Change
+		current  *state.State
+		want     []Expired
+	}{
+		"in flight":                                {&retiring, nil, inForce(), []Expired{{1, true}}},
+		"waited, never decided":                    {nil, []Change{put(t, 2, 7, 0)}, inForce(), []Expired{{2, false}}},
+		"the same one is applied":                  {nil, []Change{put(t, 2, 7, 0)}, inForce(7), []Expired{{2, true}}},
+		"the same one waits for another":           {nil, []Change{put(t, 2, 7, 0), later}, inForce(), []Expired{{2, true}}},
+		"a retirement, while another is in flight": {&retiring, []Change{retire(2)}, inForce(), []Expired{{1, true}, {2, true}}},
+		"a retirement that waited":                 {nil, []Change{retire(2)}, inForce(), []Expired{{2, false}}},
+		"the core's own has no deadline":           {nil, []Change{{Entry: state.Retire{ID: "s1", Done: true}}}, inForce(), nil},
+		"before the deadline":                      {nil, []Change{later}, inForce(), nil},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var q Queue
+			if c.inFlight != nil {
+				q.Start(*c.inFlight)
+			}
+			for _, change := range c.waiting {
+				q.Add(change)
+			}
+			if got := q.Expire(c.current, clock.Second); !slices.Equal(got, c.want) {
+				t.Errorf("expired are %+v, not %+v", got, c.want)
+			}
+			if got := q.Expire(c.current, clock.Second); len(got) != 0 {
+				t.Errorf("told twice: %+v", got)
+			}
+		})
+	}
+}
+
+// filled is a queue with one change in flight and two that wait, one of them the core's own.
+func filled(t *testing.T) *Queue {
+	t.Helper()
+	var q Queue
+	q.Start(put(t, 1, 3, 0))
+	q.Add(Change{Entry: state.Retire{ID: "s1", Done: true}})
+	q.Add(put(t, 2, 4, 3))
+	return &q
+}
+
+func TestCallsThatWait(t *testing.T) {
+	q := filled(t)
+	if calls := q.ReleaseCalls(); !slices.Equal(calls, []uint64{1, 2}) {
+		t.Errorf("released are the calls %v", calls)
+	}
+	if confirmed, ok := q.Confirm(); !ok || confirmed.Call != 0 || !q.HasEntry(func(e state.Entry) bool { return e == state.Retire{ID: "s1", Done: true} }) || q.IsIdle() {
+		t.Errorf("after the release %+v was in flight, and the queue is %+v", confirmed, q)
+	}
+	q = filled(t)
+	if calls := q.Clear(); !slices.Equal(calls, []uint64{1, 2}) || !q.IsIdle() {
+		t.Errorf("cleared are the calls %v, the queue is %+v", calls, q)
+	}
+}
+
+func TestTheQueueIsBounded(t *testing.T) {
+	var q Queue
+	for i := range uint64(maxWaiting) {
+		if q.IsFull() {
+			t.Fatalf("full with %d changes", i)
+		}
+		q.Add(put(t, i+1, i+1, i))
+	}
+	if !q.IsFull() {
+		t.Fatal("never full")
+	}
+}
--- /dev/null
+++ b/internal/controlplane/stores/table_test.go
@@ -0,0 +1,205 @@
+package stores
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"tuliprudder/internal/batchstore"
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/state"
+	"tuliprudder/internal/replication"
+)
+
+const testNow = 1000 * clock.Second
+
+var testSettings = Settings{Timeout: 2 * clock.Second, SettleDelay: 1500 * clock.Millisecond, EvictAfter: 10 * clock.Second, MaxStaleness: 2500 * clock.Millisecond, AssumeLostAfter: 20 * clock.Second}
+
+// heartbeat is one of a store whose address is that of its id.
+func heartbeat(id string, incarnation uint64) batchstore.Heartbeat {
+	return batchstore.Heartbeat{ID: id, Peer: "peer-" + id, Zone: "z", Incarnation: incarnation, Fleet: "f"}
+}
+
+// registered is a state with these stores in incarnation 1, and a configuration.
+func registered(ids ...string) *state.State {
+	s := state.New()
+	for _, id := range ids {
+		state.RegisterStore{Store: state.Store{ID: id, Peer: "peer-" + id, Zone: "z", Incarnation: 1}}.Apply(s)
+	}
+	state.PutConfiguration{Version: state.Version{Number: 1, Body: []byte(`{}`)}}.Apply(s)
+	return s
+}
+
+func TestWhichStoresLive(t *testing.T) {
+	for name, c := range map[string]struct {
+		silence            clock.Micros
+		suspected, evicted bool
+		live               bool
+	}{
+		"heard":                     {0, false, false, true},
+		"suspected, and heard":      {testSettings.Timeout, true, false, true},
+		"suspected, and silent":     {testSettings.Timeout + 1, true, false, false},
+		"silent, and not suspected": {2 * testSettings.Timeout, false, false, true},
+		"silent for long":           {2*testSettings.Timeout + 1, false, false, false},
+		"evicted":                   {0, false, true, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			table, current := New(testSettings), registered("a")
+			table.Record(heartbeat("a", 1), testNow-c.silence)
+			table.SetSuspected("a", c.suspected)
+			if c.evicted {
+				state.RegisterStore{Store: state.Store{ID: "a", Evicted: true}}.Apply(current)
+			}
+			if _, live := table.Incarnation(current, "a", testNow); live != c.live {
+				t.Errorf("live: %v", live)
+			}
+		})
+	}
+}
+
+func TestWhoMayJoin(t *testing.T) {
+	moved := heartbeat("a", 2)
+	moved.Peer = "peer-x"
+	for name, c := range map[string]struct {
+		heartbeat batchstore.Heartbeat
+		rules     JoinRules
+		heardFor  clock.Micros // since the last heartbeat of a's first address
+		objects   bool
+	}{
+		"a known store":                           {heartbeat("a", 1), JoinRules{Fleet: "f", NewestIncarnation: 1}, 0, false},
+		"a new incarnation":                       {heartbeat("a", 2), JoinRules{Fleet: "f", NewestIncarnation: 1}, 0, false},
+		"an old copy of its folder":               {heartbeat("a", 1), JoinRules{Fleet: "f", NewestIncarnation: 2}, 0, true},
+		"another fleet":                           {heartbeat("a", 1), JoinRules{Fleet: "g"}, 0, true},
+		"a core without a fleet":                  {heartbeat("a", 1), JoinRules{}, 0, false},
+		"the same identity at two addresses":      {moved, JoinRules{Fleet: "f", NewestIncarnation: 1}, testSettings.Timeout/2 - 1, true},
+		"at another address once the first ended": {moved, JoinRules{Fleet: "f", NewestIncarnation: 1}, testSettings.Timeout / 2, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			table := New(testSettings)
+			table.Record(heartbeat("a", 1), testNow-c.heardFor)
+			if reason := table.Objection(c.heartbeat, c.rules, testNow); (reason != "") != c.objects {
+				t.Errorf("the objection is %q", reason)
+			}
+		})
+	}
+}
+
+// An evicted store does not come back while another one runs at its address.
+func TestAReplacedStoreStaysOut(t *testing.T) {
+	table, current := New(testSettings), registered("a")
+	state.RegisterStore{Store: state.Store{ID: "b", Peer: "peer-a"}}.Apply(current) // an empty one in its place
+	if table.IsReplaced(current, "a", testNow) {
+		t.Error("replaced by one that is not heard")
+	}
+	table.Record(batchstore.Heartbeat{ID: "b", Peer: "peer-a", Incarnation: 1}, testNow)
+	if !table.IsReplaced(current, "a", testNow) || table.IsReplaced(current, "b", testNow) {
+		t.Error("the one that runs there does not count")
+	}
+}
+
+func TestRegistration(t *testing.T) {
+	current := registered("a")
+	for name, c := range map[string]struct {
+		change  func(h *batchstore.Heartbeat)
+		changed bool
+	}{
+		"as it was":         {func(*batchstore.Heartbeat) {}, false},
+		"a new store":       {func(h *batchstore.Heartbeat) { h.ID = "b" }, true},
+		"a new incarnation": {func(h *batchstore.Heartbeat) { h.Incarnation = 2 }, true},
+		"a new address":     {func(h *batchstore.Heartbeat) { h.Peer = "x" }, true},
+		"a new zone":        {func(h *batchstore.Heartbeat) { h.Zone = "x" }, true},
+		"a new name":        {func(h *batchstore.Heartbeat) { h.Name = "x" }, true},
+	} {
+		h := heartbeat("a", 1)
+		c.change(&h)
+		if store, changed := Registration(current, h); changed != c.changed || store.ID != h.ID {
+			t.Errorf("%s: %+v %v", name, store, changed)
+		}
+	}
+}
+
+func TestCompletedShards(t *testing.T) {
+	current := registered("a")
+	primary := replication.Member{ID: "a", Incarnation: 1}
+	current.Shards = []replication.Assignment{
+		{Epoch: 3, Primary: primary},
+		replication.Assignment{Epoch: 3, Primary: primary}.Completed(),
+		{Epoch: 4, Primary: primary},
+		{Epoch: 3, Primary: replication.Member{ID: "a", Incarnation: 2}},
+		{Epoch: 3, Primary: replication.Member{ID: "b", Incarnation: 1}},
+	}
+	h := heartbeat("a", 1)
+	h.Ready = map[int]uint64{-1: 3, 0: 3, 1: 3, 2: 3, 3: 3, 4: 3, 5: 3}
+	if got := CompletedShards(current, h); len(got) != 1 || !got[0].Complete {
+		t.Errorf("complete are %+v", got)
+	}
+}
+
+func TestANewPrimaryListensFirst(t *testing.T) {
+	table, current := New(testSettings), registered("a", "b")
+	table.Record(heartbeat("a", 1), testNow-1)
+	table.StartServing(testNow)
+	table.Record(heartbeat("b", 1), testNow+1)
+	if table.HasHeardEnough(current, testNow+2) {
+		t.Error("it decides before it has heard a")
+	}
+	if !table.HasHeardEnough(current, testNow+testSettings.SettleDelay) {
+		t.Error("it waits for a for ever")
+	}
+	table.Record(heartbeat("a", 1), testNow+2)
+	if !table.HasHeardEnough(current, testNow+3) {
+		t.Error("it has heard both and does not decide")
+	}
+}
+
+func TestEviction(t *testing.T) {
+	for name, c := range map[string]struct {
+		prepare func(table *Table, current *state.State)
+		want    []string
+	}{
+		"a store that is not heard for long": {func(*Table, *state.State) {}, []string{"b"}},
+		"updates are stale here":             {func(table *Table, _ *state.State) { table.freshUntil = testNow - testSettings.MaxStaleness - 1 }, nil},
+		"served for a short time": {func(table *Table, _ *state.State) {
+			table.StartServing(testNow - testSettings.EvictAfter + 1)
+		}, nil},
+		"no majority was heard for very long": {func(table *Table, _ *state.State) { table.freshUntil = 0 }, []string{"b"}},
+		"a shard depends on it": {func(_ *Table, current *state.State) {
+			current.Shards = []replication.Assignment{{Epoch: 1, Primary: replication.Member{ID: "b", Incarnation: 1}}}
+		}, nil},
+		"retired": {func(_ *Table, current *state.State) { state.Retire{ID: "b", Done: true}.Apply(current) }, nil},
+	} {
+		t.Run(name, func(t *testing.T) {
+			table, current := New(testSettings), registered("a", "b")
+			table.StartServing(testNow - 60*clock.Second)
+			table.SetFreshUntil(testNow)
+			table.Record(heartbeat("a", 1), testNow)
+			table.Record(heartbeat("b", 1), testNow-testSettings.EvictAfter)
+			c.prepare(table, current)
+			var got []string
+			for _, store := range table.ToEvict(current, testNow) {
+				got = append(got, store.ID)
+			}
+			if !slices.Equal(got, c.want) {
+				t.Errorf("evicted are %v, not %v", got, c.want)
+			}
+		})
+	}
+}
+
+// Many stores are lost at once, on top of many that are evicted: each eviction may have the
+// state forget an older store, and only stores that are registered are evicted.
+func TestManyEvictionsAtOnce(t *testing.T) {
+	table, current := New(testSettings), registered()
+	for i := range 40 {
+		state.RegisterStore{Store: state.Store{ID: fmt.Sprintf("s%02d", 40-i), Peer: fmt.Sprint("p", i), Evicted: i < 16}}.Apply(current)
+	}
+	evicted := table.ToEvict(current, testNow)
+	if len(evicted) != 24 {
+		t.Errorf("%d stores are evicted", len(evicted))
+	}
+	for _, store := range evicted {
+		if known := current.Stores[store.ID]; known.ID == "" || known.Evicted {
+			t.Errorf("evicted is %+v", store)
+		}
+	}
+}
