--- a/internal/controlplane/bootstrap_test.go
+++ b/internal/controlplane/bootstrap_test.go
@@ -5,23 +5,141 @@
 	"testing"
 
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/replication"
 )
 
 // A founder that won its term and waits until its replicas hold the state does not
-// found again: the founders would grant the second term and refuse to commit the first.
-func TestAFounderThatWonDoesNotFoundAgain(t *testing.T) {
-	b := newBench(small())
+// bootstrap again: the founders would grant the second term and refuse to commit the first.
+func TestAFounderThatWonDoesNotBootstrapAgain(t *testing.T) {
+	b := newTestCluster(smallSettings())
 	for i := 1; i <= 3; i++ {
 		b.core(fmt.Sprint("core-", i), fmt.Sprint("c", i), fmt.Sprint("zone-", i), "c1", "c2", "c3")
 	}
 	until := b.now + 300*clock.Millisecond
-	b.drop = func(l letter) bool {
+	b.drop = func(l envelope) bool {
 		_, isCopy := l.body.(replication.SnapshotChunk)
 		return isCopy && b.now < until
 	}
-	b.pass(clock.Second)
+	b.advance(clock.Second)
 	if founder := b.cores["c1"]; founder.election.TermsWon != 1 || founder.Vote().Term != 1 || !founder.IsServing() {
 		t.Errorf("a second on, the founder won %d terms, the last granted is %d, it serves: %v; wanted the first alone", founder.election.TermsWon, founder.Vote().Term, founder.IsServing())
 	}
 }
+
+// Five cores bootstrap a fleet when all of them are there and grant it, and it outlives
+// two of them.
+func TestFiveCoresBootstrapAFleet(t *testing.T) {
+	settings := smallSettings()
+	settings.Founders = 5
+	b := newTestCluster(settings)
+	add := func(i int) {
+		b.core(fmt.Sprint("core-", i), fmt.Sprint("c", i), fmt.Sprint("zone-", i%3), "c1", "c2", "c3", "c4", "c5")
+	}
+	for i := 1; i <= 4; i++ {
+		add(i)
+	}
+	for i := 1; i <= 3; i++ {
+		b.store(fmt.Sprint("store-", i), fmt.Sprint("s", i), fmt.Sprint("zone-", i))
+	}
+	b.advance(5 * clock.Second)
+	for _, core := range b.cores {
+		if core.Vote().Fleet != "" {
+			t.Fatalf("four of five bootstrapped %s", core.Vote().Fleet)
+		}
+	}
+	add(5)
+	b.drop = func(l envelope) bool { _, grant := l.body.(election.VoteResponse); return grant && l.from == "c5" }
+	b.advance(5 * clock.Second)
+	if b.primary() != nil {
+		t.Fatal("bootstrapped without the grant of one of the five")
+	}
+	b.drop = nil
+	b.awaitStable(t)
+	if got := fmt.Sprint(b.voters()); got != "[core-1 core-2 core-3 core-4 core-5]" {
+		t.Fatalf("voters: %s", got)
+	}
+	delete(b.cores, b.primary().self.Peer)
+	b.advance(10 * clock.Second)
+	if b.primary() == nil {
+		t.Fatal("four of five have no primary")
+	}
+	delete(b.cores, b.primary().self.Peer)
+	b.advance(10 * clock.Second)
+	core := b.primary()
+	if core == nil {
+		t.Fatal("three of five have no primary")
+	}
+	call := b.call(core, putRequest(1, 0, `{}`))
+	b.deliverAll()
+	if answer := b.reply(t, call); answer.Err != nil {
+		t.Fatal(answer.Err)
+	}
+}
+
+// Where more empty cores are heard than it takes, those at the seeds bootstrap the
+// fleet, whichever id is lowest, and whoever was heard first.
+func TestTheCoresAtTheSeedsBootstrap(t *testing.T) {
+	for _, arrivedEarly := range []bool{true, false} {
+		b := newTestCluster(smallSettings())
+		stranger := func() {
+			b.core("core-0", "c9", "zone-1", "c1", "c2", "c3")
+			b.core("core-4", "c8", "zone-2", "c1", "c2", "c3")
+		}
+		if arrivedEarly {
+			stranger()
+		}
+		for i := 1; i <= 3; i++ {
+			b.core(fmt.Sprint("core-", i), fmt.Sprint("c", i), fmt.Sprint("zone-", i), "c1", "c2", "c3")
+			b.store(fmt.Sprint("store-", i), fmt.Sprint("s", i), fmt.Sprint("zone-", i))
+			b.advance(300 * clock.Millisecond)
+		}
+		if !arrivedEarly {
+			stranger()
+		}
+		var first []election.CoreRef
+		for i := 0; i < 400 && first == nil; i++ {
+			b.advance(50 * clock.Millisecond)
+			for _, core := range b.cores {
+				if !core.Vote().Committed.IsZero() {
+					first = core.Vote().Voters
+				}
+			}
+		}
+		if got := fmt.Sprint(idsOf(first)); got != "[core-1 core-2 core-3]" {
+			t.Errorf("strangers early %v: bootstrapped by %s", arrivedEarly, got)
+		}
+		// The others are given votes by agreement, one at a time.
+		b.awaitStable(t)
+		b.advance(10 * clock.Second)
+		if got := fmt.Sprint(b.voters()); got != "[core-0 core-1 core-2 core-3 core-4]" {
+			t.Errorf("strangers early %v: voters %s", arrivedEarly, got)
+		}
+	}
+}
+
+// A core that hears more empty cores than it takes does not grant the bootstrap of
+// others than those it would bootstrap with: its grant would bind it to them.
+func TestACoreGrantsTheBootstrapOfItsOwnFoundersOnly(t *testing.T) {
+	b := newTestCluster(smallSettings())
+	for i := 1; i <= 4; i++ {
+		b.core(fmt.Sprint("core-", i), fmt.Sprint("c", i), fmt.Sprint("zone-", i), "c2", "c3", "c4")
+	}
+	b.drop = func(l envelope) bool { _, claim := l.body.(election.VoteRequest); return claim }
+	b.advance(clock.Second)
+	witness := b.cores["c2"]
+	var refs []election.CoreRef
+	for i := 1; i <= 3; i++ {
+		refs = append(refs, b.cores[fmt.Sprint("c", i)].self)
+	}
+	claim := election.VoteRequest{Fleet: "f-core-1", Assignment: replication.Assignment{Epoch: 1}, Voters: refs, Candidate: refs[0], Bootstrap: true}
+	witness.Do(Message{"c1", claim}, b.now)
+	if witness.Vote().Fleet != "" {
+		t.Fatal("granted the bootstrap of other cores")
+	}
+	claim.Fleet, claim.Voters = "f-core-2", append(refs[1:], b.cores["c4"].self)
+	witness.Do(Message{"c3", claim}, b.now)
+	if witness.Vote().Fleet == "" {
+		t.Fatal("did not grant the bootstrap of its own founders")
+	}
+}
--- a/internal/controlplane/changequeue/queue.go
+++ b/internal/controlplane/changequeue/queue.go
@@ -2,9 +2,10 @@
 // change is next, what became of an operator's request, and who is to be answered.
 //
 // It is data and decisions only: the control state goes in as a value, changes and answers
-// come out, and the caller, the primary core, replicates and sends them. One change at a time is in flight, so that
-// an operator's request is decided on a state in which every earlier change is confirmed or
-// will be before the answer is given. It is not safe for concurrent use.
+// come out, and the caller, the primary core, replicates and sends them. One change at a time
+// is in flight, so that an operator's request is decided on a state in which every earlier
+// change is confirmed or will be before the answer is given. It is not safe for concurrent
+// use.
 package changequeue
 
 import (
--- a/internal/controlplane/changes.go
+++ b/internal/controlplane/changes.go
@@ -82,8 +82,8 @@
 	}})
 }
 
-// broadcastConfiguration spreads the configuration in force and then acknowledges the one that was asked
-// for; a repeated request may be about an earlier one.
+// broadcastConfiguration spreads the configuration in force and then acknowledges the one that
+// was asked for; a repeated request may be about an earlier one.
 func (c *Core) broadcastConfiguration(change changequeue.Change) {
 	latest, _ := c.state.Latest()
 	c.published.configuration = max(c.published.configuration, latest.Number)
--- /dev/null
+++ b/internal/controlplane/cluster_test.go
@@ -0,0 +1,253 @@
+package controlplane
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"testing"
+
+	"tuliprudder/internal/batchstore"
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/election"
+	"tuliprudder/internal/machine"
+	"tuliprudder/internal/replication"
+)
+
+// fakeStore is a store daemon as far as the cores see it: its heartbeats.
+type fakeStore struct {
+	batchstore.Heartbeat
+	reportsComplete bool // reports of each shard it is primary of that the group is complete
+	unreachable     bool
+}
+
+type envelope struct {
+	to, from string
+	body     any
+}
+
+// testCluster is some cores that reach each other, and the heartbeats of stores.
+type testCluster struct {
+	now        clock.Micros
+	settings   Settings
+	cores      map[string]*Core // by peer
+	starts     map[string]start // by peer, the latest
+	stores     []*fakeStore
+	network    []envelope
+	drop       func(l envelope) bool
+	lastCall   uint64
+	replies    map[uint64]machine.Reply
+	broadcasts []machine.Broadcast
+	disks      map[string]*disk // what each core has written, where the test keeps it
+	// blocksWrite keeps a write from a core's disk; nil: each is done at once.
+	blocksWrite func(peer string, write machine.Persist) bool
+}
+
+// start is what a core is made of, besides its disk.
+type start struct {
+	self        election.CoreRef
+	incarnation uint64
+	seeds       []string
+	settings    Settings
+}
+
+func (s start) core(records []machine.Record) *Core {
+	return New(s.self, s.incarnation, s.seeds, s.settings, records)
+}
+
+// next is the next start of the same core.
+func (s start) next() start {
+	s.incarnation++
+	return s
+}
+
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+
+func hasVote(voters []election.CoreRef, id string) bool { return slices.Contains(idsOf(voters), id) }
+
+// idsOf lists the ids of some cores in order.
+func idsOf(refs []election.CoreRef) (ids []string) {
+	for _, ref := range refs {
+		ids = append(ids, ref.ID)
+	}
+	slices.Sort(ids)
+	return ids
+}
+
+func newTestCluster(settings Settings) *testCluster {
+	return &testCluster{now: 1000, settings: settings, cores: map[string]*Core{}, starts: map[string]start{}, replies: map[uint64]machine.Reply{}}
+}
+
+// core adds an empty core; its peer address is its name.
+func (b *testCluster) core(id, peer, zone string, seeds ...string) *Core {
+	b.starts[peer] = start{election.CoreRef{ID: id, Peer: peer, Zone: zone}, 1, seeds, b.settings}
+	b.cores[peer] = b.starts[peer].core(nil)
+	return b.cores[peer]
+}
+
+// store adds a store.
+func (b *testCluster) store(id, peer, zone string) *fakeStore {
+	s := &fakeStore{Heartbeat: batchstore.Heartbeat{ID: id, Peer: peer, Zone: zone, Incarnation: 1}, reportsComplete: true}
+	b.stores = append(b.stores, s)
+	return s
+}
+
+// carryOut carries out what a core decided.
+func (b *testCluster) carryOut(peer string, effects []machine.Effect) {
+	for _, effect := range effects {
+		switch e := effect.(type) {
+		case machine.Send:
+			b.network = append(b.network, envelope{e.To, peer, e.Body})
+		case machine.Persist:
+			if b.disks != nil {
+				b.disk(peer).writes = append(b.disk(peer).writes, e.Records)
+			}
+			if b.blocksWrite != nil && b.blocksWrite(peer, e) {
+				continue
+			}
+			b.carryOut(peer, b.cores[peer].Do(Persisted{e.Token}, b.now))
+		case machine.Compact:
+			if b.disks != nil {
+				b.disks[peer] = &disk{snapshot: e.Records}
+			}
+		case machine.Reply:
+			b.replies[e.Call] = e
+		case machine.Broadcast:
+			b.broadcasts = append(b.broadcasts, e)
+			b.replies[e.Call] = machine.Reply{Call: e.Call, Body: e.Body}
+		}
+	}
+}
+
+func (b *testCluster) deliverAll() {
+	for len(b.network) > 0 {
+		wire := b.network
+		b.network = nil
+		for _, l := range wire {
+			if to := b.cores[l.to]; to != nil && (b.drop == nil || !b.drop(l)) {
+				b.carryOut(l.to, to.Do(Message{l.from, l.body}, b.now))
+			}
+		}
+	}
+}
+
+// advance lets time go by.
+func (b *testCluster) advance(span clock.Micros) {
+	for end := b.now + span; b.now < end; {
+		b.now += 50 * clock.Millisecond
+		for _, peer := range sortedKeys(b.cores) {
+			core := b.cores[peer]
+			b.carryOut(peer, core.Do(FreshnessAdvanced{b.now}, b.now))
+			b.carryOut(peer, core.Do(Tick{}, b.now))
+			for _, s := range b.stores {
+				if s.unreachable {
+					continue
+				}
+				heartbeat := s.Heartbeat
+				heartbeat.Ready = map[int]uint64{}
+				for shard, p := range core.State().Shards {
+					if s.reportsComplete && p.Primary.ID == s.ID {
+						heartbeat.Ready[shard] = p.Epoch
+					}
+				}
+				b.carryOut(peer, core.Do(Message{s.Peer, heartbeat}, b.now))
+			}
+		}
+		b.deliverAll()
+	}
+}
+
+// primary is the core that serves; nil when none or two do.
+func (b *testCluster) primary() *Core {
+	var found *Core
+	for _, core := range b.cores {
+		if core.IsServing() && found != nil {
+			return nil
+		} else if core.IsServing() {
+			found = core
+		}
+	}
+	return found
+}
+
+// call asks a core and returns the number of the call.
+func (b *testCluster) call(core *Core, body any) uint64 {
+	b.lastCall++
+	b.carryOut(core.self.Peer, core.Do(Call{b.lastCall, body}, b.now))
+	return b.lastCall
+}
+
+// reply is the answer to a call that has to be there.
+func (b *testCluster) reply(t *testing.T, call uint64) machine.Reply {
+	t.Helper()
+	answer, ok := b.replies[call]
+	if !ok {
+		t.Fatalf("call %d is not answered", call)
+	}
+	return answer
+}
+
+// bootstrappedCluster is three cores that have bootstrapped a fleet, with three stores and
+// their shards.
+func bootstrappedCluster(t *testing.T, settings Settings) *testCluster {
+	t.Helper()
+	return bootstrapWithStores(t, newTestCluster(settings))
+}
+
+// bootstrapWithStores has three cores bootstrap a fleet with three stores.
+func bootstrapWithStores(t *testing.T, b *testCluster) *testCluster {
+	t.Helper()
+	for i := 1; i <= 3; i++ {
+		b.core(fmt.Sprint("core-", i), fmt.Sprint("c", i), fmt.Sprint("zone-", i), "c1", "c2", "c3")
+	}
+	for i := 1; i <= 3; i++ {
+		b.store(fmt.Sprint("store-", i), fmt.Sprint("s", i), fmt.Sprint("zone-", i))
+	}
+	b.awaitStable(t)
+	return b
+}
+
+func smallSettings() Settings {
+	settings := Defaults()
+	settings.Shards = 6
+	settings.Bootstrap = true
+	return settings
+}
+
+// awaitStable waits until one core serves and every shard has a complete group.
+func (b *testCluster) awaitStable(t *testing.T) {
+	t.Helper()
+	for i := 0; i < 400; i++ {
+		b.advance(50 * clock.Millisecond)
+		if p := b.primary(); p != nil && !p.queue.HasInFlight() && allShardsComplete(p) {
+			return
+		}
+	}
+	t.Fatal("the fleet never became stable")
+}
+
+func allShardsComplete(s *Core) bool {
+	for _, p := range s.State().Shards {
+		if !p.Complete {
+			return false
+		}
+	}
+	return len(s.State().Shards) > 0
+}
+
+func putRequest(number, base uint64, body string) PutConfigurationRequest {
+	return PutConfigurationRequest{Number: number, Base: base, HasBase: true, Body: []byte(body), By: "o", Timeout: 3 * clock.Second}
+}
+
+// isAppend tells of the messages that carry entries to the replica.
+func isAppend(l envelope) bool { _, entry := l.body.(replication.Append); return entry }
+
+// voters are the ids of the cores with a vote, as the primary knows them.
+func (b *testCluster) voters() (ids []string) {
+	if p := b.primary(); p != nil {
+		for _, ref := range p.Vote().Voters {
+			ids = append(ids, ref.ID)
+		}
+	}
+	slices.Sort(ids)
+	return ids
+}
--- a/internal/controlplane/degraded_test.go
+++ b/internal/controlplane/degraded_test.go
@@ -14,20 +14,20 @@
 func TestShardsComeBackThoughStoresAreFewerThanCopies(t *testing.T) {
 	for stores := 3; stores <= 4; stores++ {
 		for restarted := 1; restarted <= 3; restarted++ {
-			set := small()
-			set.Tolerance = stores
-			b := newBench(set)
+			settings := smallSettings()
+			settings.Tolerance = stores
+			b := newTestCluster(settings)
 			for i := 1; i <= 3; i++ {
 				b.core(fmt.Sprint("core-", i), fmt.Sprint("c", i), fmt.Sprint("zone-", i), "c1", "c2", "c3")
 			}
 			for i := 1; i <= stores; i++ {
 				b.store(fmt.Sprint("store-", i), fmt.Sprint("s", i), fmt.Sprint("zone-", i))
 			}
-			found(t, b)
+			bootstrapWithStores(t, b)
 			for _, store := range b.stores[:restarted] {
 				store.Incarnation++
 			}
-			b.pass(10 * clock.Second)
+			b.advance(10 * clock.Second)
 			core := b.primary()
 			if core == nil {
 				t.Fatal("no core is primary")
--- a/internal/controlplane/placement/balance.go
+++ b/internal/controlplane/placement/balance.go
@@ -71,7 +71,8 @@
 	})
 }
 
-// promoteReplica makes the store with the fewest shards as primary the primary of one that it replicates.
+// promoteReplica makes the store with the fewest shards as primary the primary of one that it
+// replicates.
 func (p *planner) promoteReplica() bool {
 	lowest := p.leastLoaded(p.primaryCount)
 	for _, highest := range p.overloaded(p.primaryCount, lowest) {
@@ -93,7 +94,8 @@
 	return false
 }
 
-// copyToLeastLoaded copies a shard to the store with the fewest shards as primary, in the place of a replica.
+// copyToLeastLoaded copies a shard to the store with the fewest shards as primary, in the
+// place of a replica.
 func (p *planner) copyToLeastLoaded() bool {
 	lowest := p.leastLoaded(p.primaryCount)
 	for _, highest := range p.overloaded(p.primaryCount, lowest) {
--- a/internal/controlplane/placement/placement.go
+++ b/internal/controlplane/placement/placement.go
@@ -2,14 +2,14 @@
 //
 // Decide is a pure function: a ClusterView and the memory of earlier calls go in, new
 // assignments and the reasons for them come out. It keeps no state, reads no clock and
-// has no side effect, so any goroutine may call it. The caller, the primary core, replicates the
-// assignments and calls Decide again when something changed.
+// has no side effect, so any goroutine may call it. The caller, the primary core, replicates
+// the assignments and calls Decide again when something changed.
 //
 // Two rules hold for every assignment that Decide returns:
 //   - Its primary is a store that holds all that was ever confirmed (replication.Assignment,
 //     Trusted), or the shard was never assigned before.
-//   - It has MinCopies members at least, in as many zones as these allow: one copy may always
-//     be lost without losing what was confirmed.
+//   - It has MinCopies members at least, in as many of the required zones as these allow: where
+//     losses are tolerated, one copy may be lost without losing what was confirmed.
 package placement
 
 import (
--- a/internal/controlplane/reconcile_test.go
+++ b/internal/controlplane/reconcile_test.go
@@ -6,28 +6,28 @@
 	"tuliprudder/internal/clock"
 )
 
-// A new primary judges at once when it has heard all stores that count since it
+// A new primary decides at once when it has heard all stores that count since it
 // serves, and else only once it has listened for long enough.
 func TestANewPrimaryJudgesOnceItHasHeardEveryStore(t *testing.T) {
-	b := fleet(t, small())
+	b := bootstrappedCluster(t, smallSettings())
 	p := b.primary()
 	began := b.now + 1
 	p.stores.StartServing(began)
 	if p.stores.HasHeardEnough(p.state, b.now+2) {
-		t.Fatal("it judges before any store has spoken")
+		t.Fatal("it decides before any store was heard")
 	}
-	b.stores[2].silent = true
-	b.pass(100 * clock.Millisecond)
+	b.stores[2].unreachable = true
+	b.advance(100 * clock.Millisecond)
 	if p.stores.HasHeardEnough(p.state, b.now) {
-		t.Fatal("it judges before the third store has spoken")
+		t.Fatal("it decides before the third store was heard")
 	}
 	if !p.stores.HasHeardEnough(p.state, began+p.settings.SettleDelay) {
-		t.Fatal("it waits for a silent store for ever")
+		t.Fatal("it waits for an unreachable store for ever")
 	}
-	b.stores[2].silent = false
-	b.pass(100 * clock.Millisecond)
+	b.stores[2].unreachable = false
+	b.advance(100 * clock.Millisecond)
 	if !p.stores.HasHeardEnough(p.state, b.now) {
-		t.Fatal("it has heard every store and does not judge")
+		t.Fatal("it has heard every store and does not decide")
 	}
 }
 
@@ -45,7 +45,7 @@
 		busy, moves bool
 	}{"idle": {false, true}, "busy": {true, false}} {
 		t.Run(name, func(t *testing.T) {
-			b := fleet(t, small())
+			b := bootstrappedCluster(t, smallSettings())
 			for shard := range 6 {
 				for _, s := range b.stores {
 					if c.busy {
@@ -54,7 +54,7 @@
 				}
 			}
 			b.store("store-4", "s4", "zone-2")
-			b.pass(20 * clock.Second)
+			b.advance(20 * clock.Second)
 			if got := owners(b.primary()); (got["store-4"] > 0) != c.moves {
 				t.Fatalf("owners after a store was added: %v", got)
 			}
--- a/internal/controlplane/restart_test.go
+++ b/internal/controlplane/restart_test.go
@@ -8,25 +8,25 @@
 	"tuliprudder/internal/machine"
 )
 
-// restarted is a core that is started again, and when its next tick is due.
-type restarted struct {
+// restartedCore is a core that is started again, and when its next tick is due.
+type restartedCore struct {
 	core *Core
 	due  clock.Micros
 }
 
 // restartAll ends every core at once and starts each again within the spread, with what
 // its disk holds. It returns how long after the last start the fleet has a primary.
-func (b *bench) restartAll(t *testing.T, rng *rand.Rand, spread clock.Micros) clock.Micros {
+func (b *testCluster) restartAll(t *testing.T, rng *rand.Rand, spread clock.Micros) clock.Micros {
 	t.Helper()
 	const step, tick, timeout = 5 * clock.Millisecond, 50 * clock.Millisecond, 30 * clock.Second
 	b.now += clock.Second
-	b.wire = nil
+	b.network = nil
 	last := b.now
-	starts := map[string]*restarted{}
+	starts := map[string]*restartedCore{}
 	for _, peer := range sortedKeys(b.cores) {
 		at := b.now + rng.Int63n(spread)
 		last = max(last, at)
-		starts[peer] = &restarted{b.again(peer), at}
+		starts[peer] = &restartedCore{b.restarted(peer), at}
 	}
 	b.cores = map[string]*Core{}
 	for ; b.now < last+timeout; b.now += step {
@@ -34,10 +34,10 @@
 			if start := starts[peer]; b.now >= start.due {
 				start.due = b.now + tick
 				b.cores[peer] = start.core
-				b.take(peer, start.core.Do(Tick{}, b.now))
+				b.carryOut(peer, start.core.Do(Tick{}, b.now))
 			}
 		}
-		b.deliver()
+		b.deliverOnce()
 		if b.primary() != nil {
 			return max(0, b.now-last)
 		}
@@ -46,8 +46,8 @@
 	return 0
 }
 
-// again is a core in its next life, with what its disk holds.
-func (b *bench) again(peer string) *Core {
+// restarted is a core in its next incarnation, with what its disk holds.
+func (b *testCluster) restarted(peer string) *Core {
 	b.starts[peer] = b.starts[peer].next()
 	records := append([]machine.Record(nil), b.disk(peer).snapshot...)
 	for _, write := range b.disk(peer).writes {
@@ -56,13 +56,13 @@
 	return b.starts[peer].core(records)
 }
 
-// deliver hands over what is on the wire now; answers to it come with the next step.
-func (b *bench) deliver() {
-	wire := b.wire
-	b.wire = nil
+// deliverOnce delivers what is under way now; answers to it come with the next step.
+func (b *testCluster) deliverOnce() {
+	wire := b.network
+	b.network = nil
 	for _, l := range wire {
 		if to := b.cores[l.to]; to != nil {
-			b.take(l.to, to.Do(Message{l.from, l.body}, b.now))
+			b.carryOut(l.to, to.Do(Message{l.from, l.body}, b.now))
 		}
 	}
 }
@@ -72,13 +72,13 @@
 func TestATermThatNobodyHoldsIsNotAwaited(t *testing.T) {
 	const limit = 2 * clock.Second
 	for seed := int64(1); seed <= 120; seed++ {
-		b := newBench(small())
+		b := newTestCluster(smallSettings())
 		b.disks = map[string]*disk{}
 		for _, id := range []string{"1", "2", "3"} {
 			b.core("core-"+id, "c"+id, "zone-"+id, "c1", "c2", "c3")
 			b.store("store-"+id, "s"+id, "zone-"+id)
 		}
-		b.settle(t)
+		b.awaitStable(t)
 		if took := b.restartAll(t, rand.New(rand.NewSource(seed)), 500*clock.Millisecond); took > limit {
 			t.Errorf("seed %d: no primary until %d us after the last start", seed, took)
 		}
--- /dev/null
+++ b/internal/controlplane/retirements_test.go
@@ -0,0 +1,177 @@
+package controlplane
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/errs"
+)
+
+func (b *testCluster) retire(t *testing.T, request RetireRequest) (RetireResponse, error) {
+	t.Helper()
+	request.Timeout = 3 * clock.Second
+	call := b.call(b.primary(), request)
+	b.deliverAll()
+	answer := b.reply(t, call)
+	acknowledgement, _ := answer.Body.(RetireResponse)
+	return acknowledgement, answer.Err
+}
+
+// A store is retired by the operator's name for its machine: the newest store that
+// is not evicted; a read-only request changes nothing; what the operator calls it is kept up to
+// date.
+func TestAStoreIsRetiredByName(t *testing.T) {
+	b := newTestCluster(smallSettings())
+	for i := 1; i <= 3; i++ {
+		b.core(fmt.Sprint("core-", i), fmt.Sprint("c", i), fmt.Sprint("zone-", i), "c1", "c2", "c3")
+		b.store(fmt.Sprint("store-", i), fmt.Sprint("s", i), fmt.Sprint("zone-", i)).Name = fmt.Sprint("machine-", i)
+	}
+	b.awaitStable(t)
+	core := b.primary()
+	for _, request := range []RetireRequest{{Name: "machine-9"}, {Name: ""}, {ID: "store-9"}, {Name: "machine-9", ReadOnly: true}} {
+		if _, err := b.retire(t, request); !errs.Is(err, errs.NotFound) {
+			t.Errorf("%+v: told %v", request, err)
+		}
+	}
+	b.stores[2].unreachable = true
+	b.advance(5 * clock.Second)
+	if _, err := b.retire(t, RetireRequest{Name: "machine-1"}); !errs.Is(err, errs.Rejected) || errs.Of(err).Status() != 409 {
+		t.Errorf("two zones would not remain: told %v", err)
+	}
+	b.stores[2].unreachable = false
+	b.awaitStable(t)
+	// Another store on the same machine: the newer one is meant.
+	fourth := b.store("store-0", "s4", "zone-1")
+	fourth.Name = "machine-1"
+	b.advance(clock.Second)
+	seq := core.State().Seq
+	if acknowledgement, err := b.retire(t, RetireRequest{Name: "machine-1", ReadOnly: true}); err != nil || acknowledgement.ID != "store-0" || acknowledgement.Done || core.State().Seq != seq || core.State().Stores["store-0"].Retiring {
+		t.Fatalf("a read-only request: told %+v %v, and %d entries were written", acknowledgement, err, core.State().Seq-seq)
+	}
+	// It gets another name, and then the older one is meant.
+	fourth.Name = "machine-4"
+	b.advance(clock.Second)
+	if core.State().Stores["store-0"].Name != "machine-4" {
+		t.Fatal("the new name was not written down")
+	}
+	acknowledgement, err := b.retire(t, RetireRequest{Name: "machine-1"})
+	if err != nil || acknowledgement.ID != "store-1" || acknowledgement.Done || acknowledgement.ShardsLeft == 0 {
+		t.Fatalf("told %+v %v", acknowledgement, err)
+	}
+	b.advance(10 * clock.Second)
+	if acknowledgement, err = b.retire(t, RetireRequest{Name: "machine-1", ReadOnly: true}); err != nil || acknowledgement != (RetireResponse{ID: "store-1", Done: true}) {
+		t.Fatalf("after 10 s: told %+v %v", acknowledgement, err)
+	}
+	if acknowledgement, err = b.retire(t, RetireRequest{ID: "store-1", Name: "machine-2", Cancel: true}); err != nil || acknowledgement.ID != "store-1" || core.State().Stores["store-1"].Retiring {
+		t.Fatalf("taken back: told %+v %v", acknowledgement, err)
+	}
+}
+
+// Two stores are retired at once, and the fleet can do without either but not
+// without both: one is refused.
+func TestTwoRetirementsAreDecidedInTurn(t *testing.T) {
+	b := bootstrappedCluster(t, smallSettings())
+	b.store("store-4", "s4", "zone-1")
+	b.advance(clock.Second)
+	core := b.primary()
+	b.drop = isAppend
+	b.call(core, putRequest(1, 0, `{}`)) // both wait behind it
+	one := b.call(core, RetireRequest{ID: "store-2", Timeout: 3 * clock.Second})
+	two := b.call(core, RetireRequest{ID: "store-3", Timeout: 3 * clock.Second})
+	b.drop = nil
+	b.advance(clock.Second)
+	if first, second := b.reply(t, one), b.reply(t, two); first.Err != nil || !errs.Is(second.Err, errs.Rejected) {
+		t.Fatalf("told %v %v and %v %v", first.Body, first.Err, second.Body, second.Err)
+	}
+}
+
+// How far a retirement is, is answered from what the group has confirmed.
+func TestAReadOnlyRetirementWaitsForWhatIsInFlight(t *testing.T) {
+	b := bootstrappedCluster(t, smallSettings())
+	b.store("store-4", "s4", "zone-1")
+	b.advance(clock.Second)
+	core := b.primary()
+	b.drop = isAppend
+	mark := b.call(core, RetireRequest{ID: "store-1", Timeout: clock.Second})
+	look := b.call(core, RetireRequest{ID: "store-1", ReadOnly: true})
+	again := b.call(core, RetireRequest{ID: "store-1", Timeout: clock.Second})
+	b.advance(1200 * clock.Millisecond)
+	if _, notified := b.replies[look]; notified {
+		t.Fatal("answered before the group confirmed the mark")
+	}
+	for _, call := range []uint64{mark, again} {
+		if answer := b.reply(t, call); !errs.Is(answer.Err, errs.OutcomeUnknown) {
+			t.Errorf("call %d expired: told %v %v", call, answer.Body, answer.Err)
+		}
+	}
+	b.drop = nil
+	b.advance(clock.Second)
+	if answer := b.reply(t, look); answer.Err != nil {
+		t.Fatalf("told %v", answer.Err)
+	}
+}
+
+// A store is retired only when no shard depends on it, those included whose new group
+// is not complete, and when all other groups are complete, too.
+func TestRetiredOnlyWhenEveryPairIsWhole(t *testing.T) {
+	settings := smallSettings()
+	settings.BalanceAfter = 3600 * clock.Second
+	b := bootstrappedCluster(t, settings)
+	fourth := b.store("store-4", "s4", "zone-1")
+	b.advance(clock.Second)
+	look := func(id string) RetireResponse {
+		acknowledgement, err := b.retire(t, RetireRequest{ID: id, ReadOnly: true})
+		if err != nil {
+			t.Fatal(err)
+		}
+		return acknowledgement
+	}
+	copies := func(whole bool) {
+		for _, s := range b.stores {
+			s.reportsComplete = whole
+		}
+	}
+	// Nothing depends on the fourth, but groups of the others are not complete.
+	copies(false)
+	b.stores[2].Incarnation = 2
+	b.advance(clock.Second)
+	if allShardsComplete(b.primary()) {
+		t.Fatal("all groups are complete; the test shows nothing")
+	}
+	if _, err := b.retire(t, RetireRequest{ID: "store-4"}); err != nil {
+		t.Fatal(err)
+	}
+	b.advance(3 * clock.Second)
+	if got := look("store-4"); got.Done || got.ShardsLeft != 0 {
+		t.Fatalf("other groups are not complete: %+v", got)
+	}
+	copies(true)
+	b.advance(3 * clock.Second)
+	if got := look("store-4"); !got.Done {
+		t.Fatalf("all is complete: %+v", got)
+	}
+	if _, err := b.retire(t, RetireRequest{ID: fourth.ID, Cancel: true}); err != nil {
+		t.Fatal(err)
+	}
+	// The shards of the first have new groups, but none is complete yet.
+	copies(false)
+	if _, err := b.retire(t, RetireRequest{ID: "store-1"}); err != nil {
+		t.Fatal(err)
+	}
+	b.advance(3 * clock.Second)
+	for shard, p := range b.primary().State().Shards {
+		if slices.Contains(p.IDs(), "store-1") {
+			t.Fatalf("shard %d still names the store: %+v", shard, p)
+		}
+	}
+	if got := look("store-1"); got.Done || got.ShardsLeft == 0 {
+		t.Fatalf("the new groups are not complete: %+v", got)
+	}
+	copies(true)
+	b.advance(3 * clock.Second)
+	if got := look("store-1"); !got.Done || got.ShardsLeft != 0 {
+		t.Fatalf("all is complete: %+v", got)
+	}
+}
--- a/internal/controlplane/shards_test.go
+++ b/internal/controlplane/shards_test.go
@@ -8,11 +8,11 @@
 	"tuliprudder/internal/clock"
 )
 
-// restart has a store come back in another life.
+// restart has a store come back in another incarnation.
 func (s *fakeStore) restart() { s.Incarnation++ }
 
-// shortOf lists the shards whose groups are not complete with so many members that live.
-func (b *bench) shortOf(copies int) (short []int) {
+// underReplicated lists the shards whose groups are not complete with so many live members.
+func (b *testCluster) underReplicated(copies int) (short []int) {
 	core := b.primary()
 	if core == nil {
 		return []int{-1}
@@ -31,12 +31,12 @@
 	return short
 }
 
-// storesOf has a fleet with so many stores, one a zone.
-func storesOf(t *testing.T, tolerance, stores int) *bench {
+// clusterWithStores has a fleet with so many stores, one a zone.
+func clusterWithStores(t *testing.T, tolerance, stores int) *testCluster {
 	t.Helper()
-	set := small()
-	set.Tolerance, set.ShardZones = tolerance, 1
-	b := newBench(set)
+	settings := smallSettings()
+	settings.Tolerance, settings.ShardZones = tolerance, 1
+	b := newTestCluster(settings)
 	for i := 1; i <= 3; i++ {
 		b.core(fmt.Sprint("core-", i), fmt.Sprint("c", i), fmt.Sprint("zone-", i), "c1", "c2", "c3")
 	}
@@ -44,53 +44,53 @@
 		b.store(fmt.Sprint("store-", i+1), fmt.Sprint("s", i+1), fmt.Sprint("zone-", i+1))
 	}
 	b.await(t, "shards are assigned", func() bool {
-		return b.primary() != nil && len(b.primary().State().Shards) > 0 && len(b.shortOf(1)) == 0
+		return b.primary() != nil && len(b.primary().State().Shards) > 0 && len(b.underReplicated(1)) == 0
 	})
 	return b
 }
 
-// All stores are killed and come back with their disks: every shard is whole again, as
+// All stores are killed and come back with their disks: every shard is complete again, as
 // far as there are stores, also where there are fewer stores than copies.
 func TestAllStoresRestart(t *testing.T) {
 	for _, shape := range []struct{ tolerance, stores int }{{1, 2}, {1, 3}, {2, 3}, {2, 5}, {3, 3}} {
-		b := storesOf(t, shape.tolerance, shape.stores)
+		b := clusterWithStores(t, shape.tolerance, shape.stores)
 		for _, s := range b.stores {
 			s.restart()
 		}
-		b.pass(100 * clock.Millisecond) // the new lives are heard
-		took := b.await(t, fmt.Sprintf("%+v: every shard is whole", shape), func() bool {
-			return len(b.shortOf(min(shape.tolerance+1, shape.stores))) == 0
+		b.advance(100 * clock.Millisecond) // the new lives are heard
+		took := b.await(t, fmt.Sprintf("%+v: every shard is complete", shape), func() bool {
+			return len(b.underReplicated(min(shape.tolerance+1, shape.stores))) == 0
 		})
 		if took > 4*clock.Second {
-			t.Errorf("%+v: whole after %d us", shape, took)
+			t.Errorf("%+v: complete after %d us", shape, took)
 		}
 	}
 }
 
 // Two of four stores are lost at once, where two may be: each shard goes on with the two
-// that live, and is whole again with the successors.
+// that live, and is complete again with their successors.
 func TestAsManyStoresAsToleratedAreLost(t *testing.T) {
 	for _, stores := range []int{4, 5} {
-		b := storesOf(t, 2, stores)
+		b := clusterWithStores(t, 2, stores)
 		for shard, assignment := range b.primary().State().Shards {
 			if len(assignment.Members()) != 3 {
 				t.Fatalf("shard %d has %d copies", shard, len(assignment.Members()))
 			}
 		}
-		b.stores[0].silent, b.stores[1].silent = true, true
-		b.await(t, "every shard goes on without the two", func() bool { return len(b.shortOf(2)) == 0 })
+		b.stores[0].unreachable, b.stores[1].unreachable = true, true
+		b.await(t, "every shard goes on without the two", func() bool { return len(b.underReplicated(2)) == 0 })
 		b.store("store-8", "s8", "zone-8")
 		b.store("store-9", "s9", "zone-9")
-		b.await(t, "every shard has three copies again", func() bool { return len(b.shortOf(3)) == 0 })
+		b.await(t, "every shard has three copies again", func() bool { return len(b.underReplicated(3)) == 0 })
 	}
 }
 
 // One of two copies is never given up for want of another store: a single store does not
 // confirm alone where one may be lost.
 func TestASingleStoreDoesNotGoOnAlone(t *testing.T) {
-	b := storesOf(t, 1, 2)
-	b.stores[0].silent = true
-	b.pass(20 * clock.Second)
+	b := clusterWithStores(t, 1, 2)
+	b.stores[0].unreachable = true
+	b.advance(20 * clock.Second)
 	for shard, assignment := range b.primary().State().Shards {
 		if assignment.Complete && len(assignment.Members()) < 2 {
 			t.Fatalf("shard %d goes on with one copy", shard)
@@ -102,41 +102,41 @@
 // and others may be lost right after it is done.
 func TestARetiringStoreAnswersForItsCopies(t *testing.T) {
 	for _, shape := range []struct{ tolerance, stores int }{{1, 3}, {2, 4}} {
-		b := storesOf(t, shape.tolerance, shape.stores)
+		b := clusterWithStores(t, shape.tolerance, shape.stores)
 		for _, s := range b.stores {
-			s.copies = false // no copy becomes whole
+			s.reportsComplete = false // no copy becomes whole
 		}
 		if _, err := b.retire(t, RetireRequest{ID: "store-1"}); err != nil {
 			t.Fatal(err)
 		}
-		b.pass(5 * clock.Second)
+		b.advance(5 * clock.Second)
 		for shard, assignment := range b.primary().State().Shards {
 			if !assignment.Complete && slices.Contains(assignment.Trusted, "store-1") && !assignment.MustKeep("store-1") {
-				t.Fatalf("%+v: shard %d lets the leaving store forget its copy", shape, shard)
+				t.Fatalf("%+v: shard %d lets the retiring store forget its copy", shape, shard)
 			}
 		}
 		if acknowledgement, err := b.retire(t, RetireRequest{ID: "store-1", ReadOnly: true}); err != nil || acknowledgement.Done {
 			t.Fatalf("%+v: done before other stores hold its copies: %+v %v", shape, acknowledgement, err)
 		}
 		for _, s := range b.stores {
-			s.copies = true
+			s.reportsComplete = true
 		}
 		b.await(t, "the store is done", func() bool {
 			acknowledgement, err := b.retire(t, RetireRequest{ID: "store-1", ReadOnly: true})
 			return err == nil && acknowledgement.Done
 		})
-		if short := b.shortOf(shape.tolerance + 1); len(short) > 0 {
+		if short := b.underReplicated(shape.tolerance + 1); len(short) > 0 {
 			t.Fatalf("%+v: done, and shards %v lack copies", shape, short)
 		}
 	}
 }
 
-// Too few stores would remain: the order is refused and changes nothing.
+// Too few stores would remain: the request is refused and changes nothing.
 func TestARetirementThatLeavesTooFewIsRefused(t *testing.T) {
 	for _, shape := range []struct{ tolerance, stores int }{{1, 2}, {2, 3}, {3, 3}} {
-		b := storesOf(t, shape.tolerance, shape.stores)
+		b := clusterWithStores(t, shape.tolerance, shape.stores)
 		if _, err := b.retire(t, RetireRequest{ID: "store-1"}); err == nil {
-			t.Errorf("%+v: taken", shape)
+			t.Errorf("%+v: accepted", shape)
 		}
 		if b.primary().State().Stores["store-1"].Retiring {
 			t.Errorf("%+v: refused and still marked", shape)
--- a/internal/controlplane/state/requests.go
+++ b/internal/controlplane/state/requests.go
@@ -11,9 +11,9 @@
 	"github.com/pkg/errors"
 )
 
-// MaxRequests is how many of the newest configuration orders are recognised when
-// they are sent again. An older one is neither taken nor refused: its outcome is
-// left unclear.
+// MaxRequests is how many of the newest requests to put a configuration are recognised when
+// they are sent again. An older one is neither applied nor refused: its outcome is
+// unknown.
 const MaxRequests = 1024
 
 // DigestSize is the length of a document's digest in bytes.
@@ -35,7 +35,7 @@
 	return Digest(sum[:DigestSize]), nil
 }
 
-// AppliedRequest is the identity of a configuration that was taken: its number, the version
+// AppliedRequest is the identity of a configuration that was applied: its number, the version
 // it was built on and the digest of its document.
 type AppliedRequest struct {
 	Number uint64 `json:"version"`
@@ -43,24 +43,24 @@
 	Digest Digest `json:"-"`
 }
 
-// RequestTable recognises the configurations that were taken, after their documents
-// are gone. Numbers rise from entry to entry; the oldest give way.
+// RequestTable recognises the configurations that were applied, after their documents
+// were dropped. Numbers rise from entry to entry; the oldest entries are dropped.
 type RequestTable struct {
 	entries       []AppliedRequest
 	forgottenUpTo uint64
 }
 
-// Len is the number of orders in the table.
+// Len is the number of requests in the table.
 func (t *RequestTable) Len() int { return len(t.entries) }
 
-// All lists the orders by rising number.
+// All lists the requests by rising number.
 func (t *RequestTable) All() []AppliedRequest { return append([]AppliedRequest(nil), t.entries...) }
 
-// ForgottenUpTo is the highest number that gave way; whether an order up to it was
-// taken is no longer known.
+// ForgottenUpTo is the highest number that was dropped; whether a request up to it was
+// applied is no longer known.
 func (t *RequestTable) ForgottenUpTo() uint64 { return t.forgottenUpTo }
 
-// Find looks an order up by its number.
+// Find looks a request up by its number.
 func (t *RequestTable) Find(number uint64) (AppliedRequest, bool) {
 	at := sort.Search(len(t.entries), func(i int) bool { return t.entries[i].Number >= number })
 	if at == len(t.entries) || t.entries[at].Number != number {
@@ -69,7 +69,7 @@
 	return t.entries[at], true
 }
 
-// BuiltOn looks up the order that was taken on top of a version.
+// BuiltOn looks up the request that was applied on top of a version.
 func (t *RequestTable) BuiltOn(base uint64) (AppliedRequest, bool) {
 	at := sort.Search(len(t.entries), func(i int) bool { return t.entries[i].Base >= base })
 	if at == len(t.entries) || t.entries[at].Base != base {
@@ -78,7 +78,7 @@
 	return t.entries[at], true
 }
 
-// add appends an order whose number is above all others.
+// add appends a request whose number is above all others.
 func (t *RequestTable) add(request AppliedRequest) {
 	if len(t.entries) >= MaxRequests {
 		t.forgottenUpTo = t.entries[0].Number
@@ -88,7 +88,7 @@
 	t.entries = append(t.entries, request)
 }
 
-// requestTableDocument is the table in a snapshot. Each order is its number's
+// requestTableDocument is the table in a snapshot. Each request is its number's
 // distance from the one before, its base's distance from its number, both as
 // variable-length integers, and its digest.
 type requestTableDocument struct {
@@ -113,7 +113,7 @@
 func (t *RequestTable) UnmarshalJSON(data []byte) error {
 	var document requestTableDocument
 	if err := json.Unmarshal(data, &document); err != nil {
-		return errors.Wrap(err, "reading the table of orders")
+		return errors.Wrap(err, "reading the table of requests")
 	}
 	fresh := RequestTable{forgottenUpTo: document.Forgotten}
 	reader := bytes.NewReader(document.Packed)
@@ -121,7 +121,7 @@
 	for reader.Len() > 0 {
 		request, err := readRequest(reader, last)
 		if err != nil {
-			return errors.Wrapf(err, "order %d of the table is cut short", len(fresh.entries))
+			return errors.Wrapf(err, "request %d of the table is cut short", len(fresh.entries))
 		}
 		fresh.entries = append(fresh.entries, request)
 		last = request.Number
--- /dev/null
+++ b/internal/controlplane/state/shards.go
@@ -0,0 +1,36 @@
+package state
+
+import "tuliprudder/internal/replication"
+
+// Apply writes the assignments down; an epoch never goes back.
+func (e AssignShards) Apply(s *State) {
+	shards := append([]replication.Assignment(nil), s.Shards...)
+	for shard, assignment := range e.Shards {
+		if shard >= 0 && shard < len(shards) && assignment.Epoch >= shards[shard].Epoch {
+			shards[shard] = assignment
+		}
+	}
+	s.Shards = shards
+	s.forgetDepartedStores()
+}
+
+// refersTo tells whether a shard's assignment names a store.
+func (s *State) refersTo(id string) bool {
+	for _, assignment := range s.Shards {
+		if assignment.MustKeep(id) || assignment.IsTrusted(id) {
+			return true
+		}
+	}
+	return false
+}
+
+// DependentShards counts the shards that still need a store.
+func (s *State) DependentShards(id string) int {
+	count := 0
+	for _, assignment := range s.Shards {
+		if assignment.MustKeep(id) {
+			count++
+		}
+	}
+	return count
+}
--- a/internal/controlplane/state/snapshot.go
+++ b/internal/controlplane/state/snapshot.go
@@ -9,7 +9,7 @@
 	"tuliprudder/internal/errs"
 )
 
-// A snapshot is a mark that names its form (snapshotMagic), a checksum and the state in
+// A snapshot is a header that names its format (snapshotMagic), a checksum and the state in
 // JSON. The release before wrote the JSON alone.
 const (
 	snapshotHeader  = len(snapshotMagic) + crc32.Size
@@ -18,7 +18,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Snapshot writes the whole state down, in parts of a bounded size.
+// Snapshot is the whole state, in parts of a bounded size.
 func (s *State) Snapshot() [][]byte {
 	body, _ := json.Marshal(s)
 	data := make([]byte, 0, snapshotHeader+len(body))
@@ -47,8 +47,8 @@
 	if len(data) < snapshotHeader || string(data[:len(snapshotFamily)]) != snapshotFamily {
 		return nil, errs.New(errs.Corrupt, damagedStateRemedy, "this is no snapshot of the control state")
 	}
-	if mark := string(data[:len(snapshotMagic)]); mark != snapshotMagic {
-		return nil, errs.New(errs.WrongFolder, "run the release that wrote it, or its neighbour", "the control state is of form %q, this release reads %s", mark, snapshotMagic)
+	if magic := string(data[:len(snapshotMagic)]); magic != snapshotMagic {
+		return nil, errs.New(errs.WrongFolder, "run the release that wrote it, or its neighbour", "the control state is of format %q, this release reads %s", magic, snapshotMagic)
 	}
 	body := data[snapshotHeader:]
 	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(data[len(snapshotMagic):]) {
@@ -63,7 +63,7 @@
 const damagedStateRemedy = "move the whole data folder away and start empty: the other cores copy the state back"
 
 // restoreFirstFormat reads what the release before wrote: all configurations with
-// their documents, and no table of orders.
+// their documents, and no table of requests.
 func restoreFirstFormat(fresh *State, data []byte) (*State, error) {
 	if err := json.Unmarshal(data, fresh); err != nil {
 		return nil, errs.New(errs.Corrupt, damagedStateRemedy, "the control state of the release before can't be read: %v", err)
--- a/internal/controlplane/state/snapshot_test.go
+++ b/internal/controlplane/state/snapshot_test.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// Damage anywhere in a snapshot is found, and told with a remedy; another release's
-// form is told apart from damage.
-func TestADamagedSnapshotIsToldApart(t *testing.T) {
+// Damage anywhere in a snapshot is found, and reported with a remedy; another release's
+// form is not taken for damage.
+func TestADamagedSnapshotIsAnError(t *testing.T) {
 	whole := bytes.Join(configured(t, 3).Snapshot(), nil)
 	for at := range whole {
 		spoilt := bytes.Clone(whole)
@@ -81,7 +81,7 @@
 }
 
 // What the release before wrote is read: every configuration is recognised, the
-// newest read back, and stores and shards stand as they were.
+// newest read back, and stores and shards are as they were.
 func TestTheReleaseBeforesStateIsRead(t *testing.T) {
 	data, err := os.ReadFile("testdata/release-before.json")
 	if err != nil {
@@ -106,12 +106,12 @@
 	for shard, members := range [][]string{{"a", "b"}, {"b", "a", "c"}} {
 		for _, id := range members {
 			if !s.Shards[shard].MustKeep(id) {
-				t.Errorf("slot %d: %s no longer holds it", shard, id)
+				t.Errorf("shard %d: %s no longer holds it", shard, id)
 			}
 		}
 	}
 	if !s.Shards[0].Complete || s.Shards[0].Epoch != 3 || s.Shards[1].Complete || !s.Shards[1].IsTrusted("c") {
-		t.Errorf("slots %+v", s.Shards)
+		t.Errorf("shards %+v", s.Shards)
 	}
 	put(t, s, 39, `{}`)
 	if request, _ := s.Requests.Find(39); request.Base != 36 {
@@ -120,11 +120,11 @@
 }
 
 // Documents are kept by number and by size, and the newest two whatever their size;
-// orders by number.
+// requests by number.
 func TestTheStateIsBounded(t *testing.T) {
 	s := configured(t, MaxRequests+50)
 	if len(s.Versions) != maxDocuments || s.Requests.Len() != MaxRequests || s.Requests.ForgottenUpTo() != 100 {
-		t.Errorf("%d documents, %d orders, %d forgotten", len(s.Versions), s.Requests.Len(), s.Requests.ForgottenUpTo())
+		t.Errorf("%d documents, %d requests, %d forgotten", len(s.Versions), s.Requests.Len(), s.Requests.ForgottenUpTo())
 	}
 	large := fmt.Sprintf(`{"text":"%s"}`, bytes.Repeat([]byte("x"), maxDocumentBytes))
 	latest, _ := s.Latest()
@@ -145,7 +145,7 @@
 	put(t, s, 6, `{"other":1}`)
 	put(t, s, 5, `{"other":1}`)
 	if latest, _ := s.Latest(); latest.Number != 6 || string(latest.Body) == `{"other":1}` || s.Requests.Len() != 3 {
-		t.Errorf("the newest is %d %s, %d orders", latest.Number, latest.Body, s.Requests.Len())
+		t.Errorf("the newest is %d %s, %d requests", latest.Number, latest.Body, s.Requests.Len())
 	}
 }
 
@@ -168,9 +168,9 @@
 	}
 }
 
-// What every daemon is told does not grow with the stores that are gone: the newest
+// What every daemon is sent does not grow with the stores that departed: the newest
 // of them stay, and those that a shard refers to; no writer id is given again.
-func TestStoresThatAreGoneLeaveTheState(t *testing.T) {
+func TestDepartedStoresAreForgotten(t *testing.T) {
 	s := New()
 	Bootstrap{Fleet: "f", Shards: 1}.Apply(s)
 	RegisterStore{Store{ID: "first", Peer: "p0"}}.Apply(s)
@@ -188,7 +188,7 @@
 	}
 	for _, id := range []string{"first", "second", "store-499", "store-498"} {
 		if _, ok := s.Stores[id]; !ok {
-			t.Errorf("%s left the state", id)
+			t.Errorf("%s is no longer in the state", id)
 		}
 	}
 	living := 0
@@ -198,7 +198,7 @@
 		}
 	}
 	if departed := len(s.Stores) - living; departed > maxDepartedStores+2 || departed < maxDepartedStores {
-		t.Errorf("%d stores that are gone are kept", departed)
+		t.Errorf("%d departed stores are kept", departed)
 	}
 	RegisterStore{Store{ID: "store-0", Peer: "p9"}}.Apply(s)
 	if back := s.Stores["store-0"]; back.Writer != 503 || s.NextWriter != 504 {
--- a/internal/controlplane/state/state_test.go
+++ b/internal/controlplane/state/state_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// The operator's name means the newest store that has it and is not struck; no name
+// The operator's name means the newest store that has it and is not evicted; no name
 // means none.
 func TestTheNewestStoreOfAName(t *testing.T) {
 	s := New()
 	for _, store := range []Store{{ID: "c", Peer: "1", Name: "m"}, {ID: "b", Peer: "2", Name: "m"}, {ID: "a", Peer: "3", Name: "m"}, {ID: "d", Peer: "4"}} {
 		RegisterStore{store}.Apply(s)
 	}
-	RegisterStore{Store{ID: "e", Peer: "3", Name: "other"}}.Apply(s) // at the address of a, which is struck
+	RegisterStore{Store{ID: "e", Peer: "3", Name: "other"}}.Apply(s) // at the address of a, which is evicted
 	for name, want := range map[string]string{"m": "b", "other": "e", "": "", "x": ""} {
 		if store, found := s.StoreNamed(name); store.ID != want || found != (want != "") {
 			t.Errorf("%q means %q, not %q", name, store.ID, want)
--- a/internal/controlplane/state/stored_names.go
+++ b/internal/controlplane/state/stored_names.go
@@ -17,7 +17,7 @@
 	kindRetire           = "retire"
 )
 
-// The mark that a snapshot begins with, and what the marks of all forms have in common.
+// What a snapshot begins with, and what the snapshots of all formats begin with.
 // These spellings are on disk; they never change.
 const (
 	snapshotMagic  = "TRS1"
--- a/internal/controlplane/state/versions.go
+++ b/internal/controlplane/state/versions.go
@@ -16,7 +16,7 @@
 	maxDocumentBytes = 128 << 10
 )
 
-// Version is one configuration as it was taken.
+// Version is one configuration as it was applied.
 type Version struct {
 	Number uint64          `json:"version"`
 	Base   uint64          `json:"base,omitempty"` // the version in force before it
@@ -51,7 +51,7 @@
 	Version Version `json:"Version"`
 }
 
-// Apply adds the version. One whose number is not above all others is passed over:
+// Apply adds the version. One whose number is not above all others is ignored:
 // a number is given to one document only.
 func (e PutConfiguration) Apply(s *State) {
 	latest, ok := s.Latest()
--- a/internal/controlplane/state_size_test.go
+++ b/internal/controlplane/state_size_test.go
@@ -22,7 +22,7 @@
 	writes   [][]machine.Record
 }
 
-func (b *bench) disk(peer string) *disk {
+func (b *testCluster) disk(peer string) *disk {
 	if b.disks[peer] == nil {
 		b.disks[peer] = &disk{}
 	}
@@ -84,7 +84,7 @@
 }
 
 func (f figures) String() string {
-	return fmt.Sprintf("%6d changes: copy %7d bytes in %d pieces, whole again after %.2f s; disk %8d bytes in %3d files, start %5.1f ms, heap %5d KB; map %d bytes",
+	return fmt.Sprintf("%6d changes: copy %7d bytes in %d chunks, complete again after %.2f s; disk %8d bytes in %3d files, start %5.1f ms, heap %5d KB; map %d bytes",
 		f.changes, f.copyBytes, f.copyChunks, float64(f.joinedAfter)/float64(clock.Second), f.diskBytes, f.diskFiles, float64(f.startedIn.Microseconds())/1000, f.heap/1024, f.mapBytes)
 }
 
@@ -92,13 +92,13 @@
 // replica that is lost, and starts a core from the primary's disk.
 func measure(t *testing.T, changes int) figures {
 	t.Helper()
-	b := newBench(small())
+	b := newTestCluster(smallSettings())
 	b.disks = map[string]*disk{}
-	found(t, b)
+	bootstrapWithStores(t, b)
 	primary := b.primary()
 	for n := 1; n <= changes; n++ {
-		b.acknowledged(t, primary, put(uint64(n), uint64(n-1), configuration(n)))
-		b.spreads, b.answers = nil, map[uint64]machine.Reply{}
+		b.mustAcknowledge(t, primary, putRequest(uint64(n), uint64(n-1), configuration(n)))
+		b.broadcasts, b.replies = nil, map[uint64]machine.Reply{}
 	}
 	out := figures{changes: changes}
 	written := b.disk(primary.self.Peer)
@@ -108,14 +108,14 @@
 }
 
 // join takes the replica's machine away and waits until another core is replica.
-func (b *bench) join(t *testing.T, primary *Core, out *figures) clock.Micros {
+func (b *testCluster) join(t *testing.T, primary *Core, out *figures) clock.Micros {
 	t.Helper()
 	for peer, core := range b.cores {
 		if core != primary && core.state.Configured() {
 			delete(b.cores, peer)
 		}
 	}
-	b.drop = func(l letter) bool {
+	b.drop = func(l envelope) bool {
 		if chunk, ok := l.body.(replication.SnapshotChunk); ok {
 			out.copyChunks++
 			for _, part := range chunk.Parts {
@@ -126,7 +126,7 @@
 	}
 	lost := b.now
 	for b.now < lost+20*clock.Second {
-		b.pass(50 * clock.Millisecond)
+		b.advance(50 * clock.Millisecond)
 		for _, core := range b.cores {
 			if core != primary && core.state.Configured() && primary.HoldsLease(b.now) {
 				return b.now - lost
@@ -137,7 +137,7 @@
 	return 0
 }
 
-// start writes a core's disk down and starts a core from it.
+// start writes a core's disk to files and starts a core from them.
 func (f *figures) start(t *testing.T, again start, of *Core, written *disk) {
 	t.Helper()
 	folder := t.TempDir()
@@ -195,7 +195,7 @@
 			t.Errorf("%d changes: a copy of %d bytes, more than %d", changes, f.copyBytes, limit)
 		}
 		if f.copyChunks > at1000.copyChunks || f.mapBytes > at1000.mapBytes+16 {
-			t.Errorf("%d changes: %d pieces, a map of %d bytes", changes, f.copyChunks, f.mapBytes)
+			t.Errorf("%d changes: %d chunks, a map of %d bytes", changes, f.copyChunks, f.mapBytes)
 		}
 		if limit := int64(at1000.copyBytes*2 + 2*compactAfterBytes); f.diskBytes > limit || f.diskFiles > Defaults().CompactAfter+1 {
 			t.Errorf("%d changes: %d bytes in %d files on disk, more than %d", changes, f.diskBytes, f.diskFiles, limit)
--- a/internal/controlplane/voters_test.go
+++ b/internal/controlplane/voters_test.go
@@ -10,41 +10,41 @@
 	"tuliprudder/internal/replication"
 )
 
-// fleetOf is a fleet of so many cores in zones by turns, founded by the first three.
-func fleetOf(t *testing.T, set Settings, cores int, zones ...string) *bench {
+// clusterOf is a fleet of so many cores in zones by turns, bootstrapped by the first three.
+func clusterOf(t *testing.T, settings Settings, cores int, zones ...string) *testCluster {
 	t.Helper()
-	b := newBench(set)
+	b := newTestCluster(settings)
 	seeds := []string{"c1", "c2", "c3"}[:min(cores, 3)]
-	b.set.Founders = len(seeds)
+	b.settings.Founders = len(seeds)
 	for i := range cores {
 		b.core(fmt.Sprint("core-", i+1), fmt.Sprint("c", i+1), zones[i%len(zones)], seeds...)
 	}
-	for i := range max(3, set.Tolerance+2) {
+	for i := range max(3, settings.Tolerance+2) {
 		b.store(fmt.Sprint("store-", i+1), fmt.Sprint("s", i+1), fmt.Sprint("zone-", i+1))
 	}
-	b.settle(t)
-	b.await(t, "every core has a vote", func() bool { return len(b.seats()) == cores })
-	b.settle(t)
+	b.awaitStable(t)
+	b.await(t, "every core has a vote", func() bool { return len(b.voters()) == cores })
+	b.awaitStable(t)
 	return b
 }
 
 // await lets time go by until something holds.
-func (b *bench) await(t *testing.T, what string, holds func() bool) clock.Micros {
+func (b *testCluster) await(t *testing.T, what string, holds func() bool) clock.Micros {
 	t.Helper()
 	began := b.now
 	for b.now < began+30*clock.Second {
 		if holds() {
 			return b.now - began
 		}
-		b.pass(50 * clock.Millisecond)
+		b.advance(50 * clock.Millisecond)
 	}
-	t.Fatalf("never: %s (voters %v)", what, b.seats())
+	t.Fatalf("never: %s (voters %v)", what, b.voters())
 	return 0
 }
 
 // leading is the core that is primary and holds its lease; nil when none does. Two are
 // a failure.
-func (b *bench) leading(t *testing.T) *Core {
+func (b *testCluster) leading(t *testing.T) *Core {
 	t.Helper()
 	var found *Core
 	for _, core := range b.cores {
@@ -60,10 +60,10 @@
 }
 
 // kill takes a core away for good.
-func (b *bench) kill(core *Core) { delete(b.cores, core.self.Peer) }
+func (b *testCluster) kill(core *Core) { delete(b.cores, core.self.Peer) }
 
 // member is the core at a place of the primary's group.
-func (b *bench) member(t *testing.T, at int) *Core {
+func (b *testCluster) member(t *testing.T, at int) *Core {
 	t.Helper()
 	ids := b.leading(t).Vote().Committed.IDs()
 	for _, core := range b.cores {
@@ -75,25 +75,25 @@
 	return nil
 }
 
-// cutApart keeps the messages between two sides, for as long as it is set.
-func cutApart(side ...*Core) func(l letter) bool {
+// cutApart drops the messages between two sides, for as long as it is set.
+func cutApart(side ...*Core) func(l envelope) bool {
 	within := func(peer string) bool {
 		return slices.ContainsFunc(side, func(core *Core) bool { return core.self.Peer == peer })
 	}
-	return func(l letter) bool { return within(l.from) != within(l.to) }
+	return func(l envelope) bool { return within(l.from) != within(l.to) }
 }
 
-// A fleet of any number of cores is founded once, whatever number is there at first:
+// A fleet of any number of cores is bootstrapped once, whatever number is there at first:
 // by those at the seeds; the others are given votes. Its group covers every majority.
 func TestAnyNumberOfCoresFoundOneFleet(t *testing.T) {
 	for cores, copies := range map[int]int{1: 1, 2: 2, 3: 2, 4: 2, 5: 3, 6: 3, 7: 4} {
-		b := fleetOf(t, small(), cores, "zone-1", "zone-2", "zone-3")
+		b := clusterOf(t, smallSettings(), cores, "zone-1", "zone-2", "zone-3")
 		fleets := map[string]bool{}
 		for _, core := range b.cores {
 			fleets[core.Vote().Fleet] = true
 		}
 		if len(fleets) != 1 {
-			t.Errorf("%d cores found %d fleets", cores, len(fleets))
+			t.Errorf("%d cores bootstrapped %d fleets", cores, len(fleets))
 		}
 		b.await(t, fmt.Sprint(cores, " cores keep ", copies, " copies"), func() bool {
 			lead := b.leading(t)
@@ -102,30 +102,30 @@
 	}
 }
 
-// Only a first start founds: empty cores that start later stand by, however many.
+// Only a first start bootstraps: empty cores that start later stand by, however many.
 func TestOnlyTheFirstStartFounds(t *testing.T) {
-	set := small()
-	set.Bootstrap = false
-	b := newBench(set)
+	settings := smallSettings()
+	settings.Bootstrap = false
+	b := newTestCluster(settings)
 	for i := 1; i <= 3; i++ {
 		b.core(fmt.Sprint("core-", i), fmt.Sprint("c", i), fmt.Sprint("zone-", i), "c1", "c2", "c3")
 	}
-	b.pass(20 * clock.Second)
+	b.advance(20 * clock.Second)
 	for _, core := range b.cores {
 		if !core.Vote().Committed.IsZero() || core.Vote().Fleet != "" {
-			t.Fatalf("%s founded %s", core.self.ID, core.Vote().Fleet)
+			t.Fatalf("%s bootstrapped %s", core.self.ID, core.Vote().Fleet)
 		}
 	}
 }
 
-// Three empty cores that hear each other before the seated ones do not found a second
-// fleet: the likely end of the grown Ghent site's trouble-1.
+// Three empty cores that hear each other before those with a vote do not bootstrap a second
+// fleet: what likely happened in the Ghent site's trouble-1.
 func TestEmptyCoresOfAFoundedFleetFoundNone(t *testing.T) {
-	set := small()
-	set.Tolerance = 2
-	b := fleetOf(t, set, 5, "zone-1", "zone-2", "zone-3")
+	settings := smallSettings()
+	settings.Tolerance = 2
+	b := clusterOf(t, settings, 5, "zone-1", "zone-2", "zone-3")
 	fleet := b.leading(t).Vote().Fleet
-	b.set.Bootstrap = false
+	b.settings.Bootstrap = false
 	kept := map[string]*Core{}
 	for _, peer := range []string{"c1", "c2", "c3"} {
 		kept[peer] = b.cores[peer]
@@ -133,7 +133,7 @@
 		b.core("empty-"+peer, peer, "zone-1", "c1", "c2", "c3")
 	}
 	b.drop = cutApart(b.cores["c1"], b.cores["c2"], b.cores["c3"])
-	b.pass(10 * clock.Second)
+	b.advance(10 * clock.Second)
 	for _, core := range b.cores {
 		if got := core.Vote().Fleet; got != "" && got != fleet {
 			t.Fatalf("%s is of a second fleet %s", core.self.ID, got)
@@ -145,7 +145,7 @@
 // zone, leaves them a group.
 func TestZonesAreAPreference(t *testing.T) {
 	for _, cutOnly := range []bool{true, false} {
-		b := fleetOf(t, small(), 3, "zone-1", "zone-1", "zone-2")
+		b := clusterOf(t, smallSettings(), 3, "zone-1", "zone-1", "zone-2")
 		lone := b.cores["c3"]
 		b.await(t, "the group is spread over both zones", func() bool {
 			lead := b.leading(t)
@@ -168,9 +168,9 @@
 // seconds, and it follows them afterwards.
 func TestACutOffPrimaryConfirmsAndReadsNothing(t *testing.T) {
 	for _, shape := range []struct{ cores, tolerance, with int }{{3, 1, 0}, {5, 2, 0}, {5, 2, 1}, {5, 1, 1}, {7, 1, 2}} {
-		set := small()
-		set.Tolerance = shape.tolerance
-		b := fleetOf(t, set, shape.cores, "zone-1", "zone-2", "zone-3")
+		settings := smallSettings()
+		settings.Tolerance = shape.tolerance
+		b := clusterOf(t, settings, shape.cores, "zone-1", "zone-2", "zone-3")
 		old := b.leading(t)
 		b.primaryAcknowledges(t, 1, 0)
 		side := []*Core{old}
@@ -178,30 +178,30 @@
 			side = append(side, b.member(t, at))
 		}
 		b.drop = cutApart(side...)
-		stale := b.ask(old, put(2, 1, `{"stale":true}`))
+		stale := b.call(old, putRequest(2, 1, `{"stale":true}`))
 		took := b.await(t, "the majority leads", func() bool { lead := b.leading(t); return lead != nil && lead != old })
 		if took > 3*clock.Second {
 			t.Errorf("%+v: the majority led after %d us", shape, took)
 		}
 		lead := b.leading(t)
-		call := b.ask(lead, put(3, 1, `{"a":3}`))
-		b.await(t, fmt.Sprintf("%+v: %s answers", shape, lead.self.ID), func() bool { _, notified := b.answers[call]; return notified })
-		if answer := b.told(t, call); answer.Err != nil {
+		call := b.call(lead, putRequest(3, 1, `{"a":3}`))
+		b.await(t, fmt.Sprintf("%+v: %s answers", shape, lead.self.ID), func() bool { _, notified := b.replies[call]; return notified })
+		if answer := b.reply(t, call); answer.Err != nil {
 			t.Fatalf("%+v: %v", shape, answer.Err)
 		}
 		for range 20 {
-			b.pass(clock.Second)
+			b.advance(clock.Second)
 			for _, core := range side {
-				if answer := b.told(t, b.ask(core, ConfigurationsRequest{Latest: true})); answer.Err == nil {
+				if answer := b.reply(t, b.call(core, ConfigurationsRequest{Latest: true})); answer.Err == nil {
 					t.Fatalf("%+v: %s read back %v while cut off", shape, core.self.ID, answer.Body)
 				}
 			}
 		}
-		if answer := b.told(t, stale); answer.Err == nil {
+		if answer := b.reply(t, stale); answer.Err == nil {
 			t.Fatalf("%+v: the cut off primary confirmed %v", shape, answer.Body)
 		}
 		b.drop = nil
-		b.pass(3 * clock.Second)
+		b.advance(3 * clock.Second)
 		for _, core := range b.cores {
 			if slices.Contains(lead.Vote().Committed.IDs(), core.self.ID) && latest(core) != 3 {
 				t.Errorf("%+v: %s holds version %d after the cut", shape, core.self.ID, latest(core))
@@ -216,29 +216,29 @@
 // A primary that is heard but hears nobody (a cut in one direction) gives way.
 func TestADeafPrimaryGivesWay(t *testing.T) {
 	for _, cores := range []int{3, 5} {
-		b := fleetOf(t, small(), cores, "zone-1", "zone-2", "zone-3")
+		b := clusterOf(t, smallSettings(), cores, "zone-1", "zone-2", "zone-3")
 		old := b.leading(t)
-		b.drop = func(l letter) bool { return l.to == old.self.Peer }
+		b.drop = func(l envelope) bool { return l.to == old.self.Peer }
 		if took := b.await(t, "another leads", func() bool { lead := b.leading(t); return lead != nil && lead != old }); took > 4*clock.Second {
 			t.Errorf("%d cores: another led after %d us", cores, took)
 		}
 	}
 }
 
-// A planned replacement: the new core has its vote before the old one has gone, so that
+// A planned replacement: the new core has its vote before the old one has stopped, so that
 // the next loss, right then, finds a majority.
 func TestALossRightAfterAPlannedReplacement(t *testing.T) {
-	set := small()
-	set.ReplaceSoonAfter = 2300 * clock.Millisecond
-	b := fleetOf(t, set, 3, "zone-1", "zone-2", "zone-3")
+	settings := smallSettings()
+	settings.ReplaceSoonAfter = 2300 * clock.Millisecond
+	b := clusterOf(t, settings, 3, "zone-1", "zone-2", "zone-3")
 	for round := range 3 {
-		leaver := b.member(t, round%2)
-		b.set.Bootstrap = false
-		b.core(fmt.Sprint("new-", round), fmt.Sprint("n", round), leaver.self.Zone, sortedKeys(b.cores)...)
-		b.pass(3 * clock.Second)
-		b.take(leaver.self.Peer, leaver.Do(Drain{}, b.now))
-		b.await(t, "nobody counts on the core that leaves", func() bool { return !leaver.IsNeeded(b.now) })
-		b.kill(leaver)
+		departing := b.member(t, round%2)
+		b.settings.Bootstrap = false
+		b.core(fmt.Sprint("new-", round), fmt.Sprint("n", round), departing.self.Zone, sortedKeys(b.cores)...)
+		b.advance(3 * clock.Second)
+		b.carryOut(departing.self.Peer, departing.Do(Drain{}, b.now))
+		b.await(t, "nobody depends on the core that drains", func() bool { return !departing.IsNeeded(b.now) })
+		b.kill(departing)
 		lost := b.leading(t)
 		if lost == nil {
 			t.Fatalf("round %d: nobody leads right after the planned replacement", round)
@@ -246,8 +246,8 @@
 		b.kill(lost)
 		b.await(t, "a majority leads after the next loss", func() bool { return b.leading(t) != nil })
 		b.core(fmt.Sprint("spare-", round), fmt.Sprint("p", round), lost.self.Zone, sortedKeys(b.cores)...)
-		b.await(t, "three have votes again", func() bool { return len(b.seats()) == 3 && !slices.Contains(b.seats(), lost.self.ID) })
-		b.settle(t)
+		b.await(t, "three have votes again", func() bool { return len(b.voters()) == 3 && !slices.Contains(b.voters(), lost.self.ID) })
+		b.awaitStable(t)
 	}
 }
 
@@ -257,10 +257,10 @@
 func TestALossRightAfterARepair(t *testing.T) {
 	const syncTime = 4600 * clock.Millisecond
 	for _, shape := range []struct{ cores, tolerance int }{{3, 1}, {5, 2}} {
-		set := small()
-		set.Tolerance, set.ReplaceSoonAfter = shape.tolerance, syncTime/2
-		b := fleetOf(t, set, shape.cores, "zone-1", "zone-2", "zone-3")
-		b.set.Bootstrap = false
+		settings := smallSettings()
+		settings.Tolerance, settings.ReplaceSoonAfter = shape.tolerance, syncTime/2
+		b := clusterOf(t, settings, shape.cores, "zone-1", "zone-2", "zone-3")
+		b.settings.Bootstrap = false
 		b.primaryAcknowledges(t, 1, 0)
 		for round := 1; round <= 6; round++ {
 			for at := range shape.tolerance {
@@ -269,7 +269,7 @@
 				b.core(fmt.Sprintf("new-%d-%d", round, at), fmt.Sprintf("n%d.%d", round, at), lost.self.Zone, sortedKeys(b.cores)...)
 				b.await(t, "somebody leads after the loss", func() bool { return b.leading(t) != nil })
 			}
-			b.pass(syncTime)
+			b.advance(syncTime)
 			if got := latest(b.leading(t)); got != uint64(round) {
 				t.Fatalf("%+v, round %d: version %d is in force", shape, round, got)
 			}
@@ -281,7 +281,7 @@
 // The voters change by majorities of both: a new set of voters that only its own
 // majority wrote down is no base for anybody, and the old ones go on without it.
 func TestVotersChangeByMajoritiesOfBoth(t *testing.T) {
-	b := fleetOf(t, small(), 3, "zone-1", "zone-2", "zone-3")
+	b := clusterOf(t, smallSettings(), 3, "zone-1", "zone-2", "zone-3")
 	lead, replica := b.leading(t), b.member(t, 1)
 	var third *Core
 	for _, core := range b.cores {
@@ -295,7 +295,7 @@
 	fresh := b.core("core-9", "c9", "zone-9", "c1", "c2", "c3")
 	parted := false
 	apart := cutApart(lead, fresh)
-	b.drop = func(l letter) bool {
+	b.drop = func(l envelope) bool {
 		if parted {
 			return apart(l)
 		}
@@ -305,7 +305,7 @@
 	}
 	b.await(t, "the new core writes its voters down", func() bool { return hasVote(fresh.Vote().Voters, "core-9") })
 	if b.leading(t) == lead && hasVote(lead.Vote().Voters, "core-9") {
-		t.Fatal("the primary leads under voters that the old ones have not written down")
+		t.Fatal("the primary leads under voters that the old ones have not committed")
 	}
 	// The old majority leads, and the other two don't, though they are one of the new voters.
 	b.await(t, "the old majority leads", func() bool {
@@ -313,7 +313,7 @@
 		return now != nil && now != lead && now != fresh
 	})
 	for range 100 {
-		b.pass(100 * clock.Millisecond)
+		b.advance(100 * clock.Millisecond)
 		if now := b.leading(t); now == lead || now == fresh {
 			t.Fatalf("%s leads with a minority of the old voters", now.self.ID)
 		}
@@ -321,10 +321,10 @@
 }
 
 // A core that lost its disk comes back under another identity: what its former one
-// granted and held counts for nothing, and it leads nobody before it was filled.
+// granted and held counts for nothing, and it leads nobody before it was sent the state.
 func TestAWipedCoreIsNobodyItWas(t *testing.T) {
-	b := fleetOf(t, small(), 3, "zone-1", "zone-2", "zone-3")
-	b.set.Bootstrap = false
+	b := clusterOf(t, smallSettings(), 3, "zone-1", "zone-2", "zone-3")
+	b.settings.Bootstrap = false
 	b.primaryAcknowledges(t, 1, 0)
 	wiped := b.member(t, 1)
 	b.kill(wiped)
@@ -335,22 +335,63 @@
 		t.Fatal("an empty core granted a term to voters that it is none of")
 	}
 	b.kill(b.leading(t))
-	b.pass(3 * clock.Second)
+	b.advance(3 * clock.Second)
 	if lead := b.leading(t); lead == again {
 		t.Fatal("an empty core leads")
 	}
 }
 
-// A core that leaves waits for others to take its duties over, and only where there are
-// any: the only one goes at once.
-func TestTheOnlyCoreLeavesAtOnce(t *testing.T) {
+// A core that drains waits for others to take its duties over, and only where there are
+// any: the only one stops at once.
+func TestTheOnlyCoreStopsAtOnce(t *testing.T) {
 	for cores, waits := range map[int]bool{1: false, 2: true, 3: true} {
-		b := fleetOf(t, small(), cores, "zone-1", "zone-2", "zone-3")
+		b := clusterOf(t, smallSettings(), cores, "zone-1", "zone-2", "zone-3")
 		lead := b.leading(t)
-		b.take(lead.self.Peer, lead.Do(Drain{}, b.now))
+		b.carryOut(lead.self.Peer, lead.Do(Drain{}, b.now))
 		if got := lead.IsNeeded(b.now); got != waits {
 			t.Errorf("%d cores: needed %v", cores, got)
 		}
-		b.await(t, "nobody counts on it", func() bool { return !lead.IsNeeded(b.now) })
+		b.await(t, "nobody depends on it", func() bool { return !lead.IsNeeded(b.now) })
+	}
+}
+
+// The vote of a core that is lost passes to an empty core sooner than to one that
+// had a vote; without the setting both wait equally long.
+func TestAnEmptyCoreIsGivenAVoteSooner(t *testing.T) {
+	for _, soon := range []clock.Micros{0, 2 * clock.Second, 60 * clock.Second} {
+		settings := smallSettings()
+		settings.ReplaceAfter, settings.ReplaceSoonAfter = 20*clock.Second, soon
+		b := bootstrappedCluster(t, settings)
+		b.advance(3 * clock.Second)
+		lose := func() (string, *Core) {
+			for _, peer := range sortedKeys(b.cores) {
+				if core := b.cores[peer]; core != b.primary() && !slices.Contains(b.primary().Vote().Committed.IDs(), core.self.ID) && hasVote(b.primary().Vote().Voters, core.self.ID) {
+					delete(b.cores, peer)
+					return core.self.ID, core
+				}
+			}
+			t.Fatal("no core to lose")
+			return "", nil
+		}
+		lost, old := lose()
+		b.core("core-9", "c9", "zone-9", "c1", "c2", "c3")
+		b.advance(5 * clock.Second)
+		given := !slices.Contains(b.voters(), lost) && slices.Contains(b.voters(), "core-9")
+		if given != (soon == 2*clock.Second) {
+			t.Errorf("soon %d: after 5 s the voters are %v", soon, b.voters())
+		}
+		b.advance(20 * clock.Second)
+		if !slices.Contains(b.voters(), "core-9") {
+			t.Errorf("soon %d: after 25 s the voters are %v", soon, b.voters())
+		}
+		// The old one is back without a vote at the moment when another is lost.
+		lose()
+		b.cores[old.self.Peer] = old
+		if b.advance(10 * clock.Second); slices.Contains(b.voters(), lost) {
+			t.Errorf("soon %d: one that had a vote has one again after 10 s", soon)
+		}
+		if b.advance(20 * clock.Second); !slices.Contains(b.voters(), lost) {
+			t.Errorf("soon %d: one that had a vote has none after 30 s: %v", soon, b.voters())
+		}
 	}
 }
