--- a/internal/dataplane/scheduler/assignment.go
+++ b/internal/dataplane/scheduler/assignment.go
@@ -8,11 +8,13 @@
 	"tuliprudder/internal/dataplane/scoring"
 )
 
-// Assignment is an order's hold on its chosen server.
+// Assignment is a request's place on its chosen server. Its holder ends it once, with
+// Release, Abandon or Rejected; whatever comes after that does nothing.
 type Assignment struct {
-	Server       endpoints.Server
-	Scores       []scoring.Score
-	AssignedAt   clock.Micros
+	Server     endpoints.Server
+	Scores     []scoring.Score // why this server was chosen
+	AssignedAt clock.Micros
+
 	isBatchItem  bool
 	promptTokens int64
 	prefillDone  bool
@@ -22,7 +24,31 @@
 	released     bool
 }
 
-// PrefillDone notes that the server has begun the order: its prompt is read.
+// assign counts a request in at its chosen server.
+func (sc *Scheduler) assign(r *Request, server *serverState, scores []scoring.Score, now clock.Micros) *Assignment {
+	sc.Assigned++
+	sc.retries.add()
+	sc.assignments.Record(now)
+	sc.prefixes.record(r, server.server.Name)
+	if r.IsBatchItem {
+		sc.runningBatchItems++
+	}
+	assignment := &Assignment{
+		Server:       server.server,
+		Scores:       scores,
+		AssignedAt:   now,
+		isBatchItem:  r.IsBatchItem,
+		promptTokens: r.PromptTokens,
+		interval:     &runInterval{startedAt: now},
+		scheduler:    sc,
+		server:       server,
+	}
+	server.add(assignment)
+	return assignment
+}
+
+// PrefillDone notes that the server has produced the first event: the prompt is
+// prefilled, and decoding has begun.
 func (a *Assignment) PrefillDone(now clock.Micros) {
 	if a.released || a.prefillDone {
 		return
@@ -34,67 +60,57 @@
 	a.endPrefill()
 }
 
-func (a *Assignment) endPrefill() {
-	if a.prefillDone {
+// Release ends the assignment and reports on the server. duration is how long the
+// request ran, 0 where that is unknown; succeeded is false where the server failed.
+func (a *Assignment) Release(duration clock.Micros, succeeded bool, now clock.Micros) {
+	if a.released {
 		return
 	}
-	a.prefillDone = true
-	a.scheduler.changed = true
-	a.server.prefillTokens -= a.promptTokens
-	if a.isBatchItem {
-		a.server.prefillingBatchItems--
+	a.free(now)
+	if succeeded {
+		a.server.recordSuccess(duration, now)
+		return
 	}
-	a.server.prefilling = slices.DeleteFunc(a.server.prefilling, func(one *Assignment) bool { return one == a })
+	a.server.recordFailure(a.scheduler.settings.ServerBackoff, now)
 }
 
-// Release lets the server go: took is how long the order ran (0: unknown), and
-// ok whether the server behaved.
-func (a *Assignment) Release(duration clock.Micros, ok bool, now clock.Micros) {
+// Abandon ends the assignment without a report on the server: the request ended for
+// reasons of its own, such as a caller that disconnected.
+func (a *Assignment) Abandon(now clock.Micros) {
 	if a.released {
 		return
 	}
+	a.free(now)
+}
+
+// Rejected ends the assignment because the server was full: it is given a backoff.
+func (a *Assignment) Rejected(now clock.Micros) {
+	a.server.backoffUntil = now + a.scheduler.settings.ServerBackoff
+	a.Release(0, true, now)
+}
+
+// free gives the place on the server back.
+func (a *Assignment) free(now clock.Micros) {
 	a.endPrefill()
 	a.released = true
-	a.server.ownRequests--
 	a.interval.endedAt = now
+	a.server.ownRequests--
 	if a.isBatchItem {
 		a.scheduler.runningBatchItems--
 		a.server.runningBatchItems--
 	}
-	if ok {
-		a.server.lastProgressAt = now
-	}
 	a.scheduler.changed = true
-	if ok {
-		a.server.consecutiveFailures = 0
-		if duration > 0 {
-			if a.server.latency == 0 {
-				a.server.latency = duration
-			}
-			a.server.latency += (duration - a.server.latency) / 8
-		}
-		return
-	}
-	a.server.consecutiveFailures++
-	a.server.backoffUntil = now + a.scheduler.settings.ServerBackoff*clock.Micros(min(a.server.consecutiveFailures, 8))
-	if a.server.consecutiveFailures >= 3 {
-		a.server.consecutiveFailures = 2 // after its rest it may be tried once
-	}
 }
 
-// Abandon lets the server go without a report on it: its order ended for reasons of its
-// own.
-func (a *Assignment) Abandon(now clock.Micros) {
-	if a.released {
+func (a *Assignment) endPrefill() {
+	if a.prefillDone {
 		return
 	}
-	lastProgressAt, failures := a.server.lastProgressAt, a.server.consecutiveFailures
-	a.Release(0, true, now)
-	a.server.lastProgressAt, a.server.consecutiveFailures = lastProgressAt, failures
-}
-
-// Rejected notes that the server was full: it rests a moment.
-func (a *Assignment) Rejected(now clock.Micros) {
-	a.server.backoffUntil = now + a.scheduler.settings.ServerBackoff
-	a.Release(0, true, now)
+	a.prefillDone = true
+	a.scheduler.changed = true
+	a.server.prefillTokens -= a.promptTokens
+	if a.isBatchItem {
+		a.server.prefillingBatchItems--
+	}
+	a.server.prefilling = slices.DeleteFunc(a.server.prefilling, func(other *Assignment) bool { return other == a })
 }
--- /dev/null
+++ b/internal/dataplane/scheduler/choose.go
@@ -0,0 +1,147 @@
+package scheduler
+
+import (
+	"slices"
+
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/config"
+	"tuliprudder/internal/dataplane/scoring"
+)
+
+// scoreTolerance is how far apart two sums of scores may be and still count as equal:
+// sums of the same scores in floating point.
+const scoreTolerance = 1e-9
+
+// selection is what is the same for all servers while one request looks for one.
+type selection struct {
+	request          *Request
+	now              clock.Micros
+	servers          []string     // names of those that are not removed, sorted
+	fastestLatency   clock.Micros // of all servers; 0: none is known
+	utilizationLimit float64
+	prefixServer     string // it ran the request's prefix last
+	requirements     scoring.Requirements
+	avoided          map[string]int // failures of this request, by server
+	rotationStart    int            // index in servers at which this daemon's rotation begins
+}
+
+// assignToBest assigns a request to the server with the highest sum of scores; the
+// seeded random source decides between equal ones. It returns nil where no server may
+// take the request now.
+func (sc *Scheduler) assignToBest(r *Request, now clock.Micros) *Assignment {
+	best, scores := sc.bestServers(sc.newSelection(r, now))
+	if len(best) == 0 {
+		return nil
+	}
+	chosen := best[sc.random.Intn(len(best))]
+	return sc.assign(r, sc.servers[chosen], scores, now)
+}
+
+func (sc *Scheduler) newSelection(r *Request, now clock.Micros) selection {
+	servers, fastest := sc.activeServers()
+	avoided := r.AvoidedServers
+	if r.IsBatchItem && len(avoided) > 0 && !sc.hasOtherServer(r, servers) {
+		// An accepted item rather retries where it failed than nowhere.
+		avoided = nil
+	}
+	return selection{
+		request:          r,
+		now:              now,
+		servers:          servers,
+		fastestLatency:   fastest,
+		utilizationLimit: sc.utilizationLimit(r, now),
+		prefixServer:     sc.prefixes.lastServer(r),
+		requirements:     scoring.Requirements{Model: r.Route.Model, Adapter: r.Route.Adapter, Weights: r.Route.Weights},
+		avoided:          avoided,
+		rotationStart:    int(sc.serverOffset * float64(len(servers))),
+	}
+}
+
+// bestServers are the servers with the highest sum of scores, in the order of their
+// names, and the scores of the first of them.
+func (sc *Scheduler) bestServers(s selection) (best []string, bestScores []scoring.Score) {
+	highest := -1.0 // below every sum
+	for i, name := range s.servers {
+		server := sc.servers[name]
+		if s.avoided[name] >= MaxFailuresPerServer || !sc.serves(s.request, server.server.Labels) {
+			continue
+		}
+		sum, scores, ok := scoring.Sum(sc.configuration.ScorerWeights, s.requirements, sc.candidate(s, server, i))
+		if !ok {
+			continue
+		}
+		if sum > highest+scoreTolerance {
+			highest, best, bestScores = sum, best[:0], scores
+		}
+		if sum >= highest-scoreTolerance {
+			best = append(best, name)
+		}
+	}
+	return best, bestScores
+}
+
+// candidate is what the scorers see of the server at an index of the selection.
+func (sc *Scheduler) candidate(s selection, server *serverState, index int) scoring.Candidate {
+	count := len(s.servers)
+	out := scoring.Candidate{
+		Name:             server.server.Name,
+		Labels:           server.server.Labels,
+		Slots:            server.server.Slots,
+		OwnRequests:      server.ownRequests,
+		OtherRequests:    server.otherRequests,
+		UtilizationLimit: s.utilizationLimit,
+		Draining:         server.server.Draining && !sc.Faults.IgnoreStaleness,
+		Healthy:          server.isHealthy(),
+		HasPrefix:        s.prefixServer == server.server.Name,
+		Latency:          server.latency,
+		FastestLatency:   s.fastestLatency,
+		BackoffUntil:     server.backoffUntil,
+		Now:              s.now,
+		PrefillTokens:    server.prefillTokens,
+		UnresponsiveFor:  server.unresponsiveFor(s.now),
+		Rotation:         float64((index-s.rotationStart+count)%count) / float64(count),
+	}
+	if s.request.IsBatchItem && s.request.Route.Forward != nil {
+		out.BatchUsage = &scoring.BatchUsage{
+			Share:      sc.batchShare,
+			Window:     server.batchWindow.capacity(),
+			Running:    server.runningBatchItems,
+			Prefilling: server.prefillingBatchItems,
+		}
+	}
+	return out
+}
+
+// activeServers are the names of the servers that are not removed, sorted, and the
+// latency of the fastest server; 0 where none is known.
+func (sc *Scheduler) activeServers() (names []string, fastest clock.Micros) {
+	names = make([]string, 0, len(sc.servers))
+	for name, s := range sc.servers {
+		if !s.server.Removed {
+			names = append(names, name)
+		}
+		if s.latency > 0 && (fastest == 0 || s.latency < fastest) {
+			fastest = s.latency
+		}
+	}
+	slices.Sort(names)
+	return names, fastest
+}
+
+// serves tells whether a server with these labels is in the request's pools.
+func (sc *Scheduler) serves(r *Request, labels config.Labels) bool {
+	if r.Pools != nil {
+		return sc.configuration.Selects(r.Pools, labels)
+	}
+	return sc.configuration.Serves(r.Route, labels)
+}
+
+// hasOtherServer tells whether there is a healthy server for a request besides those
+// that it avoids. One that is full or in backoff counts, for it will take requests again.
+func (sc *Scheduler) hasOtherServer(r *Request, names []string) bool {
+	return slices.ContainsFunc(names, func(name string) bool {
+		s := sc.servers[name]
+		isUsable := s.isHealthy() && !s.server.Draining
+		return isUsable && !r.excludes(name) && sc.serves(r, s.server.Labels)
+	})
+}
--- a/internal/dataplane/scheduler/congestion_window_test.go
+++ b/internal/dataplane/scheduler/congestion_window_test.go
@@ -6,8 +6,8 @@
 	"tuliprudder/internal/clock"
 )
 
-// The window opens while items begin at once, closes when they wait, once for each
-// congestion, and never closes altogether.
+// The window grows while items begin at once, shrinks when they are delayed, once for
+// each congestion, and never below one.
 func TestWindowFollowsTheDelay(t *testing.T) {
 	var w congestionWindow
 	now := clock.Second
@@ -17,18 +17,18 @@
 	}
 	open := w.capacity()
 	if open < 20 {
-		t.Fatalf("room for %d after 20 items that began at once", open)
+		t.Fatalf("%d may run after 20 items that began at once", open)
 	}
 	w.observeDelay(long, now)
 	w.observeDelay(long, now+1)
 	if got := w.capacity(); got != int(float64(open)*windowReductionFactor) {
-		t.Fatalf("room for %d after one congestion, from %d", got, open)
+		t.Fatalf("%d may run after one congestion, from %d", got, open)
 	}
 	for i := range 100 {
 		w.observeDelay(long, now+clock.Micros(i+1)*minReductionInterval)
 	}
 	if w.capacity() != 1 {
-		t.Fatalf("room for %d on a server that is full", w.capacity())
+		t.Fatalf("%d may run on a server that is full", w.capacity())
 	}
 	before := w.size
 	w.observeDelay(short, now+clock.Second)
--- /dev/null
+++ b/internal/dataplane/scheduler/levels.go
@@ -0,0 +1,76 @@
+package scheduler
+
+import (
+	"slices"
+
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/config"
+)
+
+// Each priority has two queue levels (docs/DESIGN.md section 11.1): its batch items, and
+// above them its live requests.
+func batchLevel(priority int64) int64 { return 2 * priority }
+
+func liveLevel(priority int64) int64 { return 2*priority + 1 }
+
+// queueLevel is the level of a request; a higher one goes first.
+func queueLevel(r *Request) int64 {
+	if r.IsBatchItem {
+		return batchLevel(r.Priority)
+	}
+	return liveLevel(r.Priority)
+}
+
+// levelTable lists the levels that a configuration's classes have, lowest first.
+type levelTable []int64
+
+func newLevelTable(configuration *config.Configuration) levelTable {
+	var out levelTable
+	for _, class := range configuration.Classes {
+		out = append(out, batchLevel(class.Priority), liveLevel(class.Priority))
+	}
+	slices.Sort(out)
+	return slices.Compact(out)
+}
+
+// index is a level's index in the table, or where it would be inserted.
+func (t levelTable) index(level int64) int {
+	at, _ := slices.BinarySearch(t, level)
+	return at
+}
+
+// position is how high a level is, from 0 for the lowest of the table to 1 for the
+// highest; 1 where there is nothing to compare it with.
+func (t levelTable) position(level int64) float64 {
+	n := len(t)
+	if n <= 1 {
+		return 1
+	}
+	return float64(min(t.index(level), n-1)) / float64(n-1)
+}
+
+// fromTop is 0 for the highest level, and one more for each level below it.
+func (t levelTable) fromTop(level int64) int { return max(0, len(t)-1-t.index(level)) }
+
+// ServerPriority is the priority that a server is given for a request: 0 for the
+// highest level, more for lower ones.
+func (sc *Scheduler) ServerPriority(r *Request) int { return sc.levels.fromTop(queueLevel(r)) }
+
+// utilizationLimit is the utilization, in requests per slot, up to which a request may
+// fill a server. The lower its level, the more it leaves for those above it, whichever
+// daemon has them.
+func (sc *Scheduler) utilizationLimit(r *Request, now clock.Micros) float64 {
+	lowest, highest := sc.settings.MinUtilizationLimit, sc.settings.MaxUtilizationLimit
+	limit := lowest + sc.levels.position(queueLevel(r))*(highest-lowest)
+	if sc.isStarving(r, now) {
+		return max(limit, 1)
+	}
+	return limit
+}
+
+// isStarving tells whether a batch item has waited so long that it may fill a server
+// completely. Only one at a time may, so that batches always progress without taking
+// the capacity of live requests.
+func (sc *Scheduler) isStarving(r *Request, now clock.Micros) bool {
+	return r.IsBatchItem && sc.runningBatchItems == 0 && now-r.queuedAt > sc.settings.StarvationTimeout
+}
--- a/internal/dataplane/scheduler/queue.go
+++ b/internal/dataplane/scheduler/queue.go
@@ -1,158 +1,131 @@
 package scheduler
 
 import (
+	"cmp"
 	"container/heap"
 	"container/list"
+	"maps"
 	"slices"
-	"sort"
 
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/config"
-	"tuliprudder/internal/errs"
 )
 
-// queued are the orders that wait, in the order they came.
-func (sc *Scheduler) queued() []*Request {
-	var out []*Request
-	for _, level := range sc.nonEmptyLevels() {
-		for _, queue := range sc.queuesAt(level) {
-			for e := queue.Front(); e != nil; e = e.Next() {
-				out = append(out, e.Value.(*Request))
-			}
-		}
-	}
-	sort.Slice(out, func(i, j int) bool { return out[i].seq < out[j].seq })
-	return out
-}
-
-// QueuedWeight is how much of a tenant's work waits here, by weight.
-func (sc *Scheduler) QueuedWeight(tenant string) int {
-	return sc.queuedWeights[tenant]
+// requestQueue holds the queued requests. Each is in the list of its level and route,
+// in the order of submission, and in byDeadline if it has a deadline; weights and
+// length count the same requests. Lists are kept by route because requests of one route
+// can run on the same servers: once the first finds none, the rest need not look.
+type requestQueue struct {
+	byLevel    map[int64]map[*config.Route]*list.List // no list is empty
+	byDeadline deadlineHeap
+	weights    map[string]int // queued weight by tenant; no entry is 0
+	length     int
+	lastSeq    uint64
 }
 
-// QueueLength is how many orders wait here in all.
-func (sc *Scheduler) QueueLength() int {
-	return sc.queuedCount
+func newRequestQueue() requestQueue {
+	return requestQueue{byLevel: map[int64]map[*config.Route]*list.List{}, weights: map[string]int{}}
 }
 
-// Submit puts an order into the queue; an error means it never will run.
-func (sc *Scheduler) Submit(r *Request, now clock.Micros) error {
-	if sc.closed {
-		return errs.NewWithRetry(errs.NotReady, clock.Second, "ask another daemon", "this daemon is draining")
-	}
-	if sc.queuedCount >= sc.settings.MaxQueued {
-		sc.Rejected++
-		return errs.NewWithRetry(errs.Busy, sc.RetryAfter(now), "come back after the time given", "the backlog is full")
-	}
-	if err := sc.applyConfiguration(r); err != nil {
-		return err
-	}
-	if r.queuedAt == 0 {
-		r.queuedAt = now
-	}
-	sc.seq++
-	r.seq = sc.seq
-	sc.enqueue(r)
-	return nil
+// submit puts a new request at the end of the queue.
+func (q *requestQueue) submit(r *Request) {
+	q.lastSeq++
+	r.seq = q.lastSeq
+	q.add(r)
 }
 
-func (sc *Scheduler) enqueue(r *Request) {
-	level := queueLevel(r)
-	if sc.queues[level] == nil {
-		sc.queues[level] = map[*config.Route]*list.List{}
-	}
-	queue := sc.queues[level][r.Route]
-	if queue == nil {
-		queue = list.New()
-		sc.queues[level][r.Route] = queue
-	}
-	r.queueElement = queue.PushBack(r)
-	r.started, r.removed = false, false
+// add puts a request at the end of the list of its level and route.
+func (q *requestQueue) add(r *Request) {
+	r.queueElement = q.listOf(r).PushBack(r)
+	r.started = false
+	r.removed = false
 	if r.Deadline > 0 {
-		heap.Push(&sc.byDeadline, r)
+		heap.Push(&q.byDeadline, r)
 	}
-	sc.queuedCount++
-	sc.queuedWeights[r.Tenant] += r.queueWeight()
-	sc.changed = true
+	q.length++
+	q.weights[r.Tenant] += r.queueWeight()
 }
 
-// RetryAfter is when the queue of now will have been worked off, by the pace of the
-// latest assignments, between half a second and half a minute.
-func (sc *Scheduler) RetryAfter(now clock.Micros) clock.Micros {
-	if len(sc.assignmentTimes) < 2 {
-		return 2 * clock.Second
-	}
-	pace := (now - sc.assignmentTimes[0]) / clock.Micros(len(sc.assignmentTimes))
-	return min(30*clock.Second, max(clock.Second/2, pace*clock.Micros(sc.queuedCount)))
-}
-
-// SpendRetry spends of the budget for further tries: one for every five orders that
-// were assigned, so that a fault of all servers does not multiply the load.
-func (sc *Scheduler) SpendRetry() bool {
-	if sc.retryBudget < 1 {
-		return false
+// listOf is the list of a request's level and route, made if there is none.
+func (q *requestQueue) listOf(r *Request) *list.List {
+	level := queueLevel(r)
+	if q.byLevel[level] == nil {
+		q.byLevel[level] = map[*config.Route]*list.List{}
 	}
-	sc.retryBudget--
-	return true
-}
-
-// Cancel takes an order out of the queue; false when it has started, has gone, or
-// never found room there.
-func (sc *Scheduler) Cancel(r *Request) bool {
-	if r.queueElement == nil || r.started || r.removed {
-		return false
+	out := q.byLevel[level][r.Route]
+	if out == nil {
+		out = list.New()
+		q.byLevel[level][r.Route] = out
 	}
-	sc.dequeue(r)
-	return true
+	return out
 }
 
-func (sc *Scheduler) dequeue(r *Request) {
+// remove takes a queued request out.
+func (q *requestQueue) remove(r *Request) {
 	level := queueLevel(r)
-	queue := sc.queues[level][r.Route]
-	queue.Remove(r.queueElement)
-	if queue.Len() == 0 {
-		delete(sc.queues[level], r.Route)
+	requests := q.byLevel[level][r.Route]
+	requests.Remove(r.queueElement)
+	if requests.Len() == 0 {
+		delete(q.byLevel[level], r.Route)
 	}
 	if r.Deadline > 0 {
-		heap.Remove(&sc.byDeadline, r.heapIndex)
+		heap.Remove(&q.byDeadline, r.heapIndex)
 	}
 	r.removed = true
-	sc.queuedCount--
-	if sc.queuedWeights[r.Tenant] -= r.queueWeight(); sc.queuedWeights[r.Tenant] <= 0 {
-		delete(sc.queuedWeights, r.Tenant)
+	q.length--
+	q.weights[r.Tenant] -= r.queueWeight()
+	if q.weights[r.Tenant] <= 0 {
+		delete(q.weights, r.Tenant)
 	}
 }
 
-// Close rejects new orders; what waits is dropped.
-func (sc *Scheduler) Close(now clock.Micros) {
-	sc.closed = true
-	dropped := sc.queued()
-	for _, r := range dropped {
-		sc.dequeue(r)
+// removeAll empties the queue and returns its requests in the order of submission.
+func (q *requestQueue) removeAll() []*Request {
+	out := q.inOrder()
+	for _, r := range out {
+		q.remove(r)
 	}
-	for _, r := range dropped {
-		r.Drop(errs.NewWithRetry(errs.NotReady, clock.Second, "ask another daemon", "this daemon is draining"), now)
+	return out
+}
+
+// removeLive takes out the live requests, in the order of submission.
+func (q *requestQueue) removeLive() []*Request {
+	out := slices.DeleteFunc(q.inOrder(), func(r *Request) bool { return r.IsBatchItem })
+	for _, r := range out {
+		q.remove(r)
 	}
+	return out
 }
 
-// dequeueLive takes the live orders out of a queue whose daemon does not hear most of
-// the fleet: elsewhere their tenants' quota is lent anew. Items of batches
-// were accepted, and wait on.
-func (sc *Scheduler) dequeueLive() []*Request {
+// removeExpired takes out the requests whose deadline has passed, the earliest first.
+func (q *requestQueue) removeExpired(now clock.Micros) []*Request {
 	var out []*Request
-	for _, r := range sc.queued() {
-		if !r.IsBatchItem {
-			sc.dequeue(r)
-			out = append(out, r)
+	for len(q.byDeadline) > 0 && now >= q.byDeadline[0].Deadline {
+		r := q.byDeadline[0]
+		q.remove(r)
+		out = append(out, r)
+	}
+	return out
+}
+
+// inOrder lists the queued requests in the order of submission.
+func (q *requestQueue) inOrder() []*Request {
+	out := make([]*Request, 0, q.length)
+	for _, routes := range q.byLevel {
+		for _, requests := range routes {
+			for e := requests.Front(); e != nil; e = e.Next() {
+				out = append(out, e.Value.(*Request))
+			}
 		}
 	}
+	slices.SortFunc(out, bySubmission)
 	return out
 }
 
-// nonEmptyLevels lists the levels that have orders, highest first.
-func (sc *Scheduler) nonEmptyLevels() []int64 {
-	out := make([]int64, 0, len(sc.queues))
-	for level, routes := range sc.queues {
+// nonEmptyLevels lists the levels that have requests, highest first.
+func (q *requestQueue) nonEmptyLevels() []int64 {
+	out := make([]int64, 0, len(q.byLevel))
+	for level, routes := range q.byLevel {
 		if len(routes) > 0 {
 			out = append(out, level)
 		}
@@ -162,38 +135,13 @@
 	return out
 }
 
-// queuesAt lists a level's backlogs, the one whose first order came first in front.
-func (sc *Scheduler) queuesAt(level int64) []*list.List {
-	out := make([]*list.List, 0, len(sc.queues[level]))
-	for _, queue := range sc.queues[level] {
-		out = append(out, queue)
-	}
-	sort.Slice(out, func(i, j int) bool {
-		return out[i].Front().Value.(*Request).seq < out[j].Front().Value.(*Request).seq
+// listsAt lists a level's lists, that with the oldest first request in front.
+func (q *requestQueue) listsAt(level int64) []*list.List {
+	out := slices.Collect(maps.Values(q.byLevel[level]))
+	slices.SortFunc(out, func(a, b *list.List) int {
+		return bySubmission(a.Front().Value.(*Request), b.Front().Value.(*Request))
 	})
 	return out
 }
 
-// deadlineHeap is the heap of orders that expire.
-type deadlineHeap []*Request
-
-func (e deadlineHeap) Len() int { return len(e) }
-
-func (e deadlineHeap) Less(i, j int) bool { return e[i].Deadline < e[j].Deadline }
-
-func (e deadlineHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i]; e[i].heapIndex, e[j].heapIndex = i, j }
-
-// Push and Pop are the heap's.
-func (e *deadlineHeap) Push(x any) {
-	r := x.(*Request)
-	r.heapIndex = len(*e)
-	*e = append(*e, r)
-}
-
-// Pop takes the last.
-func (e *deadlineHeap) Pop() any {
-	old := *e
-	last := old[len(old)-1]
-	*e = old[:len(old)-1]
-	return last
-}
+func bySubmission(a, b *Request) int { return cmp.Compare(a.seq, b.seq) }
--- a/internal/dataplane/scheduler/request.go
+++ b/internal/dataplane/scheduler/request.go
@@ -2,52 +2,59 @@
 
 import (
 	"container/list"
-	"hash/fnv"
 
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/config"
 )
 
-// Request is one piece of work that looks for a server.
+// Request is one piece of work that needs a server: a live request, or an item of a
+// batch. Its Priority, Route, IsBatchItem, Weight, Tenant and Deadline must not be
+// changed by the caller while it is queued: they are the queue's keys.
 type Request struct {
-	ID             string
-	Tenant         string
-	Route          *config.Route
-	Priority       int64
-	IsBatchItem    bool
-	Weight         int // what it counts for while it waits; 0 counts as 1
-	Prefix         string
-	PromptTokens   int64          // tokens that the server reads before it begins
-	Deadline       clock.Micros   // 0: none
-	AvoidedServers map[string]int // servers that rejected it
-	// Pools, where set, are those that serve this order instead of its route's.
+	ID          string
+	Tenant      string
+	Route       *config.Route
+	Priority    int64 // of the tenant's class; higher goes first
+	IsBatchItem bool
+	// Weight is what the request adds to its tenant's queued work; 0 counts as 1.
+	Weight int
+	// Prefix is the part of the prompt that it shares with other requests.
+	Prefix string
+	// PromptTokens is how many tokens the server prefills before the first token.
+	PromptTokens int64
+	Deadline     clock.Micros // 0: none
+	// AvoidedServers counts, by server, how often this request failed there. From
+	// MaxFailuresPerServer on the server isn't chosen for it.
+	AvoidedServers map[string]int
+	// Pools, where set, are those that serve this request instead of its route's.
 	Pools config.Selector
-	// MayStart is asked right before the start; false drops the order.
+	// MayStart, where set, is called right before the start; false drops the request.
 	MayStart func(now clock.Micros) bool
 	// Start is called with the chosen server.
 	Start func(assignment *Assignment, now clock.Micros)
-	// Drop ends an order that never started.
+	// Drop is called instead of Start when the request will never start.
 	Drop func(err error, now clock.Micros)
 
 	queuedAt     clock.Micros
-	seq          uint64
-	heapIndex    int
-	queueElement *list.Element
+	seq          uint64        // order of submission at this daemon
+	heapIndex    int           // in the deadlineHeap
+	queueElement *list.Element // in the queue of its level and route
 	started      bool
 	removed      bool
 }
 
+// MaxFailuresPerServer is how often one request may fail on a server before that
+// server is no longer chosen for it.
+const MaxFailuresPerServer = 3
+
 func (r *Request) queueWeight() int { return max(1, r.Weight) }
 
-func queueLevel(r *Request) int64 {
-	if r.IsBatchItem {
-		return 2 * r.Priority
-	}
-	return 2*r.Priority + 1
+// excludes tells whether the request has failed too often on a server.
+func (r *Request) excludes(server string) bool {
+	return r.AvoidedServers[server] >= MaxFailuresPerServer
 }
 
-func prefixKey(r *Request) uint64 {
-	h := fnv.New64a()
-	h.Write([]byte(r.Route.Model + "\x00" + r.Prefix))
-	return h.Sum64()
+// isQueued tells whether the request waits in a queue now.
+func (r *Request) isQueued() bool {
+	return r.queueElement != nil && !r.started && !r.removed
 }
