--- a/internal/daemon/admin/admin.go
+++ b/internal/daemon/admin/admin.go
@@ -22,6 +22,7 @@
 	"tuliprudder/internal/daemon/machines"
 	"tuliprudder/internal/dataplane/decisionlog"
 	"tuliprudder/internal/dataplane/endpoints"
+	"tuliprudder/internal/dataplane/quota"
 	"tuliprudder/internal/dataplane/reader"
 	"tuliprudder/internal/dataplane/scheduler"
 	"tuliprudder/internal/errs"
@@ -265,7 +266,7 @@
 	if a.Scheduling == nil {
 		return errs.New(errs.NotFound, "ask an edge or a store", "this daemon holds no shares")
 	}
-	var snapshot map[string]any
+	var snapshot quota.Snapshot
 	a.Loop.WithMachine(func(now clock.Micros) { snapshot = a.Scheduling.Quota.Snapshot(now) })
 	return httpserver.WriteJSON(w, http.StatusOK, snapshot)
 }
--- a/internal/daemon/machines/store.go
+++ b/internal/daemon/machines/store.go
@@ -78,7 +78,7 @@
 	case batchstore.RunItem:
 		if configuration := s.Scheduler.Configuration(); configuration != nil {
 			if limit := quotaLimit(configuration, w.Tenant, w.Route, w.Request != nil); limit > 0 {
-				s.Quota.TrackUsage(w.Tenant, limit, configuration.Version)
+				s.Quota.TrackUsage(quota.TenantQuota{Tenant: w.Tenant, Limit: limit, ConfigurationVersion: configuration.Version})
 			}
 		}
 		s.Runner.Submit(w, now)
@@ -186,7 +186,7 @@
 		return
 	}
 	s.recountQueued(now)
-	s.Quota.Reserve(request.Batch.Tenant, limit, configuration.Version, weight, now, func(release quota.Release, err error, now clock.Micros) {
+	s.Quota.Reserve(quota.TenantQuota{Tenant: request.Batch.Tenant, Limit: limit, ConfigurationVersion: configuration.Version}, weight, now, func(release quota.Release, err error, now clock.Micros) {
 		if err != nil {
 			s.reject(number, err)
 			return
@@ -240,7 +240,7 @@
 	for tenant := range s.queuedWeights {
 		if configuration != nil {
 			if limit := quotaLimit(configuration, tenant, tenant, true); limit > 0 {
-				s.Quota.TrackUsage(tenant, limit, configuration.Version)
+				s.Quota.TrackUsage(quota.TenantQuota{Tenant: tenant, Limit: limit, ConfigurationVersion: configuration.Version})
 			}
 		}
 	}
--- a/internal/dataplane/quota/quota.go
+++ b/internal/dataplane/quota/quota.go
@@ -1,8 +1,6 @@
 package quota
 
 import (
-	"sort"
-
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/controlplane/state"
 	"tuliprudder/internal/errs"
@@ -10,153 +8,120 @@
 	"tuliprudder/internal/membership"
 )
 
-// Quota is one daemon's side: its shares, and the accounts it holds. It is a
-// part of the daemon's machine.
-type Quota struct {
-	Self  string
-	Calls *machine.Calls
-	// Members is the directory as this daemon knows it.
-	Members func() []membership.Member
-	// QueuedItems is work that waits here without having been taken one by one
-	// (items of batches at a store).
-	QueuedItems func(tenant string) int
-	// ShardMap is the map of the stores as this daemon knows it; false before it knows
-	// any. Without it nobody can tell who else may hold work, and what this daemon
-	// holds is not known either. nil: there are no stores.
-	ShardMap func() (state.Map, bool)
-	// SkipRebuild is a fault planted by tests: a successor lends at once.
+// renewalInterval is how often a client renews its leases.
+const renewalInterval = LeaseDuration / 4
+
+// InjectedFaults switch single safeguards off. They are set by tests only, which check
+// that a run without the safeguard violates a guarantee.
+type InjectedFaults struct {
+	// SkipRebuild has a new owner grant before it knows what is in use.
 	SkipRebuild bool
-	// Unlimited is a fault planted by tests: whatever comes is let in.
-	Unlimited bool
+	// AdmitEverything has a client admit work without a lease.
+	AdmitEverything bool
+}
 
-	shares       map[string]*Share
-	lastRequests map[string]LeaseRequest // quota and configuration of each tenant, as last asked
-	accounts     map[string]*Account
-	latestQuotas map[string]LeaseRequest // at the holder: the newest configuration's quota
-	waiters      map[string][]*waiter
-	requesting   map[string]bool
-	rebuilds     map[string]*rebuildRound
-	knownStores  map[string]bool // stores that were known when an account was opened
-	nextRenewal  clock.Micros
-	// LeasesGranted and Refused count for the operators.
-	LeasesGranted, Rejected int64
+// TenantQuota is how much work of a tenant may be queued over all daemons.
+type TenantQuota struct {
+	Tenant string
+	// Limit is in weights: pieces of work, or tokens where requests are forwarded.
+	Limit int64
+	// ConfigurationVersion is the version of the configuration that the limit is from; an
+	// owner goes by the newest.
+	ConfigurationVersion uint64
 }
 
-// Release returns what was taken; a second time it does nothing.
+// Release returns what was reserved; a second call does nothing.
 type Release func(now clock.Micros)
 
-// New makes a quota.
-func New(self string, calls *machine.Calls, members func() []membership.Member, queuedItems func(string) int) *Quota {
-	return &Quota{Self: self, Calls: calls, Members: members, QueuedItems: queuedItems, shares: map[string]*Share{}, lastRequests: map[string]LeaseRequest{},
-		accounts: map[string]*Account{}, latestQuotas: map[string]LeaseRequest{}, waiters: map[string][]*waiter{}, requesting: map[string]bool{}, rebuilds: map[string]*rebuildRound{}, knownStores: map[string]bool{}}
+// Quota is one daemon's part: a client of the accounts of all tenants whose work it
+// queues, and the owner of some.
+type Quota struct {
+	// ShardMap is the cluster map as this daemon knows it; false before it knows any. A
+	// daemon without a map grants nothing, as it can't tell who else may have work, and
+	// doesn't report what it has in use. nil: there are no stores.
+	ShardMap func() (state.Map, bool)
+	// Rejected counts reservations that were refused, for the operators.
+	Rejected int64
+	// Faults are set by tests only.
+	Faults InjectedFaults
+
+	self        string
+	calls       *machine.Calls
+	members     func() []membership.Member // the directory as this daemon knows it
+	queuedItems func(tenant string) int    // weight that is queued here without a Reserve; may be nil
+	nextRenewal clock.Micros
+
+	clients map[string]*client // by tenant
+
+	accounts    map[string]*Account      // owned here, by tenant
+	quotas      map[string]TenantQuota   // newest known to the owner, by tenant
+	rebuilds    map[string]*rebuildRound // under way, by tenant
+	knownStores map[string]bool          // daemons that are or were stores, by id
 }
 
-// Call answers the quota's asks; false for any other.
+// New makes a daemon's quota. queuedItems is the weight of a tenant's work that is queued
+// here without having been reserved (batch items at a store); nil where there is none.
+func New(self string, calls *machine.Calls, members func() []membership.Member, queuedItems func(tenant string) int) *Quota {
+	return &Quota{
+		self:        self,
+		calls:       calls,
+		members:     members,
+		queuedItems: queuedItems,
+		clients:     map[string]*client{},
+		accounts:    map[string]*Account{},
+		quotas:      map[string]TenantQuota{},
+		rebuilds:    map[string]*rebuildRound{},
+		knownStores: map[string]bool{},
+	}
+}
+
+// Call answers a message of this package from another daemon; it returns false for any
+// other message.
 func (q *Quota) Call(number uint64, body any, now clock.Micros) bool {
 	switch request := body.(type) {
 	case LeaseRequest:
-		q.HandleLeaseRequest(request, now, func(reply LeaseResponse, _ clock.Micros) { q.Calls.Emit(machine.Reply{Call: number, Body: reply}) })
+		q.handleLeaseRequest(request, now, func(response LeaseResponse, _ clock.Micros) {
+			q.calls.Emit(machine.Reply{Call: number, Body: response})
+		})
 	case UsageRequest:
-		if !q.knowsShardMap() {
-			q.Calls.Emit(machine.Reply{Call: number, Err: errs.NewWithRetry(errs.NotReady, clock.Second, "ask again; the daemon has just started", "what is held here is not known yet")})
+		response, err := q.handleUsageRequest(request)
+		if err != nil {
+			q.calls.Emit(machine.Reply{Call: number, Err: err})
 			return true
 		}
-		q.Calls.Emit(machine.Reply{Call: number, Body: q.HandleUsageRequest(request)})
+		q.calls.Emit(machine.Reply{Call: number, Body: response})
 	default:
 		return false
 	}
 	return true
 }
 
-// Tick renews the shares when they are due.
+// Tick renews the leases when they are due, and forgets what nobody uses.
 func (q *Quota) Tick(now clock.Micros) {
 	if now < q.nextRenewal {
 		return
 	}
-	q.nextRenewal = now + LeaseDuration/4
-	// Every holder is told what is held here, and asked for no more. A request that
-	// is under way renews as well, and for more: it goes first.
-	for _, tenant := range sortedKeys(q.lastRequests) {
-		if !q.requesting[tenant] {
-			q.renewShare(tenant, now)
-		}
-	}
+	q.nextRenewal = now + renewalInterval
+	q.renewLeases(now)
 	q.releaseTransferred(now)
-	q.forgetIdle(now)
+	q.forgetIdleAccounts(now)
+	q.forgetUnusedShares(now)
 }
 
-func (q *Quota) renewShare(tenant string, now clock.Micros) {
-	last, s := q.lastRequests[tenant], q.share(tenant)
-	inUse := q.inUse(s, tenant)
-	if inUse == 0 && s.Granted == 0 {
-		delete(q.lastRequests, tenant)
-		return
+// handleUsageRequest answers a new owner: from here on the former one's lease counts
+// only as far as it is in use.
+func (q *Quota) handleUsageRequest(request UsageRequest) (UsageResponse, error) {
+	if !q.knowsShardMap() {
+		return UsageResponse{}, errUsageUnknown()
 	}
-	last.InUse, last.Wanted, last.Epoch = inUse, inUse, s.Epoch
-	if inUse == 0 {
-		s.Granted = 0
+	s := q.share(request.Tenant)
+	if !s.Fence(request.Epoch) {
+		return UsageResponse{Stale: true, Epoch: s.Epoch}, nil
 	}
-	q.sendLeaseRequest(last, now, func(reply LeaseResponse, err error, now clock.Micros) {
-		if err != nil {
-			// Who came meanwhile is not kept waiting for a second request.
-			q.admitWaiters(tenant, reply, err, now)
-			return
-		}
-		q.requestLease(tenant, now)
-	})
+	return UsageResponse{InUse: q.inUse(request.Tenant), Epoch: request.Epoch}, nil
 }
 
-// unusedShareTTL is how long a share that is not used is remembered after its end.
-const unusedShareTTL = 600 * clock.Second
-
-// forgetIdle drops accounts and shares that nobody has used for a while.
-func (q *Quota) forgetIdle(now clock.Micros) {
-	for _, tenant := range sortedKeys(q.accounts) {
-		if q.accounts[tenant].IsIdle(now) && q.rebuilds[tenant] == nil {
-			delete(q.accounts, tenant)
-			delete(q.latestQuotas, tenant)
-		}
-	}
-	for tenant, s := range q.shares {
-		unused := s.InUse == 0 && s.Granted == 0 && now >= s.ExpiresAt+unusedShareTTL
-		if unused && q.waiters[tenant] == nil && !q.requesting[tenant] {
-			delete(q.shares, tenant)
-		}
-	}
-}
-
-// Snapshot is what is held and lent here, for the operators.
-func (q *Quota) Snapshot(now clock.Micros) map[string]any {
-	shares, accounts := map[string]any{}, map[string]any{}
-	for tenant, s := range q.shares {
-		if inUse := q.inUse(s, tenant); inUse > 0 || s.Granted > 0 {
-			shares[tenant] = map[string]any{"held": inUse, "lent": s.Granted, "epoch": s.Epoch}
-		}
-	}
-	for tenant, a := range q.accounts {
-		accounts[tenant] = map[string]any{"epoch": a.Epoch, "lent": a.Granted(now), "allowance": q.latestQuotas[tenant].Quota, "missing": a.Unreported()}
-	}
-	return map[string]any{"shares": shares, "accounts": accounts}
-}
-
-// Totals counts what is held here and lent from here.
-func (q *Quota) Totals(now clock.Micros) (inUse, granted int64) {
-	for tenant, s := range q.shares {
-		inUse += int64(q.inUse(s, tenant))
-	}
-	for _, a := range q.accounts {
-		for _, count := range a.Granted(now) {
-			granted += int64(count)
-		}
-	}
-	return inUse, granted
-}
-
-func sortedKeys[V any](m map[string]V) []string {
-	out := make([]string, 0, len(m))
-	for key := range m {
-		out = append(out, key)
-	}
-	sort.Strings(out)
-	return out
+func errUsageUnknown() error {
+	return errs.NewWithRetry(errs.NotReady, clock.Second, "retry; the daemon has just started",
+		"this daemon has no cluster map yet, and doesn't know what it has in use")
 }
--- a/internal/dataplane/requests/live.go
+++ b/internal/dataplane/requests/live.go
@@ -44,7 +44,7 @@
 		return
 	}
 	m.inFlight[r.ID] = r
-	m.quota.Reserve(r.tenant.Name, r.class.Quota, r.configurationVersion, 1, now, func(release quota.Release, err error, now clock.Micros) {
+	m.quota.Reserve(quota.TenantQuota{Tenant: r.tenant.Name, Limit: r.class.Quota, ConfigurationVersion: r.configurationVersion}, 1, now, func(release quota.Release, err error, now clock.Micros) {
 		if err != nil {
 			m.finish(r, nil, err, now)
 			return
