--- /dev/null
+++ b/internal/config/configuration.go
@@ -0,0 +1,129 @@
+package config
+
+import (
+	"maps"
+
+	"tuliprudder/internal/clock"
+)
+
+// Configuration is a complete configuration. The document's field stands beside each of
+// the fields in parentheses, with its range and default where it has them.
+type Configuration struct {
+	Classes []PriorityClass // (classes) at least one, at most 64
+	Tenants []Tenant        // (customers) at most 10,000
+	Pools   []Pool          // (pools) at most 256
+	Routes  []Route         // (routes) at most 20,000
+	// ScorerWeights are the scorers' weights by name (judges), 0 to 1000 each; default:
+	// DefaultScorerWeights, and 0 for the others.
+	ScorerWeights map[string]float64
+	Limits        Limits // (bounds)
+	// DocumentVersion is the version that the document itself names; 0: it names none.
+	DocumentVersion uint64
+	// Version is the version that the configuration was confirmed under; 0 before that.
+	Version uint64
+
+	index index
+}
+
+// PriorityClass is what tenants pay for.
+type PriorityClass struct {
+	Name string // (name) unique
+	// Priority decides who goes first (rank): 1 to 1000, higher goes first.
+	Priority int64
+	// Quota is how much work of one tenant of this class may be queued (allowance), in
+	// live requests and batch items: 1 to 1,000,000.
+	Quota  int64
+	Labels Labels // (labels) for the routes' selectors
+}
+
+// Tenant is a customer, known by its key.
+type Tenant struct {
+	Name  string // (name) unique
+	Key   string // (key) unique, at most 256 bytes
+	Class string // (class) name of a PriorityClass
+}
+
+// Pool is a set of servers, chosen by their labels.
+type Pool struct {
+	Name    string   // (name) unique
+	Labels  Labels   // (labels) for the routes' selectors
+	Servers Selector // (servers) on the servers' labels
+	// MaxConnections is how many connections one of its servers accepts from all daemons
+	// together; 0: unlimited. The document of Parse has no field for it.
+	MaxConnections int64
+}
+
+// Route is a kind of request that callers may send.
+type Route struct {
+	Name    string   // (name) unique
+	Kind    string   // (kind) OneShot, Repeatable, Stream, Resumable or Batch
+	Labels  Labels   // (labels)
+	Classes Selector // (classes) on the labels of the classes that may use it
+	Pools   Selector // (pools) on the labels of the pools that serve it; nil where Forward.Split says so
+	Model   string   // (model) at most 128 bytes; required unless Forward is set
+	Adapter string   // (adapter) "" for none
+	Weights string   // (weights) that the server must have loaded; "" for any
+	Prefix  string   // (prefix) of every prompt, at most 64 KiB
+	// MaxTokens is how many tokens a response may have (max_tokens): 1 to 100,000;
+	// default 256.
+	MaxTokens int64
+	// Timeout is how long a request may take (expiry_us): 10 ms to 1 h; default 30 s.
+	Timeout clock.Micros
+	// MaxItems is how many items a batch may have (most_items): 1 to 10,000; default 1000.
+	MaxItems int64
+	// Forward is set where requests are forwarded unchanged (forward; docs/DESIGN.md
+	// section 12.1).
+	Forward *Forward
+}
+
+// Forward is the part of a route whose requests are matched by host and path and
+// forwarded to servers unchanged.
+type Forward struct {
+	Host       string // (host) lower case; required
+	PathPrefix string // (path_prefix) begins and ends with a slash; required
+	// MaxAttempts is how many servers one request, or attempts one batch item, may take
+	// (tries): 1 to 100; default 1.
+	MaxAttempts int64
+	// LatencyTarget is the time within which a response has its full value (aim_us): 1 ms
+	// to 24 h; 0, the default: none.
+	LatencyTarget clock.Micros
+	// MaxEventGap is the longest pause between two events of a stream that is in time
+	// (gap_us): 1 ms to 24 h; 0, the default: none.
+	MaxEventGap clock.Micros
+	// CompletionWindow is the time within which a batch's results are due (due_us): 1 ms
+	// to 365 days; 0, the default: none.
+	CompletionWindow clock.Micros
+	// ItemRetention is the time after which a batch item may be given up (keep_us): 1 ms
+	// to 365 days; 0, the default: never.
+	ItemRetention clock.Micros
+	// MaxQueuedTokens is how many tokens of batch items may be queued on the route
+	// (most_tokens): 0 to 2^53; 0, the default: unlimited.
+	MaxQueuedTokens int64
+	// Split, where set, says which pools serve the route instead of Route.Pools (split).
+	Split []WeightedPools
+}
+
+// WeightedPools is one part of a split route.
+type WeightedPools struct {
+	Pools  Selector // (pools) on the pools' labels
+	Weight int64    // (share) 0 to 1,000,000: its part of the requests among all weights
+}
+
+// Limits are what callers' requests may have; 0, the default of each, leaves the
+// daemon's own.
+type Limits struct {
+	MaxHeaderBytes int64        // (header_bytes) 1 KiB to 1 MiB
+	MaxBodyBytes   int64        // (body_bytes) 1 KiB to 256 MiB
+	HeaderTimeout  clock.Micros // (header_wait_us) 10 ms to 1 h
+	IdleTimeout    clock.Micros // (idle_wait_us) 10 ms to 1 h
+}
+
+var defaultScorerWeights = map[string]float64{
+	ScorerUtilization:    4,
+	ScorerPrefixAffinity: 6,
+	ScorerSpeed:          1,
+	ScorerSpread:         1,
+}
+
+// DefaultScorerWeights are the scorers' weights where a configuration names none.
+func DefaultScorerWeights() map[string]float64 { return maps.Clone(defaultScorerWeights) }
--- /dev/null
+++ b/internal/config/lookup.go
@@ -0,0 +1,131 @@
+package config
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+)
+
+// index has the look-ups of a configuration; its pointers are into the configuration's
+// slices.
+type index struct {
+	tenantsByKey    map[string]*Tenant
+	tenantsByName   map[string]*Tenant
+	classesByName   map[string]*PriorityClass
+	routesByName    map[string]*Route
+	forwardedByHost map[string][]*Route // forwarded routes, the longest path prefix first
+}
+
+// Index prepares a configuration that was put together by hand for look-ups. Its slices
+// must not be changed afterwards. Parse calls it.
+func (c *Configuration) Index() {
+	c.index = index{
+		tenantsByKey:    map[string]*Tenant{},
+		tenantsByName:   map[string]*Tenant{},
+		classesByName:   map[string]*PriorityClass{},
+		routesByName:    map[string]*Route{},
+		forwardedByHost: map[string][]*Route{},
+	}
+	for i := range c.Tenants {
+		tenant := &c.Tenants[i]
+		c.index.tenantsByKey[tenant.Key] = tenant
+		c.index.tenantsByName[tenant.Name] = tenant
+	}
+	for i := range c.Classes {
+		c.index.classesByName[c.Classes[i].Name] = &c.Classes[i]
+	}
+	for i := range c.Routes {
+		route := &c.Routes[i]
+		c.index.routesByName[route.Name] = route
+		if route.Forward != nil {
+			host := route.Forward.Host
+			c.index.forwardedByHost[host] = append(c.index.forwardedByHost[host], route)
+		}
+	}
+	for _, routes := range c.index.forwardedByHost {
+		slices.SortStableFunc(routes, func(a, b *Route) int {
+			return cmp.Compare(len(b.Forward.PathPrefix), len(a.Forward.PathPrefix))
+		})
+	}
+}
+
+// MatchRoute finds the forwarded route of a host with the longest path prefix that begins
+// the path; nil when there is none.
+func (c *Configuration) MatchRoute(host, path string) *Route {
+	for _, route := range c.index.forwardedByHost[host] {
+		if strings.HasPrefix(path, route.Forward.PathPrefix) {
+			return route
+		}
+	}
+	return nil
+}
+
+// TenantByKey finds a tenant and its class by the key that a caller sends.
+func (c *Configuration) TenantByKey(key string) (*Tenant, *PriorityClass, bool) {
+	tenant := c.index.tenantsByKey[key]
+	if tenant == nil {
+		return nil, nil, false
+	}
+	return tenant, c.index.classesByName[tenant.Class], true
+}
+
+// ClassOfTenant is the class of a tenant by name; nil when the configuration has none.
+func (c *Configuration) ClassOfTenant(tenant string) *PriorityClass {
+	found := c.index.tenantsByName[tenant]
+	if found == nil {
+		return nil
+	}
+	return c.index.classesByName[found.Class]
+}
+
+// Lookup finds a route and a tenant's class by their names; nil for what is not
+// configured.
+func (c *Configuration) Lookup(route, tenant string) (*Route, *PriorityClass) {
+	return c.index.routesByName[route], c.ClassOfTenant(tenant)
+}
+
+// Route finds a route by name.
+func (c *Configuration) Route(name string) (*Route, bool) {
+	route := c.index.routesByName[name]
+	return route, route != nil
+}
+
+// Serves tells whether a server with these labels serves the route.
+func (c *Configuration) Serves(route *Route, labels Labels) bool {
+	if route.Forward == nil || len(route.Forward.Split) == 0 {
+		return c.Selects(route.Pools, labels)
+	}
+	for _, part := range route.Forward.Split {
+		if part.Weight > 0 && c.Selects(part.Pools, labels) {
+			return true
+		}
+	}
+	return false
+}
+
+// Selects tells whether a server with these labels is in a pool that the selector
+// matches.
+func (c *Configuration) Selects(pools Selector, labels Labels) bool {
+	for i := range c.Pools {
+		if pools.Matches(c.Pools[i].Labels) && c.Pools[i].Servers.Matches(labels) {
+			return true
+		}
+	}
+	return false
+}
+
+// MaxConnections is how many connections a server with these labels accepts from all
+// daemons together: the least of its pools' limits; 0: unlimited.
+func (c *Configuration) MaxConnections(labels Labels) int64 {
+	least := int64(0)
+	for i := range c.Pools {
+		pool := &c.Pools[i]
+		if pool.MaxConnections == 0 || !pool.Servers.Matches(labels) {
+			continue
+		}
+		if least == 0 || pool.MaxConnections < least {
+			least = pool.MaxConnections
+		}
+	}
+	return least
+}
--- a/internal/config/config_test.go
+++ b/internal/config/routes_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"os"
 	"reflect"
 	"strings"
 	"testing"
@@ -10,46 +9,6 @@
 	"tuliprudder/internal/errs"
 )
 
-func TestTheDeploymentsConfigurations(t *testing.T) {
-	for _, name := range []string{"ghent", "nhac-pho"} {
-		data, err := os.ReadFile("../../deploy/" + name + ".plan.json")
-		if err != nil {
-			t.Fatal(err)
-		}
-		configuration, err := Parse(data)
-		if err != nil {
-			t.Fatalf("%s: %v %v", name, err, errs.Of(err).Faults)
-		}
-		kinds := map[string]int{}
-		for _, route := range configuration.Routes {
-			kinds[route.Kind]++
-		}
-		if len(configuration.Routes) != 3 || kinds[Batch] != 1 {
-			t.Fatalf("%s: kinds %v", name, kinds)
-		}
-	}
-}
-
-// Every fault of a configuration is reported with its path, all in one answer.
-func TestEveryFaultHasItsPath(t *testing.T) {
-	err := Validate([]byte(`{"classes":[{"name":"a","rank":0,"allowance":-3},{"name":"a","rank":1.5},{"name":"b c","rank":1,"allowance":1,"hue":2}],
-	 "customers":[{"name":"x","key":"k","class":"zz"},{"name":"y","key":"k","class":"a"}],
-	 "pools":[{"name":"p","labels":{"u":3}}],
-	 "routes":[{"name":"r","kind":"dance","classes":{"t":"none"},"pools":{"u":[]},"model":""}],
-	 "judges":{"mood":1,"speed":-1},"extra":true}`))
-	if !errs.Is(err, errs.InvalidConfiguration) {
-		t.Fatalf("told %v", err)
-	}
-	all := strings.Join(errs.Of(err).Faults, "\n")
-	for _, path := range []string{"$.classes[0].rank: is 0", "$.classes[0].allowance: is -3", "$.classes[1].name: class \"a\" is there twice", "$.classes[1].rank: must be a whole number",
-		"$.classes[1].allowance: is missing", "$.classes[2].name:", "$.classes[2].hue: unknown field", "$.customers[0].class: no class \"zz\"", "$.customers[1].key:", "$.pools[0].labels.u: must be a text",
-		"$.pools[0].servers: is missing", "$.routes[0].kind: \"dance\"", "$.routes[0].classes: matches no class", "$.routes[0].pools.u: is empty", "$.routes[0].model: is empty", "$.judges.mood: unknown field", "$.judges.speed:", "$.extra: unknown field"} {
-		if !strings.Contains(all, path) {
-			t.Errorf("no fault %q in:\n%s", path, all)
-		}
-	}
-}
-
 const forwardedDocument = `{"classes":[{"name":"a","rank":1,"allowance":1,"labels":{"t":"a"}}],
  "pools":[{"name":"p","labels":{"u":"1"},"servers":{"s":"1"}},{"name":"q","labels":{"u":"2"},"servers":{"s":"2"}},{"name":"z","labels":{"u":"3"},"servers":{"s":"3"}}],
  "bounds":%s,
@@ -59,7 +18,7 @@
 	return fmt.Sprintf(`{"name":%q,"classes":{},%s}`, name, fields)
 }
 
-// Routes that are passed on unchanged are read whole, and found by host and path.
+// Forwarded routes are read with all their fields, and found by host and path.
 func TestForwardedRoutesAreRead(t *testing.T) {
 	configuration, err := Parse([]byte(fmt.Sprintf(forwardedDocument, `{"header_bytes":16384,"body_bytes":1048576,"header_wait_us":5000000,"idle_wait_us":60000000}`, strings.Join([]string{
 		forwardedRoute("all", `"kind":"repeatable","pools":{"u":"1"},"forward":{"host":"a.example","path_prefix":"/"}`),
@@ -76,10 +35,10 @@
 		t.Errorf("read %+v", got)
 	}
 	if got := *configuration.Routes[0].Forward; got.MaxAttempts != 1 || got.LatencyTarget != 0 || configuration.Routes[0].Kind != Repeatable {
-		t.Errorf("left out: %+v", got)
+		t.Errorf("defaults: %+v", got)
 	}
 	if configuration.Limits != (Limits{16384, 1048576, 5_000_000, 60_000_000}) {
-		t.Errorf("bounds %+v", configuration.Limits)
+		t.Errorf("limits %+v", configuration.Limits)
 	}
 	for at, name := range map[[2]string]string{{"a.example", "/v1/x"}: "v1", {"a.example", "/v2"}: "all", {"b.example", "/v1/"}: "other", {"b.example", "/"}: "", {"c.example", "/"}: ""} {
 		if route := configuration.MatchRoute(at[0], at[1]); route == nil && name != "" || route != nil && route.Name != name {
@@ -99,7 +58,7 @@
 	}
 }
 
-// Each fault of a forwarded route and of the bounds is told with its path.
+// Each fault of a forwarded route and of the limits is reported with its path.
 func TestFaultsOfForwardedRoutes(t *testing.T) {
 	err := Validate([]byte(fmt.Sprintf(forwardedDocument, `{"header_bytes":1,"body_bytes":"x","colour":1}`, strings.Join([]string{
 		forwardedRoute("r0", `"kind":"stream","pools":{},"forward":{"host":"a","path_prefix":"/v1/"}`),
@@ -115,7 +74,7 @@
 		forwardedRoute("r10", `"kind":"repeatable","pools":{},"model":"m"`),
 	}, ","))))
 	if !errs.Is(err, errs.InvalidConfiguration) {
-		t.Fatalf("told %v", err)
+		t.Fatalf("reported %v", err)
 	}
 	faults := errs.Of(err).Faults
 	all := strings.Join(faults, "\n")
--- /dev/null
+++ b/internal/config/stored_names.go
@@ -0,0 +1,48 @@
+package config
+
+// These names stand in the operators' documents, which are kept on disk and sent between
+// daemons. Their spelling never changes.
+
+// Kinds of route, by what may be done with a request that may have run.
+const (
+	OneShot    = "one-shot"   // one response; runs at most once
+	Repeatable = "repeatable" // one response; may run again elsewhere. Forwarded routes only
+	Stream     = "stream"     // a stream of events; runs at most once
+	Resumable  = "resumable"  // a stream that may go on elsewhere from its text so far
+	Batch      = "bundle"     // batch items; each may run again elsewhere
+)
+
+// Names of the scorers that a configuration may weigh; package scoring says what each
+// one does.
+const (
+	ScorerUtilization    = "fullness"
+	ScorerPrefixAffinity = "prefix"
+	ScorerSpeed          = "speed"
+	ScorerSpread         = "spread"
+	ScorerPrefill        = "reading"
+	ScorerResponsiveness = "silence"
+	ScorerRotation       = "turn"
+)
+
+// ScorerNames are the scorers that a configuration may weigh.
+var ScorerNames = []string{
+	ScorerUtilization,
+	ScorerPrefixAffinity,
+	ScorerSpeed,
+	ScorerSpread,
+	ScorerPrefill,
+	ScorerResponsiveness,
+	ScorerRotation,
+}
+
+// Fields of a document's objects.
+var (
+	documentFields = []string{"classes", "customers", "pools", "routes", "judges", "bounds"}
+	classFields    = []string{"name", "rank", "allowance", "labels"}
+	tenantFields   = []string{"name", "key", "class"}
+	poolFields     = []string{"name", "labels", "servers"}
+	routeFields    = []string{"name", "kind", "labels", "classes", "pools", "model", "adapter", "weights", "prefix", "max_tokens", "expiry_us", "most_items", "forward"}
+	forwardFields  = []string{"host", "path_prefix", "tries", "aim_us", "gap_us", "due_us", "keep_us", "most_tokens", "split"}
+	splitFields    = []string{"pools", "share"}
+	limitsFields   = []string{"header_bytes", "body_bytes", "header_wait_us", "idle_wait_us"}
+)
