--- a/test/simulator/injected_bugs_test.go
+++ b/test/simulator/injected_bugs_test.go
@@ -59,7 +59,7 @@
 		"neighbours alone make news fresh":        {func(n *Node) { n.gossip.SkipVoterMajority = true }, "mark a server in each part", 4, 2 * ms, 1, []Guarantee{drainingRespected, configurationInForce}},
 		"work goes on without permit":             {onStore(func(n *Node) { n.ledger.Runner.SkipLeaseCheck, n.ledger.Runner.IgnoreRevoke = true, true }), "a bundle ends", 5, 2 * ms, 7, []Guarantee{endedBatchStops}},
 		"every order is let in":                   {onScheduling(func(n *Node) { n.scheduling().Quota.Faults.AdmitEverything = true }), "a flock comes", 4, 2 * ms, 1, []Guarantee{withinQuota}},
-		"a waiting reader is not woken":           {onEdge(func(n *Node) { n.edge.Reader.SkipWakeups = true }), "a crowd comes", 10, 2 * ms, 6, []Guarantee{resultsTimely}},
+		"a waiting reader is not woken":           {onEdge(func(n *Node) { n.edge.Reader.Faults.SkipWakeups = true }), "a crowd comes", 10, 2 * ms, 6, []Guarantee{resultsTimely}},
 	}
 	for name, p := range bugs {
 		t.Run(name, func(t *testing.T) {
