--- /dev/null
+++ b/internal/dataplane/endpoints/rendezvous_test.go
@@ -0,0 +1,92 @@
+package endpoints
+
+import (
+	"fmt"
+	"testing"
+
+	"tuliprudder/internal/membership"
+)
+
+func edges(count int) []membership.Member {
+	var out []membership.Member
+	for i := range count {
+		out = append(out, membership.Member{ID: fmt.Sprintf("edge-%d", i), Kind: membership.Edge, Status: membership.Alive})
+	}
+	return out
+}
+
+// Daemons of different releases must agree on the owner.
+func TestRendezvousOwnersStayTheSame(t *testing.T) {
+	for role, want := range map[string]string{"account/a": "edge-0", "account/b": "edge-1", "load/s": "edge-4"} {
+		if got := RendezvousOwner(role, edges(5), membership.Edge); got != want {
+			t.Errorf("%s: %q, not %q", role, got, want)
+		}
+	}
+}
+
+func TestRendezvousOwnerIsLive(t *testing.T) {
+	members := edges(3)
+	members = append(members, membership.Member{ID: "store", Kind: membership.Store, Status: membership.Alive})
+	for range 3 {
+		owner := RendezvousOwner("role", members, membership.Edge)
+		if owner == "" || owner == "store" {
+			t.Fatalf("owner %q with edges alive", owner)
+		}
+		for i := range members {
+			if members[i].ID != owner {
+				continue
+			}
+			// Each loses the role for another reason.
+			switch i {
+			case 0:
+				members[i].Status = membership.Dead
+			case 1:
+				members[i].Draining = true
+			default:
+				members[i].Status = membership.Suspect
+			}
+		}
+	}
+	if owner := RendezvousOwner("role", members, membership.Edge); owner != "" {
+		t.Errorf("owner %q with no edge alive", owner)
+	}
+}
+
+// A daemon that leaves moves only its own roles.
+func TestRendezvousMovesFewRoles(t *testing.T) {
+	all := edges(5)
+	moved := 0
+	for i := range 1000 {
+		role := fmt.Sprint("load/server-", i)
+		before, after := RendezvousOwner(role, all, membership.Edge), RendezvousOwner(role, all[1:], membership.Edge)
+		if before == after {
+			continue
+		}
+		moved++
+		if before != all[0].ID {
+			t.Errorf("%s moved from %s to %s, though %s left", role, before, after, all[0].ID)
+		}
+	}
+	if moved == 0 {
+		t.Error("the daemon that left had no role")
+	}
+}
+
+// Ids that differ in more than their last letters have even numbers of roles; see
+// rendezvousWeight for the others.
+func TestRendezvousSpreadsRoles(t *testing.T) {
+	const daemons, roles = 5, 1000
+	members := edges(daemons)
+	for i := range members {
+		members[i].ID += ".1764662400"
+	}
+	counts := map[string]int{}
+	for i := range roles {
+		counts[RendezvousOwner(fmt.Sprint("load/server-", i), members, membership.Edge)]++
+	}
+	for id, count := range counts {
+		if count < roles/daemons/2 || count > roles/daemons*3/2 {
+			t.Errorf("%s has %d of %d roles", id, count, roles)
+		}
+	}
+}
--- a/internal/dataplane/endpoints/stored_names.go
+++ b/internal/dataplane/endpoints/stored_names.go
@@ -1,11 +1,10 @@
 package endpoints
 
-// ServerPrefix and LoadPrefix begin the update keys of a server and of its load figures;
-// ServerKind and LoadKind are those without the slash. These spellings are gossiped, and
-// the cores keep those of servers on disk; they never change.
+// These begin the keys of updates about servers. They are gossiped, and the cores keep
+// those of ServerPrefix on disk; their spelling never changes.
 const (
-	ServerKind   = "server"
-	ServerPrefix = ServerKind + "/"
-	LoadKind     = "load"
-	LoadPrefix   = LoadKind + "/"
+	ServerKind   = "server"         // first part of the key of a server's entry
+	ServerPrefix = ServerKind + "/" // followed by the server's name
+	LoadKind     = "load"           // first part of the key of a server's load
+	LoadPrefix   = LoadKind + "/"   // followed by the server's name
 )
--- /dev/null
+++ b/internal/dataplane/serverpoll/serverpoll_test.go
@@ -0,0 +1,132 @@
+package serverpoll
+
+import (
+	"encoding/json"
+	"testing"
+
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/dataplane/endpoints"
+	"tuliprudder/internal/dataplane/scheduler"
+	"tuliprudder/internal/machine"
+	"tuliprudder/internal/membership"
+)
+
+const testInterval = 400 * clock.Millisecond
+
+// fixture is the only edge, with one server of four slots.
+type fixture struct {
+	*Poller
+	calls   *machine.Calls
+	servers *scheduler.Scheduler
+	members []membership.Member
+	now     clock.Micros
+}
+
+func newFixture(interval clock.Micros) *fixture {
+	f := &fixture{
+		calls:   machine.NewCalls(),
+		servers: scheduler.New(scheduler.Defaults(), 1),
+		members: []membership.Member{{ID: "self", Kind: membership.Edge, Status: membership.Alive}},
+		now:     10 * clock.Second,
+	}
+	f.servers.SetServer(endpoints.Server{Name: "s", Address: "s:1", Slots: 4})
+	f.Poller = New("self", interval, f.calls, f.servers, func() []membership.Member { return f.members })
+	return f
+}
+
+// polls are the tasks that a tick emits.
+func (f *fixture) polls() []PollTask {
+	f.Tick(f.now)
+	var out []PollTask
+	for _, effect := range f.calls.Drain() {
+		if work, ok := effect.(machine.Execute); ok {
+			out = append(out, work.Task.(PollTask))
+		}
+	}
+	return out
+}
+
+// finish reports a poll's result and returns the update that is published.
+func (f *fixture) finish(t *testing.T, result PollResult) machine.Update {
+	t.Helper()
+	result.PollTask = PollTask{Name: "s", Address: "s:1"}
+	result.StartedAt = f.now
+	f.HandleResult(result, f.now)
+	for _, effect := range f.calls.Drain() {
+		if publish, ok := effect.(machine.Publish); ok {
+			f.Receive(publish.Update)
+			return publish.Update
+		}
+	}
+	t.Fatal("nothing was published")
+	return machine.Update{}
+}
+
+func TestABusyServerIsPolledMoreOften(t *testing.T) {
+	for name, c := range map[string]struct {
+		result   PollResult
+		interval clock.Micros
+	}{
+		"idle":          {PollResult{Healthy: true, Running: 1}, testInterval},
+		"half full":     {PollResult{Healthy: true, Running: 1, Waiting: 1}, testInterval / busyPollFactor},
+		"can't be read": {PollResult{Running: 4}, testInterval},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newFixture(testInterval)
+			if got := f.polls(); len(got) != 1 || got[0] != (PollTask{Name: "s", Address: "s:1"}) {
+				t.Fatalf("polls %+v", got)
+			}
+			f.now += testInterval
+			if got := f.polls(); len(got) != 0 {
+				t.Fatalf("polls %+v while one is under way", got)
+			}
+			f.finish(t, c.result)
+			started, scan := f.now, testInterval/busyPollFactor
+			for len(f.polls()) == 0 {
+				f.now += scan
+			}
+			if got := f.now - started; got != c.interval {
+				t.Errorf("polled again after %d us, not %d", got, c.interval)
+			}
+		})
+	}
+}
+
+func TestServersThatAreNotPolled(t *testing.T) {
+	for name, change := range map[string]func(*fixture){
+		"no polls":               func(f *fixture) { f.interval = 0 },
+		"removed":                func(f *fixture) { f.servers.SetServer(endpoints.Server{Name: "s", Removed: true}) },
+		"this edge is draining":  func(f *fixture) { f.members[0].Draining = true },
+		"another edge's servers": func(f *fixture) { f.members[0].ID = "other" },
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newFixture(testInterval)
+			change(f)
+			if got := f.polls(); len(got) != 0 {
+				t.Errorf("polls %+v", got)
+			}
+		})
+	}
+}
+
+// The sequence rises with each load; the epoch rises where another daemon read the last.
+func TestALoadsVersion(t *testing.T) {
+	f := newFixture(testInterval)
+	requireVersion := func(when string, update machine.Update, epoch, seq uint64) {
+		t.Helper()
+		if update.Epoch != epoch || update.Seq != seq || update.Key != endpoints.LoadKey("s") {
+			t.Errorf("%s: %+v, not epoch %d, sequence %d", when, update, epoch, seq)
+		}
+	}
+	result := PollResult{Healthy: true, Running: 3, Waiting: 1}
+	update := f.finish(t, result)
+	requireVersion("first", update, 1, 1)
+	var load endpoints.Load
+	if err := json.Unmarshal(update.Value, &load); err != nil || load != (endpoints.Load{Running: 3, Waiting: 1, Healthy: true, ReadAt: f.now, ReadBy: "self"}) {
+		t.Errorf("published %+v, %v", load, err)
+	}
+	requireVersion("second", f.finish(t, result), 1, 2)
+	other, _ := json.Marshal(endpoints.Load{ReadBy: "other"})
+	f.Receive(machine.Update{Key: endpoints.LoadKey("s"), Epoch: 4, Seq: 9, Value: other})
+	requireVersion("after another daemon's", f.finish(t, result), 5, 1)
+}
