--- a/internal/dataplane/decisionlog/decisionlog.go
+++ b/internal/dataplane/decisionlog/decisionlog.go
@@ -1,26 +1,34 @@
-// Package decisionlog remembers what a daemon decided about its latest orders, so
-// that the operators can have any of them explained (DESIGN §10.3).
+// Package decisionlog remembers what a daemon decided about its latest requests, so that
+// operators can have any of them explained (docs/DESIGN.md section 10.3).
+//
+// A Log keeps a bounded number of entries and forgets the oldest. It is safe for
+// concurrent use: the daemon's state machine writes it, the operators' API reads it. What
+// it returns are copies.
 package decisionlog
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"sync"
 
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/dataplane/scoring"
 )
 
-// Attempt is one assignment of an order.
+// maxAttempts is how many attempts of one request are kept; later ones are left out.
+const maxAttempts = 16
+
+// Attempt is one assignment of a request to a server.
 type Attempt struct {
 	Server    string          `json:"server"`
-	Scores    []scoring.Score `json:"marks"`
+	Scores    []scoring.Score `json:"marks"` // why this server was chosen
 	StartedAt clock.Micros    `json:"at_us"`
 	Duration  clock.Micros    `json:"took_us"`
 	Outcome   string          `json:"outcome"`
 	Error     string          `json:"error,omitempty"`
 }
 
-// Entry is what happened to one order.
+// Entry is what happened to one request.
 type Entry struct {
 	RequestID  string       `json:"order"`
 	Tenant     string       `json:"customer"`
@@ -28,25 +36,36 @@
 	Priority   int64        `json:"rank"`
 	ReceivedAt clock.Micros `json:"arrived_us"`
 	Attempts   []Attempt    `json:"tries"`
-	Outcome    string       `json:"end,omitempty"`
+	Outcome    string       `json:"end,omitempty"` // "" while it is under way
 }
 
-// Log keeps the latest entries, a bounded number of them.
-type Log struct {
-	mu      sync.Mutex
-	entries map[string]*Entry
-	ring    []string
-	next    int
+// latency is the time from the request's arrival to the end of its last attempt. There
+// must be an attempt.
+func (e Entry) latency() clock.Micros {
+	last := e.Attempts[len(e.Attempts)-1]
+	return last.StartedAt + last.Duration - e.ReceivedAt
 }
 
-const maxAttempts = 16
+func (e Entry) clone() Entry {
+	e.Attempts = slices.Clone(e.Attempts)
+	return e
+}
 
-// New makes a log for so many entries.
+// Log keeps the latest entries.
+type Log struct {
+	mu      sync.Mutex        // guards all fields below
+	entries map[string]*Entry // by request id
+	ring    []string          // their ids; "" where none was yet
+	next    int               // index in ring that the next entry takes over
+}
+
+// New makes a log of so many entries, at least one.
 func New(size int) *Log {
 	return &Log{entries: map[string]*Entry{}, ring: make([]string, max(1, size))}
 }
 
-// Begin opens an order's entry, or goes on with it; the oldest makes room.
+// Begin adds a request's entry in place of the oldest one. A request that has an entry
+// goes on with that.
 func (l *Log) Begin(e Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,7 +80,7 @@
 	l.entries[e.RequestID] = &e
 }
 
-// RecordAttempt adds an assignment to an order's entry.
+// RecordAttempt adds an attempt to a request's entry, if that is still kept.
 func (l *Log) RecordAttempt(requestID string, attempt Attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,7 +89,7 @@
 	}
 }
 
-// RecordOutcome notes how an order went.
+// RecordOutcome notes how a request ended, if its entry is still kept.
 func (l *Log) RecordOutcome(requestID, outcome string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,7 +98,7 @@
 	}
 }
 
-// Find finds an order's entry.
+// Find finds a request's entry; false where it is not kept.
 func (l *Log) Find(requestID string) (Entry, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,29 +106,20 @@
 	if e == nil {
 		return Entry{}, false
 	}
-	out := *e
-	out.Attempts = append([]Attempt(nil), e.Attempts...)
-	return out, true
+	return e.clone(), true
 }
 
-// Slowest lists the entries that took longest from arrival to their last try's
-// end, the slowest first.
+// Slowest lists at most so many entries, those with the longest latency first. Requests
+// without an attempt are left out.
 func (l *Log) Slowest(count int) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make([]Entry, 0, len(l.entries))
 	for _, e := range l.entries {
 		if len(e.Attempts) > 0 {
-			entry := *e
-			entry.Attempts = append([]Attempt(nil), e.Attempts...)
-			out = append(out, entry)
+			out = append(out, e.clone())
 		}
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].latency() > out[j].latency() })
+	slices.SortFunc(out, func(a, b Entry) int { return cmp.Compare(b.latency(), a.latency()) })
 	return out[:min(count, len(out))]
 }
-
-func (e Entry) latency() clock.Micros {
-	last := e.Attempts[len(e.Attempts)-1]
-	return last.StartedAt + last.Duration - e.ReceivedAt
-}
