--- a/internal/dataplane/openapi/openapi.go
+++ b/internal/dataplane/openapi/openapi.go
@@ -1,16 +1,14 @@
-// Package openapi turns an OpenAPI file into routes for a configuration (DESIGN §8.5).
-// An operation becomes a route by its x-tuliprudder extension; what can't be
-// carried over is reported, and a broken file changes nothing.
+// Package openapi turns the operations of an OpenAPI file into routes of a configuration
+// (docs/DESIGN.md section 8.5).
+//
+// A POST operation becomes a route if its extension x-tuliprudder, or the file's as the
+// default, names a kind of route; the extension's fields are those of a route in a
+// configuration document. Import reports what it doesn't carry over. A file with faults
+// changes nothing.
 package openapi
 
 import (
 	"encoding/json"
-	"fmt"
-	"maps"
-	"regexp"
-	"slices"
-	"sort"
-	"strings"
 
 	"github.com/getkin/kin-openapi/openapi3"
 
@@ -18,150 +16,100 @@
 	"tuliprudder/internal/errs"
 )
 
+// document is JSON of unknown shape: a configuration, or a route of one. What is in it
+// is checked by package config, and what isn't known here is carried over as it is.
+type document = map[string]any
+
 // Result is what an import makes.
 type Result struct {
-	Routes        []map[string]any // as a configuration has them
-	Skipped       []string         // what was not carried over, and why
-	RouteNames    []string
-	Configuration map[string]any // the configuration with the routes in it
-	Changed       []string
+	// Configuration is the configuration with the routes in it.
+	Configuration document
+	// RouteNames are the routes that were made, in the order of paths and methods.
+	RouteNames []string
+	// Skipped says what was not carried over, and why.
+	Skipped []string
 }
 
-const extensionName = "x-tuliprudder"
-
-var knownFields = map[string]bool{"kind": true, "labels": true, "classes": true, "pools": true, "model": true, "adapter": true,
-	"weights": true, "prefix": true, "max_tokens": true, "expiry_us": true, "most_items": true, "name": true}
-
-var invalidNameChars = regexp.MustCompile(`[^A-Za-z0-9._-]+`)
-
-// Import reads the file and puts its routes into a configuration: a route of the same name
-// is replaced, all others stay. The whole is checked as any configuration is.
-func Import(file []byte, configuration []byte) (Result, error) {
-	loader := openapi3.NewLoader()
-	loader.IsExternalRefsAllowed = false
-	doc, err := loader.LoadFromData(file)
-	if err == nil {
-		err = doc.Validate(loader.Context)
-	}
+// Import puts the routes of an OpenAPI file into a configuration: a route of the same name
+// is replaced, all others stay. Its error is of kind errs.BadInput for the file, or
+// errs.InvalidConfiguration for the configuration with the routes in it.
+func Import(file, configuration []byte) (Result, error) {
+	spec, err := load(file)
 	if err != nil {
-		return Result{}, errs.New(errs.BadInput, "correct the OpenAPI file; the plan stays as it is", "the OpenAPI file can't be read: %v", err)
-	}
-	var out Result
-	defaults, faults := readExtension(doc.Extensions, "the file's "+extensionName)
-	paths := doc.Paths.Map()
-	for _, path := range sortedNames(paths) {
-		operations := paths[path].Operations()
-		for _, method := range sortedNames(operations) {
-			faults = append(faults, out.addOperation(method, path, operations[method], defaults)...)
-		}
-	}
-	if len(faults) > 0 {
-		return Result{}, &errs.Error{Kind: errs.BadInput, Message: "the OpenAPI file has faults; the plan stays as it is", Remedy: "correct each named place", Faults: faults}
+		return Result{}, err
 	}
-	if len(out.Routes) == 0 {
-		return Result{}, &errs.Error{Kind: errs.BadInput, Message: "no operation of the file becomes a route", Remedy: "give POST operations an " + extensionName + " with a kind", Faults: out.Skipped}
+	routes, err := readRoutes(spec)
+	if err != nil {
+		return Result{}, err
 	}
-	if err := out.mergeInto(configuration); err != nil {
+	merged, err := merge(routes.list, configuration)
+	if err != nil {
 		return Result{}, err
 	}
+	out := Result{Configuration: merged, Skipped: routes.skipped}
+	for _, route := range routes.list {
+		out.RouteNames = append(out.RouteNames, route.name)
+	}
 	return out, nil
 }
 
-// addOperation makes an operation a route, or notes why it is none; it returns the faults of
-// the operation's extension.
-func (r *Result) addOperation(method, path string, operation *openapi3.Operation, defaults map[string]any) []string {
-	at := method + " " + path
-	if method != "POST" {
-		r.Skipped = append(r.Skipped, at+": only POST operations become routes")
-		return nil
-	}
-	overrides, faults := readExtension(operation.Extensions, at)
-	if overrides == nil && defaults["kind"] == nil {
-		r.Skipped = append(r.Skipped, at+": has no "+extensionName+" with a kind")
-		return faults
-	}
-	route := maps.Clone(defaults)
-	if route == nil {
-		route = map[string]any{}
-	}
-	maps.Copy(route, overrides)
-	if route["name"] == nil {
-		route["name"] = routeName(operation.OperationID, path)
-	}
-	if operation.Security != nil && len(*operation.Security) > 0 {
-		r.Skipped = append(r.Skipped, at+": its security is not carried over; callers use their customer key")
+// load reads and checks an OpenAPI file. References out of the file are not followed.
+func load(file []byte) (*openapi3.T, error) {
+	loader := openapi3.NewLoader()
+	loader.IsExternalRefsAllowed = false
+	spec, err := loader.LoadFromData(file)
+	if err == nil {
+		err = spec.Validate(loader.Context)
 	}
-	if len(operation.Parameters) > 0 {
-		r.Skipped = append(r.Skipped, at+": its parameters are not carried over; an order has an input")
+	if err != nil {
+		return nil, errs.New(errs.BadInput, "correct the OpenAPI file; the configuration stays as it is", "the OpenAPI file can't be read: %v", err)
 	}
-	r.Routes, r.RouteNames = append(r.Routes, route), append(r.RouteNames, fmt.Sprint(route["name"]))
-	return faults
+	return spec, nil
 }
 
-func sortedNames[V any](m map[string]V) []string {
-	return slices.Sorted(maps.Keys(m))
-}
-
-// readExtension reads an extension; nil when there is none.
-func readExtension(extensions map[string]any, at string) (map[string]any, []string) {
-	value, present := extensions[extensionName]
-	if !present {
-		return nil, nil
-	}
-	fields, ok := value.(map[string]any)
-	if !ok {
-		return nil, []string{at + ": " + extensionName + " must be an object"}
-	}
-	var faults []string
-	for name := range fields {
-		if !knownFields[name] {
-			faults = append(faults, at+": "+extensionName+"."+name+" is no field of a route")
+// merge puts routes into a configuration document and checks the outcome: a route takes
+// the place of one with its name, the others come at the end.
+func merge(routes []route, configuration []byte) (document, error) {
+	var out document
+	if err := json.Unmarshal(configuration, &out); err != nil {
+		return nil, errs.New(errs.InvalidConfiguration, "give the configuration in force", "the configuration can't be read: %v", err)
+	}
+	imported := map[string]route{}
+	for _, r := range routes {
+		if _, taken := imported[r.name]; taken {
+			return nil, errs.New(errs.BadInput, "give each operation an operationId or a name of its own", "two operations become route %q", r.name)
 		}
+		imported[r.name] = r
 	}
-	sort.Strings(faults)
-	return fields, faults
-}
-
-func routeName(id, path string) string {
-	if id == "" {
-		id = path
+	present, _ := out["routes"].([]any)
+	out["routes"] = mergeRoutes(present, routes, imported)
+	data, err := json.Marshal(out)
+	if err != nil {
+		return nil, err
+	}
+	if err := config.Validate(data); err != nil {
+		return nil, err
 	}
-	return strings.Trim(invalidNameChars.ReplaceAllString(id, "-"), "-")
+	return out, nil
 }
 
-// mergeInto puts the routes into the configuration and checks the whole.
-func (r *Result) mergeInto(configuration []byte) error {
-	if err := json.Unmarshal(configuration, &r.Configuration); err != nil {
-		return errs.New(errs.InvalidConfiguration, "give the plan in force", "the plan can't be read: %v", err)
-	}
-	imported := map[string]map[string]any{}
-	for i, route := range r.Routes {
-		if imported[r.RouteNames[i]] != nil {
-			return errs.New(errs.BadInput, "give each operation an operationId or a name of its own", "two operations become route %q", r.RouteNames[i])
-		}
-		imported[r.RouteNames[i]] = route
-	}
-	var routes []any
-	old, _ := r.Configuration["routes"].([]any)
-	for _, one := range old {
-		fields, _ := one.(map[string]any)
-		name := fmt.Sprint(fields["name"])
-		if replacement, ok := imported[name]; ok {
-			routes = append(routes, replacement)
-			delete(imported, name)
+func mergeRoutes(present []any, routes []route, imported map[string]route) []any {
+	var out []any
+	replaced := map[string]bool{}
+	for _, one := range present {
+		name := nameOf(one)
+		replacement, ok := imported[name]
+		if !ok || replaced[name] {
+			out = append(out, one)
 			continue
 		}
-		routes = append(routes, one)
+		replaced[name] = true
+		out = append(out, replacement.fields)
 	}
-	for i, route := range r.Routes {
-		if _, left := imported[r.RouteNames[i]]; left {
-			routes = append(routes, route)
+	for _, r := range routes {
+		if !replaced[r.name] {
+			out = append(out, r.fields)
 		}
 	}
-	r.Configuration["routes"] = routes
-	data, err := json.Marshal(r.Configuration)
-	if err != nil {
-		return err
-	}
-	return config.Validate(data)
+	return out
 }
--- a/internal/dataplane/openapi/openapi_test.go
+++ b/internal/dataplane/openapi/openapi_test.go
@@ -35,7 +35,7 @@
 	}
 	routes := got.Configuration["routes"].([]any)
 	if len(routes) != 4 {
-		t.Fatalf("%d routes in the plan, not the 3 it had and 1 more", len(routes))
+		t.Fatalf("%d routes in the configuration, not the 3 it had and 1 more", len(routes))
 	}
 	kinds := map[string]any{}
 	for _, route := range routes {
@@ -45,10 +45,10 @@
 	if kinds["verdict"] != "stream" || kinds["checkTicket"] != "one-shot" || kinds["label"] != "stream" {
 		t.Fatalf("kinds %v", kinds)
 	}
-	left := strings.Join(got.Skipped, "\n")
+	skipped := strings.Join(got.Skipped, "\n")
 	for _, word := range []string{"GET /tickets/check", "POST /other", "POST /verdicts: its parameters"} {
-		if !strings.Contains(left, word) {
-			t.Errorf("not said to be left out: %s in\n%s", word, left)
+		if !strings.Contains(skipped, word) {
+			t.Errorf("not reported as skipped: %s in\n%s", word, skipped)
 		}
 	}
 }
@@ -63,11 +63,13 @@
 		"same name":       strings.Replace(file, `"kind":"stream"`, `"kind":"stream","name":"checkTicket"`, 1),
 		"no such pool":    strings.Replace(file, `{"use":"all"}`, `{"use":"none"}`, 1),
 	} {
-		got, err := Import([]byte(broken), loadConfiguration(t))
-		if err == nil || got.Configuration != nil {
-			t.Errorf("%s: %v, %v", name, got.RouteNames, err)
-		} else if m := errs.Of(err); m.Remedy == "" || m.Kind == errs.OutcomeUnknown {
-			t.Errorf("%s: no typed error: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			got, err := Import([]byte(broken), loadConfiguration(t))
+			if err == nil || got.Configuration != nil {
+				t.Errorf("%v, %v", got.RouteNames, err)
+			} else if m := errs.Of(err); m.Remedy == "" || m.Kind == errs.OutcomeUnknown {
+				t.Errorf("no typed error: %v", err)
+			}
+		})
 	}
 }
