--- a/internal/config/object.go
+++ b/internal/config/object.go
@@ -13,8 +13,8 @@
 	maxLabelBytes = 128
 )
 
-// nameLetters are the letters, beside ASCII letters and digits, that names may have.
-const nameLetters = "-_."
+// namePunctuation may stand in names beside ASCII letters and digits.
+const namePunctuation = "-_."
 
 // object reads the fields of one JSON object of a document. The readers take a field's
 // name, return its value or a default, and add a fault for each thing that is wrong.
@@ -113,21 +113,21 @@
 	return text
 }
 
-// name is a required text of letters that names may have.
+// name is a required text of characters that names may have.
 func (o object) name(field string) string {
 	text := o.requiredText(field, maxNameBytes)
-	if strings.ContainsFunc(text, func(letter rune) bool { return !isNameLetter(letter) }) {
-		o.addFault(field, fmt.Sprintf("%q has a letter that names may not have", text), "use letters, digits, - _ .")
+	if strings.ContainsFunc(text, func(r rune) bool { return !isNameRune(r) }) {
+		o.addFault(field, fmt.Sprintf("%q has a character that names may not have", text), "use letters, digits, - _ .")
 	}
 	return text
 }
 
-func isNameLetter(letter rune) bool {
+func isNameRune(r rune) bool {
 	switch {
-	case letter >= 'a' && letter <= 'z', letter >= 'A' && letter <= 'Z', letter >= '0' && letter <= '9':
+	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9':
 		return true
 	default:
-		return strings.ContainsRune(nameLetters, letter)
+		return strings.ContainsRune(namePunctuation, r)
 	}
 }
 
--- a/internal/dataplane/openapi/routes.go
+++ b/internal/dataplane/openapi/routes.go
@@ -21,7 +21,7 @@
 	"name", "kind", "labels", "classes", "pools", "model", "adapter", "weights", "prefix", "max_tokens", "expiry_us", "most_items",
 }
 
-var invalidNameLetters = regexp.MustCompile(`[^A-Za-z0-9._-]+`)
+var invalidNameChars = regexp.MustCompile(`[^A-Za-z0-9._-]+`)
 
 // route is a route that an operation became, as a configuration has it.
 type route struct {
@@ -130,7 +130,7 @@
 	if name == "" {
 		name = path
 	}
-	return strings.Trim(invalidNameLetters.ReplaceAllString(name, "-"), "-")
+	return strings.Trim(invalidNameChars.ReplaceAllString(name, "-"), "-")
 }
 
 // nameOf is the name of a route in a document.
--- a/internal/dataplane/quota/account_test.go
+++ b/internal/dataplane/quota/account_test.go
@@ -11,15 +11,14 @@
 // simulation is a tenant's work at many daemons at once, with owners that die and
 // clients whose requests get lost.
 type simulation struct {
-	now           clock.Micros
-	rng           *rand.Rand
-	daemonIDs     []string
-	shares        map[string]*Share
-	account       *Account
-	epoch         uint64
-	skipRebuild   bool
-	peakInUse     int
-	totalReserved int
+	now         clock.Micros
+	rng         *rand.Rand
+	daemonIDs   []string
+	shares      map[string]*Share
+	account     *Account
+	epoch       uint64
+	skipRebuild bool
+	peakInUse   int
 }
 
 const testQuota = 100
@@ -50,44 +49,22 @@
 	return sum
 }
 
+// step lets a random daemon or the owner do something.
 func (f *simulation) step() {
 	f.now += clock.Micros(f.rng.Intn(20_000))
 	id := f.daemonIDs[f.rng.Intn(len(f.daemonIDs))]
-	s := f.shares[id]
-	switch f.rng.Intn(12) {
-	case 0, 1, 2, 3, 4, 5, 6:
-		count := 1 + f.rng.Intn(3)
-		if !s.HasCapacity(count, f.now) {
-			// The response may be lost.
-			sent := f.now
-			granted := f.account.Grant(id, s.InUse, s.InUse+count, testQuota, f.now)
-			if f.rng.Intn(10) == 0 {
-				return
-			}
-			s.ApplyGrant(f.account.Epoch, granted, sent)
-		}
-		if s.HasCapacity(count, f.now) {
-			s.Reserve(count)
-			f.totalReserved += count
-		}
-	case 7, 8:
-		if s.InUse > 0 {
+	switch action := f.rng.Intn(12); {
+	case action <= 6:
+		f.reserve(id)
+	case action <= 8:
+		if s := f.shares[id]; s.InUse > 0 {
 			s.Release(1, f.now)
 		}
-	case 9:
-		// A renewal.
-		s.ApplyGrant(f.account.Epoch, f.account.Grant(id, s.InUse, s.InUse, testQuota, f.now), f.now)
-	case 10:
-		// The owner asks those that have not reported.
-		for _, unreported := range f.account.Unreported() {
-			if f.rng.Intn(3) == 0 {
-				share := f.shares[unreported]
-				if share.Fence(f.account.Epoch) {
-					f.account.RecordUsage(unreported, share.InUse, f.now)
-				}
-			}
-		}
-	case 11:
+	case action == 9:
+		f.renew(id)
+	case action == 10:
+		f.askUnreported()
+	default:
 		if f.rng.Intn(25) == 0 {
 			f.failOver()
 		}
@@ -95,12 +72,46 @@
 	// Every client with work renews in time, unless its request is delayed.
 	for _, id := range f.daemonIDs {
 		if s := f.shares[id]; s.InUse > 0 && s.ExpiresAt-f.now < LeaseDuration/2 && f.rng.Intn(4) > 0 {
-			s.ApplyGrant(f.account.Epoch, f.account.Grant(id, s.InUse, s.InUse, testQuota, f.now), f.now)
+			f.renew(id)
 		}
 	}
 	f.peakInUse = max(f.peakInUse, f.inUse())
 }
 
+// reserve has a daemon admit a little work, if the owner grants it. The owner's response
+// may be lost.
+func (f *simulation) reserve(id string) {
+	s := f.shares[id]
+	count := 1 + f.rng.Intn(3)
+	if !s.HasCapacity(count, f.now) {
+		granted := f.account.Grant(id, s.InUse, s.InUse+count, testQuota, f.now)
+		if f.rng.Intn(10) == 0 {
+			return
+		}
+		s.ApplyGrant(f.account.Epoch, granted, f.now)
+	}
+	if s.HasCapacity(count, f.now) {
+		s.Reserve(count)
+	}
+}
+
+func (f *simulation) renew(id string) {
+	s := f.shares[id]
+	s.ApplyGrant(f.account.Epoch, f.account.Grant(id, s.InUse, s.InUse, testQuota, f.now), f.now)
+}
+
+// askUnreported has the owner ask some of the daemons that have not reported.
+func (f *simulation) askUnreported() {
+	for _, id := range f.account.Unreported() {
+		if f.rng.Intn(3) > 0 {
+			continue
+		}
+		if s := f.shares[id]; s.Fence(f.account.Epoch) {
+			f.account.RecordUsage(id, s.InUse, f.now)
+		}
+	}
+}
+
 // While twelve daemons admit as much as they can and owners die, the queued work never
 // exceeds the quota by more than a tenth, and is not kept far below it either.
 func TestDaemonsStayWithinTheQuota(t *testing.T) {
--- a/internal/dataplane/quota/doc.go
+++ b/internal/dataplane/quota/doc.go
@@ -24,7 +24,7 @@
 // When an account gets a new owner, that one opens it under a higher epoch and asks
 // every daemon for what it has in use (rebuild). The question fences the share: the
 // unused part of the former owner's lease is given up. Until every daemon has
-// answered, or the leases that it may have hold no longer, the owner grants nothing.
+// answered, or any lease that it may have has expired, the owner grants nothing.
 //
 // # Invariant
 //
