--- a/internal/config/object.go
+++ b/internal/config/object.go
@@ -32,7 +32,7 @@
 		p.addFault(path, "must be an object", "")
 		return object{}, false
 	}
-	for _, name := range sortedNames(fields) {
+	for _, name := range slices.Sorted(maps.Keys(fields)) {
 		if !slices.Contains(known, name) {
 			p.addFault(path+"."+name, "unknown field", fmt.Sprintf("leave it out (known here: %v)", known))
 		}
@@ -40,8 +40,6 @@
 	return object{parser: p, path: path, fields: fields}, true
 }
 
-func sortedNames[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
-
 func (o object) pathOf(field string) string { return o.path + "." + field }
 
 func (o object) has(field string) bool { return o.fields[field] != nil }
@@ -163,7 +161,7 @@
 		return nil
 	}
 	out := Labels{}
-	for _, name := range sortedNames(fields) {
+	for _, name := range slices.Sorted(maps.Keys(fields)) {
 		out[name] = o.parser.text(o.pathOf(field)+"."+name, fields[name], true, maxLabelBytes)
 	}
 	return out
@@ -181,7 +179,7 @@
 		return nil
 	}
 	out := Selector{}
-	for _, name := range sortedNames(fields) {
+	for _, name := range slices.Sorted(maps.Keys(fields)) {
 		if values := o.parser.selectorValues(o.pathOf(field)+"."+name, fields[name]); len(values) > 0 {
 			out[name] = values
 		}
--- a/internal/config/sections.go
+++ b/internal/config/sections.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
 
 	"tuliprudder/internal/clock"
 )
@@ -109,7 +111,7 @@
 	if !ok {
 		return
 	}
-	for _, name := range sortedNames(scorers.fields) {
+	for _, name := range slices.Sorted(maps.Keys(scorers.fields)) {
 		weight, isNumber := scorers.fields[name].(float64)
 		if !isNumber || weight < 0 || weight > maxScorerWeight {
 			scorers.addFault(name, fmt.Sprintf("must be a number from 0 to %d", maxScorerWeight), "")
