--- a/internal/dataplane/quota/account.go
+++ b/internal/dataplane/quota/account.go
@@ -43,8 +43,8 @@
 	Epoch uint64
 	// IsStore tells whether a daemon holds batch items; nil: none does.
 	IsStore func(daemonID string) bool
-	// Faults are set by tests only.
-	Faults InjectedFaults
+	// InjectedFaults are set by tests only.
+	InjectedFaults InjectedFaults
 
 	leases     map[string]lease // by daemon
 	unreported map[string]bool  // daemons that have not said yet what they have in use
@@ -116,7 +116,7 @@
 // IsReady tells whether the account may grant: every daemon has reported, or any lease of
 // those that have not has expired.
 func (a *Account) IsReady(now clock.Micros) bool {
-	if a.Faults.SkipRebuild {
+	if a.InjectedFaults.SkipRebuild {
 		return true
 	}
 	for daemonID := range a.unreported {
--- a/internal/dataplane/quota/account_test.go
+++ b/internal/dataplane/quota/account_test.go
@@ -38,7 +38,7 @@
 func (f *simulation) failOver() {
 	f.epoch++
 	f.account = OpenAccount(f.epoch, f.daemonIDs, f.now)
-	f.account.Faults.SkipRebuild = f.skipRebuild
+	f.account.InjectedFaults.SkipRebuild = f.skipRebuild
 }
 
 func (f *simulation) inUse() int {
--- a/internal/dataplane/quota/client.go
+++ b/internal/dataplane/quota/client.go
@@ -77,7 +77,7 @@
 		callback(nil, errExceedsQuota(quota, count), now)
 		return
 	}
-	if q.Faults.AdmitEverything || q.hasCapacity(quota.Tenant, count, now) {
+	if q.InjectedFaults.AdmitEverything || q.hasCapacity(quota.Tenant, count, now) {
 		callback(q.reserve(quota.Tenant, count), nil, now)
 		return
 	}
--- a/internal/dataplane/quota/owner.go
+++ b/internal/dataplane/quota/owner.go
@@ -46,7 +46,7 @@
 		return a
 	}
 	a := OpenAccount(request.Epoch+1, q.expectedReporters(), now)
-	a.Faults = q.Faults
+	a.InjectedFaults = q.InjectedFaults
 	a.IsStore = q.isStore
 	q.accounts[request.Tenant] = a
 	// This daemon's own share is known at once.
--- a/internal/dataplane/quota/quota.go
+++ b/internal/dataplane/quota/quota.go
@@ -42,8 +42,8 @@
 	ShardMap func() (state.Map, bool)
 	// Rejected counts reservations that were refused, for the operators.
 	Rejected int64
-	// Faults are set by tests only.
-	Faults InjectedFaults
+	// InjectedFaults are set by tests only.
+	InjectedFaults InjectedFaults
 
 	self        string
 	calls       *machine.Calls
--- a/internal/dataplane/reader/reader.go
+++ b/internal/dataplane/reader/reader.go
@@ -36,8 +36,8 @@
 	// 40 ms. Every store announces its positions often, and many reads must not poll at
 	// each announcement.
 	MinPollInterval clock.Micros
-	// Faults are set by tests only.
-	Faults InjectedFaults
+	// InjectedFaults are set by tests only.
+	InjectedFaults InjectedFaults
 
 	calls     *machine.Calls
 	positions *token.PositionView // what the stores announced
--- a/internal/dataplane/reader/wakeups.go
+++ b/internal/dataplane/reader/wakeups.go
@@ -89,7 +89,7 @@
 
 // wakePending has all pending reads polled soon, because more may be readable.
 func (r *Reader) wakePending(now clock.Micros) {
-	if r.Faults.SkipWakeups {
+	if r.InjectedFaults.SkipWakeups {
 		return
 	}
 	for _, p := range r.pending.inOrder() {
--- a/internal/dataplane/scheduler/choose.go
+++ b/internal/dataplane/scheduler/choose.go
@@ -90,7 +90,7 @@
 		OwnRequests:      server.ownRequests,
 		OtherRequests:    server.otherRequests,
 		UtilizationLimit: s.utilizationLimit,
-		Draining:         server.server.Draining && !sc.Faults.IgnoreStaleness,
+		Draining:         server.server.Draining && !sc.InjectedFaults.IgnoreStaleness,
 		Healthy:          server.isHealthy(),
 		HasPrefix:        s.prefixServer == server.server.Name,
 		Latency:          server.latency,
--- a/internal/dataplane/scheduler/configuration.go
+++ b/internal/dataplane/scheduler/configuration.go
@@ -32,7 +32,7 @@
 // force, which may be newer than the one that it was checked by. The request must not be
 // queued.
 func (sc *Scheduler) applyConfiguration(r *Request) error {
-	if sc.configuration == nil || sc.Faults.KeepOldConfiguration {
+	if sc.configuration == nil || sc.InjectedFaults.KeepOldConfiguration {
 		return nil
 	}
 	route, class := sc.configuration.Lookup(r.Route.Name, r.Tenant)
--- a/internal/dataplane/scheduler/scheduler.go
+++ b/internal/dataplane/scheduler/scheduler.go
@@ -46,7 +46,8 @@
 // Scheduler is the queue and the servers of one daemon.
 type Scheduler struct {
 	Counters
-	Faults InjectedFaults
+	// InjectedFaults are set by tests only.
+	InjectedFaults InjectedFaults
 
 	settings      Settings
 	configuration *config.Configuration // in force; nil before the first
@@ -106,7 +107,7 @@
 
 // IsFresh tells whether the updates are recent enough to assign by.
 func (sc *Scheduler) IsFresh(now clock.Micros) bool {
-	return now-sc.freshAsOf <= sc.settings.MaxStaleness || sc.Faults.IgnoreStaleness
+	return now-sc.freshAsOf <= sc.settings.MaxStaleness || sc.InjectedFaults.IgnoreStaleness
 }
 
 // SpendRetry takes one retry out of the budget; false means that the budget is used up
--- a/test/simulator/injected_bugs_test.go
+++ b/test/simulator/injected_bugs_test.go
@@ -54,12 +54,12 @@
 		"a key is not claimed":                    {onEdge(func(n *Node) { n.edge.Requests.SkipIdempotencyClaim = true }), "server", 4, 2 * ms, 1, []Guarantee{runsAtMostOnce}},
 		"a stream is begun anew":                  {onEdge(func(n *Node) { n.edge.Requests.RestartResumedStream = true }), "streams", 6, 2 * ms, 1, []Guarantee{streamIntact}},
 		"a cut answer is taken as whole":          {onEdge(func(n *Node) { n.edge.Requests.AcceptInterrupted = true }), "streams", 4, 2 * ms, 1, []Guarantee{answerIntact}},
-		"old news are taken for fresh":            {onScheduling(func(n *Node) { n.scheduling().Scheduler.Faults.IgnoreStaleness = true }), "leaves", 4, 2 * ms, 1, []Guarantee{drainingRespected}},
-		"what waits goes by the old plan":         {onScheduling(func(n *Node) { n.scheduling().Scheduler.Faults.KeepOldConfiguration = true }), "", 8, 2 * ms, 27, []Guarantee{configurationInForce}},
+		"old news are taken for fresh":            {onScheduling(func(n *Node) { n.scheduling().Scheduler.InjectedFaults.IgnoreStaleness = true }), "leaves", 4, 2 * ms, 1, []Guarantee{drainingRespected}},
+		"what waits goes by the old plan":         {onScheduling(func(n *Node) { n.scheduling().Scheduler.InjectedFaults.KeepOldConfiguration = true }), "", 8, 2 * ms, 27, []Guarantee{configurationInForce}},
 		"neighbours alone make news fresh":        {func(n *Node) { n.gossip.SkipVoterMajority = true }, "mark a server in each part", 4, 2 * ms, 1, []Guarantee{drainingRespected, configurationInForce}},
 		"work goes on without permit":             {onStore(func(n *Node) { n.ledger.Runner.SkipLeaseCheck, n.ledger.Runner.IgnoreRevoke = true, true }), "a bundle ends", 5, 2 * ms, 7, []Guarantee{endedBatchStops}},
-		"every order is let in":                   {onScheduling(func(n *Node) { n.scheduling().Quota.Faults.AdmitEverything = true }), "a flock comes", 4, 2 * ms, 1, []Guarantee{withinQuota}},
-		"a waiting reader is not woken":           {onEdge(func(n *Node) { n.edge.Reader.Faults.SkipWakeups = true }), "a crowd comes", 10, 2 * ms, 6, []Guarantee{resultsTimely}},
+		"every order is let in":                   {onScheduling(func(n *Node) { n.scheduling().Quota.InjectedFaults.AdmitEverything = true }), "a flock comes", 4, 2 * ms, 1, []Guarantee{withinQuota}},
+		"a waiting reader is not woken":           {onEdge(func(n *Node) { n.edge.Reader.InjectedFaults.SkipWakeups = true }), "a crowd comes", 10, 2 * ms, 6, []Guarantee{resultsTimely}},
 	}
 	for name, p := range bugs {
 		t.Run(name, func(t *testing.T) {
