--- a/internal/dataplane/proxy/attempts.go
+++ b/internal/dataplane/proxy/attempts.go
@@ -131,7 +131,7 @@
 		p.fail(call, errs.New(errs.BadInput, "correct the request", "%s", result.Reason))
 	default:
 		r.recordFailure(result)
-		r.avoidedServers[assignment.Server.Name] = scheduler.ExcludeServer
+		r.avoidedServers[assignment.Server.Name] = scheduler.MaxFailuresPerServer
 		p.retryOrFail(r, result, now)
 	}
 }
--- a/internal/dataplane/requests/attempts.go
+++ b/internal/dataplane/requests/attempts.go
@@ -138,7 +138,7 @@
 
 // retryElsewhere retries a request that a server did not start.
 func (m *Machine) retryElsewhere(r *activeRequest, server, reason string, now clock.Micros) {
-	r.avoidedServers[server] = scheduler.ExcludeServer
+	r.avoidedServers[server] = scheduler.MaxFailuresPerServer
 	if len(r.avoidedServers) > maxAvoidedServers {
 		clear(r.avoidedServers)
 	}
