--- a/test/capacitymodel/daemon.go
+++ b/test/capacitymodel/daemon.go
@@ -7,6 +7,7 @@
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/config"
 	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/daemon/eventloop"
 	"tuliprudder/internal/daemon/machines"
 	"tuliprudder/internal/gossip"
@@ -101,7 +102,7 @@
 	settings.Shards = int(f.Settings.Shards)
 	settings.CheckConfiguration = config.Validate
 	settings.Bootstrap = d.generation == 1
-	d.core = controlplane.New(controlplane.CoreRef{ID: d.id, Peer: d.peer, Zone: d.zone}, d.incarnation, f.seeds, settings, d.disk.durable)
+	d.core = controlplane.New(election.CoreRef{ID: d.id, Peer: d.peer, Zone: d.zone}, d.incarnation, f.seeds, settings, d.disk.durable)
 	d.machine = machines.NewCore(d.core)
 }
 
--- a/test/capacitymodel/run.go
+++ b/test/capacitymodel/run.go
@@ -15,8 +15,8 @@
 
 // Bounds of the time until the fleet is stable, in seconds of virtual time.
 const (
-	maxStabilizeSeconds    = 90
-	progressSeconds = 5
+	maxStabilizeSeconds = 90
+	progressSeconds     = 5
 )
 
 // run is a run on its way.
--- a/test/modelcheck/message_kinds.go
+++ b/test/modelcheck/message_kinds.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"reflect"
 
-	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/replication"
 )
 
@@ -28,11 +28,11 @@
 
 // messageKinds are the spellings by the Go type of the message's body.
 var messageKinds = map[reflect.Type]string{
-	reflect.TypeFor[controlplane.Heartbeat]():       kindHeartbeat,
-	reflect.TypeFor[controlplane.VoteRequest]():     kindVoteRequest,
-	reflect.TypeFor[controlplane.VoteResponse]():    kindVoteResponse,
-	reflect.TypeFor[controlplane.Commit]():          kindCommit,
-	reflect.TypeFor[controlplane.CommitAck]():       kindCommitAck,
+	reflect.TypeFor[election.Heartbeat]():           kindHeartbeat,
+	reflect.TypeFor[election.VoteRequest]():         kindVoteRequest,
+	reflect.TypeFor[election.VoteResponse]():        kindVoteResponse,
+	reflect.TypeFor[election.Commit]():              kindCommit,
+	reflect.TypeFor[election.CommitAck]():           kindCommitAck,
 	reflect.TypeFor[replication.SnapshotChunk]():    kindSnapshotChunk,
 	reflect.TypeFor[replication.SnapshotChunkAck](): kindSnapshotChunkAck,
 	reflect.TypeFor[replication.Append]():           kindAppend,
--- a/test/modelcheck/network.go
+++ b/test/modelcheck/network.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/replication"
 )
 
@@ -18,7 +19,7 @@
 // again, and the coarse runs let it travel while time goes by.
 func (m message) isRoutine() bool {
 	switch m.body.(type) {
-	case controlplane.Heartbeat, replication.LeaseRequest, replication.LeaseGrant:
+	case election.Heartbeat, replication.LeaseRequest, replication.LeaseGrant:
 		return true
 	}
 	return false
--- a/test/modelcheck/process.go
+++ b/test/modelcheck/process.go
@@ -6,6 +6,7 @@
 
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/machine"
 )
 
@@ -22,7 +23,7 @@
 
 // bootState is what a process started from.
 type bootState struct {
-	self        controlplane.CoreRef
+	self        election.CoreRef
 	incarnation uint64
 	bootstrap   bool // the disk is the one that the fleet began with
 	records     []machine.Record
@@ -171,6 +172,6 @@
 	if c.Zones > 0 {
 		zone = i % c.Zones
 	}
-	self := controlplane.CoreRef{ID: id, Peer: address, Zone: fmt.Sprint("zone-", zone)}
+	self := election.CoreRef{ID: id, Peer: address, Zone: fmt.Sprint("zone-", zone)}
 	return &process{name: name, generation: generation, boot: bootState{self: self, bootstrap: generation == 0}}
 }
--- a/test/simulator/node_boot.go
+++ b/test/simulator/node_boot.go
@@ -7,6 +7,7 @@
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/config"
 	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/controlplane/state"
 	"tuliprudder/internal/daemon/machines"
 	"tuliprudder/internal/gossip"
@@ -72,7 +73,7 @@
 	settings.CheckConfiguration = config.Validate
 	settings.Tolerance = w.Shape.tolerance()
 	settings.Bootstrap = n.generation == 1
-	n.Core = controlplane.New(controlplane.CoreRef{ID: n.ID, Peer: n.Peer, Zone: n.Zone}, incarnation, w.seeds, settings, n.disk.durable)
+	n.Core = controlplane.New(election.CoreRef{ID: n.ID, Peer: n.Peer, Zone: n.Zone}, incarnation, w.seeds, settings, n.disk.durable)
 	n.machine = machines.NewCore(n.Core)
 }
 
