--- /dev/null
+++ b/internal/daemon/program/program_test.go
@@ -0,0 +1,77 @@
+package program
+
+import (
+	"io"
+	"strings"
+	"testing"
+
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/errs"
+	"tuliprudder/internal/settings"
+)
+
+// parse reads a role's settings from arguments, with those that every daemon needs.
+func parse(role Role, args ...string) error {
+	var common settings.Common
+	reader := settings.New(role.Name())
+	reader.Warnings = io.Discard
+	reader.Common(&common, role.NeedsDisk())
+	role.AddSettings(reader, &common)
+	needed := []string{"-zone", "a", "-peer", "127.0.0.1:1", "-http", "127.0.0.1:2", "-seeds", "127.0.0.1:3,127.0.0.1:4,127.0.0.1:5"}
+	if role.NeedsDisk() {
+		needed = append(needed, "-data", "/data")
+	}
+	return reader.Parse(append(needed, args...))
+}
+
+// Each role takes its own settings and names those out of bounds.
+func TestSettingsOfRoles(t *testing.T) {
+	cases := []struct {
+		name  string
+		role  Role
+		args  []string
+		fault string // "" where the settings are valid
+	}{
+		{"core with defaults", NewCore(), nil, ""},
+		{"core", NewCore(), []string{"-slots", "12", "-tolerance", "2", "-bootstrap"}, ""},
+		{"core without shards", NewCore(), []string{"-slots", "0"}, "-slots 0"},
+		{"core with an impatient timeout", NewCore(), []string{"-core-silent-us", "1"}, "-core-silent-us 1"},
+		{"edge with defaults", NewEdge(), nil, ""},
+		{"edge with the former name of a setting", NewEdge(), []string{"-scout-every-us", "100000"}, ""},
+		{"edge with a data folder", NewEdge(), []string{"-data", "/data"}, "an edge keeps nothing on disk"},
+		{"store with defaults", NewStore(), nil, ""},
+		{"store without room", NewStore(), []string{"-most-items", "0"}, "-most-items 0"},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			err := parse(c.role, c.args...)
+			if c.fault == "" {
+				if err != nil {
+					t.Fatalf("rejected: %v %q", err, errs.Of(err).Faults)
+				}
+				return
+			}
+			if err == nil || !strings.Contains(strings.Join(errs.Of(err).Faults, "\n"), c.fault) {
+				t.Fatalf("%v does not name %q", err, c.fault)
+			}
+		})
+	}
+}
+
+// What is set reaches the settings that the role is assembled with.
+func TestSettingsAreKept(t *testing.T) {
+	edge := NewEdge()
+	if err := parse(edge, "-scout-every-us", "100000", "-most-waiting", "7"); err != nil {
+		t.Fatal(err)
+	}
+	if edge.settings.PollInterval != 100*clock.Millisecond || edge.maxQueued != 7 {
+		t.Errorf("read %d and %d", edge.settings.PollInterval, edge.maxQueued)
+	}
+	core := NewCore()
+	if err := parse(core, "-slots", "12", "-store-silent-us", "600000", "-bootstrap"); err != nil {
+		t.Fatal(err)
+	}
+	if core.shards != 12 || core.settings.StoreTimeout != 600*clock.Millisecond || !core.settings.Bootstrap {
+		t.Errorf("read %d and %+v", core.shards, core.settings)
+	}
+}
--- /dev/null
+++ b/internal/daemon/program/store.go
@@ -0,0 +1,66 @@
+package program
+
+import (
+	"tuliprudder/internal/batchstore"
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/daemon/host"
+	"tuliprudder/internal/daemon/roles"
+	"tuliprudder/internal/membership"
+	"tuliprudder/internal/settings"
+)
+
+// storeDrainTimeout is how long a store that is told to stop waits for its shards' new
+// owners.
+const storeDrainTimeout = 7 * clock.Second
+
+// Store is the program of a store daemon, which keeps batches and runs their items
+// (DESIGN §6).
+type Store struct {
+	// Prepare is called with the assembled role; nil: nothing.
+	Prepare  func(store *roles.Store, dataDir string)
+	settings batchstore.Settings
+	maxItems int64
+}
+
+// NewStore is a store with the default settings.
+func NewStore() *Store { return &Store{settings: batchstore.Defaults()} }
+
+// Name is store.
+func (*Store) Name() string { return "store" }
+
+// Kind is that of a store.
+func (*Store) Kind() string { return membership.Store }
+
+// NeedsDisk is true: a store keeps batches.
+func (*Store) NeedsDisk() bool { return true }
+
+// AddSettings adds the settings of a store.
+func (s *Store) AddSettings(reader *settings.Reader, _ *settings.Common) {
+	s.maxItems = int64(s.settings.MaxItems)
+	reader.Int(&s.maxItems, "most-items", s.maxItems, 1, 10_000_000, "items of batches that may wait here; more are rejected")
+	reader.Int(&s.settings.RetainFinished, "keep-done-us", s.settings.RetainFinished, 60_000_000, 365*86_400_000_000, "microseconds for which a finished batch stays readable")
+}
+
+// Assemble makes the daemon a store.
+func (s *Store) Assemble(daemon *host.Daemon) error {
+	s.settings.MaxItems = int(s.maxItems)
+	store, err := roles.NewStore(daemon, s.settings)
+	if err != nil {
+		return err
+	}
+	if s.Prepare != nil {
+		s.Prepare(store, daemon.Common.DataDir)
+	}
+	daemon.OnDrain(func() { DrainStore(daemon, store, storeDrainTimeout) })
+	return nil
+}
+
+// DrainStore has a store's shards pass to other stores, and waits until it owns none, at
+// most for timeout.
+func DrainStore(daemon *host.Daemon, store *roles.Store, timeout clock.Micros) {
+	daemon.Loop.Notify(batchstore.Drain{})
+	host.WaitUntil(timeout, func() (released bool) {
+		daemon.Loop.WithMachine(func(clock.Micros) { released = store.Ledger.OwnedShards() == 0 })
+		return released
+	})
+}
