--- /dev/null
+++ b/cmd/tuliprudderctl/commands.go
@@ -0,0 +1,134 @@
+package main
+
+import (
+	"context"
+	"flag"
+	"io"
+	"net/netip"
+)
+
+// command is one command with its arguments.
+type command interface {
+	// Apply makes the command's calls and prints what came of them.
+	Apply(ctx context.Context, s *session) error
+}
+
+// session is what a command runs with.
+type session struct {
+	client  *client
+	out     io.Writer
+	wording wording
+	env     environment
+}
+
+// argumentParser makes a command of the arguments after its name and flags.
+type argumentParser func(args []string) (command, error)
+
+// subcommand is one entry of the table of commands.
+type subcommand struct {
+	name      string // one word, or that of a group and one
+	former    string // its spelling in the release before, read for this one; "" where it is the same or new
+	arguments string
+	summary   string
+	example   string // a command line without the program, -at and its address
+	offline   bool   // no daemon is called
+	define    func(flags *flag.FlagSet) argumentParser
+}
+
+// groups are the first words of the commands of two, with what they are about.
+var groups = map[string]string{
+	"config":    "the cluster's configuration: routes, pools, tenants and priority classes",
+	"endpoints": "the model servers that requests are sent to",
+	"store":     "the state and the retirement of one store",
+	"request":   "callers' requests",
+	"batch":     "callers' batches",
+}
+
+// subcommands are all commands, in the order of the help.
+var subcommands = []subcommand{
+	{name: "config put", former: "plan put", arguments: "[-base VERSION] FILE", summary: "check a configuration and put it in force",
+		example: "config put -base 7 configuration.json", define: definePutConfiguration},
+	{name: "config get", former: "plan get", arguments: "[VERSION]", summary: "print the configuration in force, or a version of it",
+		example: "config get 7", define: defineGetConfiguration},
+	{name: "config list", former: "plan list", summary: "list the versions that are kept, with who put them and when",
+		example: "config list", define: withoutArguments(listConfigurations{})},
+	{name: "config diff", former: "plan diff", arguments: "VERSION|FILE VERSION|FILE", summary: "print what changes from one configuration to another",
+		example: "config diff 7 configuration.json", define: defineDiffConfigurations},
+	{name: "config import", former: "plan import", arguments: "[-put] FILE", summary: "add the routes of an OpenAPI file to the configuration in force",
+		example: "config import -put openapi.json", define: defineImportConfiguration},
+	{name: "config check", former: "plan check", arguments: "FILE", summary: "check a configuration file; no daemon is needed",
+		example: "config check configuration.json", offline: true, define: withArgument("file", func(file string) command { return checkConfiguration{file: file} })},
+
+	{name: "members", former: "daemons", summary: "list the daemons of the cluster and their status",
+		example: "members", define: withoutArguments(listMembers{})},
+	{name: "core", summary: "print which core is primary",
+		example: "core", define: withoutArguments(printDocument{path: pathCore})},
+	{name: "counters", summary: "print the counters of the daemon that -at names",
+		example: "counters", define: withoutArguments(printDocument{path: pathCounters})},
+	{name: "risks", summary: "list what puts guarantees at risk now, over all daemons",
+		example: "risks", define: withoutArguments(listRisks{})},
+	{name: "quota", former: "purse", summary: "print the quota shares of the daemon that -at names",
+		example: "quota", define: withoutArguments(printDocument{path: pathQuota})},
+
+	{name: "endpoints list", former: "servers", summary: "list the model servers as the daemon that -at names sees them",
+		example: "endpoints list", define: withoutArguments(listEndpoints{})},
+	{name: "endpoints put", arguments: "FILE", summary: "replace the list of model servers; one that is not in the file is removed",
+		example: "endpoints put servers.json", define: withArgument("file", func(file string) command { return putEndpoints{file: file} })},
+	{name: "endpoints drain", former: "leaving", arguments: "SERVER", summary: "start nothing more on a model server; what runs there ends",
+		example: "endpoints drain gpu-1", define: withArgument("server", func(name string) command { return setDraining{server: name, draining: true} })},
+	{name: "endpoints undrain", former: "staying", arguments: "SERVER", summary: "end the draining of a model server",
+		example: "endpoints undrain gpu-1", define: withArgument("server", func(name string) command { return setDraining{server: name} })},
+
+	{name: "shards", former: "slots", summary: "list the shards of batches with primary, replicas and epoch",
+		example: "shards", define: withoutArguments(listShards{})},
+	{name: "stores", summary: "list the stores with their writer IDs and how many shards they own and replicate",
+		example: "stores", define: withoutArguments(listStores{})},
+	{name: "store show", former: "store", arguments: "STORE", summary: "print a store's own description of its state",
+		example: "store show aa11", define: withArgument("store", showStore)},
+	{name: "store retire", former: "retire", arguments: "STORE", summary: "move a store's shards to others; waits until nothing depends on it",
+		example: "store retire aa11", define: withArgument("store", func(id string) command { return retireStore{id: id} })},
+	{name: "store cancel", former: "unretire", arguments: "STORE", summary: "cancel the retirement of a store",
+		example: "store cancel aa11", define: withArgument("store", func(id string) command { return cancelRetirement{id: id} })},
+
+	{name: "request explain", former: "order", arguments: "REQUEST", summary: "print how a request was scheduled: the server, and each candidate's scores",
+		example: "request explain b-1/7", define: withArgument("request", explainRequest)},
+	{name: "request slowest", former: "slowest", summary: "print the slowest requests that the daemon that -at names remembers",
+		example: "request slowest", define: withoutArguments(printDocument{path: pathRequests + "?slowest=20"})},
+	{name: "batch status", former: "bundle", arguments: "BATCH", summary: "print a batch's store and replica, and which server ran which item",
+		example: "batch status b-1", define: withArgument("batch", batchStatus)},
+}
+
+// withoutArguments is the definition of a command that takes none.
+func withoutArguments(c command) func(*flag.FlagSet) argumentParser {
+	return func(*flag.FlagSet) argumentParser {
+		return func([]string) (command, error) { return c, nil }
+	}
+}
+
+// withArgument is the definition of a command that takes one argument.
+func withArgument(what string, newCommand func(argument string) command) func(*flag.FlagSet) argumentParser {
+	return func(*flag.FlagSet) argumentParser {
+		return func(args []string) (command, error) {
+			argument, err := singleArgument(args, what)
+			if err != nil {
+				return nil, err
+			}
+			return newCommand(argument), nil
+		}
+	}
+}
+
+func singleArgument(args []string, what string) (string, error) {
+	if len(args) != 1 {
+		return "", usageError("name one %s", what)
+	}
+	return args[0], nil
+}
+
+// checkAddress checks the address that -at gave.
+func (c *client) checkAddress() error {
+	if _, err := netip.ParseAddrPort(c.address); err != nil {
+		return usageError("-at %q is not an IP number with a port; name any daemon's http address", c.address)
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/tuliprudderctl/configurations.go
@@ -0,0 +1,242 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"net/http"
+	"os"
+	"strconv"
+
+	"tuliprudder/internal/config"
+	"tuliprudder/internal/dataplane/openapi"
+	"tuliprudder/internal/errs"
+)
+
+// configurationVersion is one version of the configuration as daemons give it.
+type configurationVersion struct {
+	Version       uint64          `json:"version"`
+	Configuration json.RawMessage `json:"plan"`
+	By            string          `json:"by"`
+	AtUS          int64           `json:"at_us"`
+}
+
+// putConfiguration puts a configuration file in force. With a base, another version in
+// force rejects it (errs.StaleBase).
+type putConfiguration struct{ file, base string }
+
+func definePutConfiguration(flags *flag.FlagSet) argumentParser {
+	base := flags.String("base", "", "`version` that the file was made from; it is rejected where another is in force")
+	return func(args []string) (command, error) {
+		file, err := singleArgument(args, "file")
+		return putConfiguration{file: file, base: *base}, err
+	}
+}
+
+// Apply checks the file here, and puts it.
+func (p putConfiguration) Apply(ctx context.Context, s *session) error {
+	data, err := readFile(p.file)
+	if err != nil {
+		return err
+	}
+	if err := config.Validate(data); err != nil {
+		return err
+	}
+	return s.putConfiguration(ctx, data, p.base)
+}
+
+// putConfiguration puts a checked configuration; an empty base is none.
+func (s *session) putConfiguration(ctx context.Context, document []byte, base string) error {
+	path := pathConfiguration
+	if base != "" {
+		if _, err := strconv.ParseUint(base, 10, 64); err != nil {
+			return usageError("-base %q is no version", base)
+		}
+		path += "?base=" + base
+	}
+	response, err := send[struct {
+		Version uint64 `json:"version"`
+	}](ctx, s.client, http.MethodPut, path, document)
+	if err != nil {
+		return err
+	}
+	s.printf("version %d is confirmed on two disks\n", response.Version)
+	return nil
+}
+
+// getConfiguration prints a version, or the one in force where none is named.
+type getConfiguration struct{ version string }
+
+func defineGetConfiguration(*flag.FlagSet) argumentParser {
+	return func(args []string) (command, error) {
+		if len(args) == 0 {
+			return getConfiguration{}, nil
+		}
+		return getConfiguration{version: args[0]}, nil
+	}
+}
+
+// Apply prints the document alone, so that it can be edited and put.
+func (g getConfiguration) Apply(ctx context.Context, s *session) error {
+	version, err := s.fetchConfiguration(ctx, g.version)
+	if err != nil {
+		return err
+	}
+	return s.printJSON(version.Configuration)
+}
+
+// fetchConfiguration reads a version, or the one in force where version is empty.
+func (s *session) fetchConfiguration(ctx context.Context, version string) (configurationVersion, error) {
+	if version == "" {
+		return get[configurationVersion](ctx, s.client, pathConfiguration)
+	}
+	number, err := strconv.ParseUint(version, 10, 64)
+	if err != nil {
+		return configurationVersion{}, usageError("%q is no version", version)
+	}
+	return get[configurationVersion](ctx, s.client, fmt.Sprintf("%s/%d", pathConfigurations, number))
+}
+
+// listConfigurations lists the versions that are kept.
+type listConfigurations struct{}
+
+// Apply prints a line a version.
+func (listConfigurations) Apply(ctx context.Context, s *session) error {
+	response, err := get[struct {
+		Versions []configurationVersion `json:"plans"`
+	}](ctx, s.client, pathConfigurations)
+	if err != nil {
+		return err
+	}
+	t := table{{"VERSION", "BY", "AT US"}}
+	for _, v := range response.Versions {
+		t.add(v.Version, v.By, v.AtUS)
+	}
+	s.printTable(t)
+	return nil
+}
+
+// diffConfigurations compares two configurations, each a version or a file.
+type diffConfigurations struct{ from, to string }
+
+func defineDiffConfigurations(*flag.FlagSet) argumentParser {
+	return func(args []string) (command, error) {
+		if len(args) != 2 {
+			return nil, usageError("name two versions, or a version and a file")
+		}
+		return diffConfigurations{from: args[0], to: args[1]}, nil
+	}
+}
+
+// Apply prints a line for each entry that differs, and one for each field of it.
+func (d diffConfigurations) Apply(ctx context.Context, s *session) error {
+	from, err := s.readDocument(ctx, d.from)
+	if err != nil {
+		return err
+	}
+	to, err := s.readDocument(ctx, d.to)
+	if err != nil {
+		return err
+	}
+	lines := diffDocuments(from, to)
+	if len(lines) == 0 {
+		s.printf("nothing changes\n")
+	}
+	for _, line := range lines {
+		s.printf("%s\n", line)
+	}
+	return nil
+}
+
+// readDocument reads a configuration from a file of that name, or else by its version.
+func (s *session) readDocument(ctx context.Context, name string) (document, error) {
+	data, err := os.ReadFile(name)
+	if err != nil {
+		version, err := s.fetchConfiguration(ctx, name)
+		if err != nil {
+			return nil, err
+		}
+		data = version.Configuration
+	}
+	var parsed document
+	if err := json.Unmarshal(data, &parsed); err != nil {
+		return nil, errs.New(errs.InvalidConfiguration, "give a configuration file", "%s is no configuration: %v", name, err)
+	}
+	return parsed, nil
+}
+
+// importConfiguration adds the routes of an OpenAPI file to the configuration in force.
+type importConfiguration struct {
+	file string
+	put  bool
+}
+
+func defineImportConfiguration(flags *flag.FlagSet) argumentParser {
+	put := flags.Bool("put", false, "put the new configuration in force; without it only the changes are printed")
+	return func(args []string) (command, error) {
+		file, err := singleArgument(args, "file")
+		return importConfiguration{file: file, put: *put}, err
+	}
+}
+
+// Apply prints what is not carried over and what changes, and puts the configuration
+// where the command says so.
+func (i importConfiguration) Apply(ctx context.Context, s *session) error {
+	data, err := readFile(i.file)
+	if err != nil {
+		return err
+	}
+	current, err := s.fetchConfiguration(ctx, "")
+	if err != nil {
+		return err
+	}
+	imported, err := openapi.Import(data, current.Configuration)
+	if err != nil {
+		return err
+	}
+	for _, skipped := range imported.Skipped {
+		s.printf("not carried over: %s\n", skipped)
+	}
+	var before document
+	if err := json.Unmarshal(current.Configuration, &before); err != nil {
+		return invalidResponse(s.client.address, err)
+	}
+	for _, line := range diffDocuments(before, imported.Configuration) {
+		s.printf("%s\n", line)
+	}
+	if !i.put {
+		s.printf("%s\n", s.wording.nothingPut)
+		return nil
+	}
+	body, err := json.Marshal(imported.Configuration)
+	if err != nil {
+		return err
+	}
+	return s.putConfiguration(ctx, body, fmt.Sprint(current.Version))
+}
+
+// checkConfiguration checks a file without a daemon.
+type checkConfiguration struct{ file string }
+
+// Apply prints that the file is valid, or returns each of its faults.
+func (c checkConfiguration) Apply(_ context.Context, s *session) error {
+	data, err := readFile(c.file)
+	if err != nil {
+		return err
+	}
+	if err := config.Validate(data); err != nil {
+		return err
+	}
+	s.printf("%s\n", s.wording.configurationValid)
+	return nil
+}
+
+// readFile reads a file that the command line names.
+func readFile(name string) ([]byte, error) {
+	data, err := os.ReadFile(name)
+	if err != nil {
+		return nil, usageError("%v", err)
+	}
+	return data, nil
+}
--- /dev/null
+++ b/cmd/tuliprudderctl/diff_test.go
@@ -0,0 +1,38 @@
+package main
+
+import (
+	"encoding/json"
+	"slices"
+	"testing"
+)
+
+func mustDecode(t *testing.T, text string) document {
+	t.Helper()
+	var out document
+	if err := json.Unmarshal([]byte(text), &out); err != nil {
+		t.Fatal(err)
+	}
+	return out
+}
+
+func TestDiffDocuments(t *testing.T) {
+	const base = `{"classes":[{"name":"live","rank":3}],"pools":[{"name":"main"}],"judges":{"fullness":1}}`
+	cases := []struct {
+		name, from, to string
+		want           []string
+	}{
+		{"equal", base, base, nil},
+		{"added and removed", base, `{"classes":[{"name":"live","rank":3}],"pools":[{"name":"spare"}],"judges":{"fullness":1}}`, []string{"- pools main", "+ pools spare"}},
+		{"changed fields, sorted", base, `{"classes":[{"name":"live","rank":4,"allowance":9}],"pools":[{"name":"main"}],"judges":{"fullness":1}}`,
+			[]string{"~ classes live", "    allowance: null -> 9", "    rank: 3 -> 4"}},
+		{"scorers", base, `{"classes":[{"name":"live","rank":3}],"pools":[{"name":"main"}],"judges":{"fullness":2}}`, []string{"~ judges"}},
+		{"entries that are none", `{"classes":[5]}`, `{"classes":"x"}`, nil},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			if got := diffDocuments(mustDecode(t, c.from), mustDecode(t, c.to)); !slices.Equal(got, c.want) {
+				t.Errorf("%q, not %q", got, c.want)
+			}
+		})
+	}
+}
--- a/cmd/tuliprudderctl/golden_test.go
+++ b/cmd/tuliprudderctl/golden_test.go
@@ -8,7 +8,7 @@
 
 // The answers of the daemons are read by the keys that they are written under.
 func TestGoldenJSON(t *testing.T) {
-	for name, pointer := range map[string]any{"daemon.json": &daemon{}, "map.json": &clusterMap{}, "version.json": &configurationVersion{}} {
+	for name, pointer := range map[string]any{"daemon.json": &member{}, "map.json": &clusterMap{}, "version.json": &configurationVersion{}} {
 		if err := goldenjson.Check("testdata/golden/"+name, pointer); err != nil {
 			t.Errorf("%T: %v", pointer, err)
 		}
--- /dev/null
+++ b/cmd/tuliprudderctl/run_test.go
@@ -0,0 +1,21 @@
+package main
+
+import (
+	"bytes"
+	"context"
+)
+
+// runResult is what a run of the program left.
+type runResult struct {
+	exitCode       int
+	stdout, stderr string
+}
+
+// runAgainst runs a command line with -at and a fake daemon's address before it.
+func runAgainst(daemon *fakeDaemon, args ...string) runResult {
+	var stdout, stderr bytes.Buffer
+	variables := map[string]string{"USER": "anna"}
+	env := environment{stdout: &stdout, stderr: &stderr, getenv: func(name string) string { return variables[name] }}
+	exitCode := run(context.Background(), append([]string{"-at", daemon.address}, args...), env)
+	return runResult{exitCode: exitCode, stdout: stdout.String(), stderr: stderr.String()}
+}
