--- a/cmd/internal/localrun/localrun.go
+++ b/cmd/internal/localrun/localrun.go
@@ -15,6 +15,9 @@
 	"tuliprudder/test/localfleet"
 )
 
+// ErrGuaranteeBroken is the error of a program whose checkers saw a guarantee broken.
+var ErrGuaranteeBroken = errors.New("a guarantee was broken")
+
 // Start builds the daemons into a folder and starts the deployment that the settings
 // describe below it; ctx ends it before the deployment is started. It returns once the
 // deployment serves, with the time that this took from its start, or after timeout. Where
--- a/cmd/localfleet/main.go
+++ b/cmd/localfleet/main.go
@@ -8,7 +8,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"os"
 	"os/signal"
@@ -23,8 +22,6 @@
 
 const readyTimeout = 40 * time.Second
 
-var errGuaranteeBroken = errors.New("a guarantee was broken")
-
 func main() {
 	var cfg faultinject.Settings
 	r := settings.New("localfleet")
@@ -67,7 +64,7 @@
 	fmt.Print(verdict)
 	fmt.Print(faultinject.CounterSummary(fleet))
 	if verdict.IsBroken() {
-		return errGuaranteeBroken
+		return localrun.ErrGuaranteeBroken
 	}
 	return nil
 }
--- a/cmd/zonedrill/main.go
+++ b/cmd/zonedrill/main.go
@@ -8,7 +8,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"os"
 	"os/signal"
@@ -24,8 +23,6 @@
 
 const readyTimeout = 60 * time.Second
 
-var errGuaranteeBroken = errors.New("a guarantee was broken")
-
 // faultsByWay are the faults of package faultinject for each -way.
 var faultsByWay = map[string]string{"kill": "zone", "cut": "zone-cut", "wipe": "zone-wipe"}
 
@@ -90,7 +87,7 @@
 	fmt.Print(verdict)
 	if verdict.IsBroken() {
 		fmt.Println("evidence (logs, starts, data):", fleet.Dir)
-		return errGuaranteeBroken
+		return localrun.ErrGuaranteeBroken
 	}
 	if !d.KeepFiles {
 		os.RemoveAll(folder)
