--- a/internal/daemon/admin/admin.go
+++ b/internal/daemon/admin/admin.go
@@ -41,8 +41,13 @@
 	Counters func() map[string]int64
 }
 
+// Router is where the API registers its routes; paths use go-zero's :name for parts.
+type Router interface {
+	Handle(method, path string, handle httpserver.Handler)
+}
+
 // Routes registers the API's routes on the daemon's HTTP server.
-func (a *Admin) Routes(p *httpserver.Server) {
+func (a *Admin) Routes(p Router) {
 	p.Handle(http.MethodGet, "/soundness", a.health)
 	p.Handle(http.MethodGet, "/ready", a.ready)
 	p.Handle(http.MethodGet, "/counters", a.counters)
