--- a/internal/daemon/effects/executor.go
+++ b/internal/daemon/effects/executor.go
@@ -1,6 +1,6 @@
-// Package effects executes the work that a daemon's machine asks for towards model
-// servers (DESIGN §2, §7): it runs items, reads servers' load pages, and reports the
-// results. It decides nothing.
+// Package effects executes the tasks that a daemon's machine has for model servers
+// (machine.Execute; DESIGN §2, §7): it runs attempts of items, polls servers' load, and
+// reports the results to the machine. It decides nothing.
 package effects
 
 import (
@@ -16,86 +16,121 @@
 	"tuliprudder/internal/errs"
 )
 
-// Executor executes work; Notify reports to the machine. It may be called by several
-// threads.
+// pollTimeout is how long one poll of a server's load may take.
+const pollTimeout = time.Second
+
+// Executor executes tasks, each in a goroutine of its own. A goroutine ends with its attempt
+// or its poll, which time out; an attempt also ends when the machine cancels it. Execute may
+// be called by several goroutines.
 type Executor struct {
-	Notify func(body any)
-	Now    func() clock.Micros
-	// Forward passes an opaque item on and tells how that went; set before the
-	// first work comes.
+	// Notify reports to the machine.
+	Notify func(report any)
+	// Now is the daemon's time.
+	Now func() clock.Micros
+	// Forward forwards an item unchanged and gives the result; set before the first task.
+	// nil: this daemon forwards none.
 	Forward func(ctx context.Context, attempt execution.Attempt) execution.AttemptResult
+
 	mu      sync.Mutex
-	cancels map[uint64]context.CancelFunc
+	cancels map[uint64]context.CancelFunc // of the attempts in progress, by id; guarded by mu
 }
 
 // New makes an executor.
-func New(now func() clock.Micros, notify func(body any)) *Executor {
+func New(now func() clock.Micros, notify func(report any)) *Executor {
 	return &Executor{Notify: notify, Now: now, cancels: map[uint64]context.CancelFunc{}}
 }
 
-// Execute begins a piece of work; it does not block.
-func (t *Executor) Execute(work any) {
-	switch w := work.(type) {
+// Execute starts a task; it does not block.
+func (e *Executor) Execute(task any) {
+	switch t := task.(type) {
 	case execution.Attempt:
-		ctx, cancel := context.WithCancel(context.Background())
-		t.mu.Lock()
-		t.cancels[w.ID] = cancel
-		t.mu.Unlock()
-		go t.run(ctx, w)
+		go e.run(e.begin(t.ID), t)
 	case execution.CancelAttempt:
-		t.mu.Lock()
-		cancel := t.cancels[w.AttemptID]
-		t.mu.Unlock()
-		if cancel != nil {
-			cancel()
-		}
+		e.cancel(t.AttemptID)
 	case serverpoll.PollTask:
-		go t.pollServer(w)
+		go e.pollServer(t)
+	}
+}
+
+// begin makes the context of an attempt.
+func (e *Executor) begin(attemptID uint64) context.Context {
+	ctx, cancel := context.WithCancel(context.Background())
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.cancels[attemptID] = cancel
+	return ctx
+}
+
+// cancel cancels an attempt that is in progress.
+func (e *Executor) cancel(attemptID uint64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if cancel := e.cancels[attemptID]; cancel != nil {
+		cancel()
 	}
 }
 
-func (t *Executor) run(ctx context.Context, w execution.Attempt) {
-	defer func() {
-		t.mu.Lock()
-		t.cancels[w.ID]()
-		delete(t.cancels, w.ID)
-		t.mu.Unlock()
-	}()
-	if w.ForwardedItem != nil {
-		t.Notify(t.forward(ctx, w))
+// end releases an attempt's context.
+func (e *Executor) end(attemptID uint64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.cancels[attemptID]()
+	delete(e.cancels, attemptID)
+}
+
+// run runs an attempt and reports its result.
+func (e *Executor) run(ctx context.Context, attempt execution.Attempt) {
+	defer e.end(attempt.ID)
+	if attempt.ForwardedItem != nil {
+		e.Notify(e.forward(ctx, attempt))
 		return
 	}
+	e.Notify(e.complete(ctx, attempt))
+}
+
+// complete has a model server complete the prompt of an attempt.
+func (e *Executor) complete(ctx context.Context, attempt execution.Attempt) execution.AttemptResult {
 	var output strings.Builder
-	outcome, err := modelclient.StreamCompletion(ctx, w.Request, func(chunk string) error {
-		if output.Len()+len(chunk) > w.MaxOutputBytes {
-			return errs.New(errs.TooLarge, "lower max_tokens of the route", "the result is over %d bytes", w.MaxOutputBytes)
+	outcome, err := modelclient.StreamCompletion(ctx, attempt.Request, func(chunk string) error {
+		if output.Len()+len(chunk) > attempt.MaxOutputBytes {
+			return errs.New(errs.TooLarge, "lower max_tokens of the route", "the result is over %d bytes", attempt.MaxOutputBytes)
 		}
 		if output.Len() == 0 {
-			t.Notify(execution.AttemptStarted{AttemptID: w.ID})
+			e.Notify(execution.AttemptStarted{AttemptID: attempt.ID})
 		}
 		output.WriteString(chunk)
 		return nil
 	})
-	result := execution.AttemptResult{AttemptID: w.ID, Outcome: outcome, Output: output.String()}
+	result := execution.AttemptResult{AttemptID: attempt.ID, Outcome: outcome, Output: output.String()}
 	if err != nil {
 		result.Reason = err.Error()
 	}
-	t.Notify(result)
+	return result
 }
 
-func (t *Executor) forward(ctx context.Context, w execution.Attempt) execution.AttemptResult {
-	if t.Forward == nil {
-		return execution.AttemptResult{AttemptID: w.ID, Outcome: modelclient.NotStarted, Reason: "this daemon passes nothing on to servers; start one that does"}
+func (e *Executor) forward(ctx context.Context, attempt execution.Attempt) execution.AttemptResult {
+	if e.Forward == nil {
+		return execution.AttemptResult{
+			AttemptID: attempt.ID,
+			Outcome:   modelclient.NotStarted,
+			Reason:    "this daemon forwards nothing to servers; start one that does",
+		}
 	}
-	result := t.Forward(ctx, w)
-	result.AttemptID = w.ID
+	result := e.Forward(ctx, attempt)
+	result.AttemptID = attempt.ID
 	return result
 }
 
-func (t *Executor) pollServer(w serverpoll.PollTask) {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+func (e *Executor) pollServer(task serverpoll.PollTask) {
+	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 	defer cancel()
-	startedAt := t.Now()
-	running, waiting, err := modelclient.ReadLoad(ctx, w.Address)
-	t.Notify(serverpoll.PollResult{PollTask: w, Running: running, Waiting: waiting, Healthy: err == nil, StartedAt: startedAt})
+	startedAt := e.Now()
+	running, waiting, err := modelclient.ReadLoad(ctx, task.Address)
+	e.Notify(serverpoll.PollResult{
+		PollTask:  task,
+		Running:   running,
+		Waiting:   waiting,
+		Healthy:   err == nil,
+		StartedAt: startedAt,
+	})
 }
--- a/internal/daemon/effects/forward.go
+++ b/internal/daemon/effects/forward.go
@@ -12,33 +12,31 @@
 	"tuliprudder/internal/dataplane/upstream"
 )
 
-// itemAttemptTimeout is how long one try of an item may take before it is broken off: a
-// server that says nothing for so long is taken for lost.
+// itemAttemptTimeout is how long one attempt of an item may take: a server that sends
+// nothing for so long counts as lost.
 const itemAttemptTimeout = 30 * time.Second
 
-// Forwarder passes opaque items on over a client.
+// maxDiscardedBytes is how much of a body that is of no use is read, so that its connection
+// can be used again.
+const maxDiscardedBytes = 64 << 10
+
+// Forwarder forwards items unchanged over a client. It may be used by several goroutines.
 type Forwarder struct {
 	Client   *upstream.Client
 	Executor *Executor
 }
 
-// Forward passes an item on to its server unchanged (DESIGN §12.5) and gathers the
-// events of its answer; a later try goes on after the last one.
-func (f Forwarder) Forward(ctx context.Context, w execution.Attempt) (result execution.AttemptResult) {
-	result = execution.AttemptResult{AttemptID: w.ID, Outcome: modelclient.Interrupted, LastEventID: w.ForwardedItem.LastEventID}
+// Forward forwards an item to its server unchanged (DESIGN §12.5) and collects the events of
+// the response; a later attempt resumes after the last one.
+func (f Forwarder) Forward(ctx context.Context, attempt execution.Attempt) execution.AttemptResult {
 	ctx, cancel := context.WithTimeout(ctx, itemAttemptTimeout)
 	defer cancel()
-	item := w.ForwardedItem.Request
-	header := make(http.Header, len(item.Header))
-	for name, value := range item.Header {
-		header.Set(name, value)
+	result := execution.AttemptResult{
+		AttemptID:   attempt.ID,
+		Outcome:     modelclient.Interrupted,
+		LastEventID: attempt.ForwardedItem.LastEventID,
 	}
-	request := upstream.Request{Address: w.Request.Address, Instance: w.ForwardedItem.Instance, Method: http.MethodPost, Target: item.Target, Host: item.Host,
-		ID: w.ForwardedItem.ItemID, Header: header, Body: item.Body}
-	if w.ForwardedItem.LastEventID > 0 {
-		request.LastEventID = strconv.Itoa(w.ForwardedItem.LastEventID)
-	}
-	response, err := f.Client.Do(ctx, request)
+	response, err := f.Client.Do(ctx, upstreamRequest(attempt))
 	if err != nil {
 		result.Reason = err.Error()
 		if upstream.DeliveryOf(err) == upstream.NotWritten {
@@ -47,26 +45,61 @@
 		return result
 	}
 	defer response.Close()
+	if response.Status == http.StatusOK && !response.NotRun {
+		result.Outcome, result.Reason = f.collectEvents(attempt, response, &result)
+		return result
+	}
+	recordFailure(response, &result)
+	// An error here only means that the connection is not used again.
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscardedBytes))
+	return result
+}
+
+// upstreamRequest is the request of an attempt as it goes to the server.
+func upstreamRequest(attempt execution.Attempt) upstream.Request {
+	item := attempt.ForwardedItem
+	header := make(http.Header, len(item.Request.Header))
+	for name, value := range item.Request.Header {
+		header.Set(name, value)
+	}
+	request := upstream.Request{
+		Address:  attempt.Request.Address,
+		Instance: item.Instance,
+		Method:   http.MethodPost,
+		Target:   item.Request.Target,
+		Host:     item.Request.Host,
+		ID:       item.ItemID,
+		Header:   header,
+		Body:     item.Request.Body,
+	}
+	if item.LastEventID > 0 {
+		request.LastEventID = strconv.Itoa(item.LastEventID)
+	}
+	return request
+}
+
+// recordFailure records a response that has no events: whether the server certainly ran
+// nothing, rejected the item for good, or failed.
+func recordFailure(response *upstream.Response, result *execution.AttemptResult) {
 	switch {
 	case response.NotRun:
-		result.Outcome, result.Reason = modelclient.NotStarted, "the server did not run it: "+strconv.Itoa(response.Status)
+		result.Outcome = modelclient.NotStarted
+		result.Reason = "the server did not run it: " + strconv.Itoa(response.Status)
 	case response.Status == http.StatusUnprocessableEntity:
-		result.Outcome, result.Reason = modelclient.Rejected, "the server says that it can never be done"
+		result.Outcome = modelclient.Rejected
+		result.Reason = "the server says that it can never be done"
 	case response.Status == http.StatusInternalServerError:
-		result.ServerFailed, result.Reason = true, "the server failed"
-	case response.Status != http.StatusOK:
-		result.Reason = "the server answered " + strconv.Itoa(response.Status)
+		result.ServerFailed = true
+		result.Reason = "the server failed"
 	default:
-		result.Outcome, result.Reason = f.collectEvents(w, response, &result)
-		return result
+		result.Reason = "the server responded with status " + strconv.Itoa(response.Status)
 	}
-	io.Copy(io.Discard, io.LimitReader(response.Body, 64<<10))
-	return result
 }
 
-// collectEvents collects the events of an answer. An event that is out of order belongs to
-// no run that was asked for.
-func (f Forwarder) collectEvents(w execution.Attempt, response *upstream.Response, result *execution.AttemptResult) (modelclient.Outcome, string) {
+// collectEvents collects the events of a response into the result, and gives how it ended
+// and, unless it is complete, why. An event that is out of order belongs to no attempt of
+// this item.
+func (f Forwarder) collectEvents(attempt execution.Attempt, response *upstream.Response, result *execution.AttemptResult) (modelclient.Outcome, string) {
 	events := upstream.NewEventReader(response.Body)
 	size := 0
 	for {
@@ -81,11 +114,11 @@
 		if err != nil || id != result.LastEventID+1 {
 			return modelclient.Interrupted, "event " + event.ID + " follows event " + strconv.Itoa(result.LastEventID)
 		}
-		if size += len(event.Data); size > w.MaxOutputBytes {
-			return modelclient.Interrupted, "the result is over " + strconv.Itoa(w.MaxOutputBytes) + " bytes"
+		if size += len(event.Data); size > attempt.MaxOutputBytes {
+			return modelclient.Interrupted, "the result is over " + strconv.Itoa(attempt.MaxOutputBytes) + " bytes"
 		}
 		if len(result.Events) == 0 {
-			f.Executor.Notify(execution.AttemptStarted{AttemptID: w.ID})
+			f.Executor.Notify(execution.AttemptStarted{AttemptID: attempt.ID})
 		}
 		result.LastEventID = id
 		result.Events = append(result.Events, event.Data)
--- a/internal/daemon/machines/core.go
+++ b/internal/daemon/machines/core.go
@@ -1,84 +1,24 @@
-// Package machines adapts the state machines of the packages core, ledger and path
-// to the event loop's Machine interface, one for each kind of daemon (DESIGN §2).
 package machines
 
 import (
-	"encoding/json"
-	"sort"
 	"strings"
 
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/controlplane"
-	"tuliprudder/internal/controlplane/state"
 	"tuliprudder/internal/dataplane/endpoints"
 	"tuliprudder/internal/machine"
 	"tuliprudder/internal/membership"
 )
 
-// coreDirectory holds the cores' addresses, from the directory and the cores' updates.
-type coreDirectory struct {
-	seeds   []string
-	members map[string]membership.Member
-	latest  state.CoreUpdate
-}
-
-// receive records an update and tells whether the addresses changed.
-func (c *coreDirectory) receive(update machine.Update) bool {
-	if update.Key == state.CoreKey {
-		return json.Unmarshal(update.Value, &c.latest) == nil
-	}
-	if !strings.HasPrefix(update.Key, membership.KeyPrefix) {
-		return false
-	}
-	member, ok := membership.Decode(update.Value)
-	if !ok || member.Kind != membership.Core {
-		return false
-	}
-	if member.Status >= membership.Dead {
-		delete(c.members, member.ID)
-	} else {
-		c.members[member.ID] = member
-	}
-	return true
-}
-
-func (c *coreDirectory) addresses() []string {
-	seen := map[string]bool{}
-	var out []string
-	add := func(peer string) {
-		if peer != "" && !seen[peer] {
-			seen[peer] = true
-			out = append(out, peer)
-		}
-	}
-	for _, peer := range c.latest.VoterPeers {
-		add(peer)
-	}
-	ids := make([]string, 0, len(c.members))
-	for id := range c.members {
-		ids = append(ids, id)
-	}
-	sort.Strings(ids)
-	for _, id := range ids {
-		add(c.members[id].Peer)
-	}
-	if len(out) == 0 {
-		for _, peer := range c.seeds {
-			add(peer)
-		}
-	}
-	return out
-}
-
-// Core is the control machine of a core daemon.
+// Core is the machine of a core daemon: the control plane, and the addresses of the cores.
 type Core struct {
 	*controlplane.Core
 	cores coreDirectory
 }
 
 // NewCore makes the machine of a core daemon.
-func NewCore(s *controlplane.Core) *Core {
-	return &Core{Core: s, cores: coreDirectory{members: map[string]membership.Member{}}}
+func NewCore(core *controlplane.Core) *Core {
+	return &Core{Core: core, cores: newCoreDirectory()}
 }
 
 // Message handles a message that was received.
@@ -91,24 +31,19 @@
 	return c.Do(controlplane.Persisted{Token: token}, now)
 }
 
-// DiskStateChanged is the shell's word on the disk.
+// DiskStateChanged handles a change of whether the disk takes writes.
 func (c *Core) DiskStateChanged(diskState machine.DiskState, now clock.Micros) []machine.Effect {
 	return c.Do(controlplane.DiskStateChanged{State: diskState}, now)
 }
 
-// CompactAgain asks for a view of now.
+// CompactAgain makes another snapshot, since the last one could not be written.
 func (c *Core) CompactAgain(now clock.Micros) []machine.Effect {
 	return c.Do(controlplane.CompactAgain{}, now)
 }
 
 // UpdateReceived handles an update: addresses of other cores, status of stores.
 func (c *Core) UpdateReceived(update machine.Update, now clock.Micros) []machine.Effect {
-	var out []machine.Effect
-	if strings.HasPrefix(update.Key, membership.KeyPrefix) {
-		if member, ok := membership.Decode(update.Value); ok && member.Kind == membership.Store {
-			out = append(out, c.Do(controlplane.Suspicion{ID: member.ID, Unhealthy: member.Status != membership.Alive}, now)...)
-		}
-	}
+	out := c.reportStoreHealth(update, now)
 	if strings.HasPrefix(update.Key, endpoints.ServerPrefix) {
 		out = append(out, c.Do(controlplane.EndpointUpdate{Update: update}, now)...)
 	}
@@ -118,10 +53,23 @@
 	return out
 }
 
-// Call handles a request.
+// reportStoreHealth tells the control plane whether a store is suspected, where the update
+// is one of a store's status.
+func (c *Core) reportStoreHealth(update machine.Update, now clock.Micros) []machine.Effect {
+	if !strings.HasPrefix(update.Key, membership.KeyPrefix) {
+		return nil
+	}
+	member, ok := membership.Decode(update.Value)
+	if !ok || member.Kind != membership.Store {
+		return nil
+	}
+	return c.Do(controlplane.Suspicion{ID: member.ID, Unhealthy: member.Status != membership.Alive}, now)
+}
+
+// Call handles a request: the daemon's own to drain, or one for the control plane.
 func (c *Core) Call(number uint64, body any, now clock.Micros) []machine.Effect {
-	if leave, ok := body.(controlplane.Drain); ok {
-		return append(c.Do(leave, now), machine.Reply{Call: number})
+	if drain, ok := body.(controlplane.Drain); ok {
+		return append(c.Do(drain, now), machine.Reply{Call: number})
 	}
 	return c.Do(controlplane.Call{Number: number, Body: body}, now)
 }
@@ -131,10 +79,10 @@
 	return c.Do(controlplane.Tick{}, now)
 }
 
-// ReplyReceived does nothing: a core requests nothing of others by this way.
+// ReplyReceived does nothing: a core sends no machine.Request.
 func (c *Core) ReplyReceived(uint64, any, error, clock.Micros) []machine.Effect { return nil }
 
-// FreshnessAdvanced tells up to when this daemon's updates are complete.
+// FreshnessAdvanced handles up to when this daemon's updates are complete.
 func (c *Core) FreshnessAdvanced(at, now clock.Micros) []machine.Effect {
 	return c.Do(controlplane.FreshnessAdvanced{At: at}, now)
 }
--- a/internal/daemon/machines/demand.go
+++ b/internal/daemon/machines/demand.go
@@ -1,7 +1,8 @@
 package machines
 
 import (
-	"sort"
+	"maps"
+	"slices"
 
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/machine"
@@ -9,22 +10,23 @@
 	"tuliprudder/internal/transport"
 )
 
-// Stores share the servers' room for items by what each has to run (DESIGN §12.6):
-// each tells the others its demand, and takes the part that is its own. An old or a
-// lost message only makes the parts less even.
+// Stores share the model servers' capacity for items by what each has to run (DESIGN §12.6):
+// each tells the others its demand, and takes the share that is its own. An old or a lost
+// message only makes the shares less even.
 
-// Demand tells how many items a store has to run.
+// Demand is the message that tells how many items a store has to run. Its type and fields
+// are on the wire.
 type Demand struct {
-	ID    string
+	ID    string // of the store
 	Items int
 }
 
 func init() { transport.Register(Demand{}) }
 
 const (
-	minDemandInterval = 250 * clock.Millisecond // when it changed
-	maxDemandInterval = clock.Second            // when it did not
-	demandTTL         = 3 * clock.Second        // a store not heard for so long has none
+	minDemandInterval = 250 * clock.Millisecond // between two announcements when the demand changed
+	maxDemandInterval = clock.Second            // the same when it did not
+	demandTTL         = 3 * clock.Second        // after which a store's last announcement no longer counts
 )
 
 type demand struct {
@@ -41,10 +43,11 @@
 }
 
 func (d *demandTracker) receive(message Demand, now clock.Micros) {
-	d.others[message.ID] = demand{message.Items, now}
+	d.others[message.ID] = demand{items: message.Items, receivedAt: now}
 }
 
-// share is this store's part of the room, by its own demand and the others'.
+// share is this store's share of the capacity, from 0 to 1, by its own demand and the
+// others'.
 func (d *demandTracker) share(own int, now clock.Micros) float64 {
 	sum := max(1, own)
 	for id, one := range d.others {
@@ -59,17 +62,18 @@
 
 // announce tells the other stores this one's demand, when it changed or is due.
 func (d *demandTracker) announce(own int, members map[string]membership.Member, emit func(machine.Effect), now clock.Micros) {
-	if own == d.lastSent && now-d.lastSentAt < maxDemandInterval || now-d.lastSentAt < minDemandInterval {
+	interval := minDemandInterval
+	if own == d.lastSent {
+		interval = maxDemandInterval
+	}
+	if now-d.lastSentAt < interval {
 		return
 	}
 	d.lastSent, d.lastSentAt = own, now
-	ids := make([]string, 0, len(members))
-	for id := range members {
-		ids = append(ids, id)
-	}
-	sort.Strings(ids)
-	for _, id := range ids {
-		if member := members[id]; member.Kind == membership.Store && id != d.self && member.Status <= membership.Suspect {
+	for _, id := range slices.Sorted(maps.Keys(members)) {
+		member := members[id]
+		isOtherStore := member.Kind == membership.Store && id != d.self
+		if isOtherStore && member.Status <= membership.Suspect {
 			emit(machine.Send{To: member.Peer, Body: Demand{ID: d.self, Items: own}})
 		}
 	}
--- a/internal/daemon/machines/edge.go
+++ b/internal/daemon/machines/edge.go
@@ -13,21 +13,29 @@
 	"tuliprudder/internal/machine"
 )
 
+// decisionLogSize is how many of its latest requests an edge can explain.
+const decisionLogSize = 8192
+
 // EdgeSettings are the settings of an edge daemon's machine.
 type EdgeSettings struct {
 	Scheduler    scheduler.Settings
 	Requests     requests.Settings
 	Proxy        proxy.Settings
-	PollInterval clock.Micros
+	PollInterval clock.Micros // between two polls of a model server's load; 0: none is polled. Default: 400 ms
 }
 
 // EdgeDefaults are the values used where nothing is set.
 func EdgeDefaults() EdgeSettings {
-	return EdgeSettings{Scheduler: scheduler.Defaults(), Requests: requests.Defaults(), Proxy: proxy.Defaults(), PollInterval: 400 * clock.Millisecond}
+	return EdgeSettings{
+		Scheduler:    scheduler.Defaults(),
+		Requests:     requests.Defaults(),
+		Proxy:        proxy.Defaults(),
+		PollInterval: 400 * clock.Millisecond,
+	}
 }
 
-// Edge is the machine of an edge daemon: orders, forwarded requests, reading,
-// shares, serverpoll.
+// Edge is the machine of an edge daemon: callers' requests, proxied requests, reading of
+// batches, quota shares, and polling of the model servers.
 type Edge struct {
 	*Scheduling
 	Reader       *reader.Reader
@@ -37,9 +45,13 @@
 	Decisions    *decisionlog.Log
 }
 
-// NewEdge puts an edge's machine together; the seed makes its choices repeatable.
+// NewEdge makes the machine of the edge with the id self; the seed makes its choices
+// repeatable.
 func NewEdge(self string, settings EdgeSettings, seed int64) *Edge {
-	e := &Edge{Scheduling: newScheduling(self, settings.Scheduler, seed, func(*Scheduling) func(string) int { return nil }), Decisions: decisionlog.New(8192)}
+	e := &Edge{
+		Scheduling: newScheduling(self, settings.Scheduler, seed, nil),
+		Decisions:  decisionlog.New(decisionLogSize),
+	}
 	e.Reader = reader.New(e.Calls)
 	e.Quota.ShardMap = func() (state.Map, bool) { return e.Reader.ShardMap(), e.Reader.ShardMap().Seq > 0 }
 	e.Requests = requests.New(settings.Requests, e.Calls, e.Scheduler, e.Quota, e.Reader, e.Decisions)
@@ -48,16 +60,16 @@
 	return e
 }
 
-// Message does nothing: an edge takes requests alone.
+// Message does nothing: an edge takes calls alone.
 func (e *Edge) Message(string, any, clock.Micros) []machine.Effect { return nil }
 
 // Persisted does nothing: an edge has no disk.
 func (e *Edge) Persisted(uint64, clock.Micros) []machine.Effect { return nil }
 
-// DiskStateChanged is not for an edge either.
+// DiskStateChanged does nothing: an edge has no disk.
 func (e *Edge) DiskStateChanged(machine.DiskState, clock.Micros) []machine.Effect { return nil }
 
-// CompactAgain is not for an edge either.
+// CompactAgain does nothing: an edge has no disk.
 func (e *Edge) CompactAgain(clock.Micros) []machine.Effect { return nil }
 
 // UpdateReceived handles an update that was received.
@@ -68,35 +80,42 @@
 	return e.finishStep(now)
 }
 
-// ReplyReceived handles another daemon's answer.
+// ReplyReceived handles another daemon's reply.
 func (e *Edge) ReplyReceived(token uint64, body any, err error, now clock.Micros) []machine.Effect {
 	e.Calls.ReplyReceived(token, body, err, now)
 	return e.finishStep(now)
 }
 
-// Drain makes the edge reject new live orders; those that wait are dropped.
+// Drain makes the edge reject new requests; those that are queued are dropped.
 type Drain struct{}
 
-// Call handles a request, of a caller through the event loop or of another daemon.
+// Call handles a request: a report of the daemon's own, or a request of a caller or of
+// another daemon.
 func (e *Edge) Call(number uint64, body any, now clock.Micros) []machine.Effect {
-	switch request := body.(type) {
+	switch {
+	case e.handleReport(body, now):
+		e.acknowledge(number)
+	case e.Proxy.Call(number, body, now), e.Requests.Call(number, body, now), e.Quota.Call(number, body, now):
+	default:
+		e.reject(number, errs.New(errs.BadInput, "send it to a daemon of the right role", "an edge handles no request of the type %T", body))
+	}
+	return e.finishStep(now)
+}
+
+// handleReport handles what the daemon itself reports; false where the body is none of that.
+func (e *Edge) handleReport(body any, now clock.Micros) bool {
+	switch report := body.(type) {
 	case serverpoll.PollResult:
-		e.ServerPoller.HandleResult(request, now)
-		e.Calls.Emit(machine.Reply{Call: number})
+		e.ServerPoller.HandleResult(report, now)
 	case reader.CallerLeft:
-		e.Reader.CancelRead(request)
-		e.Calls.Emit(machine.Reply{Call: number})
-	case nil:
-		e.Calls.Emit(machine.Reply{Call: number}) // a caller left whose order goes on
+		e.Reader.CancelRead(report)
 	case Drain:
 		e.Scheduler.Close(now)
-		e.Calls.Emit(machine.Reply{Call: number})
+	case nil: // a caller left whose request goes on
 	default:
-		if !e.Proxy.Call(number, body, now) && !e.Requests.Call(number, body, now) && !e.Quota.Call(number, body, now) {
-			e.Calls.Emit(machine.Reply{Call: number, Err: errs.New(errs.BadInput, "ask a daemon of the right kind", "an edge answers no such ask: %T", body)})
-		}
+		return false
 	}
-	return e.finishStep(now)
+	return true
 }
 
 // Tick runs the duties that are due.
--- a/internal/daemon/machines/store.go
+++ b/internal/daemon/machines/store.go
@@ -3,59 +3,59 @@
 import (
 	"tuliprudder/internal/batchstore"
 	"tuliprudder/internal/clock"
-	"tuliprudder/internal/config"
 	"tuliprudder/internal/controlplane/state"
 	"tuliprudder/internal/dataplane/execution"
 	"tuliprudder/internal/dataplane/quota"
 	"tuliprudder/internal/dataplane/scheduler"
-	"tuliprudder/internal/errs"
 	"tuliprudder/internal/machine"
-	"tuliprudder/internal/membership"
 )
 
-// Store is the machine of a store daemon: the ledgers, the runs of their items, and
-// the quota.
+// Store is the machine of a store daemon: its replicas of the shards, the execution of
+// their items, and quota shares.
 type Store struct {
 	*Scheduling
-	Ledger              *batchstore.Store
-	Runner              *execution.Runner
-	cores               coreDirectory
-	pendingReservations map[uint64]quota.Release // shares taken for batches that are being written
-	// queuedWeights is what requests that are passed on count for, by tenant; count is
-	// when it is counted again.
-	queuedWeights map[string]int
-	countedAt     clock.Micros
-	demands       demandTracker
+	Ledger *batchstore.Store
+	Runner *execution.Runner
+
+	cores coreDirectory
+	// pendingReservations has the quota that was reserved for batches that are being
+	// written, by call number (submit.go).
+	pendingReservations map[uint64]quota.Release
+	queued              queuedWeights
+	demands             demandTracker
 }
 
-// NewStore puts a store's machine together; the seed makes its choices
+// schedulerQueueMargin is how many requests more than twice the store's items the
+// scheduler may queue: the store's own limit rejects first.
+const schedulerQueueMargin = 1000
+
+// NewStore makes the machine of the store with the id self; the seed makes its choices
 // repeatable.
 func NewStore(self string, ledger *batchstore.Store, maxItems int, seed int64) *Store {
 	settings := scheduler.Defaults()
-	settings.MaxQueued = 2*maxItems + 1000 // the store's own bound comes first
-	s := &Store{Ledger: ledger, cores: coreDirectory{members: map[string]membership.Member{}}, pendingReservations: map[uint64]quota.Release{}, queuedWeights: map[string]int{}, demands: demandTracker{self: self, others: map[string]demand{}}}
-	s.Scheduling = newScheduling(self, settings, seed, func(*Scheduling) func(string) int {
-		return func(tenant string) int {
-			if count, ok := s.queuedWeights[tenant]; ok {
-				return count
-			}
-			return s.Runner.WaitingWeight(tenant)
-		}
-	})
+	settings.MaxQueued = 2*maxItems + schedulerQueueMargin
+	s := &Store{
+		Ledger:              ledger,
+		cores:               newCoreDirectory(),
+		pendingReservations: map[uint64]quota.Release{},
+		queued:              queuedWeights{byTenant: map[string]int{}},
+		demands:             demandTracker{self: self, others: map[string]demand{}},
+	}
+	s.Scheduling = newScheduling(self, settings, seed, s.queuedWeight)
 	s.Quota.ShardMap = func() (state.Map, bool) { return ledger.ClusterMap(), ledger.HasClusterMap() }
 	s.Runner = execution.New(execution.Defaults(), s.Calls, s.Scheduler, ledger.MayStart, func(result batchstore.ItemFinished, now clock.Micros) { s.apply(result, now) })
 	return s
 }
 
-// SetSeeds names the seeds: until this store knows the cores, its heartbeats go
-// there, so that one that has restarted is paired without waiting for updates.
+// SetSeeds sets the seed addresses: until this store knows the cores, its heartbeats go
+// there, so that a store that has restarted gets its shards without waiting for updates.
 func (s *Store) SetSeeds(seeds []string) {
 	s.cores.seeds = seeds
 	s.apply(batchstore.CorePeers{Peers: s.cores.addresses()}, 0)
 }
 
-// apply applies a command to the ledgers and keeps back the effects that are for the
-// request path.
+// apply applies a command to the store's shards. It carries out the effects that are for the
+// parts of this machine, and emits the others.
 func (s *Store) apply(command batchstore.Command, now clock.Micros) {
 	for _, effect := range s.Ledger.Do(command, now) {
 		switch e := effect.(type) {
@@ -64,7 +64,7 @@
 			continue
 		case machine.Reply:
 			if release := s.pendingReservations[e.Call]; release != nil {
-				// From here on the items count as waiting in the queue.
+				// From here on the batch's items count as queued.
 				delete(s.pendingReservations, e.Call)
 				release(now)
 			}
@@ -73,17 +73,14 @@
 	}
 }
 
+// executeTask hands a task of the shards to the runner.
 func (s *Store) executeTask(task any, now clock.Micros) {
-	switch w := task.(type) {
+	switch t := task.(type) {
 	case batchstore.RunItem:
-		if configuration := s.Scheduler.Configuration(); configuration != nil {
-			if limit := quotaLimit(configuration, w.Tenant, w.Route, w.Request != nil); limit > 0 {
-				s.Quota.TrackUsage(w.Tenant, limit, configuration.Version)
-			}
-		}
-		s.Runner.Submit(w, now)
+		s.trackUsage(t.Tenant, t.Route, t.Request != nil)
+		s.Runner.Submit(t, now)
 	case batchstore.CancelItems:
-		s.Runner.Revoke(w, now)
+		s.Runner.Revoke(t, now)
 	}
 }
 
@@ -103,13 +100,13 @@
 	return s.finishStep(now)
 }
 
-// DiskStateChanged is the shell's word on the disk.
+// DiskStateChanged handles a change of whether the disk takes writes.
 func (s *Store) DiskStateChanged(diskState machine.DiskState, now clock.Micros) []machine.Effect {
 	s.apply(batchstore.DiskStateChanged{State: diskState}, now)
 	return s.finishStep(now)
 }
 
-// CompactAgain asks for a view of now.
+// CompactAgain makes another snapshot, since the last one could not be written.
 func (s *Store) CompactAgain(now clock.Micros) []machine.Effect {
 	s.apply(batchstore.CompactAgain{}, now)
 	return s.finishStep(now)
@@ -125,139 +122,52 @@
 	return s.finishStep(now)
 }
 
-// ReplyReceived handles another daemon's answer.
+// ReplyReceived handles another daemon's reply.
 func (s *Store) ReplyReceived(token uint64, body any, err error, now clock.Micros) []machine.Effect {
 	s.Calls.ReplyReceived(token, body, err, now)
 	return s.finishStep(now)
 }
 
-// Call handles a request, or the event loop's report on a run.
+// Call handles a request: a report of the daemon's own, or a request of another daemon.
 func (s *Store) Call(number uint64, body any, now clock.Micros) []machine.Effect {
-	switch request := body.(type) {
-	case batchstore.SubmitRequest:
-		s.submit(number, request, now)
-	case execution.AttemptResult:
-		s.Runner.HandleAttemptResult(request, now)
-		s.Calls.Emit(machine.Reply{Call: number})
-	case execution.AttemptStarted:
-		s.Runner.HandleAttemptStarted(request, now)
-		s.Calls.Emit(machine.Reply{Call: number})
-	case batchstore.Drain:
-		s.apply(request, now)
-		s.Calls.Emit(machine.Reply{Call: number})
+	switch {
+	case s.handleReport(body, now):
+		s.acknowledge(number)
+	case s.Quota.Call(number, body, now):
 	default:
-		if !s.Quota.Call(number, body, now) {
-			s.apply(batchstore.Call{Number: number, Body: body}, now)
-		}
+		s.handleBatchCall(number, body, now)
 	}
 	return s.finishStep(now)
 }
 
-// submit takes shares for a batch's items before anything is written: from then
-// on they count as waiting until they start. A repeated key needs none.
-func (s *Store) submit(number uint64, request batchstore.SubmitRequest, now clock.Micros) {
-	configuration := s.Scheduler.Configuration()
-	switch {
-	case s.Ledger.HasBatch(request.Shard, request.Batch.ID):
-		s.apply(batchstore.Call{Number: number, Body: request}, now)
-		return
-	case !s.Scheduler.IsFresh(now):
-		s.reject(number, errs.NewWithRetry(errs.NotReady, clock.Second, "ask again; another store may take the slot over", "the store does not hear most of the fleet"))
-		return
-	case configuration == nil || configuration.Version < request.Batch.ConfigurationVersion:
-		s.reject(number, errs.NewWithRetry(errs.NotReady, clock.Second, "ask again; the store has just started", "the plan has not arrived at the store yet"))
-		return
-	}
-	forward, weight := false, 0
-	for _, item := range request.Batch.Items {
-		forward = forward || item.Request != nil
-		weight += item.Request.Weight()
-	}
-	limit := quotaLimit(configuration, request.Batch.Tenant, request.Batch.Route, forward)
-	switch {
-	case limit == notConfigured && forward:
-		s.reject(number, errs.New(errs.UnknownRoute, "have the operators add the route to the plan", "the plan in force passes no bundles on by a route %q", request.Batch.Route))
-		return
-	case limit == notConfigured:
-		s.reject(number, errs.New(errs.Unauthorised, "have the operators add the customer to the plan", "the plan has no customer %q", request.Batch.Tenant))
-		return
-	case limit == unlimited:
-		s.apply(batchstore.Call{Number: number, Body: request}, now)
-		return
-	}
-	s.recountQueued(now)
-	s.Quota.Reserve(request.Batch.Tenant, limit, configuration.Version, weight, now, func(release quota.Release, err error, now clock.Micros) {
-		if err != nil {
-			s.reject(number, err)
-			return
-		}
-		if !forward {
-			s.pendingReservations[number] = release
-			s.apply(batchstore.Call{Number: number, Body: request}, now)
-			return
-		}
-		// Once it is written its requests are counted from the ledger.
-		s.apply(batchstore.Call{Number: number, Body: request}, now)
-		s.recountQueued(now)
-		release(now)
-	})
-}
-
-// Results of quota where there is no bound, and where the configuration has no such route
-// or tenant.
-const (
-	unlimited     = 0
-	notConfigured = -1
-)
-
-// quotaLimit is how much may wait: of a tenant by its class, of a route whose
-// requests are passed on by its own bound on tokens (DESIGN §11.3, §12.5).
-func quotaLimit(configuration *config.Configuration, tenant, route string, forward bool) int64 {
-	if forward {
-		found, _ := configuration.Route(route)
-		if found == nil || found.Forward == nil || found.Kind != config.Batch {
-			return notConfigured
-		}
-		return max(unlimited, found.Forward.MaxQueuedTokens)
-	}
-	if class := configuration.ClassOfTenant(tenant); class != nil {
-		return class.Quota
+// handleReport handles what the daemon itself reports; false where the body is none of that.
+func (s *Store) handleReport(body any, now clock.Micros) bool {
+	switch report := body.(type) {
+	case execution.AttemptResult:
+		s.Runner.HandleAttemptResult(report, now)
+	case execution.AttemptStarted:
+		s.Runner.HandleAttemptStarted(report, now)
+	case batchstore.Drain:
+		s.apply(report, now)
+	default:
+		return false
 	}
-	return notConfigured
-}
-
-func (s *Store) reject(number uint64, err error) {
-	s.Calls.Emit(machine.Reply{Call: number, Err: err})
+	return true
 }
 
-// recountQueued counts what waits from the ledger; what is told of at renewals has to be
-// known to the quota.
-func (s *Store) recountQueued(now clock.Micros) {
-	s.countedAt = now
-	previous := s.queuedWeights
-	s.queuedWeights = s.Ledger.PendingWeights(now)
-	configuration := s.Scheduler.Configuration()
-	for tenant := range s.queuedWeights {
-		if configuration != nil {
-			if limit := quotaLimit(configuration, tenant, tenant, true); limit > 0 {
-				s.Quota.TrackUsage(tenant, limit, configuration.Version)
-			}
-		}
-	}
-	for tenant := range previous {
-		if _, ok := s.queuedWeights[tenant]; !ok {
-			s.queuedWeights[tenant] = 0
-		}
+// handleBatchCall passes a request on to the shards. A batch needs quota first.
+func (s *Store) handleBatchCall(number uint64, body any, now clock.Micros) {
+	if request, ok := body.(batchstore.SubmitRequest); ok {
+		s.submit(number, request, now)
+		return
 	}
+	s.apply(batchstore.Call{Number: number, Body: body}, now)
 }
 
-// recountInterval is how old the count of what waits may be.
-const recountInterval = 100 * clock.Millisecond
-
 // Tick runs the duties that are due.
 func (s *Store) Tick(now clock.Micros) []machine.Effect {
 	s.apply(batchstore.Tick{}, now)
-	if now-s.countedAt >= recountInterval {
+	if now-s.queued.countedAt >= recountInterval {
 		s.recountQueued(now)
 		s.demands.announce(s.Runner.Pending(), s.members, s.Calls.Emit, now)
 		s.Scheduler.SetBatchShare(s.demands.share(s.Runner.Pending(), now))
--- /dev/null
+++ b/internal/daemon/machines/submit.go
@@ -0,0 +1,112 @@
+package machines
+
+import (
+	"tuliprudder/internal/batchstore"
+	"tuliprudder/internal/batchstore/shard"
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/config"
+	"tuliprudder/internal/dataplane/quota"
+	"tuliprudder/internal/errs"
+)
+
+// submit reserves quota for a batch's items before anything is written: from then on they
+// count as queued until they start. A batch that is known here needs none.
+func (s *Store) submit(number uint64, request batchstore.SubmitRequest, now clock.Micros) {
+	if s.Ledger.HasBatch(request.Shard, request.Batch.ID) {
+		s.write(number, request, now)
+		return
+	}
+	configuration := s.Scheduler.Configuration()
+	if err := s.checkReady(configuration, request.Batch, now); err != nil {
+		s.reject(number, err)
+		return
+	}
+	forwarded, weight := batchWeight(request.Batch)
+	limit := quotaLimit(configuration, request.Batch.Tenant, request.Batch.Route, forwarded)
+	switch {
+	case limit == notConfigured:
+		s.reject(number, notConfiguredError(request.Batch, forwarded))
+	case limit == unlimited:
+		s.write(number, request, now)
+	default:
+		s.recountQueued(now)
+		s.Quota.Reserve(request.Batch.Tenant, limit, configuration.Version, weight, now, func(release quota.Release, err error, now clock.Micros) {
+			if err != nil {
+				s.reject(number, err)
+				return
+			}
+			s.writeReserved(number, request, forwarded, release, now)
+		})
+	}
+}
+
+// write has the batch written to its shard.
+func (s *Store) write(number uint64, request batchstore.SubmitRequest, now clock.Micros) {
+	s.apply(batchstore.Call{Number: number, Body: request}, now)
+}
+
+// writeReserved has a batch written that has its quota. The reservation ends where the items
+// begin to count as queued: forwarded ones are counted from the shard as soon as that has
+// them, others once the batch is written (apply).
+func (s *Store) writeReserved(number uint64, request batchstore.SubmitRequest, forwarded bool, release quota.Release, now clock.Micros) {
+	if !forwarded {
+		s.pendingReservations[number] = release
+		s.write(number, request, now)
+		return
+	}
+	s.write(number, request, now)
+	s.recountQueued(now)
+	release(now)
+}
+
+// checkReady tells why this store can't judge a batch yet: it lacks contact or the
+// configuration that the edge judged it by.
+func (s *Store) checkReady(configuration *config.Configuration, batch shard.Batch, now clock.Micros) error {
+	switch {
+	case !s.Scheduler.IsFresh(now):
+		return errs.NewWithRetry(errs.NotReady, clock.Second, "retry; another store may take the shard over", "the store has no contact with a majority of the voters")
+	case configuration == nil || configuration.Version < batch.ConfigurationVersion:
+		return errs.NewWithRetry(errs.NotReady, clock.Second, "retry; the store has just started", "the configuration has not arrived at the store yet")
+	}
+	return nil
+}
+
+// batchWeight is how much of the quota a batch takes, and whether its items are forwarded
+// unchanged.
+func batchWeight(batch shard.Batch) (forwarded bool, weight int) {
+	for _, item := range batch.Items {
+		forwarded = forwarded || item.Request != nil
+		weight += item.Request.Weight()
+	}
+	return forwarded, weight
+}
+
+func notConfiguredError(batch shard.Batch, forwarded bool) error {
+	if forwarded {
+		return errs.New(errs.UnknownRoute, "have the operators add the route to the configuration", "the configuration in force forwards no batches on a route %q", batch.Route)
+	}
+	return errs.New(errs.Unauthorised, "have the operators add the tenant to the configuration", "the configuration has no tenant %q", batch.Tenant)
+}
+
+// Results of quotaLimit where there is no limit, and where the configuration has no such
+// route or tenant.
+const (
+	unlimited     = 0
+	notConfigured = -1
+)
+
+// quotaLimit is how much work may be queued: of a tenant by its priority class, of a route
+// whose requests are forwarded unchanged by its own limit of tokens (DESIGN §11.3, §12.5).
+func quotaLimit(configuration *config.Configuration, tenant, route string, forwarded bool) int64 {
+	if forwarded {
+		found, _ := configuration.Route(route)
+		if found == nil || found.Forward == nil || found.Kind != config.Batch {
+			return notConfigured
+		}
+		return max(unlimited, found.Forward.MaxQueuedTokens)
+	}
+	if class := configuration.ClassOfTenant(tenant); class != nil {
+		return class.Quota
+	}
+	return notConfigured
+}
