--- /dev/null
+++ b/internal/daemon/admin/configurations.go
@@ -0,0 +1,124 @@
+package admin
+
+import (
+	"net/http"
+	"strconv"
+
+	"github.com/zeromicro/go-zero/rest/pathvar"
+
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/config"
+	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/state"
+	"tuliprudder/internal/errs"
+	"tuliprudder/internal/httpserver"
+)
+
+const (
+	// changeTimeout is how long the primary has for a change of the control state; later its
+	// outcome is unknown.
+	changeTimeout = 5 * clock.Second
+	// readTimeout is how long a reading of the control state may take.
+	readTimeout = 3 * clock.Second
+	// networkMargin is how much longer a call waits than the primary does.
+	networkMargin = clock.Second
+)
+
+// putConfigurationResponse is the version that a configuration got.
+type putConfigurationResponse struct {
+	Version uint64 `json:"version"`
+}
+
+// configurationListResponse lists the versions that can be read back, and the requests that
+// are still recognised when they are sent again, by the digest of their documents.
+type configurationListResponse struct {
+	Requests []appliedRequestResponse       `json:"orders"`
+	Versions []configurationVersionResponse `json:"plans"`
+}
+
+type appliedRequestResponse struct {
+	Base    uint64 `json:"base"`
+	Digest  string `json:"digest"` // in hexadecimal
+	Version uint64 `json:"version"`
+}
+
+type configurationVersionResponse struct {
+	At      clock.Micros `json:"at_us"`
+	Base    uint64       `json:"base"`
+	By      string       `json:"by"`
+	Version uint64       `json:"version"`
+}
+
+// getConfiguration writes the configuration in force as this daemon knows it.
+func (a *Admin) getConfiguration(w http.ResponseWriter, _ *http.Request) error {
+	version, err := readUpdate[state.Version](a, state.ConfigurationKey, "configuration")
+	if err != nil {
+		return err
+	}
+	return httpserver.WriteJSON(w, http.StatusOK, version)
+}
+
+// putConfiguration replaces the configuration. Where the query has a base, it is replaced
+// only if that version is in force.
+func (a *Admin) putConfiguration(w http.ResponseWriter, r *http.Request) error {
+	document, err := httpserver.ReadBody(r)
+	if err != nil {
+		return err
+	}
+	if err := config.Validate(document); err != nil {
+		return err
+	}
+	request := controlplane.PutConfigurationRequest{Body: document, By: r.Header.Get("X-Operator"), Timeout: changeTimeout}
+	if text := r.URL.Query().Get("base"); text != "" {
+		base, err := strconv.ParseUint(text, 10, 64)
+		if err != nil {
+			return errs.New(errs.BadInput, "give the version that the configuration is based on, or leave base out", "base=%q is no version", text)
+		}
+		request.Base, request.HasBase = base, true
+	}
+	response, err := callPrimary[controlplane.PutConfigurationResponse](a, request, changeTimeout+networkMargin)
+	if err != nil {
+		return err
+	}
+	return httpserver.WriteJSON(w, http.StatusOK, putConfigurationResponse{Version: response.Version})
+}
+
+// listConfigurations lists the versions that the primary keeps.
+func (a *Admin) listConfigurations(w http.ResponseWriter, _ *http.Request) error {
+	response, err := callPrimary[controlplane.ConfigurationsResponse](a, controlplane.ConfigurationsRequest{}, readTimeout)
+	if err != nil {
+		return err
+	}
+	return httpserver.WriteJSON(w, http.StatusOK, newConfigurationList(response))
+}
+
+// getConfigurationVersion writes one version, with its document.
+func (a *Admin) getConfigurationVersion(w http.ResponseWriter, r *http.Request) error {
+	text := pathvar.Vars(r)["version"]
+	version, err := strconv.ParseUint(text, 10, 64)
+	if err != nil || version == 0 {
+		return errs.New(errs.BadInput, "give a version from the list of configurations", "%q is no version", text)
+	}
+	response, err := callPrimary[controlplane.ConfigurationsResponse](a, controlplane.ConfigurationsRequest{Version: version}, readTimeout)
+	if err != nil {
+		return err
+	}
+	if len(response.Versions) != 1 {
+		return httpserver.WriteJSON(w, http.StatusOK, newConfigurationList(response))
+	}
+	return httpserver.WriteJSON(w, http.StatusOK, response.Versions[0])
+}
+
+func newConfigurationList(configurations controlplane.ConfigurationsResponse) configurationListResponse {
+	list := configurationListResponse{
+		Requests: []appliedRequestResponse{},
+		Versions: []configurationVersionResponse{},
+	}
+	for _, version := range configurations.Versions {
+		list.Versions = append(list.Versions, configurationVersionResponse{At: version.At, Base: version.Base, By: version.By, Version: version.Number})
+	}
+	for _, request := range configurations.Requests {
+		list.Requests = append(list.Requests, appliedRequestResponse{Base: request.Base, Digest: request.Digest.String(), Version: request.Number})
+	}
+	return list
+}
--- /dev/null
+++ b/internal/daemon/admin/endpoints.go
@@ -0,0 +1,134 @@
+package admin
+
+import (
+	"encoding/json"
+	"net/http"
+
+	"github.com/pkg/errors"
+	"github.com/zeromicro/go-zero/rest/pathvar"
+
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/dataplane/endpoints"
+	"tuliprudder/internal/dataplane/scheduler"
+	"tuliprudder/internal/errs"
+	"tuliprudder/internal/httpserver"
+)
+
+// endpointListResponse is the model servers as this daemon's scheduler sees them, and what
+// waits for them.
+type endpointListResponse struct {
+	Servers []scheduler.ServerSnapshot `json:"servers"`
+	Waiting map[string]int             `json:"waiting"` // weight of the queued requests, by tenant
+}
+
+// ServersRequest is the body of a request to replace the endpoint list. Its JSON keys never
+// change.
+type ServersRequest struct {
+	Servers []endpoints.Server `json:"servers"`
+}
+
+// putEndpointsResponse is how many servers the list in force has.
+type putEndpointsResponse struct {
+	Servers int `json:"servers"`
+}
+
+// drainingRequest is the body of a request to drain a server; it may be left out.
+type drainingRequest struct {
+	Draining bool `json:"leaving"` // false: the server is put back
+}
+
+// broadcastTimeout is how long a change of the endpoint list may take until a majority of
+// the voters have acknowledged it.
+const broadcastTimeout = 2 * clock.Second
+
+func (a *Admin) listEndpoints(w http.ResponseWriter, _ *http.Request) error {
+	if a.Scheduling == nil {
+		return errs.New(errs.NotFound, "send it to an edge or a store", "this daemon assigns no requests")
+	}
+	var response endpointListResponse
+	a.Loop.WithMachine(func(clock.Micros) { response.Servers, response.Waiting = a.Scheduling.Scheduler.Snapshot() })
+	return httpserver.WriteJSON(w, http.StatusOK, response)
+}
+
+// putEndpoints replaces the endpoint list: a server that is not on it is removed.
+func (a *Admin) putEndpoints(w http.ResponseWriter, r *http.Request) error {
+	data, err := httpserver.ReadBody(r)
+	if err != nil {
+		return err
+	}
+	var body ServersRequest
+	if err := httpserver.Decode(data, &body); err != nil {
+		return err
+	}
+	names, err := validateServers(body.Servers)
+	if err != nil {
+		return err
+	}
+	updated := body.Servers
+	for _, known := range a.knownServers() {
+		if !names[known.Name] && !known.Removed {
+			known.Removed = true
+			updated = append(updated, known)
+		}
+	}
+	if err := a.broadcastServers(updated); err != nil {
+		return err
+	}
+	return httpserver.WriteJSON(w, http.StatusOK, putEndpointsResponse{Servers: len(body.Servers)})
+}
+
+// setDraining marks a server as draining, or as active again.
+func (a *Admin) setDraining(w http.ResponseWriter, r *http.Request) error {
+	body := drainingRequest{Draining: true}
+	if err := readOptionalBody(r, &body); err != nil {
+		return err
+	}
+	name := pathvar.Vars(r)["name"]
+	update, ok := a.Loop.Update(endpoints.ServerKey(name))
+	if !ok {
+		return errs.New(errs.NotFound, "list the servers to see the names there are", "no server %q is on the endpoint list", name)
+	}
+	var server endpoints.Server
+	if err := json.Unmarshal(update.Value, &server); err != nil {
+		return errors.Wrapf(err, "reading the update of server %q", name)
+	}
+	server.Draining = body.Draining
+	if err := a.broadcastServers([]endpoints.Server{server}); err != nil {
+		return err
+	}
+	return httpserver.WriteJSON(w, http.StatusOK, server)
+}
+
+// knownServers is the endpoint list as this daemon's updates have it.
+func (a *Admin) knownServers() []endpoints.Server {
+	var servers []endpoints.Server
+	for _, update := range a.Loop.UpdatesWithPrefix(endpoints.ServerPrefix) {
+		var server endpoints.Server
+		if json.Unmarshal(update.Value, &server) == nil {
+			servers = append(servers, server)
+		}
+	}
+	return servers
+}
+
+// broadcastServers broadcasts the servers' new states, all at once, and waits until a
+// majority of the voters have acknowledged each: from then on every daemon follows them.
+func (a *Admin) broadcastServers(servers []endpoints.Server) error {
+	if err := a.Loop.CheckQuorumContact(); err != nil {
+		return err
+	}
+	results := make(chan error, len(servers))
+	for _, server := range servers {
+		known, _ := a.Loop.Update(endpoints.ServerKey(server.Name))
+		go func() {
+			results <- a.Loop.Broadcast(endpoints.ServerUpdate(server, known, a.Loop.Now()), broadcastTimeout)
+		}()
+	}
+	var lastErr error
+	for range servers {
+		if err := <-results; err != nil {
+			lastErr = err
+		}
+	}
+	return lastErr
+}
--- /dev/null
+++ b/internal/daemon/admin/explain.go
@@ -0,0 +1,69 @@
+package admin
+
+import (
+	"net/http"
+	"strconv"
+
+	"github.com/zeromicro/go-zero/rest/pathvar"
+
+	"tuliprudder/internal/batchstore"
+	"tuliprudder/internal/batchstore/token"
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/dataplane/decisionlog"
+	"tuliprudder/internal/errs"
+	"tuliprudder/internal/httpserver"
+)
+
+// maxSlowest is how many of the slowest requests may be listed at once.
+const maxSlowest = 1000
+
+// slowestRequestsResponse lists the slowest of the remembered requests, slowest first.
+type slowestRequestsResponse struct {
+	Requests []decisionlog.Entry `json:"orders"`
+}
+
+// explainRequests explains a request that this daemon assigned, or the slowest ones.
+func (a *Admin) explainRequests(w http.ResponseWriter, r *http.Request) error {
+	query := r.URL.Query()
+	id, slowest := query.Get("order"), query.Get("slowest")
+	switch {
+	case a.Decisions == nil || id == "" && slowest == "":
+		return errs.New(errs.NotFound, "send it to an edge or a store, with ?order=NAME", "this daemon assigns no requests, or the query names none")
+	case slowest != "":
+		return a.listSlowest(w, slowest)
+	}
+	entry, ok := a.Decisions.Find(id)
+	if !ok {
+		return errs.New(errs.NotFound, "send it to the daemon that served the request; each remembers its latest ones", "no request %q is remembered here", id)
+	}
+	return httpserver.WriteJSON(w, http.StatusOK, entry)
+}
+
+func (a *Admin) listSlowest(w http.ResponseWriter, text string) error {
+	count, err := strconv.Atoi(text)
+	if err != nil || count < 1 || count > maxSlowest {
+		return errs.New(errs.BadInput, "give a whole number from 1 to "+strconv.Itoa(maxSlowest), "slowest=%q", text)
+	}
+	return httpserver.WriteJSON(w, http.StatusOK, slowestRequestsResponse{Requests: a.Decisions.Slowest(count)})
+}
+
+// explainBatch writes which store owns a batch, and which server ran which item.
+func (a *Admin) explainBatch(w http.ResponseWriter, r *http.Request) error {
+	if a.Reader == nil {
+		return errs.New(errs.NotFound, "send it to an edge", "this daemon reads no batches")
+	}
+	id := pathvar.Vars(r)["bundle"]
+	var shard int
+	var owner token.Owner
+	var err error
+	a.Loop.WithMachine(func(clock.Micros) { shard, owner, err = a.Reader.Locate(id) })
+	if err != nil {
+		return err
+	}
+	request := batchstore.BatchStatusRequest{Shard: shard, Batch: id, Operator: true}
+	status, err := expect[batchstore.BatchStatus](a.Loop.Transport.Call(owner.Peer, request, statusTimeout))
+	if err != nil {
+		return err
+	}
+	return httpserver.WriteJSON(w, http.StatusOK, status)
+}
--- a/internal/daemon/admin/responses_test.go
+++ b/internal/daemon/admin/responses_test.go
@@ -7,6 +7,7 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"testing"
 
@@ -20,6 +21,7 @@
 	"tuliprudder/internal/controlplane/state"
 	"tuliprudder/internal/daemon/eventloop"
 	"tuliprudder/internal/daemon/machines"
+	"tuliprudder/internal/daemon/metrics"
 	"tuliprudder/internal/dataplane/decisionlog"
 	"tuliprudder/internal/dataplane/endpoints"
 	"tuliprudder/internal/errs"
@@ -100,7 +102,7 @@
 	if err := loop.Start(nil, &cleanups); err != nil {
 		t.Fatal(err)
 	}
-	return &Admin{Loop: loop, Ready: func() string { return "" }}
+	return &Admin{Loop: loop, Metrics: metrics.NewRegistry(), Ready: func() string { return "" }}
 }
 
 // routes are the API's handlers, by method and path.
@@ -246,3 +248,48 @@
 		}
 	}
 }
+
+// The response to a new endpoint list needs contact with other daemons; its form is checked
+// by itself.
+func TestResponseToANewEndpointList(t *testing.T) {
+	data, err := json.Marshal(putEndpointsResponse{Servers: 2})
+	if err != nil || string(data) != `{"servers":2}` {
+		t.Errorf("%s %v", data, err)
+	}
+}
+
+// Without contact with a majority of the voters a daemon changes no endpoints.
+func TestEndpointsAreNotChangedWithoutContact(t *testing.T) {
+	primary := newFakePrimary()
+	a := newAdmin(t, primary, nil)
+	server := endpoints.Server{Name: "server-1", Address: "127.0.0.1:9", Slots: 2}
+	primary.publish(t, a.Loop, endpoints.ServerKey(server.Name), server)
+	for _, c := range []call{
+		{route: "PUT /v1/operator/servers", body: `{"servers":[]}`},
+		{route: "POST /v1/operator/servers/:name/leaving", vars: map[string]string{"name": server.Name}},
+	} {
+		if _, err := a.do(c); !errs.Is(err, errs.NotReady) {
+			t.Errorf("%s: %v", c.route, err)
+		}
+	}
+}
+
+// An endpoint list is rejected with all its faults at once.
+func TestEveryFaultOfAnEndpointListIsNamed(t *testing.T) {
+	_, err := validateServers([]endpoints.Server{
+		{Name: "a", Address: "127.0.0.1:9", Slots: 1},
+		{Name: "a", Address: "somewhere", Slots: maxSlots + 1},
+		{Name: "b c", Address: "127.0.0.1:9", Removed: true},
+	})
+	want := []string{
+		"servers[1].name: is there twice; give each server its own",
+		"servers[1].address: not an IP number with a port",
+		"servers[1].slots: must be from 1 to 100000",
+		"servers[2].name: must be a text without spaces and slashes",
+		"servers[2].slots: must be from 1 to 100000",
+		"servers[2].gone: leave the server out of the list instead",
+	}
+	if got := errs.Of(err).Faults; !errs.Is(err, errs.BadInput) || !slices.Equal(got, want) {
+		t.Errorf("%v: %q", err, got)
+	}
+}
--- a/internal/daemon/eventloop/disk_health.go
+++ b/internal/daemon/eventloop/disk_health.go
@@ -8,19 +8,26 @@
 	"tuliprudder/internal/storage"
 )
 
-// DiskCondition is how a daemon's disk does.
+// DiskCondition is how well a daemon's disk takes writes.
 type DiskCondition int
 
-// The conditions. While a disk is well or slow the daemon has all its duties.
+// The conditions. While a disk is healthy or slow the daemon has all its duties. The numbers
+// are those of the metric disk_condition and never change.
 const (
 	DiskHealthy DiskCondition = iota
 	DiskSlow
-	DiskStalled // a write does not come back
-	DiskFull    // a write is turned down for want of room
-	DiskFailing // a write is turned down for another reason
+	DiskStalled // a write does not return
+	DiskFull    // a write fails for want of space
+	DiskFailing // a write fails for another reason
 )
 
-var diskConditionNames = map[DiskCondition]string{DiskHealthy: "well", DiskSlow: "slow", DiskStalled: "stalled", DiskFull: "full", DiskFailing: "failing"}
+var diskConditionNames = map[DiskCondition]string{
+	DiskHealthy: "healthy",
+	DiskSlow:    "slow",
+	DiskStalled: "stalled",
+	DiskFull:    "full",
+	DiskFailing: "failing",
+}
 
 // String names the condition.
 func (c DiskCondition) String() string { return diskConditionNames[c] }
@@ -29,29 +36,35 @@
 func (c DiskCondition) IsWritable() bool { return c == DiskHealthy || c == DiskSlow }
 
 const (
-	slowWriteThreshold    = 250 * clock.Millisecond  // a try that takes longer makes a disk slow
-	slowRecoveryPeriod    = 5 * clock.Second         // and so long after the last of them it is well again
-	stalledWriteThreshold = 1500 * clock.Millisecond // a try that is under way for longer makes it stalled
+	slowWriteThreshold    = 250 * clock.Millisecond  // an attempt that takes longer makes a disk slow
+	slowRecoveryPeriod    = 5 * clock.Second         // this long after the last slow attempt it is healthy again
+	stalledWriteThreshold = 1500 * clock.Millisecond // an attempt in progress for longer makes it stalled
 )
 
-// diskHealth works out the condition of the disk from how its writes go. The disk
-// thread tells of each try, and the clock's thread looks.
+// diskHealth derives the condition of the disk from how its writes go. The disk writer
+// reports each attempt; the goroutine of the ticks, and those who read metrics, look.
 type diskHealth struct {
-	mu               sync.Mutex
-	attemptStartedAt clock.Micros // the try under way began; 0: none is
-	lastErr          error        // why the last try failed; nil: it did not
+	mu               sync.Mutex   // guards all that follows
+	attemptStartedAt clock.Micros // when the attempt in progress began; 0: none is
+	lastErr          error        // of the last attempt; nil: it succeeded
 	slowUntil        clock.Micros
-	reported         DiskCondition
+	reported         DiskCondition // what checkChange gave last
 	failedAttempts   int64
 }
 
+// diskStatus is a disk's condition and, unless it is healthy, the reason for operators.
+type diskStatus struct {
+	condition DiskCondition
+	reason    string
+}
+
 func (h *diskHealth) beginAttempt(now clock.Micros) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.attemptStartedAt = now
 }
 
-// endAttempt tells how a try went.
+// endAttempt records the result of the attempt in progress.
 func (h *diskHealth) endAttempt(now clock.Micros, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -78,44 +91,49 @@
 	return DiskHealthy
 }
 
-// checkChange tells the condition, why it is so, and whether it changed since the last look.
-func (h *diskHealth) checkChange(now clock.Micros) (condition DiskCondition, reason string, changed bool) {
+// checkChange gives the status, and whether its condition changed since the last call.
+func (h *diskHealth) checkChange(now clock.Micros) (status diskStatus, changed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	condition = h.conditionAt(now)
-	changed = condition != h.reported
-	h.reported = condition
-	return condition, h.reason(condition), changed
+	status = h.statusAt(now)
+	changed = status.condition != h.reported
+	h.reported = status.condition
+	return status, changed
 }
 
-// current tells the condition and why it is so.
-func (h *diskHealth) current(now clock.Micros) (DiskCondition, string) {
+// current gives the status.
+func (h *diskHealth) current(now clock.Micros) diskStatus {
 	h.mu.Lock()
 	defer h.mu.Unlock()
+	return h.statusAt(now)
+}
+
+func (h *diskHealth) statusAt(now clock.Micros) diskStatus {
 	condition := h.conditionAt(now)
-	return condition, h.reason(condition)
+	return diskStatus{condition: condition, reason: h.reason(condition)}
 }
 
 func (h *diskHealth) reason(condition DiskCondition) string {
 	switch condition {
 	case DiskSlow:
-		return "the disk is slow: writes take over 250 ms"
+		return fmt.Sprintf("the disk is slow: writes take over %d ms", slowWriteThreshold/clock.Millisecond)
 	case DiskStalled:
-		return "the disk is stalled: a write has not come back for over 1.5 s"
+		return fmt.Sprintf("the disk is stalled: a write has not returned for over %.1f s", float64(stalledWriteThreshold)/float64(clock.Second))
 	case DiskFull:
-		return "the disk is full: make room, and what waits is written"
+		return "the disk is full: free space, and the pending writes are written"
 	case DiskFailing:
-		return fmt.Sprintf("the disk turns writes down: %v", h.lastErr)
+		return fmt.Sprintf("the disk fails writes: %v", h.lastErr)
 	}
 	return ""
 }
 
-// stats is how long the try under way has lasted; refused counts tries that failed.
-func (h *diskHealth) stats(now clock.Micros) (wait clock.Micros, failed int64) {
+// stats gives how long the attempt in progress has lasted so far, 0 where none is, and how
+// many attempts failed.
+func (h *diskHealth) stats(now clock.Micros) (inProgress clock.Micros, failed int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.attemptStartedAt > 0 {
-		wait = now - h.attemptStartedAt
+		inProgress = now - h.attemptStartedAt
 	}
-	return wait, h.failedAttempts
+	return inProgress, h.failedAttempts
 }
--- a/internal/daemon/eventloop/disk_queue.go
+++ b/internal/daemon/eventloop/disk_queue.go
@@ -6,7 +6,7 @@
 	"tuliprudder/internal/machine"
 )
 
-// Bounds of what waits for the disk. One effect may pass the second: the copy of a
+// Limits of the queue of writes. One effect may exceed the limit of bytes: a snapshot of a
 // whole unit is as large as the unit.
 const (
 	maxQueuedEffects = 65536
@@ -14,17 +14,18 @@
 	recordOverhead   = 128 // bytes that a record takes beside its body, about
 )
 
-// diskQueue holds what waits for the disk, in order. Who puts into a full queue
-// waits: a machine whose disk is that far behind stands still, like a process that
-// is frozen, rather than forget what it has decided or grow without bound.
+// diskQueue holds the writes that wait for the disk, in order. A put into a full queue
+// waits: a machine whose disk is that far behind stands still, like a process that is
+// frozen, rather than forget what it has decided or grow without bound.
 type diskQueue struct {
-	mu         sync.Mutex
-	changed    *sync.Cond
-	queued     []queuedEffect
-	bytes      int
-	closed     bool
-	maxEffects int // effects
-	maxBytes   int // bytes
+	maxEffects int
+	maxBytes   int
+
+	mu      sync.Mutex // guards all that follows
+	changed *sync.Cond // on mu: an effect was put or taken, or the queue was closed
+	queued  []queuedEffect
+	bytes   int
+	closed  bool
 }
 
 type queuedEffect struct {
@@ -38,7 +39,7 @@
 	return q
 }
 
-// put waits for room; it returns false once the queue is closed.
+// put waits for space in the queue; it returns false once the queue is closed.
 func (q *diskQueue) put(effect machine.Effect) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -48,14 +49,15 @@
 	if q.closed {
 		return false
 	}
-	one := queuedEffect{effect, sizeOf(effect)}
+	one := queuedEffect{effect: effect, bytes: sizeOf(effect)}
 	q.queued = append(q.queued, one)
 	q.bytes += one.bytes
 	q.changed.Broadcast()
 	return true
 }
 
-// take waits for at least one and returns up to most; nil once closed and empty.
+// take waits for at least one effect and returns up to limit; nil once the queue is closed
+// and empty.
 func (q *diskQueue) take(limit int) []machine.Effect {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -77,7 +79,7 @@
 	return out
 }
 
-// close lets the disk thread finish what waits; nothing more is put.
+// close lets the disk writer finish what is queued; nothing more is put.
 func (q *diskQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -85,13 +87,14 @@
 	q.changed.Broadcast()
 }
 
-// load is how many effects wait, and their bytes.
+// load is how many effects are queued, and their bytes.
 func (q *diskQueue) load() (effects, bytes int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.queued), q.bytes
 }
 
+// sizeOf is how many bytes an effect takes in the queue, about.
 func sizeOf(effect machine.Effect) int {
 	var records []machine.Record
 	switch e := effect.(type) {
--- a/internal/daemon/eventloop/disk_writer.go
+++ b/internal/daemon/eventloop/disk_writer.go
@@ -1,7 +1,6 @@
 package eventloop
 
 import (
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -12,58 +11,56 @@
 
 const (
 	maxGroupEffects = 1024 // effects in one commit group
-	// Between two tries of a write that the disk turned down.
+	// Between two attempts of a write that the disk failed.
 	initialRetryDelay = 20 * time.Millisecond
 	maxRetryDelay     = time.Second
-	// Until a view that could not be written is asked for again.
+	// Until a snapshot that could not be written is requested again.
 	initialCompactRetryDelay = 2 * clock.Second
 	maxCompactRetryDelay     = 60 * clock.Second
 )
 
-// recordStore and recordArchive are what the disk thread needs of a data folder.
+// recordStore is what the disk writer needs of the folder of records.
 type recordStore interface {
 	Write(records []machine.Record) error
 	Compact(records []machine.Record) error
 }
 
+// recordArchive is what the disk writer needs of the archive.
 type recordArchive interface {
 	Put(file uint64, records []machine.Record, counts *storage.Folder) error
 	Delete(files []uint64)
 }
 
-// diskWriter writes what the machine decided, in order. A write that the disk turns
-// down is tried again until it is taken: what is behind it waits, and nothing is
-// acknowledged before it is synced. Nothing ends the daemon here.
+// diskWriter writes what the machine decided, in order. A write that the disk fails is
+// retried until it succeeds: the writes behind it wait, and nothing is acknowledged before
+// it is synced. No fault of the disk ends the daemon here.
+//
+// One goroutine runs it (run); the machine's goroutine takes its reports
+// (deliverReports), and that of the ticks looks for changes (reportChanges).
 type diskWriter struct {
 	queue   *diskQueue
 	health  diskHealth
 	folder  recordStore
 	archive recordArchive
-	counts  *storage.Folder
+	counts  *storage.Folder // where the archive's syncs and bytes are counted
 	now     func() clock.Micros
-	// pause waits between two tries; false once the daemon stops.
+	// pause waits between two attempts; false once the daemon stops.
 	pause func(delay time.Duration) bool
-	// wake has the machine's thread take its words off.
+	// wake has the machine's goroutine take the reports.
 	wake    func()
 	reports diskReports
-	// failedCompactions counts views that could not be written since the last one that was;
-	// the machine is asked for another one at compactAgainAt, and refold is how long that was put off.
+	// failedCompactions counts the snapshots that could not be written since the last one
+	// that was.
 	failedCompactions atomic.Int64
-	compactAgainAt    atomic.Int64
+	// compactAgainAt is when the machine is asked for another snapshot; 0: it is not.
+	compactAgainAt atomic.Int64
+	// compactRetryDelay is how long the last request was put off; used by run alone.
 	compactRetryDelay clock.Micros
 }
 
-// diskReports is what the machine has to be told of its disk. What is stored is bounded
-// by what the queue took in.
-type diskReports struct {
-	mu           sync.Mutex
-	persisted    []uint64
-	state        *machine.DiskState
-	compactAgain bool
-}
-
-// run is the thread. What waits when it comes round is one commit group: one file,
-// one sync of it and one of its folder.
+// run writes until the queue is closed and empty, or the daemon stops. The records that are
+// queued when it takes from the queue are one commit group: one file, one sync of it and one
+// of its folder.
 func (d *diskWriter) run() {
 	for batch := d.queue.take(maxGroupEffects); batch != nil; batch = d.queue.take(maxGroupEffects) {
 		if !d.writeAll(batch) {
@@ -127,8 +124,8 @@
 	return true
 }
 
-// writeWithRetry tries a write until the disk takes it, with pauses that grow; false when
-// the daemon stops before.
+// writeWithRetry retries a write until it succeeds, with exponential backoff; false when the
+// daemon stops before.
 func (d *diskWriter) writeWithRetry(write func() error) bool {
 	for pause := initialRetryDelay; d.attemptWrite(write) != nil; pause = min(2*pause, maxRetryDelay) {
 		if !d.pause(pause) {
@@ -145,9 +142,10 @@
 	return err
 }
 
-// compact writes a view once. It only saves room, and what it says is on disk already:
-// where there is no room for it, the machine is asked for a newer one later, and the
-// commit groups behind it go on.
+// compact writes a snapshot once. It only saves space, and what it has is on disk already:
+// where there is no space for it, the machine is asked for a newer one later, and the
+// commit groups behind it go on. Its failure says nothing about the disk's health, which
+// small writes decide.
 func (d *diskWriter) compact(records []machine.Record) {
 	d.health.beginAttempt(d.now())
 	err := d.folder.Compact(records)
@@ -161,48 +159,3 @@
 	d.compactRetryDelay = min(max(2*d.compactRetryDelay, initialCompactRetryDelay), maxCompactRetryDelay)
 	d.compactAgainAt.Store(d.now() + d.compactRetryDelay)
 }
-
-func (d *diskWriter) reportPersisted(tokens ...uint64) {
-	d.reports.mu.Lock()
-	d.reports.persisted = append(d.reports.persisted, tokens...)
-	d.reports.mu.Unlock()
-	d.wake()
-}
-
-// reportChanges works out what changed about the disk, and has the machine told.
-func (d *diskWriter) reportChanges(now clock.Micros) (condition DiskCondition, reason string, changed bool) {
-	condition, reason, changed = d.health.checkChange(now)
-	at := d.compactAgainAt.Load()
-	compactAgain := at > 0 && now >= at && d.compactAgainAt.CompareAndSwap(at, 0)
-	if !changed && !compactAgain {
-		return condition, reason, false
-	}
-	d.reports.mu.Lock()
-	if changed {
-		d.reports.state = &machine.DiskState{Writable: condition.IsWritable(), Reason: reason}
-	}
-	d.reports.compactAgain = d.reports.compactAgain || compactAgain
-	d.reports.mu.Unlock()
-	d.wake()
-	return condition, reason, changed
-}
-
-// deliverReports hands the machine what it has to be told; its thread calls this before each
-// step.
-func (d *diskWriter) deliverReports(handler Machine, now clock.Micros) []machine.Effect {
-	d.reports.mu.Lock()
-	persisted, state, compactAgain := d.reports.persisted, d.reports.state, d.reports.compactAgain
-	d.reports.persisted, d.reports.state, d.reports.compactAgain = nil, nil, false
-	d.reports.mu.Unlock()
-	var out []machine.Effect
-	for _, token := range persisted {
-		out = append(out, handler.Persisted(token, now)...)
-	}
-	if state != nil {
-		out = append(out, handler.DiskStateChanged(*state, now)...)
-	}
-	if compactAgain {
-		out = append(out, handler.CompactAgain(now)...)
-	}
-	return out
-}
--- a/internal/daemon/eventloop/disk_writer_test.go
+++ b/internal/daemon/eventloop/disk_writer_test.go
@@ -127,8 +127,8 @@
 		switch count {
 		case 1:
 			f.requireEqual(t, f.takeReports(), "writable false")
-			if condition, reason := f.health.current(f.time); condition != DiskFull || reason == "" {
-				t.Fatalf("it is %s: %q", condition, reason)
+			if status := f.health.current(f.time); status.condition != DiskFull || status.reason == "" {
+				t.Fatalf("it is %s: %q", status.condition, status.reason)
 			}
 		case 9:
 			room = true
@@ -161,7 +161,7 @@
 		return nil
 	}
 	f.onPause = func(int) bool {
-		if condition, _ := f.health.current(f.time); condition != DiskFailing || condition.IsWritable() {
+		if condition := f.health.current(f.time).condition; condition != DiskFailing || condition.IsWritable() {
 			t.Fatalf("it is %s", condition)
 		}
 		return true
@@ -180,7 +180,7 @@
 	f.queue.put(persistOf(1))
 	f.queue.put(machine.Archive{Token: 2})
 	f.run()
-	f.diskWriter.reports.state = nil
+	f.diskWriter.reports.pending.state = nil
 	if got := f.takeReports(); slices.Contains(got, "stored 1") || slices.Contains(got, "stored 2") {
 		t.Fatalf("told %q", got)
 	}
@@ -232,7 +232,7 @@
 		f.requireEqual(t, f.takeReports())
 		f.time++
 		f.requireEqual(t, f.takeReports(), "writable false")
-		if condition, _ := f.health.current(f.time); condition != DiskStalled {
+		if condition := f.health.current(f.time).condition; condition != DiskStalled {
 			t.Fatalf("it is %s", condition)
 		}
 		if wait, _ := f.health.stats(f.time); wait != stalledWriteThreshold+1 {
@@ -242,12 +242,12 @@
 	}
 	f.writeAll([]machine.Effect{persistOf(1)})
 	f.requireEqual(t, f.takeReports(), "stored 1", "writable true")
-	if condition, _ := f.health.current(f.time); condition != DiskSlow {
+	if condition := f.health.current(f.time).condition; condition != DiskSlow {
 		t.Fatalf("it is %s", condition)
 	}
 	f.time += slowRecoveryPeriod
-	if condition, reason := f.health.current(f.time); condition != DiskHealthy || reason != "" {
-		t.Fatalf("it is %s: %s", condition, reason)
+	if status := f.health.current(f.time); status.condition != DiskHealthy || status.reason != "" {
+		t.Fatalf("it is %s: %s", status.condition, status.reason)
 	}
 	f.requireEqual(t, f.takeReports(), "writable true")
 }
--- /dev/null
+++ b/internal/daemon/eventloop/execute.go
@@ -0,0 +1,92 @@
+package eventloop
+
+import (
+	"os"
+
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/errs"
+	"tuliprudder/internal/gossip"
+	"tuliprudder/internal/logging"
+	"tuliprudder/internal/machine"
+)
+
+// haltExitCode is the exit status of a daemon whose machine halted it.
+const haltExitCode = 4
+
+// execute executes the effects of one step of a machine, in order. Only a full queue of the
+// disk makes it wait.
+func (l *Loop) execute(effects []machine.Effect) {
+	for _, effect := range effects {
+		switch e := effect.(type) {
+		case machine.Send:
+			l.send(e)
+		case machine.Persist, machine.Compact, machine.Archive, machine.DeleteArchive:
+			l.disk.queue.put(effect)
+		case machine.Reply:
+			l.calls.complete(e)
+		case machine.Publish:
+			l.Publish(e.Update)
+		case machine.Broadcast:
+			l.enqueueGossip(gossip.Broadcast(e))
+		case machine.UpdateReceived:
+			l.deliverUpdate(e)
+		case machine.Freshness:
+			l.deliverFreshness(e)
+		case machine.Request:
+			go l.sendRequest(e)
+		case machine.LogEvent:
+			logging.Write(l.Log, e.Event)
+		case machine.Halt:
+			l.halt(e)
+		case machine.Execute:
+			l.runTask(e)
+		}
+	}
+}
+
+// send sends a message; one without an address is for nobody.
+func (l *Loop) send(e machine.Send) {
+	if e.To != "" {
+		l.Transport.Send(e.To, e.Body)
+	}
+}
+
+// deliverUpdate passes an update from the gossip node to the machine.
+func (l *Loop) deliverUpdate(e machine.UpdateReceived) {
+	if l.machine != nil {
+		l.Enqueue(func(now clock.Micros) []machine.Effect { return l.machine.UpdateReceived(e.Update, now) })
+	}
+}
+
+// deliverFreshness passes the freshness of updates from the gossip node to the machine.
+func (l *Loop) deliverFreshness(e machine.Freshness) {
+	if l.machine != nil {
+		l.Enqueue(func(now clock.Micros) []machine.Effect { return l.machine.FreshnessAdvanced(e.At, now) })
+	}
+}
+
+// sendRequest calls another daemon for the machine and hands the machine the reply. It runs
+// in a goroutine of its own, which ends at the request's time-out at the latest; the
+// transport ends it sooner when the daemon stops.
+func (l *Loop) sendRequest(e machine.Request) {
+	var body any
+	err := errs.New(errs.NotReady, "retry", "the address of the daemon that this request is for is not known")
+	if e.To != "" {
+		body, err = l.Transport.Call(e.To, e.Body, e.Timeout)
+	}
+	l.EnqueueWait(func(now clock.Micros) []machine.Effect { return l.machine.ReplyReceived(e.Token, body, err, now) })
+}
+
+// halt ends the process: to go on would break a guarantee.
+func (l *Loop) halt(e machine.Halt) {
+	logging.Write(l.Log, Halted{Reason: e.Err.Error()})
+	os.Stderr.WriteString(l.Identity.ID + ": " + e.Err.Error() + "\n")
+	l.exit(haltExitCode)
+}
+
+// runTask hands a task to the executor.
+func (l *Loop) runTask(e machine.Execute) {
+	if l.executeTask != nil {
+		l.executeTask(e.Task)
+	}
+}
--- a/internal/daemon/eventloop/identity.go
+++ b/internal/daemon/eventloop/identity.go
@@ -11,53 +11,89 @@
 
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/errs"
+	"tuliprudder/internal/membership"
 	"tuliprudder/internal/storage"
 )
 
-// Identity is who a daemon is. With a disk it is kept there, and each start is
-// a new life; without one each start is a new identity.
+// Identity is who a daemon is. A daemon with a disk keeps it there, and each start is a new
+// incarnation; without a disk each start is a new identity. Its JSON is on disk; the keys
+// never change.
 type Identity struct {
-	Kind        string `json:"kind"`
+	Kind        string `json:"kind"` // one of the kinds of package membership
 	ID          string `json:"id"`
 	Incarnation uint64 `json:"life"`
 }
 
+// randomIDBytes is how many random bytes an id has.
+const randomIDBytes = 6
+
+// newID makes the id of a new member. It begins with the member's role for those who read
+// it: nothing parses it, and ids of earlier releases, which begin with the kind's stored
+// name, stay valid beside it. Ids are compared only whole, and ordered only among members of
+// one kind, where any order that all daemons agree on will do.
 func newID(kind string) string {
-	var random [6]byte
+	var random [randomIDBytes]byte
 	rand.Read(random[:])
-	return kind + "-" + hex.EncodeToString(random[:])
+	return membership.Role(kind) + "-" + hex.EncodeToString(random[:])
 }
 
-// NewIdentity is the identity of a daemon without a disk.
+// NewIdentity is the identity of a daemon without a disk. The time makes its incarnation
+// newer than those before.
 func NewIdentity(kind string, now clock.Micros) Identity {
 	return Identity{Kind: kind, ID: newID(kind), Incarnation: uint64(now)}
 }
 
-// LoadIdentity reads the identity from the data folder and begins a new life.
-func LoadIdentity(folder, kind string) (Identity, error) {
-	if err := storage.MakeFolder(folder); err != nil {
+// moveFolderRemedy is the remedy for a data folder that can't be used any more.
+const moveFolderRemedy = "move the whole data folder away and start empty; the other replicas copy its contents back"
+
+// LoadIdentity reads the identity from the data folder, or makes a new one in an empty
+// folder, and begins a new incarnation. The error is errs.WrongFolder for a folder of
+// another kind of daemon, errs.Corrupt for one that is damaged, and a storage.WriteError
+// where the disk takes no writes.
+func LoadIdentity(dataFolder, kind string) (Identity, error) {
+	if err := storage.MakeFolder(dataFolder); err != nil {
 		return Identity{}, err
 	}
-	name := filepath.Join(folder, identityFile)
-	self := Identity{Kind: kind, ID: newID(kind)}
-	data, err := os.ReadFile(name)
-	switch {
-	case err == nil:
-		if json.Unmarshal(data, &self) != nil || self.ID == "" {
-			return Identity{}, errs.New(errs.Corrupt, "move the whole data folder away and start empty; the fleet copies back what the pair holds", "identity.json in the data folder can't be read")
-		}
-		if self.Kind != kind {
-			return Identity{}, errs.New(errs.WrongFolder, "point -data at this daemon's own folder, or at an empty one", "the data folder belongs to a %s, this is a %s", self.Kind, kind)
-		}
-	case os.IsNotExist(err):
-		// Records without an identity are somebody's, but nobody knows whose.
-		if onCancel, _ := filepath.Glob(filepath.Join(folder, recordsFolder, "*.*")); len(onCancel) > 0 {
-			return Identity{}, errs.New(errs.Corrupt, "move the whole data folder away and start empty; the fleet copies back what the pair holds", "the data folder has records but no identity.json")
-		}
-	default:
-		return Identity{}, errors.Wrap(err, "reading the identity")
+	self, err := readIdentity(dataFolder, kind)
+	if err != nil {
+		return Identity{}, err
 	}
 	self.Incarnation++
-	data, _ = json.Marshal(self)
-	return self, storage.WriteFileAtomically(name, data, nil)
+	data, err := json.Marshal(self)
+	if err != nil {
+		return Identity{}, errors.Wrap(err, "encoding the identity")
+	}
+	return self, storage.WriteFileAtomically(filepath.Join(dataFolder, identityFile), data, nil)
+}
+
+// readIdentity reads the identity as the last start left it, or makes a new one.
+func readIdentity(dataFolder, kind string) (Identity, error) {
+	data, err := os.ReadFile(filepath.Join(dataFolder, identityFile))
+	if os.IsNotExist(err) {
+		return firstIdentity(dataFolder, kind)
+	}
+	if err != nil {
+		return Identity{}, errors.Wrap(err, "reading the identity")
+	}
+	self := Identity{Kind: kind}
+	if json.Unmarshal(data, &self) != nil || self.ID == "" {
+		return Identity{}, errs.New(errs.Corrupt, moveFolderRemedy, "%s in the data folder can't be read", identityFile)
+	}
+	if self.Kind != kind {
+		return Identity{}, errs.New(errs.WrongFolder, "point -data at this daemon's own folder, or at an empty one", "the data folder belongs to a %s, this is a %s", membership.Role(self.Kind), membership.Role(kind))
+	}
+	return self, nil
+}
+
+// firstIdentity makes the identity of an empty folder. Records without an identity are
+// somebody's, but nobody knows whose.
+func firstIdentity(dataFolder, kind string) (Identity, error) {
+	records, err := filepath.Glob(filepath.Join(dataFolder, recordsFolder, "*.*"))
+	if err != nil {
+		return Identity{}, errors.Wrap(err, "looking for records")
+	}
+	if len(records) > 0 {
+		return Identity{}, errs.New(errs.Corrupt, moveFolderRemedy, "the data folder has records but no %s", identityFile)
+	}
+	return Identity{Kind: kind, ID: newID(kind)}, nil
 }
--- a/internal/daemon/eventloop/identity_test.go
+++ b/internal/daemon/eventloop/identity_test.go
@@ -3,9 +3,11 @@
 import (
 	"os"
 	"path/filepath"
+	"regexp"
 	"testing"
 
 	"tuliprudder/internal/errs"
+	"tuliprudder/internal/membership"
 )
 
 func TestEachStartIsANewIncarnation(t *testing.T) {
@@ -24,6 +26,25 @@
 	}
 }
 
+// New members are named after their role; the id of a folder that an earlier release wrote
+// stays as it is.
+func TestIDsOfNewAndEarlierMembers(t *testing.T) {
+	for kind, role := range map[string]string{membership.Edge: "edge", membership.Store: "store", membership.Core: "core"} {
+		if id := NewIdentity(kind, 1).ID; !regexp.MustCompile("^" + role + "-[0-9a-f]{12}$").MatchString(id) {
+			t.Errorf("the id of a new %s is %s", role, id)
+		}
+	}
+	folder := t.TempDir()
+	earlier := `{"kind":"refuge","id":"refuge-0123456789ab","life":4}`
+	if err := os.WriteFile(filepath.Join(folder, "identity.json"), []byte(earlier), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	want := Identity{Kind: membership.Store, ID: "refuge-0123456789ab", Incarnation: 5}
+	if got, err := LoadIdentity(folder, membership.Store); err != nil || got != want {
+		t.Errorf("read %+v, %v", got, err)
+	}
+}
+
 // A folder that is another's, damaged, or without an owner is never guessed at.
 func TestWrongFolders(t *testing.T) {
 	folder := t.TempDir()
--- a/internal/daemon/eventloop/stored_names.go
+++ b/internal/daemon/eventloop/stored_names.go
@@ -4,5 +4,5 @@
 const (
 	identityFile  = "identity.json"
 	recordsFolder = "records"
-	shelfFolder   = "shelf"
+	archiveFolder = "shelf"
 )
--- /dev/null
+++ b/internal/daemon/eventloop/thread.go
@@ -0,0 +1,70 @@
+package eventloop
+
+import (
+	"sync"
+	"sync/atomic"
+
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/machine"
+	"tuliprudder/internal/ring"
+)
+
+const (
+	ringSize    = 65536
+	maxStepsRun = 256 // steps taken off the ring at once
+)
+
+// step is one call of a state machine.
+type step func(now clock.Micros) []machine.Effect
+
+// thread runs the steps of one state machine, one after the other, in the order in which
+// they were enqueued.
+type thread struct {
+	steps *ring.Ring[step]
+	// mu guards the state machine: it is held during each step, and by those who read the
+	// machine from outside.
+	mu sync.Mutex
+	// beforeStep, when set, runs ahead of each step.
+	beforeStep  step
+	tickPending atomic.Bool // a tick is on the ring and was not run yet
+}
+
+func newThread() *thread { return &thread{steps: ring.New[step](ringSize)} }
+
+// run runs steps until the ring is closed and empty. The effects of a step are executed
+// after the lock is released, and before the next step.
+func (t *thread) run(now func() clock.Micros, execute func([]machine.Effect)) {
+	for steps := t.steps.Take(maxStepsRun); steps != nil; steps = t.steps.Take(maxStepsRun) {
+		for _, one := range steps {
+			execute(t.runStep(one, now))
+		}
+	}
+}
+
+func (t *thread) runStep(one step, now func() clock.Micros) []machine.Effect {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var effects []machine.Effect
+	if t.beforeStep != nil {
+		effects = t.beforeStep(now())
+	}
+	return append(effects, one(now())...)
+}
+
+// enqueue puts a step on the ring; false when the ring is full or closed.
+func (t *thread) enqueue(one step) bool { return t.steps.Put(one) }
+
+// enqueueTick puts a tick on the ring unless one is still there: a thread that is behind
+// catches up with one.
+func (t *thread) enqueueTick(tick step) {
+	if t.tickPending.Swap(true) {
+		return
+	}
+	enqueued := t.enqueue(func(now clock.Micros) []machine.Effect {
+		t.tickPending.Store(false)
+		return tick(now)
+	})
+	if !enqueued {
+		t.tickPending.Store(false)
+	}
+}
--- a/internal/daemon/eventloop/wait_for_disk_test.go
+++ b/internal/daemon/eventloop/wait_for_disk_test.go
@@ -31,8 +31,8 @@
 	if err != nil || attempts != 10 || len(pauses) != 9 || pauses[0] != initialRetryDelay || pauses[8] != maxRetryDelay {
 		t.Fatalf("%v after %d tries with pauses %v", err, attempts, pauses)
 	}
-	if logged := strings.Count(log.String(), "takes no writes"); logged != 1 {
-		t.Fatalf("said %d times: %s", logged, log.String())
+	if logged := strings.Count(log.String(), `"event":"start_waits_for_disk"`); logged != 1 {
+		t.Fatalf("logged %d times: %s", logged, log.String())
 	}
 }
 
--- a/internal/daemon/host/host.go
+++ b/internal/daemon/host/host.go
@@ -1,13 +1,14 @@
-// Package host assembles and runs the services that every daemon has: event loop,
-// HTTP server, administration API (DESIGN §2).
+// Package host puts together and runs the services that every daemon has (DESIGN §2): event
+// loop, HTTP server, administration API, saved peers. Package roles adds what a role has; the
+// programs call New, a function of roles, and Run.
 package host
 
 import (
-	"encoding/json"
 	"io"
 	"os"
 	"os/signal"
 	"path/filepath"
+	"slices"
 	"sync"
 	"syscall"
 	"time"
@@ -21,6 +22,7 @@
 	"tuliprudder/internal/daemon/admin"
 	"tuliprudder/internal/daemon/eventloop"
 	"tuliprudder/internal/daemon/machines"
+	"tuliprudder/internal/daemon/metrics"
 	"tuliprudder/internal/dataplane/decisionlog"
 	"tuliprudder/internal/dataplane/modelclient"
 	"tuliprudder/internal/dataplane/reader"
@@ -29,19 +31,22 @@
 	"tuliprudder/internal/membership"
 	"tuliprudder/internal/services"
 	"tuliprudder/internal/settings"
-	"tuliprudder/internal/storage"
 )
 
-// Limits limit a daemon's HTTP server: requests open at once, bytes of a body.
-type Limits struct{ MaxOpenRequests, MaxBodyBytes int64 }
+// Limits are the limits of a daemon's HTTP server.
+type Limits struct {
+	MaxOpenRequests int64 // requests open at once; default 4096
+	MaxBodyBytes    int64 // of one request's body; default 8 MiB
+}
 
-// Settings adds the HTTP server's bounds to a reader of settings.
-func (b *Limits) Settings(r *settings.Reader) {
-	r.Int(&b.MaxOpenRequests, "most-open", 4096, 1, 1_000_000, "most requests open at once")
-	r.Int(&b.MaxBodyBytes, "most-bytes", 8<<20, 1024, 256<<20, "largest body of a request, in bytes")
+// Settings adds the limits to a reader of settings.
+func (l *Limits) Settings(r *settings.Reader) {
+	r.Int(&l.MaxOpenRequests, "most-open", 4096, 1, 1_000_000, "most requests open at once")
+	r.Int(&l.MaxBodyBytes, "most-bytes", 8<<20, 1024, 256<<20, "largest body of a request, in bytes")
 }
 
-// Daemon is what every daemon has.
+// Daemon is the parts that every daemon has. They are put together by one goroutine before
+// Run.
 type Daemon struct {
 	Services *services.Registry
 	Log      zerolog.Logger
@@ -50,108 +55,108 @@
 	HTTP     *httpserver.Server
 	Admin    *admin.Admin
 	Common   settings.Common
-	// DrainTimeout is how long a drain may take.
+	// DrainTimeout is how long draining may take; default 8 s.
 	DrainTimeout clock.Micros
 	drainFuncs   []func()
 }
 
-// New begins a daemon: its log, identity, event loop and HTTP server. program is its
-// name in the log; kind is one of the kinds of package identity.
+const (
+	defaultDrainTimeout = 8 * clock.Second
+	// announcementDelay is how long a daemon that stops waits for its last announcement to
+	// be sent.
+	announcementDelay = 100 * time.Millisecond
+)
+
+// New makes a daemon: its log, identity, event loop and HTTP server. program is its name in
+// the log; kind is one of the kinds of package membership. A daemon with a data folder waits
+// here until its disk takes writes.
 func New(program, kind string, common settings.Common, limits Limits) (*Daemon, error) {
-	var out io.Writer = os.Stderr
-	if common.LogFile != "" {
-		file, err := os.OpenFile(common.LogFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
-		if err != nil {
-			return nil, errors.Wrap(err, "opening the log")
-		}
-		out = file
+	out, err := openLog(common.LogFile)
+	if err != nil {
+		return nil, err
 	}
 	modelclient.ConfigureDefaultClient()
 	proc.SetTimeToForceQuit(time.Hour) // this package drains; go-zero must not end the process first
-	var self eventloop.Identity
-	var err error
-	if common.DataDir != "" {
-		err = eventloop.WaitForDisk(logging.New(out, program, ""), time.Sleep, func() error {
-			self, err = eventloop.LoadIdentity(common.DataDir, kind)
-			return err
-		})
-		if err != nil {
-			return nil, err
-		}
-	} else {
-		self = eventloop.NewIdentity(kind, time.Now().UnixMicro())
+	self, err := loadIdentity(logging.New(out, program, ""), kind, common.DataDir)
+	if err != nil {
+		return nil, err
 	}
 	log := logging.New(out, program, self.ID)
-	d := &Daemon{Services: services.New(), Log: log, Identity: self, Common: common, DrainTimeout: 8 * clock.Second}
-	member := membership.Member{ID: self.ID, Name: common.Name, Kind: kind, Zone: common.Zone, Peer: common.Peer, HTTP: common.HTTP, Incarnation: self.Incarnation, Version: membership.Release}
-	d.Loop = eventloop.New(member, append(append([]string(nil), common.Seeds...), d.loadPeers()...), self, log)
+	d := &Daemon{
+		Services:     services.New(),
+		Log:          log,
+		Identity:     self,
+		HTTP:         httpserver.New(common.HTTP, int(limits.MaxOpenRequests), limits.MaxBodyBytes),
+		Common:       common,
+		DrainTimeout: defaultDrainTimeout,
+	}
+	d.Loop = eventloop.New(d.member(), slices.Concat(common.Seeds, d.loadPeers()), self, log)
 	d.Loop.Address = common.PeerListen
-	d.HTTP = httpserver.New(common.HTTP, int(limits.MaxOpenRequests), limits.MaxBodyBytes)
-	d.Admin = &admin.Admin{Loop: d.Loop, Ready: func() string { return "" }, Counters: func() map[string]int64 { return nil }}
+	d.Admin = &admin.Admin{
+		Loop:    d.Loop,
+		Metrics: metrics.NewRegistry(),
+		Ready:   func() string { return "" },
+	}
+	d.Admin.Metrics.Register(d.Loop.Metrics())
+	d.Admin.Metrics.Register(metrics.Process())
 	return d, nil
 }
 
-const maxSavedPeers = 64
-
-// loadPeers reads the addresses learnt in earlier runs: the seeds may be dead.
-func (d *Daemon) loadPeers() []string {
-	if d.Common.DataDir == "" {
-		return nil
+// openLog opens the file that the log is appended to; without a name it is the standard
+// error. It stays open as long as the process.
+func openLog(name string) (io.Writer, error) {
+	if name == "" {
+		return os.Stderr, nil
 	}
-	data, err := os.ReadFile(d.DataPath(peersFile))
+	file, err := os.OpenFile(name, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil
+		return nil, errors.Wrap(err, "opening the log")
 	}
-	var peers []string
-	if err := json.Unmarshal(data, &peers); err != nil {
-		d.Log.Warn().Err(err).Msg("the learnt addresses can't be read; starting from the seeds alone")
-		return nil
-	}
-	return peers
+	return file, nil
 }
 
-// peerSaver writes the addresses learnt to the data folder whenever they changed.
-type peerSaver struct{ d *Daemon }
-
-// Start starts the thread.
-func (r peerSaver) Start(_ *services.Registry, ends *cleanup.Stack) error {
-	if r.d.Common.DataDir == "" {
-		return nil
+// loadIdentity reads the identity from the data folder once the disk takes writes; a daemon
+// without a data folder gets a new one.
+func loadIdentity(log zerolog.Logger, kind, dataDir string) (self eventloop.Identity, err error) {
+	if dataDir == "" {
+		return eventloop.NewIdentity(kind, time.Now().UnixMicro()), nil
 	}
-	last, failed := "", false
-	cleanup.Every(ends, 5*time.Second, func() {
-		var peers []string
-		for _, member := range r.d.Loop.Members() {
-			if member.Status == membership.Alive && member.ID != r.d.Identity.ID && len(peers) < maxSavedPeers {
-				peers = append(peers, member.Peer)
-			}
-		}
-		data, _ := json.Marshal(peers)
-		if len(peers) == 0 || string(data) == last {
-			return
-		}
-		err := storage.WriteFileAtomically(r.d.DataPath(peersFile), data, nil)
-		if err != nil && !failed {
-			r.d.Log.Warn().Err(err).Msg("the learnt addresses could not be kept; it is tried again")
-		}
-		if failed = err != nil; !failed {
-			last = string(data)
-		}
+	err = eventloop.WaitForDisk(log, time.Sleep, func() error {
+		self, err = eventloop.LoadIdentity(dataDir, kind)
+		return err
 	})
-	return nil
+	return self, err
+}
+
+// member is what the daemon tells the others of itself.
+func (d *Daemon) member() membership.Member {
+	return membership.Member{
+		ID:          d.Identity.ID,
+		Name:        d.Common.Name,
+		Kind:        d.Identity.Kind,
+		Zone:        d.Common.Zone,
+		Peer:        d.Common.Peer,
+		HTTP:        d.Common.HTTP,
+		Incarnation: d.Identity.Incarnation,
+		Version:     membership.Release,
+	}
 }
 
-// OnDrain adds a function that is called when the daemon is asked to stop.
+// OnDrain adds a function that drains a part of the daemon. It is called in a goroutine of
+// its own when the daemon is asked to stop, and is given up after DrainTimeout.
 func (d *Daemon) OnDrain(f func()) { d.drainFuncs = append(d.drainFuncs, f) }
 
+// httpService is the HTTP server as a service.
 type httpService struct{ d *Daemon }
 
-func (f httpService) Start(_ *services.Registry, ends *cleanup.Stack) error {
-	f.d.Admin.Routes(f.d.HTTP)
-	return f.d.HTTP.Start(ends)
+// Start serves the administration API until the clean-ups run.
+func (h httpService) Start(_ *services.Registry, cleanups *cleanup.Stack) error {
+	h.d.Admin.Routes(h.d.HTTP)
+	return h.d.HTTP.Start(cleanups)
 }
 
-// Run starts the services and waits for SIGTERM or SIGINT; then it drains.
+// Run starts the services and waits for SIGTERM or SIGINT; then it drains, announces that
+// the daemon leaves, and stops the services. A second signal ends the draining.
 func (d *Daemon) Run() error {
 	d.Services.Register(eventloop.Name, d.Loop)
 	d.Services.Register("http", httpService{d})
@@ -161,46 +166,58 @@
 	if err := d.Services.Start(); err != nil {
 		return err
 	}
-	d.Log.Info().Str("zone", d.Common.Zone).Str("peer", d.Common.Peer).Str("http", d.Common.HTTP).Uint64("life", d.Identity.Incarnation).Msg("started")
+	logging.Write(d.Log, DaemonStarted{Zone: d.Common.Zone, Peer: d.Common.Peer, HTTP: d.Common.HTTP, Incarnation: d.Identity.Incarnation})
 	<-signals
-	d.Log.Info().Msg("told to go: draining")
+	logging.Write(d.Log, DrainStarted{TimeoutUS: d.DrainTimeout})
 	d.Loop.AnnounceDraining()
-	var drains sync.WaitGroup
+	d.drain(signals)
+	d.Loop.AnnounceLeft()
+	time.Sleep(announcementDelay)
+	d.Services.Stop()
+	logging.Write(d.Log, DaemonStopped{})
+	return nil
+}
+
+// drain calls the functions that drain the daemon, at once, and waits until all are done, the
+// time-out has passed, or another signal comes.
+func (d *Daemon) drain(signals <-chan os.Signal) {
+	var draining sync.WaitGroup
 	for _, f := range d.drainFuncs {
-		drains.Add(1)
-		go func() { defer drains.Done(); f() }()
+		draining.Go(f)
 	}
-	done := make(chan struct{})
-	go func() { drains.Wait(); close(done) }()
+	drained := make(chan struct{})
+	go func() {
+		draining.Wait()
+		close(drained)
+	}()
 	select {
-	case <-done:
+	case <-drained:
 	case <-signals:
 	case <-time.After(clock.Duration(d.DrainTimeout)):
-		d.Log.Warn().Msg("the drain took too long; going all the same")
+		logging.Write(d.Log, DrainTimedOut{TimeoutUS: d.DrainTimeout})
 	}
-	d.Loop.AnnounceLeft()
-	time.Sleep(100 * time.Millisecond) // the announcement goes out
-	d.Services.Stop()
-	d.Log.Info().Msg("gone")
-	return nil
 }
 
-// SetRequestPath gives the administration API the parts of the request path it shows.
+// SetRequestPath gives the administration API the parts of the request path that it shows.
 func (d *Daemon) SetRequestPath(scheduling *machines.Scheduling, resultReader *reader.Reader, decisions *decisionlog.Log) {
 	d.Admin.Scheduling, d.Admin.Reader, d.Admin.Decisions = scheduling, resultReader, decisions
 }
 
-// DataPath is a folder below the data folder.
+// DataPath is the path of a file or folder in the data folder.
 func (d *Daemon) DataPath(name string) string { return filepath.Join(d.Common.DataDir, name) }
 
-// WaitUntil waits until a condition holds, looking every few milliseconds.
+// pollInterval is the time between two checks of WaitUntil.
+const pollInterval = 10 * time.Millisecond
+
+// WaitUntil waits until a condition holds, which it checks again and again; false when the
+// time-out passed first.
 func WaitUntil(timeout clock.Micros, condition func() bool) bool {
 	deadline := time.Now().Add(clock.Duration(timeout))
 	for !condition() {
 		if time.Now().After(deadline) {
 			return false
 		}
-		time.Sleep(10 * time.Millisecond)
+		time.Sleep(pollInterval)
 	}
 	return true
 }
--- a/internal/daemon/host/peers_test.go
+++ b/internal/daemon/host/saved_peers_test.go
@@ -8,8 +8,8 @@
 	"tuliprudder/internal/settings"
 )
 
-// The addresses that an earlier build has learnt are read.
-func TestLearntAddressesOfAnEarlierBuild(t *testing.T) {
+// The addresses that an earlier release saved are read.
+func TestSavedPeersOfAnEarlierRelease(t *testing.T) {
 	folder := t.TempDir()
 	if err := os.CopyFS(folder, os.DirFS("../../../test/storedformat/testdata/folders/after-snapshot/core")); err != nil {
 		t.Fatal(err)
--- a/internal/daemon/roles/connections.go
+++ b/internal/daemon/roles/connections.go
@@ -13,70 +13,106 @@
 	"tuliprudder/internal/services"
 )
 
-// ConnectionLimiter limits the connections to each server to this daemon's share of
-// the server's bound, and closes those to servers that are gone (DESIGN §12.3).
+// limitInterval is the time between two adjustments of the limits.
+const limitInterval = time.Second
+
+// ConnectionLimiter limits the connections to each model server to this daemon's share of
+// the server's limit, and closes those to servers that are removed (DESIGN §12.3). Its
+// exported fields are set before Start.
 type ConnectionLimiter struct {
 	Daemon     *host.Daemon
 	Scheduling *machines.Scheduling
 	Client     *upstream.Client
-	forgotten  map[string]bool
+
+	forgotten map[string]bool // removed servers that the client was told of, by name
 }
 
-// Start starts the thread.
-func (t *ConnectionLimiter) Start(_ *services.Registry, ends *cleanup.Stack) error {
-	t.forgotten = map[string]bool{}
-	cleanup.Every(ends, time.Second, t.adjust)
+// Start starts the goroutine that adjusts the limits; the clean-up that it pushes ends it.
+func (c *ConnectionLimiter) Start(_ *services.Registry, cleanups *cleanup.Stack) error {
+	c.forgotten = map[string]bool{}
+	cleanup.Every(cleanups, limitInterval, c.adjust)
 	return nil
 }
 
-func (t *ConnectionLimiter) adjust() {
-	t.Client.CloseExpired()
-	var servers []endpoints.Server
+// adjust sets the limit of each server, and forgets removed ones.
+func (c *ConnectionLimiter) adjust() {
+	c.Client.CloseExpired()
+	view := c.view()
+	for _, server := range view.servers {
+		if server.Removed {
+			c.forget(server)
+			continue
+		}
+		if limit := view.limits[server.Name]; limit > 0 {
+			c.Client.SetMaxConnections(server.Address, view.shares.limit(view.kind, int(limit), server.Slots))
+		}
+	}
+}
+
+// forget closes the connections to a removed server, once.
+func (c *ConnectionLimiter) forget(server endpoints.Server) {
+	if !c.forgotten[server.Name] {
+		c.forgotten[server.Name] = true
+		c.Client.RemoveServer(server.Address)
+	}
+}
+
+// connectionView is what the limits depend on, at one moment.
+type connectionView struct {
+	servers []endpoints.Server
+	limits  map[string]int64 // of connections to a server, by its name; 0: none
+	kind    string           // of this daemon; "" while it does not know itself
+	shares  connectionShares
+}
+
+func (c *ConnectionLimiter) view() connectionView {
+	v := connectionView{limits: map[string]int64{}}
 	var members []membership.Member
-	limits := map[string]int64{}
-	t.Daemon.Loop.WithMachine(func(clock.Micros) {
-		servers, members = t.Scheduling.Scheduler.Servers(), t.Scheduling.Members()
-		configuration := t.Scheduling.Scheduler.Configuration()
-		for _, server := range servers {
-			if configuration != nil {
-				limits[server.Name] = configuration.MaxConnections(server.Labels)
-			}
+	c.Daemon.Loop.WithMachine(func(clock.Micros) {
+		v.servers, members = c.Scheduling.Scheduler.Servers(), c.Scheduling.Members()
+		configuration := c.Scheduling.Scheduler.Configuration()
+		if configuration == nil {
+			return
+		}
+		for _, server := range v.servers {
+			v.limits[server.Name] = configuration.MaxConnections(server.Labels)
 		}
 	})
-	edges, stores, kind := 0, 0, ""
 	for _, member := range members {
-		switch member.Kind {
-		case membership.Edge:
-			edges++
-		case membership.Store:
-			stores++
-		}
-		if member.ID == t.Daemon.Identity.ID {
-			kind = member.Kind
+		v.shares.count(member.Kind)
+		if member.ID == c.Daemon.Identity.ID {
+			v.kind = member.Kind
 		}
 	}
-	for _, server := range servers {
-		if server.Removed {
-			if !t.forgotten[server.Name] {
-				t.forgotten[server.Name] = true
-				t.Client.RemoveServer(server.Address)
-			}
-			continue
-		}
-		if limit := limits[server.Name]; limit > 0 {
-			t.Client.SetMaxConnections(server.Address, ConnectionLimit(kind, int(limit), server.Slots, edges, stores))
-		}
+	return v
+}
+
+// extraConnections is how many connections more than a server's slots a store may have: for
+// requests that end while the next ones begin.
+const extraConnections = 4
+
+// connectionShares are the daemons that share a server's connections.
+type connectionShares struct{ edges, stores int }
+
+// count counts one member.
+func (c *connectionShares) count(kind string) {
+	switch kind {
+	case membership.Edge:
+		c.edges++
+	case membership.Store:
+		c.stores++
 	}
 }
 
-// ConnectionLimit is a daemon's part of the connections that a server takes: a store may
-// have as many as there are places and a few more, within half of all; the edges
-// share the rest.
-func ConnectionLimit(kind string, limit, slots, edges, stores int) int {
-	const extra = 4
-	store := max(1, min(slots+extra, limit/2/max(1, stores), (limit-edges)/max(1, stores)))
+// limit is one daemon's share of the connections that a server takes: a store may have as
+// many as the server has slots and a few more, but the stores together no more than half;
+// the edges share the rest.
+func (c connectionShares) limit(kind string, total, slots int) int {
+	stores, edges := max(1, c.stores), max(1, c.edges)
+	half, afterEdges := total/2/stores, (total-c.edges)/stores
+	ofStore := max(1, min(slots+extraConnections, half, afterEdges))
 	if kind == membership.Store {
-		return store
+		return ofStore
 	}
-	return max(1, (limit-store*stores)/max(1, edges))
+	return max(1, (total-ofStore*c.stores)/edges)
 }
--- a/internal/daemon/roles/connections_test.go
+++ b/internal/daemon/roles/connections_test.go
@@ -1,18 +1,32 @@
 package roles
 
 import (
+	"fmt"
 	"testing"
 
 	"tuliprudder/internal/membership"
 )
 
-// All daemons' parts together keep to what a server takes, unless there are more
+// All daemons' shares together keep to what a server takes, unless there are more
 // daemons than connections.
-func TestConnectionsAreSharedOut(t *testing.T) {
-	for _, c := range []struct{ limit, slots, edges, stores int }{{180, 16, 9, 3}, {210, 32, 6, 4}, {410, 8, 53, 10}, {79, 16, 49, 9}, {60, 4, 3, 3}, {40, 64, 2, 6}} {
-		edge, store := ConnectionLimit(membership.Edge, c.limit, c.slots, c.edges, c.stores), ConnectionLimit(membership.Store, c.limit, c.slots, c.edges, c.stores)
-		if sum := edge*c.edges + store*c.stores; sum > c.limit || edge < 1 || store < 1 {
-			t.Errorf("%+v: %d for each edge and %d for each store make %d", c, edge, store, sum)
-		}
+func TestConnectionsAreShared(t *testing.T) {
+	for _, test := range []struct {
+		total, slots int
+		shares       connectionShares
+	}{
+		{180, 16, connectionShares{edges: 9, stores: 3}},
+		{210, 32, connectionShares{edges: 6, stores: 4}},
+		{410, 8, connectionShares{edges: 53, stores: 10}},
+		{79, 16, connectionShares{edges: 49, stores: 9}},
+		{60, 4, connectionShares{edges: 3, stores: 3}},
+		{40, 64, connectionShares{edges: 2, stores: 6}},
+	} {
+		t.Run(fmt.Sprintf("%+v", test), func(t *testing.T) {
+			edge := test.shares.limit(membership.Edge, test.total, test.slots)
+			store := test.shares.limit(membership.Store, test.total, test.slots)
+			if sum := edge*test.shares.edges + store*test.shares.stores; sum > test.total || edge < 1 || store < 1 {
+				t.Errorf("%d for each edge and %d for each store make %d", edge, store, sum)
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/daemon/roles/core.go
@@ -0,0 +1,55 @@
+package roles
+
+import (
+	"time"
+
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/config"
+	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/daemon/eventloop"
+	"tuliprudder/internal/daemon/host"
+	"tuliprudder/internal/daemon/machines"
+	"tuliprudder/internal/daemon/metrics"
+	"tuliprudder/internal/machine"
+	"tuliprudder/internal/storage"
+)
+
+// NewCore puts a core daemon together from what its data folder holds. It waits until the
+// disk takes writes; the error is one of a folder that can't be read. The core is read
+// within Loop.WithMachine only.
+func NewCore(d *host.Daemon, settings controlplane.Settings) (*controlplane.Core, error) {
+	var folder *storage.Folder
+	var records []machine.Record
+	err := eventloop.WaitForDisk(d.Log, time.Sleep, func() (err error) {
+		folder, records, err = eventloop.OpenRecords(d.Common.DataDir)
+		return err
+	})
+	if err != nil {
+		return nil, err
+	}
+	if settings.CheckConfiguration == nil {
+		settings.CheckConfiguration = config.Validate
+	}
+	self := controlplane.CoreRef{ID: d.Identity.ID, Peer: d.Common.Peer, Zone: d.Common.Zone}
+	core := controlplane.New(self, d.Identity.Incarnation, d.Common.Seeds, settings, records)
+	if core.BadRecord != nil {
+		return nil, core.BadRecord
+	}
+	d.Loop.SetMachine(machines.NewCore(core), folder)
+	d.Admin.Ready = func() string { return coreFault(d.Loop, core) }
+	d.Admin.Metrics.Register(metrics.NewModule(coreMetrics, func() coreSample { return sampleCore(d.Loop, core) }))
+	return core, nil
+}
+
+// coreFault tells why a core is not ready; "" when it is.
+func coreFault(loop *eventloop.Loop, core *controlplane.Core) (reason string) {
+	if fault := loop.DiskFault(); fault != "" {
+		return fault
+	}
+	loop.WithMachine(func(clock.Micros) {
+		if core.Vote().Committed.IsZero() {
+			reason = "the cores have not founded the cluster yet"
+		}
+	})
+	return reason
+}
--- /dev/null
+++ b/internal/daemon/roles/core_metrics.go
@@ -0,0 +1,85 @@
+package roles
+
+import (
+	"github.com/prometheus/client_golang/prometheus"
+
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/daemon/eventloop"
+	"tuliprudder/internal/daemon/metrics"
+)
+
+// coreSample is a core's metrics at one moment, by their JSON key (controlplane.Counters).
+// Some are there only while the core leads.
+type coreSample map[string]int64
+
+func sampleCore(loop *eventloop.Loop, core *controlplane.Core) (s coreSample) {
+	loop.WithMachine(func(now clock.Micros) { s = core.Counters(now) })
+	return s
+}
+
+// coreMetric completes a row of the table with how its value is read from a sample.
+func coreMetric(metric metrics.Metric[coreSample]) metrics.Metric[coreSample] {
+	metric.Value = func(s coreSample) int64 { return s[metric.Key] }
+	metric.IsPresent = func(s coreSample) bool {
+		_, present := s[metric.Key]
+		return present
+	}
+	return metric
+}
+
+// coreMetrics is the table of a core's metrics (docs/OPERATORS.md).
+var coreMetrics = []metrics.Metric[coreSample]{
+	coreMetric(metrics.Metric[coreSample]{
+		Key: "core_term", Name: "tuliprudder_core_term", Type: prometheus.GaugeValue,
+		Help: "Highest term that this core has granted or written down.",
+	}),
+	coreMetric(metrics.Metric[coreSample]{
+		Key: "core_claims", Name: "tuliprudder_core_campaigns_total", Type: prometheus.CounterValue,
+		Help: "Campaigns that this core started.",
+	}),
+	coreMetric(metrics.Metric[coreSample]{
+		Key: "core_takeovers", Name: "tuliprudder_core_terms_won_total", Type: prometheus.CounterValue,
+		Help: "Terms that this core won.",
+	}),
+	coreMetric(metrics.Metric[coreSample]{
+		Key: "core_changes", Name: "tuliprudder_core_changes_total", Type: prometheus.CounterValue,
+		Help: "Changes of the control state that this core committed as primary.",
+	}),
+	coreMetric(metrics.Metric[coreSample]{
+		Key: "core_orders_unclear", Name: "tuliprudder_core_unknown_outcomes_total", Type: prometheus.CounterValue,
+		Help: "Operators' requests that ended without a clear outcome.",
+	}),
+	coreMetric(metrics.Metric[coreSample]{
+		Key: "core_voters", Name: "tuliprudder_core_voters", Type: prometheus.GaugeValue,
+		Help: "Cores that vote.",
+	}),
+	coreMetric(metrics.Metric[coreSample]{
+		Key: "core_voters_silent", Name: "tuliprudder_core_voters_unreachable", Type: prometheus.GaugeValue,
+		Help: "Voters that this core has no contact with.",
+	}),
+	coreMetric(metrics.Metric[coreSample]{
+		Key: "core_copy_pieces", Name: "tuliprudder_core_snapshot_chunks_left", Type: prometheus.GaugeValue,
+		Help: "Chunks of the control state's snapshot that replicas still lack.",
+	}),
+	coreMetric(metrics.Metric[coreSample]{
+		Key: "core_leading", Name: "tuliprudder_core_holds_lease", Type: prometheus.GaugeValue,
+		Help: "1 at the core that holds the lease; absent at the others.",
+	}),
+	coreMetric(metrics.Metric[coreSample]{
+		Key: "core_lease_left_us", Name: "tuliprudder_core_lease_remaining_seconds", Type: prometheus.GaugeValue, Unit: metrics.Microseconds,
+		Help: "Time until the lease ends, 1 s at the most; absent without one.",
+	}),
+	coreMetric(metrics.Metric[coreSample]{
+		Key: "core_primary", Name: "tuliprudder_core_primary", Type: prometheus.GaugeValue,
+		Help: "1 at the primary; absent at the others.",
+	}),
+	coreMetric(metrics.Metric[coreSample]{
+		Key: "core_copies_missing", Name: "tuliprudder_core_replicas_missing", Type: prometheus.GaugeValue,
+		Help: "Replicas of the control state that are missing; at the primary only.",
+	}),
+	coreMetric(metrics.Metric[coreSample]{
+		Key: "shards_short_of_copies", Name: "tuliprudder_core_under_replicated_shards", Type: prometheus.GaugeValue,
+		Help: "Shards with too few complete replicas; at the primary only.",
+	}),
+}
--- /dev/null
+++ b/internal/daemon/roles/edge_metrics.go
@@ -0,0 +1,109 @@
+package roles
+
+import (
+	"github.com/prometheus/client_golang/prometheus"
+
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/daemon/eventloop"
+	"tuliprudder/internal/daemon/machines"
+	"tuliprudder/internal/daemon/metrics"
+)
+
+// edgeSample is an edge's metrics at one moment.
+type edgeSample struct {
+	quota                                                                            quotaSample
+	scheduler                                                                        schedulerSample
+	requestsInFlight, readsPending                                                   int64
+	proxyInFlight, proxyForwarded, proxyRejected, proxyUnknownOutcomes, proxyRetries int64
+}
+
+func sampleEdge(loop *eventloop.Loop, edge *machines.Edge) (s edgeSample) {
+	loop.WithMachine(func(now clock.Micros) {
+		s = edgeSample{
+			quota:                sampleQuota(edge.Scheduling, now),
+			scheduler:            sampleScheduler(edge.Scheduling),
+			requestsInFlight:     int64(edge.Requests.InFlight()),
+			readsPending:         int64(edge.Reader.Pending()),
+			proxyInFlight:        int64(edge.Proxy.InFlight()),
+			proxyForwarded:       edge.Proxy.Forwarded,
+			proxyRejected:        edge.Proxy.Rejected,
+			proxyUnknownOutcomes: edge.Proxy.UnknownOutcomes,
+			proxyRetries:         edge.Proxy.Retries,
+		}
+	})
+	return s
+}
+
+// edgeMetrics is the table of an edge's metrics (docs/OPERATORS.md).
+var edgeMetrics = []metrics.Metric[edgeSample]{
+	{
+		Key: "shares_held", Name: "tuliprudder_quota_in_use", Type: prometheus.GaugeValue,
+		Help:  "Weight of the work of tenants that is queued or runs here.",
+		Value: func(s edgeSample) int64 { return s.quota.inUse },
+	},
+	{
+		Key: "shares_lent", Name: "tuliprudder_quota_granted", Type: prometheus.GaugeValue,
+		Help:  "Weight that the accounts owned here have granted to daemons.",
+		Value: func(s edgeSample) int64 { return s.quota.granted },
+	},
+	{
+		Key: "over_allowance", Name: "tuliprudder_quota_rejections_total", Type: prometheus.CounterValue,
+		Help:  "Requests rejected for their tenant's quota.",
+		Value: func(s edgeSample) int64 { return s.quota.rejected },
+	},
+	{
+		Key: "backlog", Name: "tuliprudder_scheduler_queue_length", Type: prometheus.GaugeValue,
+		Help:  "Requests that wait for a model server.",
+		Value: func(s edgeSample) int64 { return s.scheduler.queueLength },
+	},
+	{
+		Key: "assigned", Name: "tuliprudder_scheduler_assignments_total", Type: prometheus.CounterValue,
+		Help:  "Requests assigned to a model server.",
+		Value: func(s edgeSample) int64 { return s.scheduler.assigned },
+	},
+	{
+		Key: "expired", Name: "tuliprudder_scheduler_deadline_exceeded_total", Type: prometheus.CounterValue,
+		Help:  "Requests whose deadline passed in the queue.",
+		Value: func(s edgeSample) int64 { return s.scheduler.deadlineExceeded },
+	},
+	{
+		Key: "turned_away", Name: "tuliprudder_scheduler_rejections_total", Type: prometheus.CounterValue,
+		Help:  "Requests rejected for a full queue or an estimated wait past their deadline.",
+		Value: func(s edgeSample) int64 { return s.scheduler.rejected },
+	},
+	{
+		Key: "orders_open", Name: "tuliprudder_requests_in_flight", Type: prometheus.GaugeValue,
+		Help:  "Requests of the callers' API in flight.",
+		Value: func(s edgeSample) int64 { return s.requestsInFlight },
+	},
+	{
+		Key: "reads_waiting", Name: "tuliprudder_reads_pending", Type: prometheus.GaugeValue,
+		Help:  "Reads of batches that wait for results.",
+		Value: func(s edgeSample) int64 { return s.readsPending },
+	},
+	{
+		Key: "requests_open", Name: "tuliprudder_proxy_requests_in_flight", Type: prometheus.GaugeValue,
+		Help:  "Requests forwarded unchanged that are in flight.",
+		Value: func(s edgeSample) int64 { return s.proxyInFlight },
+	},
+	{
+		Key: "requests_passed", Name: "tuliprudder_proxy_requests_forwarded_total", Type: prometheus.CounterValue,
+		Help:  "Requests forwarded unchanged that a server answered.",
+		Value: func(s edgeSample) int64 { return s.proxyForwarded },
+	},
+	{
+		Key: "requests_refused", Name: "tuliprudder_proxy_requests_rejected_total", Type: prometheus.CounterValue,
+		Help:  "Requests to forward that were rejected.",
+		Value: func(s edgeSample) int64 { return s.proxyRejected },
+	},
+	{
+		Key: "requests_unknown", Name: "tuliprudder_proxy_unknown_outcomes_total", Type: prometheus.CounterValue,
+		Help:  "Requests forwarded that may have run, with no clear outcome.",
+		Value: func(s edgeSample) int64 { return s.proxyUnknownOutcomes },
+	},
+	{
+		Key: "requests_sent_again", Name: "tuliprudder_proxy_retries_total", Type: prometheus.CounterValue,
+		Help:  "Requests that were sent to a further server.",
+		Value: func(s edgeSample) int64 { return s.proxyRetries },
+	},
+}
--- a/internal/daemon/roles/counters_test.go
+++ b/internal/daemon/roles/metrics_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 
+	"github.com/prometheus/client_golang/prometheus/testutil/promlint"
+
 	"tuliprudder/internal/batchstore"
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/controlplane"
@@ -145,3 +147,28 @@
 		})
 	}
 }
+
+// Both forms have the same metrics, and the names of the text format follow Prometheus'
+// conventions. The golden files show which key has which name.
+func TestMetricsInTheTextFormat(t *testing.T) {
+	primary, core := newCoreDaemon(t)
+	bootstrapAlone(t, primary, core)
+	for role, d := range map[string]*host.Daemon{"edge": newEdgeDaemon(t), "store": newStoreDaemon(t), "primary_core": primary} {
+		t.Run(role, func(t *testing.T) {
+			text := get(t, d, "/metrics").Body.String()
+			problems, err := promlint.New(strings.NewReader(text)).Lint()
+			if err != nil || len(problems) > 0 {
+				t.Errorf("%v %v", err, problems)
+			}
+			var types []string
+			for _, line := range strings.Split(text, "\n") {
+				if metric, ok := strings.CutPrefix(line, "# TYPE "); ok {
+					types = append(types, metric)
+				}
+			}
+			if err := goldenjson.CheckBytes(filepath.Join("testdata", "metrics", role+".txt"), []byte(strings.Join(types, "\n"))); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/daemon/roles/store.go
@@ -0,0 +1,91 @@
+package roles
+
+import (
+	"os"
+	"time"
+
+	"tuliprudder/internal/batchstore"
+	"tuliprudder/internal/clock"
+	"tuliprudder/internal/daemon/effects"
+	"tuliprudder/internal/daemon/eventloop"
+	"tuliprudder/internal/daemon/host"
+	"tuliprudder/internal/daemon/machines"
+	"tuliprudder/internal/daemon/metrics"
+	"tuliprudder/internal/logging"
+	"tuliprudder/internal/machine"
+	"tuliprudder/internal/storage"
+)
+
+// Store is the parts of a store daemon. Its machine is read within Loop.WithMachine only.
+type Store struct {
+	*machines.Store
+	Executor *effects.Executor
+	Folder   *storage.Folder
+}
+
+// damagedArchiveExitCode is the exit status of a store that can't read a batch it archived.
+const damagedArchiveExitCode = 3
+
+// NewStore puts a store daemon together from what its data folder holds. It waits until the
+// disk takes writes; the error is one of a folder that can't be read.
+func NewStore(d *host.Daemon, settings batchstore.Settings) (*Store, error) {
+	data, err := openStoreData(d)
+	if err != nil {
+		return nil, err
+	}
+	ledger := batchstore.New(batchstore.Self{
+		ID:          d.Identity.ID,
+		Name:        d.Common.Name,
+		Zone:        d.Common.Zone,
+		Peer:        d.Common.Peer,
+		Incarnation: d.Identity.Incarnation,
+	}, settings, data.records, data.archive)
+	if ledger.BadRecord != nil {
+		return nil, ledger.BadRecord
+	}
+	ledger.OnDamage = func(err error) {
+		logging.Write(d.Log, ArchivedBatchUnreadable{Reason: err.Error(), Remedy: "move the data folder away and start empty: the other replicas serve, and copy its contents back"})
+		os.Exit(damagedArchiveExitCode)
+	}
+	store := machines.NewStore(d.Identity.ID, ledger, settings.MaxItems, int64(d.Identity.Incarnation))
+	store.SetSeeds(d.Common.Seeds)
+	executor := effects.New(d.Loop.Now, d.Loop.Notify)
+	d.Loop.Archive = data.archive
+	d.Loop.SetMachine(store, data.folder)
+	d.Loop.SetExecutor(executor.Execute)
+	d.SetRequestPath(store.Scheduling, nil, store.Runner.Decisions)
+	d.Admin.Ready = func() string { return storeFault(d.Loop, ledger) }
+	d.Admin.Metrics.Register(metrics.NewModule(storeMetrics, func() storeSample { return sampleStore(d.Loop, store) }))
+	return &Store{Store: store, Executor: executor, Folder: data.folder}, nil
+}
+
+// storeData is a store's opened data folder.
+type storeData struct {
+	folder  *storage.Folder
+	records []machine.Record
+	archive *storage.Archive
+}
+
+func openStoreData(d *host.Daemon) (data storeData, err error) {
+	err = eventloop.WaitForDisk(d.Log, time.Sleep, func() (err error) {
+		if data.folder, data.records, err = eventloop.OpenRecords(d.Common.DataDir); err != nil {
+			return err
+		}
+		data.archive, err = eventloop.OpenArchive(d.Common.DataDir)
+		return err
+	})
+	return data, err
+}
+
+// storeFault tells why a store is not ready; "" when it is.
+func storeFault(loop *eventloop.Loop, ledger *batchstore.Store) (reason string) {
+	if fault := loop.DiskFault(); fault != "" {
+		return fault
+	}
+	loop.WithMachine(func(clock.Micros) {
+		if ledger.Writer() == 0 {
+			reason = "the primary core has not given this store a writer id yet"
+		}
+	})
+	return reason
+}
--- a/internal/logging/event.go
+++ b/internal/logging/event.go
@@ -12,13 +12,17 @@
 // eventKey is the key under which a line has the name of its event.
 const eventKey = "event"
 
+// levels are the log's levels of the severities.
+var levels = map[machine.Severity]zerolog.Level{
+	machine.SeverityInfo:    zerolog.InfoLevel,
+	machine.SeverityWarning: zerolog.WarnLevel,
+	machine.SeverityError:   zerolog.ErrorLevel,
+}
+
 // Write writes one line for an event: its name, and its fields under the names of their
 // json tags. A field that is tagged omitempty is left out where it is zero.
 func Write(log zerolog.Logger, event machine.Event) {
-	line := log.Info()
-	if event.Severity() == machine.SeverityWarning {
-		line = log.Warn()
-	}
+	line := log.WithLevel(levels[event.Severity()])
 	line.Str(eventKey, event.EventName())
 	value := reflect.ValueOf(event)
 	for i := range value.NumField() {
--- a/internal/logging/event_test.go
+++ b/internal/logging/event_test.go
@@ -25,6 +25,13 @@
 
 func (testWarning) EventName() string { return "disk_unwritable" }
 
+type testFault struct {
+	machine.Error
+	Reason string `json:"reason"`
+}
+
+func (testFault) EventName() string { return "halted" }
+
 func TestAnEventIsOneLine(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -34,6 +41,7 @@
 		{"a zero field that may be left out", testEvent{Term: 3, Group: []string{"a", "b"}}, `{"level":"info","event":"term_won","term":3,"group":["a","b"]}`},
 		{"a field that may be left out", testEvent{Missing: 1}, `{"level":"info","event":"term_won","term":0,"group":null,"missing":1}`},
 		{"a warning", testWarning{Reason: "full"}, `{"level":"warn","event":"disk_unwritable","reason":"full"}`},
+		{"a fault", testFault{Reason: "damaged"}, `{"level":"error","event":"halted","reason":"damaged"}`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var out bytes.Buffer
--- a/internal/machine/log_event.go
+++ b/internal/machine/log_event.go
@@ -22,6 +22,8 @@
 	SeverityInfo Severity = iota
 	// SeverityWarning is a condition that an operator should look at.
 	SeverityWarning
+	// SeverityError is a fault that ends the daemon or a part of it.
+	SeverityError
 )
 
 // Info is embedded by events of ordinary operation.
@@ -35,3 +37,9 @@
 
 // Severity is SeverityWarning.
 func (Warning) Severity() Severity { return SeverityWarning }
+
+// Error is embedded by events of faults that end the daemon or a part of it.
+type Error struct{}
+
+// Severity is SeverityError.
+func (Error) Severity() Severity { return SeverityError }
--- a/internal/membership/stored_names.go
+++ b/internal/membership/stored_names.go
@@ -1,8 +1,9 @@
 package membership
 
 // Kinds of daemon. The spellings are those of the first release: they are gossiped
-// (Member.Kind), in daemons' identifiers and in the identity file of a data folder, where
-// daemons and folders of a neighbouring release read them. They never change.
+// (Member.Kind) and in the identity file of a data folder, where daemons of a neighbouring
+// release read them. They never change. Identifiers that earlier releases made begin with
+// them too; nothing parses that.
 const (
 	Edge  = "trailhead"
 	Store = "refuge"
