--- a/internal/daemon/admin/quota.go
+++ b/internal/daemon/admin/quota.go
@@ -4,6 +4,7 @@
 	"net/http"
 
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/dataplane/quota"
 	"tuliprudder/internal/errs"
 	"tuliprudder/internal/httpserver"
 )
@@ -13,7 +14,7 @@
 	if a.Scheduling == nil {
 		return errs.New(errs.NotFound, "send it to an edge or a store", "this daemon holds no quota shares")
 	}
-	var snapshot any
+	var snapshot quota.Snapshot
 	a.Loop.WithMachine(func(now clock.Micros) { snapshot = a.Scheduling.Quota.Snapshot(now) })
 	return httpserver.WriteJSON(w, http.StatusOK, snapshot)
 }
--- a/internal/daemon/machines/queued.go
+++ b/internal/daemon/machines/queued.go
@@ -2,6 +2,7 @@
 
 import (
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/dataplane/quota"
 )
 
 // queuedWeights is the weight of the items that wait in this store's shards and are
@@ -44,6 +45,6 @@
 		return
 	}
 	if limit := quotaLimit(configuration, tenant, route, forwarded); limit > 0 {
-		s.Quota.TrackUsage(tenant, limit, configuration.Version)
+		s.Quota.TrackUsage(quota.TenantQuota{Tenant: tenant, Limit: limit, ConfigurationVersion: configuration.Version})
 	}
 }
--- a/internal/daemon/machines/submit.go
+++ b/internal/daemon/machines/submit.go
@@ -30,7 +30,8 @@
 		s.write(number, request, now)
 	default:
 		s.recountQueued(now)
-		s.Quota.Reserve(request.Batch.Tenant, limit, configuration.Version, weight, now, func(release quota.Release, err error, now clock.Micros) {
+		tenant := quota.TenantQuota{Tenant: request.Batch.Tenant, Limit: limit, ConfigurationVersion: configuration.Version}
+		s.Quota.Reserve(tenant, weight, now, func(release quota.Release, err error, now clock.Micros) {
 			if err != nil {
 				s.reject(number, err)
 				return
--- a/internal/daemon/roles/core.go
+++ b/internal/daemon/roles/core.go
@@ -6,6 +6,7 @@
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/config"
 	"tuliprudder/internal/controlplane"
+	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/daemon/eventloop"
 	"tuliprudder/internal/daemon/host"
 	"tuliprudder/internal/daemon/machines"
@@ -30,7 +31,7 @@
 	if settings.CheckConfiguration == nil {
 		settings.CheckConfiguration = config.Validate
 	}
-	self := controlplane.CoreRef{ID: d.Identity.ID, Peer: d.Common.Peer, Zone: d.Common.Zone}
+	self := election.CoreRef{ID: d.Identity.ID, Peer: d.Common.Peer, Zone: d.Common.Zone}
 	core := controlplane.New(self, d.Identity.Incarnation, d.Common.Seeds, settings, records)
 	if core.BadRecord != nil {
 		return nil, core.BadRecord
