--- a/internal/daemon/machines/queued.go
+++ b/internal/daemon/machines/queued.go
@@ -27,7 +27,7 @@
 // before its usage is reported with the next renewal.
 func (s *Store) recountQueued(now clock.Micros) {
 	previous := s.queued.byTenant
-	s.queued = queuedWeights{byTenant: s.Ledger.PendingWeights(now), countedAt: now}
+	s.queued = queuedWeights{byTenant: s.Batches.PendingWeights(now), countedAt: now}
 	for tenant := range s.queued.byTenant {
 		s.trackUsage(tenant, tenant, true)
 	}
--- a/internal/daemon/machines/store.go
+++ b/internal/daemon/machines/store.go
@@ -14,8 +14,8 @@
 // their items, and quota shares.
 type Store struct {
 	*Scheduling
-	Ledger *batchstore.Store
-	Runner *execution.Runner
+	Batches *batchstore.Store // the replicas of the shards held here
+	Runner  *execution.Runner
 
 	cores coreDirectory
 	// pendingReservations has the quota that was reserved for batches that are being
@@ -31,19 +31,19 @@
 
 // NewStore makes the machine of the store with the id self; the seed makes its choices
 // repeatable.
-func NewStore(self string, ledger *batchstore.Store, maxItems int, seed int64) *Store {
+func NewStore(self string, batches *batchstore.Store, maxItems int, seed int64) *Store {
 	settings := scheduler.Defaults()
 	settings.MaxQueued = 2*maxItems + schedulerQueueMargin
 	s := &Store{
-		Ledger:              ledger,
+		Batches:             batches,
 		cores:               newCoreDirectory(),
 		pendingReservations: map[uint64]quota.Release{},
 		queued:              queuedWeights{byTenant: map[string]int{}},
 		demands:             demandTracker{self: self, others: map[string]demand{}},
 	}
 	s.Scheduling = newScheduling(self, settings, seed, s.queuedWeight)
-	s.Quota.ShardMap = func() (state.Map, bool) { return ledger.ClusterMap(), ledger.HasClusterMap() }
-	s.Runner = execution.New(execution.Defaults(), s.Calls, s.Scheduler, ledger.MayStart, func(result batchstore.ItemFinished, now clock.Micros) { s.apply(result, now) })
+	s.Quota.ShardMap = func() (state.Map, bool) { return batches.ClusterMap(), batches.HasClusterMap() }
+	s.Runner = execution.New(execution.Defaults(), s.Calls, s.Scheduler, batches.MayStart, func(result batchstore.ItemFinished, now clock.Micros) { s.apply(result, now) })
 	return s
 }
 
@@ -57,7 +57,7 @@
 // apply applies a command to the store's shards. It carries out the effects that are for the
 // parts of this machine, and emits the others.
 func (s *Store) apply(command batchstore.Command, now clock.Micros) {
-	for _, effect := range s.Ledger.Do(command, now) {
+	for _, effect := range s.Batches.Do(command, now) {
 		switch e := effect.(type) {
 		case machine.Execute:
 			s.executeTask(e.Task, now)
--- a/internal/daemon/machines/store_test.go
+++ b/internal/daemon/machines/store_test.go
@@ -24,8 +24,8 @@
 // newTestStore is a store that serves no shard, with one edge and a configuration of a route
 // "r" that forwards batches.
 func newTestStore(forward config.Forward) *Store {
-	ledger := batchstore.New(batchstore.Self{ID: "store"}, batchstore.Defaults(), nil, noArchive{})
-	s := NewStore("store", ledger, 100, 1)
+	batches := batchstore.New(batchstore.Self{ID: "store"}, batchstore.Defaults(), nil, noArchive{})
+	s := NewStore("store", batches, 100, 1)
 	configuration := &config.Configuration{
 		Version: 1,
 		Routes: []config.Route{
@@ -122,8 +122,8 @@
 
 // A store that knows no core yet sends its heartbeats to its seeds.
 func TestAStartingStoreSendsHeartbeatsToItsSeeds(t *testing.T) {
-	ledger := batchstore.New(batchstore.Self{ID: "s", Zone: "z", Peer: "p", Incarnation: 2}, batchstore.Defaults(), nil, noArchive{})
-	s := NewStore("s", ledger, 10, 1)
+	batches := batchstore.New(batchstore.Self{ID: "s", Zone: "z", Peer: "p", Incarnation: 2}, batchstore.Defaults(), nil, noArchive{})
+	s := NewStore("s", batches, 10, 1)
 	s.SetSeeds([]string{"seed:1"})
 	for _, effect := range s.Tick(clock.Second) {
 		if send, ok := effect.(machine.Send); ok && send.To == "seed:1" {
--- a/internal/daemon/machines/submit.go
+++ b/internal/daemon/machines/submit.go
@@ -12,7 +12,7 @@
 // submit reserves quota for a batch's items before anything is written: from then on they
 // count as queued until they start. A batch that is known here needs none.
 func (s *Store) submit(number uint64, request batchstore.SubmitRequest, now clock.Micros) {
-	if s.Ledger.HasBatch(request.Shard, request.Batch.ID) {
+	if s.Batches.HasBatch(request.Shard, request.Batch.ID) {
 		s.write(number, request, now)
 		return
 	}
--- a/internal/daemon/program/store.go
+++ b/internal/daemon/program/store.go
@@ -60,7 +60,7 @@
 func DrainStore(daemon *host.Daemon, store *roles.Store, timeout clock.Micros) {
 	daemon.Loop.Notify(batchstore.Drain{})
 	host.WaitUntil(timeout, func() (released bool) {
-		daemon.Loop.WithMachine(func(clock.Micros) { released = store.Ledger.OwnedShards() == 0 })
+		daemon.Loop.WithMachine(func(clock.Micros) { released = store.Batches.OwnedShards() == 0 })
 		return released
 	})
 }
--- a/internal/daemon/roles/store.go
+++ b/internal/daemon/roles/store.go
@@ -33,28 +33,28 @@
 	if err != nil {
 		return nil, err
 	}
-	ledger := batchstore.New(batchstore.Self{
+	batches := batchstore.New(batchstore.Self{
 		ID:          d.Identity.ID,
 		Name:        d.Common.Name,
 		Zone:        d.Common.Zone,
 		Peer:        d.Common.Peer,
 		Incarnation: d.Identity.Incarnation,
 	}, settings, data.records, data.archive)
-	if ledger.BadRecord != nil {
-		return nil, ledger.BadRecord
+	if batches.BadRecord != nil {
+		return nil, batches.BadRecord
 	}
-	ledger.OnDamage = func(err error) {
+	batches.OnDamage = func(err error) {
 		logging.Write(d.Log, ArchivedBatchUnreadable{Reason: err.Error(), Remedy: "move the data folder away and start empty: the other replicas serve, and copy its contents back"})
 		os.Exit(damagedArchiveExitCode)
 	}
-	store := machines.NewStore(d.Identity.ID, ledger, settings.MaxItems, int64(d.Identity.Incarnation))
+	store := machines.NewStore(d.Identity.ID, batches, settings.MaxItems, int64(d.Identity.Incarnation))
 	store.SetSeeds(d.Common.Seeds)
 	executor := effects.New(d.Loop.Now, d.Loop.Notify)
 	d.Loop.Archive = data.archive
 	d.Loop.SetMachine(store, data.folder)
 	d.Loop.SetExecutor(executor.Execute)
 	d.SetRequestPath(store.Scheduling, nil, store.Runner.Decisions)
-	d.Admin.Ready = func() string { return storeFault(d.Loop, ledger) }
+	d.Admin.Ready = func() string { return storeFault(d.Loop, batches) }
 	d.Admin.Metrics.Register(metrics.NewModule(storeMetrics, func() storeSample { return sampleStore(d.Loop, store) }))
 	return &Store{Store: store, Executor: executor, Folder: data.folder}, nil
 }
@@ -78,12 +78,12 @@
 }
 
 // storeFault tells why a store is not ready; "" when it is.
-func storeFault(loop *eventloop.Loop, ledger *batchstore.Store) (reason string) {
+func storeFault(loop *eventloop.Loop, batches *batchstore.Store) (reason string) {
 	if fault := loop.DiskFault(); fault != "" {
 		return fault
 	}
 	loop.WithMachine(func(clock.Micros) {
-		if ledger.Writer() == 0 {
+		if batches.Writer() == 0 {
 			reason = "the primary core has not given this store a writer id yet"
 		}
 	})
--- a/internal/daemon/roles/store_metrics.go
+++ b/internal/daemon/roles/store_metrics.go
@@ -24,17 +24,17 @@
 		s = storeSample{
 			quota:            sampleQuota(store.Scheduling, now),
 			scheduler:        sampleScheduler(store.Scheduling),
-			oldestWrite:      store.Ledger.OldestWrite(now),
-			entriesConfirmed: store.Ledger.EntriesConfirmed,
-			reads:            store.Ledger.Reads,
-			batchesArchived:  store.Ledger.BatchesArchived,
+			oldestWrite:      store.Batches.OldestWrite(now),
+			entriesConfirmed: store.Batches.EntriesConfirmed,
+			reads:            store.Batches.Reads,
+			batchesArchived:  store.Batches.BatchesArchived,
 			itemsInFlight:    int64(store.Runner.Pending()),
-			visibleResults:   store.Ledger.ResultsListed,
-			batchesSubmitted: store.Ledger.BatchesSubmitted,
-			unknownOutcomes:  store.Ledger.UnknownOutcomes,
-			takeovers:        store.Ledger.Takeovers,
+			visibleResults:   store.Batches.ResultsListed,
+			batchesSubmitted: store.Batches.BatchesSubmitted,
+			unknownOutcomes:  store.Batches.UnknownOutcomes,
+			takeovers:        store.Batches.Takeovers,
 		}
-		s.underReplicated, s.oldestUnannounced = store.Ledger.UnderReplicated(now)
+		s.underReplicated, s.oldestUnannounced = store.Batches.UnderReplicated(now)
 	})
 	return s
 }
