--- a/test/ci/docs_test.go
+++ b/test/ci/docs_test.go
@@ -198,3 +198,52 @@
 		}
 	}
 }
+
+var (
+	eventInCode  = regexp.MustCompile(`EventName\(\) string \{ return "([a-z_]+)" \}`)
+	metricInCode = regexp.MustCompile(`Key: "([a-z_]+)", Name: "([a-z0-9_]+)"`)
+)
+
+// operatorNames are the keys of log events, the counters and the metrics that the
+// daemons' code declares.
+func operatorNames(t *testing.T) []string {
+	t.Helper()
+	var names []string
+	for _, folder := range []string{"internal", "platform"} {
+		err := filepath.WalkDir(filepath.Join(repositoryRoot, folder), func(path string, _ fs.DirEntry, err error) error {
+			if err != nil || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			text, err := os.ReadFile(path)
+			for _, pattern := range []*regexp.Regexp{eventInCode, metricInCode} {
+				for _, match := range pattern.FindAllStringSubmatch(string(text), -1) {
+					names = append(names, match[1:]...)
+				}
+			}
+			return err
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return names
+}
+
+// The runbook has each log event, each counter and its name in /metrics.
+func TestRunbookHasEveryEventAndCounter(t *testing.T) {
+	runbook, err := os.ReadFile(filepath.Join(repositoryRoot, "docs/RUNBOOK.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	names := operatorNames(t)
+	for _, name := range []string{"term_won", "core_term", "tuliprudder_core_term"} {
+		if !slices.Contains(names, name) {
+			t.Fatalf("%s isn't found in the code any more: the patterns miss what they look for", name)
+		}
+	}
+	for _, name := range names {
+		if !strings.Contains(string(runbook), "`"+name+"`") {
+			t.Errorf("docs/RUNBOOK.md has no %s", name)
+		}
+	}
+}
