--- a/cmd/modelserver/fault_mode.go
+++ b/cmd/modelserver/fault_mode.go
@@ -14,7 +14,7 @@
 const (
 	faultNone         faultMode = ""
 	faultUnresponsive faultMode = "dark"   // nothing is answered, connections stay open
-	faultCut          faultMode = "cut"    // streams break off half way
+	faultInterrupt    faultMode = "cut"    // streams break off half way
 	faultReject       faultMode = "refuse" // new requests are rejected
 )
 
--- a/cmd/modelserver/server.go
+++ b/cmd/modelserver/server.go
@@ -163,7 +163,7 @@
 		if r.Context().Err() != nil {
 			return false
 		}
-		if s.fault.is(faultCut) && i >= len(chunks)/2 {
+		if s.fault.is(faultInterrupt) && i >= len(chunks)/2 {
 			if conn, _, err := controller.Hijack(); err == nil {
 				conn.Close()
 			}
--- a/cmd/simsweep/main.go
+++ b/cmd/simsweep/main.go
@@ -103,10 +103,10 @@
 		return nil, nil
 	}
 	var out []int
-	for _, word := range strings.Split(text, ",") {
-		count, err := strconv.Atoi(strings.TrimSpace(word))
+	for _, field := range strings.Split(text, ",") {
+		count, err := strconv.Atoi(strings.TrimSpace(field))
 		if err != nil || count < 0 {
-			return nil, fmt.Errorf("%q is no count; give whole numbers with commas between them", word)
+			return nil, fmt.Errorf("%q is no count; give whole numbers with commas between them", field)
 		}
 		out = append(out, count)
 	}
--- a/cmd/store/planted_fault.go
+++ b/cmd/store/planted_fault.go
@@ -13,12 +13,12 @@
 
 // plant puts a fault into a store on purpose: only builds for the proof of the
 // checkers have it (DESIGN §9).
-func plant(ledger *batchstore.Store, dataFolder *storage.Folder, folder string) {
+func plant(store *batchstore.Store, dataFolder *storage.Folder, folder string) {
 	switch os.Getenv("TULIPRUDDER_PLANT") {
 	case "one-disk":
-		ledger.Groups().SkipReplicas = true
+		store.Groups().SkipReplicas = true
 	case "early":
-		ledger.Faults.SkipDurability = true
+		store.Faults.SkipDurability = true
 	case "stall":
 		// The disk holds a write back for as long as a file named STALL is there.
 		dataFolder.BeforeStep = func(step string) error {
--- a/internal/batchstore/counters.go
+++ b/internal/batchstore/counters.go
@@ -2,7 +2,7 @@
 
 // Counters count what the store did since its start.
 type Counters struct {
-	ResultsListed    int64
+	ResultsRecorded  int64
 	BatchesSubmitted int64
 	BatchesArchived  int64
 	UnknownOutcomes  int64 // calls that were answered with errs.OutcomeUnknown
--- a/internal/batchstore/events.go
+++ b/internal/batchstore/events.go
@@ -23,8 +23,8 @@
 		Epoch         uint64 `json:"epoch"`
 		FirstPosition int64  `json:"first_position"`
 	}
-	// ShardHandedOver tells that another store owns a shard that this one owned.
-	ShardHandedOver struct {
+	// ShardTransferred tells that another store owns a shard that this one owned.
+	ShardTransferred struct {
 		machine.Info
 		Shard               int `json:"shard"`
 		UnfinishedPositions int `json:"unfinished_positions"`
@@ -58,7 +58,7 @@
 func (ShardServing) EventName() string { return "shard_serving" }
 
 // EventName is the event's key in the log.
-func (ShardHandedOver) EventName() string { return "shard_handed_over" }
+func (ShardTransferred) EventName() string { return "shard_handed_over" }
 
 // EventName is the event's key in the log.
 func (ForeignCoreIgnored) EventName() string { return "foreign_core_ignored" }
--- a/internal/batchstore/pending_calls.go
+++ b/internal/batchstore/pending_calls.go
@@ -35,17 +35,17 @@
 	return slices.Concat(p.byEntry.takeUnit(unit)...)
 }
 
-// takeExpired removes and returns the calls whose deadline has passed, in the order of
+// takeOverdue removes and returns the calls whose deadline has passed, in the order of
 // units and entries.
-func (p pendingCalls) takeExpired(now clock.Micros) []pendingCall {
-	var expired []pendingCall
+func (p pendingCalls) takeOverdue(now clock.Micros) []pendingCall {
+	var overdue []pendingCall
 	for _, unit := range slices.Sorted(maps.Keys(p.byEntry)) {
 		entries := p.byEntry[unit]
 		for _, seq := range slices.Sorted(maps.Keys(entries)) {
 			var remaining []pendingCall
 			for _, call := range entries[seq] {
 				if now >= call.deadline {
-					expired = append(expired, call)
+					overdue = append(overdue, call)
 				} else {
 					remaining = append(remaining, call)
 				}
@@ -57,5 +57,5 @@
 			}
 		}
 	}
-	return expired
+	return overdue
 }
--- a/internal/batchstore/pending_calls_test.go
+++ b/internal/batchstore/pending_calls_test.go
@@ -49,7 +49,7 @@
 		now  int64
 		want []uint64
 	}{{29, nil}, {30, []uint64{4, 2}}, {49, []uint64{3}}, {50, []uint64{1}}, {90, nil}} {
-		if got := numbers(p.takeExpired(step.now)); !slices.Equal(got, step.want) {
+		if got := numbers(p.takeOverdue(step.now)); !slices.Equal(got, step.want) {
 			t.Fatalf("at %d: %v expired, not %v", step.now, got, step.want)
 		}
 	}
--- a/internal/batchstore/replicated_state.go
+++ b/internal/batchstore/replicated_state.go
@@ -81,6 +81,6 @@
 	unfinished := s.positions.orphan(unit, epoch)
 	shardIndex := shardOfUnit(unit)
 	s.Emit(machine.Execute{Task: CancelItems{Shard: shardIndex}})
-	s.Emit(machine.LogEvent{Event: ShardHandedOver{Shard: shardIndex, UnfinishedPositions: unfinished}})
+	s.Emit(machine.LogEvent{Event: ShardTransferred{Shard: shardIndex, UnfinishedPositions: unfinished}})
 	s.announcer.request()
 }
--- a/internal/batchstore/results.go
+++ b/internal/batchstore/results.go
@@ -74,7 +74,7 @@
 	result.Position = position
 	result.ItemID = batch.Items[result.Item].ID
 	seq := s.appendEntry(unit, shard.ListResult{Result: result}, now)
-	s.ResultsListed++
+	s.ResultsRecorded++
 	if s.Faults.SkipDurability {
 		s.positions.Finish(position)
 		s.announcer.request()
--- a/internal/batchstore/retention.go
+++ b/internal/batchstore/retention.go
@@ -9,14 +9,14 @@
 	"tuliprudder/internal/replication"
 )
 
-// forgetExpired drops finished batches and claims whose retention has passed, in the shards
+// applyRetention drops finished batches and claims whose retention has passed, in the shards
 // that this store serves, and then the archive files that nothing refers to any more.
-func (s *Store) forgetExpired(now clock.Micros) {
+func (s *Store) applyRetention(now clock.Micros) {
 	for _, group := range s.groups.All() {
 		if group.Role != replication.Serving {
 			continue
 		}
-		entry := expired(s.shard(group.Unit).state, now-s.settings.RetainFinished)
+		entry := finishedBefore(s.shard(group.Unit).state, now-s.settings.RetainFinished)
 		if !entry.IsEmpty() {
 			s.appendEntry(group.Unit, entry, now)
 		}
@@ -24,9 +24,9 @@
 	s.deleteUnusedArchives()
 }
 
-// expired lists the finished batches that were submitted before a point in time, and the
+// finishedBefore lists the finished batches that were submitted before a point in time, and the
 // claims that began before it.
-func expired(state *shard.State, before clock.Micros) shard.Forget {
+func finishedBefore(state *shard.State, before clock.Micros) shard.Forget {
 	var entry shard.Forget
 	for _, id := range sortedBatches(state) {
 		batch := state.Batches[id]
--- a/internal/batchstore/retention_test.go
+++ b/internal/batchstore/retention_test.go
@@ -36,10 +36,10 @@
 	state := shard.New()
 	state.Batches["b"] = &shard.Batch{ID: "b", State: shard.Done, SubmittedAt: 10}
 	state.Claims["c"] = &shard.Claim{At: 10}
-	if entry := expired(state, 10); !entry.IsEmpty() {
+	if entry := finishedBefore(state, 10); !entry.IsEmpty() {
 		t.Fatalf("expired at the limit: %+v", entry)
 	}
-	if entry := expired(state, 11); len(entry.Batches) != 1 || len(entry.Claims) != 1 {
+	if entry := finishedBefore(state, 11); len(entry.Batches) != 1 || len(entry.Claims) != 1 {
 		t.Fatalf("expired after it: %+v", entry)
 	}
 }
--- a/internal/batchstore/shard/ownership.go
+++ b/internal/batchstore/shard/ownership.go
@@ -9,7 +9,7 @@
 }
 
 // maxOwnerships is how many spans are kept. Every reader has long been able to read older
-// ones to their end, so they delay nobody (token.PositionView.ReadableUpTo).
+// ones to their end, so they delay nobody (token.KnownPositions.ReadableUpTo).
 const maxOwnerships = 12
 
 // recordOwnership extends the newest span, or begins the next one when the writer is
--- a/internal/batchstore/tick.go
+++ b/internal/batchstore/tick.go
@@ -23,7 +23,7 @@
 // Apply does what is due.
 func (Tick) Apply(s *Store, now clock.Micros) {
 	s.groups.Tick(now)
-	for _, call := range s.pendingCalls.takeExpired(now) {
+	for _, call := range s.pendingCalls.takeOverdue(now) {
 		s.replyUnknownOutcome(call, "it did not become durable on every replica in time")
 	}
 	if now >= s.due.heartbeat {
@@ -37,6 +37,6 @@
 	}
 	if now >= s.due.forget {
 		s.due.forget = now + forgetInterval
-		s.forgetExpired(now)
+		s.applyRetention(now)
 	}
 }
--- a/internal/batchstore/token/position_view.go
+++ b/internal/batchstore/token/known_positions.go
@@ -7,9 +7,9 @@
 	"tuliprudder/internal/machine"
 )
 
-// PositionView is what one reading daemon knows of all writers' positions, from their
+// KnownPositions is what one reading daemon knows of all writers' positions, from their
 // announcements and from the cluster map. It has no lock; its caller serializes the calls.
-type PositionView struct {
+type KnownPositions struct {
 	announcements map[int]Announcement
 	versions      map[int]machine.Update // epoch and sequence number of each announcement
 	owners        map[int]Owner
@@ -17,9 +17,9 @@
 	minEpochs     map[int]uint64 // by shard: the epoch in the map, whether its group is complete or not
 }
 
-// NewPositionView returns a view that knows nothing.
-func NewPositionView() *PositionView {
-	return &PositionView{
+// NewKnownPositions knows no positions yet.
+func NewKnownPositions() *KnownPositions {
+	return &KnownPositions{
 		announcements: map[int]Announcement{},
 		versions:      map[int]machine.Update{},
 		owners:        map[int]Owner{},
@@ -28,7 +28,7 @@
 }
 
 // SetMap takes the epochs of all shards from the cluster map.
-func (v *PositionView) SetMap(epochs []uint64) {
+func (v *KnownPositions) SetMap(epochs []uint64) {
 	v.shards = len(epochs)
 	for shard, epoch := range epochs {
 		v.minEpochs[shard] = max(v.minEpochs[shard], epoch)
@@ -37,7 +37,7 @@
 
 // Receive takes a writer's announcement and tells whether anything changed: one that is
 // older than the last, or can't be read, changes nothing.
-func (v *PositionView) Receive(update machine.Update) bool {
+func (v *KnownPositions) Receive(update machine.Update) bool {
 	var a Announcement
 	if json.Unmarshal(update.Value, &a) != nil || a.Writer == 0 {
 		return false
@@ -59,7 +59,7 @@
 
 // Owner is the owner of a shard, by the highest epoch announced; false while the map has a
 // higher epoch whose owner has not announced itself yet.
-func (v *PositionView) Owner(shard int) (Owner, bool) {
+func (v *KnownPositions) Owner(shard int) (Owner, bool) {
 	owner, ok := v.owners[shard]
 	if !ok || owner.Epoch < v.minEpochs[shard] {
 		return owner, false
@@ -70,7 +70,7 @@
 // ReadableInShard is up to which positions a reader may read within one shard: the
 // persisted-up-to position of its owner, and of former writers everything that their
 // successors have committed. Without an owner it is empty.
-func (v *PositionView) ReadableInShard(shard int) Vector {
+func (v *KnownPositions) ReadableInShard(shard int) Vector {
 	owner, ok := v.Owner(shard)
 	if !ok {
 		return Vector{}
@@ -87,7 +87,7 @@
 // A writer that owns no shard any more is read to its end once all owners are known. A
 // successor is limited to positions below its first one in a shard only while a former
 // writer's results there can't all be read: so the order of a batch's results stays.
-func (v *PositionView) ReadableUpTo() (upTo Vector, complete bool) {
+func (v *KnownPositions) ReadableUpTo() (upTo Vector, complete bool) {
 	upTo = Vector{}
 	for writer, announcement := range v.announcements {
 		upTo[writer] = announcement.PersistedUpTo
@@ -106,7 +106,7 @@
 
 // formerWriters is the last position of each writer that owns no shard any more, and whether
 // every shard has an owner.
-func (v *PositionView) formerWriters() (last Vector, complete bool) {
+func (v *KnownPositions) formerWriters() (last Vector, complete bool) {
 	last = Vector{}
 	complete = v.shards > 0
 	owners := map[int]bool{}
@@ -130,7 +130,7 @@
 // limitSuccessors limits each writer to positions below its first one in a shard while an
 // earlier ownership of that shard can't be read to its end. It tells whether anything
 // changed.
-func (v *PositionView) limitSuccessors(upTo Vector) (changed bool) {
+func (v *KnownPositions) limitSuccessors(upTo Vector) (changed bool) {
 	for shard := range v.shards {
 		owner, ok := v.Owner(shard)
 		if !ok {
--- a/internal/batchstore/token/position_view_test.go
+++ b/internal/batchstore/token/known_positions_test.go
@@ -15,8 +15,8 @@
 }
 
 // twoWriters is a view of writer 1, which owns shard 0, and writer 2, which owns shard 1.
-func twoWriters() *PositionView {
-	v := NewPositionView()
+func twoWriters() *KnownPositions {
+	v := NewKnownPositions()
 	v.SetMap([]uint64{1, 1})
 	v.Receive(update(1, Announcement{Writer: 1, PersistedUpTo: 10, Shards: []OwnedShard{{Shard: 0, Epoch: 1}}}))
 	v.Receive(update(1, Announcement{Writer: 2, PersistedUpTo: 3, Shards: []OwnedShard{{Shard: 1, Epoch: 1}}}))
@@ -76,7 +76,7 @@
 // While the new owner of another shard of the former writer is not known, the successor is
 // limited to below its first position, so that the order of a batch's results stays.
 func TestSuccessorIsLimitedUntilThePredecessorIsRead(t *testing.T) {
-	v := NewPositionView()
+	v := NewKnownPositions()
 	v.SetMap([]uint64{1, 1, 1})
 	v.Receive(update(1, Announcement{Writer: 1, PersistedUpTo: 10, Shards: []OwnedShard{{Shard: 0, Epoch: 1}, {Shard: 1, Epoch: 1}}}))
 	v.Receive(update(1, Announcement{Writer: 2, PersistedUpTo: 3, Shards: []OwnedShard{{Shard: 2, Epoch: 1}}}))
@@ -96,7 +96,7 @@
 // A shard that moved twice: the middle writer, which owns another shard, is limited too
 // while the first one's results can't be read.
 func TestEveryLaterOwnershipIsLimited(t *testing.T) {
-	v := NewPositionView()
+	v := NewKnownPositions()
 	v.SetMap([]uint64{3, 1, 2})
 	v.Receive(update(1, Announcement{Writer: 1, PersistedUpTo: 10}))
 	v.Receive(update(1, Announcement{Writer: 2, PersistedUpTo: 90, Shards: []OwnedShard{{Shard: 1, Epoch: 1}}}))
--- a/internal/batchstore/token/token.go
+++ b/internal/batchstore/token/token.go
@@ -2,7 +2,7 @@
 // token that a caller carries from one read to the next, the announcements by which writers
 // publish their persisted-up-to positions, and what a reading daemon derives from them.
 //
-// Tokens and vectors are values; PositionView is not safe for concurrent use. Nothing here
+// Tokens and vectors are values; KnownPositions is not safe for concurrent use. Nothing here
 // reads a clock or does I/O.
 package token
 
--- a/internal/config/lookup.go
+++ b/internal/config/lookup.go
@@ -71,11 +71,11 @@
 
 // ClassOfTenant is the class of a tenant by name; nil when the configuration has none.
 func (c *Configuration) ClassOfTenant(tenant string) *PriorityClass {
-	found := c.index.tenantsByName[tenant]
-	if found == nil {
+	entry := c.index.tenantsByName[tenant]
+	if entry == nil {
 		return nil
 	}
-	return c.index.classesByName[found.Class]
+	return c.index.classesByName[entry.Class]
 }
 
 // Lookup finds a route and a tenant's class by their names; nil for what is not
@@ -117,15 +117,15 @@
 // MaxConnections is how many connections a server with these labels accepts from all
 // daemons together: the least of its pools' limits; 0: unlimited.
 func (c *Configuration) MaxConnections(labels Labels) int64 {
-	least := int64(0)
+	lowest := int64(0)
 	for i := range c.Pools {
 		pool := &c.Pools[i]
 		if pool.MaxConnections == 0 || !pool.Servers.Matches(labels) {
 			continue
 		}
-		if least == 0 || pool.MaxConnections < least {
-			least = pool.MaxConnections
+		if lowest == 0 || pool.MaxConnections < lowest {
+			lowest = pool.MaxConnections
 		}
 	}
-	return least
+	return lowest
 }
--- a/internal/config/object.go
+++ b/internal/config/object.go
@@ -144,11 +144,11 @@
 		o.addFault(field, fmt.Sprintf("must be a whole number from %d to %d", allowed.min, allowed.max), "")
 		return allowed.defaultValue
 	}
-	whole := int64(number)
-	if whole < allowed.min || whole > allowed.max {
-		o.addFault(field, fmt.Sprintf("is %d", whole), fmt.Sprintf("give a whole number from %d to %d", allowed.min, allowed.max))
+	integer := int64(number)
+	if integer < allowed.min || integer > allowed.max {
+		o.addFault(field, fmt.Sprintf("is %d", integer), fmt.Sprintf("give a whole number from %d to %d", allowed.min, allowed.max))
 	}
-	return whole
+	return integer
 }
 
 func (o object) labels(field string) Labels {
--- a/internal/controlplane/changequeue/expire.go
+++ b/internal/controlplane/changequeue/expire.go
@@ -7,8 +7,8 @@
 	"tuliprudder/internal/controlplane/state"
 )
 
-// Expired is a call whose deadline passed.
-type Expired struct {
+// TimedOut is a call whose deadline passed.
+type TimedOut struct {
 	Call uint64
 	// MayBeApplied tells that the change, or the very same one at another's call, was or may
 	// yet be applied. Otherwise it was dropped and never will be.
@@ -17,10 +17,10 @@
 
 // Expire ends the calls whose deadlines passed. The change in flight goes on without its
 // caller; changes that waited are dropped.
-func (q *Queue) Expire(current *state.State, now clock.Micros) []Expired {
-	var expired []Expired
+func (q *Queue) Expire(current *state.State, now clock.Micros) []TimedOut {
+	var timedOut []TimedOut
 	if q.inFlight != nil && now >= q.inFlight.Deadline && q.inFlight.Call != 0 {
-		expired = append(expired, Expired{Call: q.inFlight.Call, MayBeApplied: true})
+		timedOut = append(timedOut, TimedOut{Call: q.inFlight.Call, MayBeApplied: true})
 		q.inFlight.Call = 0
 	}
 	var kept, dropped []Change
@@ -33,9 +33,9 @@
 	}
 	q.waiting = kept
 	for _, c := range dropped {
-		expired = append(expired, Expired{Call: c.Call, MayBeApplied: q.mayBeApplied(c, current)})
+		timedOut = append(timedOut, TimedOut{Call: c.Call, MayBeApplied: q.mayBeApplied(c, current)})
 	}
-	return expired
+	return timedOut
 }
 
 // mayBeApplied tells whether the very same change was or may yet be applied at another's call.
--- a/internal/controlplane/changequeue/queue_test.go
+++ b/internal/controlplane/changequeue/queue_test.go
@@ -150,14 +150,14 @@
 		inFlight *Change
 		waiting  []Change
 		current  *state.State
-		want     []Expired
+		want     []TimedOut
 	}{
-		"in flight":                                {&retiring, nil, inForce(), []Expired{{1, true}}},
-		"waited, never decided":                    {nil, []Change{put(t, 2, 7, 0)}, inForce(), []Expired{{2, false}}},
-		"the same one is applied":                  {nil, []Change{put(t, 2, 7, 0)}, inForce(7), []Expired{{2, true}}},
-		"the same one waits for another":           {nil, []Change{put(t, 2, 7, 0), later}, inForce(), []Expired{{2, true}}},
-		"a retirement, while another is in flight": {&retiring, []Change{retire(2)}, inForce(), []Expired{{1, true}, {2, true}}},
-		"a retirement that waited":                 {nil, []Change{retire(2)}, inForce(), []Expired{{2, false}}},
+		"in flight":                                {&retiring, nil, inForce(), []TimedOut{{1, true}}},
+		"waited, never decided":                    {nil, []Change{put(t, 2, 7, 0)}, inForce(), []TimedOut{{2, false}}},
+		"the same one is applied":                  {nil, []Change{put(t, 2, 7, 0)}, inForce(7), []TimedOut{{2, true}}},
+		"the same one waits for another":           {nil, []Change{put(t, 2, 7, 0), later}, inForce(), []TimedOut{{2, true}}},
+		"a retirement, while another is in flight": {&retiring, []Change{retire(2)}, inForce(), []TimedOut{{1, true}, {2, true}}},
+		"a retirement that waited":                 {nil, []Change{retire(2)}, inForce(), []TimedOut{{2, false}}},
 		"the core's own has no deadline":           {nil, []Change{{Entry: state.Retire{ID: "s1", Done: true}}}, inForce(), nil},
 		"before the deadline":                      {nil, []Change{later}, inForce(), nil},
 	} {
--- a/internal/controlplane/changes.go
+++ b/internal/controlplane/changes.go
@@ -61,7 +61,7 @@
 
 // canRetire is why a store can't be retired; nil when it can.
 func (c *Core) canRetire(id string, now clock.Micros) error {
-	return placement.CheckRetirement(c.settings.placement(), c.stores.View(c.state, now), id)
+	return placement.CheckRetirement(c.settings.placement(), c.stores.Cluster(c.state, now), id)
 }
 
 // replyToChange tells who asked for a change that it is confirmed. A configuration is in
@@ -97,12 +97,12 @@
 
 // expireChanges answers those whose deadlines passed while they waited.
 func (c *Core) expireChanges(now clock.Micros) {
-	for _, expired := range c.queue.Expire(c.state, now) {
-		if expired.MayBeApplied {
-			c.replyUnknown(expired.Call)
+	for _, timedOut := range c.queue.Expire(c.state, now) {
+		if timedOut.MayBeApplied {
+			c.replyUnknown(timedOut.Call)
 			continue
 		}
-		c.Emit(machine.Reply{Call: expired.Call, Err: errs.NewWithRetry(errs.NotReady, 2*clock.Second,
+		c.Emit(machine.Reply{Call: timedOut.Call, Err: errs.NewWithRetry(errs.NotReady, 2*clock.Second,
 			"send it again; it was not put", "the cores had no complete group in time")})
 	}
 }
--- a/internal/controlplane/counters.go
+++ b/internal/controlplane/counters.go
@@ -23,7 +23,7 @@
 	}
 	if c.IsServing() {
 		counters["core_primary"] = 1
-		counters["core_copies_missing"] = int64(status.CopiesMissing)
+		counters["core_copies_missing"] = int64(status.ReplicasMissing)
 		counters["shards_short_of_copies"] = c.underReplicatedShards()
 	}
 	return counters
@@ -32,9 +32,9 @@
 // underReplicatedShards counts the shards with fewer complete copies than there should be.
 func (c *Core) underReplicatedShards() int64 {
 	short := int64(0)
-	copies := c.settings.placement().Copies()
+	replicas := c.settings.placement().Replicas()
 	for _, assignment := range c.state.Shards {
-		if !assignment.Complete || len(assignment.Members()) < copies {
+		if !assignment.Complete || len(assignment.Members()) < replicas {
 			short++
 		}
 	}
--- a/internal/controlplane/disk.go
+++ b/internal/controlplane/disk.go
@@ -64,7 +64,7 @@
 		return false
 	}
 	if !c.disk.unwritable && now-c.disk.writableSince >= probationSpan {
-		c.resumeDuties(now)
+		c.resumeRoles(now)
 		return false
 	}
 	if isAllowedWithoutDisk(command) {
@@ -93,12 +93,12 @@
 	return false
 }
 
-// resumeDuties ends the probation. This core has heard no store meanwhile, and
+// resumeRoles ends the probation. This core has heard no store meanwhile, and
 // listens anew until it decides on any.
-func (c *Core) resumeDuties(now clock.Micros) {
+func (c *Core) resumeRoles(now clock.Micros) {
 	c.disk = diskProbation{}
 	if c.IsServing() {
 		c.stores.StartServing(now)
 	}
-	c.Emit(machine.LogEvent{Event: DutiesResumed{Role: c.group().Role.String()}})
+	c.Emit(machine.LogEvent{Event: RolesResumed{Role: c.group().Role.String()}})
 }
--- a/internal/controlplane/election/bootstrap.go
+++ b/internal/controlplane/election/bootstrap.go
@@ -97,7 +97,7 @@
 	members := []string{e.contacts.self.ID}
 	for _, mayShareZone := range []bool{false, true} {
 		for _, ref := range founders {
-			isComplete := len(members) == e.copiesFor(len(founders))
+			isComplete := len(members) == e.replicasFor(len(founders))
 			if isComplete || slices.Contains(members, ref.ID) || !mayShareZone && e.sharesZone(members, ref.ID) {
 				continue
 			}
--- a/internal/controlplane/election/campaign.go
+++ b/internal/controlplane/election/campaign.go
@@ -186,7 +186,7 @@
 // once the term is committed.
 func (e *Election) becomePrimary(c *campaign, now clock.Micros) {
 	e.TermsWon++
-	e.commitRound = nil
+	e.pendingCommit = nil
 	e.wonCampaign = c
 	e.wonTermAt = now
 	assignment := c.request.Assignment
--- a/internal/controlplane/election/commit.go
+++ b/internal/controlplane/election/commit.go
@@ -8,8 +8,8 @@
 // This file is how a term is committed: once every member of the group holds the
 // state, majorities of all quorums write it down, and only then the primary serves.
 
-// commitRound is a term that is being committed.
-type commitRound struct {
+// pendingCommit is a term that is being committed.
+type pendingCommit struct {
 	message   Commit
 	quorums   quorums
 	committed map[string]bool // the voters that have it on disk
@@ -21,23 +21,23 @@
 	if e.wonCampaign == nil || e.wonCampaign.request.Assignment.Epoch != epoch {
 		return
 	}
-	if e.commitRound == nil || e.commitRound.message.Assignment.Epoch != epoch {
-		e.commitRound = newCommitRound(e.wonCampaign)
+	if e.pendingCommit == nil || e.pendingCommit.message.Assignment.Epoch != epoch {
+		e.pendingCommit = newPendingCommit(e.wonCampaign)
 	}
-	round := e.commitRound
-	for _, ref := range round.quorums.voters() {
+	pending := e.pendingCommit
+	for _, ref := range pending.quorums.voters() {
 		switch {
-		case round.committed[ref.ID]:
+		case pending.committed[ref.ID]:
 		case ref.ID == e.contacts.self.ID:
-			e.handleCommit(round.message, "")
+			e.handleCommit(pending.message, "")
 		default:
-			e.effects.Emit(machine.Send{To: ref.Peer, Body: round.message})
+			e.effects.Emit(machine.Send{To: ref.Peer, Body: pending.message})
 		}
 	}
 }
 
-func newCommitRound(won *campaign) *commitRound {
-	return &commitRound{
+func newPendingCommit(won *campaign) *pendingCommit {
+	return &pendingCommit{
 		quorums:   won.quorums,
 		committed: map[string]bool{},
 		message: Commit{
@@ -92,12 +92,12 @@
 // handleCommitAck counts the voters that committed the term; with the majorities this core
 // serves.
 func (e *Election) handleCommitAck(id string, epoch uint64, now clock.Micros) {
-	round := e.commitRound
-	if round == nil || round.message.Assignment.Epoch != epoch || e.group().Epoch != epoch {
+	pending := e.pendingCommit
+	if pending == nil || pending.message.Assignment.Epoch != epoch || e.group().Epoch != epoch {
 		return
 	}
-	round.committed[id] = true
-	if !round.quorums.haveMajorities(round.committed) || !e.groups.CommitGroup(GroupUnit, epoch, now) {
+	pending.committed[id] = true
+	if !pending.quorums.haveMajorities(pending.committed) || !e.groups.CommitGroup(GroupUnit, epoch, now) {
 		return
 	}
 	e.nextHeartbeatAt = now
@@ -109,16 +109,16 @@
 		Group:  e.vote.Committed.IDs(),
 		Voters: voterIDs(e.vote.Voters),
 	}})
-	e.announceCommitted(round)
+	e.announceCommitted(pending)
 	e.startedServing(now)
 }
 
 // announceCommitted tells the voters that majorities of all quorums have committed the term: from
 // then on the voters before it are no longer needed.
-func (e *Election) announceCommitted(round *commitRound) {
-	message := round.message
+func (e *Election) announceCommitted(pending *pendingCommit) {
+	message := pending.message
 	message.CommittedByAll = true
-	for _, ref := range round.quorums.voters() {
+	for _, ref := range pending.quorums.voters() {
 		if ref.ID != e.contacts.self.ID {
 			e.effects.Emit(machine.Send{To: ref.Peer, Body: message})
 		}
--- a/internal/controlplane/election/election.go
+++ b/internal/controlplane/election/election.go
@@ -70,11 +70,11 @@
 	vote     Vote
 	contacts contactTable
 
-	campaign      *campaign    // under way; nil when none is
-	wonCampaign   *campaign    // of the term that this core leads or led last
-	wonTermAt     clock.Micros // when it was won
-	commitRound   *commitRound // of the term that is being committed; nil when none is
-	termGrantedAt clock.Micros // when this core granted its highest term
+	campaign      *campaign      // under way; nil when none is
+	wonCampaign   *campaign      // of the term that this core leads or led last
+	wonTermAt     clock.Micros   // when it was won
+	pendingCommit *pendingCommit // of the term that is being committed; nil when none is
+	termGrantedAt clock.Micros   // when this core granted its highest term
 	// unhealthySince is since when this core wants another term; 0: it wants none.
 	unhealthySince clock.Micros
 	// clusterExists tells that a core of a bootstrapped fleet was heard.
@@ -180,4 +180,4 @@
 }
 
 // Deposed tells that a higher term ended the one that this core was primary of.
-func (e *Election) Deposed() { e.commitRound = nil }
+func (e *Election) Deposed() { e.pendingCommit = nil }
--- a/internal/controlplane/election/quorum.go
+++ b/internal/controlplane/election/quorum.go
@@ -45,9 +45,9 @@
 // majority is how many of a number of voters are a majority.
 func majority(voters int) int { return voters/2 + 1 }
 
-// coveringCopies is how many of the voters have to hold the control state so that every
+// coveringReplicas is how many of the voters have to hold the control state so that every
 // majority of them has a copy.
-func coveringCopies(voters int) int { return voters - majority(voters) + 1 }
+func coveringReplicas(voters int) int { return voters - majority(voters) + 1 }
 
 func isVoter(voters []CoreRef, id string) bool {
 	return slices.ContainsFunc(voters, func(ref CoreRef) bool { return ref.ID == id })
--- a/internal/controlplane/election/quorum_test.go
+++ b/internal/controlplane/election/quorum_test.go
@@ -42,14 +42,14 @@
 	}
 }
 
-// Any two majorities of the same voters share one, and as many copies as coveringCopies says
+// Any two majorities of the same voters share one, and as many copies as coveringReplicas says
 // are in each majority.
 func TestMajoritiesOverlap(t *testing.T) {
 	for voters := 1; voters <= maxVoters; voters++ {
 		if 2*majority(voters) <= voters {
 			t.Errorf("two majorities of %d voters need not overlap", voters)
 		}
-		if copies := coveringCopies(voters); copies+majority(voters) <= voters || copies-1+majority(voters) > voters {
+		if copies := coveringReplicas(voters); copies+majority(voters) <= voters || copies-1+majority(voters) > voters {
 			t.Errorf("%d copies are not the fewest that every majority of %d voters has one of", copies, voters)
 		}
 	}
--- a/internal/controlplane/election/status.go
+++ b/internal/controlplane/election/status.go
@@ -9,7 +9,7 @@
 	TermsWon          int64
 	Voters            int
 	UnreachableVoters int
-	CopiesMissing     int // of the control state, by the members of the committed group
+	ReplicasMissing   int // of the control state, by the members of the committed group
 }
 
 // Status tells how the election stands.
@@ -20,7 +20,7 @@
 		TermsWon:          e.TermsWon,
 		Voters:            len(e.vote.Voters),
 		UnreachableVoters: e.unreachableVoters(now),
-		CopiesMissing:     max(0, e.copiesFor(len(e.vote.Voters))-len(e.vote.Committed.Members())),
+		ReplicasMissing:   max(0, e.replicasFor(len(e.vote.Voters))-len(e.vote.Committed.Members())),
 	}
 }
 
--- a/internal/controlplane/election/term.go
+++ b/internal/controlplane/election/term.go
@@ -39,7 +39,7 @@
 			return proposal{}, false
 		}
 	}
-	next, ok := replication.Reassign(committed, e.groupView(now), self, excluded)
+	next, ok := replication.Reassign(committed, e.clusterOfGroup(now), self, excluded)
 	return proposal{next, e.vote.Voters, "the primary does not lead"}, ok
 }
 
@@ -66,18 +66,18 @@
 
 // proposeTermAsPrimary keeps the primary's group complete, and then its voters.
 func (e *Election) proposeTermAsPrimary(now clock.Micros) (proposal, bool) {
-	committed, view, self := e.vote.Committed, e.groupView(now), e.contacts.self.ID
+	committed, cluster, self := e.vote.Committed, e.clusterOfGroup(now), e.contacts.self.ID
 	if excluded := e.unreachableReplicas(now); len(excluded) > 0 {
-		next, ok := replication.Reassign(committed, view, self, excluded)
+		next, ok := replication.Reassign(committed, cluster, self, excluded)
 		if ok {
 			return proposal{next, e.vote.Voters, "a replica does not answer"}, true
 		}
 	}
-	if next, reason, ok := replication.Next(committed, view); ok && next.Primary.ID == self {
+	if next, reason, ok := replication.Next(committed, cluster); ok && next.Primary.ID == self {
 		return proposal{next, e.vote.Voters, reason}, true
 	}
 	// Voters change only under a complete group that all know of.
-	if len(committed.IDs()) < view.Copies || !e.vote.CommittedByAll || !e.HoldsLease(now) {
+	if len(committed.IDs()) < cluster.Copies || !e.vote.CommittedByAll || !e.HoldsLease(now) {
 		return proposal{}, false
 	}
 	if next, ok := e.proposeBetterSpread(now); ok {
@@ -86,18 +86,18 @@
 	return e.proposeVoterChange(now)
 }
 
-// copiesFor is how many cores hold the control state: more than may be lost at once, and
+// replicasFor is how many cores hold the control state: more than may be lost at once, and
 // so many that every majority of the voters has a copy.
-func (e *Election) copiesFor(voters int) int {
-	return min(voters, max(e.settings.Tolerance+1, coveringCopies(voters)))
+func (e *Election) replicasFor(voters int) int {
+	return min(voters, max(e.settings.Tolerance+1, coveringReplicas(voters)))
 }
 
-// groupView is what the replication package has to know of the voters for the group.
-func (e *Election) groupView(now clock.Micros) replication.ClusterView {
+// clusterOfGroup is what the replication package has to know of the voters for the group.
+func (e *Election) clusterOfGroup(now clock.Micros) replication.ClusterView {
 	voters := e.vote.Voters
 	return replication.ClusterView{
-		Copies:            e.copiesFor(len(voters)),
-		AllowsDegraded:    func(members []string) bool { return len(members) >= coveringCopies(len(voters)) },
+		Copies:            e.replicasFor(len(voters)),
+		AllowsDegraded:    func(members []string) bool { return len(members) >= coveringReplicas(len(voters)) },
 		Incarnation:       func(id string) (uint64, bool) { return e.memberIncarnation(id, now) },
 		ChooseReplacement: func(members, excluded []string) string { return e.chooseReplacement(members, excluded, now) },
 	}
@@ -106,8 +106,8 @@
 // memberIncarnation is the incarnation of a voter that may be a member of the group; false
 // when it may not.
 func (e *Election) memberIncarnation(id string, now clock.Micros) (uint64, bool) {
-	isLeaving := e.contacts.isDraining(id) && id != e.contacts.self.ID
-	if !isVoter(e.vote.Voters, id) || isLeaving || !e.contacts.hasTwoWayContact(id, now) {
+	departs := e.contacts.isDraining(id) && id != e.contacts.self.ID
+	if !isVoter(e.vote.Voters, id) || departs || !e.contacts.hasTwoWayContact(id, now) {
 		return 0, false
 	}
 	return e.contacts.incarnationOf(id, now)
@@ -146,7 +146,7 @@
 		if replacement == "" || e.sharesZone(others, replacement) {
 			continue
 		}
-		next, ok := replication.Reassign(committed, e.groupView(now), e.contacts.self.ID, []string{member.ID})
+		next, ok := replication.Reassign(committed, e.clusterOfGroup(now), e.contacts.self.ID, []string{member.ID})
 		return proposal{next, e.vote.Voters, "two copies share a zone"}, ok
 	}
 	return proposal{}, false
--- a/internal/controlplane/events.go
+++ b/internal/controlplane/events.go
@@ -48,8 +48,8 @@
 		Reason string `json:"reason"`
 		Role   string `json:"role"`
 	}
-	// DutiesResumed tells that the probation of the disk is over.
-	DutiesResumed struct {
+	// RolesResumed tells that the probation of the disk is over.
+	RolesResumed struct {
 		machine.Info
 		Role string `json:"role"`
 	}
@@ -77,4 +77,4 @@
 func (DiskUnwritable) EventName() string { return "disk_unwritable" }
 
 // EventName is the event's key in the log.
-func (DutiesResumed) EventName() string { return "duties_resumed" }
+func (RolesResumed) EventName() string { return "duties_resumed" }
--- a/internal/controlplane/placement/balance.go
+++ b/internal/controlplane/placement/balance.go
@@ -14,16 +14,16 @@
 // balance moves one shard towards even shares: first a copy, then, once that is complete,
 // the primary's role. One move at a time bounds the copying that live work has to bear.
 func (p *planner) balance() {
-	if p.view.Now < p.memory.NextBalance || len(p.eligible) < 2 {
+	if p.cluster.Now < p.memory.NextBalance || len(p.eligible) < 2 {
 		return
 	}
-	p.memory.NextBalance = p.view.Now + p.settings.BalanceInterval
+	p.memory.NextBalance = p.cluster.Now + p.settings.BalanceInterval
 	for _, id := range p.eligible {
-		if p.view.Now-p.view.Stores[id].FirstHeardAt < p.settings.BalanceDelay {
+		if p.cluster.Now-p.cluster.Stores[id].FirstHeardAt < p.settings.BalanceDelay {
 			return
 		}
 	}
-	for _, move := range []func() bool{p.spreadZones, p.promoteReplica, p.copyToLeastLoaded, p.balanceCopies} {
+	for _, move := range []func() bool{p.spreadZones, p.promoteReplica, p.replicateToLeastLoaded, p.balanceReplicas} {
 		if move() {
 			return
 		}
@@ -55,7 +55,7 @@
 
 // move gives a shard another primary of the group, or another replica in the place of one.
 func (p *planner) move(shard int, members []replication.Member, reason string) {
-	a := p.view.Shards[shard]
+	a := p.cluster.Shards[shard]
 	next := replication.Assignment{
 		Epoch:    a.Epoch + 1,
 		Primary:  members[0],
@@ -77,12 +77,12 @@
 	lowest := p.leastLoaded(p.primaryCount)
 	for _, highest := range p.overloaded(p.primaryCount, lowest) {
 		urgent := p.primaryCount[highest]-p.primaryCount[lowest] >= urgentImbalance
-		for shard, a := range p.view.Shards {
+		for shard, a := range p.cluster.Shards {
 			at := indexOfReplica(a, lowest)
 			if a.Primary.ID != highest || at < 0 {
 				continue
 			}
-			if !urgent && slices.Contains(p.view.Stores[highest].Busy, shard) {
+			if !urgent && slices.Contains(p.cluster.Stores[highest].Busy, shard) {
 				continue
 			}
 			members := a.Members()
@@ -94,12 +94,12 @@
 	return false
 }
 
-// copyToLeastLoaded copies a shard to the store with the fewest shards as primary, in the
+// replicateToLeastLoaded copies a shard to the store with the fewest shards as primary, in the
 // place of a replica.
-func (p *planner) copyToLeastLoaded() bool {
+func (p *planner) replicateToLeastLoaded() bool {
 	lowest := p.leastLoaded(p.primaryCount)
 	for _, highest := range p.overloaded(p.primaryCount, lowest) {
-		for shard, a := range p.view.Shards {
+		for shard, a := range p.cluster.Shards {
 			if a.Primary.ID == highest && p.replaceReplica(shard, p.busiestReplica(a), lowest, "even shares: copied to the store that leads fewest") {
 				return true
 			}
@@ -108,11 +108,11 @@
 	return false
 }
 
-// balanceCopies copies a shard to the store with the fewest copies.
-func (p *planner) balanceCopies() bool {
+// balanceReplicas copies a shard to the store with the fewest copies.
+func (p *planner) balanceReplicas() bool {
 	lowest := p.leastLoaded(p.replicaCount)
 	for _, highest := range p.overloaded(p.replicaCount, lowest) {
-		for shard := range p.view.Shards {
+		for shard := range p.cluster.Shards {
 			if p.replaceReplica(shard, highest, lowest, "even shares of copies") {
 				return true
 			}
@@ -123,7 +123,7 @@
 
 // spreadZones moves a replica out of a zone that another member of its group is in.
 func (p *planner) spreadZones() bool {
-	for shard, a := range p.view.Shards {
+	for shard, a := range p.cluster.Shards {
 		for _, replica := range a.Replicas {
 			others := slices.DeleteFunc(a.IDs(), func(id string) bool { return id == replica.ID })
 			replacement := p.replacementInOtherZone(a, replica, others)
@@ -138,12 +138,12 @@
 // replacementInOtherZone is a store in a zone of its own for a replica that shares one with
 // the others of its group; "" when the replica is alone in its zone or no such store is there.
 func (p *planner) replacementInOtherZone(a replication.Assignment, replica replication.Member, others []string) string {
-	zones := p.view.ZoneCount(others)
-	if zones < p.view.ZoneCount(a.IDs()) {
+	zones := p.cluster.ZoneCount(others)
+	if zones < p.cluster.ZoneCount(a.IDs()) {
 		return ""
 	}
 	replacement := p.chooseReplacement(others, []string{replica.ID})
-	if replacement == "" || p.view.ZoneCount(append(others, replacement)) == zones {
+	if replacement == "" || p.cluster.ZoneCount(append(others, replacement)) == zones {
 		return ""
 	}
 	return replacement
@@ -151,21 +151,21 @@
 
 // busiestReplica is the replica of a group with the most copies.
 func (p *planner) busiestReplica(a replication.Assignment) string {
-	most := ""
+	busiest := ""
 	for _, replica := range a.Replicas {
-		if most == "" || p.replicaCount[replica.ID] > p.replicaCount[most] {
-			most = replica.ID
+		if busiest == "" || p.replicaCount[replica.ID] > p.replicaCount[busiest] {
+			busiest = replica.ID
 		}
 	}
-	return most
+	return busiest
 }
 
 // replaceReplica puts a store in the place of a replica where the zones of the group
 // allow it and the store did not lose contact with the primary lately.
 func (p *planner) replaceReplica(shard int, replaced, replacement, reason string) bool {
-	a := p.view.Shards[shard]
+	a := p.cluster.Shards[shard]
 	at := indexOfReplica(a, replaced)
-	incarnation, live := p.view.incarnation(replacement)
+	incarnation, live := p.cluster.incarnation(replacement)
 	isCandidate := live && !slices.Contains(a.IDs(), replacement) && !p.recentlyPartitioned(replacement, a.Primary.ID)
 	if at < 0 || !isCandidate {
 		return false
@@ -176,7 +176,7 @@
 	for _, member := range members {
 		ids = append(ids, member.ID)
 	}
-	if p.view.ZoneCount(ids) < p.view.ZoneCount(a.IDs()) {
+	if p.cluster.ZoneCount(ids) < p.cluster.ZoneCount(a.IDs()) {
 		return false
 	}
 	p.move(shard, members, reason)
--- a/internal/controlplane/placement/drain.go
+++ b/internal/controlplane/placement/drain.go
@@ -24,7 +24,7 @@
 	if primary == "" || primary == a.Primary.ID && p.hasDrainingReplica(a) {
 		return a, "", false // a replica that drains is replaced once it has stopped
 	}
-	next, ok := replication.Reassign(a, p.groupView(a), primary, departing)
+	next, ok := replication.Reassign(a, p.clusterOfGroup(a), primary, departing)
 	if ok && len(next.Members()) < len(a.Members()) && !p.mayShrink(departing) {
 		return a, "", false
 	}
@@ -33,12 +33,12 @@
 
 // departingMembers are the members of a group that have to give up their shards.
 func (p *planner) departingMembers(a replication.Assignment) []string {
-	return slices.DeleteFunc(a.IDs(), func(id string) bool { return !p.view.givesUpShards(id) })
+	return slices.DeleteFunc(a.IDs(), func(id string) bool { return !p.cluster.givesUpShards(id) })
 }
 
 // hasDrainingReplica tells whether the process of a replica's store is about to stop.
 func (p *planner) hasDrainingReplica(a replication.Assignment) bool {
-	return slices.ContainsFunc(a.Replicas, func(m replication.Member) bool { return p.view.Stores[m.ID].Draining })
+	return slices.ContainsFunc(a.Replicas, func(m replication.Member) bool { return p.cluster.Stores[m.ID].Draining })
 }
 
 // firstReplicaOutside is the first replica that is none of the excluded; "" when there is none.
@@ -54,5 +54,5 @@
 // mayShrink tells whether a group may lose members that leave without others in their place.
 // Not those that an operator retires: these run until their copies are elsewhere.
 func (p *planner) mayShrink(departing []string) bool {
-	return !slices.ContainsFunc(departing, func(id string) bool { return p.view.Stores[id].Retiring })
+	return !slices.ContainsFunc(departing, func(id string) bool { return p.cluster.Stores[id].Retiring })
 }
--- a/internal/controlplane/placement/events.go
+++ b/internal/controlplane/placement/events.go
@@ -11,9 +11,9 @@
 		Epoch  uint64   `json:"epoch"`
 		Reason string   `json:"reason"`
 		Group  []string `json:"group"`
-		// CopiesMissing is how many copies fewer than configured the group has, for want of
+		// ReplicasMissing is how many copies fewer than configured the group has, for want of
 		// stores.
-		CopiesMissing int `json:"copies_missing,omitempty"`
+		ReplicasMissing int `json:"copies_missing,omitempty"`
 	}
 	// ShardMoved tells that a shard moves to another store for even shares or zones.
 	ShardMoved struct {
--- a/internal/controlplane/placement/placement.go
+++ b/internal/controlplane/placement/placement.go
@@ -8,7 +8,7 @@
 // Two rules hold for every assignment that Decide returns:
 //   - Its primary is a store that holds all that was ever confirmed (replication.Assignment,
 //     Trusted), or the shard was never assigned before.
-//   - It has MinCopies members at least, in as many of the required zones as these allow: where
+//   - It has MinReplicas members at least, in as many of the required zones as these allow: where
 //     losses are tolerated, one copy may be lost without losing what was confirmed.
 package placement
 
@@ -41,19 +41,19 @@
 	BalanceDelay    clock.Micros // for how long a store is heard until shards move to it
 }
 
-// Copies is how many stores hold a shard: one more than may be lost at once.
-func (s Settings) Copies() int { return s.Tolerance + 1 }
+// Replicas is how many stores hold a shard: one more than may be lost at once.
+func (s Settings) Replicas() int { return s.Tolerance + 1 }
 
-// MinCopies is how few copies a shard may go on with while stores are missing. Two
+// MinReplicas is how few copies a shard may go on with while stores are missing. Two
 // are the least where anything may be lost: what is lost already counts against the
 // tolerance, but a store may be missing only for this core.
-func (s Settings) MinCopies() int { return min(2, s.Copies()) }
+func (s Settings) MinReplicas() int { return min(2, s.Replicas()) }
 
 // zonesFor is how many zones a number of copies has to be in.
-func (s Settings) zonesFor(copies int) int { return min(s.Zones, copies) }
+func (s Settings) zonesFor(replicas int) int { return min(s.Zones, replicas) }
 
 // RequiredZones is how many zones the stores of a complete group are in.
-func (s Settings) RequiredZones() int { return s.zonesFor(s.Copies()) }
+func (s Settings) RequiredZones() int { return s.zonesFor(s.Replicas()) }
 
 // StorePair is two stores, the lower id first.
 type StorePair [2]string
@@ -89,7 +89,7 @@
 // planner is one call of Decide.
 type planner struct {
 	settings     Settings
-	view         ClusterView
+	cluster      ClusterView
 	memory       Memory
 	eligible     []string       // stores that take shards, in the order of their ids
 	primaryCount map[string]int // shards by their primary
@@ -100,11 +100,11 @@
 
 // Decide works out which shards need another assignment. Repairs come first; shards move
 // towards even shares only while every group is complete.
-func Decide(settings Settings, view ClusterView, memory Memory) Decision {
-	p := newPlanner(settings, view, memory)
+func Decide(settings Settings, cluster ClusterView, memory Memory) Decision {
+	p := newPlanner(settings, cluster, memory)
 	complete := true
-	for shard, assignment := range view.Shards {
-		complete = complete && assignment.Complete && len(assignment.Members()) >= settings.Copies()
+	for shard, assignment := range cluster.Shards {
+		complete = complete && assignment.Complete && len(assignment.Members()) >= settings.Replicas()
 		p.repair(shard, assignment)
 	}
 	if len(p.assignments) == 0 && complete {
@@ -118,15 +118,15 @@
 	}
 }
 
-func newPlanner(settings Settings, view ClusterView, memory Memory) *planner {
+func newPlanner(settings Settings, cluster ClusterView, memory Memory) *planner {
 	p := &planner{
 		settings: settings,
-		view:     view,
+		cluster:  cluster,
 		memory: Memory{
 			PartitionedUntil: maps.Clone(memory.PartitionedUntil),
 			NextBalance:      memory.NextBalance,
 		},
-		eligible:     view.Eligible(),
+		eligible:     cluster.Eligible(),
 		primaryCount: map[string]int{},
 		replicaCount: map[string]int{},
 		assignments:  map[int]replication.Assignment{},
@@ -134,7 +134,7 @@
 	if p.memory.PartitionedUntil == nil {
 		p.memory.PartitionedUntil = map[StorePair]clock.Micros{}
 	}
-	for _, assignment := range view.Shards {
+	for _, assignment := range cluster.Shards {
 		p.countMembers(assignment)
 	}
 	return p
@@ -156,15 +156,15 @@
 	p.assignments[shard] = next
 	p.countMembers(next)
 	p.events = append(p.events, ShardAssigned{
-		Shard:         shard,
-		Epoch:         next.Epoch,
-		Reason:        reason,
-		Group:         next.IDs(),
-		CopiesMissing: max(0, p.settings.Copies()-len(next.Members())),
+		Shard:           shard,
+		Epoch:           next.Epoch,
+		Reason:          reason,
+		Group:           next.IDs(),
+		ReplicasMissing: max(0, p.settings.Replicas()-len(next.Members())),
 	})
 }
 
 // recentlyPartitioned tells whether two stores lost contact lately.
 func (p *planner) recentlyPartitioned(one, other string) bool {
-	return p.view.Now < p.memory.PartitionedUntil[PairOf(one, other)]
+	return p.cluster.Now < p.memory.PartitionedUntil[PairOf(one, other)]
 }
--- a/internal/controlplane/placement/reconnect.go
+++ b/internal/controlplane/placement/reconnect.go
@@ -12,7 +12,7 @@
 // hears.
 func (p *planner) reconnect(shard int, a replication.Assignment) (replication.Assignment, bool) {
 	unreachable := p.unreachableReplicas(shard, a)
-	primaryDeparts := !a.Complete && p.view.givesUpShards(a.Primary.ID)
+	primaryDeparts := !a.Complete && p.cluster.givesUpShards(a.Primary.ID)
 	excluded := append(slices.Clone(unreachable), p.departingReplicas(a)...)
 	if len(excluded) == 0 && !primaryDeparts {
 		return a, false
@@ -24,7 +24,7 @@
 			primary, excluded = other, []string{a.Primary.ID}
 		}
 	}
-	if next, ok := replication.Reassign(a, p.groupView(a), primary, excluded); ok || !a.Complete {
+	if next, ok := replication.Reassign(a, p.clusterOfGroup(a), primary, excluded); ok || !a.Complete {
 		return next, ok
 	}
 	return p.reassignWithoutPrimary(a)
@@ -33,7 +33,7 @@
 // reassignWithoutPrimary makes the first replica that can have a group the primary.
 func (p *planner) reassignWithoutPrimary(a replication.Assignment) (replication.Assignment, bool) {
 	for _, replica := range a.Replicas {
-		if next, ok := replication.Reassign(a, p.groupView(a), replica.ID, []string{a.Primary.ID}); ok {
+		if next, ok := replication.Reassign(a, p.clusterOfGroup(a), replica.ID, []string{a.Primary.ID}); ok {
 			return next, true
 		}
 	}
@@ -42,13 +42,13 @@
 
 // unreachableReplicas are the replicas that don't answer the primary of a shard, by its report.
 func (p *planner) unreachableReplicas(shard int, a replication.Assignment) []string {
-	report, ok := p.view.Stores[a.Primary.ID].Unreachable[shard]
+	report, ok := p.cluster.Stores[a.Primary.ID].Unreachable[shard]
 	if !ok || report.Epoch != a.Epoch {
 		return nil
 	}
 	var out []string
 	for _, replica := range a.Replicas {
-		if slices.Contains(report.Peers, p.view.Stores[replica.ID].Peer) {
+		if slices.Contains(report.Peers, p.cluster.Stores[replica.ID].Peer) {
 			out = append(out, replica.ID)
 		}
 	}
@@ -63,7 +63,7 @@
 	}
 	var out []string
 	for _, replica := range a.Replicas {
-		if p.view.givesUpShards(replica.ID) {
+		if p.cluster.givesUpShards(replica.ID) {
 			out = append(out, replica.ID)
 		}
 	}
@@ -73,14 +73,14 @@
 // recordPartitions has a store share no group with some others for a while.
 func (p *planner) recordPartitions(id string, others []string) {
 	for _, other := range others {
-		p.memory.PartitionedUntil[PairOf(id, other)] = p.view.Now + p.settings.PartitionMemory
+		p.memory.PartitionedUntil[PairOf(id, other)] = p.cluster.Now + p.settings.PartitionMemory
 	}
 }
 
 // otherTrustedStore is a trusted store other than the primary that may lead; "" when there is none.
 func (p *planner) otherTrustedStore(a replication.Assignment) string {
 	for _, id := range a.Trusted {
-		if id != a.Primary.ID && p.view.isLive(id) && !p.view.givesUpShards(id) {
+		if id != a.Primary.ID && p.cluster.isLive(id) && !p.cluster.givesUpShards(id) {
 			return id
 		}
 	}
--- a/internal/controlplane/placement/repair.go
+++ b/internal/controlplane/placement/repair.go
@@ -16,7 +16,7 @@
 		}
 		return
 	}
-	if next, reason, ok := replication.Next(assignment, p.groupView(assignment)); ok {
+	if next, reason, ok := replication.Next(assignment, p.clusterOfGroup(assignment)); ok {
 		p.assign(shard, next, reason)
 		return
 	}
@@ -29,11 +29,11 @@
 	}
 }
 
-// groupView is what the replication package has to know of the stores for one group.
-func (p *planner) groupView(assignment replication.Assignment) replication.ClusterView {
+// clusterOfGroup is what the replication package has to know of the stores for one group.
+func (p *planner) clusterOfGroup(assignment replication.Assignment) replication.ClusterView {
 	return replication.ClusterView{
-		Copies:            p.settings.Copies(),
-		Incarnation:       p.view.incarnation,
+		Copies:            p.settings.Replicas(),
+		Incarnation:       p.cluster.incarnation,
 		AllowsDegraded:    func(members []string) bool { return p.allowsDegraded(assignment, members) },
 		ChooseReplacement: p.chooseReplacement,
 	}
@@ -41,11 +41,11 @@
 
 // allowsDegraded tells whether a group may go on with fewer copies than it should have.
 func (p *planner) allowsDegraded(assignment replication.Assignment, members []string) bool {
-	fewest := p.settings.MinCopies()
-	if len(members) < fewest || p.view.ZoneCount(members) < p.settings.zonesFor(fewest) {
+	fewest := p.settings.MinReplicas()
+	if len(members) < fewest || p.cluster.ZoneCount(members) < p.settings.zonesFor(fewest) {
 		return false
 	}
-	return p.view.missingFor(assignment) >= shrinkDelay
+	return p.cluster.missingFor(assignment) >= shrinkDelay
 }
 
 // replacementCost compares the stores that could join a group; the first number that
@@ -53,12 +53,12 @@
 type replacementCost struct {
 	partitioned int // 1: it lost contact with a member lately
 	sharedZone  int // 1: it is in the zone of a member
-	copies      int // shards that it replicates
+	replicas    int // shards that it replicates
 }
 
 func (c replacementCost) isBelow(other replacementCost) bool {
-	one := []int{c.partitioned, c.sharedZone, c.copies}
-	return slices.Compare(one, []int{other.partitioned, other.sharedZone, other.copies}) < 0
+	one := []int{c.partitioned, c.sharedZone, c.replicas}
+	return slices.Compare(one, []int{other.partitioned, other.sharedZone, other.replicas}) < 0
 }
 
 // chooseReplacement picks a further member for a group: a store in a zone of its own if there is
@@ -78,7 +78,7 @@
 		cost := replacementCost{
 			partitioned: boolToInt(partitioned),
 			sharedZone:  boolToInt(shared),
-			copies:      p.replicaCount[id],
+			replicas:    p.replicaCount[id],
 		}
 		if best == "" || cost.isBelow(bestCost) {
 			best, bestCost = id, cost
@@ -89,15 +89,15 @@
 
 // sharesZone tells whether a store is in the zone of one of the members.
 func (p *planner) sharesZone(members []string, id string) bool {
-	zone := p.view.Stores[id].Zone
-	return slices.ContainsFunc(members, func(other string) bool { return p.view.Stores[other].Zone == zone })
+	zone := p.cluster.Stores[id].Zone
+	return slices.ContainsFunc(members, func(other string) bool { return p.cluster.Stores[other].Zone == zone })
 }
 
 // mayShareZone tells whether a further member may be in the zone of another one: the copies
 // that are still to come suffice for the zones that the group has to be in.
 func (p *planner) mayShareZone(members []string) bool {
-	remaining := p.settings.Copies() - len(members) - 1
-	return p.view.ZoneCount(members)+remaining >= p.settings.RequiredZones()
+	remaining := p.settings.Replicas() - len(members) - 1
+	return p.cluster.ZoneCount(members)+remaining >= p.settings.RequiredZones()
 }
 
 func boolToInt(value bool) int {
@@ -110,17 +110,17 @@
 // assignFirst assigns a shard for the first time, to the store that is the primary of the fewest.
 func (p *planner) assignFirst() (replication.Assignment, bool) {
 	for _, id := range p.eligible {
-		if p.view.Now-p.view.Stores[id].FirstHeardAt < firstAssignmentDelay {
+		if p.cluster.Now-p.cluster.Stores[id].FirstHeardAt < firstAssignmentDelay {
 			return replication.Assignment{}, false
 		}
 	}
 	byLoad := slices.Clone(p.eligible)
 	sort.SliceStable(byLoad, func(i, j int) bool { return p.primaryCount[byLoad[i]] < p.primaryCount[byLoad[j]] })
-	waitedEnough := p.view.Now-p.view.ServingSince > firstAssignmentTimeout
+	waitedEnough := p.cluster.Now-p.cluster.ServingSince > firstAssignmentTimeout
 	for _, primary := range byLoad {
 		blank := replication.Assignment{Trusted: []string{primary}}
-		next, ok := replication.Reassign(blank, p.groupView(blank), primary, nil)
-		if ok && (len(next.Members()) == p.settings.Copies() || waitedEnough) {
+		next, ok := replication.Reassign(blank, p.clusterOfGroup(blank), primary, nil)
+		if ok && (len(next.Members()) == p.settings.Replicas() || waitedEnough) {
 			next.Trusted = next.IDs()
 			return next, true
 		}
--- a/internal/controlplane/placement/retire.go
+++ b/internal/controlplane/placement/retire.go
@@ -4,19 +4,19 @@
 
 // CheckRetirement refuses the retirement of a store that would leave fewer live stores than a shard
 // has copies, or too few zones for them (DESIGN §8.4).
-func CheckRetirement(settings Settings, view ClusterView, id string) error {
+func CheckRetirement(settings Settings, cluster ClusterView, id string) error {
 	remaining, zones := 0, map[string]bool{}
-	for _, other := range view.Eligible() {
+	for _, other := range cluster.Eligible() {
 		if other != id {
 			remaining++
-			zones[view.Stores[other].Zone] = true
+			zones[cluster.Stores[other].Zone] = true
 		}
 	}
-	copies, requiredZones := settings.Copies(), settings.RequiredZones()
-	if remaining >= copies && len(zones) >= requiredZones {
+	replicas, requiredZones := settings.Replicas(), settings.RequiredZones()
+	if remaining >= replicas && len(zones) >= requiredZones {
 		return nil
 	}
 	return errs.New(errs.Rejected, "add a store first, in another zone if need be, or wait until those that are down are back",
 		"without store %s there are %d live stores in %d zone(s); %d copies need %d stores in %d zone(s)",
-		id, remaining, len(zones), copies, copies, requiredZones)
+		id, remaining, len(zones), replicas, replicas, requiredZones)
 }
--- a/internal/controlplane/reconcile.go
+++ b/internal/controlplane/reconcile.go
@@ -28,7 +28,7 @@
 		return
 	}
 	c.evictUnreachableStores(now)
-	decision := placement.Decide(c.settings.placement(), c.stores.View(c.state, now), c.placementMemory)
+	decision := placement.Decide(c.settings.placement(), c.stores.Cluster(c.state, now), c.placementMemory)
 	c.placementMemory = decision.Memory
 	for _, event := range decision.Events {
 		c.Emit(machine.LogEvent{Event: event})
--- a/internal/controlplane/reconcile_test.go
+++ b/internal/controlplane/reconcile_test.go
@@ -21,7 +21,7 @@
 	if p.stores.HasHeardEnough(p.state, b.now) {
 		t.Fatal("it decides before the third store was heard")
 	}
-	if !p.stores.HasHeardEnough(p.state, began+p.settings.SettleDelay) {
+	if !p.stores.HasHeardEnough(p.state, began+p.settings.ListenDelay) {
 		t.Fatal("it waits for an unreachable store for ever")
 	}
 	b.stores[2].unreachable = false
--- a/internal/controlplane/retirements_test.go
+++ b/internal/controlplane/retirements_test.go
@@ -128,13 +128,13 @@
 		}
 		return acknowledgement
 	}
-	copies := func(whole bool) {
+	replicas := func(whole bool) {
 		for _, s := range b.stores {
 			s.reportsComplete = whole
 		}
 	}
 	// Nothing depends on the fourth, but groups of the others are not complete.
-	copies(false)
+	replicas(false)
 	b.stores[2].Incarnation = 2
 	b.advance(clock.Second)
 	if allShardsComplete(b.primary()) {
@@ -147,7 +147,7 @@
 	if got := look("store-4"); got.Done || got.ShardsLeft != 0 {
 		t.Fatalf("other groups are not complete: %+v", got)
 	}
-	copies(true)
+	replicas(true)
 	b.advance(3 * clock.Second)
 	if got := look("store-4"); !got.Done {
 		t.Fatalf("all is complete: %+v", got)
@@ -156,7 +156,7 @@
 		t.Fatal(err)
 	}
 	// The shards of the first have new groups, but none is complete yet.
-	copies(false)
+	replicas(false)
 	if _, err := b.retire(t, RetireRequest{ID: "store-1"}); err != nil {
 		t.Fatal(err)
 	}
@@ -169,7 +169,7 @@
 	if got := look("store-1"); got.Done || got.ShardsLeft == 0 {
 		t.Fatalf("the new groups are not complete: %+v", got)
 	}
-	copies(true)
+	replicas(true)
 	b.advance(3 * clock.Second)
 	if got := look("store-1"); !got.Done || got.ShardsLeft != 0 {
 		t.Fatalf("all is complete: %+v", got)
--- a/internal/controlplane/settings.go
+++ b/internal/controlplane/settings.go
@@ -19,7 +19,7 @@
 	ReplaceAfter       clock.Micros            // after which a lost core's vote passes to another; default 4 s
 	ReplaceSoonAfter   clock.Micros            // the same where the other core is empty; default 4 s; 0: no sooner
 	StoreTimeout       clock.Micros            // after which a store that is not heard counts as lost; default 2 s
-	SettleDelay        clock.Micros            // for how long a new primary listens until it decides on stores; default 1.5 s
+	ListenDelay        clock.Micros            // for how long a new primary listens until it decides on stores; default 1.5 s
 	BalanceEvery       clock.Micros            // between two moves towards even shares; default 500 ms
 	BalanceAfter       clock.Micros            // for how long a store is heard until shards move to it; default 4 s
 	PartitionMemory    clock.Micros            // for how long two stores that lost contact share no group; default 30 s
@@ -42,7 +42,7 @@
 		ReplaceAfter:     4 * clock.Second,
 		ReplaceSoonAfter: 4 * clock.Second,
 		StoreTimeout:     2 * clock.Second,
-		SettleDelay:      1500 * clock.Millisecond,
+		ListenDelay:      1500 * clock.Millisecond,
 		BalanceEvery:     500 * clock.Millisecond,
 		BalanceAfter:     4 * clock.Second,
 		PartitionMemory:  30 * clock.Second,
@@ -81,7 +81,7 @@
 func (s Settings) stores() stores.Settings {
 	return stores.Settings{
 		Timeout:         s.StoreTimeout,
-		SettleDelay:     s.SettleDelay,
+		ListenDelay:     s.ListenDelay,
 		EvictAfter:      s.EvictAfter,
 		MaxStaleness:    s.MaxStaleness,
 		AssumeLostAfter: s.AssumeLostAfter,
--- a/internal/controlplane/shards_test.go
+++ b/internal/controlplane/shards_test.go
@@ -12,7 +12,7 @@
 func (s *fakeStore) restart() { s.Incarnation++ }
 
 // underReplicated lists the shards whose groups are not complete with so many live members.
-func (b *testCluster) underReplicated(copies int) (short []int) {
+func (b *testCluster) underReplicated(replicas int) (short []int) {
 	core := b.primary()
 	if core == nil {
 		return []int{-1}
@@ -24,7 +24,7 @@
 				living++
 			}
 		}
-		if !assignment.Complete || living != len(assignment.Members()) || living < copies {
+		if !assignment.Complete || living != len(assignment.Members()) || living < replicas {
 			short = append(short, shard)
 		}
 	}
--- a/internal/controlplane/state/entries.go
+++ b/internal/controlplane/state/entries.go
@@ -43,15 +43,15 @@
 	}
 }
 
-func (Bootstrap) kind() string     { return kindFound }
-func (RegisterStore) kind() string { return kindEnrolStore }
+func (Bootstrap) kind() string     { return kindBootstrap }
+func (RegisterStore) kind() string { return kindRegisterStore }
 func (AssignShards) kind() string  { return kindPair }
 func (Retire) kind() string        { return kindRetire }
 
 var entries = machine.EntryCodec[Entry]{
-	kindFound:            machine.Decoder(func(e Bootstrap) Entry { return e }),
+	kindBootstrap:        machine.Decoder(func(e Bootstrap) Entry { return e }),
 	kindPutConfiguration: machine.Decoder(func(e PutConfiguration) Entry { return e }),
-	kindEnrolStore:       machine.Decoder(func(e RegisterStore) Entry { return e }),
+	kindRegisterStore:    machine.Decoder(func(e RegisterStore) Entry { return e }),
 	kindPair:             machine.Decoder(func(e AssignShards) Entry { return e }),
 	kindRetire:           machine.Decoder(func(e Retire) Entry { return e }),
 }
--- a/internal/controlplane/state/state_test.go
+++ b/internal/controlplane/state/state_test.go
@@ -11,7 +11,7 @@
 	}
 	RegisterStore{Store{ID: "e", Peer: "3", Name: "other"}}.Apply(s) // at the address of a, which is evicted
 	for name, want := range map[string]string{"m": "b", "other": "e", "": "", "x": ""} {
-		if store, found := s.StoreNamed(name); store.ID != want || found != (want != "") {
+		if store, newest := s.StoreNamed(name); store.ID != want || newest != (want != "") {
 			t.Errorf("%q means %q, not %q", name, store.ID, want)
 		}
 	}
--- a/internal/controlplane/state/stored_names.go
+++ b/internal/controlplane/state/stored_names.go
@@ -10,9 +10,9 @@
 
 // The kinds of changes. These spellings are on disk; they never change.
 const (
-	kindFound            = "found"
+	kindBootstrap        = "found"
 	kindPutConfiguration = "put-plan"
-	kindEnrolStore       = "enrol-store"
+	kindRegisterStore    = "enrol-store"
 	kindPair             = "pair"
 	kindRetire           = "retire"
 )
--- a/internal/controlplane/state/stores.go
+++ b/internal/controlplane/state/stores.go
@@ -63,13 +63,13 @@
 // StoreNamed finds the store that has the operator's name: one that is not evicted, the
 // newest where there are several.
 func (s *State) StoreNamed(name string) (Store, bool) {
-	var found Store
+	var newest Store
 	for _, store := range s.Stores {
-		if name != "" && store.Name == name && !store.Evicted && store.Writer > found.Writer {
-			found = store
+		if name != "" && store.Name == name && !store.Evicted && store.Writer > newest.Writer {
+			newest = store
 		}
 	}
-	return found, found.ID != ""
+	return newest, newest.ID != ""
 }
 
 // setStore replaces the map, which may have been handed out.
--- a/internal/controlplane/stores/view.go
+++ b/internal/controlplane/stores/cluster.go
@@ -6,10 +6,10 @@
 	"tuliprudder/internal/controlplane/state"
 )
 
-// View is what the placement has to know: the shards, and the registered stores as they are
+// Cluster is what the placement has to know: the shards, and the registered stores as they are
 // heard.
-func (t *Table) View(current *state.State, now clock.Micros) placement.ClusterView {
-	view := placement.ClusterView{
+func (t *Table) Cluster(current *state.State, now clock.Micros) placement.ClusterView {
+	cluster := placement.ClusterView{
 		Now:          now,
 		ServingSince: t.servingSince,
 		Shards:       current.Shards,
@@ -18,7 +18,7 @@
 	for id, registered := range current.Stores {
 		heard := t.byID[id]
 		incarnation, live := t.Incarnation(current, id, now)
-		view.Stores[id] = placement.Store{
+		cluster.Stores[id] = placement.Store{
 			Zone:         registered.Zone,
 			Peer:         registered.Peer,
 			Incarnation:  incarnation,
@@ -32,5 +32,5 @@
 			Busy:         heard.heartbeat.Busy,
 		}
 	}
-	return view
+	return cluster
 }
--- a/internal/controlplane/stores/table.go
+++ b/internal/controlplane/stores/table.go
@@ -16,7 +16,7 @@
 // Settings of the table. All spans are in microseconds.
 type Settings struct {
 	Timeout         clock.Micros // after which a store that is not heard counts as lost, if the membership suspects it
-	SettleDelay     clock.Micros // for how long a new primary listens until it decides on stores
+	ListenDelay     clock.Micros // for how long a new primary listens until it decides on stores
 	EvictAfter      clock.Micros // after which a store that is not heard no longer counts as a voter for updates
 	MaxStaleness    clock.Micros // how old the updates here may be for a store to be evicted
 	AssumeLostAfter clock.Micros // after which a core takes the voters for updates that it does not hear for lost
@@ -81,8 +81,8 @@
 	if !ok || current.Stores[id].Evicted {
 		return 0, false
 	}
-	silence := now - heard.heardAt
-	if silence > 2*t.settings.Timeout || (silence > t.settings.Timeout && t.suspects[id]) {
+	sinceHeard := now - heard.heardAt
+	if sinceHeard > 2*t.settings.Timeout || (sinceHeard > t.settings.Timeout && t.suspects[id]) {
 		return 0, false
 	}
 	return heard.heartbeat.Incarnation, true
@@ -91,7 +91,7 @@
 // HasHeardEnough tells whether a new primary has heard enough to decide which stores live: all the
 // stores that count, or for long enough (DESIGN §5.4).
 func (t *Table) HasHeardEnough(current *state.State, now clock.Micros) bool {
-	if now-t.servingSince >= t.settings.SettleDelay {
+	if now-t.servingSince >= t.settings.ListenDelay {
 		return true
 	}
 	heard := 0
--- a/internal/controlplane/stores/table_test.go
+++ b/internal/controlplane/stores/table_test.go
@@ -13,7 +13,7 @@
 
 const testNow = 1000 * clock.Second
 
-var testSettings = Settings{Timeout: 2 * clock.Second, SettleDelay: 1500 * clock.Millisecond, EvictAfter: 10 * clock.Second, MaxStaleness: 2500 * clock.Millisecond, AssumeLostAfter: 20 * clock.Second}
+var testSettings = Settings{Timeout: 2 * clock.Second, ListenDelay: 1500 * clock.Millisecond, EvictAfter: 10 * clock.Second, MaxStaleness: 2500 * clock.Millisecond, AssumeLostAfter: 20 * clock.Second}
 
 // heartbeat is one of a store whose address is that of its id.
 func heartbeat(id string, incarnation uint64) batchstore.Heartbeat {
@@ -143,7 +143,7 @@
 	if table.HasHeardEnough(current, testNow+2) {
 		t.Error("it decides before it has heard a")
 	}
-	if !table.HasHeardEnough(current, testNow+testSettings.SettleDelay) {
+	if !table.HasHeardEnough(current, testNow+testSettings.ListenDelay) {
 		t.Error("it waits for a for ever")
 	}
 	table.Record(heartbeat("a", 1), testNow+2)
--- a/internal/controlplane/voters_test.go
+++ b/internal/controlplane/voters_test.go
@@ -86,7 +86,7 @@
 // A fleet of any number of cores is bootstrapped once, whatever number is there at first:
 // by those at the seeds; the others are given votes. Its group covers every majority.
 func TestAnyNumberOfCoresFoundOneFleet(t *testing.T) {
-	for cores, copies := range map[int]int{1: 1, 2: 2, 3: 2, 4: 2, 5: 3, 6: 3, 7: 4} {
+	for cores, replicas := range map[int]int{1: 1, 2: 2, 3: 2, 4: 2, 5: 3, 6: 3, 7: 4} {
 		b := clusterOf(t, smallSettings(), cores, "zone-1", "zone-2", "zone-3")
 		fleets := map[string]bool{}
 		for _, core := range b.cores {
@@ -95,9 +95,9 @@
 		if len(fleets) != 1 {
 			t.Errorf("%d cores bootstrapped %d fleets", cores, len(fleets))
 		}
-		b.await(t, fmt.Sprint(cores, " cores keep ", copies, " copies"), func() bool {
+		b.await(t, fmt.Sprint(cores, " cores keep ", replicas, " copies"), func() bool {
 			lead := b.leading(t)
-			return lead != nil && len(lead.Vote().Committed.IDs()) == copies
+			return lead != nil && len(lead.Vote().Committed.IDs()) == replicas
 		})
 	}
 }
--- a/internal/daemon/discovery/discovery.go
+++ b/internal/daemon/discovery/discovery.go
@@ -203,10 +203,10 @@
 
 // hasChanged tells whether a listed server's state has to be published again. A removed one
 // stays removed, and a draining one draining.
-func hasChanged(old, listed endpoints.Server) bool {
+func hasChanged(old, current endpoints.Server) bool {
 	if old.Removed {
 		return false
 	}
-	startsDraining := listed.Draining && !old.Draining
-	return startsDraining || old.Address != listed.Address
+	startsDraining := current.Draining && !old.Draining
+	return startsDraining || old.Address != current.Address
 }
--- a/internal/daemon/machines/submit.go
+++ b/internal/daemon/machines/submit.go
@@ -100,11 +100,11 @@
 // whose requests are forwarded unchanged by its own limit of tokens (DESIGN §11.3, §12.5).
 func quotaLimit(configuration *config.Configuration, tenant, route string, forwarded bool) int64 {
 	if forwarded {
-		found, _ := configuration.Route(route)
-		if found == nil || found.Forward == nil || found.Kind != config.Batch {
+		entry, _ := configuration.Route(route)
+		if entry == nil || entry.Forward == nil || entry.Kind != config.Batch {
 			return notConfigured
 		}
-		return max(unlimited, found.Forward.MaxQueuedTokens)
+		return max(unlimited, entry.Forward.MaxQueuedTokens)
 	}
 	if class := configuration.ClassOfTenant(tenant); class != nil {
 		return class.Quota
--- a/internal/daemon/roles/store_metrics.go
+++ b/internal/daemon/roles/store_metrics.go
@@ -29,7 +29,7 @@
 			reads:            store.Batches.Reads,
 			batchesArchived:  store.Batches.BatchesArchived,
 			itemsInFlight:    int64(store.Runner.Pending()),
-			visibleResults:   store.Batches.ResultsListed,
+			visibleResults:   store.Batches.ResultsRecorded,
 			batchesSubmitted: store.Batches.BatchesSubmitted,
 			unknownOutcomes:  store.Batches.UnknownOutcomes,
 			takeovers:        store.Batches.Takeovers,
--- a/internal/dataplane/quota/quota.go
+++ b/internal/dataplane/quota/quota.go
@@ -53,10 +53,10 @@
 
 	clients map[string]*client // by tenant
 
-	accounts    map[string]*Account      // owned here, by tenant
-	quotas      map[string]TenantQuota   // newest known to the owner, by tenant
-	rebuilds    map[string]*rebuildRound // under way, by tenant
-	knownStores map[string]bool          // daemons that are or were stores, by id
+	accounts    map[string]*Account        // owned here, by tenant
+	quotas      map[string]TenantQuota     // newest known to the owner, by tenant
+	rebuilds    map[string]*accountRebuild // under way, by tenant
+	knownStores map[string]bool            // daemons that are or were stores, by id
 }
 
 // New makes a daemon's quota. queuedItems is the weight of a tenant's work that is queued
@@ -70,7 +70,7 @@
 		clients:     map[string]*client{},
 		accounts:    map[string]*Account{},
 		quotas:      map[string]TenantQuota{},
-		rebuilds:    map[string]*rebuildRound{},
+		rebuilds:    map[string]*accountRebuild{},
 		knownStores: map[string]bool{},
 	}
 }
--- a/internal/dataplane/quota/rebuild.go
+++ b/internal/dataplane/quota/rebuild.go
@@ -6,8 +6,8 @@
 // of leaseRequestTimeout, because a client waits while the reports come in.
 const usageRequestTimeout = leaseRequestTimeout / 3
 
-// rebuildRound is one round of usage requests for an account.
-type rebuildRound struct {
+// accountRebuild is one round of usage requests for an account.
+type accountRebuild struct {
 	outstanding int                      // responses still to come
 	callbacks   []func(now clock.Micros) // called once all have come or timed out
 }
@@ -16,19 +16,19 @@
 // when all have answered or timed out. There is one round at a time for each tenant;
 // requests that come meanwhile wait for it.
 func (q *Quota) rebuild(tenant string, a *Account, callback func(now clock.Micros)) {
-	if round := q.rebuilds[tenant]; round != nil {
-		round.callbacks = append(round.callbacks, callback)
+	if rebuild := q.rebuilds[tenant]; rebuild != nil {
+		rebuild.callbacks = append(rebuild.callbacks, callback)
 		return
 	}
 	peers := q.peers()
 	unreported := a.Unreported()
-	round := &rebuildRound{outstanding: len(unreported), callbacks: []func(clock.Micros){callback}}
-	q.rebuilds[tenant] = round
+	rebuild := &accountRebuild{outstanding: len(unreported), callbacks: []func(clock.Micros){callback}}
+	q.rebuilds[tenant] = rebuild
 	for _, id := range unreported {
 		request := UsageRequest{Tenant: tenant, Epoch: a.Epoch}
 		q.calls.Request(peers[id], request, usageRequestTimeout, func(body any, err error, now clock.Micros) {
 			a.applyUsageResponse(id, body, err, now)
-			q.finishResponse(tenant, round, now)
+			q.finishResponse(tenant, rebuild, now)
 		})
 	}
 }
@@ -47,13 +47,13 @@
 }
 
 // finishResponse counts a response or time-out, and ends the round with the last.
-func (q *Quota) finishResponse(tenant string, round *rebuildRound, now clock.Micros) {
-	round.outstanding--
-	if round.outstanding > 0 {
+func (q *Quota) finishResponse(tenant string, rebuild *accountRebuild, now clock.Micros) {
+	rebuild.outstanding--
+	if rebuild.outstanding > 0 {
 		return
 	}
 	delete(q.rebuilds, tenant)
-	for _, callback := range round.callbacks {
+	for _, callback := range rebuild.callbacks {
 		callback(now)
 	}
 }
--- a/internal/dataplane/reader/page.go
+++ b/internal/dataplane/reader/page.go
@@ -40,9 +40,9 @@
 	FirstIndex int    // of the first result, for a read by index
 }
 
-// isWorthReturning tells whether a read need not wait any longer: there are results, or
+// isReady tells whether a read need not wait any longer: there are results, or
 // the batch will have no more.
-func (p Page) isWorthReturning() bool {
+func (p Page) isReady() bool {
 	isFinished := p.State != "" && p.State != string(shard.Open)
 	return len(p.Results) > 0 || isFinished
 }
--- a/internal/dataplane/reader/reader.go
+++ b/internal/dataplane/reader/reader.go
@@ -40,8 +40,8 @@
 	InjectedFaults InjectedFaults
 
 	calls     *machine.Calls
-	positions *token.PositionView // what the stores announced
-	shardMap  state.Map           // Seq 0 before any is known
+	positions *token.KnownPositions // what the stores announced
+	shardMap  state.Map             // Seq 0 before any is known
 	pending   pendingReads
 }
 
@@ -50,7 +50,7 @@
 	return &Reader{
 		MinPollInterval: defaultMinPollInterval,
 		calls:           calls,
-		positions:       token.NewPositionView(),
+		positions:       token.NewKnownPositions(),
 		pending:         newPendingReads(),
 	}
 }
--- a/internal/dataplane/reader/wakeups.go
+++ b/internal/dataplane/reader/wakeups.go
@@ -54,15 +54,15 @@
 
 // pendingReads are the reads that wait.
 type pendingReads struct {
-	byID  map[string]*pendingRead
-	order []string // their ids in the order in which they came
+	byID     map[string]*pendingRead
+	arrivals []string // their ids in the order in which they came
 }
 
 func newPendingReads() pendingReads { return pendingReads{byID: map[string]*pendingRead{}} }
 
 func (s *pendingReads) add(p *pendingRead) {
 	s.byID[p.ID] = p
-	s.order = append(s.order, p.ID)
+	s.arrivals = append(s.arrivals, p.ID)
 }
 
 func (s *pendingReads) remove(id string) {
@@ -70,16 +70,16 @@
 		return
 	}
 	delete(s.byID, id)
-	if i := slices.Index(s.order, id); i >= 0 {
-		s.order = slices.Delete(s.order, i, i+1)
+	if i := slices.Index(s.arrivals, id); i >= 0 {
+		s.arrivals = slices.Delete(s.arrivals, i, i+1)
 	}
 }
 
 // inOrder lists the reads in the order in which they came. Callbacks may change the
 // pending reads while the list is gone through.
 func (s *pendingReads) inOrder() []*pendingRead {
-	out := make([]*pendingRead, 0, len(s.order))
-	for _, id := range s.order {
+	out := make([]*pendingRead, 0, len(s.arrivals))
+	for _, id := range s.arrivals {
 		if p := s.byID[id]; p != nil {
 			out = append(out, p)
 		}
@@ -127,7 +127,7 @@
 			p.failedPolls++
 		}
 		mayRetry := errs.Is(err, errs.NotReady)
-		isFinal := err == nil && page.isWorthReturning() || err != nil && !mayRetry
+		isFinal := err == nil && page.isReady() || err != nil && !mayRetry
 		if isFinal || !p.waits {
 			r.pending.remove(p.ID)
 			p.callback(page, err, now)
--- a/internal/dataplane/upstream/client.go
+++ b/internal/dataplane/upstream/client.go
@@ -82,10 +82,10 @@
 	// Deadline is when the request ends, the response's body included; zero for none.
 	Deadline    time.Time
 	LastEventID string
-	// Probe marks a request to the server itself, such as for its health page. It goes over a
+	// IsHealthCheck marks a request to the server itself, such as for its health page. It goes over a
 	// new connection that isn't kept, so its response needs no ID; but one that is there has
 	// to match.
-	Probe bool
+	IsHealthCheck bool
 }
 
 // InjectedFaults are set by tests only, to show that their checks find such faults.
@@ -171,7 +171,7 @@
 	if ctx.Err() != nil {
 		return nil, &attemptError{Error: Error{NotWritten, ctx.Err()}}
 	}
-	pc, reused, err := c.acquire(ctx, req.Address, req.Probe)
+	pc, reused, err := c.acquire(ctx, req.Address, req.IsHealthCheck)
 	if err != nil {
 		return nil, &attemptError{Error: Error{NotWritten, err}}
 	}
@@ -230,7 +230,7 @@
 
 // matchesRequest tells whether a response with these request IDs is the request's.
 func (c *Client) matchesRequest(ids []string, req Request) bool {
-	if c.InjectedFaults.SkipIDCheck || req.Probe && len(ids) == 0 {
+	if c.InjectedFaults.SkipIDCheck || req.IsHealthCheck && len(ids) == 0 {
 		return true
 	}
 	return len(ids) == 1 && ids[0] == req.ID
--- a/internal/dataplane/upstream/client_test.go
+++ b/internal/dataplane/upstream/client_test.go
@@ -60,7 +60,7 @@
 	address := startServer(t, echo, respondOnce(page), respondOnce(responseText("z", "", "")))
 	c := New(testHeaderNames, Settings{MaxConnections: 1})
 	readBody(t, do(t, c, newPost(address, "a")))
-	probe := Request{Address: address, Method: "GET", Target: "/health", Host: "model", Probe: true, ID: "p"}
+	probe := Request{Address: address, Method: "GET", Target: "/health", Host: "model", IsHealthCheck: true, ID: "p"}
 	readBody(t, do(t, c, probe))
 	if len(c.pools) != 0 {
 		t.Fatal("a probe's connection was kept")
--- a/internal/dataplane/upstream/response.go
+++ b/internal/dataplane/upstream/response.go
@@ -45,7 +45,7 @@
 		stopInterrupt: stopInterrupt,
 		httpResponse:  response,
 		requestID:     req.ID,
-		reusable:      !response.Close && !req.Probe,
+		reusable:      !response.Close && !req.IsHealthCheck,
 	}
 	_, markedNotRun := response.Header[http.CanonicalHeaderKey(c.headerNames.NotRun)]
 	r.NotRun = markedNotRun || r.Status == http.StatusMisdirectedRequest
--- a/internal/dataplane/upstream/validate.go
+++ b/internal/dataplane/upstream/validate.go
@@ -17,7 +17,7 @@
 	if !isToken(req.Method) || !isVisibleText(req.Target) || !isVisibleText(req.Host) {
 		return malformedError("the method %q, target %q or host %q is malformed", req.Method, req.Target, req.Host)
 	}
-	if req.ID == "" && !req.Probe {
+	if req.ID == "" && !req.IsHealthCheck {
 		return malformedError("the request has no ID")
 	}
 	for _, value := range []string{req.ID, req.Instance, req.LastEventID} {
--- a/test/capacitymodel/run.go
+++ b/test/capacitymodel/run.go
@@ -216,7 +216,7 @@
 	sum := int64(0)
 	for _, d := range f.daemons {
 		if d.store != nil {
-			sum += d.store.ResultsListed
+			sum += d.store.ResultsRecorded
 		}
 	}
 	return sum
--- a/test/simulator/world.go
+++ b/test/simulator/world.go
@@ -179,7 +179,7 @@
 func (w *World) busiestStore() *Node {
 	var best *Node
 	for _, name := range w.Names(membership.Store) {
-		if n := w.Nodes[name]; n.up && !n.frozen && (best == nil || n.Store.ResultsListed > best.Store.ResultsListed) {
+		if n := w.Nodes[name]; n.up && !n.frozen && (best == nil || n.Store.ResultsRecorded > best.Store.ResultsRecorded) {
 			best = n
 		}
 	}
