--- a/cmd/store/planted_fault.go
+++ b/cmd/store/planted_fault.go
@@ -16,7 +16,7 @@
 func plant(ledger *batchstore.Store, dataFolder *storage.Folder, folder string) {
 	switch os.Getenv("TULIPRUDDER_PLANT") {
 	case "one-disk":
-		ledger.Groups().SkipReplicas = true
+		ledger.Groups().Faults.SkipReplicas = true
 	case "early":
 		ledger.SkipDurability = true
 	case "stall":
--- /dev/null
+++ b/internal/replication/assignment_test.go
@@ -0,0 +1,23 @@
+package replication
+
+import (
+	"encoding/json"
+	"testing"
+)
+
+// The form of the release before, with one replica, is read.
+func TestAnOlderAssignmentIsRead(t *testing.T) {
+	var a Assignment
+	old := `{"epoch":4,"owner":{"id":"a","life":2},"backup":{"id":"b","life":3},"complete":true,"trusted":["a","b"]}`
+	if err := json.Unmarshal([]byte(old), &a); err != nil {
+		t.Fatal(err)
+	}
+	if !a.Equal(Assignment{Epoch: 4, Primary: Member{"a", 2}, Replicas: []Member{{"b", 3}}, Complete: true, Trusted: []string{"a", "b"}}) {
+		t.Fatalf("read as %+v", a)
+	}
+	data, _ := json.Marshal(a)
+	var again Assignment
+	if err := json.Unmarshal(data, &again); err != nil || !again.Equal(a) {
+		t.Fatalf("written as %s, read as %+v (%v)", data, again, err)
+	}
+}
--- a/internal/replication/groups.go
+++ b/internal/replication/groups.go
@@ -7,200 +7,190 @@
 	"tuliprudder/internal/machine"
 )
 
-// StateMachine is the state that a unit replicates, and what to do when entries confirm.
+// StateMachine is the replicated state of the units, implemented by the daemon's machine.
 type StateMachine interface {
-	// Snapshot is the whole state in parts; Restore starts from parts.
+	// Snapshot gives the whole state of a unit in parts, to be sent to a replica.
 	Snapshot(unit string) [][]byte
-	// LocalSnapshot is the same for this daemon's own disk: it may refer to what is
-	// shelved there already.
+	// LocalSnapshot gives the whole state for this daemon's own disk: it may refer to archives
+	// that are on that disk.
 	LocalSnapshot(unit string) [][]byte
+	// Restore replaces the state of a unit by a snapshot; no parts are the empty state.
 	Restore(unit string, parts [][]byte)
-	// ApplyEntry applies an entry on a replica or when read back.
+	// ApplyEntry applies an entry at a replica, or when it is read back from disk. The primary
+	// applies its entries before it appends them.
 	ApplyEntry(unit string, entry []byte)
-	// Confirmed tells the primary that an entry is on every member's disk.
+	// Confirmed is called at the primary once an entry is on every member's disk, in order.
 	Confirmed(unit string, seq uint64, now clock.Micros)
-	// GroupReady tells that every member has the copy; who assigns groups has to be told.
+	// GroupReady is called at the primary once every member has the epoch's state on disk, and
+	// again every ResendAfter until CommitGroup. It reports to the authority that assigns groups.
 	GroupReady(unit string, epoch uint64, now clock.Micros)
-	// Deposed tells the primary of an epoch that it no longer is.
+	// Deposed is called at a primary that its group no longer follows under this epoch.
 	Deposed(unit string, epoch uint64, now clock.Micros)
 }
 
-// Groups is all the groups of a daemon, on one disk and one set of messages.
+// Groups is all replication groups of a daemon, which share its disk and its connections.
 type Groups struct {
-	effects       *machine.Effects
-	state         StateMachine
-	groups        map[string]*Group
+	effects *machine.Effects
+	state   StateMachine
+	groups  map[string]*Group
+	// pendingWrites are called with the time once the write of their token is on disk.
 	pendingWrites map[uint64]func(now clock.Micros)
 	lastToken     uint64
-	// startedAt is when this life was first given the time.
+	// startedAt is the first time that this incarnation was given.
 	startedAt clock.Micros
-	// SkipEpochCheck is a fault planted by tests: old epochs are not refused.
-	SkipEpochCheck bool
-	// SkipReplicas is a fault planted by tests: one disk is taken for all.
-	SkipReplicas bool
-	// SkipLastReplica is a fault planted by tests: an entry is confirmed once one replica has
-	// it, though the group has more.
-	SkipLastReplica bool
-	// SkipSnapshot is a fault planted by tests: a group that is made anew counts as complete
-	// before its replicas have the copy.
-	SkipSnapshot bool
-}
-
-// NewGroups makes the groups of a daemon; their effects go to out.
-func NewGroups(out *machine.Effects, holder StateMachine) *Groups {
-	return &Groups{effects: out, state: holder, groups: map[string]*Group{}, pendingWrites: map[uint64]func(clock.Micros){}}
-}
-
-// Group is the group of a unit; made cold when new.
-func (g *Groups) Group(unit string) *Group {
-	r := g.groups[unit]
-	if r == nil {
-		r = &Group{Unit: unit}
-		g.groups[unit] = r
+	// Faults is set by tests only.
+	Faults InjectedFaults
+}
+
+// NewGroups makes the groups of a daemon; their effects are emitted to effects.
+func NewGroups(effects *machine.Effects, state StateMachine) *Groups {
+	return &Groups{
+		effects:       effects,
+		state:         state,
+		groups:        map[string]*Group{},
+		pendingWrites: map[uint64]func(clock.Micros){},
+	}
+}
+
+// Group gives the group of a unit; an unknown one is made and Idle.
+func (gs *Groups) Group(unit string) *Group {
+	g := gs.groups[unit]
+	if g == nil {
+		g = &Group{Unit: unit}
+		gs.groups[unit] = g
 	}
-	return r
+	return g
 }
 
 // All lists the groups in the order of their units.
-func (g *Groups) All() []*Group {
-	out := make([]*Group, 0, len(g.groups))
-	for _, r := range g.groups {
-		out = append(out, r)
+func (gs *Groups) All() []*Group {
+	out := make([]*Group, 0, len(gs.groups))
+	for _, g := range gs.groups {
+		out = append(out, g)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Unit < out[j].Unit })
 	return out
 }
 
-// Persist writes records and runs done once they are synced.
-func (g *Groups) Persist(records []machine.Record, done func(now clock.Micros)) {
-	token := g.RegisterWrite(done)
-	g.effects.Emit(machine.Persist{Token: token, Records: records})
+// Persist writes records and calls done, which may be nil, once they are on disk.
+func (gs *Groups) Persist(records []machine.Record, done func(now clock.Micros)) {
+	token := gs.RegisterWrite(done)
+	gs.effects.Emit(machine.Persist{Token: token, Records: records})
 }
 
-// RegisterWrite gives a token whose store runs done; done may be nil.
-func (g *Groups) RegisterWrite(done func(now clock.Micros)) uint64 {
-	g.lastToken++
+// RegisterWrite gives the token for a write that the caller emits itself; done, which may be nil,
+// is called once it is on disk.
+func (gs *Groups) RegisterWrite(done func(now clock.Micros)) uint64 {
+	gs.lastToken++
 	if done != nil {
-		g.pendingWrites[g.lastToken] = done
+		gs.pendingWrites[gs.lastToken] = done
 	}
-	return g.lastToken
+	return gs.lastToken
 }
 
-// Persisted is the disk's word that a store is synced.
-func (g *Groups) Persisted(token uint64, now clock.Micros) {
-	if done := g.pendingWrites[token]; done != nil {
-		delete(g.pendingWrites, token)
+// Persisted handles the completion of a write.
+func (gs *Groups) Persisted(token uint64, now clock.Micros) {
+	if done := gs.pendingWrites[token]; done != nil {
+		delete(gs.pendingWrites, token)
 		done(now)
 	}
 }
 
-// Recover plays one record read back from disk. The group stays cold: only a new
-// epoch gives it a role again.
-func (g *Groups) Recover(record machine.Record) {
-	r := g.Group(record.Unit)
-	r.recoveredFromDisk = true
-	switch record.Kind {
-	case KindSnapshot:
-		g.state.Restore(record.Unit, decodeParts(record.Body))
-		r.Epoch, r.Seq = record.Epoch, record.Seq
-	case KindAdopt:
-		if record.Seq == r.Seq {
-			r.Epoch = record.Epoch
-		}
-	case KindEntry:
-		if record.Epoch == r.Epoch && record.Seq == r.Seq+1 {
-			r.Seq = record.Seq
-			g.state.ApplyEntry(record.Unit, record.Body)
-		}
-	case KindDrop:
-		g.state.Restore(record.Unit, nil)
-		r.Epoch, r.Seq = record.Epoch, 0
-	}
-	r.stateEpoch, r.SyncedSeq = r.Epoch, r.Seq
-}
-
-// CompactedRecords is the groups' state as records that say the same as all so far.
-func (g *Groups) CompactedRecords() []machine.Record {
-	var out []machine.Record
-	for _, r := range g.All() {
-		if r.stateEpoch > 0 {
-			out = append(out, machine.Record{Unit: r.Unit, Kind: KindSnapshot, Epoch: r.stateEpoch, Seq: r.Seq, Body: encodeParts(g.state.LocalSnapshot(r.Unit))})
-		}
-	}
-	return out
+// Release ends this member's role under a higher epoch. What is on disk stays until Drop.
+func (gs *Groups) Release(unit string, epoch uint64, now clock.Micros) {
+	g := gs.Group(unit)
+	gs.resign(g, max(g.Epoch, epoch), Idle, now)
 }
 
-// Release ends any role under a higher epoch; what is held stays on disk until Drop.
-func (g *Groups) Release(unit string, epoch uint64, now clock.Micros) {
-	r := g.Group(unit)
-	led, old := r.IsPrimary(), r.Epoch
-	g.releaseGrantedLeases(r)
-	r.Epoch, r.Role, r.unconfirmed, r.replicas = max(r.Epoch, epoch), Idle, nil, nil
-	if led {
-		g.state.Deposed(unit, old, now)
+// resign ends this member's role and gives it another one that is not a primary's.
+func (gs *Groups) resign(g *Group, epoch uint64, role Role, now clock.Micros) {
+	wasPrimary, formerEpoch := g.IsPrimary(), g.Epoch
+	gs.releaseLeases(g)
+	g.Epoch = epoch
+	g.Role = role
+	g.asPrimary.log.clear()
+	g.asPrimary.replicas = nil
+	if wasPrimary {
+		gs.state.Deposed(g.Unit, formerEpoch, now)
 	}
 }
 
-// Drop forgets a unit that a complete group elsewhere holds.
-func (g *Groups) Drop(unit string, epoch uint64, now clock.Micros) {
-	g.Release(unit, epoch, now)
-	r := g.Group(unit)
-	r.Seq, r.SyncedSeq, r.stateEpoch = 0, 0, epoch
-	g.state.Restore(unit, nil)
-	g.Persist([]machine.Record{{Unit: unit, Kind: KindDrop, Epoch: epoch}}, nil)
+// Drop deletes the state of a unit whose complete group is elsewhere.
+func (gs *Groups) Drop(unit string, epoch uint64, now clock.Micros) {
+	gs.Release(unit, epoch, now)
+	g := gs.Group(unit)
+	g.Seq = 0
+	g.SyncedSeq = 0
+	g.stateEpoch = epoch
+	gs.state.Restore(unit, nil)
+	gs.Persist([]machine.Record{{Unit: unit, Kind: KindDrop, Epoch: epoch}}, nil)
 }
 
-// Tick renews leases and repeats what was not acknowledged.
-func (g *Groups) Tick(now clock.Micros) {
-	g.noteStart(now)
-	g.renewLeases(now)
-	for _, r := range g.All() {
-		switch r.Role {
+// Tick renews leases and repeats what was not acknowledged. It is called every few tens of
+// milliseconds.
+func (gs *Groups) Tick(now clock.Micros) {
+	gs.noteStart(now)
+	gs.renewLeases(now)
+	for _, g := range gs.All() {
+		switch g.Role {
 		case SendingSnapshot:
-			g.sendSnapshot(r, now)
+			gs.sendSnapshot(g, now)
 		case AwaitingCommit:
-			if now-r.readyToldAt >= ResendAfter {
-				r.readyToldAt = now
-				g.state.GroupReady(r.Unit, r.Epoch, now)
-			}
+			gs.reportReadyAgain(g, now)
 		case Serving:
-			g.resendEntries(r, now)
+			gs.resendEntries(g, now)
 		}
 	}
 }
 
-// HandleMessage handles a message between members; false when it is none.
-func (g *Groups) HandleMessage(from string, body any, now clock.Micros) bool {
-	g.noteStart(now)
+// HandleMessage handles a message between members; false when the body is none.
+func (gs *Groups) HandleMessage(from string, body any, now clock.Micros) bool {
+	gs.noteStart(now)
 	switch m := body.(type) {
 	case SnapshotChunk:
-		g.handleSnapshotChunk(from, m, now)
+		gs.handleSnapshotChunk(from, m, now)
 	case SnapshotChunkAck:
-		g.handleSnapshotChunkAck(from, m, now)
+		gs.handleSnapshotChunkAck(from, m, now)
 	case Append:
-		g.handleAppend(from, m, now)
+		gs.handleAppend(from, m)
 	case AppendAck:
-		g.handleAppendAck(from, m, now)
+		gs.handleAppendAck(from, m, now)
 	case StaleEpoch:
-		if r := g.Group(m.Unit); m.Epoch > r.Epoch && r.IsPrimary() {
-			g.Release(m.Unit, r.Epoch, now)
-		}
+		gs.handleStaleEpoch(m, now)
 	case LeaseRequest:
-		g.handleLeaseRequest(from, m, now)
+		gs.handleLeaseRequest(from, m, now)
 	case LeaseRelease:
-		g.handleLeaseRelease(m, now)
+		gs.handleLeaseRelease(m, now)
 	case LeaseGrant:
-		g.handleLeaseGrant(from, m)
+		gs.handleLeaseGrant(from, m)
 	default:
 		return false
 	}
 	return true
 }
 
-// noteStart notes when this life began: leases that a life before granted end LeaseWait
-// after it.
-func (g *Groups) noteStart(now clock.Micros) {
-	if g.startedAt == 0 {
-		g.startedAt = now
+// noteStart notes when this incarnation began: leases that an earlier incarnation granted end
+// LeaseWait after it at the latest.
+func (gs *Groups) noteStart(now clock.Micros) {
+	if gs.startedAt == 0 {
+		gs.startedAt = now
+	}
+}
+
+// rejectStaleEpoch reports whether a message's epoch is stale, and if so tells its sender.
+func (gs *Groups) rejectStaleEpoch(from, unit string, epoch uint64) bool {
+	g := gs.Group(unit)
+	if epoch >= g.Epoch || gs.Faults.SkipEpochCheck {
+		return false
+	}
+	gs.effects.Emit(machine.Send{To: from, Body: StaleEpoch{Unit: unit, Epoch: g.Epoch}})
+	return true
+}
+
+// handleStaleEpoch ends the role of a primary that another member knows to be succeeded.
+func (gs *Groups) handleStaleEpoch(m StaleEpoch, now clock.Micros) {
+	g := gs.Group(m.Unit)
+	if m.Epoch > g.Epoch && g.IsPrimary() {
+		gs.Release(m.Unit, g.Epoch, now)
 	}
 }
--- /dev/null
+++ b/internal/replication/lease_test.go
@@ -0,0 +1,62 @@
+package replication
+
+import (
+	"fmt"
+	"testing"
+
+	"tuliprudder/internal/clock"
+)
+
+// A replica that takes over waits until the lease that it granted has ended.
+func TestTakeoverWaitsForTheLease(t *testing.T) {
+	c := newTestCluster("a", "b", "c")
+	c.formGroup(t, 1, "a", "b")
+	c.advance(clock.Second)
+	a := c.members["a"]
+	leaseEnd := a.groups.Group(testUnit).LeaseUntil()
+	if leaseEnd <= c.now {
+		t.Fatal("the primary has no lease")
+	}
+	delete(c.members, "a") // frozen
+	c.members["b"].groups.BecomePrimary(testUnit, 2, []string{"c"}, c.now)
+	c.awaitTakeover(t, c.members["b"], 2, leaseEnd)
+	if a.groups.Group(testUnit).LeaseUntil() > c.now {
+		t.Fatal("the former primary's lease outlives the takeover")
+	}
+}
+
+// A member that restarted may have granted a lease right before: it takes over once that has
+// ended.
+func TestARestartedReplicaWaitsForTheLeaseItGranted(t *testing.T) {
+	c := newTestCluster("a", "b", "c")
+	c.formGroup(t, 1, "a", "b")
+	c.advance(clock.Second)
+	leaseEnd := c.members["a"].groups.Group(testUnit).LeaseUntil()
+	successor := c.members["b"].restarted()
+	c.members["b"] = successor
+	delete(c.members, "a") // frozen: it can't give its lease back
+	successor.groups.Tick(c.now)
+	successor.groups.BecomePrimary(testUnit, 2, []string{"c"}, c.now)
+	c.awaitTakeover(t, successor, 2, leaseEnd)
+}
+
+// The primary's lease is every replica's: it ends when one of them is cut off, and that replica
+// is then reported as unreachable.
+func TestALeaseNeedsEveryReplica(t *testing.T) {
+	c := newTestCluster("a", "b", "c")
+	c.formGroup(t, 1, "a", "b", "c")
+	c.advance(clock.Second)
+	group := c.members["a"].groups.Group(testUnit)
+	if group.LeaseUntil() <= c.now {
+		t.Fatal("the primary has no lease")
+	}
+	c.isCut = func(from, to string) bool { return (from == "c") != (to == "c") }
+	c.advance(LeaseWait)
+	if until := group.LeaseUntil(); until > c.now {
+		t.Fatalf("the lease runs to %d without c, now is %d", until, c.now)
+	}
+	c.advance(clock.Second)
+	if unreachable := group.UnreachableReplicas(c.now); fmt.Sprint(unreachable) != "[c]" {
+		t.Fatalf("unreachable are %v", unreachable)
+	}
+}
--- /dev/null
+++ b/internal/replication/primary_test.go
@@ -0,0 +1,88 @@
+package replication
+
+import (
+	"fmt"
+	"testing"
+
+	"tuliprudder/internal/clock"
+)
+
+// Every message of a run is dropped, duplicated or delayed, one at a time: in the end all members
+// have the same list and every entry is confirmed, once and in order.
+func TestEachMessageMutatedOnce(t *testing.T) {
+	run := func(t *testing.T, number int, fate messageFate, replicas []string) *testCluster {
+		t.Helper()
+		c := newTestCluster(append([]string{"a"}, replicas...)...)
+		c.mutateMessage(number, fate)
+		c.formGroup(t, 1, "a", replicas...)
+		for i := 0; i < 5; i++ {
+			if !c.members["a"].add(fmt.Sprint(i), c.now) {
+				t.Fatalf("message %d, %s: the primary does not serve", number, fate)
+			}
+			if i%2 == 0 {
+				c.run()
+			}
+		}
+		c.advance(clock.Second)
+		c.deliverDelayed()
+		c.advance(clock.Second)
+		return c
+	}
+	for _, replicas := range [][]string{{"b"}, {"b", "c"}} {
+		t.Run(fmt.Sprintf("%d replicas", len(replicas)), func(t *testing.T) {
+			total := run(t, 0, delivered, replicas).messageCount
+			if total < 12*len(replicas) {
+				t.Fatalf("only %d messages to mutate", total)
+			}
+			for number := 1; number <= total; number++ {
+				for _, fate := range mutations {
+					c := run(t, number, fate, replicas)
+					for name, member := range c.members {
+						if fmt.Sprint(member.list) != "[0 1 2 3 4]" {
+							t.Fatalf("message %d, %s: %s has %v", number, fate, name, member.list)
+						}
+					}
+					if confirmed := c.members["a"].confirmed; fmt.Sprint(confirmed) != "[1 2 3 4 5]" {
+						t.Fatalf("message %d, %s: confirmed %v", number, fate, confirmed)
+					}
+				}
+			}
+		})
+	}
+}
+
+// A deposed primary that does not know it confirms nothing: its replica rejects its epoch.
+func TestADeposedPrimaryConfirmsNothing(t *testing.T) {
+	c := newTestCluster("a", "b", "c")
+	c.formGroup(t, 1, "a", "b")
+	c.members["b"].groups.BecomePrimary(testUnit, 2, []string{"c"}, c.now)
+	if !c.members["a"].add("stray", c.now) {
+		t.Fatal("the former primary knows already; the test shows nothing")
+	}
+	c.advance(4 * clock.Second)
+	if a := c.members["a"]; len(a.confirmed) != 0 || a.deposed != 1 {
+		t.Fatalf("the former primary confirmed %v, deposed %d times", a.confirmed, a.deposed)
+	}
+	if list := c.members["c"].list; len(list) != 0 {
+		t.Fatalf("the stray entry reached the new group: %v", list)
+	}
+}
+
+// An entry is confirmed once every replica has it, not one of them; with the injected fault that
+// is content with one, the test sees that.
+func TestConfirmedMeansEveryReplica(t *testing.T) {
+	for _, injected := range []bool{false, true} {
+		t.Run(fmt.Sprintf("SkipLastReplica %v", injected), func(t *testing.T) {
+			c := newTestCluster("a", "b", "c")
+			c.formGroup(t, 1, "a", "b", "c")
+			a := c.members["a"]
+			a.groups.Faults.SkipLastReplica = injected
+			c.isCut = func(_, to string) bool { return to == "c" }
+			a.add("x", c.now)
+			c.advance(500 * clock.Millisecond)
+			if confirmed := len(a.confirmed) > 0; confirmed != injected {
+				t.Fatalf("confirmed %v though c lacks it", a.confirmed)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/replication/recovery_test.go
@@ -0,0 +1,25 @@
+package replication
+
+import (
+	"fmt"
+	"testing"
+)
+
+// Confirmed entries are read back from the disk of any member, which then has no role.
+func TestReadBack(t *testing.T) {
+	c := newTestCluster("a", "b")
+	c.formGroup(t, 1, "a", "b")
+	for i := 0; i < 3; i++ {
+		c.members["a"].add(fmt.Sprint(i), c.now)
+	}
+	c.run()
+	for name, member := range c.members {
+		again := member.restarted()
+		if fmt.Sprint(again.list) != "[0 1 2]" {
+			t.Fatalf("%s reads %v back", name, again.list)
+		}
+		if role := again.groups.Group(testUnit).Role; role != Idle {
+			t.Fatalf("%s is %s after its start", name, role)
+		}
+	}
+}
--- a/test/modelcheck/faults.go
+++ b/test/modelcheck/faults.go
@@ -27,9 +27,9 @@
 // plantedFaults are the planted mistakes by name.
 var plantedFaults = map[string]plantedFault{
 	"wiped-identity-votes": {KeepIdentity: true},
-	"one-copy-confirms":    {PlantInCore: func(core *controlplane.Core) { core.Groups().SkipReplicas = true }},
-	"last-copy-missing":    {PlantInCore: func(core *controlplane.Core) { core.Groups().SkipLastReplica = true }},
-	"only-copy-removed":    {PlantInCore: func(core *controlplane.Core) { core.Groups().SkipSnapshot = true }},
+	"one-copy-confirms":    {PlantInCore: func(core *controlplane.Core) { core.Groups().Faults.SkipReplicas = true }},
+	"last-copy-missing":    {PlantInCore: func(core *controlplane.Core) { core.Groups().Faults.SkipLastReplica = true }},
+	"only-copy-removed":    {PlantInCore: func(core *controlplane.Core) { core.Groups().Faults.SkipSnapshot = true }},
 	"lease-without-quorum": {PlantInCore: func(core *controlplane.Core) { core.SkipLease = true }},
 	"new-voters-only":      {PlantInCore: func(core *controlplane.Core) { core.SkipOldVoters = true }},
 	"empty-member-leads":   {PlantInCore: func(core *controlplane.Core) { core.SkipStateCheck = true }},
--- a/test/simulator/injected_bugs_test.go
+++ b/test/simulator/injected_bugs_test.go
@@ -22,15 +22,15 @@
 	}{
 		"one disk taken for two": {func(n *Node) {
 			if n.Store != nil {
-				n.Store.Groups().SkipReplicas = true
+				n.Store.Groups().Faults.SkipReplicas = true
 			}
 		}, "store", 8, 8 * ms, 1, []Guarantee{batchKept}},
 		"old epochs not refused": {func(n *Node) {
 			if n.Store != nil {
-				n.Store.Groups().SkipEpochCheck = true
+				n.Store.Groups().Faults.SkipEpochCheck = true
 			}
 			if n.Core != nil {
-				n.Core.Groups().SkipEpochCheck = true
+				n.Core.Groups().Faults.SkipEpochCheck = true
 			}
 		}, "", 12, 8 * ms, 20, nil},
 		"positions announced early": {func(n *Node) {
