--- a/internal/daemon/eventloop/loop.go
+++ b/internal/daemon/eventloop/loop.go
@@ -337,7 +337,7 @@
 
 // Deliver takes a message off the wire.
 func (l *Loop) Deliver(message transport.Envelope) {
-	if isGossipMessage(message.Body) {
+	if gossip.IsMessage(message.Body) {
 		l.gossipRing.Put(func(now clock.Micros) []machine.Effect {
 			return l.gossip.Do(gossip.Message{From: message.From, Body: message.Body}, now)
 		})
@@ -348,14 +348,6 @@
 	}
 }
 
-func isGossipMessage(body any) bool {
-	switch body.(type) {
-	case gossip.Gossip, gossip.Digest, gossip.DigestReply, gossip.FetchUpdates, gossip.Announcement, gossip.Probe, gossip.ProbeReply, gossip.IndirectProbe, gossip.IndirectResult, gossip.Shuffle, gossip.PushUpdate, gossip.PushAck:
-		return true
-	}
-	return false
-}
-
 // HandleCall answers a request off the wire.
 func (l *Loop) HandleCall(message transport.Envelope) (any, error) {
 	return l.CallLocal(message.Body)
--- a/internal/gossip/messages.go
+++ b/internal/gossip/messages.go
@@ -103,3 +103,9 @@
 func (v Version) isNewerThan(known machine.Update) bool {
 	return machine.Update{Epoch: v.Epoch, Seq: v.Seq}.Newer(known)
 }
+
+// IsMessage reports whether a message's body is one between gossip nodes.
+func IsMessage(body any) bool {
+	_, ok := body.(message)
+	return ok
+}
--- a/internal/machine/entries.go
+++ b/internal/machine/entries.go
@@ -7,32 +7,41 @@
 	"github.com/pkg/errors"
 )
 
-// EntryCodec is the codec of one state's changes: each kind of change by its name.
-// A kind that this release does not know is never passed over.
+// EntryCodec encodes the entries of one replicated state: it has a decoder for each kind of
+// change. A kind that this release does not know is an error and never skipped: the state would
+// be another one than its other replicas have.
 type EntryCodec[E any] map[string]func(json.RawMessage) (E, error)
 
+// encodedEntry is the JSON of an entry. Its keys are on disk; they never change.
 type encodedEntry struct {
 	Kind string          `json:"k"`
 	Body json.RawMessage `json:"b"`
 }
 
-// Decoder reads changes of the type T.
-func Decoder[E any, T any](as func(T) E) func(json.RawMessage) (E, error) {
+// Decoder makes the decoder of changes of type T. A field that T does not have is ignored: a
+// neighbouring release may have added it.
+func Decoder[E any, T any](convert func(T) E) func(json.RawMessage) (E, error) {
 	return func(data json.RawMessage) (E, error) {
 		var change T
 		err := json.Unmarshal(data, &change)
-		return as(change), errors.Wrap(err, "reading a change")
+		return convert(change), errors.Wrap(err, "decoding a change")
 	}
 }
 
-// Encode writes a change under its kind.
+// Encode encodes a change under its kind. The changes are types of this program that can always
+// be encoded.
 func (EntryCodec[E]) Encode(kind string, change E) []byte {
 	body, _ := json.Marshal(change)
 	data := make([]byte, 0, len(entryPrefix)+len(kind)+len(entryBodyPrefix)+len(body)+1)
-	data = append(append(append(data, entryPrefix...), kind...), entryBodyPrefix...)
-	return append(append(data, body...), '}')
+	data = append(data, entryPrefix...)
+	data = append(data, kind...)
+	data = append(data, entryBodyPrefix...)
+	data = append(data, body...)
+	return append(data, '}')
 }
 
+// splitEntry splits an entry that is in the very form of Encode, without a pass over its body;
+// false for any other.
 func splitEntry(data []byte) (kind string, body []byte, ok bool) {
 	rest, ok := bytes.CutPrefix(data, []byte(entryPrefix))
 	if !ok {
@@ -45,18 +54,18 @@
 	return string(rest[:end]), rest[end+len(entryBodyPrefix) : len(rest)-1], true
 }
 
-// Decode reads a change back.
-func (e EntryCodec[E]) Decode(data []byte) (E, error) {
+// Decode decodes an entry.
+func (c EntryCodec[E]) Decode(data []byte) (E, error) {
 	var none E
-	var w encodedEntry
+	var encoded encodedEntry
 	if kind, body, ok := splitEntry(data); ok {
-		w = encodedEntry{Kind: kind, Body: body}
-	} else if err := json.Unmarshal(data, &w); err != nil {
-		return none, errors.Wrap(err, "reading a change")
+		encoded = encodedEntry{Kind: kind, Body: body}
+	} else if err := json.Unmarshal(data, &encoded); err != nil {
+		return none, errors.Wrap(err, "decoding an entry")
 	}
-	read, ok := e[w.Kind]
+	decode, ok := c[encoded.Kind]
 	if !ok {
-		return none, errors.Errorf("a change of an unknown kind %q: run the release that wrote it", w.Kind)
+		return none, errors.Errorf("a change of an unknown kind %q: run the release that wrote it", encoded.Kind)
 	}
-	return read(w.Body)
+	return decode(encoded.Body)
 }
--- a/internal/machine/entries_test.go
+++ b/internal/machine/entries_test.go
@@ -2,25 +2,25 @@
 
 import "testing"
 
-type change interface{ word() string }
+type change interface{ text() string }
 
 type old struct{ Text string }
 
-func (o old) word() string { return o.Text }
+func (o old) text() string { return o.Text }
 
-// A neighbouring release may add a field: it is passed over. A kind of change
-// that this release does not know is never passed over.
+// A neighbouring release may add a field: it is ignored. A kind of change that this release does
+// not know is never ignored.
 func TestNeighbouringReleases(t *testing.T) {
 	entries := EntryCodec[change]{"old": Decoder(func(o old) change { return o })}
 	got, err := entries.Decode([]byte(`{"k":"old","b":{"Text":"x","Colour":"red"}}`))
-	if err != nil || got.word() != "x" {
+	if err != nil || got.text() != "x" {
 		t.Fatalf("a change with one more field: %v %v", got, err)
 	}
 	if _, err := entries.Decode([]byte(`{"k":"new","b":{}}`)); err == nil {
-		t.Fatal("an unknown kind of change was passed over")
+		t.Fatal("an unknown kind of change was ignored")
 	}
 	back, err := entries.Decode(entries.Encode("old", old{"y"}))
-	if err != nil || back.word() != "y" {
+	if err != nil || back.text() != "y" {
 		t.Fatalf("written and read: %v %v", back, err)
 	}
 }
--- a/internal/machine/log_event.go
+++ b/internal/machine/log_event.go
@@ -1,6 +1,6 @@
 package machine
 
-// LogEvent asks the event loop to log one decision.
+// LogEvent has the event loop log one decision. It has no answer.
 type LogEvent struct{ Event Event }
 
 // Event is one kind of log line. Its fields become the fields of the line, under the
--- a/internal/machine/stored_names.go
+++ b/internal/machine/stored_names.go
@@ -1,8 +1,8 @@
 package machine
 
-// A change is written as {"k":KIND,"b":BODY}; one in just this form is read without
-// looking through its body twice. These spellings are on disk, as are the keys of wrapped;
-// they never change.
+// An entry is encoded as {"k":KIND,"b":BODY}. One in just this form is decoded without a second
+// pass over its body. These spellings are on disk, as are the keys of encodedEntry; they never
+// change.
 const (
 	entryPrefix     = `{"k":"`
 	entryBodyPrefix = `","b":`
--- a/test/capacitymodel/daemon.go
+++ b/test/capacitymodel/daemon.go
@@ -189,13 +189,11 @@
 }
 
 func (d *daemon) deliver(from string, body any) {
-	switch body.(type) {
-	case gossip.Gossip, gossip.Digest, gossip.DigestReply, gossip.FetchUpdates, gossip.Announcement, gossip.Probe, gossip.ProbeReply, gossip.IndirectProbe, gossip.IndirectResult, gossip.Shuffle, gossip.PushUpdate, gossip.PushAck:
+	switch {
+	case gossip.IsMessage(body):
 		d.applyEffects(d.gossip.Do(gossip.Message{From: from, Body: body}, d.fleet.Now))
-	default:
-		if d.machine != nil {
-			d.applyEffects(d.machine.Message(from, body, d.fleet.Now))
-		}
+	case d.machine != nil:
+		d.applyEffects(d.machine.Message(from, body, d.fleet.Now))
 	}
 }
 
--- a/test/simulator/node.go
+++ b/test/simulator/node.go
@@ -207,13 +207,11 @@
 }
 
 func (n *Node) receive(from string, body any) {
-	switch body.(type) {
-	case gossip.Gossip, gossip.Digest, gossip.DigestReply, gossip.FetchUpdates, gossip.Announcement, gossip.Probe, gossip.ProbeReply, gossip.IndirectProbe, gossip.IndirectResult, gossip.Shuffle, gossip.PushUpdate, gossip.PushAck:
+	switch {
+	case gossip.IsMessage(body):
 		n.execute(n.gossip.Do(gossip.Message{From: from, Body: body}, n.world.Now))
-	default:
-		if n.machine != nil {
-			n.execute(n.machine.Message(from, body, n.world.Now))
-		}
+	case n.machine != nil:
+		n.execute(n.machine.Message(from, body, n.world.Now))
 	}
 }
 
