--- /dev/null
+++ b/internal/transport/messages.go
@@ -0,0 +1,66 @@
+package transport
+
+import (
+	"encoding/gob"
+	"fmt"
+	"slices"
+	"sync"
+
+	"tuliprudder/internal/errs"
+)
+
+// serviceName is the service's name on the wire. It ends with the version of the protocol: gob
+// ignores a field that it does not know, without an error, so a message of a build whose fields
+// have other names would be misread. Daemons of two versions therefore find no service at each
+// other, and their messages count as lost (docs/DESIGN.md, section 3). Raise the version with
+// every change of a message's type or field; "Post" was the name of versions 1 and 2.
+const serviceName = "tuliprudder.3"
+
+// The methods of the service, as net/rpc calls them.
+const (
+	DeliverMethod = serviceName + ".Deliver"
+	CallMethod    = serviceName + ".Ask"
+)
+
+// Envelope is one message with the address of its sender.
+type Envelope struct {
+	From string
+	Body any // of a registered type
+}
+
+// MessageBatch is the argument of DeliverMethod.
+type MessageBatch struct{ Messages []Envelope }
+
+// DeliverReply is the result of DeliverMethod: how many messages were taken.
+type DeliverReply struct{ Count int }
+
+// CallReply is the result of CallMethod: the response, or the typed error that there is none.
+type CallReply struct {
+	Body any // of a registered type
+	Err  *errs.Error
+}
+
+var (
+	kindsMu sync.Mutex // guards kinds
+	kinds   []string
+)
+
+// Register makes the types of messages known to the encoder. Each package does so for its own in
+// init. On the wire a type is named by the last element of its package's path and its own name,
+// so that a package may be moved but not renamed.
+func Register(bodies ...any) {
+	kindsMu.Lock()
+	defer kindsMu.Unlock()
+	for _, body := range bodies {
+		kind := fmt.Sprintf("%T", body)
+		gob.RegisterName(kind, body)
+		kinds = append(kinds, kind)
+	}
+}
+
+// Kinds lists the names of all registered types.
+func Kinds() []string {
+	kindsMu.Lock()
+	defer kindsMu.Unlock()
+	return slices.Clone(kinds)
+}
--- /dev/null
+++ b/internal/transport/outbox.go
@@ -0,0 +1,110 @@
+package transport
+
+import (
+	"net/rpc"
+	"time"
+
+	"tuliprudder/internal/ring"
+)
+
+const (
+	// outboxSize is the number of messages that wait for one peer; further ones are lost.
+	outboxSize = 4096
+	// maxBatchSize is the number of messages in one call of DeliverMethod.
+	maxBatchSize = 256
+	// maxOutboxes is the number of peers from which on an outbox that is empty is closed for each
+	// new one.
+	maxOutboxes    = 256
+	deliverTimeout = time.Second
+)
+
+// outbox has the messages that wait for one peer.
+type outbox struct {
+	transport *Transport
+	to        string
+	queue     *ring.Ring[Envelope]
+	// client is the connection, nil while there is none. Only run uses it.
+	client *rpc.Client
+}
+
+// Send queues a message. Where the peer's queue is full, or the transport is closed, it is dropped
+// and counted.
+func (t *Transport) Send(to string, body any) {
+	box := t.outboxTo(to)
+	if box == nil || !box.queue.Put(Envelope{From: t.self, Body: body}) {
+		t.MessagesLost.Add(1)
+	}
+}
+
+// outboxTo finds or starts the outbox of a peer; nil when the transport is closed and there is
+// none.
+func (t *Transport) outboxTo(to string) *outbox {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	box := t.outboxes[to]
+	if box != nil || t.closed {
+		return box
+	}
+	if len(t.outboxes) >= maxOutboxes {
+		t.closeAnEmptyOutbox()
+	}
+	box = &outbox{transport: t, to: to, queue: ring.New[Envelope](outboxSize)}
+	t.outboxes[to] = box
+	go box.run()
+	return box
+}
+
+// closeAnEmptyOutbox makes room for another peer: addresses that are gone for good would
+// accumulate otherwise. t.mu is held.
+func (t *Transport) closeAnEmptyOutbox() {
+	for address, box := range t.outboxes {
+		if box.queue.Len() == 0 {
+			box.queue.Close()
+			delete(t.outboxes, address)
+			return
+		}
+	}
+}
+
+// run sends what is queued until the queue is closed and empty. Messages that wait at the same
+// time share a call, and so a round trip. It owns the connection and closes it.
+func (o *outbox) run() {
+	defer o.disconnect()
+	for {
+		messages := o.queue.Take(maxBatchSize)
+		if messages == nil {
+			return
+		}
+		counters := &o.transport.Counters
+		if err := o.deliver(messages); err != nil {
+			counters.MessagesLost.Add(int64(len(messages)))
+			continue
+		}
+		counters.MessagesSent.Add(int64(len(messages)))
+		counters.Calls.Add(1)
+	}
+}
+
+// deliver sends messages in one call. After an error the connection is closed and the messages
+// are lost: they are not sent again, for they may have arrived.
+func (o *outbox) deliver(messages []Envelope) error {
+	if o.client == nil {
+		client, err := o.transport.dial(o.to)
+		if err != nil {
+			return err
+		}
+		o.client = client
+	}
+	err := callWithTimeout(o.client, DeliverMethod, MessageBatch{Messages: messages}, &DeliverReply{}, deliverTimeout)
+	if err != nil {
+		o.disconnect()
+	}
+	return err
+}
+
+func (o *outbox) disconnect() {
+	if o.client != nil {
+		o.client.Close()
+		o.client = nil
+	}
+}
