--- a/internal/cleanup/cleanup.go
+++ b/internal/cleanup/cleanup.go
@@ -1,34 +1,47 @@
-// Package cleanup keeps a stack of clean-ups that run in reverse (DESIGN §2).
+// Package cleanup has the stack of clean-up functions that a daemon's parts push as they start,
+// and that run in reverse when it ends (docs/DESIGN.md, section 2).
 package cleanup
 
 import "sync"
 
-// Stack holds clean-ups; the zero value is ready.
+// Stack is a stack of clean-up functions; the zero value is ready. Its methods may be called from
+// any goroutine.
 type Stack struct {
-	mu        sync.Mutex
+	mu        sync.Mutex // guards what follows; it is not held while a function runs
 	functions []func()
 	done      bool
 }
 
-// Push adds a clean-up. On a stack that has run, it runs at once.
+// Push adds a function. On a stack that has run, it is called at once: what started late is
+// cleaned up all the same.
 func (s *Stack) Push(function func()) {
+	if !s.add(function) {
+		function()
+	}
+}
+
+func (s *Stack) add(function func()) bool {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	if !s.done {
 		s.functions = append(s.functions, function)
-		s.mu.Unlock()
-		return
 	}
-	s.mu.Unlock()
-	function()
+	return !s.done
 }
 
-// Run runs every clean-up, last first, once.
+// Run calls every function once, the last one first. A second Run does nothing.
 func (s *Stack) Run() {
-	s.mu.Lock()
-	functions := s.functions
-	s.functions, s.done = nil, true
-	s.mu.Unlock()
+	functions := s.take()
 	for i := len(functions) - 1; i >= 0; i-- {
 		functions[i]()
 	}
 }
+
+func (s *Stack) take() []func() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	functions := s.functions
+	s.functions = nil
+	s.done = true
+	return functions
+}
--- a/internal/cleanup/every.go
+++ b/internal/cleanup/every.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Every starts a thread that does something again and again until the stack
-// runs.
+// Every starts a goroutine that calls action at every interval until the stack runs. The stack
+// does not wait for a call that is under way.
 func Every(cleanups *Stack, interval time.Duration, action func()) {
 	done := make(chan struct{})
 	cleanups.Push(func() { close(done) })
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock tells the time in whole microseconds (DESIGN §2).
+// Package clock tells the time in whole microseconds (docs/DESIGN.md, section 2). State machines
+// are given the time with each input and read no Clock.
 package clock
 
 import (
@@ -7,20 +8,20 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Micros is a point in time or a span, in whole microseconds.
+// Micros is a point in time, since 1970, or a duration, in whole microseconds.
 type Micros = int64
 
-// Spans in whole microseconds.
+// Durations in whole microseconds.
 const (
 	Millisecond Micros = 1000
 	Second      Micros = 1000 * Millisecond
 )
 
-// Clock reads a clock that only moves forward, so that a step of the wall
-// clock never shortens a lease.
+// Clock reads a clock that only moves forward, so that a step of the wall clock neither shortens
+// nor extends a lease. It may be read from any goroutine.
 type Clock struct {
 	source      clockwork.Clock
-	start       time.Time
+	start       time.Time // with a monotonic reading
 	startMicros Micros
 }
 
@@ -30,14 +31,13 @@
 	return &Clock{source: source, start: start, startMicros: start.UnixMicro()}
 }
 
-// Now is the time in microseconds: wall time at the start plus what has
-// passed since by the steady clock.
-func (s *Clock) Now() Micros {
-	return s.startMicros + s.source.Since(s.start).Microseconds()
+// Now is the wall time of the start plus what has passed since by the monotonic clock.
+func (c *Clock) Now() Micros {
+	return c.startMicros + c.source.Since(c.start).Microseconds()
 }
 
-// Source is the clock underneath.
-func (s *Clock) Source() clockwork.Clock { return s.source }
+// Source is the clock that this one reads.
+func (c *Clock) Source() clockwork.Clock { return c.source }
 
-// Duration turns microseconds into the standard library's duration.
+// Duration converts microseconds to the standard library's duration.
 func Duration(m Micros) time.Duration { return time.Duration(m) * time.Microsecond }
--- a/internal/errs/errs.go
+++ b/internal/errs/errs.go
@@ -1,5 +1,6 @@
-// Package errs has the typed kinds of error; every message names the remedy
-// (DESIGN §10).
+// Package errs has the typed error of the whole project. Its kind is stable for callers and logs,
+// its message says what happened, and its remedy what to do (docs/DESIGN.md, section 10.1). The
+// error travels unchanged between daemons and, as JSON, to callers and operators.
 package errs
 
 import (
@@ -9,59 +10,91 @@
 	"github.com/pkg/errors"
 )
 
-// Kind is the type of an error, stable for callers and logs.
+// Kind is the type of an error.
 type Kind string
 
-// The kinds. OutcomeUnknown is the only one that may be said of an order that
-// may have run; each other kind promises that nothing ran and nothing will.
+// The kinds. Their spellings are in callers' and operators' JSON and in messages between daemons;
+// they never change. OutcomeUnknown is the only one for a request that may have run; each other
+// kind guarantees that nothing ran and nothing will.
 const (
-	BadInput             Kind = "bad_input"
-	TooLarge             Kind = "too_large"
-	Unauthorised         Kind = "unknown_customer"
-	UnknownRoute         Kind = "unknown_route"
-	NotFound             Kind = "not_found"
-	BadToken             Kind = "bad_token"
-	Conflict             Kind = "conflict"
-	StaleBase            Kind = "stale_base"
+	// BadInput: the request is malformed.
+	BadInput Kind = "bad_input"
+	// TooLarge: the request exceeds a limit in bytes.
+	TooLarge Kind = "too_large"
+	// Unauthorised: the credentials are those of no tenant.
+	Unauthorised Kind = "unknown_customer"
+	// UnknownRoute: the configuration has no such route.
+	UnknownRoute Kind = "unknown_route"
+	// NotFound: there is no such path or object.
+	NotFound Kind = "not_found"
+	// BadToken: a reader's token is damaged, or of another fleet or list.
+	BadToken Kind = "bad_token"
+	// Conflict: the idempotency key was used for another request.
+	Conflict Kind = "conflict"
+	// StaleBase: a change builds on a version that is no longer the latest.
+	StaleBase Kind = "stale_base"
+	// InvalidConfiguration: a configuration has faults, which Error.Faults lists.
 	InvalidConfiguration Kind = "bad_plan"
-	BadSettings          Kind = "bad_settings"
-	OverQuota            Kind = "over_allowance"
-	Busy                 Kind = "busy"
-	NotReady             Kind = "not_ready"
-	DeadlineExceeded     Kind = "expired"
-	OutcomeUnknown       Kind = "outcome_unknown"
-	ServerFault          Kind = "server_fault"
-	WrongFolder          Kind = "wrong_folder"
-	Corrupt              Kind = "corrupt"
-	Rejected             Kind = "turned_away"
+	// BadSettings: a daemon's settings have faults, which Error.Faults lists.
+	BadSettings Kind = "bad_settings"
+	// OverQuota: the tenant's quota is used up.
+	OverQuota Kind = "over_allowance"
+	// Busy: a queue or a bound is full.
+	Busy Kind = "busy"
+	// NotReady: this daemon, or the one that it needs, can't serve the request now.
+	NotReady Kind = "not_ready"
+	// DeadlineExceeded: the request's deadline passed before it was started.
+	DeadlineExceeded Kind = "expired"
+	// OutcomeUnknown: whether the request ran is not known.
+	OutcomeUnknown Kind = "outcome_unknown"
+	// ServerFault: a model server answered in a way that its protocol does not allow.
+	ServerFault Kind = "server_fault"
+	// WrongFolder: a data folder was written by another release or belongs to another daemon.
+	WrongFolder Kind = "wrong_folder"
+	// Corrupt: data on disk is damaged.
+	Corrupt Kind = "corrupt"
+	// Rejected: the request is well-formed, and the state of the fleet forbids it.
+	Rejected Kind = "turned_away"
 )
 
+// statuses are the HTTP statuses of the kinds that reach callers or operators.
 var statuses = map[Kind]int{
-	BadInput: http.StatusBadRequest, TooLarge: http.StatusRequestEntityTooLarge,
-	Unauthorised: http.StatusUnauthorized, UnknownRoute: http.StatusNotFound,
-	NotFound: http.StatusNotFound, BadToken: http.StatusBadRequest,
-	Conflict: http.StatusConflict, StaleBase: http.StatusConflict,
-	InvalidConfiguration: http.StatusUnprocessableEntity, OverQuota: http.StatusTooManyRequests,
-	Busy: http.StatusTooManyRequests, NotReady: http.StatusServiceUnavailable,
-	DeadlineExceeded: http.StatusRequestTimeout, OutcomeUnknown: http.StatusGatewayTimeout,
-	ServerFault: http.StatusBadGateway, Rejected: http.StatusConflict,
+	BadInput:             http.StatusBadRequest,
+	TooLarge:             http.StatusRequestEntityTooLarge,
+	Unauthorised:         http.StatusUnauthorized,
+	UnknownRoute:         http.StatusNotFound,
+	NotFound:             http.StatusNotFound,
+	BadToken:             http.StatusBadRequest,
+	Conflict:             http.StatusConflict,
+	StaleBase:            http.StatusConflict,
+	InvalidConfiguration: http.StatusUnprocessableEntity,
+	OverQuota:            http.StatusTooManyRequests,
+	Busy:                 http.StatusTooManyRequests,
+	NotReady:             http.StatusServiceUnavailable,
+	DeadlineExceeded:     http.StatusRequestTimeout,
+	OutcomeUnknown:       http.StatusGatewayTimeout,
+	ServerFault:          http.StatusBadGateway,
+	Rejected:             http.StatusConflict,
 }
 
-// Error is an error with its kind, what happened and the remedy.
+// Error is an error with its kind, what happened and the remedy. Its JSON is given to callers and
+// operators; the keys never change.
 type Error struct {
-	Kind         Kind     `json:"kind"`
-	Message      string   `json:"message"`
-	Remedy       string   `json:"remedy"`
-	Faults       []string `json:"faults,omitempty"`
-	RetryAfterUS int64    `json:"retry_after_us,omitempty"`
+	Kind    Kind   `json:"kind"`
+	Message string `json:"message"`
+	Remedy  string `json:"remedy"`
+	// Faults are the single faults of a document or of settings.
+	Faults []string `json:"faults,omitempty"`
+	// RetryAfterUS is when to try again, in microseconds from now; 0 where it does not help.
+	RetryAfterUS int64 `json:"retry_after_us,omitempty"`
 }
 
-// Error names what happened and the remedy.
+// Error names the kind, what happened and the remedy.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s: %s; remedy: %s", e.Kind, e.Message, e.Remedy)
 }
 
-// Status is the HTTP status of the kind.
+// Status is the HTTP status of the kind; 500 for a kind that is never given to callers.
 func (e *Error) Status() int {
 	if status, ok := statuses[e.Kind]; ok {
 		return status
@@ -69,25 +102,39 @@
 	return http.StatusInternalServerError
 }
 
-// New makes a typed error with a stack.
+// New makes an *Error with a stack. The format is that of the message.
 func New(kind Kind, remedy, format string, args ...any) error {
-	return errors.WithStack(&Error{Kind: kind, Message: fmt.Sprintf(format, args...), Remedy: remedy})
+	return NewWithRetry(kind, 0, remedy, format, args...)
 }
 
-// NewWithRetry makes a typed error that tells the caller when to retry.
+// NewWithRetry makes an *Error with a stack that says when to try again, in microseconds from
+// now.
 func NewWithRetry(kind Kind, retryAfterUS int64, remedy, format string, args ...any) error {
-	return errors.WithStack(&Error{Kind: kind, Message: fmt.Sprintf(format, args...), Remedy: remedy, RetryAfterUS: retryAfterUS})
+	return errors.WithStack(&Error{
+		Kind:         kind,
+		Message:      fmt.Sprintf(format, args...),
+		Remedy:       remedy,
+		RetryAfterUS: retryAfterUS,
+	})
 }
 
-// Of finds the typed error inside an error; an error without one is a server fault
-// whose outcome is unknown.
+// untypedRetryAfterUS is when to try again after an error without a kind.
+const untypedRetryAfterUS = 1_000_000
+
+// Of finds the *Error in an error's chain. An error without one becomes an OutcomeUnknown: it may
+// have occurred at any step of the request.
 func Of(err error) *Error {
 	var typed *Error
 	if errors.As(err, &typed) {
 		return typed
 	}
-	return &Error{Kind: OutcomeUnknown, Message: err.Error(), Remedy: "ask again with the same idempotency key", RetryAfterUS: 1_000_000}
+	return &Error{
+		Kind:         OutcomeUnknown,
+		Message:      err.Error(),
+		Remedy:       "ask again with the same idempotency key",
+		RetryAfterUS: untypedRetryAfterUS,
+	}
 }
 
-// Is tells whether an error is of a kind.
+// Is reports whether an error is of a kind, as Of gives it.
 func Is(err error, kind Kind) bool { return err != nil && Of(err).Kind == kind }
--- /dev/null
+++ b/internal/httpserver/raw_server_test.go
@@ -0,0 +1,120 @@
+package httpserver
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// testServer is a RawServer whose limits in force a test changes.
+type testServer struct {
+	*RawServer
+	t      *testing.T
+	limits atomic.Pointer[Limits]
+}
+
+func newTestServer(t *testing.T, fixed, inForce Limits, handler http.HandlerFunc) *testServer {
+	t.Helper()
+	f := &testServer{t: t}
+	f.limits.Store(&inForce)
+	f.RawServer = &RawServer{Address: "127.0.0.1:0", Limits: fixed, CurrentLimits: func() Limits { return *f.limits.Load() },
+		Handler: handler}
+	if err := f.Start(func(err error) { t.Error(err) }); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { f.Close(time.Second) })
+	return f
+}
+
+func answerOK(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "ok") }
+
+// testClient is one connection to a server.
+type testClient struct {
+	server *testServer
+	conn   net.Conn
+	reader *bufio.Reader
+}
+
+func (f *testServer) dial() *testClient {
+	f.t.Helper()
+	conn, err := net.Dial("tcp", f.listener.Addr().String())
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(20 * time.Second))
+	return &testClient{f, conn, bufio.NewReader(conn)}
+}
+
+// get sends a request with a header of about so many bytes more, and gives the
+// status; 0 when the connection is closed.
+func (c *testClient) get(extraHeaderBytes int) int {
+	c.server.t.Helper()
+	fmt.Fprintf(c.conn, "GET / HTTP/1.1\r\nHost: h\r\nX-Fill: %s\r\n\r\n", strings.Repeat("x", extraHeaderBytes))
+	response, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		return 0
+	}
+	io.Copy(io.Discard, response.Body)
+	return response.StatusCode
+}
+
+// waitForIdle waits until the server takes so many connections for idle, and gives the time.
+func (f *testServer) waitForIdle(count int) time.Time {
+	f.t.Helper()
+	deadline := time.Now().Add(20 * time.Second)
+	for {
+		f.idle.mu.Lock()
+		now := len(f.idle.conns)
+		f.idle.mu.Unlock()
+		if now == count {
+			return time.Now()
+		}
+		if time.Now().After(deadline) {
+			f.t.Fatalf("%d connections are idle, not %d", now, count)
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// A server that closes waits for the open requests, until its timeout: their responses are
+// complete. Idle connections are closed at once, and new ones are not accepted.
+func TestClosingWaitsForOpenRequests(t *testing.T) {
+	reached, release := make(chan struct{}), make(chan struct{})
+	f := newTestServer(t, Limits{HeaderBytes: 1000, HeaderTimeout: time.Second, IdleTimeout: time.Minute}, Limits{}, func(w http.ResponseWriter, r *http.Request) {
+		if r.Method == http.MethodPost {
+			close(reached)
+			<-release
+		}
+		io.WriteString(w, "complete")
+	})
+	idle, busy := f.dial(), f.dial()
+	idle.get(0)
+	f.waitForIdle(2)
+	io.WriteString(busy.conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
+	<-reached
+	closed := make(chan struct{})
+	go func() { defer close(closed); f.Close(20 * time.Second) }()
+	if _, err := idle.reader.ReadByte(); err != io.EOF {
+		t.Errorf("an idle connection ended with %v", err)
+	}
+	if conn, err := net.Dial("tcp", f.listener.Addr().String()); err == nil {
+		conn.Close()
+		t.Error("a new connection was accepted")
+	}
+	close(release)
+	response, err := http.ReadResponse(busy.reader, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if body, err := io.ReadAll(response.Body); err != nil || string(body) != "complete" {
+		t.Errorf("the response to the open request is %q, %v", body, err)
+	}
+	<-closed
+}
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,16 +1,13 @@
-// Package httpserver is the HTTP server of every daemon, built on go-zero's rest
-// (DESIGN §2, §10). Of go-zero's own chain only the recovery stays on: its
-// shedding, breaker, timeout and size limits turn away or cut on their own, and
-// an order's outcome must never be hidden by its front door.
+// Package httpserver has the HTTP servers of every daemon (docs/DESIGN.md, sections 2 and 10).
+// Server is built on go-zero's rest, for operators and callers of batches; RawServer is net/http's
+// own, for requests that are forwarded unchanged. Of go-zero's own chain only the recovery is on:
+// its load shedding, breaker, timeout and size limits reject or cut requests on their own, and a
+// request's outcome must not be hidden by the server in front of it.
 package httpserver
 
 import (
-	"encoding/json"
-	"io"
-	"math"
 	"net/http"
 	"net/netip"
-	"strconv"
 
 	"github.com/pkg/errors"
 	"github.com/zeromicro/go-zero/rest"
@@ -20,108 +17,74 @@
 	"tuliprudder/internal/errs"
 )
 
-// Handler answers one request; an error is written as a typed JSON error.
+// Handler answers one request. An error is written as a typed JSON error (WriteError).
 type Handler func(w http.ResponseWriter, r *http.Request) error
 
-// Server gathers routes, then serves them.
+// Server has routes and serves them. Routes are added before Start, by one goroutine.
 type Server struct {
-	address      string
-	routes       []rest.Route
+	address string
+	routes  []rest.Route
+	// openRequests has a token for each open request; its capacity is the bound.
 	openRequests chan struct{}
 	maxBodyBytes int64
 }
 
-// New makes a HTTP server with bounds on open requests and body size.
+// New makes a server with bounds on the number of open requests and on the bytes of a body.
 func New(address string, maxOpenRequests int, maxBodyBytes int64) *Server {
-	return &Server{address: address, openRequests: make(chan struct{}, maxOpenRequests), maxBodyBytes: maxBodyBytes}
+	return &Server{
+		address:      address,
+		openRequests: make(chan struct{}, maxOpenRequests),
+		maxBodyBytes: maxBodyBytes,
+	}
+}
+
+// Handle adds a route. Paths use go-zero's :name for variable parts.
+func (s *Server) Handle(method, path string, handler Handler) {
+	s.routes = append(s.routes, rest.Route{Method: method, Path: path, Handler: s.bounded(handler)})
 }
 
-// Handle adds a route; paths use go-zero's :name for parts.
-func (p *Server) Handle(method, path string, handle Handler) {
-	p.routes = append(p.routes, rest.Route{Method: method, Path: path, Handler: func(w http.ResponseWriter, r *http.Request) {
+// bounded applies the bounds on open requests and bodies.
+func (s *Server) bounded(handler Handler) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case p.openRequests <- struct{}{}:
-			defer func() { <-p.openRequests }()
+		case s.openRequests <- struct{}{}:
+			defer func() { <-s.openRequests }()
 		default:
 			WriteError(w, errs.NewWithRetry(errs.Busy, clock.Second, "come back after the time given", "this daemon has as many open requests as it may"))
 			return
 		}
-		r.Body = http.MaxBytesReader(w, r.Body, p.maxBodyBytes)
-		if err := handle(w, r); err != nil {
+		r.Body = http.MaxBytesReader(w, r.Body, s.maxBodyBytes)
+		if err := handler(w, r); err != nil {
 			WriteError(w, err)
 		}
-	}})
+	}
 }
 
-// OpenRequests is how many requests are open.
-func (p *Server) OpenRequests() int { return len(p.openRequests) }
+// OpenRequests is the number of open requests.
+func (s *Server) OpenRequests() int { return len(s.openRequests) }
 
-// Start serves until the clean-ups run.
-func (p *Server) Start(cleanups *cleanup.Stack) error {
-	address, err := netip.ParseAddrPort(p.address)
+// Start serves in a goroutine that ends when the clean-ups run.
+func (s *Server) Start(cleanups *cleanup.Stack) error {
+	address, err := netip.ParseAddrPort(s.address)
 	if err != nil {
-		return errors.Wrap(err, "the http address")
+		return errors.Wrap(err, "parsing the HTTP address")
 	}
 	var conf rest.RestConf
-	conf.Host, conf.Port = address.Addr().String(), int(address.Port())
-	conf.Log.Mode, conf.Log.Encoding = "console", "json"
+	conf.Host = address.Addr().String()
+	conf.Port = int(address.Port())
+	conf.Log.Mode = "console"
+	conf.Log.Encoding = "json"
 	conf.Middlewares.Recover = true
-	server, err := rest.NewServer(conf, rest.WithNotFoundHandler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		WriteError(w, errs.New(errs.NotFound, "see the caller and operator pages for the paths there are", "no such path: %s %s", r.Method, r.URL.Path))
-	})))
+	server, err := rest.NewServer(conf, rest.WithNotFoundHandler(http.HandlerFunc(handleUnknownPath)))
 	if err != nil {
-		return errors.Wrap(err, "setting up the http front")
+		return errors.Wrap(err, "making the HTTP server")
 	}
-	server.AddRoutes(p.routes)
+	server.AddRoutes(s.routes)
 	go server.Start()
 	cleanups.Push(server.Stop)
 	return nil
 }
 
-// WriteJSON answers with a body.
-func WriteJSON(w http.ResponseWriter, status int, body any) error {
-	data, err := json.Marshal(body)
-	if err != nil {
-		return errors.Wrap(err, "encoding the answer")
-	}
-	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(status)
-	w.Write(append(data, '\n'))
-	return nil
-}
-
-// WriteError answers with the typed error and, where the caller may come back,
-// Retry-After in whole seconds.
-func WriteError(w http.ResponseWriter, err error) {
-	m := errs.Of(err)
-	if m.RetryAfterUS > 0 {
-		w.Header().Set("Retry-After", strconv.FormatInt(int64(math.Ceil(float64(m.RetryAfterUS)/1e6)), 10))
-	}
-	WriteJSON(w, m.Status(), map[string]any{"error": m})
-}
-
-// ReadBody reads a body whole; one over the bound is turned away typed.
-func ReadBody(r *http.Request) ([]byte, error) {
-	data, err := io.ReadAll(r.Body)
-	if err != nil {
-		var tooLarge *http.MaxBytesError
-		if errors.As(err, &tooLarge) {
-			return nil, errs.New(errs.TooLarge, "send a smaller body, or several bundles", "the body is over %d bytes", tooLarge.Limit)
-		}
-		return nil, errs.New(errs.BadInput, "send the whole body", "the body broke off: %v", err)
-	}
-	return data, nil
-}
-
-// Decode reads a JSON body strictly: unknown fields are faults.
-func Decode(data []byte, into any) error {
-	decoder := json.NewDecoder(bytesReader(data))
-	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
-		return errs.New(errs.BadInput, "send JSON of the form on the caller page", "the body is not as expected: %v", err)
-	}
-	if decoder.More() {
-		return errs.New(errs.BadInput, "send one JSON value", "something follows the body's JSON")
-	}
-	return nil
+func handleUnknownPath(w http.ResponseWriter, r *http.Request) {
+	WriteError(w, errs.New(errs.NotFound, "see the caller and operator pages for the paths there are", "no such path: %s %s", r.Method, r.URL.Path))
 }
--- a/internal/logging/event.go
+++ b/internal/logging/event.go
@@ -12,8 +12,8 @@
 // eventKey is the key under which a line has the name of its event.
 const eventKey = "event"
 
-// Write writes one line for an event: its name, and its fields under the names of their
-// json tags. A field that is tagged omitempty is left out where it is zero.
+// Write writes one line for an event: its name, and its fields under the names of their json
+// tags. A field that is tagged omitempty is omitted where it is zero.
 func Write(log zerolog.Logger, event machine.Event) {
 	line := log.Info()
 	if event.Severity() == machine.SeverityWarning {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,5 @@
-// Package logging writes the JSON-line log (DESIGN §10).
+// Package logging writes a daemon's log: one JSON object a line (docs/DESIGN.md, section 10.3).
+// What a daemon decides is logged once, as a typed event (Write).
 package logging
 
 import (
@@ -9,8 +10,8 @@
 	"github.com/zeromicro/go-zero/core/logx"
 )
 
-// New makes the log of a daemon and keeps go-zero's own log quiet: what the
-// daemons decide is logged once, here.
+// New makes the log of a daemon, to standard error where out is nil. It also silences the log of
+// go-zero, which would log requests a second time. The logger may be used from any goroutine.
 func New(out io.Writer, program, id string) zerolog.Logger {
 	logx.Disable()
 	logx.DisableStat()
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,34 +1,34 @@
-// Package ring holds the bounded rings that join threads (DESIGN §2).
+// Package ring has the bounded queues between goroutines (docs/DESIGN.md, section 2).
 package ring
 
 import "sync"
 
-// Ring is a bounded queue between threads. A full ring never blocks the one
-// who puts: it says no and counts it.
+// Ring is a bounded queue between goroutines. Put never blocks: a protocol goroutine must not
+// wait for a slower one, and what finds the ring full is dropped and counted. Its methods may be
+// called from any goroutine.
 type Ring[T any] struct {
-	mu          sync.Mutex
-	notEmpty    *sync.Cond
-	buffer      []T // grows up to most
+	mu       sync.Mutex // guards the other fields
+	notEmpty *sync.Cond // on mu; signalled by Put and Close
+	// buffer has the values from head on, around its end. It grows up to capacity.
+	buffer      []T
 	capacity    int
 	head, count int
 	closed      bool
 	dropped     int64
 }
 
-// initialCapacity is the size a ring begins with: most never hold more.
+// initialCapacity is the size that a ring begins with: few ever hold more.
 const initialCapacity = 64
 
-// New makes a ring of the given size.
-func New[T any](size int) *Ring[T] {
-	if size < 1 {
-		size = 1
-	}
-	r := &Ring[T]{buffer: make([]T, min(size, initialCapacity)), capacity: size}
+// New makes a ring for up to capacity values, at least one.
+func New[T any](capacity int) *Ring[T] {
+	capacity = max(capacity, 1)
+	r := &Ring[T]{buffer: make([]T, min(capacity, initialCapacity)), capacity: capacity}
 	r.notEmpty = sync.NewCond(&r.mu)
 	return r
 }
 
-// Put adds one; false when the ring is full or closed.
+// Put adds a value; false when the ring is full or closed.
 func (r *Ring[T]) Put(value T) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -37,11 +37,7 @@
 		return false
 	}
 	if r.count == len(r.buffer) {
-		grown := make([]T, min(2*r.count, r.capacity))
-		for i := range r.count {
-			grown[i] = r.buffer[(r.head+i)%r.count]
-		}
-		r.buffer, r.head = grown, 0
+		r.grow()
 	}
 	r.buffer[(r.head+r.count)%len(r.buffer)] = value
 	r.count++
@@ -49,7 +45,18 @@
 	return true
 }
 
-// Take waits for at least one and returns up to most; nil once closed and empty.
+// grow doubles the buffer, up to the capacity. r.mu is held and the buffer is full.
+func (r *Ring[T]) grow() {
+	grown := make([]T, min(2*r.count, r.capacity))
+	for i := range r.count {
+		grown[i] = r.buffer[(r.head+i)%r.count]
+	}
+	r.buffer = grown
+	r.head = 0
+}
+
+// Take waits for at least one value and removes up to limit, in the order of Put. It returns nil
+// once the ring is closed and empty.
 func (r *Ring[T]) Take(limit int) []T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,31 +66,42 @@
 	if r.count == 0 {
 		return nil
 	}
-	count := min(r.count, limit)
-	out := make([]T, count)
+	out := make([]T, min(r.count, limit))
 	var zero T
 	for i := range out {
 		out[i] = r.buffer[r.head]
-		r.buffer[r.head] = zero
+		r.buffer[r.head] = zero // lets the garbage collector have what it refers to
 		r.head = (r.head + 1) % len(r.buffer)
 	}
-	r.count -= count
+	r.count -= len(out)
 	return out
 }
 
-// Close lets takers finish what is left; puts are turned away from now on.
+// Close rejects all further puts; what is in the ring can still be taken.
 func (r *Ring[T]) Close() {
 	r.mu.Lock()
+	defer r.mu.Unlock()
 	r.closed = true
 	r.notEmpty.Broadcast()
-	r.mu.Unlock()
 }
 
-// Len is how many wait; Dropped is how many were turned away.
-func (r *Ring[T]) Len() int { r.mu.Lock(); defer r.mu.Unlock(); return r.count }
+// Len is the number of values in the ring.
+func (r *Ring[T]) Len() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.count
+}
 
-// Dropped counts the puts that found the ring full or closed.
-func (r *Ring[T]) Dropped() int64 { r.mu.Lock(); defer r.mu.Unlock(); return r.dropped }
+// Dropped is the number of puts that found the ring full or closed.
+func (r *Ring[T]) Dropped() int64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.dropped
+}
 
-// Closed tells whether the ring takes no more puts.
-func (r *Ring[T]) Closed() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.closed }
+// Closed reports whether the ring rejects all further puts.
+func (r *Ring[T]) Closed() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.closed
+}
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -1,24 +1,28 @@
-// Package services is the service registry: services are registered by name, find
-// each other by name, start in order and end in reverse (DESIGN §2).
+// Package services is the registry of a daemon's services: they are registered by name, find each
+// other by name, start in the order of registration and end in reverse (docs/DESIGN.md, section
+// 2).
 package services
 
 import (
+	"fmt"
+	"reflect"
 	"sync"
 
 	"tuliprudder/internal/cleanup"
 	"tuliprudder/internal/errs"
 )
 
-// Service is a part of a daemon. Start must not block; what it started is
-// ended by the clean-ups it pushes.
+// Service is a part of a daemon. Start must not block; what it starts is ended by the clean-up
+// functions that it pushes. After an error of Start those that it pushed run too.
 type Service interface {
 	Start(registry *Registry, cleanups *cleanup.Stack) error
 }
 
-// Registry holds a daemon's services.
+// Registry has a daemon's services. Services are registered before Start, by one goroutine; Find
+// may be called from any.
 type Registry struct {
-	mu       sync.Mutex
-	names    []string
+	mu       sync.Mutex // guards names and byName
+	names    []string   // in the order of registration
 	byName   map[string]Service
 	cleanups cleanup.Stack
 }
@@ -26,30 +30,30 @@
 // New makes an empty registry.
 func New() *Registry { return &Registry{byName: map[string]Service{}} }
 
-// Register adds a service under a name that is not yet taken.
+// Register adds a service. It panics where the name is taken: that is a mistake in the program.
 func (r *Registry) Register(name string, service Service) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, taken := r.byName[name]; taken {
-		panic("almhut: service registered twice: " + name)
+		panic(fmt.Sprintf("services: %q registered twice", name))
 	}
 	r.names = append(r.names, name)
 	r.byName[name] = service
 }
 
-// Find looks up a service of the wanted type by name.
+// Find finds the service of a name and type. The error is an errs.BadSettings.
 func Find[T any](r *Registry, name string) (T, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	service, ok := r.byName[name].(T)
 	if !ok {
 		var none T
-		return none, errs.New(errs.BadSettings, "register it before the services that need it", "no service %q of the wanted type", name)
+		return none, errs.New(errs.BadSettings, "register it before the services that need it", "no service %q of type %v", name, reflect.TypeFor[T]())
 	}
 	return service, nil
 }
 
-// Start starts all in the order of registration; on a fault it ends what ran.
+// Start starts all services. After an error it ends those that were started.
 func (r *Registry) Start() error {
 	for _, name := range r.names {
 		if err := r.byName[name].Start(r, &r.cleanups); err != nil {
@@ -60,5 +64,5 @@
 	return nil
 }
 
-// Stop ends all in reverse.
+// Stop ends all services.
 func (r *Registry) Stop() { r.cleanups.Run() }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads a daemon's settings: flags first, then the settings
-// file; each fault is named, none is guessed away (DESIGN §10).
+// Package settings reads a program's settings: flags first, then the settings file that a flag
+// names (docs/DESIGN.md, section 10.2). Every fault is reported at once with its remedy; none is
+// replaced by a guess. A Reader is used by one goroutine, once.
 package settings
 
 import (
@@ -15,23 +16,13 @@
 	"tuliprudder/internal/errs"
 )
 
-// Common are the settings every daemon has.
-type Common struct {
-	Name       string // the operators' name of the machine; "" for none
-	Zone       string
-	Peer       string
-	PeerListen string
-	HTTP       string
-	Seeds      []string
-	DataDir    string
-	LogFile    string
-	seedList   string
-}
+// exitCodeBadSettings is the exit code of a program whose settings have faults.
+const exitCodeBadSettings = 2
 
-// Reader reads settings and gathers faults.
+// Reader reads settings and gathers their faults.
 type Reader struct {
 	Flags *flag.FlagSet
-	// Warnings is where a former name of a setting is reported.
+	// Warnings is where the use of a setting's former name is reported; standard error by default.
 	Warnings io.Writer
 	faults   []string
 	checks   []func()
@@ -45,22 +36,22 @@
 	return &Reader{Flags: flags, Warnings: os.Stderr}
 }
 
-// Faultf notes a fault in the settings.
+// Faultf reports a fault in the settings. The text names the setting and the remedy.
 func (r *Reader) Faultf(format string, args ...any) {
 	r.faults = append(r.faults, fmt.Sprintf(format, args...))
 }
 
-// AddCheck adds a check that runs once everything is read.
+// AddCheck adds a check that runs once all settings are read, and reports faults by Faultf.
 func (r *Reader) AddCheck(check func()) { r.checks = append(r.checks, check) }
 
-// CheckAddress checks that a setting is an IP number with a port.
+// CheckAddress reports a setting that is no IP address with a port.
 func (r *Reader) CheckAddress(name, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		r.Faultf("-%s %q: not an IP number with a port; write for example 127.0.0.1:7100", name, value)
 	}
 }
 
-// Int adds a whole number with its bounds.
+// Int adds a whole number with its default value and its bounds.
 func (r *Reader) Int(target *int64, name string, value, lowest, highest int64, usage string) {
 	r.Flags.Int64Var(target, name, value, usage)
 	r.AddCheck(func() {
@@ -70,64 +61,8 @@
 	})
 }
 
-// deprecatedValue is the value of a setting under its former name: it sets the setting
-// under its current name and warns.
-type deprecatedValue struct {
-	reader              *Reader
-	deprecated, current string
-}
-
-// String is empty: the value is kept under the current name.
-func (deprecatedValue) String() string { return "" }
-
-// Set sets the setting under its current name.
-func (v deprecatedValue) Set(value string) error {
-	fmt.Fprintf(v.reader.Warnings, "%s: -%s is now -%s; the old name is read for one release\n", v.reader.Flags.Name(), v.deprecated, v.current)
-	return v.reader.Flags.Set(v.current, value)
-}
-
-// Deprecated reads a setting's former name for one release, with a warning.
-func (r *Reader) Deprecated(deprecated, current string) {
-	r.Flags.Var(deprecatedValue{r, deprecated, current}, deprecated, "former name of -"+current)
-}
-
-// Common adds the settings every daemon has; disk says whether it needs one.
-func (r *Reader) Common(c *Common, needsDisk bool) {
-	r.Flags.StringVar(&c.Name, "name", "", "the operators' name of this machine")
-	r.Flags.StringVar(&c.Zone, "zone", "", "the zone this daemon runs in")
-	r.Flags.StringVar(&c.Peer, "peer", "", "address for the fleet's own traffic, IP:port")
-	r.Flags.StringVar(&c.PeerListen, "peer-listen", "", "address to listen on where it differs from -peer")
-	r.Flags.StringVar(&c.HTTP, "http", "", "address for callers and operators, IP:port")
-	r.Flags.StringVar(&c.seedList, "seeds", "", "three addresses of other daemons, by comma")
-	r.Flags.StringVar(&c.DataDir, "data", "", "the data folder (daemons with a disk)")
-	r.Flags.StringVar(&c.LogFile, "log", "", "log file; standard error when empty")
-	r.AddCheck(func() {
-		if c.Zone == "" {
-			r.Faultf("-zone is missing; name the zone, for example -zone north")
-		}
-		r.CheckAddress("peer", c.Peer)
-		r.CheckAddress("http", c.HTTP)
-		if c.PeerListen == "" {
-			c.PeerListen = c.Peer
-		} else {
-			r.CheckAddress("peer-listen", c.PeerListen)
-		}
-		for _, seed := range strings.Split(c.seedList, ",") {
-			if seed = strings.TrimSpace(seed); seed != "" {
-				r.CheckAddress("seeds", seed)
-				c.Seeds = append(c.Seeds, seed)
-			}
-		}
-		if len(c.Seeds) != 3 {
-			r.Faultf("-seeds names %d addresses; give exactly three, by comma", len(c.Seeds))
-		}
-		if needsDisk && c.DataDir == "" {
-			r.Faultf("-data is missing; give a folder on a disk of this machine")
-		}
-	})
-}
-
-// Parse reads the arguments and the settings file and reports every fault.
+// Parse reads the arguments and the settings file. The error is an *errs.Error of the kind
+// errs.BadSettings that lists every fault.
 func (r *Reader) Parse(args []string) error {
 	err := ff.Parse(r.Flags, args, ff.WithConfigFileFlag("settings"), ff.WithConfigFileParser(ff.PlainParser))
 	if err != nil {
@@ -138,31 +73,51 @@
 		}
 	}
 	if unexpected := r.Flags.Args(); len(unexpected) > 0 {
-		r.Faultf("words that are no settings: %s; leave them out", strings.Join(unexpected, " "))
+		r.Faultf("arguments that are no settings: %s; remove them", strings.Join(unexpected, " "))
 	}
 	if len(r.faults) == 0 {
 		return nil
 	}
-	return &errs.Error{Kind: errs.BadSettings, Message: fmt.Sprintf("%d faults in the settings", len(r.faults)),
-		Remedy: "correct each named setting", Faults: r.faults}
+	return &errs.Error{
+		Kind:    errs.BadSettings,
+		Message: fmt.Sprintf("%d faults in the settings", len(r.faults)),
+		Remedy:  "correct each named setting",
+		Faults:  r.faults,
+	}
 }
 
-// MustParse parses or names every fault on standard error and exits with 2.
+// MustParse is Parse for a program: it prints the settings where help is asked for, and otherwise
+// ends the program with every fault on standard error.
 func (r *Reader) MustParse(args []string) {
-	for _, arg := range args {
-		if arg == "-help" || arg == "--help" || arg == "-h" {
-			r.Flags.SetOutput(os.Stdout)
-			fmt.Printf("%s: settings\n", r.Flags.Name())
-			r.Flags.PrintDefaults()
-			os.Exit(0)
-		}
+	if asksForHelp(args) {
+		r.printHelp(os.Stdout)
+		os.Exit(0)
 	}
 	if err := r.Parse(args); err != nil {
-		m := errs.Of(err)
-		fmt.Fprintf(os.Stderr, "%s: %s\n", r.Flags.Name(), m.Message)
-		for _, fault := range m.Faults {
-			fmt.Fprintf(os.Stderr, "  %s\n", fault)
+		r.printFaults(os.Stderr, errs.Of(err))
+		os.Exit(exitCodeBadSettings)
+	}
+}
+
+func asksForHelp(args []string) bool {
+	for _, arg := range args {
+		switch arg {
+		case "-help", "--help", "-h":
+			return true
 		}
-		os.Exit(2)
+	}
+	return false
+}
+
+func (r *Reader) printHelp(out io.Writer) {
+	fmt.Fprintf(out, "%s: settings\n", r.Flags.Name())
+	r.Flags.SetOutput(out)
+	r.Flags.PrintDefaults()
+}
+
+func (r *Reader) printFaults(out io.Writer, err *errs.Error) {
+	fmt.Fprintf(out, "%s: %s\n", r.Flags.Name(), err.Message)
+	for _, fault := range err.Faults {
+		fmt.Fprintf(out, "  %s\n", fault)
 	}
 }
