--- a/internal/machine/effects_disk.go
+++ b/internal/machine/effects_disk.go
@@ -21,8 +21,8 @@
 }
 
 // Compact replaces all records that were persisted so far by these, which have the same contents.
-// It has no answer: where the disk has no room the old records remain, and the machine is told
-// CompactAgain after a while.
+// It has no answer: where the disk has no room the old records remain, and the event loop asks the
+// machine for another Compact later (CompactAgain).
 type Compact struct{ Records []Record }
 
 // Archive writes finished records to a file of their own, from which they are read one by one.
@@ -37,7 +37,8 @@
 // that remains is found unused at the next start.
 type DeleteArchive struct{ Files []uint64 }
 
-// DiskState is the state of the daemon's disk, which the machine is told whenever it changes.
+// DiskState is the state of the daemon's disk; the event loop calls the machine's
+// DiskStateChanged with it whenever it changes.
 // While the disk is not writable, Persist effects are neither lost nor answered: they wait, in
 // order, until the disk takes them.
 type DiskState struct {
--- a/internal/replication/snapshot_receiver.go
+++ b/internal/replication/snapshot_receiver.go
@@ -45,15 +45,26 @@
 		// The primary's message arrived before the assignment that makes this member a replica.
 		gs.BecomeReplica(m.Unit, m.Epoch, from, now)
 	}
-	snapshot := &g.asReplica.snapshot
-	if snapshot.epoch != m.Epoch {
-		snapshot.begin(m.Epoch)
-		if m.StateEpoch > 0 && g.stateEpoch == m.StateEpoch && g.Seq == m.Seq {
+	if g.asReplica.snapshot.epoch != m.Epoch {
+		g.asReplica.snapshot.begin(m.Epoch)
+		if g.hasState(m.StateEpoch, m.Seq) {
 			gs.adoptState(g, from, m)
 			return
 		}
 	}
+	gs.receiveChunk(g, from, m)
+}
+
+// hasState reports whether this member's state is the one that was written up to seq under an
+// epoch.
+func (g *Group) hasState(stateEpoch, seq uint64) bool {
+	return stateEpoch > 0 && g.stateEpoch == stateEpoch && g.Seq == seq
+}
+
+// receiveChunk acknowledges a chunk, and installs the snapshot once it is complete.
+func (gs *Groups) receiveChunk(g *Group, from string, m SnapshotChunk) {
 	gs.effects.Emit(machine.Send{To: from, Body: SnapshotChunkAck{Unit: m.Unit, Epoch: m.Epoch, Index: m.Index}})
+	snapshot := &g.asReplica.snapshot
 	if snapshot.chunks == nil {
 		return // complete, and being written
 	}
--- a/internal/storage/folder_test.go
+++ b/internal/storage/folder_test.go
@@ -143,7 +143,8 @@
 	}
 }
 
-func checkRetryAfter(t *testing.T, cause error, operation string, compact bool) {
+// diskWithOneEntry is a disk with a folder that has one commit group.
+func diskWithOneEntry(t *testing.T) (*memoryDisk, *Folder) {
 	t.Helper()
 	disk := newMemoryDisk()
 	folder, _, err := OpenOn(disk, dataFolder)
@@ -153,6 +154,12 @@
 	if err := folder.Write(versionRecord("entry", 1)); err != nil {
 		t.Fatal(err)
 	}
+	return disk, folder
+}
+
+func checkRetryAfter(t *testing.T, cause error, operation string, compact bool) {
+	t.Helper()
+	disk, folder := diskWithOneEntry(t)
 	attempt, want := func() error { return folder.Write(versionRecord("entry", 2)) }, uint64(2)
 	if compact {
 		attempt, want = func() error { return folder.Compact(versionRecord("view", 1)) }, 1
@@ -199,16 +206,9 @@
 func TestDamageAndRefusalAreToldApart(t *testing.T) {
 	for operation, isDamage := range map[string]bool{"list": true, "read": true, "make folder": false, "sync folder": false} {
 		t.Run(operation, func(t *testing.T) {
-			disk := newMemoryDisk()
-			folder, _, err := OpenOn(disk, dataFolder)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if err := folder.Write(versionRecord("entry", 1)); err != nil {
-				t.Fatal(err)
-			}
+			disk, _ := diskWithOneEntry(t)
 			disk.failOperation(operation, syscall.EIO)
-			_, _, err = OpenOn(disk, dataFolder)
+			_, _, err := OpenOn(disk, dataFolder)
 			if errs.Is(err, errs.Corrupt) != isDamage || IsWriteError(err) == isDamage {
 				t.Fatalf("got %v", err)
 			}
--- a/test/ci/knownred_test.go
+++ b/test/ci/knownred_test.go
@@ -1,4 +1,4 @@
-// Package ci checks the scripts that the test command consists of.
+// Package ci checks the scripts that the test command consists of, and the order of the layers.
 package ci
 
 import (
--- a/test/layers/layers_test.go
+++ b/test/ci/layers_test.go
@@ -1,6 +1,7 @@
-// Package layers checks that the packages import each other in the order of the layers: what is
-// lower knows nothing of what is higher, so that it can be read, tested and changed alone.
-package layers
+package ci
+
+// The packages import each other in the order of the layers: what is lower knows nothing of what
+// is higher, so that it can be read, tested and changed alone.
 
 import (
 	"fmt"
