--- a/internal/gossip/settings.go
+++ b/internal/gossip/settings.go
@@ -11,7 +11,8 @@
 	// awaits its own. Default 300 ms.
 	ProbeTimeout clock.Micros
 	// SuspicionTimeout is the time from suspect to dead; the suspect may refute it until then. It
-	// is also how old this daemon's updates may be while it declares others dead. Default 2 s.
+	// is also how old this daemon's updates may be while it declares others dead, and how old its
+	// comparisons with voters may be to count for catching up after a start. Default 2 s.
 	SuspicionTimeout clock.Micros
 	// DigestInterval is the time between comparisons of digests with a peer. Default 300 ms.
 	DigestInterval clock.Micros
--- a/internal/replication/limits.go
+++ b/internal/replication/limits.go
@@ -10,8 +10,8 @@
 	// LeaseWait is how long a replica waits from its last grant, on its own clock, before it may
 	// serve as primary. The margin over LeaseDuration covers clocks that run at different rates.
 	LeaseWait = LeaseDuration + 200*clock.Millisecond
-	// LeaseRenewInterval is how often a serving primary requests its leases again: a lease
-	// survives the loss of up to three requests in a row.
+	// LeaseRenewInterval is how often a serving primary requests its leases again: it is a
+	// quarter of LeaseDuration, so that a lost request or two end no lease.
 	LeaseRenewInterval = 250 * clock.Millisecond
 	// ResendAfter is how long an entry or a report waits for its acknowledgement before it is
 	// sent again. Snapshot chunks, which are larger, wait twice as long.
--- a/internal/replication/planning.go
+++ b/internal/replication/planning.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// IncarnationFunc gives the incarnation that a daemon lives in now; false where the daemon can't
+// IncarnationFunc gives the current incarnation of a daemon; false where the daemon can't
 // be reached or may not be a member.
 type IncarnationFunc func(id string) (incarnation uint64, available bool)
 
--- a/internal/replication/planning_test.go
+++ b/internal/replication/planning_test.go
@@ -39,7 +39,7 @@
 var fourZones = map[string]string{"a": "1", "b": "2", "c": "3", "d": "4"}
 
 func TestNext(t *testing.T) {
-	pair := Assignment{Epoch: 5, Primary: Member{"a", 1}, Replicas: []Member{{"b", 1}}, Complete: true, Trusted: []string{"a", "b"}}
+	complete := Assignment{Epoch: 5, Primary: Member{"a", 1}, Replicas: []Member{{"b", 1}}, Complete: true, Trusted: []string{"a", "b"}}
 	incomplete := Assignment{Epoch: 6, Primary: Member{"a", 1}, Replicas: []Member{{"c", 1}}, Trusted: []string{"a", "b"}}
 	for _, test := range []struct {
 		name         string
@@ -52,49 +52,49 @@
 		reason       string
 	}{
 		{
-			name: "all members available", assignment: pair, copies: 2, minCopies: 2,
+			name: "all members available", assignment: complete, copies: 2, minCopies: 2,
 			incarnations: map[string]uint64{"a": 1, "b": 1, "c": 1},
 		},
 		{
-			name: "the replica is lost", assignment: pair, copies: 2, minCopies: 2,
+			name: "the replica is lost", assignment: complete, copies: 2, minCopies: 2,
 			incarnations: map[string]uint64{"a": 1, "c": 3},
 			want:         []Member{{"a", 1}, {"c", 3}}, trusted: []string{"a", "b"}, reason: reasonReplicaLost,
 		},
 		{
-			name: "the primary is lost", assignment: pair, copies: 2, minCopies: 2,
+			name: "the primary is lost", assignment: complete, copies: 2, minCopies: 2,
 			incarnations: map[string]uint64{"b": 1, "c": 3},
 			want:         []Member{{"b", 1}, {"c", 3}}, trusted: []string{"a", "b"}, reason: reasonPrimaryLost,
 		},
 		{
-			name: "the primary restarted", assignment: pair, copies: 2, minCopies: 2,
+			name: "the primary restarted", assignment: complete, copies: 2, minCopies: 2,
 			incarnations: map[string]uint64{"a": 2, "b": 1},
 			want:         []Member{{"b", 1}, {"a", 2}}, trusted: []string{"a", "b"}, reason: reasonPrimaryLost,
 		},
 		{
-			name: "all members restarted", assignment: pair, copies: 2, minCopies: 2,
+			name: "all members restarted", assignment: complete, copies: 2, minCopies: 2,
 			incarnations: map[string]uint64{"a": 2, "b": 2},
 			want:         []Member{{"a", 2}, {"b", 2}}, trusted: []string{"a", "b"}, reason: reasonGroupRecovered,
 		},
 		{
-			name: "all members are lost", assignment: pair, copies: 2, minCopies: 1,
+			name: "all members are lost", assignment: complete, copies: 2, minCopies: 1,
 			incarnations: map[string]uint64{"c": 1, "d": 1},
 		},
 		{
-			name: "no replacement and too few members", assignment: pair, copies: 2, minCopies: 2,
+			name: "no replacement and too few members", assignment: complete, copies: 2, minCopies: 2,
 			incarnations: map[string]uint64{"a": 1},
 		},
 		{
-			name: "no replacement, degraded allowed", assignment: pair, copies: 2, minCopies: 1,
+			name: "no replacement, degraded allowed", assignment: complete, copies: 2, minCopies: 1,
 			incarnations: map[string]uint64{"a": 1},
 			want:         []Member{{"a", 1}}, trusted: []string{"a", "b"}, reason: reasonReplicaLost,
 		},
 		{
-			name: "a replica is missing and available", assignment: pair, copies: 3, minCopies: 2,
+			name: "a replica is missing and available", assignment: complete, copies: 3, minCopies: 2,
 			incarnations: map[string]uint64{"a": 1, "b": 1, "c": 3},
 			want:         []Member{{"a", 1}, {"b", 1}, {"c", 3}}, trusted: []string{"a", "b"}, reason: reasonReplicaMissing,
 		},
 		{
-			name: "a replica is missing and none is available", assignment: pair, copies: 3, minCopies: 2,
+			name: "a replica is missing and none is available", assignment: complete, copies: 3, minCopies: 2,
 			incarnations: map[string]uint64{"a": 1, "b": 1},
 		},
 		{
--- a/internal/replication/snapshot_sender.go
+++ b/internal/replication/snapshot_sender.go
@@ -114,8 +114,7 @@
 }
 
 // sendSnapshot keeps a few chunks in flight to each replica and repeats those that were not
-// acknowledged. It begins after the former primary's lease has ended, so that no member of the new
-// group waits for two leases.
+// acknowledged. It begins once the former primary's lease has ended.
 func (gs *Groups) sendSnapshot(g *Group, now clock.Micros) {
 	if g.Role != SendingSnapshot || now < g.asPrimary.formerLeaseEnd {
 		return
