--- a/internal/storage/write_error.go
+++ b/internal/storage/write_error.go
@@ -25,7 +25,7 @@
 
 // Error names the step and what the operating system reported.
 func (e *WriteError) Error() string {
-	return fmt.Sprintf("the disk refused a write (step %q): %v", e.Step, e.Err)
+	return fmt.Sprintf("the disk refused a write (step: %s): %v", e.Step, e.Err)
 }
 
 // Unwrap gives what the operating system reported.
