--- a/internal/daemon/eventloop/calls.go
+++ b/internal/daemon/eventloop/calls.go
@@ -8,6 +8,7 @@
 
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/errs"
+	"tuliprudder/internal/gossip"
 	"tuliprudder/internal/machine"
 	"tuliprudder/internal/transport"
 )
@@ -26,7 +27,7 @@
 // Deliver takes a one-way message off the transport (transport.Receiver). A message that
 // finds a full ring is dropped and counted.
 func (l *Loop) Deliver(message transport.Envelope) {
-	if isGossipMessage(message.Body) {
+	if gossip.IsMessage(message.Body) {
 		l.enqueueGossipMessage(message)
 		return
 	}
--- a/internal/membership/stored_names.go
+++ b/internal/membership/stored_names.go
@@ -10,9 +10,13 @@
 	Core  = "cairn"
 )
 
-// KeyPrefix begins the update key of a daemon; KeyKind is that without the slash. These
-// spellings are gossiped; they never change.
+// KeyPrefix begins the update key of a daemon; KeyKind is that without the slash. These spellings
+// are gossiped; they never change.
 const (
 	KeyKind   = "daemon"
 	KeyPrefix = KeyKind + "/"
 )
+
+// statusNames are the spellings of the statuses in operators' JSON and in the log; they never
+// change.
+var statusNames = map[Status]string{Alive: "sound", Suspect: "suspect", Dead: "dead", Left: "left"}
--- a/test/capacitymodel/daemon.go
+++ b/test/capacitymodel/daemon.go
@@ -108,7 +108,7 @@
 	}
 	d.pendingCalls, d.requestConnections, d.loadVersions = map[uint64]func(machine.Reply){}, map[*daemon]*connection{}, map[string]loadVersion{}
 	d.configurationVersion, d.pollPhase = 0, f.randomBetween(0, 100*clock.Millisecond)
-	d.gossip = gossip.New(d.member(), f.seeds, gossip.Defaults(), f.rng.Int63())
+	d.gossip = gossip.New(d.member(), f.seeds, eventloop.GossipSettings(), f.rng.Int63())
 	switch {
 	case d.kind == membership.Core:
 		settings := controlplane.Defaults()
@@ -190,13 +190,11 @@
 }
 
 func (d *daemon) deliver(from string, body any) {
-	switch body.(type) {
-	case gossip.Gossip, gossip.Digest, gossip.DigestReply, gossip.FetchUpdates, gossip.Announcement, gossip.Probe, gossip.ProbeReply, gossip.IndirectProbe, gossip.IndirectResult, gossip.Shuffle, gossip.PushUpdate, gossip.PushAck:
+	switch {
+	case gossip.IsMessage(body):
 		d.applyEffects(d.gossip.Do(gossip.Message{From: from, Body: body}, d.fleet.Now))
-	default:
-		if d.machine != nil {
-			d.applyEffects(d.machine.Message(from, body, d.fleet.Now))
-		}
+	case d.machine != nil:
+		d.applyEffects(d.machine.Message(from, body, d.fleet.Now))
 	}
 }
 
--- a/test/simulator/injected_bugs_test.go
+++ b/test/simulator/injected_bugs_test.go
@@ -22,15 +22,15 @@
 	}{
 		"one disk taken for two": {func(n *Node) {
 			if n.Store != nil {
-				n.Store.Groups().SkipReplicas = true
+				n.Store.Groups().InjectedFaults.SkipReplicas = true
 			}
 		}, "store", 8, 8 * ms, 1, []Guarantee{batchKept}},
 		"old epochs not refused": {func(n *Node) {
 			if n.Store != nil {
-				n.Store.Groups().SkipEpochCheck = true
+				n.Store.Groups().InjectedFaults.SkipEpochCheck = true
 			}
 			if n.Core != nil {
-				n.Core.Groups().SkipEpochCheck = true
+				n.Core.Groups().InjectedFaults.SkipEpochCheck = true
 			}
 		}, "", 12, 8 * ms, 20, nil},
 		"positions announced early": {func(n *Node) {
@@ -58,7 +58,7 @@
 		"a cut answer is taken as whole":   {onEdge(func(n *Node) { n.edge.Requests.InjectedFaults.AcceptInterrupted = true }), "streams", 4, 2 * ms, 1, []Guarantee{answerIntact}},
 		"old news are taken for fresh":     {onScheduling(func(n *Node) { n.scheduling().Scheduler.InjectedFaults.IgnoreStaleness = true }), "leaves", 4, 2 * ms, 1, []Guarantee{drainingRespected}},
 		"what waits goes by the old plan":  {onScheduling(func(n *Node) { n.scheduling().Scheduler.InjectedFaults.KeepOldConfiguration = true }), "", 8, 2 * ms, 27, []Guarantee{configurationInForce}},
-		"neighbours alone make news fresh": {func(n *Node) { n.gossip.SkipVoterMajority = true }, "mark a server in each part", 4, 2 * ms, 1, []Guarantee{drainingRespected, configurationInForce}},
+		"neighbours alone make news fresh": {func(n *Node) { n.gossip.InjectedFaults.SkipVoterMajority = true }, "mark a server in each part", 4, 2 * ms, 1, []Guarantee{drainingRespected, configurationInForce}},
 		"work goes on without permit": {onStore(func(n *Node) {
 			n.ledger.Runner.InjectedFaults.SkipLeaseCheck, n.ledger.Runner.InjectedFaults.IgnoreRevoke = true, true
 		}), "a bundle ends", 5, 2 * ms, 7, []Guarantee{endedBatchStops}},
--- a/test/simulator/node.go
+++ b/test/simulator/node.go
@@ -96,7 +96,7 @@
 		n.ID = fmt.Sprintf("%s.%d", n.Name, n.generation)
 	}
 	self := membership.Member{ID: n.ID, Kind: n.Kind, Zone: n.Zone, Peer: n.Peer, Incarnation: incarnation, Version: membership.Release}
-	n.gossip = gossip.New(self, w.seeds, gossip.Defaults(), w.Random.Int63())
+	n.gossip = gossip.New(self, w.seeds, eventloop.GossipSettings(), w.Random.Int63())
 	n.machine, n.Store, n.Core, n.edge = nil, nil, nil, nil
 	switch n.Kind {
 	case membership.Core:
@@ -208,13 +208,11 @@
 }
 
 func (n *Node) receive(from string, body any) {
-	switch body.(type) {
-	case gossip.Gossip, gossip.Digest, gossip.DigestReply, gossip.FetchUpdates, gossip.Announcement, gossip.Probe, gossip.ProbeReply, gossip.IndirectProbe, gossip.IndirectResult, gossip.Shuffle, gossip.PushUpdate, gossip.PushAck:
+	switch {
+	case gossip.IsMessage(body):
 		n.execute(n.gossip.Do(gossip.Message{From: from, Body: body}, n.world.Now))
-	default:
-		if n.machine != nil {
-			n.execute(n.machine.Message(from, body, n.world.Now))
-		}
+	case n.machine != nil:
+		n.execute(n.machine.Message(from, body, n.world.Now))
 	}
 }
 
