--- a/cmd/store/planted_fault.go
+++ b/cmd/store/planted_fault.go
@@ -16,7 +16,7 @@
 func plant(store *batchstore.Store, dataFolder *storage.Folder, folder string) {
 	switch os.Getenv("TULIPRUDDER_PLANT") {
 	case "one-disk":
-		store.Groups().SkipReplicas = true
+		store.Groups().InjectedFaults.SkipReplicas = true
 	case "early":
 		store.Faults.SkipDurability = true
 	case "stall":
--- a/internal/daemon/eventloop/identity.go
+++ b/internal/daemon/eventloop/identity.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return Identity{}, errors.Wrap(err, "encoding the identity")
 	}
-	return self, storage.WriteFileAtomically(filepath.Join(dataFolder, identityFile), data, nil)
+	return self, storage.WriteFileAtomically(filepath.Join(dataFolder, identityFile), data)
 }
 
 // readIdentity reads the identity as the last start left it, or makes a new one.
--- a/internal/daemon/eventloop/loop.go
+++ b/internal/daemon/eventloop/loop.go
@@ -71,7 +71,7 @@
 		Address:       member.Peer,
 		Clock:         clock.New(clockwork.NewRealClock()),
 		Log:           log,
-		gossip:        gossip.New(member, seeds, gossip.Defaults(), gossipSeed),
+		gossip:        gossip.New(member, seeds, GossipSettings(), gossipSeed),
 		gossipThread:  newThread(),
 		machineThread: newThread(),
 		calls:         newPendingCalls(),
--- a/internal/daemon/eventloop/membership.go
+++ b/internal/daemon/eventloop/membership.go
@@ -23,17 +23,6 @@
 	l.enqueueGossip(gossip.Message{From: message.From, Body: message.Body})
 }
 
-// isGossipMessage tells whether a message is for the gossip node.
-func isGossipMessage(body any) bool {
-	switch body.(type) {
-	case gossip.Gossip, gossip.Digest, gossip.DigestReply, gossip.FetchUpdates, gossip.Announcement,
-		gossip.Probe, gossip.ProbeReply, gossip.IndirectProbe, gossip.IndirectResult,
-		gossip.Shuffle, gossip.PushUpdate, gossip.PushAck:
-		return true
-	}
-	return false
-}
-
 // Publish spreads an update that begins at this daemon.
 func (l *Loop) Publish(update machine.Update) { l.enqueueGossip(gossip.Publish{Update: update}) }
 
--- a/internal/daemon/host/saved_peers.go
+++ b/internal/daemon/host/saved_peers.go
@@ -53,7 +53,7 @@
 		if len(peers) == 0 || bytes.Equal(data, saved) {
 			return
 		}
-		err := storage.WriteFileAtomically(s.d.DataPath(peersFile), data, nil)
+		err := storage.WriteFileAtomically(s.d.DataPath(peersFile), data)
 		if err != nil && !failed {
 			logging.Write(s.d.Log, SavedPeersNotWritten{Reason: err.Error(), Remedy: retrySavingPeers})
 		}
--- a/internal/logging/event.go
+++ b/internal/logging/event.go
@@ -20,7 +20,7 @@
 }
 
 // Write writes one line for an event: its name, and its fields under the names of their
-// json tags. A field that is tagged omitempty is left out where it is zero.
+// json tags. A field that is tagged omitempty is omitted where it is zero.
 func Write(log zerolog.Logger, event machine.Event) {
 	line := log.WithLevel(levels[event.Severity()])
 	line.Str(eventKey, event.EventName())
--- a/test/capacitymodel/daemon.go
+++ b/test/capacitymodel/daemon.go
@@ -60,7 +60,7 @@
 func (d *daemon) boot(updates []machine.Update) {
 	f := d.fleet
 	d.resetProcess()
-	d.gossip = gossip.New(d.member(), f.seeds, gossip.Defaults(), f.rng.Int63())
+	d.gossip = gossip.New(d.member(), f.seeds, eventloop.GossipSettings(), f.rng.Int63())
 	switch {
 	case d.kind == membership.Core:
 		d.bootCore()
--- a/test/modelcheck/faults.go
+++ b/test/modelcheck/faults.go
@@ -37,9 +37,9 @@
 // plantedFaults are the planted faults by name.
 var plantedFaults = map[string]plantedFault{
 	"wiped-identity-votes": {KeepIdentity: true},
-	"one-copy-confirms":    {PlantInCore: func(core *controlplane.Core) { core.Groups().SkipReplicas = true }},
-	"last-copy-missing":    {PlantInCore: func(core *controlplane.Core) { core.Groups().SkipLastReplica = true }},
-	"only-copy-removed":    {PlantInCore: func(core *controlplane.Core) { core.Groups().SkipSnapshot = true }},
+	"one-copy-confirms":    {PlantInCore: func(core *controlplane.Core) { core.Groups().InjectedFaults.SkipReplicas = true }},
+	"last-copy-missing":    {PlantInCore: func(core *controlplane.Core) { core.Groups().InjectedFaults.SkipLastReplica = true }},
+	"only-copy-removed":    {PlantInCore: func(core *controlplane.Core) { core.Groups().InjectedFaults.SkipSnapshot = true }},
 	"lease-without-quorum": {PlantInCore: injectElection(election.InjectedFaults{SkipLease: true})},
 	"new-voters-only":      {PlantInCore: injectElection(election.InjectedFaults{SkipOldVoters: true})},
 	"empty-member-leads":   {PlantInCore: injectElection(election.InjectedFaults{SkipStateCheck: true})},
--- a/test/simulator/node_boot.go
+++ b/test/simulator/node_boot.go
@@ -9,6 +9,7 @@
 	"tuliprudder/internal/controlplane"
 	"tuliprudder/internal/controlplane/election"
 	"tuliprudder/internal/controlplane/state"
+	"tuliprudder/internal/daemon/eventloop"
 	"tuliprudder/internal/daemon/machines"
 	"tuliprudder/internal/gossip"
 	"tuliprudder/internal/machine"
@@ -33,7 +34,7 @@
 		n.ID = fmt.Sprintf("%s.%d", n.Name, n.generation)
 	}
 	self := membership.Member{ID: n.ID, Kind: n.Kind, Zone: n.Zone, Peer: n.Peer, Incarnation: incarnation, Version: membership.Release}
-	n.gossip = gossip.New(self, w.seeds, gossip.Defaults(), w.Random.Int63())
+	n.gossip = gossip.New(self, w.seeds, eventloop.GossipSettings(), w.Random.Int63())
 	switch n.Kind {
 	case membership.Core:
 		n.bootCore(shards, incarnation)
--- a/test/simulator/node_effects.go
+++ b/test/simulator/node_effects.go
@@ -88,15 +88,11 @@
 
 // receive has the gossip or the machine take a message from another daemon.
 func (n *Node) receive(from string, body any) {
-	switch body.(type) {
-	case gossip.Gossip, gossip.Digest, gossip.DigestReply, gossip.FetchUpdates, gossip.Announcement,
-		gossip.Probe, gossip.ProbeReply, gossip.IndirectProbe, gossip.IndirectResult,
-		gossip.Shuffle, gossip.PushUpdate, gossip.PushAck:
+	switch {
+	case gossip.IsMessage(body):
 		n.execute(n.gossip.Do(gossip.Message{From: from, Body: body}, n.world.Now))
-	default:
-		if n.machine != nil {
-			n.execute(n.machine.Message(from, body, n.world.Now))
-		}
+	case n.machine != nil:
+		n.execute(n.machine.Message(from, body, n.world.Now))
 	}
 }
 
