--- a/internal/controlplane/election/term.go
+++ b/internal/controlplane/election/term.go
@@ -77,7 +77,7 @@
 		return proposal{next, e.vote.Voters, reason}, true
 	}
 	// Voters change only under a complete group that all know of.
-	if len(committed.IDs()) < cluster.Copies || !e.vote.CommittedByAll || !e.HoldsLease(now) {
+	if len(committed.IDs()) < cluster.GroupSize || !e.vote.CommittedByAll || !e.HoldsLease(now) {
 		return proposal{}, false
 	}
 	if next, ok := e.proposeBetterSpread(now); ok {
@@ -96,7 +96,7 @@
 func (e *Election) clusterOfGroup(now clock.Micros) replication.ClusterView {
 	voters := e.vote.Voters
 	return replication.ClusterView{
-		Copies:            e.replicasFor(len(voters)),
+		GroupSize:         e.replicasFor(len(voters)),
 		AllowsDegraded:    func(members []string) bool { return len(members) >= coveringReplicas(len(voters)) },
 		Incarnation:       func(id string) (uint64, bool) { return e.memberIncarnation(id, now) },
 		ChooseReplacement: func(members, excluded []string) string { return e.chooseReplacement(members, excluded, now) },
--- a/internal/controlplane/placement/repair.go
+++ b/internal/controlplane/placement/repair.go
@@ -32,7 +32,7 @@
 // clusterOfGroup is what the replication package has to know of the stores for one group.
 func (p *planner) clusterOfGroup(assignment replication.Assignment) replication.ClusterView {
 	return replication.ClusterView{
-		Copies:            p.settings.Replicas(),
+		GroupSize:         p.settings.Replicas(),
 		Incarnation:       p.cluster.incarnation,
 		AllowsDegraded:    func(members []string) bool { return p.allowsDegraded(assignment, members) },
 		ChooseReplacement: p.chooseReplacement,
--- a/internal/gossip/failure_detection.go
+++ b/internal/gossip/failure_detection.go
@@ -35,14 +35,14 @@
 
 // probeNext probes the next member of the round; a round has every live member in random order.
 func (n *Node) probeNext(now clock.Micros) {
-	if len(n.probeOrder) == 0 {
-		n.beginProbeRound()
+	if len(n.probeSequence) == 0 {
+		n.beginProbeCycle()
 	}
-	if len(n.probeOrder) == 0 {
+	if len(n.probeSequence) == 0 {
 		return
 	}
-	id := n.probeOrder[0]
-	n.probeOrder = n.probeOrder[1:]
+	id := n.probeSequence[0]
+	n.probeSequence = n.probeSequence[1:]
 	member, known := n.members[id]
 	if !known || !isLive(member) {
 		return
@@ -52,12 +52,12 @@
 	n.Emit(machine.Send{To: member.Peer, Body: Probe{Nonce: nonce}})
 }
 
-func (n *Node) beginProbeRound() {
+func (n *Node) beginProbeCycle() {
 	for _, member := range n.liveMembers() {
-		n.probeOrder = append(n.probeOrder, member.ID)
+		n.probeSequence = append(n.probeSequence, member.ID)
 	}
-	n.random.Shuffle(len(n.probeOrder), func(i, j int) {
-		n.probeOrder[i], n.probeOrder[j] = n.probeOrder[j], n.probeOrder[i]
+	n.random.Shuffle(len(n.probeSequence), func(i, j int) {
+		n.probeSequence[i], n.probeSequence[j] = n.probeSequence[j], n.probeSequence[i]
 	})
 }
 
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -34,7 +34,7 @@
 	members        map[string]membership.Member // by identity
 	statusSince    map[string]clock.Micros      // by identity, when the status was learnt
 	view           []string                     // addresses
-	probeOrder     []string                     // identities still to probe in this round
+	probeSequence  []string                     // identities still to probe in this round
 	probes         map[uint64]*outstandingProbe // by nonce
 	indirectProbes map[uint64]indirectProbe     // by nonce, on behalf of others
 
--- a/internal/replication/groups.go
+++ b/internal/replication/groups.go
@@ -129,7 +129,7 @@
 // Tick renews leases and repeats what was not acknowledged. It is called every few tens of
 // milliseconds.
 func (gs *Groups) Tick(now clock.Micros) {
-	gs.noteStart(now)
+	gs.recordStart(now)
 	gs.renewLeases(now)
 	for _, g := range gs.All() {
 		switch g.Role {
@@ -145,7 +145,7 @@
 
 // HandleMessage handles a message between members; false when the body is none.
 func (gs *Groups) HandleMessage(from string, body any, now clock.Micros) bool {
-	gs.noteStart(now)
+	gs.recordStart(now)
 	switch m := body.(type) {
 	case SnapshotChunk:
 		gs.handleSnapshotChunk(from, m, now)
@@ -169,9 +169,9 @@
 	return true
 }
 
-// noteStart notes when this incarnation began: leases that an earlier incarnation granted end
+// recordStart records when this incarnation began: leases that an earlier incarnation granted end
 // LeaseWait after it at the latest.
-func (gs *Groups) noteStart(now clock.Micros) {
+func (gs *Groups) recordStart(now clock.Micros) {
 	if gs.startedAt == 0 {
 		gs.startedAt = now
 	}
--- a/internal/replication/planning.go
+++ b/internal/replication/planning.go
@@ -16,8 +16,8 @@
 
 // ClusterView is what the authority that assigns groups knows of the daemons.
 type ClusterView struct {
-	// Copies is the number of members that a group should have.
-	Copies            int
+	// GroupSize is the number of members that a group should have.
+	GroupSize         int
 	Incarnation       IncarnationFunc
 	AllowsDegraded    AllowsDegradedFunc
 	ChooseReplacement ChooseReplacementFunc
@@ -36,7 +36,7 @@
 // assignment should stay, or nothing better is available yet.
 func Next(a Assignment, view ClusterView) (next Assignment, reason string, changed bool) {
 	allAvailable := !slices.ContainsFunc(a.Members(), view.isLost)
-	if allAvailable && len(a.Members()) >= view.Copies {
+	if allAvailable && len(a.Members()) >= view.GroupSize {
 		return a, "", false
 	}
 	primary, reason := view.successor(a)
@@ -64,34 +64,34 @@
 	if !ok {
 		return a, false
 	}
-	plan := &groupPlan{
+	builder := &groupBuilder{
 		view:     view,
 		excluded: excluded,
 		next:     Assignment{Epoch: a.Epoch + 1, Primary: first, Trusted: a.Successors()},
 		ids:      []string{primary},
 	}
-	for _, id := range append(a.IDs(), plan.next.Trusted...) {
-		plan.addReplica(id)
+	for _, id := range append(a.IDs(), builder.next.Trusted...) {
+		builder.addReplica(id)
 	}
-	plan.addReplacements()
-	if !plan.isFull() && !view.AllowsDegraded(plan.ids) {
+	builder.addReplacements()
+	if !builder.isFull() && !view.AllowsDegraded(builder.ids) {
 		return a, false // wait for a further member
 	}
-	return plan.next, true
+	return builder.next, true
 }
 
-// groupPlan is an assignment that is being filled.
-type groupPlan struct {
+// groupBuilder fills an assignment.
+type groupBuilder struct {
 	view     ClusterView
 	excluded []string
 	next     Assignment
 	ids      []string // of next's members
 }
 
-func (p *groupPlan) isFull() bool { return len(p.ids) >= p.view.Copies }
+func (p *groupBuilder) isFull() bool { return len(p.ids) >= p.view.GroupSize }
 
 // addReplica adds a daemon if it may be a member and there is need of one.
-func (p *groupPlan) addReplica(id string) bool {
+func (p *groupBuilder) addReplica(id string) bool {
 	if p.isFull() || slices.Contains(p.ids, id) || slices.Contains(p.excluded, id) {
 		return false
 	}
@@ -104,7 +104,7 @@
 	return true
 }
 
-func (p *groupPlan) addReplacements() {
+func (p *groupBuilder) addReplacements() {
 	for !p.isFull() {
 		id := p.view.ChooseReplacement(p.ids, p.excluded)
 		if id == "" || !p.addReplica(id) {
--- a/internal/replication/planning_test.go
+++ b/internal/replication/planning_test.go
@@ -17,7 +17,7 @@
 // view has one member in each zone.
 func (f testFleet) view() ClusterView {
 	return ClusterView{
-		Copies: f.copies,
+		GroupSize: f.copies,
 		Incarnation: func(id string) (uint64, bool) {
 			incarnation, available := f.incarnations[id]
 			return incarnation, available
--- a/internal/replication/primary.go
+++ b/internal/replication/primary.go
@@ -12,13 +12,13 @@
 // that assigns groups has recorded the group as complete (CommitGroup): until then a successor
 // might lack what would be confirmed.
 func (gs *Groups) BecomePrimary(unit string, epoch uint64, replicas []string, now clock.Micros) {
-	gs.noteStart(now)
+	gs.recordStart(now)
 	g := gs.Group(unit)
 	p := &g.asPrimary
 	p.formerLeaseEnd = gs.grantedLeaseEnd(g) // of the role before this one
 	p.adoptedLocally = false
 	p.readyReportedAt = 0
-	p.log.markAllSynced() // the adopt record below is written after them
+	p.log.recordAllSynced() // the adopt record below is written after them
 	g.Epoch = epoch
 	g.Role = SendingSnapshot
 	g.asReplica.primary = ""
@@ -110,7 +110,7 @@
 
 func (gs *Groups) persistedLocally(g *Group, seq uint64, now clock.Micros) {
 	g.SyncedSeq = max(g.SyncedSeq, seq)
-	g.asPrimary.log.markSynced(seq)
+	g.asPrimary.log.recordSynced(seq)
 	gs.confirmEntries(g, now)
 }
 
--- a/internal/replication/unconfirmed_log.go
+++ b/internal/replication/unconfirmed_log.go
@@ -21,8 +21,8 @@
 
 func (l *unconfirmedLog) clear() { l.entries = nil }
 
-// markSynced notes that an entry is on the primary's own disk.
-func (l *unconfirmedLog) markSynced(seq uint64) {
+// recordSynced records that an entry is on the primary's own disk.
+func (l *unconfirmedLog) recordSynced(seq uint64) {
 	for i := range l.entries {
 		if l.entries[i].seq == seq {
 			l.entries[i].syncedLocally = true
@@ -30,8 +30,8 @@
 	}
 }
 
-// markAllSynced notes that every entry counts as on the primary's own disk.
-func (l *unconfirmedLog) markAllSynced() {
+// recordAllSynced records that every entry counts as on the primary's own disk.
+func (l *unconfirmedLog) recordAllSynced() {
 	for i := range l.entries {
 		l.entries[i].syncedLocally = true
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -89,7 +89,7 @@
 // MustParse is Parse for a program: it prints the settings where help is asked for, and otherwise
 // ends the program with every fault on standard error.
 func (r *Reader) MustParse(args []string) {
-	if asksForHelp(args) {
+	if isHelpRequested(args) {
 		r.printHelp(os.Stdout)
 		os.Exit(0)
 	}
@@ -99,7 +99,7 @@
 	}
 }
 
-func asksForHelp(args []string) bool {
+func isHelpRequested(args []string) bool {
 	for _, arg := range args {
 		switch arg {
 		case "-help", "--help", "-h":
--- a/internal/storage/archive.go
+++ b/internal/storage/archive.go
@@ -12,9 +12,9 @@
 // called from the goroutine that writes the Folder; Get and Delete may be called from any.
 type Archive struct {
 	folder *Folder // gives paths and reads files; it has no versions of its own
-	// found are the files that were there at the start.
-	found    []uint64
-	lastFile uint64
+	// initialFiles are the files that were there at the start.
+	initialFiles []uint64
+	lastFile     uint64
 
 	mu sync.Mutex // guards what follows
 	// The file that was read last stays decoded, for readers page through the records of one file.
@@ -46,14 +46,14 @@
 		if err != nil {
 			return nil, err
 		}
-		archive.found = append(archive.found, file)
+		archive.initialFiles = append(archive.initialFiles, file)
 		archive.lastFile = max(archive.lastFile, file)
 	}
 	return archive, nil
 }
 
 // Files lists the numbers of the files that were there at the start.
-func (a *Archive) Files() []uint64 { return a.found }
+func (a *Archive) Files() []uint64 { return a.initialFiles }
 
 // LastFile is the highest of Files, 0 where there were none.
 func (a *Archive) LastFile() uint64 { return a.lastFile }
--- a/internal/storage/file_format.go
+++ b/internal/storage/file_format.go
@@ -95,13 +95,13 @@
 		var head []byte
 		var record machine.Record
 		var err error
-		if head, body, err = cutWithLength(body); err != nil {
+		if head, body, err = splitWithLength(body); err != nil {
 			return nil, err
 		}
 		if err := json.Unmarshal(head, &record); err != nil {
 			return nil, err
 		}
-		if record.Body, body, err = cutWithLength(body); err != nil {
+		if record.Body, body, err = splitWithLength(body); err != nil {
 			return nil, err
 		}
 		records = append(records, record)
@@ -109,8 +109,8 @@
 	return records, nil
 }
 
-// cutWithLength splits off the first part of some data that has its length before it.
-func cutWithLength(data []byte) (part, rest []byte, err error) {
+// splitWithLength splits off the first part of some data that has its length before it.
+func splitWithLength(data []byte) (part, rest []byte, err error) {
 	size, n := binary.Uvarint(data)
 	if n <= 0 || size > uint64(len(data)-n) {
 		return nil, nil, errors.New("a record is cut short")
