--- a/test/capacitymodel/effects.go
+++ b/test/capacitymodel/effects.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// applyUpdate carries updates between the machine and the gossip.
+// applyUpdate carries updates between the machine and the gossip. The simulator's nodes do the
+// same (test/simulator/node_effects.go); what they record on the way differs.
 func (d *daemon) applyUpdate(effect machine.Effect) {
 	now := d.fleet.Now
 	switch e := effect.(type) {
--- a/test/simulator/callers.go
+++ b/test/simulator/callers.go
@@ -36,8 +36,9 @@
 	count()
 }
 
-// RunLiveCaller is one caller that goes on until Calling is false.
-func (v *Workload) RunLiveCaller(name string, tenant string) {
+// repeatAtEdges is one caller that sends one request after the other, each to a live edge at
+// random, until Calling is false. send has to call next when its request has ended.
+func (v *Workload) repeatAtEdges(send func(n *Node, number int, next func())) {
 	w := v.world
 	number := 0
 	var next func()
@@ -51,54 +52,53 @@
 			return
 		}
 		number++
-		routes := []string{"once", "once", "flow", "long", "extra"}
-		req := &Request{Tenant: tenant, Route: routes[w.Random.Intn(len(routes))]}
+		send(n, number, func() { w.After(w.randomBetween(20, 200)*clock.Millisecond, next) })
+	}
+	next()
+}
+
+// disconnectSometimes has one caller in twelve close its connection early.
+func (v *Workload) disconnectSometimes(req *Request) {
+	w := v.world
+	if w.Random.Intn(12) > 0 {
+		return
+	}
+	w.After(w.randomBetween(0, 60)*clock.Millisecond, func() {
+		if req.disconnect != nil {
+			req.disconnect()
+		}
+	})
+}
+
+// RunLiveCaller is one caller of live routes that goes on until Calling is false.
+func (v *Workload) RunLiveCaller(name string, tenant string) {
+	routes := []string{"once", "once", "flow", "long", "extra"}
+	v.repeatAtEdges(func(n *Node, number int, next func()) {
+		req := &Request{Tenant: tenant, Route: routes[v.world.Random.Intn(len(routes))]}
 		req.Kind = routeKinds[req.Route]
 		req.Input = fmt.Sprintf("%s/%d", name, number)
-		if req.Kind == config.OneShot && w.Random.Intn(3) == 0 {
+		if req.Kind == config.OneShot && v.world.Random.Intn(3) == 0 {
 			req.Key = "k-" + req.Input
 		}
 		v.addRequest(req)
 		v.SendLive(n, req, func() {
-			if req.Key != "" && (req.Outcome == outcomeUnknown || w.Random.Intn(2) == 0) {
+			if req.Key != "" && (req.Outcome == outcomeUnknown || v.world.Random.Intn(2) == 0) {
 				v.resend(req, 2)
 			}
-			w.After(w.randomBetween(20, 200)*clock.Millisecond, next)
+			next()
 		})
-		if w.Random.Intn(12) == 0 {
-			w.After(w.randomBetween(0, 60)*clock.Millisecond, func() { req.disconnect() })
-		}
-	}
-	next()
+		v.disconnectSometimes(req)
+	})
 }
 
-// RunForwardingCaller is one caller whose requests are forwarded; it goes on until Calling is
-// false.
+// RunForwardingCaller is one caller of forwarding routes that goes on until Calling is false.
 func (v *Workload) RunForwardingCaller(name string) {
-	w := v.world
-	number := 0
-	var next func()
-	next = func() {
-		if !v.Calling {
-			return
-		}
-		n := v.randomEdge()
-		if n == nil {
-			w.After(100*clock.Millisecond, next)
-			return
-		}
-		number++
-		req := v.newForwardedRequest(forwardedRoutes[w.Random.Intn(len(forwardedRoutes))], fmt.Sprintf("%s/%d", name, number))
-		v.SendForwarded(n, req, func() { w.After(w.randomBetween(20, 200)*clock.Millisecond, next) })
-		if w.Random.Intn(12) == 0 {
-			w.After(w.randomBetween(0, 60)*clock.Millisecond, func() {
-				if req.disconnect != nil {
-					req.disconnect()
-				}
-			})
-		}
-	}
-	next()
+	v.repeatAtEdges(func(n *Node, number int, next func()) {
+		route := forwardedRoutes[v.world.Random.Intn(len(forwardedRoutes))]
+		req := v.newForwardedRequest(route, fmt.Sprintf("%s/%d", name, number))
+		v.SendForwarded(n, req, next)
+		v.disconnectSometimes(req)
+	})
 }
 
 // runBatchCallers has callers use the fleet until Calling is false.
