--- a/cmd/hunt/main.go
+++ b/cmd/hunt/main.go
@@ -84,7 +84,7 @@
 
 func describeOutcome(day hunt.Day) string {
 	switch {
-	case day.GivenUp:
+	case day.Abandoned:
 		return "given up"
 	case day.BrokenRules != "":
 		return "BROKE " + day.BrokenRules
--- a/test/modelcheck/faults.go
+++ b/test/modelcheck/faults.go
@@ -9,13 +9,13 @@
 	"tuliprudder/internal/controlplane/election"
 )
 
-// plantedFault is a mistake planted to show that the checks catch it.
+// plantedFault is a bug planted to show that the checks catch it.
 type plantedFault struct {
 	// KeepIdentity: a wiped process comes back under its old identity.
 	KeepIdentity bool
 	// EarlySync: a disk says that a write is synced before it is.
 	EarlySync bool
-	// PlantInCore plants a mistake in the machine.
+	// PlantInCore plants a bug in the machine.
 	PlantInCore func(core *controlplane.Core)
 }
 
@@ -34,7 +34,7 @@
 	return inject(controlplane.InjectedFaults{Election: faults})
 }
 
-// plantedFaults are the planted mistakes by name.
+// plantedFaults are the planted faults by name.
 var plantedFaults = map[string]plantedFault{
 	"wiped-identity-votes": {KeepIdentity: true},
 	"one-copy-confirms":    {PlantInCore: func(core *controlplane.Core) { core.Groups().InjectedFaults.SkipReplicas = true }},
@@ -49,10 +49,10 @@
 
 func (c *Config) fault() plantedFault { return plantedFaults[c.Fault] }
 
-// FaultNames are the names of the planted mistakes.
+// FaultNames are the names of the planted faults.
 func FaultNames() []string { return slices.Sorted(maps.Keys(plantedFaults)) }
 
-// CheckFaultName tells whether there is a planted mistake of that name; "" is none.
+// CheckFaultName tells whether there is a planted fault of that name; "" is none.
 func CheckFaultName(name string) error {
 	if _, known := plantedFaults[name]; !known && name != "" {
 		return fmt.Errorf("no fault %q: give one of %v", name, FaultNames())
--- a/test/simulator/injected_bugs_test.go
+++ b/test/simulator/injected_bugs_test.go
@@ -60,7 +60,7 @@
 		"what waits goes by the old plan":  {onScheduling(func(n *Node) { n.scheduling().Scheduler.InjectedFaults.KeepOldConfiguration = true }), "", 8, 2 * ms, 27, []Guarantee{configurationInForce}},
 		"neighbours alone make news fresh": {func(n *Node) { n.gossip.InjectedFaults.SkipVoterMajority = true }, "mark a server in each part", 4, 2 * ms, 1, []Guarantee{drainingRespected, configurationInForce}},
 		"work goes on without permit": {onStore(func(n *Node) {
-			n.ledger.Runner.InjectedFaults.SkipLeaseCheck, n.ledger.Runner.InjectedFaults.IgnoreRevoke = true, true
+			n.scheduled.Runner.InjectedFaults.SkipLeaseCheck, n.scheduled.Runner.InjectedFaults.IgnoreRevoke = true, true
 		}), "a bundle ends", 5, 2 * ms, 7, []Guarantee{endedBatchStops}},
 		"every order is let in":         {onScheduling(func(n *Node) { n.scheduling().Quota.InjectedFaults.AdmitEverything = true }), "a flock comes", 4, 2 * ms, 1, []Guarantee{withinQuota}},
 		"a waiting reader is not woken": {onEdge(func(n *Node) { n.edge.Reader.InjectedFaults.SkipWakeups = true }), "a crowd comes", 10, 2 * ms, 6, []Guarantee{resultsTimely}},
@@ -97,7 +97,7 @@
 
 func onStore(injectBug func(n *Node)) func(n *Node) {
 	return func(n *Node) {
-		if n.ledger != nil {
+		if n.scheduled != nil {
 			injectBug(n)
 		}
 	}
--- a/test/simulator/scenarios_losses.go
+++ b/test/simulator/scenarios_losses.go
@@ -7,16 +7,8 @@
 	"tuliprudder/internal/membership"
 )
 
-// replaceDaemon empties a daemon and moves it to a new address; what comes back starts it.
-func replaceDaemon(w *World, n *Node, shards int) func() {
-	n.Crash()
-	n.Wipe()
-	w.ChangeAddress(n)
-	return func() { n.Boot(shards) }
-}
-
-// secondLossScenarios are further losses right after a repair, a replacement or a
-// retirement, as many as the fleet's tolerance allows.
+// secondLossScenarios are further losses right after a repair, a replacement or a retirement,
+// as many as the fleet tolerates.
 func secondLossScenarios(shape Shape) []Fault {
 	shards, limit := shape.Shards, shape.tolerance()
 	const duration = 1500 * clock.Millisecond
@@ -34,30 +26,20 @@
 	}
 	if limit > 1 {
 		faults = append(faults,
-			Fault{Name: familySecondLoss + "two stores' disks at once", Duration: duration, ReducesRedundancy: true, StoresLost: 2, Inject: func(w *World) func() { return w.wipeAll(w.withAnother(w.randomNode(membership.Store)), shards) }},
-			Fault{Name: familySecondLoss + "two cores' disks at once", Duration: duration, ReducesRedundancy: true, CoresLost: 2, Inject: func(w *World) func() { return w.wipeAll(w.withAnother(w.primary()), shards) }},
+			Fault{Name: familySecondLoss + "two stores' disks at once", Duration: duration, ReducesRedundancy: true, StoresLost: 2, Inject: func(w *World) func() { return wipeAll(w.withAnother(w.randomNode(membership.Store)), shards) }},
+			Fault{Name: familySecondLoss + "two cores' disks at once", Duration: duration, ReducesRedundancy: true, CoresLost: 2, Inject: func(w *World) func() { return wipeAll(w.withAnother(w.primary()), shards) }},
 			Fault{Name: familySecondLoss + "a store's and a core's disk at once", Duration: duration, ReducesRedundancy: true, StoresLost: 1, CoresLost: 1, Inject: func(w *World) func() {
-				return w.wipeAll([]*Node{w.randomNode(membership.Store), w.primary()}, shards)
+				return wipeAll([]*Node{w.randomNode(membership.Store), w.primary()}, shards)
 			}},
 			Fault{Name: familySecondLoss + "two disks of one slot at once", Duration: duration, ReducesRedundancy: true, StoresLost: 2, Inject: func(w *World) func() {
 				replicas := w.replicasOf(w.Random.Intn(shards))
-				return w.wipeAll(replicas[:min(2, len(replicas))], shards)
+				return wipeAll(replicas[:min(2, len(replicas))], shards)
 			}})
 	}
 	return faults
 }
 
-// wipeAll empties daemons at once and starts them again.
-func (w *World) wipeAll(lost []*Node, shards int) func() {
-	var undos []func()
-	for _, n := range lost {
-		undos = append(undos, wipe(n, shards))
-	}
-	return func() { undoAll(undos) }
-}
-
-// wipePeersOfRetiring retires a store that holds a slot, and has the others that
-// hold it lose their disks in the midst of that.
+// wipePeersOfRetiring retires a replica of a shard, and wipes the others while it retires.
 func wipePeersOfRetiring(w *World, limit, shards int) func() {
 	replicas := w.replicasOf(w.Random.Intn(shards))
 	if len(replicas) < 2 {
@@ -69,28 +51,28 @@
 	id := retiring.ID
 	w.Workload.RetireStore(id, false)
 	w.RunFor(w.randomBetween(0, 2500) * clock.Millisecond)
-	lost := w.wipeAll(others[:min(limit, len(others))], shards)
+	lost := wipeAll(others[:min(limit, len(others))], shards)
 	return func() { lost(); w.Workload.RetireStore(id, true) }
 }
 
-// wipeAfterRepair replaces a daemon, and has as many others as the fleet bears lose
-// their disks as soon as all copies are there again.
+// wipeAfterRepair replaces a daemon, and wipes as many others as the fleet tolerates as soon as
+// all replicas are restored.
 func wipeAfterRepair(w *World, kind string, limit, shards int) func() {
 	first := w.randomNode(kind)
 	boot := replaceDaemon(w, first, shards)
 	w.RunFor(w.randomBetween(200, 1500) * clock.Millisecond)
 	boot()
 	if !w.RunUntil(repairTimeout, w.checkFullyReplicated) {
-		w.Workload.reportViolation(batchKept, "no second copy %d s after a disk was lost: %s", repairTimeout/clock.Second, w.Describe())
+		w.Workload.reportViolation(batchKept, "no second replica %d s after a disk was lost: %s", repairTimeout/clock.Second, w.Describe())
 		return nil
 	}
 	others := slices.DeleteFunc(w.nodes(kind), func(n *Node) bool { return n == first })
 	w.Random.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	return w.wipeAll(others[:min(limit, len(others))], shards)
+	return wipeAll(others[:min(limit, len(others))], shards)
 }
 
-// killWhileEmptyJoins empties a core and kills another, whose disk stays, while the
-// empty one joins.
+// killWhileEmptyJoins wipes a core and crashes another, whose disk stays, while the empty one
+// joins.
 func killWhileEmptyJoins(w *World, shards int) func() {
 	cores := w.nodes(membership.Core)
 	w.Random.Shuffle(len(cores), func(i, j int) { cores[i], cores[j] = cores[j], cores[i] })
