--- a/cmd/store/planted_fault.go
+++ b/cmd/store/planted_fault.go
@@ -18,7 +18,7 @@
 	case "one-disk":
 		store.Groups().InjectedFaults.SkipReplicas = true
 	case "early":
-		store.Faults.SkipDurability = true
+		store.InjectedFaults.SkipDurability = true
 	case "stall":
 		// The disk holds a write back for as long as a file named STALL is there.
 		dataFolder.BeforeStep = func(step string) error {
--- a/internal/batchstore/announce.go
+++ b/internal/batchstore/announce.go
@@ -36,12 +36,12 @@
 // announce publishes to the reading daemons, when it is due, this writer's persisted-up-to
 // position and the shards that it serves (docs/DESIGN.md §6.5).
 func (s *Store) announce(now clock.Micros) {
-	if s.registration.Writer == 0 || !s.announcer.begin(now, s.settings.AnnounceEvery) {
+	if s.identity.Writer == 0 || !s.announcer.begin(now, s.settings.AnnounceEvery) {
 		return
 	}
 	value, _ := json.Marshal(s.announcement())
 	s.Emit(machine.Publish{Update: machine.Update{
-		Key:   token.Key(s.registration.Writer),
+		Key:   token.Key(s.identity.Writer),
 		Epoch: s.self.Incarnation,
 		Seq:   s.announcer.seq,
 		Value: value,
@@ -50,7 +50,7 @@
 
 func (s *Store) announcement() token.Announcement {
 	announcement := token.Announcement{
-		Writer:        s.registration.Writer,
+		Writer:        s.identity.Writer,
 		Store:         s.self.ID,
 		Peer:          s.self.Peer,
 		PersistedUpTo: s.positions.PersistedUpTo(),
@@ -66,7 +66,7 @@
 func (s *Store) announcedShard(group *replication.Group) token.OwnedShard {
 	local := s.shard(group.Unit)
 	formerWriters := maps.Clone(local.state.LastPositions)
-	delete(formerWriters, s.registration.Writer)
+	delete(formerWriters, s.identity.Writer)
 	return token.OwnedShard{
 		Shard:         local.index,
 		Epoch:         group.Epoch,
--- a/internal/batchstore/call.go
+++ b/internal/batchstore/call.go
@@ -80,7 +80,7 @@
 	if group.Role != replication.Serving {
 		return servedShard{}, errNotServing(s.self.ID, shardIndex, group.Role)
 	}
-	if now >= group.LeaseUntil() && !s.Faults.SkipLease {
+	if now >= group.LeaseUntil() && !s.InjectedFaults.SkipLease {
 		return servedShard{}, errNoLease(s.self.ID, shardIndex)
 	}
 	return servedShard{localShard: s.shard(unit), group: group}, nil
--- a/internal/batchstore/cluster_map.go
+++ b/internal/batchstore/cluster_map.go
@@ -39,7 +39,7 @@
 	if json.Unmarshal(value, &received) != nil || received.Seq <= s.clusterMap.Seq {
 		return
 	}
-	if fleet := s.registration.Fleet; fleet != "" && received.Fleet != fleet {
+	if fleet := s.identity.Fleet; fleet != "" && received.Fleet != fleet {
 		return
 	}
 	previous := s.clusterMap
--- a/internal/batchstore/fixture_test.go
+++ b/internal/batchstore/fixture_test.go
@@ -8,6 +8,7 @@
 	"tuliprudder/internal/batchstore/shard"
 	"tuliprudder/internal/batchstore/token"
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/registration"
 	"tuliprudder/internal/controlplane/state"
 	"tuliprudder/internal/errs"
 	"tuliprudder/internal/machine"
@@ -60,8 +61,8 @@
 		c.archives[id] = memoryArchive{}
 		c.stores[id] = New(Self{ID: id, Zone: id, Peer: id, Incarnation: 1}, Defaults(), nil, c.archives[id])
 	}
-	c.do("a", Message{Body: Registered{Fleet: "f", Writer: 1}})
-	c.do("b", Message{Body: Registered{Fleet: "f", Writer: 2}})
+	c.do("a", Message{Body: registration.Registered{Fleet: "f", Writer: 1}})
+	c.do("b", Message{Body: registration.Registered{Fleet: "f", Writer: 2}})
 	for seq, complete := range []bool{false, true} {
 		assignment := replication.Assignment{
 			Epoch:    1,
--- a/internal/batchstore/heartbeat.go
+++ b/internal/batchstore/heartbeat.go
@@ -2,6 +2,7 @@
 
 import (
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/registration"
 	"tuliprudder/internal/machine"
 	"tuliprudder/internal/replication"
 )
@@ -19,23 +20,23 @@
 	}
 }
 
-func (s *Store) heartbeat(now clock.Micros) Heartbeat {
-	heartbeat := Heartbeat{
+func (s *Store) heartbeat(now clock.Micros) registration.Heartbeat {
+	heartbeat := registration.Heartbeat{
 		ID:          s.self.ID,
 		Zone:        s.self.Zone,
 		Peer:        s.self.Peer,
 		Name:        s.self.Name,
 		Incarnation: s.self.Incarnation,
-		Fleet:       s.registration.Fleet,
+		Fleet:       s.identity.Fleet,
 		Draining:    s.draining,
 		Stalled:     s.disk.checkStalled(now),
 		Ready:       map[int]uint64{},
-		Unreachable: map[int]UnreachableReplicas{},
+		Unreachable: map[int]registration.UnreachableReplicas{},
 	}
 	for _, group := range s.groups.All() {
 		shardIndex := shardOfUnit(group.Unit)
 		if peers := group.UnreachableReplicas(now); len(peers) > 0 {
-			heartbeat.Unreachable[shardIndex] = UnreachableReplicas{Epoch: group.Epoch, Peers: peers}
+			heartbeat.Unreachable[shardIndex] = registration.UnreachableReplicas{Epoch: group.Epoch, Peers: peers}
 		}
 		if group.Role == replication.AwaitingCommit {
 			heartbeat.Ready[shardIndex] = group.Epoch
--- a/internal/batchstore/heartbeat_test.go
+++ b/internal/batchstore/heartbeat_test.go
@@ -4,15 +4,16 @@
 	"testing"
 
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/registration"
 	"tuliprudder/internal/machine"
 )
 
 // lastHeartbeat is the last heartbeat among some effects; nil without one.
-func lastHeartbeat(effects []machine.Effect) *Heartbeat {
-	var last *Heartbeat
+func lastHeartbeat(effects []machine.Effect) *registration.Heartbeat {
+	var last *registration.Heartbeat
 	for _, effect := range effects {
 		if send, ok := effect.(machine.Send); ok {
-			if heartbeat, ok := send.Body.(Heartbeat); ok {
+			if heartbeat, ok := send.Body.(registration.Heartbeat); ok {
 				last = &heartbeat
 			}
 		}
--- a/internal/batchstore/messages.go
+++ b/internal/batchstore/messages.go
@@ -147,5 +147,5 @@
 
 func init() {
 	transport.Register(SubmitRequest{}, SubmitResponse{}, EndRequest{}, BatchStatusRequest{}, BatchStatus{}, ReadRequest{}, ReadResponse{}, ItemBodyRequest{}, ItemBodyResponse{},
-		ClaimRequest{}, ClaimResponse{}, CompleteClaimRequest{}, CompleteClaimResponse{}, StatusRequest{}, StatusResponse{}, Heartbeat{}, Registered{}, RegistrationRejected{})
+		ClaimRequest{}, ClaimResponse{}, CompleteClaimRequest{}, CompleteClaimResponse{}, StatusRequest{}, StatusResponse{})
 }
--- a/internal/batchstore/read.go
+++ b/internal/batchstore/read.go
@@ -51,7 +51,7 @@
 func (s *Store) boundOf(request ReadRequest, shardIndex int) readBound {
 	return readBound{
 		announced:     request.Bound[shardIndex],
-		writer:        s.registration.Writer,
+		writer:        s.identity.Writer,
 		persistedUpTo: s.positions.PersistedUpTo(),
 	}
 }
--- a/internal/batchstore/results.go
+++ b/internal/batchstore/results.go
@@ -70,12 +70,12 @@
 	if !ok {
 		return false
 	}
-	result.Writer = s.registration.Writer
+	result.Writer = s.identity.Writer
 	result.Position = position
 	result.ItemID = batch.Items[result.Item].ID
 	seq := s.appendEntry(unit, shard.ListResult{Result: result}, now)
 	s.ResultsRecorded++
-	if s.Faults.SkipDurability {
+	if s.InjectedFaults.SkipDurability {
 		s.positions.Finish(position)
 		s.announcer.request()
 		return true
@@ -87,7 +87,7 @@
 // reservePositions writes the next reservation when it is due. Without a writer ID there is
 // no sequence of positions yet.
 func (s *Store) reservePositions() {
-	if s.registration.Writer == 0 {
+	if s.identity.Writer == 0 {
 		return
 	}
 	upTo, needed := s.positions.beginReservation()
--- a/internal/batchstore/status.go
+++ b/internal/batchstore/status.go
@@ -38,7 +38,7 @@
 		Items:       items,
 		Finished:    results,
 		Store:       s.self.ID,
-		Writer:      s.registration.Writer,
+		Writer:      s.identity.Writer,
 		Shard:       served.index,
 		Epoch:       served.group.Epoch,
 		Replicas:    served.group.Peers(),
@@ -61,7 +61,7 @@
 	response := StatusResponse{
 		Store:         s.self.ID,
 		Zone:          s.self.Zone,
-		Writer:        s.registration.Writer,
+		Writer:        s.identity.Writer,
 		Incarnation:   s.self.Incarnation,
 		PersistedUpTo: s.positions.PersistedUpTo(),
 		Next:          s.positions.Next(),
--- a/internal/batchstore/store.go
+++ b/internal/batchstore/store.go
@@ -37,7 +37,7 @@
 	machine.Effects
 	Counters
 	// Faults are set by tests only.
-	Faults InjectedFaults
+	InjectedFaults InjectedFaults
 	// BadRecord is the error of the last record that could not be read, from the disk, a
 	// peer or the archive; nil without one.
 	BadRecord error
@@ -47,7 +47,7 @@
 	settings Settings
 	self     Self
 
-	registration registration
+	identity     writerIdentity
 	clusterMap   state.Map
 	cores        []string // the cores' addresses
 	groups       *replication.Groups
@@ -99,7 +99,7 @@
 		case record.Unit == unitSelf && record.Kind == kindReserved:
 			reservedUpTo = max(reservedUpTo, int64(record.Seq))
 		case record.Unit == unitSelf && record.Kind == kindWriter:
-			s.registration.replay(record)
+			s.identity.replay(record)
 		default:
 			s.groups.Recover(record)
 		}
@@ -130,7 +130,7 @@
 // ownRecords are the compacted records of the store itself, which belong to no shard.
 func (s *Store) ownRecords() []machine.Record {
 	reservedUpTo := max(s.positions.Next()-1, s.positions.ReservedUpTo())
-	return []machine.Record{s.registration.record(), reservationRecord(reservedUpTo)}
+	return []machine.Record{s.identity.record(), reservationRecord(reservedUpTo)}
 }
 
 // Groups is the replication groups of this store, for tests and operators.
--- a/internal/batchstore/submit.go
+++ b/internal/batchstore/submit.go
@@ -34,7 +34,7 @@
 		return
 	}
 	s.appendBatch(served, request.Batch, now)
-	if s.Faults.RejectAfterWrite && len(request.Batch.Items)%2 == 0 {
+	if s.InjectedFaults.RejectAfterWrite && len(request.Batch.Items)%2 == 0 {
 		s.replyError(call, errInjectedRejection())
 		return
 	}
--- a/internal/batchstore/registration.go
+++ b/internal/batchstore/writer_identity.go
@@ -4,45 +4,46 @@
 	"encoding/json"
 
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/registration"
 	"tuliprudder/internal/errs"
 	"tuliprudder/internal/machine"
 )
 
-// registration is what the primary core gave this store when it registered: the fleet it
+// writerIdentity is what the primary core gave this store when it registered: the fleet it
 // belongs to, and the ID under which it writes results. Both are durable and never change.
-type registration struct {
+type writerIdentity struct {
 	Fleet  string `json:"fleet"`
 	Writer int    `json:"writer"` // 0 before the store is registered
 }
 
-// record is the durable form of the registration.
-func (r registration) record() machine.Record {
-	body, _ := json.Marshal(r)
+// record is the durable form of the identity.
+func (w writerIdentity) record() machine.Record {
+	body, _ := json.Marshal(w)
 	return machine.Record{Unit: unitSelf, Kind: kindWriter, Body: body}
 }
 
-// replay takes the registration from a record; one that can't be read leaves it as it is,
+// replay takes the identity from a record; one that can't be read leaves it as it is,
 // and the store registers again.
-func (r *registration) replay(record machine.Record) {
-	var stored registration
+func (w *writerIdentity) replay(record machine.Record) {
+	var stored writerIdentity
 	if json.Unmarshal(record.Body, &stored) == nil {
-		*r = stored
+		*w = stored
 	}
 }
 
 // Writer is the store's writer ID; 0 before it is registered.
-func (s *Store) Writer() int { return s.registration.Writer }
+func (s *Store) Writer() int { return s.identity.Writer }
 
 // Fleet is the fleet that the store belongs to; "" before it is registered.
-func (s *Store) Fleet() string { return s.registration.Fleet }
+func (s *Store) Fleet() string { return s.identity.Fleet }
 
 // handleRegistered takes the writer ID. A core of another fleet is ignored: the store would
 // mix the data of two fleets.
-func (s *Store) handleRegistered(from string, registered Registered) {
+func (s *Store) handleRegistered(from string, registered registration.Registered) {
 	if registered.Writer <= 0 {
 		return
 	}
-	if s.registration.Fleet != "" && s.registration.Fleet != registered.Fleet {
+	if s.identity.Fleet != "" && s.identity.Fleet != registered.Fleet {
 		s.Emit(machine.LogEvent{Event: ForeignCoreIgnored{
 			Peer:   from,
 			Fleet:  registered.Fleet,
@@ -50,17 +51,17 @@
 		}})
 		return
 	}
-	if s.registration.Writer != 0 {
+	if s.identity.Writer != 0 {
 		return
 	}
-	s.registration = registration{Fleet: registered.Fleet, Writer: registered.Writer}
-	s.groups.Persist([]machine.Record{s.registration.record()}, nil)
+	s.identity = writerIdentity{Fleet: registered.Fleet, Writer: registered.Writer}
+	s.groups.Persist([]machine.Record{s.identity.record()}, nil)
 	s.reservePositions()
 	s.announcer.request()
 }
 
 // handleRegistrationRejected ends the daemon, whose data folder must not be used.
-func (s *Store) handleRegistrationRejected(rejected RegistrationRejected) {
+func (s *Store) handleRegistrationRejected(rejected registration.Rejected) {
 	if rejected.ID != s.self.ID || rejected.Incarnation != s.self.Incarnation {
 		return
 	}
--- a/internal/batchstore/registration_test.go
+++ b/internal/batchstore/writer_identity_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"tuliprudder/internal/controlplane/registration"
 	"tuliprudder/internal/errs"
 	"tuliprudder/internal/machine"
 )
@@ -10,7 +11,7 @@
 // The first registration stays: neither the same fleet's cores nor another's change it.
 func TestRegistrationIsKept(t *testing.T) {
 	s := newStore(Self{ID: "s", Incarnation: 1})
-	for _, registered := range []Registered{{Fleet: "f"}, {Fleet: "f", Writer: 3}, {Fleet: "f", Writer: 4}, {Fleet: "other", Writer: 5}} {
+	for _, registered := range []registration.Registered{{Fleet: "f"}, {Fleet: "f", Writer: 3}, {Fleet: "f", Writer: 4}, {Fleet: "other", Writer: 5}} {
 		s.Do(Message{From: "c", Body: registered}, 1000)
 	}
 	if s.Fleet() != "f" || s.Writer() != 3 {
@@ -25,12 +26,12 @@
 // Only a rejection of this very incarnation ends the daemon.
 func TestRejectedRegistrationEndsTheDaemon(t *testing.T) {
 	for name, test := range map[string]struct {
-		rejected RegistrationRejected
+		rejected registration.Rejected
 		ends     bool
 	}{
-		"its own":               {RegistrationRejected{ID: "s", Incarnation: 2}, true},
-		"another store's":       {RegistrationRejected{ID: "t", Incarnation: 2}, false},
-		"another incarnation's": {RegistrationRejected{ID: "s", Incarnation: 1}, false},
+		"its own":               {registration.Rejected{ID: "s", Incarnation: 2}, true},
+		"another store's":       {registration.Rejected{ID: "t", Incarnation: 2}, false},
+		"another incarnation's": {registration.Rejected{ID: "s", Incarnation: 1}, false},
 	} {
 		s := newStore(Self{ID: "s", Incarnation: 2})
 		ended := false
--- a/internal/controlplane/cluster_test.go
+++ b/internal/controlplane/cluster_test.go
@@ -6,16 +6,16 @@
 	"slices"
 	"testing"
 
-	"tuliprudder/internal/batchstore"
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/controlplane/election"
+	"tuliprudder/internal/controlplane/registration"
 	"tuliprudder/internal/machine"
 	"tuliprudder/internal/replication"
 )
 
 // fakeStore is a store daemon as far as the cores see it: its heartbeats.
 type fakeStore struct {
-	batchstore.Heartbeat
+	registration.Heartbeat
 	reportsComplete bool // reports of each shard it is primary of that the group is complete
 	unreachable     bool
 }
@@ -86,7 +86,7 @@
 
 // store adds a store.
 func (b *testCluster) store(id, peer, zone string) *fakeStore {
-	s := &fakeStore{Heartbeat: batchstore.Heartbeat{ID: id, Peer: peer, Zone: zone, Incarnation: 1}, reportsComplete: true}
+	s := &fakeStore{Heartbeat: registration.Heartbeat{ID: id, Peer: peer, Zone: zone, Incarnation: 1}, reportsComplete: true}
 	b.stores = append(b.stores, s)
 	return s
 }
--- a/internal/controlplane/commands.go
+++ b/internal/controlplane/commands.go
@@ -1,8 +1,8 @@
 package controlplane
 
 import (
-	"tuliprudder/internal/batchstore"
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/registration"
 	"tuliprudder/internal/machine"
 )
 
@@ -53,7 +53,7 @@
 	if c.groups.HandleMessage(m.From, m.Body, now) || c.election.HandleMessage(m.From, m.Body, now) {
 		return
 	}
-	if heartbeat, ok := m.Body.(batchstore.Heartbeat); ok {
+	if heartbeat, ok := m.Body.(registration.Heartbeat); ok {
 		c.handleStoreHeartbeat(m.From, heartbeat, now)
 	}
 }
--- a/internal/controlplane/placement/cluster.go
+++ b/internal/controlplane/placement/cluster.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
-	"tuliprudder/internal/batchstore"
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/registration"
 	"tuliprudder/internal/replication"
 )
 
@@ -22,7 +22,7 @@
 	HeardAt      clock.Micros // its latest heartbeat; 0: none
 	FirstHeardAt clock.Micros // the first heartbeat of this incarnation
 	// Unreachable are, by shard that it is the primary of, the replicas that don't answer it.
-	Unreachable map[int]batchstore.UnreachableReplicas
+	Unreachable map[int]registration.UnreachableReplicas
 	// Busy are the shards that it is the primary of and whose batches are open.
 	Busy []int
 }
--- a/internal/controlplane/placement/placement_test.go
+++ b/internal/controlplane/placement/placement_test.go
@@ -5,8 +5,8 @@
 	"slices"
 	"testing"
 
-	"tuliprudder/internal/batchstore"
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/registration"
 	"tuliprudder/internal/errs"
 	"tuliprudder/internal/replication"
 )
@@ -70,11 +70,11 @@
 			view(liveStores("z1", "z2"), group("s1", "s2")).change("s2", func(s *Store) { s.Live, s.HeardAt = false, 0 }), ""},
 		"a replica does not answer its primary": {
 			view(three(), group("s1", "s2")).change("s1", func(s *Store) {
-				s.Unreachable = map[int]batchstore.UnreachableReplicas{0: {Epoch: 1, Peers: []string{"p2"}}}
+				s.Unreachable = map[int]registration.UnreachableReplicas{0: {Epoch: 1, Peers: []string{"p2"}}}
 			}), "[s1 s3]"},
 		"a report of another epoch counts for nothing": {
 			view(three(), group("s1", "s2")).change("s1", func(s *Store) {
-				s.Unreachable = map[int]batchstore.UnreachableReplicas{0: {Epoch: 9, Peers: []string{"p2"}}}
+				s.Unreachable = map[int]registration.UnreachableReplicas{0: {Epoch: 9, Peers: []string{"p2"}}}
 			}), ""},
 		"a shard that was never assigned": {view(three(), replication.Assignment{}), "[s1 s2]"},
 		"a store was heard too lately for a first assignment": {
@@ -116,7 +116,7 @@
 // Stores that lost contact share no group for a while where another store can do it.
 func TestPartitionsAreRemembered(t *testing.T) {
 	report := func(s *Store) {
-		s.Unreachable = map[int]batchstore.UnreachableReplicas{0: {Epoch: 1, Peers: []string{"p2"}}}
+		s.Unreachable = map[int]registration.UnreachableReplicas{0: {Epoch: 1, Peers: []string{"p2"}}}
 	}
 	memory := Memory{NextBalance: testNow + 60*clock.Second}
 	before := view(liveStores("z1", "z2", "z3"), group("s1", "s2")).change("s1", report)
@@ -158,7 +158,7 @@
 func TestDecideIsPure(t *testing.T) {
 	v := view(liveStores("z1", "z2", "z3"), group("s1", "s2"), group("s2", "s1"))
 	v.change("s1", func(s *Store) {
-		s.Unreachable = map[int]batchstore.UnreachableReplicas{0: {Epoch: 1, Peers: []string{"p2"}}}
+		s.Unreachable = map[int]registration.UnreachableReplicas{0: {Epoch: 1, Peers: []string{"p2"}}}
 	})
 	memory := Memory{PartitionedUntil: map[StorePair]clock.Micros{}}
 	first := fmt.Sprintf("%+v", Decide(testSettings, v, memory))
--- a/internal/controlplane/stores.go
+++ b/internal/controlplane/stores.go
@@ -1,8 +1,8 @@
 package controlplane
 
 import (
-	"tuliprudder/internal/batchstore"
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/registration"
 	"tuliprudder/internal/controlplane/state"
 	"tuliprudder/internal/controlplane/stores"
 	"tuliprudder/internal/machine"
@@ -10,7 +10,7 @@
 
 // handleStoreHeartbeat takes a store's heartbeat in; the primary registers the store and tells it
 // its writer id (DESIGN §6.6, §8.4).
-func (c *Core) handleStoreHeartbeat(from string, heartbeat batchstore.Heartbeat, now clock.Micros) {
+func (c *Core) handleStoreHeartbeat(from string, heartbeat registration.Heartbeat, now clock.Micros) {
 	if reason := c.stores.Objection(heartbeat, c.joinRules(heartbeat.ID), now); reason != "" {
 		c.rejectStore(from, heartbeat, reason)
 		return
@@ -29,7 +29,7 @@
 		return
 	}
 	if !c.queue.HasInFlight() {
-		c.Emit(machine.Send{To: from, Body: batchstore.Registered{
+		c.Emit(machine.Send{To: from, Body: registration.Registered{
 			Fleet:  c.state.Fleet,
 			Writer: c.state.Stores[heartbeat.ID].Writer,
 			Seq:    c.state.Seq,
@@ -48,14 +48,14 @@
 	return rules
 }
 
-func (c *Core) rejectStore(from string, heartbeat batchstore.Heartbeat, reason string) {
+func (c *Core) rejectStore(from string, heartbeat registration.Heartbeat, reason string) {
 	c.Emit(machine.LogEvent{Event: StoreRejected{
 		Store:       heartbeat.ID,
 		Peer:        heartbeat.Peer,
 		Incarnation: heartbeat.Incarnation,
 		Reason:      reason,
 	}})
-	c.Emit(machine.Send{To: from, Body: batchstore.RegistrationRejected{
+	c.Emit(machine.Send{To: from, Body: registration.Rejected{
 		ID:          heartbeat.ID,
 		Incarnation: heartbeat.Incarnation,
 		Reason:      reason,
@@ -63,7 +63,7 @@
 }
 
 // commitCompletedShards writes down which groups are complete.
-func (c *Core) commitCompletedShards(heartbeat batchstore.Heartbeat, now clock.Micros) {
+func (c *Core) commitCompletedShards(heartbeat registration.Heartbeat, now clock.Micros) {
 	if len(heartbeat.Ready) == 0 || c.queue.HasEntry(assignsShards) {
 		return
 	}
--- a/internal/controlplane/stores/join.go
+++ b/internal/controlplane/stores/join.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
-	"tuliprudder/internal/batchstore"
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/registration"
 	"tuliprudder/internal/controlplane/state"
 	"tuliprudder/internal/replication"
 )
@@ -20,7 +20,7 @@
 // Objection is why a heartbeat is not from the store it names; "" when it may be: another process with
 // the same identity runs elsewhere, or a newer incarnation was heard before. The disk of such
 // a process would be taken for the trusted one.
-func (t *Table) Objection(h batchstore.Heartbeat, rules JoinRules, now clock.Micros) string {
+func (t *Table) Objection(h registration.Heartbeat, rules JoinRules, now clock.Micros) string {
 	if h.Fleet != "" && rules.Fleet != "" && h.Fleet != rules.Fleet {
 		return fmt.Sprintf("it is of fleet %s, this is %s", h.Fleet, rules.Fleet)
 	}
@@ -51,7 +51,7 @@
 
 // Registration is what has to be written down of a store that sent a heartbeat; false when the
 // state says it already.
-func Registration(current *state.State, h batchstore.Heartbeat) (state.Store, bool) {
+func Registration(current *state.State, h registration.Heartbeat) (state.Store, bool) {
 	store := state.Store{ID: h.ID, Zone: h.Zone, Peer: h.Peer, Name: h.Name, Incarnation: h.Incarnation}
 	known, isRegistered := current.Stores[h.ID]
 	isUnchanged := known.Peer == store.Peer && known.Zone == store.Zone && known.Name == store.Name && known.Incarnation == store.Incarnation
@@ -61,7 +61,7 @@
 // CompletedShards are the assignments, by shard, that become complete by a primary's report that
 // every member of its group holds the shard. A report of another epoch or incarnation counts
 // for nothing.
-func CompletedShards(current *state.State, h batchstore.Heartbeat) map[int]replication.Assignment {
+func CompletedShards(current *state.State, h registration.Heartbeat) map[int]replication.Assignment {
 	completed := map[int]replication.Assignment{}
 	primary := replication.Member{ID: h.ID, Incarnation: h.Incarnation}
 	for shard, epoch := range h.Ready {
--- a/internal/controlplane/stores/table.go
+++ b/internal/controlplane/stores/table.go
@@ -8,8 +8,8 @@
 package stores
 
 import (
-	"tuliprudder/internal/batchstore"
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/registration"
 	"tuliprudder/internal/controlplane/state"
 )
 
@@ -24,7 +24,7 @@
 
 // contact is what was heard of a store.
 type contact struct {
-	heartbeat    batchstore.Heartbeat // the latest
+	heartbeat    registration.Heartbeat // the latest
 	heardAt      clock.Micros
 	firstHeardAt clock.Micros // the first heartbeat of this incarnation
 }
@@ -47,7 +47,7 @@
 }
 
 // Record takes a heartbeat in.
-func (t *Table) Record(h batchstore.Heartbeat, now clock.Micros) {
+func (t *Table) Record(h registration.Heartbeat, now clock.Micros) {
 	heard, known := t.byID[h.ID]
 	if !known || heard.heartbeat.Incarnation != h.Incarnation {
 		heard.firstHeardAt = now
--- a/internal/controlplane/stores/table_test.go
+++ b/internal/controlplane/stores/table_test.go
@@ -5,8 +5,8 @@
 	"slices"
 	"testing"
 
-	"tuliprudder/internal/batchstore"
 	"tuliprudder/internal/clock"
+	"tuliprudder/internal/controlplane/registration"
 	"tuliprudder/internal/controlplane/state"
 	"tuliprudder/internal/replication"
 )
@@ -16,8 +16,8 @@
 var testSettings = Settings{Timeout: 2 * clock.Second, ListenDelay: 1500 * clock.Millisecond, EvictAfter: 10 * clock.Second, MaxStaleness: 2500 * clock.Millisecond, AssumeLostAfter: 20 * clock.Second}
 
 // heartbeat is one of a store whose address is that of its id.
-func heartbeat(id string, incarnation uint64) batchstore.Heartbeat {
-	return batchstore.Heartbeat{ID: id, Peer: "peer-" + id, Zone: "z", Incarnation: incarnation, Fleet: "f"}
+func heartbeat(id string, incarnation uint64) registration.Heartbeat {
+	return registration.Heartbeat{ID: id, Peer: "peer-" + id, Zone: "z", Incarnation: incarnation, Fleet: "f"}
 }
 
 // registered is a state with these stores in incarnation 1, and a configuration.
@@ -61,7 +61,7 @@
 	moved := heartbeat("a", 2)
 	moved.Peer = "peer-x"
 	for name, c := range map[string]struct {
-		heartbeat batchstore.Heartbeat
+		heartbeat registration.Heartbeat
 		rules     JoinRules
 		heardFor  clock.Micros // since the last heartbeat of a's first address
 		objects   bool
@@ -91,7 +91,7 @@
 	if table.IsReplaced(current, "a", testNow) {
 		t.Error("replaced by one that is not heard")
 	}
-	table.Record(batchstore.Heartbeat{ID: "b", Peer: "peer-a", Incarnation: 1}, testNow)
+	table.Record(registration.Heartbeat{ID: "b", Peer: "peer-a", Incarnation: 1}, testNow)
 	if !table.IsReplaced(current, "a", testNow) || table.IsReplaced(current, "b", testNow) {
 		t.Error("the one that runs there does not count")
 	}
@@ -100,15 +100,15 @@
 func TestRegistration(t *testing.T) {
 	current := registered("a")
 	for name, c := range map[string]struct {
-		change  func(h *batchstore.Heartbeat)
+		change  func(h *registration.Heartbeat)
 		changed bool
 	}{
-		"as it was":         {func(*batchstore.Heartbeat) {}, false},
-		"a new store":       {func(h *batchstore.Heartbeat) { h.ID = "b" }, true},
-		"a new incarnation": {func(h *batchstore.Heartbeat) { h.Incarnation = 2 }, true},
-		"a new address":     {func(h *batchstore.Heartbeat) { h.Peer = "x" }, true},
-		"a new zone":        {func(h *batchstore.Heartbeat) { h.Zone = "x" }, true},
-		"a new name":        {func(h *batchstore.Heartbeat) { h.Name = "x" }, true},
+		"as it was":         {func(*registration.Heartbeat) {}, false},
+		"a new store":       {func(h *registration.Heartbeat) { h.ID = "b" }, true},
+		"a new incarnation": {func(h *registration.Heartbeat) { h.Incarnation = 2 }, true},
+		"a new address":     {func(h *registration.Heartbeat) { h.Peer = "x" }, true},
+		"a new zone":        {func(h *registration.Heartbeat) { h.Zone = "x" }, true},
+		"a new name":        {func(h *registration.Heartbeat) { h.Name = "x" }, true},
 	} {
 		h := heartbeat("a", 1)
 		c.change(&h)
--- a/internal/daemon/machines/store_test.go
+++ b/internal/daemon/machines/store_test.go
@@ -7,6 +7,7 @@
 	"tuliprudder/internal/batchstore/shard"
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/config"
+	"tuliprudder/internal/controlplane/registration"
 	"tuliprudder/internal/dataplane/quota"
 	"tuliprudder/internal/errs"
 	"tuliprudder/internal/machine"
@@ -127,7 +128,7 @@
 	s.SetSeeds([]string{"seed:1"})
 	for _, effect := range s.Tick(clock.Second) {
 		if send, ok := effect.(machine.Send); ok && send.To == "seed:1" {
-			if heartbeat, ok := send.Body.(batchstore.Heartbeat); ok && heartbeat.Incarnation == 2 {
+			if heartbeat, ok := send.Body.(registration.Heartbeat); ok && heartbeat.Incarnation == 2 {
 				return
 			}
 		}
--- a/test/ci/layers_test.go
+++ b/test/ci/layers_test.go
@@ -70,13 +70,7 @@
 
 // exceptions are the imports against the order that there are, with the reason. The list may only
 // shrink: one that is gone fails the test.
-var exceptions = map[imported]string{
-	{"internal/controlplane", "internal/batchstore"}:           storeMessages,
-	{"internal/controlplane/placement", "internal/batchstore"}: storeMessages,
-	{"internal/controlplane/stores", "internal/batchstore"}:    storeMessages,
-}
-
-const storeMessages = "the messages between stores and cores (Heartbeat, Registered, RegistrationRejected) are declared by the batch store; gob names a type by its package, so that moving them to a package below both changes the wire format"
+var exceptions = map[imported]string{}
 
 // imported is one package's import of another, as folders relative to the module's root.
 type imported struct{ from, to string }
--- a/test/decisiondigest/digest_test.go
+++ b/test/decisiondigest/digest_test.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"testing"
 
-	"tuliprudder/internal/batchstore"
 	"tuliprudder/internal/clock"
 	"tuliprudder/internal/controlplane/election"
+	"tuliprudder/internal/controlplane/registration"
 	"tuliprudder/internal/errs"
 	"tuliprudder/internal/machine"
 )
@@ -170,7 +170,7 @@
 	if digestOf(sent(election.Heartbeat{Role: "backing"})) != digestOf(sent(election.Heartbeat{Role: "replica"})) {
 		t.Error("another word for a role changes the digest")
 	}
-	if digestOf(sent(batchstore.RegistrationRejected{Reason: "a copy"})) != digestOf(sent(batchstore.RegistrationRejected{Reason: "a clone"})) {
+	if digestOf(sent(registration.Rejected{Reason: "a copy"})) != digestOf(sent(registration.Rejected{Reason: "a clone"})) {
 		t.Error("other words for a refusal change the digest")
 	}
 	if digestOf(sent(election.VoteResponse{From: "a"})) == digestOf(sent(election.VoteResponse{From: "b"})) {
--- a/test/decisiondigest/effects.go
+++ b/test/decisiondigest/effects.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"reflect"
 
-	"tuliprudder/internal/batchstore"
 	"tuliprudder/internal/controlplane/election"
+	"tuliprudder/internal/controlplane/registration"
 	"tuliprudder/internal/machine"
 )
 
@@ -62,7 +62,7 @@
 	out := textFields{}
 	restated(out, func(reply *election.VoteResponse) *string { return &reply.Reason })
 	restated(out, func(heartbeat *election.Heartbeat) *string { return &heartbeat.Role })
-	restated(out, func(rejection *batchstore.RegistrationRejected) *string { return &rejection.Reason })
+	restated(out, func(rejection *registration.Rejected) *string { return &rejection.Reason })
 	return out
 }
 
--- a/test/simulator/injected_bugs_test.go
+++ b/test/simulator/injected_bugs_test.go
@@ -35,17 +35,17 @@
 		}, "", 12, 8 * ms, 20, nil},
 		"positions announced early": {func(n *Node) {
 			if n.Store != nil {
-				n.Store.Faults.SkipDurability = true
+				n.Store.InjectedFaults.SkipDurability = true
 			}
 		}, "all stores at once", 8, 60 * ms, 7, []Guarantee{resultsExactlyOnce, readerResumes, batchKept}},
 		"asks answered without a lease": {func(n *Node) {
 			if n.Store != nil {
-				n.Store.Faults.SkipLease = true
+				n.Store.InjectedFaults.SkipLease = true
 			}
 		}, "cut a zone", 6, 8 * ms, 21, []Guarantee{batchKept}},
 		"turned away after the writing": {func(n *Node) {
 			if n.Store != nil {
-				n.Store.Faults.RejectAfterWrite = true
+				n.Store.InjectedFaults.RejectAfterWrite = true
 			}
 		}, "bounce", 1, 8 * ms, 1, []Guarantee{rejectedNeverRuns}},
 		"sync skipped": {func(n *Node) { n.disk.skipsSync = true }, "", 10, 8 * ms, 1, []Guarantee{batchKept, resultsExactlyOnce, readerResumes, configurationInForce}},
--- a/test/simulator/simulation_test.go
+++ b/test/simulator/simulation_test.go
@@ -47,7 +47,7 @@
 	"replication.StaleEpoch":     "a deposed owner has to go on writing: the test of replication groups mutates it",
 	"controlplane.StatusRequest": "an operator's read", "controlplane.StatusResponse": "an operator's read",
 	"batchstore.ItemBodyRequest": "a server's read of an opaque item: the store's own test", "batchstore.ItemBodyResponse": "the same",
-	"batchstore.RegistrationRejected": "TestCopiedFoldersAreRejected sends it",
+	"registration.Rejected": "TestCopiedFoldersAreRejected sends it",
 }
 
 // One message of a kind is dropped, repeated, delayed, or swapped with those behind it, for
--- a/test/storedformat/messages_test.go
+++ b/test/storedformat/messages_test.go
@@ -12,6 +12,7 @@
 	"tuliprudder/internal/batchstore"
 	"tuliprudder/internal/batchstore/shard"
 	"tuliprudder/internal/controlplane/election"
+	"tuliprudder/internal/controlplane/registration"
 	"tuliprudder/internal/gossip"
 	"tuliprudder/internal/machine"
 	"tuliprudder/internal/replication"
@@ -26,7 +27,7 @@
 		Items: []shard.Item{{ID: "x", Input: "in"}, {ID: "y", Request: &shard.Request{Target: "/t", Host: "h", Header: map[string]string{"A": "b"}, Body: []byte("body"), Tokens: 4}}}}
 	bodies := []any{
 		election.VoteResponse{Epoch: 7, From: "cairn-2", Granted: true, Reason: "because", Vote: vote},
-		batchstore.Heartbeat{ID: "refuge-1", Zone: "zone-a", Peer: "10.0.1.1:7100", Name: "machine-1", Incarnation: 5, Ready: map[int]uint64{2: 8}, Fleet: "f-1", Draining: true, Stalled: true, Unreachable: map[int]batchstore.UnreachableReplicas{3: {Epoch: 9, Peers: []string{"10.0.1.2:7100"}}}, Busy: []int{1, 2}},
+		registration.Heartbeat{ID: "refuge-1", Zone: "zone-a", Peer: "10.0.1.1:7100", Name: "machine-1", Incarnation: 5, Ready: map[int]uint64{2: 8}, Fleet: "f-1", Draining: true, Stalled: true, Unreachable: map[int]registration.UnreachableReplicas{3: {Epoch: 9, Peers: []string{"10.0.1.2:7100"}}}, Busy: []int{1, 2}},
 		batchstore.SubmitRequest{Shard: 2, Batch: batch, Timeout: 77},
 		replication.Append{Unit: "slot/002", Epoch: 8, Seq: 4, Entry: []byte("entry")},
 		gossip.Gossip{Updates: []machine.Update{{Key: "server/a", Epoch: 1, Seq: 2, Value: []byte("{}")}}},
