--- a/internal/batchstore/store.go
+++ b/internal/batchstore/store.go
@@ -36,7 +36,7 @@
 type Store struct {
 	machine.Effects
 	Counters
-	// Faults are set by tests only.
+	// InjectedFaults are set by tests only.
 	InjectedFaults InjectedFaults
 	// BadRecord is the error of the last record that could not be read, from the disk, a
 	// peer or the archive; nil without one.
