--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -15,45 +15,45 @@
 
 type options struct {
 	capacitymodel.Settings
-	seeds, first int64
-	out, kinds   string
+	seedCount, firstSeed     int64
+	tablePath, kindTablePath string
 }
 
-// reader knows the settings and checks them together.
+// newSettingsReader knows the settings and checks them together.
 //
 //revive:disable-next-line:function-length,cyclomatic a line for each setting and each check
-func reader() (*settings.Reader, *options) {
-	set := &options{}
+func newSettingsReader() (*settings.Reader, *options) {
+	opts := &options{}
 	r := settings.New("capacity")
-	s := &set.Settings
+	s := &opts.Settings
 	r.Int(&s.Daemons, "daemons", 30, 5, 1000, "daemons in all: cores, stores, and edges for the rest")
 	r.Int(&s.Stores, "stores", 0, 0, 500, "stores; 0: two in seven of the daemons, at least three")
 	r.Int(&s.Cores, "cores", 0, 0, 5, "cores; 0: three, from 100 daemons on five")
-	r.Int(&s.WholeEdges, "whole-edges", -1, -1, 1000, "edges that run their whole machine, the rest being hollow; -1: all")
+	r.Int(&s.FullEdges, "whole-edges", -1, -1, 1000, "edges that run their whole machine, the rest being hollow; -1: all")
 	r.Int(&s.Servers, "servers", 60, 1, 10_000, "model servers")
-	r.Int(&s.Busy, "busy", 0, 0, 100, "share of the servers that are at least half full, in percent")
-	r.Int(&s.Late, "late-servers", 0, 0, 1, "1: the servers come once the fleet has settled, which spares a large run much time")
+	r.Int(&s.BusyPercent, "busy", 0, 0, 100, "share of the servers that are at least half full, in percent")
+	r.Int(&s.LateServers, "late-servers", 0, 0, 1, "1: the servers come once the fleet has settled, which spares a large run much time")
 	r.Int(&s.Zones, "zones", 11, 2, 64, "zones")
 	r.Int(&s.Regions, "regions", 3, 1, 16, "regions")
-	r.Int(&s.Slots, "slots", 24, 1, 4096, "slots of bundles")
-	r.Int(&s.ZoneDelay, "zone-delay", 700, 0, 1_000_000, "microseconds one way between zones of a region, added to those within one")
-	r.Int(&s.RegionDelay, "region-delay", 35_000, 0, 1_000_000, "microseconds one way between regions, added likewise")
-	r.Int(&s.Warm, "warm", 3, 1, 600, "virtual seconds between settling and counting")
-	r.Int(&s.Seconds, "seconds", 20, 1, 86_400, "virtual seconds that are counted")
-	r.Int(&s.Changes, "changes", 1042, 0, 1_000_000, "changes of the plan, an hour")
-	r.Int(&s.Customers, "customers", 450, 1, 10_000, "customers in the plan")
+	r.Int(&s.Shards, "slots", 24, 1, 4096, "slots of bundles")
+	r.Int(&s.ZoneDelayUS, "zone-delay", 700, 0, 1_000_000, "microseconds one way between zones of a region, added to those within one")
+	r.Int(&s.RegionDelayUS, "region-delay", 35_000, 0, 1_000_000, "microseconds one way between regions, added likewise")
+	r.Int(&s.WarmupSeconds, "warm", 3, 1, 600, "virtual seconds between settling and counting")
+	r.Int(&s.CountedSeconds, "seconds", 20, 1, 86_400, "virtual seconds that are counted")
+	r.Int(&s.ChangesPerHour, "changes", 1042, 0, 1_000_000, "changes of the plan, an hour")
+	r.Int(&s.Tenants, "customers", 450, 1, 10_000, "customers in the plan")
 	r.Int(&s.Routes, "routes", 60, 3, 20_000, "routes in the plan")
-	r.Int(&s.Items, "items", 0, 0, 1_000_000, "items of bundles, a second; above 0 every edge has to be whole")
-	r.Int(&s.BundleItems, "bundle-items", 200, 1, 100_000, "items in a bundle")
-	r.Int(&s.Restarts, "restarts", 0, 0, 1_000_000, "daemons ended and started again, an hour")
-	r.Int(&s.CutRegion, "cut-region", 0, 0, 86_400, "seconds for which a region is cut off")
-	r.Int(&s.CutZone, "cut-zone", 0, 0, 86_400, "seconds for which a zone is cut off")
-	r.Int(&s.Memory, "memory", 4000, 64, 1<<30, "most MiB of this process")
-	r.Int(&set.first, "first", 1, 0, 1<<40, "first seed")
-	r.Int(&set.seeds, "seeds", 1, 1, 1000, "how many seeds, one run each")
-	r.Flags.StringVar(&set.out, "out", "", "table to add the runs to; standard output when empty")
-	r.Flags.StringVar(&set.kinds, "kinds", "", "second table to add to: what each role sent, by kind")
-	r.Check(func() {
+	r.Int(&s.ItemsPerSecond, "items", 0, 0, 1_000_000, "items of bundles, a second; above 0 every edge has to be whole")
+	r.Int(&s.BatchItems, "bundle-items", 200, 1, 100_000, "items in a bundle")
+	r.Int(&s.RestartsPerHour, "restarts", 0, 0, 1_000_000, "daemons ended and started again, an hour")
+	r.Int(&s.RegionPartitionSeconds, "cut-region", 0, 0, 86_400, "seconds for which a region is cut off")
+	r.Int(&s.ZonePartitionSeconds, "cut-zone", 0, 0, 86_400, "seconds for which a zone is cut off")
+	r.Int(&s.MaxMemoryMiB, "memory", 4000, 64, 1<<30, "most MiB of this process")
+	r.Int(&opts.firstSeed, "first", 1, 0, 1<<40, "first seed")
+	r.Int(&opts.seedCount, "seeds", 1, 1, 1000, "how many seeds, one run each")
+	r.Flags.StringVar(&opts.tablePath, "out", "", "table to add the runs to; standard output when empty")
+	r.Flags.StringVar(&opts.kindTablePath, "kinds", "", "second table to add to: what each role sent, by kind")
+	r.AddCheck(func() {
 		if s.Cores == 0 {
 			s.Cores = 3
 			if s.Daemons >= 100 {
@@ -64,52 +64,52 @@
 			s.Stores = max(3, s.Daemons*2/7)
 		}
 		if s.Cores != 3 && s.Cores != 5 {
-			r.Fault("-cores %d: give 3 or 5", s.Cores)
+			r.Faultf("-cores %d: give 3 or 5", s.Cores)
 		}
 		if s.Edges() < 1 {
-			r.Fault("-daemons %d leaves no edge beside %d cores and %d stores; give more daemons or fewer -stores", s.Daemons, s.Cores, s.Stores)
+			r.Faultf("-daemons %d leaves no edge beside %d cores and %d stores; give more daemons or fewer -stores", s.Daemons, s.Cores, s.Stores)
 			return
 		}
-		if s.WholeEdges < 0 || s.WholeEdges > s.Edges() {
-			s.WholeEdges = s.Edges()
+		if s.FullEdges < 0 || s.FullEdges > s.Edges() {
+			s.FullEdges = s.Edges()
 		}
 		if s.Regions > s.Zones {
-			r.Fault("-regions %d is more than -zones %d; give each region a zone at least", s.Regions, s.Zones)
+			r.Faultf("-regions %d is more than -zones %d; give each region a zone at least", s.Regions, s.Zones)
 		}
-		if s.Items > 0 && s.WholeEdges < s.Edges() {
-			r.Fault("-items needs whole edges, which hold the customers' accounts; leave -whole-edges out")
+		if s.ItemsPerSecond > 0 && s.FullEdges < s.Edges() {
+			r.Faultf("-items needs whole edges, which hold the customers' accounts; leave -whole-edges out")
 		}
-		if most := capacitymodel.MostMemory(); s.Memory >= most {
-			r.Fault("-memory %d: not below half of this machine's memory; give at most %d", s.Memory, most-1)
+		if limit := capacitymodel.MaxMemoryMiB(); s.MaxMemoryMiB >= limit {
+			r.Faultf("-memory %d: not below half of this machine's memory; give at most %d", s.MaxMemoryMiB, limit-1)
 		}
-		if s.CutRegion > 0 && s.Regions < 2 {
-			r.Fault("-cut-region needs two regions at least; give -regions 2 or more")
+		if s.RegionPartitionSeconds > 0 && s.Regions < 2 {
+			r.Faultf("-cut-region needs two regions at least; give -regions 2 or more")
 		}
-		if s.CutRegion+s.CutZone > 0 && s.CutRegion+s.CutZone+8 > s.Seconds {
-			r.Fault("-seconds %d does not hold the cuts; give at least %d", s.Seconds, s.CutRegion+s.CutZone+8)
+		if s.RegionPartitionSeconds+s.ZonePartitionSeconds > 0 && s.RegionPartitionSeconds+s.ZonePartitionSeconds+8 > s.CountedSeconds {
+			r.Faultf("-seconds %d does not hold the cuts; give at least %d", s.CountedSeconds, s.RegionPartitionSeconds+s.ZonePartitionSeconds+8)
 		}
 	})
-	return r, set
+	return r, opts
 }
 
 func main() {
 	if len(os.Args) > 1 && os.Args[1] == "page" {
-		page(os.Args[2:])
+		pageCommand(os.Args[2:])
 		return
 	}
-	r, set := reader()
+	r, opts := newSettingsReader()
 	r.MustParse(os.Args[1:])
-	logging.Open(io.Discard, "capacity", "") // the libraries' own log would stand between the lines of the table
-	for seed := set.first; seed < set.first+set.seeds; seed++ {
-		set.Seed = seed
+	logging.New(io.Discard, "capacity", "") // the libraries' own log would stand between the lines of the table
+	for seed := opts.firstSeed; seed < opts.firstSeed+opts.seedCount; seed++ {
+		opts.Seed = seed
 		fmt.Fprintf(os.Stderr, "%d daemons (%d edges of which %d whole, %d stores, %d cores), %d servers, %d changes an hour, %d items a second, seed %d\n",
-			set.Daemons, set.Edges(), set.WholeEdges, set.Stores, set.Cores, set.Servers, set.Changes, set.Items, seed)
-		result := capacitymodel.Run(set.Settings, os.Stderr)
-		if err := add(set.out, capacitymodel.Columns(), [][]string{result.Record()}); err != nil {
+			opts.Daemons, opts.Edges(), opts.FullEdges, opts.Stores, opts.Cores, opts.Servers, opts.ChangesPerHour, opts.ItemsPerSecond, seed)
+		result := capacitymodel.Run(opts.Settings, os.Stderr)
+		if err := appendRecords(opts.tablePath, capacitymodel.Columns(), [][]string{result.Record()}); err != nil {
 			fail(err)
 		}
-		if set.kinds != "" {
-			if err := add(set.kinds, capacitymodel.KindColumns(), result.KindRecords()); err != nil {
+		if opts.kindTablePath != "" {
+			if err := appendRecords(opts.kindTablePath, capacitymodel.KindColumns(), result.KindRecords()); err != nil {
 				fail(err)
 			}
 		}
@@ -121,10 +121,10 @@
 	os.Exit(1)
 }
 
-// add appends lines to a table, with its head where it is new.
-func add(path string, columns []string, records [][]string) error {
+// appendRecords appends lines to a table, with its head where it is new.
+func appendRecords(path string, columns []string, records [][]string) error {
 	file := os.Stdout
-	head := path == ""
+	withHeader := path == ""
 	if path != "" {
 		opened, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
@@ -135,10 +135,10 @@
 		if err != nil {
 			return err
 		}
-		file, head = opened, info.Size() == 0
+		file, withHeader = opened, info.Size() == 0
 	}
 	table := csv.NewWriter(file)
-	if head {
+	if withHeader {
 		table.Write(columns)
 	}
 	table.WriteAll(records)
--- a/cmd/capacity/page.go
+++ b/cmd/capacity/page.go
@@ -9,18 +9,18 @@
 	"tuliprudder/proof/capacitymodel"
 )
 
-// page works the tables of the capacity page out anew from the committed runs.
-func page(args []string) {
+// pageCommand works the tables of the capacity page out anew from the committed runs.
+func pageCommand(args []string) {
 	r := settings.New("capacity page")
 	tables := r.Flags.String("tables", "docs/capacity", "folder of the runs' tables")
 	path := r.Flags.String("page", "docs/CAPACITY.md", "the page")
 	r.MustParse(args)
-	if err := rewrite(*tables, *path); err != nil {
+	if err := rewritePage(*tables, *path); err != nil {
 		fail(err)
 	}
 }
 
-func rewrite(folder, path string) error {
+func rewritePage(folder, path string) error {
 	tables, err := capacitymodel.ReadTables(folder)
 	if err != nil {
 		return err
@@ -29,7 +29,7 @@
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	text, err := capacitymodel.Page(string(old), tables)
+	text, err := capacitymodel.RenderPage(string(old), tables)
 	if err != nil {
 		return err
 	}
--- a/cmd/edge/main.go
+++ b/cmd/edge/main.go
@@ -16,53 +16,53 @@
 
 func main() {
 	var common settings.Common
-	var bounds host.Bounds
-	set := machines.EdgeDefaults()
-	settings := settings.New("edge")
-	settings.Common(&common, false)
-	bounds.Settings(settings)
-	mostWaiting := int64(set.Scheduler.MostWaiting)
-	settings.Int(&mostWaiting, "most-waiting", mostWaiting, 1, 1_000_000, "live orders that may wait here")
-	settings.Int(&set.Scheduler.Staleness, "staleness-us", set.Scheduler.Staleness, 500_000, 10_000_000, "age of the news past which orders are turned away")
-	settings.Int(&set.PollEvery, "poll-every-us", set.PollEvery, 50_000, 10_000_000, "between two readings of a server's pages")
-	settings.Former("scout-every-us", "poll-every-us")
-	settings.Check(func() {
-		if common.Data != "" {
-			settings.Fault("-data %q: an edge keeps nothing on disk; leave it out", common.Data)
+	var bounds host.Limits
+	cfg := machines.EdgeDefaults()
+	reader := settings.New("edge")
+	reader.Common(&common, false)
+	bounds.Settings(reader)
+	maxWaiting := int64(cfg.Scheduler.MaxQueued)
+	reader.Int(&maxWaiting, "most-waiting", maxWaiting, 1, 1_000_000, "live orders that may wait here")
+	reader.Int(&cfg.Scheduler.MaxStaleness, "staleness-us", cfg.Scheduler.MaxStaleness, 500_000, 10_000_000, "age of the news past which orders are turned away")
+	reader.Int(&cfg.PollInterval, "poll-every-us", cfg.PollInterval, 50_000, 10_000_000, "between two readings of a server's pages")
+	reader.Deprecated("scout-every-us", "poll-every-us")
+	reader.AddCheck(func() {
+		if common.DataDir != "" {
+			reader.Faultf("-data %q: an edge keeps nothing on disk; leave it out", common.DataDir)
 		}
 	})
-	settings.MustParse(os.Args[1:])
-	set.Scheduler.MostWaiting = int(mostWaiting)
-	if err := run(common, bounds, set); err != nil {
+	reader.MustParse(os.Args[1:])
+	cfg.Scheduler.MaxQueued = int(maxWaiting)
+	if err := run(common, bounds, cfg); err != nil {
 		fmt.Fprintln(os.Stderr, "edge:", err)
 		os.Exit(1)
 	}
 }
 
-func run(common settings.Common, bounds host.Bounds, set machines.EdgeSettings) error {
-	l, err := host.Open("edge", identity.Edge, common, bounds)
+func run(common settings.Common, bounds host.Limits, cfg machines.EdgeSettings) error {
+	daemon, err := host.New("edge", identity.Edge, common, bounds)
 	if err != nil {
 		return err
 	}
-	edge := roles.NewEdge(l, set)
-	front := &gate.Gate{Set: gate.Defaults(), Machine: l.Loop.AskUntil, Word: l.Loop.Notify, Clock: l.Loop.Now}
-	front.Routes(l.HTTP)
-	l.Admin.Ready = func() (why string) {
-		l.Loop.WithMachine(func(now clock.Micros) {
+	edge := roles.NewEdge(daemon, cfg)
+	api := &gate.Handler{Settings: gate.Defaults(), CallMachine: daemon.Loop.CallLocalContext, Notify: daemon.Loop.Notify, Now: daemon.Loop.Now}
+	api.RegisterRoutes(daemon.HTTP)
+	daemon.Admin.Ready = func() (reason string) {
+		daemon.Loop.WithMachine(func(now clock.Micros) {
 			switch {
-			case edge.Scheduler.Plan() == nil:
-				why = "no plan has arrived yet"
-			case !edge.Reader.Ready():
-				why = "not every slot has a store yet"
-			case !edge.Scheduler.Fresh(now):
-				why = "the news are old"
+			case edge.Scheduler.Configuration() == nil:
+				reason = "no plan has arrived yet"
+			case !edge.Reader.IsReady():
+				reason = "not every slot has a store yet"
+			case !edge.Scheduler.IsFresh(now):
+				reason = "the news are old"
 			}
 		})
-		return why
+		return reason
 	}
-	l.OnDrain(func() {
-		l.Loop.Notify(machines.Close{})
-		host.Wait(6*clock.Second, func() bool { return l.HTTP.Open() == 0 })
+	daemon.OnDrain(func() {
+		daemon.Loop.Notify(machines.Drain{})
+		host.WaitUntil(6*clock.Second, func() bool { return daemon.HTTP.OpenRequests() == 0 })
 	})
-	return l.Run()
+	return daemon.Run()
 }
--- a/cmd/hunt/main.go
+++ b/cmd/hunt/main.go
@@ -31,37 +31,37 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-func run(ctx context.Context, args []string, out, errors io.Writer) int {
-	plan, err := parse(args, errors)
+func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
+	plan, err := parse(args, stderr)
 	if err != nil {
 		return statusBadArguments
 	}
 	if faults := plan.Faults(); len(faults) > 0 {
 		for _, fault := range faults {
-			fmt.Fprintf(errors, "hunt: %s\n", fault)
+			fmt.Fprintf(stderr, "hunt: %s\n", fault)
 		}
 		return statusBadArguments
 	}
 	var table hunt.Table
-	plan.Play(ctx, func(result hunt.Result) {
+	plan.Run(ctx, func(result hunt.Result) {
 		table.Add(result)
-		report(out, result)
+		report(stdout, result)
 	})
-	table.Write(out)
+	table.Write(stdout)
 	if table.Failed() {
 		return statusFailed
 	}
 	return 0
 }
 
-func parse(args []string, errors io.Writer) (hunt.Plan, error) {
+func parse(args []string, stderr io.Writer) (hunt.Plan, error) {
 	var plan hunt.Plan
 	var focuses string
 	flags := flag.NewFlagSet("hunt", flag.ContinueOnError)
-	flags.SetOutput(errors)
+	flags.SetOutput(stderr)
 	flags.StringVar(&plan.Bench, "bench", "", "path of the bench")
 	flags.StringVar(&plan.DayTool, "day-tool", "", "path of the tool that writes and plays days of a focus")
-	flags.StringVar(&plan.Folder, "out", "", "scratch folder for days and reports, outside the repository")
+	flags.StringVar(&plan.OutputFolder, "out", "", "scratch folder for days and reports, outside the repository")
 	flags.StringVar(&focuses, "focus", "all", "all, or focuses by comma")
 	flags.IntVar(&plan.HuntDays, "hunt-days", 0, "days that the bench draws, on each site")
 	flags.IntVar(&plan.FocusDays, "focus-days", 0, "days of each focus, on each site")
@@ -75,17 +75,17 @@
 	return plan, nil
 }
 
-func report(out io.Writer, result hunt.Result) {
+func report(stdout io.Writer, result hunt.Result) {
 	for _, day := range result.Days {
 		state := "ok"
 		switch {
 		case day.GivenUp:
 			state = "given up"
-		case day.Broken != "":
-			state = "BROKE " + day.Broken
-		case len(day.Gate) > 0:
-			state = fmt.Sprintf("short of the gate: %s", day.Gate)
+		case day.BrokenRules != "":
+			state = "BROKE " + day.BrokenRules
+		case len(day.GateFailures) > 0:
+			state = fmt.Sprintf("short of the gate: %s", day.GateFailures)
 		}
-		fmt.Fprintf(out, "%s %s %s %.3f %s\n", result.Site, result.Label, day.Name, day.Worth, state)
+		fmt.Fprintf(stdout, "%s %s %s %.3f %s\n", result.Site, result.Label, day.Name, day.Value, state)
 	}
 }
--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -15,29 +15,29 @@
 )
 
 func main() {
-	var set faultinject.Settings
+	var cfg faultinject.Settings
 	r := settings.New("loadgen")
-	set.Flags(r)
+	cfg.Flags(r)
 	edges := r.Flags.String("at", "", "http addresses of edges, by comma")
 	starts := r.Flags.String("starts", "", "the servers' logs of starts, by comma")
-	r.Check(func() {
+	r.AddCheck(func() {
 		for _, edge := range strings.Split(*edges, ",") {
-			r.Address("at", edge)
+			r.CheckAddress("at", edge)
 		}
 	})
 	r.MustParse(os.Args[1:])
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	tour := set.Workload(func() []string { return strings.Split(*edges, ",") })
-	tour.Run(ctx)
+	workload := cfg.Workload(func() []string { return strings.Split(*edges, ",") })
+	workload.Run(ctx)
 	log, err := verify.ReadStarts(strings.Split(*starts, ","))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "loadgen:", err)
 		os.Exit(1)
 	}
-	verdict := tour.Verdict(log, nil)
+	verdict := workload.Verdict(log, nil)
 	fmt.Print(verdict)
-	if verdict.Broken() {
+	if verdict.IsBroken() {
 		os.Exit(1)
 	}
 }
--- a/cmd/localfleet/main.go
+++ b/cmd/localfleet/main.go
@@ -18,23 +18,23 @@
 )
 
 func main() {
-	var set faultinject.Settings
+	var cfg faultinject.Settings
 	r := settings.New("localfleet")
-	set.Flags(r)
+	cfg.Flags(r)
 	stay := r.Flags.Bool("stay", false, "boot, put the plan, and stay until interrupted")
 	r.MustParse(os.Args[1:])
-	if err := run(set, *stay); err != nil {
+	if err := run(cfg, *stay); err != nil {
 		fmt.Fprintln(os.Stderr, "localfleet:", err)
 		os.Exit(1)
 	}
 }
 
-func run(set faultinject.Settings, stay bool) error {
+func run(cfg faultinject.Settings, stay bool) error {
 	dir, err := os.MkdirTemp("", "localfleet-")
 	if err != nil {
 		return err
 	}
-	if set.Keep {
+	if cfg.KeepFiles {
 		fmt.Println("files:", dir)
 	} else {
 		defer os.RemoveAll(dir)
@@ -44,37 +44,37 @@
 		return err
 	}
 	bin := filepath.Join(dir, "bin")
-	if err := localfleet.Build(root, bin, set.BuildArgs()...); err != nil {
+	if err := localfleet.Build(root, bin, cfg.BuildArgs()...); err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	c := localfleet.New(set.Spec(), filepath.Join(dir, "fleet"), bin)
-	defer c.Stop()
-	began := time.Now()
-	if err := c.Start(); err != nil {
+	fleet := localfleet.New(cfg.Spec(), filepath.Join(dir, "fleet"), bin)
+	defer fleet.Stop()
+	startedAt := time.Now()
+	if err := fleet.Start(); err != nil {
 		return err
 	}
-	if err := c.Ready(40 * time.Second); err != nil {
+	if err := fleet.MakeReady(40 * time.Second); err != nil {
 		return err
 	}
-	fmt.Printf("%s: ready %.1f s after boot\n", set.Name, time.Since(began).Seconds())
+	fmt.Printf("%s: ready %.1f s after boot\n", cfg.Name, time.Since(startedAt).Seconds())
 	if stay {
 		for _, kind := range []string{"core", "store", "edge", "modelserver"} {
-			for _, name := range c.Names(kind) {
-				fmt.Printf("  %-10s http %s\n", name, c.Get(name).HTTP)
+			for _, name := range fleet.Names(kind) {
+				fmt.Printf("  %-10s http %s\n", name, fleet.Get(name).HTTP)
 			}
 		}
 		<-ctx.Done()
 		return nil
 	}
-	verdict, err := faultinject.Run(ctx, c, set)
+	verdict, err := faultinject.Run(ctx, fleet, cfg)
 	if err != nil {
 		return err
 	}
 	fmt.Print(verdict)
-	fmt.Print(faultinject.Figures(c))
-	if verdict.Broken() {
+	fmt.Print(faultinject.CounterSummary(fleet))
+	if verdict.IsBroken() {
 		return fmt.Errorf("a promise was broken")
 	}
 	return nil
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -16,39 +16,39 @@
 
 func main() {
 	var common settings.Common
-	var bounds host.Bounds
-	set := store.Defaults()
-	settings := settings.New("store")
-	settings.Common(&common, true)
-	bounds.Settings(settings)
-	mostItems := int64(set.MostItems)
-	settings.Int(&mostItems, "most-items", mostItems, 1, 10_000_000, "items of bundles that may wait here")
-	settings.Int(&set.KeepDone, "keep-done-us", set.KeepDone, 60_000_000, 365*86_400_000_000, "how long a finished bundle stays readable")
-	settings.MustParse(os.Args[1:])
-	set.MostItems = int(mostItems)
-	if err := run(common, bounds, set); err != nil {
+	var bounds host.Limits
+	cfg := store.Defaults()
+	reader := settings.New("store")
+	reader.Common(&common, true)
+	bounds.Settings(reader)
+	maxItems := int64(cfg.MaxItems)
+	reader.Int(&maxItems, "most-items", maxItems, 1, 10_000_000, "items of bundles that may wait here")
+	reader.Int(&cfg.RetainFinished, "keep-done-us", cfg.RetainFinished, 60_000_000, 365*86_400_000_000, "how long a finished bundle stays readable")
+	reader.MustParse(os.Args[1:])
+	cfg.MaxItems = int(maxItems)
+	if err := run(common, bounds, cfg); err != nil {
 		fmt.Fprintln(os.Stderr, "store:", err)
 		os.Exit(1)
 	}
 }
 
-func run(common settings.Common, bounds host.Bounds, set store.Settings) error {
-	l, err := host.Open("store", identity.Store, common, bounds)
+func run(common settings.Common, bounds host.Limits, cfg store.Settings) error {
+	daemon, err := host.New("store", identity.Store, common, bounds)
 	if err != nil {
 		return err
 	}
-	daemon, err := roles.NewStore(l, set)
+	storeRole, err := roles.NewStore(daemon, cfg)
 	if err != nil {
 		return err
 	}
-	books := daemon.Ledger
-	plant(books, daemon.Folder, common.Data)
-	l.OnDrain(func() {
-		l.Loop.Notify(store.Drain{})
-		host.Wait(7*clock.Second, func() (gone bool) {
-			l.Loop.WithMachine(func(clock.Micros) { gone = books.Owned() == 0 })
-			return gone
+	batchStore := storeRole.Ledger
+	plant(batchStore, storeRole.Folder, common.DataDir)
+	daemon.OnDrain(func() {
+		daemon.Loop.Notify(store.Drain{})
+		host.WaitUntil(7*clock.Second, func() (released bool) {
+			daemon.Loop.WithMachine(func(clock.Micros) { released = batchStore.OwnedShards() == 0 })
+			return released
 		})
 	})
-	return l.Run()
+	return daemon.Run()
 }
--- a/cmd/tuliprudderctl/main.go
+++ b/cmd/tuliprudderctl/main.go
@@ -25,17 +25,17 @@
 	"tuliprudder/membership/identity"
 )
 
-// tool is what every command needs.
-type tool struct {
-	at   string
-	by   string
-	out  io.Writer
-	http *http.Client
+// cli is what every command needs.
+type cli struct {
+	address    string
+	operator   string
+	out        io.Writer
+	httpClient *http.Client
 }
 
 func main() {
-	t := &tool{out: os.Stdout, http: &http.Client{Timeout: 20 * time.Second}}
-	if err := t.root().ParseAndRun(context.Background(), os.Args[1:]); err != nil {
+	t := &cli{out: os.Stdout, httpClient: &http.Client{Timeout: 20 * time.Second}}
+	if err := t.rootCommand().ParseAndRun(context.Background(), os.Args[1:]); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
 			os.Exit(2)
 		}
@@ -48,7 +48,7 @@
 }
 
 // printError names the fault, its parts and the remedy.
-func (t *tool) printError(w io.Writer, err error) {
+func (t *cli) printError(w io.Writer, err error) {
 	m := errs.Of(err)
 	fmt.Fprintf(w, "tuliprudderctl: %s: %s\n", m.Kind, m.Message)
 	for _, fault := range m.Faults {
@@ -57,14 +57,14 @@
 	fmt.Fprintf(w, "  remedy: %s\n", m.Remedy)
 }
 
-func wrong(format string, args ...any) error {
+func usageError(format string, args ...any) error {
 	return errs.New(errs.BadSettings, "see tuliprudderctl -help", format, args...)
 }
 
-func (t *tool) command(name, usage, help string, run func(args []string) error) *ffcli.Command {
+func (t *cli) newCommand(name, usage, help string, run func(args []string) error) *ffcli.Command {
 	return &ffcli.Command{Name: name, ShortUsage: "tuliprudderctl -at ADDRESS " + usage, ShortHelp: help, Exec: func(_ context.Context, args []string) error {
-		if _, err := netip.ParseAddrPort(t.at); err != nil {
-			return wrong("-at %q is not an IP number with a port; name any daemon's http address", t.at)
+		if _, err := netip.ParseAddrPort(t.address); err != nil {
+			return usageError("-at %q is not an IP number with a port; name any daemon's http address", t.address)
 		}
 		return run(args)
 	}}
@@ -73,33 +73,33 @@
 // quotaPath keeps the spelling of the first release.
 const quotaPath = "/v1/operator/purse"
 
-func (t *tool) root() *ffcli.Command {
+func (t *cli) rootCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("tuliprudderctl", flag.ContinueOnError)
-	flags.StringVar(&t.at, "at", defaultAddress(os.Stderr, os.Getenv), "http address of any daemon, IP:port")
-	flags.StringVar(&t.by, "by", os.Getenv("USER"), "who puts a plan, for its record")
-	plan := t.planCommand()
+	flags.StringVar(&t.address, "at", defaultAddress(os.Stderr, os.Getenv), "http address of any daemon, IP:port")
+	flags.StringVar(&t.operator, "by", os.Getenv("USER"), "who puts a plan, for its record")
+	configuration := t.configurationCommand()
 	return &ffcli.Command{Name: "tuliprudderctl", FlagSet: flags, ShortUsage: "tuliprudderctl -at ADDRESS COMMAND", Subcommands: []*ffcli.Command{
-		plan,
-		t.command("daemons", "daemons", "list the daemons and their status", t.daemons),
-		t.command("servers", "servers", "list the model servers as a daemon sees them", t.servers),
-		t.command("slots", "slots", "list the slots with owner, backup and epoch", t.slots),
-		t.command("stores", "stores", "list the stores with writer ids and slots held", t.stores),
-		t.command("store", "store ID", "a store's own account of itself", t.store),
-		t.command("core", "core", "who is primary", func([]string) error { return t.show("/v1/operator/core") }),
-		t.command("counters", "counters", "the counters of the daemon at -at", func([]string) error { return t.show("/counters") }),
-		t.command("risks", "risks", "promises at risk now, over all daemons", t.risks),
-		t.command("slowest", "slowest", "the slowest orders that the daemon at -at remembers", func([]string) error { return t.show("/v1/operator/orders?slowest=20") }),
-		t.command("quota", "quota", "shares and accounts of the daemon at -at", func([]string) error { return t.show(quotaPath) }),
-		t.command("purse", "purse", "former name of quota", func([]string) error {
+		configuration,
+		t.newCommand("daemons", "daemons", "list the daemons and their status", t.printDaemons),
+		t.newCommand("servers", "servers", "list the model servers as a daemon sees them", t.printServers),
+		t.newCommand("slots", "slots", "list the slots with owner, backup and epoch", t.printShards),
+		t.newCommand("stores", "stores", "list the stores with writer ids and slots held", t.printStores),
+		t.newCommand("store", "store ID", "a store's own account of itself", t.printStore),
+		t.newCommand("core", "core", "who is primary", func([]string) error { return t.printPath("/v1/operator/core") }),
+		t.newCommand("counters", "counters", "the counters of the daemon at -at", func([]string) error { return t.printPath("/counters") }),
+		t.newCommand("risks", "risks", "promises at risk now, over all daemons", t.printRisks),
+		t.newCommand("slowest", "slowest", "the slowest orders that the daemon at -at remembers", func([]string) error { return t.printPath("/v1/operator/orders?slowest=20") }),
+		t.newCommand("quota", "quota", "shares and accounts of the daemon at -at", func([]string) error { return t.printPath(quotaPath) }),
+		t.newCommand("purse", "purse", "former name of quota", func([]string) error {
 			fmt.Fprintln(os.Stderr, "tuliprudderctl: purse is now quota; the old name is read for one release")
-			return t.show(quotaPath)
+			return t.printPath(quotaPath)
 		}),
-		t.command("order", "order NAME", "explain an order: which server, with which marks", t.order),
-		t.command("bundle", "bundle ID", "explain a bundle: who keeps it, which server ran what", t.bundle),
-		t.command("leaving", "leaving SERVER", "mark a server as leaving", func(args []string) error { return t.leaving(args, true) }),
-		t.command("staying", "staying SERVER", "take a leaving mark back", func(args []string) error { return t.leaving(args, false) }),
-		t.command("retire", "retire STORE", "empty a store and retire it; waits until nothing depends on it", func(args []string) error { return t.retire(args, false) }),
-		t.command("unretire", "unretire STORE", "take a retiring back", func(args []string) error { return t.retire(args, true) }),
+		t.newCommand("order", "order NAME", "explain an order: which server, with which marks", t.printRequest),
+		t.newCommand("bundle", "bundle ID", "explain a bundle: who keeps it, which server ran what", t.printBatch),
+		t.newCommand("leaving", "leaving SERVER", "mark a server as leaving", func(args []string) error { return t.setDraining(args, true) }),
+		t.newCommand("staying", "staying SERVER", "take a leaving mark back", func(args []string) error { return t.setDraining(args, false) }),
+		t.newCommand("retire", "retire STORE", "empty a store and retire it; waits until nothing depends on it", func(args []string) error { return t.retireStore(args, false) }),
+		t.newCommand("unretire", "unretire STORE", "take a retiring back", func(args []string) error { return t.retireStore(args, true) }),
 	}, Exec: func(context.Context, []string) error { return flag.ErrHelp }}
 }
 
@@ -121,16 +121,16 @@
 	return address
 }
 
-// ask asks a daemon; a typed error comes back as one.
-func (t *tool) ask(at, method, path string, body []byte, into any) error {
-	request, err := http.NewRequest(method, "http://"+at+path, bytes.NewReader(body))
+// call asks a daemon; a typed error comes back as one.
+func (t *cli) call(address, method, path string, body []byte, into any) error {
+	request, err := http.NewRequest(method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
-		return wrong("%v", err)
+		return usageError("%v", err)
 	}
-	request.Header.Set("X-Operator", t.by)
-	response, err := t.http.Do(request)
+	request.Header.Set("X-Operator", t.operator)
+	response, err := t.httpClient.Do(request)
 	if err != nil {
-		return errs.New(errs.NotReady, "name another daemon with -at", "the daemon at %s gave no answer: %v", at, err)
+		return errs.New(errs.NotReady, "name another daemon with -at", "the daemon at %s gave no answer: %v", address, err)
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
@@ -144,7 +144,7 @@
 		if json.Unmarshal(data, &typed) == nil && typed.Error != nil {
 			return typed.Error
 		}
-		return errs.New(errs.ServerFault, "check that -at names a daemon's http address", "%s answered %s", at, response.Status)
+		return errs.New(errs.ServerFault, "check that -at names a daemon's http address", "%s answered %s", address, response.Status)
 	}
 	if into == nil {
 		return nil
@@ -156,7 +156,7 @@
 	return json.Unmarshal(data, into)
 }
 
-func (t *tool) print(data json.RawMessage) error {
+func (t *cli) printJSON(data json.RawMessage) error {
 	var pretty bytes.Buffer
 	if err := json.Indent(&pretty, data, "", "  "); err != nil {
 		return err
@@ -165,15 +165,15 @@
 	return nil
 }
 
-func (t *tool) show(path string) error {
+func (t *cli) printPath(path string) error {
 	var data json.RawMessage
-	if err := t.ask(t.at, http.MethodGet, path, nil, &data); err != nil {
+	if err := t.call(t.address, http.MethodGet, path, nil, &data); err != nil {
 		return err
 	}
-	return t.print(data)
+	return t.printJSON(data)
 }
 
-func (t *tool) table(rows [][]string) {
+func (t *cli) printTable(rows [][]string) {
 	w := tabwriter.NewWriter(t.out, 0, 4, 2, ' ', 0)
 	for _, row := range rows {
 		fmt.Fprintln(w, strings.Join(row, "\t"))
@@ -190,71 +190,71 @@
 	Draining bool   `json:"draining"`
 }
 
-func (t *tool) members() ([]daemon, error) {
+func (t *cli) fetchDaemons() ([]daemon, error) {
 	var got struct {
 		Daemons []daemon `json:"daemons"`
 	}
-	err := t.ask(t.at, http.MethodGet, "/v1/operator/daemons", nil, &got)
+	err := t.call(t.address, http.MethodGet, "/v1/operator/daemons", nil, &got)
 	return got.Daemons, err
 }
 
-func (t *tool) daemons([]string) error {
-	members, err := t.members()
+func (t *cli) printDaemons([]string) error {
+	members, err := t.fetchDaemons()
 	if err != nil {
 		return err
 	}
 	rows := [][]string{{"ID", "ROLE", "ZONE", "STATUS", "HTTP"}}
 	for _, d := range members {
-		standing := d.Status
+		status := d.Status
 		if d.Draining {
-			standing += ", draining"
+			status += ", draining"
 		}
-		rows = append(rows, []string{d.ID, identity.Role(d.Kind), d.Zone, standing, d.HTTP})
+		rows = append(rows, []string{d.ID, identity.Role(d.Kind), d.Zone, status, d.HTTP})
 	}
-	t.table(rows)
+	t.printTable(rows)
 	return nil
 }
 
-func (t *tool) servers([]string) error {
+func (t *cli) printServers([]string) error {
 	var got struct {
 		Servers []struct {
-			Name    string            `json:"name"`
-			Address string            `json:"address"`
-			Labels  map[string]string `json:"labels"`
-			Slots   int               `json:"slots"`
-			Leaving bool              `json:"leaving"`
-			Gone    bool              `json:"gone"`
-			Own     int               `json:"own"`
-			Latency int64             `json:"latency_us"`
-			Load    struct {
+			Name        string            `json:"name"`
+			Address     string            `json:"address"`
+			Labels      map[string]string `json:"labels"`
+			Slots       int               `json:"slots"`
+			Draining    bool              `json:"leaving"`
+			Removed     bool              `json:"gone"`
+			OwnInFlight int               `json:"own"`
+			LatencyUS   int64             `json:"latency_us"`
+			Load        struct {
 				Running int    `json:"running"`
 				Waiting int    `json:"waiting"`
-				Sound   bool   `json:"sound"`
-				By      string `json:"by"`
+				Healthy bool   `json:"sound"`
+				ReadBy  string `json:"by"`
 			} `json:"load"`
 		} `json:"servers"`
 	}
-	if err := t.ask(t.at, http.MethodGet, "/v1/operator/servers", nil, &got); err != nil {
+	if err := t.call(t.address, http.MethodGet, "/v1/operator/servers", nil, &got); err != nil {
 		return err
 	}
 	rows := [][]string{{"SERVER", "ADDRESS", "STATUS", "RUNNING", "WAITING", "SLOTS", "OWN", "LATENCY US", "READ BY", "LABELS"}}
 	for _, s := range got.Servers {
-		standing := "sound"
+		status := "sound"
 		switch {
-		case s.Gone:
-			standing = "gone"
-		case s.Leaving:
-			standing = "leaving"
-		case !s.Load.Sound:
-			standing = "not sound"
+		case s.Removed:
+			status = "gone"
+		case s.Draining:
+			status = "leaving"
+		case !s.Load.Healthy:
+			status = "not sound"
 		}
-		rows = append(rows, []string{s.Name, s.Address, standing, fmt.Sprint(s.Load.Running), fmt.Sprint(s.Load.Waiting), fmt.Sprint(s.Slots), fmt.Sprint(s.Own), fmt.Sprint(s.Latency), s.Load.By, labels(s.Labels)})
+		rows = append(rows, []string{s.Name, s.Address, status, fmt.Sprint(s.Load.Running), fmt.Sprint(s.Load.Waiting), fmt.Sprint(s.Slots), fmt.Sprint(s.OwnInFlight), fmt.Sprint(s.LatencyUS), s.Load.ReadBy, formatLabels(s.Labels)})
 	}
-	t.table(rows)
+	t.printTable(rows)
 	return nil
 }
 
-func labels(m map[string]string) string {
+func formatLabels(m map[string]string) string {
 	var out []string
 	for name, value := range m {
 		out = append(out, name+"="+value)
@@ -263,7 +263,7 @@
 	return strings.Join(out, ",")
 }
 
-type fleetMap struct {
+type clusterMap struct {
 	Fleet  string `json:"fleet"`
 	Seq    uint64 `json:"seq"`
 	Stores map[string]struct {
@@ -274,54 +274,54 @@
 		Retiring bool   `json:"retiring"`
 		Retired  bool   `json:"retired"`
 	} `json:"stores"`
-	Slots []struct {
-		Epoch    uint64   `json:"epoch"`
-		Primary  member   `json:"owner"`
-		Replicas []member `json:"replicas"`
-		Whole    bool     `json:"complete"`
+	Shards []struct {
+		Epoch    uint64        `json:"epoch"`
+		Primary  shardMember   `json:"owner"`
+		Replicas []shardMember `json:"replicas"`
+		Complete bool          `json:"complete"`
 	} `json:"slots"`
 }
 
-type member struct {
+type shardMember struct {
 	ID string `json:"id"`
 }
 
-func (t *tool) fleetMap() (m fleetMap, err error) {
-	err = t.ask(t.at, http.MethodGet, "/v1/operator/map", nil, &m)
+func (t *cli) fetchClusterMap() (m clusterMap, err error) {
+	err = t.call(t.address, http.MethodGet, "/v1/operator/map", nil, &m)
 	return m, err
 }
 
-func (t *tool) slots([]string) error {
-	m, err := t.fleetMap()
+func (t *cli) printShards([]string) error {
+	m, err := t.fetchClusterMap()
 	if err != nil {
 		return err
 	}
 	rows := [][]string{{"SLOT", "EPOCH", "PRIMARY", "REPLICAS", "COPIES"}}
-	for slot, p := range m.Slots {
+	for shard, p := range m.Shards {
 		copies := fmt.Sprint(1 + len(p.Replicas))
-		if !p.Whole {
+		if !p.Complete {
 			copies += ", copying"
 		}
 		var replicas []string
 		for _, replica := range p.Replicas {
 			replicas = append(replicas, replica.ID)
 		}
-		rows = append(rows, []string{fmt.Sprint(slot), fmt.Sprint(p.Epoch), p.Primary.ID, strings.Join(replicas, " "), copies})
+		rows = append(rows, []string{fmt.Sprint(shard), fmt.Sprint(p.Epoch), p.Primary.ID, strings.Join(replicas, " "), copies})
 	}
-	t.table(rows)
+	t.printTable(rows)
 	return nil
 }
 
-func (t *tool) stores([]string) error {
-	m, err := t.fleetMap()
+func (t *cli) printStores([]string) error {
+	m, err := t.fetchClusterMap()
 	if err != nil {
 		return err
 	}
-	owned, backed := map[string]int{}, map[string]int{}
-	for _, p := range m.Slots {
+	owned, replicated := map[string]int{}, map[string]int{}
+	for _, p := range m.Shards {
 		owned[p.Primary.ID]++
 		for _, replica := range p.Replicas {
-			backed[replica.ID]++
+			replicated[replica.ID]++
 		}
 	}
 	var ids []string
@@ -332,37 +332,37 @@
 	rows := [][]string{{"STORE", "WRITER", "ZONE", "OWNS", "BACKS", "STATUS"}}
 	for _, id := range ids {
 		s := m.Stores[id]
-		standing := "enrolled"
+		status := "enrolled"
 		if s.Retired {
-			standing = "retired"
+			status = "retired"
 		} else if s.Retiring {
-			standing = "retiring"
+			status = "retiring"
 		}
-		rows = append(rows, []string{id, fmt.Sprint(s.Writer), s.Zone, fmt.Sprint(owned[id]), fmt.Sprint(backed[id]), standing})
+		rows = append(rows, []string{id, fmt.Sprint(s.Writer), s.Zone, fmt.Sprint(owned[id]), fmt.Sprint(replicated[id]), status})
 	}
-	t.table(rows)
+	t.printTable(rows)
 	return nil
 }
 
-func one(args []string, what string) (string, error) {
+func singleArgument(args []string, what string) (string, error) {
 	if len(args) != 1 {
-		return "", wrong("name one %s", what)
+		return "", usageError("name one %s", what)
 	}
 	return args[0], nil
 }
 
-func (t *tool) store(args []string) error {
-	id, err := one(args, "store")
+func (t *cli) printStore(args []string) error {
+	id, err := singleArgument(args, "store")
 	if err != nil {
 		return err
 	}
-	return t.show("/v1/operator/stores/" + url.PathEscape(id))
+	return t.printPath("/v1/operator/stores/" + url.PathEscape(id))
 }
 
-// first asks the sound daemons of some kinds one after the other, and prints the
+// printFromFirst asks the sound daemons of some kinds one after the other, and prints the
 // first good answer.
-func (t *tool) first(path string, kinds ...string) error {
-	members, err := t.members()
+func (t *cli) printFromFirst(path string, kinds ...string) error {
+	members, err := t.fetchDaemons()
 	if err != nil {
 		return err
 	}
@@ -372,9 +372,9 @@
 			continue
 		}
 		var data json.RawMessage
-		if err = t.ask(d.HTTP, http.MethodGet, path, nil, &data); err == nil {
+		if err = t.call(d.HTTP, http.MethodGet, path, nil, &data); err == nil {
 			fmt.Fprintf(t.out, "told by %s\n", d.ID)
-			return t.print(data)
+			return t.printJSON(data)
 		}
 	}
 	return err
@@ -388,55 +388,55 @@
 	return strings.Join(roles, ", ")
 }
 
-// order asks every daemon that assigns orders; each remembers its latest.
-func (t *tool) order(args []string) error {
-	name, err := one(args, "order")
+// printRequest asks every daemon that assigns orders; each remembers its latest.
+func (t *cli) printRequest(args []string) error {
+	name, err := singleArgument(args, "order")
 	if err != nil {
 		return err
 	}
-	return t.first("/v1/operator/orders?order="+url.QueryEscape(name), identity.Edge, identity.Store)
+	return t.printFromFirst("/v1/operator/orders?order="+url.QueryEscape(name), identity.Edge, identity.Store)
 }
 
-func (t *tool) bundle(args []string) error {
-	id, err := one(args, "bundle")
+func (t *cli) printBatch(args []string) error {
+	id, err := singleArgument(args, "bundle")
 	if err != nil {
 		return err
 	}
-	return t.first("/v1/operator/bundles/"+url.PathEscape(id), identity.Edge)
+	return t.printFromFirst("/v1/operator/bundles/"+url.PathEscape(id), identity.Edge)
 }
 
-func (t *tool) leaving(args []string, leaving bool) error {
-	name, err := one(args, "server")
+func (t *cli) setDraining(args []string, draining bool) error {
+	name, err := singleArgument(args, "server")
 	if err != nil {
 		return err
 	}
-	body, _ := json.Marshal(map[string]bool{"leaving": leaving})
-	if err := t.ask(t.at, http.MethodPost, "/v1/operator/servers/"+url.PathEscape(name)+"/leaving", body, nil); err != nil {
+	body, _ := json.Marshal(map[string]bool{"leaving": draining})
+	if err := t.call(t.address, http.MethodPost, "/v1/operator/servers/"+url.PathEscape(name)+"/leaving", body, nil); err != nil {
 		return err
 	}
-	fmt.Fprintf(t.out, "%s: leaving %v; every daemon knows within about 3 s\n", name, leaving)
+	fmt.Fprintf(t.out, "%s: leaving %v; every daemon knows within about 3 s\n", name, draining)
 	return nil
 }
 
-func (t *tool) retire(args []string, back bool) error {
-	id, err := one(args, "store")
+func (t *cli) retireStore(args []string, cancel bool) error {
+	id, err := singleArgument(args, "store")
 	if err != nil {
 		return err
 	}
-	body, _ := json.Marshal(map[string]bool{"back": back})
+	body, _ := json.Marshal(map[string]bool{"back": cancel})
 	for last := -1; ; {
 		var got struct {
-			Retired bool `json:"retired"`
-			Left    int  `json:"slots_left"`
+			Retired    bool `json:"retired"`
+			ShardsLeft int  `json:"slots_left"`
 		}
-		if err := t.ask(t.at, http.MethodPost, "/v1/operator/stores/"+url.PathEscape(id)+"/retire", body, &got); err != nil {
+		if err := t.call(t.address, http.MethodPost, "/v1/operator/stores/"+url.PathEscape(id)+"/retire", body, &got); err != nil {
 			return err
 		}
-		if got.Left != last {
-			last = got.Left
-			fmt.Fprintf(t.out, "%s: %d slots depend on it\n", id, got.Left)
+		if got.ShardsLeft != last {
+			last = got.ShardsLeft
+			fmt.Fprintf(t.out, "%s: %d slots depend on it\n", id, got.ShardsLeft)
 		}
-		if back || got.Retired {
+		if cancel || got.Retired {
 			if got.Retired {
 				fmt.Fprintf(t.out, "%s: retired; it may be switched off\n", id)
 			}
@@ -446,12 +446,12 @@
 	}
 }
 
-// slowDisk is the condition of a disk that is only slow; those above it take no writes.
-const slowDisk = 1
+// diskConditionSlow is the condition of a disk that is only slow; those above it take no writes.
+const diskConditionSlow = 1
 
-// risks gathers what the daemons count that puts promises at risk.
-func (t *tool) risks([]string) error {
-	members, err := t.members()
+// printRisks gathers what the daemons count that puts promises at risk.
+func (t *cli) printRisks([]string) error {
+	members, err := t.fetchDaemons()
 	if err != nil {
 		return err
 	}
@@ -462,15 +462,15 @@
 			continue
 		}
 		var counters map[string]int64
-		if err := t.ask(d.HTTP, http.MethodGet, "/counters", nil, &counters); err != nil {
+		if err := t.call(d.HTTP, http.MethodGet, "/counters", nil, &counters); err != nil {
 			rows = append(rows, []string{d.ID, "gives no counters", errs.Of(err).Message})
 			continue
 		}
 		for _, risk := range []struct {
-			name  string
-			above int64
-		}{{"shards_short_of_copies", 0}, {"oldest_unannounced_us", 1_000_000}, {"news_age_us", 2_000_000}, {"protocol_ring_dropped", 0}, {"news_ring_dropped", 0}, {"copies_missing", 0}, {"disk_wait_us", 1_000_000}, {"disk_condition", slowDisk}, {"disk_folds_given_up", 0}} {
-			if counters[risk.name] > risk.above {
+			name      string
+			threshold int64
+		}{{"shards_short_of_copies", 0}, {"oldest_unannounced_us", 1_000_000}, {"news_age_us", 2_000_000}, {"protocol_ring_dropped", 0}, {"news_ring_dropped", 0}, {"copies_missing", 0}, {"disk_wait_us", 1_000_000}, {"disk_condition", diskConditionSlow}, {"disk_folds_given_up", 0}} {
+			if counters[risk.name] > risk.threshold {
 				rows = append(rows, []string{d.ID, risk.name, fmt.Sprint(counters[risk.name])})
 			}
 		}
@@ -479,6 +479,6 @@
 		fmt.Fprintln(t.out, "no promise is at risk")
 		return nil
 	}
-	t.table(rows)
+	t.printTable(rows)
 	return nil
 }
--- a/core/config/config.go
+++ b/core/config/config.go
@@ -40,19 +40,19 @@
 	Repeatable = "repeatable"
 	Stream     = "stream"
 	Resumable  = "resumable"
-	Bundle     = "bundle"
+	Batch      = "bundle"
 )
 
-// Class is a priority class: what customers pay for.
-type Class struct {
-	Name      string
-	Rank      int64
-	Allowance int64 // waiting work of one customer of this class
-	Labels    Labels
+// PriorityClass is a priority class: what customers pay for.
+type PriorityClass struct {
+	Name     string
+	Priority int64
+	Quota    int64 // waiting work of one customer of this class
+	Labels   Labels
 }
 
-// Customer is who calls, by its key.
-type Customer struct {
+// Tenant is who calls, by its key.
+type Tenant struct {
 	Name  string
 	Key   string
 	Class string
@@ -63,9 +63,9 @@
 	Name    string
 	Labels  Labels
 	Servers Selector
-	// MostOpen is how many connections one of its servers takes from all daemons
+	// MaxConnections is how many connections one of its servers takes from all daemons
 	// together; 0: no bound is known.
-	MostOpen int64
+	MaxConnections int64
 }
 
 // Route is a way callers may go.
@@ -80,62 +80,62 @@
 	Weights   string
 	Prefix    string
 	MaxTokens int64
-	Expiry    clock.Micros
-	MostItems int64
+	Timeout   clock.Micros
+	MaxItems  int64
 	Forward   *Forward // set where requests are passed on unchanged (DESIGN §12.1)
 }
 
 // Forward is what a route says whose requests are matched by host and path and
 // passed on to servers unchanged.
 type Forward struct {
-	Host       string
-	PathPrefix string       // begins and ends with a slash
-	Tries      int64        // most servers that one request, or attempts that one item, may take
-	Aim        clock.Micros // within which an answer is worth most
-	Gap        clock.Micros // longest pause between events of a stream that is in time
-	Due        clock.Micros // within which a bundle's results are due
-	Keep       clock.Micros // after which an item of a bundle may be given up
-	MostTokens int64        // tokens of bundles that may wait on the route; 0: no limit
-	Split      []Share      // where requests go instead of Pools, by share
+	Host             string
+	PathPrefix       string          // begins and ends with a slash
+	MaxAttempts      int64           // most servers that one request, or attempts that one item, may take
+	LatencyTarget    clock.Micros    // within which an answer is worth most
+	MaxEventGap      clock.Micros    // longest pause between events of a stream that is in time
+	CompletionWindow clock.Micros    // within which a bundle's results are due
+	ItemRetention    clock.Micros    // after which an item of a bundle may be given up
+	MaxQueuedTokens  int64           // tokens of bundles that may wait on the route; 0: no limit
+	Split            []WeightedPools // where requests go instead of Pools, by share
 }
 
-// Share is one part of a split route.
-type Share struct {
-	Pools Selector
-	Share int64
+// WeightedPools is one part of a split route.
+type WeightedPools struct {
+	Pools  Selector
+	Weight int64
 }
 
-// Bounds are what the operator allows callers' requests; 0 leaves the daemon's own.
-type Bounds struct {
-	HeaderBytes, BodyBytes int64
-	HeaderWait, IdleWait   clock.Micros
+// Limits are what the operator allows callers' requests; 0 leaves the daemon's own.
+type Limits struct {
+	MaxHeaderBytes, MaxBodyBytes int64
+	HeaderTimeout, IdleTimeout   clock.Micros
 }
 
-// Reader turns an operator's document into a plan; Parse is the product's own.
-type Reader func(document []byte) (*Plan, error)
+// ParseFunc turns an operator's document into a plan; Parse is the product's own.
+type ParseFunc func(document []byte) (*Configuration, error)
 
-// Plan is a whole configuration.
-type Plan struct {
-	Classes   []Class
-	Customers []Customer
-	Pools     []Pool
-	Routes    []Route
-	Judges    map[string]float64
-	Bounds    Bounds
-	Number    uint64 // the version the document itself names; 0: it names none
-	Version   uint64
+// Configuration is a whole configuration.
+type Configuration struct {
+	Classes         []PriorityClass
+	Tenants         []Tenant
+	Pools           []Pool
+	Routes          []Route
+	ScorerWeights   map[string]float64
+	Limits          Limits
+	DocumentVersion uint64 // the version the document itself names; 0: it names none
+	Version         uint64
 
-	byKey   map[string]*Customer
-	byName  map[string]*Customer
-	byClass map[string]*Class
-	byRoute map[string]*Route
-	byHost  map[string][]*Route // forwarded routes, longest prefix first
+	tenantsByKey    map[string]*Tenant
+	tenantsByName   map[string]*Tenant
+	classesByName   map[string]*PriorityClass
+	routesByName    map[string]*Route
+	forwardedByHost map[string][]*Route // forwarded routes, longest prefix first
 }
 
-// Match finds the forwarded route of a host whose path prefix is the longest that
+// MatchRoute finds the forwarded route of a host whose path prefix is the longest that
 // begins the path; nil when there is none.
-func (p *Plan) Match(host, path string) *Route {
-	for _, route := range p.byHost[host] {
+func (c *Configuration) MatchRoute(host, path string) *Route {
+	for _, route := range c.forwardedByHost[host] {
 		if strings.HasPrefix(path, route.Forward.PathPrefix) {
 			return route
 		}
@@ -143,122 +143,122 @@
 	return nil
 }
 
-// CustomerOf finds a customer and its class by the key it carries.
-func (p *Plan) CustomerOf(key string) (*Customer, *Class, bool) {
-	customer := p.byKey[key]
-	if customer == nil {
+// TenantByKey finds a customer and its class by the key it carries.
+func (c *Configuration) TenantByKey(key string) (*Tenant, *PriorityClass, bool) {
+	tenant := c.tenantsByKey[key]
+	if tenant == nil {
 		return nil, nil, false
 	}
-	return customer, p.byClass[customer.Class], true
+	return tenant, c.classesByName[tenant.Class], true
 }
 
-// ClassOf is the class of a customer by name; nil when the plan has none.
-func (p *Plan) ClassOf(customer string) *Class {
-	found := p.byName[customer]
+// ClassOfTenant is the class of a customer by name; nil when the plan has none.
+func (c *Configuration) ClassOfTenant(tenant string) *PriorityClass {
+	found := c.tenantsByName[tenant]
 	if found == nil {
 		return nil
 	}
-	return p.byClass[found.Class]
+	return c.classesByName[found.Class]
 }
 
 // Lookup finds a route and a customer's class by their names; nil for what is not
 // in the plan.
-func (p *Plan) Lookup(route, customer string) (*Route, *Class) {
-	return p.byRoute[route], p.ClassOf(customer)
+func (c *Configuration) Lookup(route, tenant string) (*Route, *PriorityClass) {
+	return c.routesByName[route], c.ClassOfTenant(tenant)
 }
 
 // Route finds a route by name.
-func (p *Plan) Route(name string) (*Route, bool) {
-	route := p.byRoute[name]
+func (c *Configuration) Route(name string) (*Route, bool) {
+	route := c.routesByName[name]
 	return route, route != nil
 }
 
 // Serves tells whether a server with these labels serves the route.
-func (p *Plan) Serves(route *Route, labels Labels) bool {
+func (c *Configuration) Serves(route *Route, labels Labels) bool {
 	if route.Forward != nil && len(route.Forward.Split) > 0 {
-		for _, part := range route.Forward.Split {
-			if part.Share > 0 && p.Selects(part.Pools, labels) {
+		for _, weighted := range route.Forward.Split {
+			if weighted.Weight > 0 && c.Selects(weighted.Pools, labels) {
 				return true
 			}
 		}
 		return false
 	}
-	return p.Selects(route.Pools, labels)
+	return c.Selects(route.Pools, labels)
 }
 
-// MostOpen is how many connections a server with these labels takes from all daemons
+// MaxConnections is how many connections a server with these labels takes from all daemons
 // together; 0: no bound is known.
-func (p *Plan) MostOpen(labels Labels) int64 {
-	most := int64(0)
-	for i := range p.Pools {
-		if pool := &p.Pools[i]; pool.MostOpen > 0 && pool.Servers.Matches(labels) && (most == 0 || pool.MostOpen < most) {
-			most = pool.MostOpen
+func (c *Configuration) MaxConnections(labels Labels) int64 {
+	maximum := int64(0)
+	for i := range c.Pools {
+		if pool := &c.Pools[i]; pool.MaxConnections > 0 && pool.Servers.Matches(labels) && (maximum == 0 || pool.MaxConnections < maximum) {
+			maximum = pool.MaxConnections
 		}
 	}
-	return most
+	return maximum
 }
 
 // Selects tells whether a server with these labels is in a pool that the selector
 // matches.
-func (p *Plan) Selects(pools Selector, labels Labels) bool {
-	for i := range p.Pools {
-		if pools.Matches(p.Pools[i].Labels) && p.Pools[i].Servers.Matches(labels) {
+func (c *Configuration) Selects(pools Selector, labels Labels) bool {
+	for i := range c.Pools {
+		if pools.Matches(c.Pools[i].Labels) && c.Pools[i].Servers.Matches(labels) {
 			return true
 		}
 	}
 	return false
 }
 
-// JudgeNames are the judges a plan may weigh.
-var JudgeNames = []string{"fullness", "prefix", "speed", "spread", "reading", "silence", "turn"}
+// ScorerNames are the judges a plan may weigh.
+var ScorerNames = []string{"fullness", "prefix", "speed", "spread", "reading", "silence", "turn"}
 
-// DefaultJudges are the judges' weights where a plan names none.
-func DefaultJudges() map[string]float64 {
+// DefaultScorerWeights are the judges' weights where a plan names none.
+func DefaultScorerWeights() map[string]float64 {
 	return map[string]float64{"fullness": 4, "prefix": 6, "speed": 1, "spread": 1}
 }
 
 // Parse reads a plan and reports every fault in it.
-func Parse(data []byte) (*Plan, error) {
-	r := &reader{}
+func Parse(data []byte) (*Configuration, error) {
+	p := &parser{}
 	var tree any
 	if err := json.Unmarshal(data, &tree); err != nil {
-		r.fault("$", "write one JSON object; %v", err)
-		return nil, r.err()
+		p.addFault("$", "write one JSON object; %v", err)
+		return nil, p.err()
 	}
-	plan := r.plan(tree)
-	if err := r.err(); err != nil {
+	configuration := p.configuration(tree)
+	if err := p.err(); err != nil {
 		return nil, err
 	}
-	plan.Index()
-	return plan, nil
+	configuration.Index()
+	return configuration, nil
 }
 
-// Check is Parse for those who only want the faults.
-func Check(data []byte) error {
+// Validate is Parse for those who only want the faults.
+func Validate(data []byte) error {
 	_, err := Parse(data)
 	return err
 }
 
 // Index prepares a plan that was put together by hand for look-ups.
-func (p *Plan) Index() {
-	p.byKey, p.byName = map[string]*Customer{}, map[string]*Customer{}
-	p.byClass, p.byRoute = map[string]*Class{}, map[string]*Route{}
-	for i := range p.Customers {
-		p.byKey[p.Customers[i].Key], p.byName[p.Customers[i].Name] = &p.Customers[i], &p.Customers[i]
+func (c *Configuration) Index() {
+	c.tenantsByKey, c.tenantsByName = map[string]*Tenant{}, map[string]*Tenant{}
+	c.classesByName, c.routesByName = map[string]*PriorityClass{}, map[string]*Route{}
+	for i := range c.Tenants {
+		c.tenantsByKey[c.Tenants[i].Key], c.tenantsByName[c.Tenants[i].Name] = &c.Tenants[i], &c.Tenants[i]
 	}
-	for i := range p.Classes {
-		p.byClass[p.Classes[i].Name] = &p.Classes[i]
+	for i := range c.Classes {
+		c.classesByName[c.Classes[i].Name] = &c.Classes[i]
 	}
-	for i := range p.Routes {
-		p.byRoute[p.Routes[i].Name] = &p.Routes[i]
+	for i := range c.Routes {
+		c.routesByName[c.Routes[i].Name] = &c.Routes[i]
 	}
-	p.byHost = map[string][]*Route{}
-	for i := range p.Routes {
-		if route := &p.Routes[i]; route.Forward != nil {
-			p.byHost[route.Forward.Host] = append(p.byHost[route.Forward.Host], route)
+	c.forwardedByHost = map[string][]*Route{}
+	for i := range c.Routes {
+		if route := &c.Routes[i]; route.Forward != nil {
+			c.forwardedByHost[route.Forward.Host] = append(c.forwardedByHost[route.Forward.Host], route)
 		}
 	}
-	for _, routes := range p.byHost {
+	for _, routes := range c.forwardedByHost {
 		sort.SliceStable(routes, func(i, j int) bool {
 			return len(routes[i].Forward.PathPrefix) > len(routes[j].Forward.PathPrefix)
 		})
--- a/core/control/balance.go
+++ b/core/control/balance.go
@@ -10,45 +10,45 @@
 
 // This file moves shards towards even shares (DESIGN §5.4).
 
-// pressing is how uneven the shares have to be for a shard to move whose batches are
+// urgentImbalance is how uneven the shares have to be for a shard to move whose batches are
 // open: the new primary runs their items anew.
-const pressing = 6
+const urgentImbalance = 6
 
 // balance moves one shard at a time: first its copy, then, once that is whole, its
 // primary.
 func (p *placement) balance() {
 	s := p.core
-	if p.now < s.next.balance || len(p.willing) < 2 {
+	if p.now < s.next.balance || len(p.eligible) < 2 {
 		return
 	}
 	s.next.balance = p.now + s.set.BalanceEvery
-	for _, id := range p.willing {
-		if p.now-s.stores[id].first < s.set.BalanceAfter {
+	for _, id := range p.eligible {
+		if p.now-s.stores[id].firstHeardAt < s.set.BalanceAfter {
 			return
 		}
 	}
-	for _, step := range []func() bool{p.spreadZones, p.handOver, p.copyToLeast, p.evenCopies} {
+	for _, step := range []func() bool{p.spreadZones, p.promoteReplica, p.copyToLeastLoaded, p.balanceCopies} {
 		if step() {
 			return
 		}
 	}
 }
 
-// least is the store with the fewest, above are those with at least two more, most first.
-func (p *placement) least(counts map[string]int) string {
-	low := p.willing[0]
-	for _, id := range p.willing {
-		if counts[id] < counts[low] {
-			low = id
+// leastLoaded is the store with the fewest, above are those with at least two more, most first.
+func (p *placement) leastLoaded(counts map[string]int) string {
+	lowest := p.eligible[0]
+	for _, id := range p.eligible {
+		if counts[id] < counts[lowest] {
+			lowest = id
 		}
 	}
-	return low
+	return lowest
 }
 
-func (p *placement) above(counts map[string]int, low string) []string {
+func (p *placement) overloaded(counts map[string]int, lowest string) []string {
 	var out []string
-	for _, id := range p.willing {
-		if counts[id] >= counts[low]+2 {
+	for _, id := range p.eligible {
+		if counts[id] >= counts[lowest]+2 {
 			out = append(out, id)
 		}
 	}
@@ -58,22 +58,22 @@
 
 // move gives a shard another primary of the group, or another replica in the place of one.
 func (p *placement) move(shard int, members []replication.Member, reason string) {
-	a := p.core.state.Slots[shard]
+	a := p.core.state.Shards[shard]
 	next := replication.Assignment{Epoch: a.Epoch + 1, Primary: members[0], Replicas: slices.Clone(members[1:]), Trusted: a.IDs()}
-	p.changed[shard] = next
-	p.core.Emit(machine.Explain{What: "shard moved", Fields: map[string]any{"shard": shard, "reason": reason, "epoch": next.Epoch, "group": next.IDs()}})
+	p.assignments[shard] = next
+	p.core.Emit(machine.LogEvent{Message: "shard moved", Fields: map[string]any{"shard": shard, "reason": reason, "epoch": next.Epoch, "group": next.IDs()}})
 }
 
-// handOver makes the store that leads fewest the primary of a shard that it replicates.
-func (p *placement) handOver() bool {
-	low := p.least(p.leads)
-	for _, high := range p.above(p.leads, low) {
-		for shard, a := range p.core.state.Slots {
-			at := slices.IndexFunc(a.Replicas, func(m replication.Member) bool { return m.ID == low })
-			if a.Primary.ID != high || at < 0 {
+// promoteReplica makes the store that leads fewest the primary of a shard that it replicates.
+func (p *placement) promoteReplica() bool {
+	lowest := p.leastLoaded(p.primaryCount)
+	for _, highest := range p.overloaded(p.primaryCount, lowest) {
+		for shard, a := range p.core.state.Shards {
+			at := slices.IndexFunc(a.Replicas, func(m replication.Member) bool { return m.ID == lowest })
+			if a.Primary.ID != highest || at < 0 {
 				continue
 			}
-			if p.leads[high]-p.leads[low] < pressing && slices.Contains(p.core.stores[high].beat.Busy, shard) {
+			if p.primaryCount[highest]-p.primaryCount[lowest] < urgentImbalance && slices.Contains(p.core.stores[highest].heartbeat.Busy, shard) {
 				continue
 			}
 			members := a.Members()
@@ -85,12 +85,12 @@
 	return false
 }
 
-// copyToLeast copies a shard to the store that leads fewest, in the place of a replica.
-func (p *placement) copyToLeast() bool {
-	low := p.least(p.leads)
-	for _, high := range p.above(p.leads, low) {
-		for shard, a := range p.core.state.Slots {
-			if a.Primary.ID == high && p.replaceReplica(shard, a, p.mostBacked(a), low, "even shares: copied to the store that leads fewest") {
+// copyToLeastLoaded copies a shard to the store that leads fewest, in the place of a replica.
+func (p *placement) copyToLeastLoaded() bool {
+	lowest := p.leastLoaded(p.primaryCount)
+	for _, highest := range p.overloaded(p.primaryCount, lowest) {
+		for shard, a := range p.core.state.Shards {
+			if a.Primary.ID == highest && p.replaceReplica(shard, a, p.mostLoadedReplica(a), lowest, "even shares: copied to the store that leads fewest") {
 				return true
 			}
 		}
@@ -98,12 +98,12 @@
 	return false
 }
 
-// evenCopies copies a shard to the store with the fewest copies.
-func (p *placement) evenCopies() bool {
-	low := p.least(p.backs)
-	for _, high := range p.above(p.backs, low) {
-		for shard, a := range p.core.state.Slots {
-			if p.replaceReplica(shard, a, high, low, "even shares of copies") {
+// balanceCopies copies a shard to the store with the fewest copies.
+func (p *placement) balanceCopies() bool {
+	lowest := p.leastLoaded(p.replicaCount)
+	for _, highest := range p.overloaded(p.replicaCount, lowest) {
+		for shard, a := range p.core.state.Shards {
+			if p.replaceReplica(shard, a, highest, lowest, "even shares of copies") {
 				return true
 			}
 		}
@@ -113,17 +113,17 @@
 
 // spreadZones moves a replica out of a zone that another member of its group is in.
 func (p *placement) spreadZones() bool {
-	for shard, a := range p.core.state.Slots {
+	for shard, a := range p.core.state.Shards {
 		for _, replica := range a.Replicas {
 			others := slices.DeleteFunc(a.IDs(), func(id string) bool { return id == replica.ID })
-			if p.zones(others) < p.zones(a.IDs()) {
+			if p.zoneCount(others) < p.zoneCount(a.IDs()) {
 				continue // it is alone in its zone
 			}
-			spare := p.spare(others, []string{replica.ID})
-			if spare == "" || p.zones(append(others, spare)) == p.zones(others) {
+			replacement := p.chooseReplacement(others, []string{replica.ID})
+			if replacement == "" || p.zoneCount(append(others, replacement)) == p.zoneCount(others) {
 				continue
 			}
-			if p.replaceReplica(shard, a, replica.ID, spare, "two copies shared a zone") {
+			if p.replaceReplica(shard, a, replica.ID, replacement, "two copies shared a zone") {
 				return true
 			}
 		}
@@ -131,32 +131,32 @@
 	return false
 }
 
-// mostBacked is the replica of a group with the most copies.
-func (p *placement) mostBacked(a replication.Assignment) string {
-	most := ""
+// mostLoadedReplica is the replica of a group with the most copies.
+func (p *placement) mostLoadedReplica(a replication.Assignment) string {
+	limit := ""
 	for _, replica := range a.Replicas {
-		if most == "" || p.backs[replica.ID] > p.backs[most] {
-			most = replica.ID
+		if limit == "" || p.replicaCount[replica.ID] > p.replicaCount[limit] {
+			limit = replica.ID
 		}
 	}
-	return most
+	return limit
 }
 
 // replaceReplica puts a store in the place of a replica where the zones of the group
 // allow it and the store is in the primary's reach.
 func (p *placement) replaceReplica(shard int, a replication.Assignment, out, in, reason string) bool {
 	at := slices.IndexFunc(a.Replicas, func(m replication.Member) bool { return m.ID == out })
-	life, living := p.core.storeLife(in, p.now)
-	if at < 0 || !living || slices.Contains(a.IDs(), in) || p.core.estranged(in, a.Primary.ID, p.now) {
+	incarnation, living := p.core.storeIncarnation(in, p.now)
+	if at < 0 || !living || slices.Contains(a.IDs(), in) || p.core.recentlyPartitioned(in, a.Primary.ID, p.now) {
 		return false
 	}
 	members := a.Members()
-	members[at+1] = replication.Member{ID: in, Life: life}
+	members[at+1] = replication.Member{ID: in, Incarnation: incarnation}
 	ids := make([]string, 0, len(members))
 	for _, member := range members {
 		ids = append(ids, member.ID)
 	}
-	if p.zones(ids) < p.zones(a.IDs()) {
+	if p.zoneCount(ids) < p.zoneCount(a.IDs()) {
 		return false
 	}
 	p.move(shard, members, reason)
--- a/core/control/campaign.go
+++ b/core/control/campaign.go
@@ -12,15 +12,15 @@
 // (DESIGN §5.1 to §5.3): a campaign asks the voters for a term.
 
 const (
-	// campaignTries is how long a campaign waits for its votes.
-	campaignTries = 900 * clock.Millisecond
-	// campaignStep is how much longer each successor waits than the one before it.
-	campaignStep = 250 * clock.Millisecond
-	// campaignPatience is how long somebody else's term may take to become complete.
-	campaignPatience = 4 * clock.Second
-	// grantPatience is how long a grant holds its voter back from a campaign of its own
+	// voteTimeout is how long a campaign waits for its votes.
+	voteTimeout = 900 * clock.Millisecond
+	// candidateStagger is how much longer each successor waits than the one before it.
+	candidateStagger = 250 * clock.Millisecond
+	// termCommitTimeout is how long somebody else's term may take to become complete.
+	termCommitTimeout = 4 * clock.Second
+	// grantTimeout is how long a grant holds its voter back from a campaign of its own
 	// although nothing is heard of whoever it was granted to.
-	grantPatience = clock.Second
+	grantTimeout = clock.Second
 )
 
 // proposal is a term that a core wants: the group and the voters under it.
@@ -32,52 +32,52 @@
 
 // campaign is a proposal on its way.
 type campaign struct {
-	request     VoteRequest
-	electorates [][]CoreRef
-	oldVoters   []CoreRef
-	unanimous   bool // a founding: every founder has to agree
-	yes         map[string]bool
-	at          clock.Micros
-	won         bool
+	request   VoteRequest
+	quorums   [][]CoreRef
+	oldVoters []CoreRef
+	unanimous bool // a founding: every founder has to agree
+	granted   map[string]bool
+	startedAt clock.Micros
+	won       bool
 }
 
-func (c *campaign) wins() bool {
+func (c *campaign) hasWon() bool {
 	if !c.unanimous {
-		return agreed(c.electorates, c.yes)
+		return haveMajorities(c.quorums, c.granted)
 	}
 	for _, ref := range c.request.Voters {
-		if !c.yes[ref.ID] {
+		if !c.granted[ref.ID] {
 			return false
 		}
 	}
 	return true
 }
 
-// stand works out whether this core should campaign, and drives a campaign on.
-func (s *Core) stand(now clock.Micros) {
+// maybeCampaign works out whether this core should campaign, and drives a campaign on.
+func (s *Core) maybeCampaign(now clock.Micros) {
 	if s.campaign != nil {
-		if now-s.campaign.at < campaignTries {
+		if now-s.campaign.startedAt < voteTimeout {
 			return
 		}
 		s.campaign = nil
 	}
-	if s.vote.Committed.Zero() {
-		s.found(now)
+	if s.vote.Committed.IsZero() {
+		s.maybeBootstrap(now)
 		return
 	}
-	wanted, ok := s.wanted(now)
+	proposal, ok := s.proposeTerm(now)
 	if !ok {
-		s.unwell = 0
+		s.unhealthySince = 0
 		return
 	}
-	if s.unwell == 0 {
-		s.unwell = now
+	if s.unhealthySince == 0 {
+		s.unhealthySince = now
 	}
-	if now-s.unwell < clock.Micros(1+s.rank(now))*campaignStep {
+	if now-s.unhealthySince < clock.Micros(1+s.rank(now))*candidateStagger {
 		return
 	}
-	s.unwell = now
-	s.run(wanted, now)
+	s.unhealthySince = now
+	s.startCampaign(proposal, now)
 }
 
 // rank is this core's place among the members of the group that live.
@@ -87,15 +87,15 @@
 		if id == s.self.ID {
 			break
 		}
-		if _, living := s.lifeOf(id, now); living {
+		if _, living := s.incarnationOf(id, now); living {
 			rank++
 		}
 	}
 	return rank
 }
 
-// run begins a campaign under a term above all that are known.
-func (s *Core) run(wanted proposal, now clock.Micros) {
+// startCampaign begins a campaign under a term above all that are known.
+func (s *Core) startCampaign(wanted proposal, now clock.Micros) {
 	epoch := max(wanted.assignment.Epoch, s.vote.Term+1)
 	for _, heard := range s.cores {
 		if heard.heartbeat.Fleet == s.vote.Fleet {
@@ -103,56 +103,56 @@
 		}
 	}
 	wanted.assignment.Epoch = epoch
-	s.Claims++
-	s.Emit(machine.Explain{What: "campaign", Fields: map[string]any{"term": epoch, "member": s.self.ID, "reason": wanted.reason, "group": wanted.assignment.IDs(), "voters": voterIDs(wanted.voters)}})
-	s.begin(&campaign{
-		request:     VoteRequest{Fleet: s.vote.Fleet, Assignment: wanted.assignment, Voters: wanted.voters, Base: s.vote.Committed.Epoch, From: s.self},
-		electorates: s.electorates(wanted.voters),
-		oldVoters:   s.vote.oldVoters(wanted.voters),
+	s.CampaignsStarted++
+	s.Emit(machine.LogEvent{Message: "campaign", Fields: map[string]any{"term": epoch, "member": s.self.ID, "reason": wanted.reason, "group": wanted.assignment.IDs(), "voters": voterIDs(wanted.voters)}})
+	s.requestVotes(&campaign{
+		request:   VoteRequest{Fleet: s.vote.Fleet, Assignment: wanted.assignment, Voters: wanted.voters, Base: s.vote.Committed.Epoch, Candidate: s.self},
+		quorums:   s.quorumsFor(wanted.voters),
+		oldVoters: s.vote.oldVoters(wanted.voters),
 	}, now)
 }
 
-// electorates are the sets of voters that a term with the next voters needs.
-func (s *Core) electorates(next []CoreRef) [][]CoreRef {
+// quorumsFor are the sets of voters that a term with the next voters needs.
+func (s *Core) quorumsFor(next []CoreRef) [][]CoreRef {
 	if s.SkipOldVoters {
 		return [][]CoreRef{next}
 	}
-	return s.vote.electorates(next)
+	return s.vote.quorumsFor(next)
 }
 
-// begin asks the voters.
-func (s *Core) begin(c *campaign, now clock.Micros) {
-	c.at, c.yes = now, map[string]bool{s.self.ID: true}
+// requestVotes asks the voters.
+func (s *Core) requestVotes(c *campaign, now clock.Micros) {
+	c.startedAt, c.granted = now, map[string]bool{s.self.ID: true}
 	s.campaign = c
-	for _, ref := range everybody(c.electorates) {
+	for _, ref := range allVoters(c.quorums) {
 		if ref.ID != s.self.ID {
 			s.Emit(machine.Send{To: ref.Peer, Body: c.request})
 		}
 	}
-	s.tally(now)
+	s.countVotes(now)
 }
 
-// replied takes a voter's answer.
-func (s *Core) replied(reply VoteReply, now clock.Micros) {
-	if !reply.Yes {
-		s.learn(reply.Vote, now)
+// handleVoteResponse takes a voter's answer.
+func (s *Core) handleVoteResponse(reply VoteResponse, now clock.Micros) {
+	if !reply.Granted {
+		s.learnCommitted(reply.Vote, now)
 	}
 	c := s.campaign
-	if c == nil || c.won || reply.Epoch != c.request.Assignment.Epoch || !reply.Yes {
+	if c == nil || c.won || reply.Epoch != c.request.Assignment.Epoch || !reply.Granted {
 		return
 	}
 	if reply.Vote.Committed.Epoch > c.request.Base {
-		s.learn(reply.Vote, now)
+		s.learnCommitted(reply.Vote, now)
 		return
 	}
-	c.yes[reply.From] = true
-	s.tally(now)
+	c.granted[reply.From] = true
+	s.countVotes(now)
 }
 
-// tally ends a campaign that has its majorities: this core's own grant is written last.
-func (s *Core) tally(now clock.Micros) {
+// countVotes ends a campaign that has its majorities: this core's own grant is written last.
+func (s *Core) countVotes(now clock.Micros) {
 	c := s.campaign
-	if c.won || !c.wins() {
+	if c.won || !c.hasWon() {
 		return
 	}
 	epoch := c.request.Assignment.Epoch
@@ -166,16 +166,16 @@
 			s.campaign = nil
 		}
 		if s.vote.Term == epoch {
-			s.lead(c, now)
+			s.becomePrimary(c, now)
 		}
 	})
 }
 
-// lead makes this core the primary of the term that it was granted.
-func (s *Core) lead(c *campaign, now clock.Micros) {
-	s.Takeovers++
-	s.commit = nil
-	s.won, s.wonAt = c, now
+// becomePrimary makes this core the primary of the term that it was granted.
+func (s *Core) becomePrimary(c *campaign, now clock.Micros) {
+	s.TermsWon++
+	s.commitRound = nil
+	s.wonCampaign, s.wonTermAt = c, now
 	assignment := c.request.Assignment
 	var peers []string
 	for _, member := range assignment.Replicas {
@@ -183,105 +183,105 @@
 		peers = append(peers, c.request.Voters[i].Peer)
 	}
 	former := s.vote.Committed.Primary
-	if life, ok := s.lifeOf(former.ID, now); former.ID == s.self.ID || ok && life > former.Life {
-		s.groups.Void(unitCore) // the life that may hold a lease is over
+	if incarnation, ok := s.incarnationOf(former.ID, now); former.ID == s.self.ID || ok && incarnation > former.Incarnation {
+		s.groups.VoidGrantedLease(unitCore) // the life that may hold a lease is over
 	}
-	s.Emit(machine.Explain{What: "term won", Fields: map[string]any{"term": assignment.Epoch, "member": s.self.ID, "group": assignment.IDs()}})
-	s.groups.Own(unitCore, assignment.Epoch, peers, now)
+	s.Emit(machine.LogEvent{Message: "term won", Fields: map[string]any{"term": assignment.Epoch, "member": s.self.ID, "group": assignment.IDs()}})
+	s.groups.BecomePrimary(unitCore, assignment.Epoch, peers, now)
 }
 
-// wanted is the term that this core should ask for, or none.
-func (s *Core) wanted(now clock.Micros) (proposal, bool) {
+// proposeTerm is the term that this core should ask for, or none.
+func (s *Core) proposeTerm(now clock.Micros) (proposal, bool) {
 	committed := s.vote.Committed
-	if !slices.Contains(committed.IDs(), s.self.ID) && !s.SkipWhole || !isVoter(s.vote.Voters, s.self.ID) {
+	if !slices.Contains(committed.IDs(), s.self.ID) && !s.SkipStateCheck || !isVoter(s.vote.Voters, s.self.ID) {
 		return proposal{}, false // it does not hold the whole state
 	}
-	if s.leaving {
+	if s.draining {
 		return proposal{}, false
 	}
-	if s.Serving() && s.group().Epoch == committed.Epoch {
-		return s.wantedByPrimary(now)
+	if s.IsServing() && s.group().Epoch == committed.Epoch {
+		return s.proposeTermAsPrimary(now)
 	}
-	if s.primaryLeads(now, s.set.CoreSilent) || s.othersTerm(now) {
+	if s.primaryLeads(now, s.set.CoreTimeout) || s.otherTermPending(now) {
 		return proposal{}, false
 	}
-	var shunned []string
-	if s.group().Leads() {
+	var excluded []string
+	if s.group().IsPrimary() {
 		// A term that was won and does not become complete.
-		if shunned = s.silentReplicas(now); len(shunned) == 0 && now-s.wonAt < campaignPatience {
+		if excluded = s.unreachableReplicas(now); len(excluded) == 0 && now-s.wonTermAt < termCommitTimeout {
 			return proposal{}, false
 		}
 	}
-	next, ok := replication.Reassign(committed, s.scene(now), s.self.ID, shunned)
+	next, ok := replication.Reassign(committed, s.clusterView(now), s.self.ID, excluded)
 	return proposal{next, s.vote.Voters, "the primary does not lead"}, ok
 }
 
-// othersTerm tells whether somebody else won a term and may be on the way to complete it.
-func (s *Core) othersTerm(now clock.Micros) bool {
-	if s.vote.Term <= s.vote.Committed.Epoch || s.vote.Pending.Primary.ID == s.self.ID || s.termAt == 0 {
+// otherTermPending tells whether somebody else won a term and may be on the way to complete it.
+func (s *Core) otherTermPending(now clock.Micros) bool {
+	if s.vote.Term <= s.vote.Committed.Epoch || s.vote.Pending.Primary.ID == s.self.ID || s.termGrantedAt == 0 {
 		return false
 	}
-	since := now - s.termAt
+	since := now - s.termGrantedAt
 	heard, ok := s.cores[s.vote.Pending.Primary.ID]
-	working := ok && now-heard.at <= s.set.CoreSilent && heard.heartbeat.Life == s.vote.Pending.Primary.Life &&
+	working := ok && now-heard.heardAt <= s.set.CoreTimeout && heard.heartbeat.Incarnation == s.vote.Pending.Primary.Incarnation &&
 		heard.heartbeat.Vote.Term == s.vote.Term && heard.heartbeat.Vote.Pending.Equal(s.vote.Pending)
-	return since < grantPatience || working && since < campaignPatience
+	return since < grantTimeout || working && since < termCommitTimeout
 }
 
-// wantedByPrimary keeps the primary's group whole and then its voters.
-func (s *Core) wantedByPrimary(now clock.Micros) (proposal, bool) {
-	committed, scene := s.vote.Committed, s.scene(now)
-	if shunned := s.silentReplicas(now); len(shunned) > 0 {
-		next, ok := replication.Reassign(committed, scene, s.self.ID, shunned)
+// proposeTermAsPrimary keeps the primary's group whole and then its voters.
+func (s *Core) proposeTermAsPrimary(now clock.Micros) (proposal, bool) {
+	committed, view := s.vote.Committed, s.clusterView(now)
+	if excluded := s.unreachableReplicas(now); len(excluded) > 0 {
+		next, ok := replication.Reassign(committed, view, s.self.ID, excluded)
 		if ok {
 			return proposal{next, s.vote.Voters, "a replica does not answer"}, true
 		}
 	}
-	if next, reason, ok := replication.Next(committed, scene); ok && next.Primary.ID == s.self.ID {
+	if next, reason, ok := replication.Next(committed, view); ok && next.Primary.ID == s.self.ID {
 		return proposal{next, s.vote.Voters, reason}, true
 	}
-	if len(committed.IDs()) < scene.Copies || !s.vote.Settled || !s.Leading(now) {
+	if len(committed.IDs()) < view.Copies || !s.vote.CommittedByAll || !s.HoldsLease(now) {
 		return proposal{}, false // voters change only under a whole group that all know of
 	}
-	if next, ok := s.betterSpread(now); ok {
+	if next, ok := s.proposeBetterSpread(now); ok {
 		return next, true
 	}
-	return s.changeVoters(now)
+	return s.proposeVoterChange(now)
 }
 
-// copies is how many cores hold the control state: more than may be lost at once, and
+// copiesFor is how many cores hold the control state: more than may be lost at once, and
 // so many that every majority of the voters has one.
-func (s *Core) copies(voters int) int {
+func (s *Core) copiesFor(voters int) int {
 	return min(voters, max(s.set.Tolerance+1, coveringCopies(voters)))
 }
 
 // coveringCopies is how many copies it takes so that every majority has one.
 func coveringCopies(voters int) int { return voters - majority(voters) + 1 }
 
-// scene is what this core sees of the voters.
-func (s *Core) scene(now clock.Micros) replication.Scene {
+// clusterView is what this core sees of the voters.
+func (s *Core) clusterView(now clock.Micros) replication.ClusterView {
 	voters := s.vote.Voters
-	return replication.Scene{
-		Copies: s.copies(len(voters)),
-		Enough: func(members []string) bool { return len(members) >= coveringCopies(len(voters)) },
-		Life: func(id string) (uint64, bool) {
-			if !isVoter(voters, id) || s.leavingCore(id) && id != s.self.ID || !s.reachesCore(id, now) {
+	return replication.ClusterView{
+		Copies:         s.copiesFor(len(voters)),
+		AllowsDegraded: func(members []string) bool { return len(members) >= coveringCopies(len(voters)) },
+		Incarnation: func(id string) (uint64, bool) {
+			if !isVoter(voters, id) || s.isDrainingCore(id) && id != s.self.ID || !s.hasTwoWayContact(id, now) {
 				return 0, false
 			}
-			return s.lifeOf(id, now)
+			return s.incarnationOf(id, now)
 		},
-		Spare: func(members, shunned []string) string { return s.spareCore(members, shunned, now) },
+		ChooseReplacement: func(members, excluded []string) string { return s.chooseReplacement(members, excluded, now) },
 	}
 }
 
-// spareCore picks a voter that is no member yet, in a zone of its own if there is one.
-func (s *Core) spareCore(members, shunned []string, now clock.Micros) string {
+// chooseReplacement picks a voter that is no member yet, in a zone of its own if there is one.
+func (s *Core) chooseReplacement(members, excluded []string, now clock.Micros) string {
 	best, bestShared := "", true
 	for _, id := range voterIDs(s.vote.Voters) {
-		if slices.Contains(members, id) || slices.Contains(shunned, id) || s.leavingCore(id) {
+		if slices.Contains(members, id) || slices.Contains(excluded, id) || s.isDrainingCore(id) {
 			continue
 		}
-		if !s.reachesCore(id, now) {
+		if !s.hasTwoWayContact(id, now) {
 			continue
 		}
 		shared := slices.ContainsFunc(members, func(other string) bool { return s.zoneOf(other) == s.zoneOf(id) })
@@ -292,8 +292,8 @@
 	return best
 }
 
-// betterSpread moves a replica out of a zone that another member is in.
-func (s *Core) betterSpread(now clock.Micros) (proposal, bool) {
+// proposeBetterSpread moves a replica out of a zone that another member is in.
+func (s *Core) proposeBetterSpread(now clock.Micros) (proposal, bool) {
 	committed := s.vote.Committed
 	zones := map[string]bool{s.self.Zone: true}
 	for _, member := range committed.Replicas {
@@ -303,28 +303,28 @@
 			continue
 		}
 		others := slices.DeleteFunc(committed.IDs(), func(id string) bool { return id == member.ID })
-		spare := s.spareCore(others, []string{member.ID}, now)
-		if spare == "" || s.shares(others, spare) {
+		replacement := s.chooseReplacement(others, []string{member.ID}, now)
+		if replacement == "" || s.sharesZone(others, replacement) {
 			continue
 		}
-		next, ok := replication.Reassign(committed, s.scene(now), s.self.ID, []string{member.ID})
+		next, ok := replication.Reassign(committed, s.clusterView(now), s.self.ID, []string{member.ID})
 		return proposal{next, s.vote.Voters, "two copies share a zone"}, ok
 	}
 	return proposal{}, false
 }
 
-// shares tells whether a core is in the zone of one of the members.
-func (s *Core) shares(members []string, id string) bool {
+// sharesZone tells whether a core is in the zone of one of the members.
+func (s *Core) sharesZone(members []string, id string) bool {
 	return slices.ContainsFunc(members, func(other string) bool { return s.zoneOf(other) == s.zoneOf(id) })
 }
 
-// silentReplicas are the members of this core's group that don't answer it.
-func (s *Core) silentReplicas(now clock.Micros) []string {
+// unreachableReplicas are the members of this core's group that don't answer it.
+func (s *Core) unreachableReplicas(now clock.Micros) []string {
 	var out []string
-	silent := s.group().Silent(now)
+	unreachable := s.group().UnreachableReplicas(now)
 	for _, refs := range [][]CoreRef{s.vote.Voters, s.vote.PendingVoters} {
 		for _, ref := range refs {
-			if slices.Contains(silent, ref.Peer) && !slices.Contains(out, ref.ID) {
+			if slices.Contains(unreachable, ref.Peer) && !slices.Contains(out, ref.ID) {
 				out = append(out, ref.ID)
 			}
 		}
--- a/core/control/disk.go
+++ b/core/control/disk.go
@@ -12,43 +12,43 @@
 // it had decided before waits for its disk, in order, and is acknowledged by nobody
 // until it is synced.
 
-// diskProof is how long a disk has to take writes again before its core does more
+// diskProbation is how long a disk has to take writes again before its core does more
 // than listen.
-const diskProof = clock.Second
+const diskProbation = clock.Second
 
-// diskDuty is what a core knows of its disk.
-type diskDuty struct {
-	ill    bool
-	reason string
-	wellAt clock.Micros // when an ill disk took writes again; 0: it was never ill, or the proof is over
+// diskProbationState is what a core knows of its disk.
+type diskProbationState struct {
+	unwritable    bool
+	reason        string
+	writableSince clock.Micros // when an ill disk took writes again; 0: it was never ill, or the proof is over
 }
 
-// DiskChanged is the shell's word on the disk.
-type DiskChanged struct{ State machine.DiskState }
+// DiskStateChanged is the shell's word on the disk.
+type DiskStateChanged struct{ State machine.DiskState }
 
 // Apply notes it. Operators who wait are told at once that the outcome is not known,
 // so that they ask another core.
-func (d DiskChanged) Apply(s *Core, now clock.Micros) {
-	if d.State.Writable == !s.disk.ill {
+func (d DiskStateChanged) Apply(s *Core, now clock.Micros) {
+	if d.State.Writable == !s.disk.unwritable {
 		s.disk.reason = d.State.Reason
 		return
 	}
-	s.disk = diskDuty{ill: !d.State.Writable, reason: d.State.Reason}
-	if !s.disk.ill {
-		s.disk.wellAt = now
-		s.Emit(machine.Explain{What: "the disk takes writes again", Fields: map[string]any{"duties_after_us": diskProof}})
+	s.disk = diskProbationState{unwritable: !d.State.Writable, reason: d.State.Reason}
+	if !s.disk.unwritable {
+		s.disk.writableSince = now
+		s.Emit(machine.LogEvent{Message: "the disk takes writes again", Fields: map[string]any{"duties_after_us": diskProbation}})
 		return
 	}
-	s.Emit(machine.Explain{What: "giving up all duties for the disk's sake", Fields: map[string]any{"reason": d.State.Reason, "role": s.group().Role.String()}})
-	s.releaseCallers()
+	s.Emit(machine.LogEvent{Message: "giving up all duties for the disk's sake", Fields: map[string]any{"reason": d.State.Reason, "role": s.group().Role.String()}})
+	s.replyUnknownToAll()
 }
 
-// releaseCallers answers all who wait for a change. Those whose change was not taken
+// replyUnknownToAll answers all who wait for a change. Those whose change was not taken
 // up yet are not kept for later.
-func (s *Core) releaseCallers() {
-	if s.flight != nil {
-		s.unknown(s.flight.call)
-		s.flight.call = 0
+func (s *Core) replyUnknownToAll() {
+	if s.inFlight != nil {
+		s.replyUnknown(s.inFlight.call)
+		s.inFlight.call = 0
 	}
 	kept := s.queue[:0]
 	for _, c := range s.queue {
@@ -56,38 +56,38 @@
 			kept = append(kept, c)
 			continue
 		}
-		s.unknown(c.call)
+		s.replyUnknown(c.call)
 	}
 	s.queue = kept
 }
 
-// FoldAgain asks for a view of now: the last one could not be written.
-type FoldAgain struct{}
+// CompactAgain asks for a view of now: the last one could not be written.
+type CompactAgain struct{}
 
 // Apply has the view made with this step's effects.
-func (FoldAgain) Apply(s *Core, _ clock.Micros) { s.writes = s.set.FoldAfter }
+func (CompactAgain) Apply(s *Core, _ clock.Micros) { s.recordsSinceCompaction = s.set.CompactAfter }
 
-// withheld tells whether a command is passed over for the disk's sake. The disk's own
+// rejectedForDisk tells whether a command is passed over for the disk's sake. The disk's own
 // words are not, nor what only makes this core know more.
-func (s *Core) withheld(command Command, now clock.Micros) bool {
-	if !s.disk.ill && s.disk.wellAt == 0 {
+func (s *Core) rejectedForDisk(command Command, now clock.Micros) bool {
+	if !s.disk.unwritable && s.disk.writableSince == 0 {
 		return false
 	}
-	if !s.disk.ill && now-s.disk.wellAt >= diskProof {
+	if !s.disk.unwritable && now-s.disk.writableSince >= diskProbation {
 		s.resumeDuties(now)
 		return false
 	}
 	switch c := command.(type) {
-	case Stored, DiskChanged, FoldAgain, Suspicion, Listed, Fresh:
+	case Persisted, DiskStateChanged, CompactAgain, Suspicion, EndpointUpdate, FreshnessAdvanced:
 		return false
-	case Letter:
+	case Message:
 		_, greeting := c.Body.(Heartbeat)
 		return !greeting
 	case Call:
-		if _, ok := c.Body.(ShowAsk); ok {
+		if _, ok := c.Body.(StatusRequest); ok {
 			return false
 		}
-		s.Emit(machine.Answer{Call: c.Number, Err: errs.Later(errs.NotReady, clock.Second, "ask another core; this one is back once its disk takes writes", "core %s can't write: %s", s.self.ID, s.disk.reason)})
+		s.Emit(machine.Reply{Call: c.Number, Err: errs.NewWithRetry(errs.NotReady, clock.Second, "ask another core; this one is back once its disk takes writes", "core %s can't write: %s", s.self.ID, s.disk.reason)})
 	}
 	return true
 }
@@ -95,9 +95,9 @@
 // resumeDuties begins anew to listen: this core has heard no store meanwhile, and
 // judges none before it had the time to.
 func (s *Core) resumeDuties(now clock.Micros) {
-	s.disk = diskDuty{}
-	if s.Serving() {
-		s.serving = now
+	s.disk = diskProbationState{}
+	if s.IsServing() {
+		s.servingSince = now
 	}
-	s.Emit(machine.Explain{What: "taking up its duties again", Fields: map[string]any{"role": s.group().Role.String()}})
+	s.Emit(machine.LogEvent{Message: "taking up its duties again", Fields: map[string]any{"role": s.group().Role.String()}})
 }
--- a/core/control/listed.go
+++ b/core/control/listed.go
@@ -13,63 +13,63 @@
 // Each core writes them down, so that they outlive a stop of the whole fleet
 // (DESIGN §8.3): a core that starts tells them again.
 
-const mostListed = 10_000
+const maxEndpoints = 10_000
 
-// Listed is the platform's word on a server, as the news have it.
-type Listed struct{ Rumour machine.Update }
+// EndpointUpdate is the platform's word on a server, as the news have it.
+type EndpointUpdate struct{ Update machine.Update }
 
 // Apply writes it down where it is newer.
-func (l Listed) Apply(s *Core, _ clock.Micros) {
-	if !strings.HasPrefix(l.Rumour.Key, listedKeys) || !l.Rumour.Newer(s.listed[l.Rumour.Key]) {
+func (l EndpointUpdate) Apply(s *Core, _ clock.Micros) {
+	if !strings.HasPrefix(l.Update.Key, endpointKeyPrefix) || !l.Update.Newer(s.endpoints[l.Update.Key]) {
 		return
 	}
-	if _, known := s.listed[l.Rumour.Key]; !known && len(s.listed) >= mostListed {
-		s.Emit(machine.Explain{What: "more servers than a core writes down; put a shorter list", Fields: map[string]any{"server": l.Rumour.Key}})
+	if _, known := s.endpoints[l.Update.Key]; !known && len(s.endpoints) >= maxEndpoints {
+		s.Emit(machine.LogEvent{Message: "more servers than a core writes down; put a shorter list", Fields: map[string]any{"server": l.Update.Key}})
 		return
 	}
-	s.listed[l.Rumour.Key] = l.Rumour
-	s.groups.Store([]machine.Record{listedRecord(l.Rumour)}, nil)
+	s.endpoints[l.Update.Key] = l.Update
+	s.groups.Persist([]machine.Record{endpointRecord(l.Update)}, nil)
 }
 
-func listedRecord(rumour machine.Update) machine.Record {
-	body, _ := json.Marshal(rumour)
-	return machine.Record{Unit: unitListed, Kind: kindListed, Epoch: rumour.Epoch, Seq: rumour.Seq, Body: body}
+func endpointRecord(update machine.Update) machine.Record {
+	body, _ := json.Marshal(update)
+	return machine.Record{Unit: unitEndpoints, Kind: kindEndpoint, Epoch: update.Epoch, Seq: update.Seq, Body: body}
 }
 
-// relist reads one back.
-func (s *Core) relist(record machine.Record) {
-	var rumour machine.Update
-	if err := json.Unmarshal(record.Body, &rumour); err != nil {
+// restoreEndpoint reads one back.
+func (s *Core) restoreEndpoint(record machine.Record) {
+	var update machine.Update
+	if err := json.Unmarshal(record.Body, &update); err != nil {
 		s.BadRecord = err
 		return
 	}
-	if rumour.Newer(s.listed[rumour.Key]) {
-		s.listed[rumour.Key] = rumour
+	if update.Newer(s.endpoints[update.Key]) {
+		s.endpoints[update.Key] = update
 	}
 }
 
-// retell tells what was read back, once.
-func (s *Core) retell() {
-	if s.retold {
+// republishEndpoints tells what was read back, once.
+func (s *Core) republishEndpoints() {
+	if s.endpointsRepublished {
 		return
 	}
-	s.retold = true
-	for _, key := range s.listedInOrder() {
-		s.Emit(machine.Publish{Update: s.listed[key]})
+	s.endpointsRepublished = true
+	for _, key := range s.sortedEndpointKeys() {
+		s.Emit(machine.Publish{Update: s.endpoints[key]})
 	}
 }
 
-func (s *Core) listedRecords() []machine.Record {
+func (s *Core) endpointRecords() []machine.Record {
 	var out []machine.Record
-	for _, key := range s.listedInOrder() {
-		out = append(out, listedRecord(s.listed[key]))
+	for _, key := range s.sortedEndpointKeys() {
+		out = append(out, endpointRecord(s.endpoints[key]))
 	}
 	return out
 }
 
-func (s *Core) listedInOrder() []string {
-	keys := make([]string, 0, len(s.listed))
-	for key := range s.listed {
+func (s *Core) sortedEndpointKeys() []string {
+	keys := make([]string, 0, len(s.endpoints))
+	for key := range s.endpoints {
 		keys = append(keys, key)
 	}
 	sort.Strings(keys)
--- a/core/control/vote.go
+++ b/core/control/vote.go
@@ -32,15 +32,15 @@
 	Voters    []CoreRef              `json:"sworn"`
 	// OldVoters are those before a change of voters. Until Settled tells that majorities
 	// of both have committed, both have to agree to whatever follows.
-	OldVoters []CoreRef `json:"old_voters,omitempty"`
-	Settled   bool      `json:"settled,omitempty"`
+	OldVoters      []CoreRef `json:"old_voters,omitempty"`
+	CommittedByAll bool      `json:"settled,omitempty"`
 }
 
-// electorates are the sets of voters of each of which a majority has to agree to a
+// quorumsFor are the sets of voters of each of which a majority has to agree to a
 // term that builds on what is committed here and has the next voters.
-func (v Vote) electorates(next []CoreRef) [][]CoreRef {
+func (v Vote) quorumsFor(next []CoreRef) [][]CoreRef {
 	sets := [][]CoreRef{v.Voters}
-	if !v.Settled && len(v.OldVoters) > 0 {
+	if !v.CommittedByAll && len(v.OldVoters) > 0 {
 		sets = append(sets, v.OldVoters)
 	}
 	if !sameVoters(v.Voters, next) {
@@ -52,7 +52,7 @@
 // oldVoters are the voters that a term with the next voters leaves behind.
 func (v Vote) oldVoters(next []CoreRef) []CoreRef {
 	switch {
-	case !v.Settled && len(v.OldVoters) > 0:
+	case !v.CommittedByAll && len(v.OldVoters) > 0:
 		return v.OldVoters
 	case !sameVoters(v.Voters, next):
 		return v.Voters
@@ -83,12 +83,12 @@
 // majority is how many of a number of voters are one.
 func majority(voters int) int { return voters/2 + 1 }
 
-// agreed tells whether a majority of each electorate says yes.
-func agreed(electorates [][]CoreRef, yes map[string]bool) bool {
-	for _, voters := range electorates {
+// haveMajorities tells whether a majority of each electorate says yes.
+func haveMajorities(quorums [][]CoreRef, granted map[string]bool) bool {
+	for _, voters := range quorums {
 		count := 0
 		for _, ref := range voters {
-			if yes[ref.ID] {
+			if granted[ref.ID] {
 				count++
 			}
 		}
@@ -99,10 +99,10 @@
 	return true
 }
 
-// everybody lists the cores of all electorates, each once.
-func everybody(electorates [][]CoreRef) []CoreRef {
+// allVoters lists the cores of all electorates, each once.
+func allVoters(quorums [][]CoreRef) []CoreRef {
 	var out []CoreRef
-	for _, voters := range electorates {
+	for _, voters := range quorums {
 		for _, ref := range voters {
 			if !isVoter(out, ref.ID) {
 				out = append(out, ref)
@@ -118,17 +118,17 @@
 	return machine.Record{Unit: unitVote, Kind: kindVote, Epoch: s.vote.Term, Body: body}
 }
 
-// keepVote writes the vote and then does what may follow from it.
-func (s *Core) keepVote(done func(now clock.Micros)) {
-	s.groups.Store([]machine.Record{s.voteRecord()}, done)
+// persistVote writes the vote and then does what may follow from it.
+func (s *Core) persistVote(done func(now clock.Micros)) {
+	s.groups.Persist([]machine.Record{s.voteRecord()}, done)
 }
 
-// requested is the voter's part of an election.
-func (s *Core) requested(from string, request VoteRequest, now clock.Micros) {
-	reply := VoteReply{Epoch: request.Assignment.Epoch, From: s.self.ID}
-	reply.Why = s.objection(request, now)
-	reply.Yes = reply.Why == ""
-	if !reply.Yes {
+// handleVoteRequest is the voter's part of an election.
+func (s *Core) handleVoteRequest(from string, request VoteRequest, now clock.Micros) {
+	reply := VoteResponse{Epoch: request.Assignment.Epoch, From: s.self.ID}
+	reply.Reason = s.voteObjection(request, now)
+	reply.Granted = reply.Reason == ""
+	if !reply.Granted {
 		reply.Vote = s.vote
 		s.Emit(machine.Send{To: from, Body: reply})
 		return
@@ -143,12 +143,12 @@
 func (s *Core) grantVote(request VoteRequest, now clock.Micros, done func(now clock.Micros)) {
 	s.vote.Fleet, s.vote.Term = request.Fleet, request.Assignment.Epoch
 	s.vote.Pending, s.vote.PendingVoters = request.Assignment, request.Voters
-	s.termAt, s.unwell = now, 0
-	s.keepVote(done)
+	s.termGrantedAt, s.unhealthySince = now, 0
+	s.persistVote(done)
 }
 
-// objection is why a voter does not grant a term; "" when it does.
-func (s *Core) objection(request VoteRequest, now clock.Micros) string {
+// voteObjection is why a voter does not grant a term; "" when it does.
+func (s *Core) voteObjection(request VoteRequest, now clock.Micros) string {
 	epoch := request.Assignment.Epoch
 	switch {
 	case !isVoter(request.Voters, s.self.ID) && !s.vote.takesPart(s.self.ID):
@@ -157,19 +157,19 @@
 		return "" // asked again
 	case epoch <= s.vote.Term:
 		return "a higher term is granted"
-	case request.Founding:
-		return s.foundingObjection(request)
-	case s.vote.Committed.Zero():
+	case request.Bootstrap:
+		return s.bootstrapObjection(request)
+	case s.vote.Committed.IsZero():
 		return "" // an empty core: given a vote by those who hold the fleet
 	case s.vote.Fleet != request.Fleet:
 		return "another fleet"
 	case request.Base < s.vote.Committed.Epoch:
 		return "a later group is complete"
-	case request.From.ID == s.vote.Committed.Primary.ID:
+	case request.Candidate.ID == s.vote.Committed.Primary.ID:
 		return ""
-	case s.Leading(now) && !s.leaving:
+	case s.HoldsLease(now) && !s.draining:
 		return "this core is primary and holds its lease"
-	case s.primaryLeads(now, s.set.CoreSilent/2):
+	case s.primaryLeads(now, s.set.CoreTimeout/2):
 		return "the primary is heard here and holds its lease"
 	}
 	return ""
@@ -180,6 +180,6 @@
 func (s *Core) primaryLeads(now, within clock.Micros) bool {
 	primary := s.vote.Committed.Primary
 	heard, ok := s.cores[primary.ID]
-	return ok && now-heard.at <= within && heard.heartbeat.Life == primary.Life && !heard.heartbeat.Leaving &&
-		heard.heartbeat.Leading && heard.heartbeat.Vote.Committed.Epoch == s.vote.Committed.Epoch
+	return ok && now-heard.heardAt <= within && heard.heartbeat.Incarnation == primary.Incarnation && !heard.heartbeat.Draining &&
+		heard.heartbeat.HoldsLease && heard.heartbeat.Vote.Committed.Epoch == s.vote.Committed.Epoch
 }
--- a/core/control/voters.go
+++ b/core/control/voters.go
@@ -11,16 +11,16 @@
 // primary whose group is whole and whose term all majorities have settled begins one.
 
 const (
-	// joinAfter is how long a core without a vote is heard until it is given one.
-	joinAfter = clock.Second
-	// mostVoters bounds the voters; further cores stand by.
-	mostVoters = 9
+	// joinDelay is how long a core without a vote is heard until it is given one.
+	joinDelay = clock.Second
+	// maxVoters bounds the voters; further cores stand by.
+	maxVoters = 9
 )
 
-// changeVoters swaps a voter that is gone for a core without a vote, gives a further
+// proposeVoterChange swaps a voter that is gone for a core without a vote, gives a further
 // core a vote, or takes the vote of one that is gone or about to go.
-func (s *Core) changeVoters(now clock.Micros) (proposal, bool) {
-	for _, change := range []func(clock.Micros) ([]CoreRef, string){s.withoutLeaving, s.withSuccessor, s.withNewcomer, s.withoutGone} {
+func (s *Core) proposeVoterChange(now clock.Micros) (proposal, bool) {
+	for _, change := range []func(clock.Micros) ([]CoreRef, string){s.removeDrainingVoter, s.replaceLostVoter, s.addVoter, s.removeLostVoter} {
 		voters, reason := change(now)
 		if voters == nil {
 			continue
@@ -33,61 +33,61 @@
 	return proposal{}, false
 }
 
-// least is how few voters there may be: so many that they bear the losses of the
+// minVoters is how few voters there may be: so many that they bear the losses of the
 // deployment and one voter's restart leaves a majority.
-func (s *Core) least() int { return max(3, 2*s.set.Tolerance+1) }
+func (s *Core) minVoters() int { return max(3, 2*s.set.Tolerance+1) }
 
-// withoutLeaving takes the vote of a core that is about to go, where enough remain. A
+// removeDrainingVoter takes the vote of a core that is about to go, where enough remain. A
 // member of the group is first replaced there.
-func (s *Core) withoutLeaving(clock.Micros) ([]CoreRef, string) {
-	leaving := s.leavingVoter()
-	if leaving == "" || len(s.vote.Voters) <= s.least() {
+func (s *Core) removeDrainingVoter(clock.Micros) ([]CoreRef, string) {
+	draining := s.drainingVoter()
+	if draining == "" || len(s.vote.Voters) <= s.minVoters() {
 		return nil, ""
 	}
-	return without(s.vote.Voters, leaving), "a core leaves: " + leaving
+	return withoutVoter(s.vote.Voters, draining), "a core leaves: " + draining
 }
 
-// leavingVoter is a voter that is about to go and no member of the group; "" when there
+// drainingVoter is a voter that is about to go and no member of the group; "" when there
 // is none.
-func (s *Core) leavingVoter() string {
+func (s *Core) drainingVoter() string {
 	for _, ref := range s.vote.Voters {
-		if ref.ID != s.self.ID && s.leavingCore(ref.ID) && !slices.Contains(s.vote.Committed.IDs(), ref.ID) {
+		if ref.ID != s.self.ID && s.isDrainingCore(ref.ID) && !slices.Contains(s.vote.Committed.IDs(), ref.ID) {
 			return ref.ID
 		}
 	}
 	return ""
 }
 
-// withSuccessor gives the vote of a core that is gone to one that has none. An empty
+// replaceLostVoter gives the vote of a core that is gone to one that has none. An empty
 // one is given it sooner than one that had a vote before: nobody waits for it.
-func (s *Core) withSuccessor(now clock.Micros) ([]CoreRef, string) {
-	wait, heir := s.set.ReplaceAfter, CoreRef{}
-	for _, heard := range s.candidates(now) {
-		empty := heard.heartbeat.Vote.Committed.Zero()
-		soon := max(s.set.ReplaceSoon, s.set.CoreSilent)
-		if empty && s.set.ReplaceSoon > 0 && soon < wait {
-			wait, heir = soon, heard.heartbeat.Core
-		} else if heir.ID == "" {
-			heir = heard.heartbeat.Core
+func (s *Core) replaceLostVoter(now clock.Micros) ([]CoreRef, string) {
+	timeout, successor := s.set.ReplaceAfter, CoreRef{}
+	for _, heard := range s.voterCandidates(now) {
+		empty := heard.heartbeat.Vote.Committed.IsZero()
+		soon := max(s.set.ReplaceSoonAfter, s.set.CoreTimeout)
+		if empty && s.set.ReplaceSoonAfter > 0 && soon < timeout {
+			timeout, successor = soon, heard.heartbeat.Core
+		} else if successor.ID == "" {
+			successor = heard.heartbeat.Core
 		}
 	}
-	gone := s.leavingVoter()
-	if gone == "" {
-		gone = s.gone(wait, now)
+	lost := s.drainingVoter()
+	if lost == "" {
+		lost = s.lostVoter(timeout, now)
 	}
-	if heir.ID == "" || gone == "" {
+	if successor.ID == "" || lost == "" {
 		return nil, ""
 	}
-	return append(without(s.vote.Voters, gone), heir), "voter " + gone + " is gone; its vote passes to " + heir.ID
+	return append(withoutVoter(s.vote.Voters, lost), successor), "voter " + lost + " is gone; its vote passes to " + successor.ID
 }
 
-// withNewcomer gives a core a vote where all that have one live.
-func (s *Core) withNewcomer(now clock.Micros) ([]CoreRef, string) {
-	if len(s.vote.Voters) >= mostVoters || s.silentVoter(now) {
+// addVoter gives a core a vote where all that have one live.
+func (s *Core) addVoter(now clock.Micros) ([]CoreRef, string) {
+	if len(s.vote.Voters) >= maxVoters || s.hasUnreachableVoter(now) {
 		return nil, ""
 	}
-	for _, heard := range s.candidates(now) {
-		if now-heard.first >= joinAfter {
+	for _, heard := range s.voterCandidates(now) {
+		if now-heard.firstHeardAt >= joinDelay {
 			ref := heard.heartbeat.Core
 			return append(slices.Clone(s.vote.Voters), ref), "a core joins: " + ref.ID
 		}
@@ -95,21 +95,21 @@
 	return nil, ""
 }
 
-// withoutGone takes the vote of a core that is gone, where enough remain.
-func (s *Core) withoutGone(now clock.Micros) ([]CoreRef, string) {
-	gone := s.gone(s.set.ReplaceAfter, now)
-	if gone == "" || len(s.vote.Voters) <= s.least() {
+// removeLostVoter takes the vote of a core that is gone, where enough remain.
+func (s *Core) removeLostVoter(now clock.Micros) ([]CoreRef, string) {
+	lost := s.lostVoter(s.set.ReplaceAfter, now)
+	if lost == "" || len(s.vote.Voters) <= s.minVoters() {
 		return nil, ""
 	}
-	return without(s.vote.Voters, gone), "voter " + gone + " is gone"
+	return withoutVoter(s.vote.Voters, lost), "voter " + lost + " is gone"
 }
 
-// candidates are the living cores without a vote, in the order of their ids.
-func (s *Core) candidates(now clock.Micros) []heardCore {
-	var out []heardCore
+// voterCandidates are the living cores without a vote, in the order of their ids.
+func (s *Core) voterCandidates(now clock.Micros) []coreContact {
+	var out []coreContact
 	for _, id := range sortedIDs(s.cores) {
 		heard := s.cores[id]
-		if isVoter(s.vote.Voters, id) || heard.heartbeat.Leaving || !s.reachesCore(id, now) {
+		if isVoter(s.vote.Voters, id) || heard.heartbeat.Draining || !s.hasTwoWayContact(id, now) {
 			continue
 		}
 		out = append(out, heard)
@@ -117,32 +117,32 @@
 	return out
 }
 
-// gone finds a voter that has been silent for as long as this primary listens and
+// lostVoter finds a voter that has been silent for as long as this primary listens and
 // longer than the wait, and that is no member of the group; "" when there is none.
-func (s *Core) gone(wait, now clock.Micros) string {
-	if now-s.heardSince <= wait {
+func (s *Core) lostVoter(timeout, now clock.Micros) string {
+	if now-s.listeningSince <= timeout {
 		return ""
 	}
 	for _, ref := range s.vote.Voters {
 		heard, ok := s.cores[ref.ID]
-		silent := !ok || now-heard.at > wait
-		if silent && !slices.Contains(s.vote.Committed.IDs(), ref.ID) {
+		unreachable := !ok || now-heard.heardAt > timeout
+		if unreachable && !slices.Contains(s.vote.Committed.IDs(), ref.ID) {
 			return ref.ID
 		}
 	}
 	return ""
 }
 
-// silentVoter tells whether a voter missed its latest heartbeats or is about to go: a
+// hasUnreachableVoter tells whether a voter missed its latest heartbeats or is about to go: a
 // further voter beside one that is gone would only raise the majority.
-func (s *Core) silentVoter(now clock.Micros) bool {
+func (s *Core) hasUnreachableVoter(now clock.Micros) bool {
 	return slices.ContainsFunc(s.vote.Voters, func(ref CoreRef) bool {
 		heard, ok := s.cores[ref.ID]
-		missed := !ok || now-heard.at > 3*s.set.HeartbeatEvery || heard.heartbeat.Leaving
+		missed := !ok || now-heard.heardAt > 3*s.set.HeartbeatEvery || heard.heartbeat.Draining
 		return ref.ID != s.self.ID && missed
 	})
 }
 
-func without(voters []CoreRef, id string) []CoreRef {
+func withoutVoter(voters []CoreRef, id string) []CoreRef {
 	return slices.DeleteFunc(slices.Clone(voters), func(ref CoreRef) bool { return ref.ID == id })
 }
