--- a/cmd/hunt/main.go
+++ b/cmd/hunt/main.go
@@ -1,7 +1,6 @@
-// Program hunt plays a plan of days of trouble over site files and prints the table
-// of what came of them. The bench and the tool that writes days are given by path;
-// nothing but the bench's journal entries is written into the repository, at whose
-// root it is run.
+// Program hunt runs a plan of fault-injection days over site files and prints the table
+// of the results. The bench and the tool that writes days are given by path; nothing but
+// the bench's journal entries is written into the repository, at whose root it is run.
 //
 //	hunt -bench PATH -day-tool PATH -out FOLDER [-hunt-days N] [-focus all] [-focus-days N] [-seed S] [-jobs J] SITE...
 //
@@ -31,10 +30,11 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
+// run runs the plan that the arguments describe and returns the exit status.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
-	plan, err := parse(args, stderr)
+	plan, err := parsePlan(args, stderr)
 	if err != nil {
-		return statusBadArguments
+		return statusBadArguments // the flag package has named it
 	}
 	if faults := plan.Faults(); len(faults) > 0 {
 		for _, fault := range faults {
@@ -45,7 +45,7 @@
 	var table hunt.Table
 	plan.Run(ctx, func(result hunt.Result) {
 		table.Add(result)
-		report(stdout, result)
+		printDays(stdout, result)
 	})
 	table.Write(stdout)
 	if table.Failed() {
@@ -54,38 +54,42 @@
 	return 0
 }
 
-func parse(args []string, stderr io.Writer) (hunt.Plan, error) {
-	var plan hunt.Plan
+func parsePlan(args []string, stderr io.Writer) (hunt.Plan, error) {
+	plan := hunt.Plan{Repository: "."}
 	var focuses string
 	flags := flag.NewFlagSet("hunt", flag.ContinueOnError)
 	flags.SetOutput(stderr)
-	flags.StringVar(&plan.Bench, "bench", "", "path of the bench")
-	flags.StringVar(&plan.DayTool, "day-tool", "", "path of the tool that writes and plays days of a focus")
+	flags.StringVar(&plan.Bench, "bench", "", "path of the bench (a program)")
+	flags.StringVar(&plan.DayTool, "day-tool", "", "path of the program that writes and runs days with a focus")
 	flags.StringVar(&plan.OutputFolder, "out", "", "scratch folder for days and reports, outside the repository")
-	flags.StringVar(&focuses, "focus", "all", "all, or focuses by comma")
-	flags.IntVar(&plan.HuntDays, "hunt-days", 0, "days that the bench draws, on each site")
-	flags.IntVar(&plan.FocusDays, "focus-days", 0, "days of each focus, on each site")
-	flags.IntVar(&plan.Seed, "seed", 1, "seed of the first day of each focus")
-	flags.IntVar(&plan.Jobs, "jobs", 2, "days played at once")
+	flags.StringVar(&focuses, "focus", "all", "kinds of faults to focus on: all, or names by comma")
+	flags.IntVar(&plan.HuntDays, "hunt-days", 0, "days that the bench draws at random, on each site")
+	flags.IntVar(&plan.FocusDays, "focus-days", 0, "days with each focus, on each site")
+	flags.IntVar(&plan.Seed, "seed", 1, "seed of the first day with each focus; the next days count up")
+	flags.IntVar(&plan.Jobs, "jobs", 2, "days that run at once")
 	if err := flags.Parse(args); err != nil {
 		return plan, err
 	}
-	plan.Focuses, plan.Sites = hunt.ParseFocuses(focuses), flags.Args()
-	plan.Repository = "."
+	plan.Focuses = hunt.ParseFocuses(focuses)
+	plan.Sites = flags.Args()
 	return plan, nil
 }
 
-func report(stdout io.Writer, result hunt.Result) {
+// printDays prints a line for each day of a result.
+func printDays(stdout io.Writer, result hunt.Result) {
 	for _, day := range result.Days {
-		state := "ok"
-		switch {
-		case day.GivenUp:
-			state = "given up"
-		case day.BrokenRules != "":
-			state = "BROKE " + day.BrokenRules
-		case len(day.GateFailures) > 0:
-			state = fmt.Sprintf("short of the gate: %s", day.GateFailures)
-		}
-		fmt.Fprintf(stdout, "%s %s %s %.3f %s\n", result.Site, result.Label, day.Name, day.Value, state)
+		fmt.Fprintf(stdout, "%s %s %s %.3f %s\n", result.Site, result.Label, day.Name, day.Value, describeOutcome(day))
+	}
+}
+
+func describeOutcome(day hunt.Day) string {
+	switch {
+	case day.GivenUp:
+		return "given up"
+	case day.BrokenRules != "":
+		return "BROKE " + day.BrokenRules
+	case len(day.GateFailures) > 0:
+		return fmt.Sprintf("short of the gate: %s", day.GateFailures)
 	}
+	return "ok"
 }
--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -1,4 +1,8 @@
-// Program loadgen is stand-in callers for a fleet that runs already (DESIGN §9).
+// Program loadgen sends the load of stand-in callers to a deployment that is running, and
+// checks what they see (DESIGN §9). It prints for each guarantee whether it held, and ends
+// with 1 when one was broken.
+//
+//	loadgen -at 127.0.0.1:7201,127.0.0.1:7202 -starts server-1.starts,server-2.starts
 package main
 
 import (
@@ -14,30 +18,52 @@
 	"tuliprudder/test/verify"
 )
 
+// options are the program's settings.
+type options struct {
+	load      faultinject.Settings
+	edges     []string
+	startLogs []string
+}
+
 func main() {
-	var cfg faultinject.Settings
+	opts := readOptions(os.Args[1:])
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
+	broken, err := run(ctx, opts)
+	if err != nil {
+		fmt.Fprintln(os.Stderr, "loadgen:", err)
+	}
+	if broken || err != nil {
+		os.Exit(1)
+	}
+}
+
+func readOptions(args []string) options {
+	var opts options
 	r := settings.New("loadgen")
-	cfg.Flags(r)
-	edges := r.Flags.String("at", "", "http addresses of edges, by comma")
-	starts := r.Flags.String("starts", "", "the servers' logs of starts, by comma")
+	opts.load.Flags(r)
+	edges := r.Flags.String("at", "", "HTTP addresses of edges, IP:port, by comma")
+	startLogs := r.Flags.String("starts", "", "the model servers' files of starts (modelserver -starts), by comma")
 	r.AddCheck(func() {
-		for _, edge := range strings.Split(*edges, ",") {
+		opts.edges = strings.Split(*edges, ",")
+		opts.startLogs = strings.Split(*startLogs, ",")
+		for _, edge := range opts.edges {
 			r.CheckAddress("at", edge)
 		}
 	})
-	r.MustParse(os.Args[1:])
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	defer stop()
-	workload := cfg.Workload(func() []string { return strings.Split(*edges, ",") })
+	r.MustParse(args)
+	return opts
+}
+
+// run sends the load and reports whether a guarantee was broken.
+func run(ctx context.Context, opts options) (broken bool, err error) {
+	workload := opts.load.Workload(func() []string { return opts.edges })
 	workload.Run(ctx)
-	log, err := verify.ReadStarts(strings.Split(*starts, ","))
+	starts, err := verify.ReadStarts(opts.startLogs)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "loadgen:", err)
-		os.Exit(1)
+		return false, err
 	}
-	verdict := workload.Verdict(log, nil)
+	verdict := workload.Verdict(starts, nil)
 	fmt.Print(verdict)
-	if verdict.IsBroken() {
-		os.Exit(1)
-	}
+	return verdict.IsBroken(), nil
 }
--- /dev/null
+++ b/cmd/modelserver/prefix_cache_test.go
@@ -0,0 +1,22 @@
+package main
+
+import "testing"
+
+// The least recently used prefix leaves the cache first.
+func TestPrefixCache(t *testing.T) {
+	c := &prefixCache{limit: 2}
+	for _, step := range []struct {
+		prefix string
+		hit    bool
+	}{{"a", false}, {"b", false}, {"a", true}, {"c", false}, {"b", false}, {"c", true}, {"a", false}} {
+		if hit := c.use(step.prefix); hit != step.hit {
+			t.Fatalf("%s: hit %v; cached now: %v", step.prefix, hit, c.prefixes)
+		}
+	}
+	none := &prefixCache{}
+	for range 2 {
+		if none.use("a") {
+			t.Error("a cache without room has a prefix")
+		}
+	}
+}
