--- a/internal/controlplane/commands.go
+++ b/internal/controlplane/commands.go
@@ -53,7 +53,7 @@
 func (e EdgeHealth) Apply(c *Core, _ clock.Micros) { c.setEdgeHealth(e) }
 
 // Apply sends these cores a heartbeat.
-func (p CorePeers) Apply(c *Core, now clock.Micros) { c.election.Greet(p.Peers, now) }
+func (p CorePeers) Apply(c *Core, now clock.Micros) { c.election.SendHeartbeatTo(p.Peers, now) }
 
 // Apply records it.
 func (f FreshnessAdvanced) Apply(c *Core, _ clock.Micros) { c.stores.SetFreshUntil(f.At) }
--- a/internal/controlplane/election/bootstrap.go
+++ b/internal/controlplane/election/bootstrap.go
@@ -110,9 +110,9 @@
 	return replicas
 }
 
-// bootstrapObjection is why a core does not agree to a bootstrap; "" when it does. What
+// bootstrapRefusalReason is why a core does not agree to a bootstrap; "" when it does. What
 // an unfinished bootstrap left behind binds nobody.
-func (e *Election) bootstrapObjection(request VoteRequest) string {
+func (e *Election) bootstrapRefusalReason(request VoteRequest) string {
 	if !e.vote.Committed.IsZero() || e.clusterExists {
 		return "the fleet was bootstrapped before"
 	}
--- a/internal/controlplane/election/bootstrap_test.go
+++ b/internal/controlplane/election/bootstrap_test.go
@@ -15,14 +15,14 @@
 	return v
 }
 
-func TestWhoBootstraps(t *testing.T) {
+func TestFirstFounderBootstraps(t *testing.T) {
 	first := testSettings
 	first.Bootstrap, first.Founders = true, 3
 	later := testSettings
 	later.Founders = 3
 	for name, c := range map[string]struct {
-		voter *voter
-		asks  int
+		voter    *voter
+		requests int
 	}{
 		"the first of all founders":                {founder("a", first, "b", "c"), 2},
 		"another one leaves it to the first":       {founder("b", first, "a", "c"), 0},
@@ -39,7 +39,7 @@
 					t.Errorf("sent %+v", body)
 				}
 			}
-			if len(bodies) != c.asks || len(written) != 0 {
+			if len(bodies) != c.requests || len(written) != 0 {
 				t.Errorf("%d are asked, %d writes", len(bodies), len(written))
 			}
 		})
@@ -47,7 +47,7 @@
 }
 
 // A bootstrap needs every founder; a majority is not enough.
-func TestABootstrapIsUnanimous(t *testing.T) {
+func TestBootstrapNeedsEveryFounder(t *testing.T) {
 	settings := testSettings
 	settings.Bootstrap, settings.Founders = true, 3
 	v := founder("a", settings, "b", "c")
--- a/internal/controlplane/election/campaign.go
+++ b/internal/controlplane/election/campaign.go
@@ -25,17 +25,17 @@
 
 // campaign is a term that the voters are asked for.
 type campaign struct {
-	request      VoteRequest
-	quorums      quorums
-	votersBefore []CoreRef // that have to agree besides the request's voters
-	unanimous    bool      // a bootstrap: every founder has to agree
-	granted      map[string]bool
-	startedAt    clock.Micros
-	won          bool // its majorities have granted it
+	request        VoteRequest
+	quorums        quorums
+	previousVoters []CoreRef // that have to agree besides the request's voters
+	unanimous      bool      // a bootstrap: every founder has to agree
+	granted        map[string]bool
+	startedAt      clock.Micros
+	won            bool // its majorities have granted it
 }
 
-// hasEnoughVotes tells whether all the votes that it takes are granted.
-func (c *campaign) hasEnoughVotes() bool {
+// hasRequiredVotes tells whether all the votes that it takes are granted.
+func (c *campaign) hasRequiredVotes() bool {
 	if !c.unanimous {
 		return c.quorums.haveMajorities(c.granted)
 	}
@@ -57,16 +57,16 @@
 	}
 	proposal, ok := e.proposeTerm(now)
 	if !ok {
-		e.unhealthySince = 0
+		e.wantsTermSince = 0
 		return
 	}
-	if e.unhealthySince == 0 {
-		e.unhealthySince = now
+	if e.wantsTermSince == 0 {
+		e.wantsTermSince = now
 	}
-	if now-e.unhealthySince < clock.Micros(1+e.rank(now))*candidateStagger {
+	if now-e.wantsTermSince < clock.Micros(1+e.rank(now))*candidateStagger {
 		return
 	}
-	e.unhealthySince = now
+	e.wantsTermSince = now
 	e.startCampaign(proposal, now)
 }
 
@@ -85,26 +85,26 @@
 }
 
 // startCampaign begins a campaign under a term above all that are known.
-func (e *Election) startCampaign(wanted proposal, now clock.Micros) {
-	wanted.assignment.Epoch = e.nextTerm(wanted.assignment.Epoch)
+func (e *Election) startCampaign(proposed proposal, now clock.Micros) {
+	proposed.assignment.Epoch = e.nextTerm(proposed.assignment.Epoch)
 	e.CampaignsStarted++
 	e.effects.Emit(machine.LogEvent{Event: CampaignStarted{
-		Term:   wanted.assignment.Epoch,
+		Term:   proposed.assignment.Epoch,
 		Member: e.contacts.self.ID,
-		Reason: wanted.reason,
-		Group:  wanted.assignment.IDs(),
-		Voters: voterIDs(wanted.voters),
+		Reason: proposed.reason,
+		Group:  proposed.assignment.IDs(),
+		Voters: voterIDs(proposed.voters),
 	}})
 	e.requestVotes(&campaign{
 		request: VoteRequest{
 			Fleet:      e.vote.Fleet,
-			Assignment: wanted.assignment,
-			Voters:     wanted.voters,
+			Assignment: proposed.assignment,
+			Voters:     proposed.voters,
 			Base:       e.vote.Committed.Epoch,
 			Candidate:  e.contacts.self,
 		},
-		quorums:      e.quorumsFor(wanted.voters),
-		votersBefore: e.vote.votersBefore(wanted.voters),
+		quorums:        e.quorumsFor(proposed.voters),
+		previousVoters: e.vote.previousVoters(proposed.voters),
 	}, now)
 }
 
@@ -163,7 +163,7 @@
 // last: until then it may still grant another candidate's term.
 func (e *Election) countVotes(now clock.Micros) {
 	c := e.campaign
-	if c.won || !c.hasEnoughVotes() {
+	if c.won || !c.hasRequiredVotes() {
 		return
 	}
 	epoch := c.request.Assignment.Epoch
--- a/internal/controlplane/election/commit.go
+++ b/internal/controlplane/election/commit.go
@@ -44,7 +44,7 @@
 			Fleet:      won.request.Fleet,
 			Assignment: won.request.Assignment.Completed(),
 			Voters:     won.request.Voters,
-			OldVoters:  won.votersBefore,
+			OldVoters:  won.previousVoters,
 		},
 	}
 }
@@ -56,7 +56,7 @@
 		return
 	}
 	epoch := m.Assignment.Epoch
-	e.unhealthySince = 0
+	e.wantsTermSince = 0
 	e.vote.Fleet = m.Fleet
 	e.vote.CommittedByAll = m.CommittedByAll || e.vote.CommittedByAll && epoch == e.vote.Committed.Epoch
 	e.vote.Committed = m.Assignment
--- a/internal/controlplane/election/contacts.go
+++ b/internal/controlplane/election/contacts.go
@@ -35,12 +35,12 @@
 			delete(t.byID, id)
 		}
 	}
-	first := now
+	firstHeardAt := now
 	known, ok := t.byID[h.Core.ID]
 	if ok && known.heartbeat.Incarnation == h.Incarnation && now-known.heardAt <= t.timeout {
-		first = known.firstHeardAt
+		firstHeardAt = known.firstHeardAt
 	}
-	t.byID[h.Core.ID] = contact{heartbeat: h, heardAt: now, firstHeardAt: first}
+	t.byID[h.Core.ID] = contact{heartbeat: h, heardAt: now, firstHeardAt: firstHeardAt}
 }
 
 // incarnationOf is the incarnation that a core runs in now; false when it is not heard.
--- a/internal/controlplane/election/contacts_test.go
+++ b/internal/controlplane/election/contacts_test.go
@@ -6,7 +6,7 @@
 	"tuliprudder/internal/clock"
 )
 
-func TestContacts(t *testing.T) {
+func TestContactReachability(t *testing.T) {
 	const timeout = clock.Second
 	table := contactTable{self: cores("a")[0], incarnation: 7, timeout: timeout, byID: map[string]contact{}}
 	table.record(Heartbeat{Core: cores("b")[0], Incarnation: 2, HeardCores: []string{"a"}}, 100)
@@ -37,7 +37,7 @@
 }
 
 // Another identity at a known address is an empty machine in the place of the first.
-func TestAnAddressHasOneIdentity(t *testing.T) {
+func TestNewIdentityReplacesOldAtSameAddress(t *testing.T) {
 	table := contactTable{self: cores("a")[0], timeout: clock.Second, byID: map[string]contact{}}
 	table.record(Heartbeat{Core: cores("b")[0], Incarnation: 1}, 100)
 	table.record(Heartbeat{Core: CoreRef{ID: "new", Peer: "peer-b"}, Incarnation: 1}, 200)
@@ -47,7 +47,7 @@
 }
 
 // A core that was not heard for its time-out, or restarted, is heard anew.
-func TestSinceWhenACoreIsHeard(t *testing.T) {
+func TestFirstHeardAtResetsAfterTimeoutOrRestart(t *testing.T) {
 	table := contactTable{self: cores("a")[0], timeout: clock.Second, byID: map[string]contact{}}
 	for _, step := range []struct {
 		at          clock.Micros
--- a/internal/controlplane/election/election.go
+++ b/internal/controlplane/election/election.go
@@ -75,11 +75,11 @@
 	wonTermAt     clock.Micros   // when it was won
 	pendingCommit *pendingCommit // of the term that is being committed; nil when none is
 	termGrantedAt clock.Micros   // when this core granted its highest term
-	// unhealthySince is since when this core wants another term; 0: it wants none.
-	unhealthySince clock.Micros
+	// wantsTermSince is since when this core wants another term; 0: it wants none.
+	wantsTermSince clock.Micros
 	// clusterExists tells that a core of a bootstrapped fleet was heard.
 	clusterExists   bool
-	listeningSince  clock.Micros // since when this process runs without a pause
+	runningSince    clock.Micros // since when this process runs without a pause
 	lastTick        clock.Micros
 	nextHeartbeatAt clock.Micros
 	announcedLease  bool // what the last heartbeat said of the lease
@@ -155,7 +155,7 @@
 // detectPause begins to listen anew after this process stood still.
 func (e *Election) detectPause(now clock.Micros) {
 	if e.lastTick == 0 || now-e.lastTick > pauseThreshold {
-		e.listeningSince = now
+		e.runningSince = now
 	}
 	e.lastTick = now
 }
--- a/internal/controlplane/election/heartbeat.go
+++ b/internal/controlplane/election/heartbeat.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// Greet sends a heartbeat to cores that the membership has found; their own heartbeats then
+// SendHeartbeatTo sends a heartbeat to cores that the membership has found; their own heartbeats then
 // make them known here.
-func (e *Election) Greet(peers []string, now clock.Micros) {
+func (e *Election) SendHeartbeatTo(peers []string, now clock.Micros) {
 	for _, peer := range peers {
 		if peer != e.contacts.self.Peer {
 			e.effects.Emit(machine.Send{To: peer, Body: e.heartbeat(now)})
@@ -57,10 +57,10 @@
 
 func (e *Election) handleHeartbeat(h Heartbeat, now clock.Micros) {
 	if h.Core.ID == e.contacts.self.ID {
-		e.handleOwnIdentity(h)
+		e.handleDuplicateIdentity(h)
 		return
 	}
-	if e.isOfForeignFleet(h) {
+	if e.isFromForeignFleet(h) {
 		e.handleForeignFleet(h)
 		return
 	}
@@ -71,15 +71,15 @@
 	e.learnCommitted(h.Vote, now)
 }
 
-// isOfForeignFleet tells whether a core has committed a term of another fleet than this one has.
-func (e *Election) isOfForeignFleet(h Heartbeat) bool {
+// isFromForeignFleet tells whether a core has committed a term of another fleet than this one has.
+func (e *Election) isFromForeignFleet(h Heartbeat) bool {
 	differ := e.vote.Fleet != "" && h.Fleet != "" && h.Fleet != e.vote.Fleet
 	return differ && !e.vote.Committed.IsZero() && !h.Vote.Committed.IsZero()
 }
 
-// handleOwnIdentity ends a daemon whose data folder is a copy of another's: two voters with
+// handleDuplicateIdentity ends a daemon whose data folder is a copy of another's: two voters with
 // one identity would count as one and decide as two.
-func (e *Election) handleOwnIdentity(h Heartbeat) {
+func (e *Election) handleDuplicateIdentity(h Heartbeat) {
 	if h.Core.Peer == e.contacts.self.Peer || h.Incarnation > e.contacts.incarnation {
 		return
 	}
@@ -119,7 +119,7 @@
 
 // adoptCommitted takes over a committed term. It also ends a lower term that was granted here.
 func (e *Election) adoptCommitted(other Vote) {
-	e.unhealthySince = 0
+	e.wantsTermSince = 0
 	e.vote.Committed = other.Committed
 	e.vote.Voters = other.Voters
 	e.vote.OldVoters = other.OldVoters
--- a/internal/controlplane/election/lease.go
+++ b/internal/controlplane/election/lease.go
@@ -21,12 +21,12 @@
 	return e.IsServing() && (e.group().LeaseUntil() > now || e.faults.SkipLease)
 }
 
-// primaryLeads tells whether the committed primary said within a while, in the incarnation it
+// primaryReportsLease tells whether the committed primary said within a while, in the incarnation it
 // was assigned in, that it holds its lease, and is not about to stop.
-func (e *Election) primaryLeads(now, within clock.Micros) bool {
+func (e *Election) primaryReportsLease(now, maxAge clock.Micros) bool {
 	primary := e.vote.Committed.Primary
 	heard, ok := e.contacts.byID[primary.ID]
-	if !ok || now-heard.heardAt > within {
+	if !ok || now-heard.heardAt > maxAge {
 		return false
 	}
 	heartbeat := heard.heartbeat
--- a/internal/controlplane/election/quorum_test.go
+++ b/internal/controlplane/election/quorum_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestQuorumsOfATerm(t *testing.T) {
+func TestQuorumsForNextTerm(t *testing.T) {
 	first, second, third := cores("a", "b", "c"), cores("b", "c", "d"), cores("c", "d", "e")
 	for name, c := range map[string]struct {
 		vote   Vote
@@ -73,7 +73,7 @@
 			if got := c.vote.quorumsFor(c.next); fmt.Sprint(got) != fmt.Sprint(c.want) {
 				t.Errorf("the quorums are %v, not %v", got, c.want)
 			}
-			if got := c.vote.votersBefore(c.next); fmt.Sprint(got) != fmt.Sprint(c.before) {
+			if got := c.vote.previousVoters(c.next); fmt.Sprint(got) != fmt.Sprint(c.before) {
 				t.Errorf("the voters before are %v, not %v", got, c.before)
 			}
 		})
--- a/internal/controlplane/election/term.go
+++ b/internal/controlplane/election/term.go
@@ -28,7 +28,7 @@
 	if e.IsServing() && e.group().Epoch == committed.Epoch {
 		return e.proposeTermAsPrimary(now)
 	}
-	if e.primaryLeads(now, e.settings.CoreTimeout) || e.otherTermPending(now) {
+	if e.primaryReportsLease(now, e.settings.CoreTimeout) || e.otherTermPending(now) {
 		return proposal{}, false
 	}
 	var excluded []string
@@ -50,11 +50,11 @@
 		return false
 	}
 	since := now - e.termGrantedAt
-	return since < grantTimeout || since < termCommitTimeout && e.isWorkingOn(pending, now)
+	return since < grantTimeout || since < termCommitTimeout && e.pendingPrimaryIsActive(pending, now)
 }
 
-// isWorkingOn tells whether the primary of a pending term is heard, and granted it itself.
-func (e *Election) isWorkingOn(pending replication.Assignment, now clock.Micros) bool {
+// pendingPrimaryIsActive tells whether the primary of a pending term is heard, and granted it itself.
+func (e *Election) pendingPrimaryIsActive(pending replication.Assignment, now clock.Micros) bool {
 	heard, ok := e.contacts.byID[pending.Primary.ID]
 	if !ok || now-heard.heardAt > e.settings.CoreTimeout {
 		return false
@@ -80,7 +80,7 @@
 	if len(committed.IDs()) < cluster.GroupSize || !e.vote.CommittedByAll || !e.HoldsLease(now) {
 		return proposal{}, false
 	}
-	if next, ok := e.proposeBetterSpread(now); ok {
+	if next, ok := e.proposeZoneSpread(now); ok {
 		return next, true
 	}
 	return e.proposeVoterChange(now)
@@ -131,8 +131,8 @@
 	return best
 }
 
-// proposeBetterSpread moves a replica out of a zone that another member is in.
-func (e *Election) proposeBetterSpread(now clock.Micros) (proposal, bool) {
+// proposeZoneSpread moves a replica out of a zone that another member is in.
+func (e *Election) proposeZoneSpread(now clock.Micros) (proposal, bool) {
 	committed := e.vote.Committed
 	zones := map[string]bool{e.contacts.self.Zone: true}
 	for _, member := range committed.Replicas {
--- a/internal/controlplane/election/vote.go
+++ b/internal/controlplane/election/vote.go
@@ -33,7 +33,7 @@
 // term that builds on what is committed here and has the next voters.
 func (v Vote) quorumsFor(next []CoreRef) quorums {
 	sets := quorums{v.Voters}
-	if v.oldVotersCount() {
+	if v.needsOldVoters() {
 		sets = append(sets, v.OldVoters)
 	}
 	if !sameVoters(v.Voters, next) {
@@ -42,15 +42,15 @@
 	return sets
 }
 
-// oldVotersCount tells whether the voters before the committed term still have to agree: it
+// needsOldVoters tells whether the voters before the committed term still have to agree: it
 // is not known that majorities of both sets committed it.
-func (v Vote) oldVotersCount() bool { return !v.CommittedByAll && len(v.OldVoters) > 0 }
+func (v Vote) needsOldVoters() bool { return !v.CommittedByAll && len(v.OldVoters) > 0 }
 
-// votersBefore are the voters that have to agree besides the next ones until a term with
+// previousVoters are the voters that have to agree besides the next ones until a term with
 // the next voters is committed by all; nil when there are none.
-func (v Vote) votersBefore(next []CoreRef) []CoreRef {
+func (v Vote) previousVoters(next []CoreRef) []CoreRef {
 	switch {
-	case v.oldVotersCount():
+	case v.needsOldVoters():
 		return v.OldVoters
 	case !sameVoters(v.Voters, next):
 		return v.Voters
@@ -90,7 +90,7 @@
 // handleVoteRequest grants or refuses a term to a candidate.
 func (e *Election) handleVoteRequest(from string, request VoteRequest, now clock.Micros) {
 	response := VoteResponse{Epoch: request.Assignment.Epoch, From: e.contacts.self.ID}
-	response.Reason = e.voteObjection(request, now)
+	response.Reason = e.voteRefusalReason(request, now)
 	response.Granted = response.Reason == ""
 	if !response.Granted {
 		response.Vote = e.vote
@@ -110,13 +110,13 @@
 	e.vote.Pending = request.Assignment
 	e.vote.PendingVoters = request.Voters
 	e.termGrantedAt = now
-	e.unhealthySince = 0
+	e.wantsTermSince = 0
 	e.persistVote(done)
 }
 
-// voteObjection is why a voter does not grant a term; "" when it does. A stale term, one
+// voteRefusalReason is why a voter does not grant a term; "" when it does. A stale term, one
 // that is not above the highest granted, is refused here.
-func (e *Election) voteObjection(request VoteRequest, now clock.Micros) string {
+func (e *Election) voteRefusalReason(request VoteRequest, now clock.Micros) string {
 	epoch, self := request.Assignment.Epoch, e.contacts.self.ID
 	switch {
 	case !isVoter(request.Voters, self) && !e.vote.isParticipant(self):
@@ -126,11 +126,11 @@
 	case epoch <= e.vote.Term:
 		return "a term as high is granted"
 	case request.Bootstrap:
-		return e.bootstrapObjection(request)
+		return e.bootstrapRefusalReason(request)
 	case e.vote.Committed.IsZero():
 		return "" // an empty core: those that hold the control state give it a vote
 	}
-	return e.objectionToSuccessor(request, now)
+	return e.successorRefusalReason(request, now)
 }
 
 // hasGranted tells whether this very term is the last one that was granted.
@@ -139,9 +139,9 @@
 	return isSameTerm && request.Fleet == e.vote.Fleet
 }
 
-// objectionToSuccessor is why a voter that has committed a term does not grant a higher one;
+// successorRefusalReason is why a voter that has committed a term does not grant a higher one;
 // "" when it does. A primary that leads is not disturbed, except by itself.
-func (e *Election) objectionToSuccessor(request VoteRequest, now clock.Micros) string {
+func (e *Election) successorRefusalReason(request VoteRequest, now clock.Micros) string {
 	switch {
 	case e.vote.Fleet != request.Fleet:
 		return "another fleet"
@@ -151,7 +151,7 @@
 		return ""
 	case e.HoldsLease(now) && !e.contacts.draining:
 		return "this core is primary and holds its lease"
-	case e.primaryLeads(now, e.settings.CoreTimeout/2):
+	case e.primaryReportsLease(now, e.settings.CoreTimeout/2):
 		return "the primary is heard here and holds its lease"
 	}
 	return ""
--- a/internal/controlplane/election/vote_test.go
+++ b/internal/controlplane/election/vote_test.go
@@ -9,34 +9,34 @@
 	"tuliprudder/internal/replication"
 )
 
-// replicatedNothing is the state of a group in tests of the election alone.
-type replicatedNothing struct{ election *Election }
+// noopState is the state of a group in tests of the election alone.
+type noopState struct{ election *Election }
 
-func (replicatedNothing) Snapshot(string) replication.Snapshot   { return replication.Parts(nil) }
-func (replicatedNothing) Install(string, [][]byte) [][]byte      { return nil }
-func (replicatedNothing) LocalSnapshot(string) [][]byte          { return nil }
-func (replicatedNothing) Restore(string, [][]byte)               {}
-func (replicatedNothing) ApplyEntry(string, []byte)              {}
-func (replicatedNothing) Confirmed(string, uint64, clock.Micros) {}
-func (r replicatedNothing) GroupReady(_ string, epoch uint64, _ clock.Micros) {
+func (noopState) Snapshot(string) replication.Snapshot   { return replication.Parts(nil) }
+func (noopState) Install(string, [][]byte) [][]byte      { return nil }
+func (noopState) LocalSnapshot(string) [][]byte          { return nil }
+func (noopState) Restore(string, [][]byte)               {}
+func (noopState) ApplyEntry(string, []byte)              {}
+func (noopState) Confirmed(string, uint64, clock.Micros) {}
+func (r noopState) GroupReady(_ string, epoch uint64, _ clock.Micros) {
 	r.election.GroupReady(epoch)
 }
-func (r replicatedNothing) Deposed(string, uint64, clock.Micros) { r.election.Deposed() }
+func (r noopState) Deposed(string, uint64, clock.Micros) { r.election.Deposed() }
 
 // voter is one core with its election; nothing is sent or written but by the test.
 type voter struct {
 	*Election
-	effects *machine.Effects
-	groups  *replication.Groups
-	served  int // terms that it began to serve
+	effects     *machine.Effects
+	groups      *replication.Groups
+	termsServed int // terms that it began to serve
 }
 
 func newVoter(id string, settings Settings, vote Vote) *voter {
 	v := &voter{effects: &machine.Effects{}}
-	state := &replicatedNothing{}
+	state := &noopState{}
 	v.groups = replication.NewGroups(v.effects, state)
 	identity := Identity{Core: cores(id)[0], Incarnation: 1, Seeds: []string{"peer-a", "peer-b", "peer-c"}}
-	v.Election = New(identity, settings, v.groups, v.effects, func(clock.Micros) { v.served++ })
+	v.Election = New(identity, settings, v.groups, v.effects, func(clock.Micros) { v.termsServed++ })
 	state.election = v.Election
 	v.vote = vote
 	return v
@@ -74,8 +74,8 @@
 	return r
 }
 
-func TestWhichTermsAreGranted(t *testing.T) {
-	leads := Heartbeat{Core: cores("a")[0], Incarnation: 1, Fleet: "f", Vote: committedTerm(), HoldsLease: true}
+func TestVoteRequestGrantedOrRefused(t *testing.T) {
+	primaryHeartbeat := Heartbeat{Core: cores("a")[0], Incarnation: 1, Fleet: "f", Vote: committedTerm(), HoldsLease: true}
 	for name, c := range map[string]struct {
 		request VoteRequest
 		heard   *Heartbeat // 100 ms before
@@ -87,8 +87,8 @@
 		"a base below the committed": {request(6, func(r *VoteRequest) { r.Base = 4 }), nil, false},
 		"another fleet":              {request(6, func(r *VoteRequest) { r.Fleet = "g" }), nil, false},
 		"a voter of the committed term, not of the next": {request(6, func(r *VoteRequest) { r.Voters = cores("x", "y") }), nil, true},
-		"the primary leads":       {request(6, nil), &leads, false},
-		"the primary itself asks": {request(6, func(r *VoteRequest) { r.Candidate = cores("a")[0] }), &leads, true},
+		"the primary leads":       {request(6, nil), &primaryHeartbeat, false},
+		"the primary itself asks": {request(6, func(r *VoteRequest) { r.Candidate = cores("a")[0] }), &primaryHeartbeat, true},
 		"a second bootstrap":      {request(6, func(r *VoteRequest) { r.Bootstrap = true }), nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -106,7 +106,7 @@
 }
 
 // A core that is a voter neither before nor under a term has no say in it.
-func TestACoreWithoutAVoteGrantsNothing(t *testing.T) {
+func TestNonVoterGrantsNothing(t *testing.T) {
 	v := newVoter("x", testSettings, committedTerm())
 	v.HandleMessage("peer-b", request(6, nil), 10*clock.Second)
 	if bodies, written := v.sent(); v.Vote().Term != 5 || len(written) != 0 || bodies[0].(VoteResponse).Granted {
@@ -116,7 +116,7 @@
 
 // A vote is on disk before the response that tells of it, and a term is granted to one
 // candidate only, also after a restart.
-func TestAVoteIsPersistedBeforeItIsSent(t *testing.T) {
+func TestVotePersistedBeforeResponse(t *testing.T) {
 	v := newVoter("c", testSettings, committedTerm())
 	now := 10 * clock.Second
 	v.HandleMessage("peer-b", request(6, nil), now)
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestADamagedVoteIsAnError(t *testing.T) {
+func TestRestoreOfDamagedVoteFails(t *testing.T) {
 	v := newVoter("c", testSettings, Vote{})
 	record := v.VoteRecord()
 	record.Body = record.Body[:len(record.Body)-1]
@@ -155,7 +155,7 @@
 
 // A commit below the highest granted term is refused: the voter's grant may be what a
 // higher term was won by.
-func TestAStaleCommitIsRefused(t *testing.T) {
+func TestStaleCommitRefused(t *testing.T) {
 	v := newVoter("c", testSettings, committedTerm())
 	now := 10 * clock.Second
 	v.HandleMessage("peer-b", request(7, nil), now)
--- a/internal/controlplane/election/voters.go
+++ b/internal/controlplane/election/voters.go
@@ -15,9 +15,9 @@
 	joinDelay = clock.Second
 	// maxVoters bounds the voters; further cores stand by.
 	maxVoters = 9
-	// fewestVoters is how few voters there may be at any tolerance: the restart of one leaves
+	// absoluteMinVoters is how few voters there may be at any tolerance: the restart of one leaves
 	// a majority.
-	fewestVoters = 3
+	absoluteMinVoters = 3
 	// missedHeartbeats is after how many heartbeats that did not come no voter is added.
 	missedHeartbeats = 3
 )
@@ -52,7 +52,7 @@
 
 // minVoters is how few voters there may be: so many that they bear the losses of the
 // deployment and one voter's restart leaves a majority.
-func (e *Election) minVoters() int { return max(fewestVoters, 2*e.settings.Tolerance+1) }
+func (e *Election) minVoters() int { return max(absoluteMinVoters, 2*e.settings.Tolerance+1) }
 
 // removeDrainingVoter takes the vote of a core that is about to stop, where enough remain. A
 // member of the group is first replaced there.
@@ -78,34 +78,34 @@
 
 // replaceLostVoter gives the vote of a core that is lost or draining to one that has none.
 func (e *Election) replaceLostVoter(now clock.Micros) voterChange {
-	successor, timeout := e.chooseSuccessor(now)
+	replacement, timeout := e.chooseReplacementVoter(now)
 	lost := e.drainingVoter()
 	if lost == "" {
 		lost = e.lostVoter(timeout, now)
 	}
-	if successor.ID == "" || lost == "" {
+	if replacement.ID == "" || lost == "" {
 		return voterChange{}
 	}
-	voters := append(withoutVoter(e.vote.Voters, lost), successor)
-	return voterChange{voters, "voter " + lost + " is lost; its vote passes to " + successor.ID}
+	voters := append(withoutVoter(e.vote.Voters, lost), replacement)
+	return voterChange{voters, "voter " + lost + " is lost; its vote passes to " + replacement.ID}
 }
 
-// chooseSuccessor is the core that is given a lost core's vote, and how long that one has to
+// chooseReplacementVoter is the core that is given a lost core's vote, and how long that one has to
 // be lost. An empty core is given it sooner than one that had a vote before: nobody waits for
 // an empty one, while the other may still be needed with its own copy.
-func (e *Election) chooseSuccessor(now clock.Micros) (CoreRef, clock.Micros) {
-	timeout, successor := e.settings.ReplaceAfter, CoreRef{}
-	soon := max(e.settings.ReplaceSoonAfter, e.settings.CoreTimeout)
+func (e *Election) chooseReplacementVoter(now clock.Micros) (CoreRef, clock.Micros) {
+	timeout, replacement := e.settings.ReplaceAfter, CoreRef{}
+	emptyCoreTimeout := max(e.settings.ReplaceSoonAfter, e.settings.CoreTimeout)
 	for _, heard := range e.voterCandidates(now) {
 		isEmpty := heard.heartbeat.Vote.Committed.IsZero()
 		switch {
-		case isEmpty && e.settings.ReplaceSoonAfter > 0 && soon < timeout:
-			timeout, successor = soon, heard.heartbeat.Core
-		case successor.ID == "":
-			successor = heard.heartbeat.Core
+		case isEmpty && e.settings.ReplaceSoonAfter > 0 && emptyCoreTimeout < timeout:
+			timeout, replacement = emptyCoreTimeout, heard.heartbeat.Core
+		case replacement.ID == "":
+			replacement = heard.heartbeat.Core
 		}
 	}
-	return successor, timeout
+	return replacement, timeout
 }
 
 // addVoter gives a core a vote where all that have one are heard.
@@ -147,7 +147,7 @@
 // lostVoter finds a voter that was not heard for longer than the timeout, nor for as long as this
 // primary listens, and that is no member of the group; "" when there is none.
 func (e *Election) lostVoter(timeout, now clock.Micros) string {
-	if now-e.listeningSince <= timeout {
+	if now-e.runningSince <= timeout {
 		return ""
 	}
 	for _, ref := range e.vote.Voters {
--- a/internal/daemon/eventloop/membership.go
+++ b/internal/daemon/eventloop/membership.go
@@ -45,7 +45,7 @@
 }
 
 // SetSeeds replaces the seed addresses.
-func (l *Loop) SetSeeds(seeds []string) { l.enqueueGossip(gossip.Reseed{Seeds: seeds}) }
+func (l *Loop) SetSeeds(seeds []string) { l.enqueueGossip(gossip.SetSeeds{Seeds: seeds}) }
 
 // AnnounceDraining tells the members that this daemon stops soon.
 func (l *Loop) AnnounceDraining() { l.enqueueGossip(gossip.Drain{}) }
--- a/internal/daemon/host/host.go
+++ b/internal/daemon/host/host.go
@@ -137,7 +137,7 @@
 		Peer:        d.Common.Peer,
 		HTTP:        d.Common.HTTP,
 		Incarnation: d.Identity.Incarnation,
-		Version:     membership.Release,
+		Version:     membership.ProtocolVersion,
 	}
 }
 
--- a/internal/gossip/anti_entropy.go
+++ b/internal/gossip/anti_entropy.go
@@ -72,21 +72,21 @@
 // handle sends what the answerer lacks, and asks for what is missing here. Where nothing is, it
 // notes up to when this daemon's updates are now complete.
 func (m DigestReply) handle(n *Node, from string, now clock.Micros) {
-	if lacking := n.updatesLackingThere(m); len(lacking) > 0 {
-		n.Emit(machine.Send{To: from, Body: DigestUpdates{Updates: lacking}})
+	if updates := n.updatesMissingAtPeer(m); len(updates) > 0 {
+		n.Emit(machine.Send{To: from, Body: DigestUpdates{Updates: updates}})
 	}
 	missing := n.missingKeys(m.Known)
 	if len(missing) == 0 {
-		n.comparisonDone(comparison{m.Stamp, m.Ages}, from, now)
+		n.completeComparison(comparison{m.Stamp, m.Ages}, from, now)
 		return
 	}
 	n.comparisons[from] = comparison{m.Stamp, m.Ages}
 	n.Emit(machine.Send{To: from, Body: DigestFetch{Keys: missing, Stamp: m.Stamp}})
 }
 
-// updatesLackingThere are the updates in the buckets that differ of which the answerer has an older
+// updatesMissingAtPeer are the updates in the buckets that differ of which the answerer has an older
 // one, or none, in the order of their keys.
-func (n *Node) updatesLackingThere(reply DigestReply) []machine.Update {
+func (n *Node) updatesMissingAtPeer(reply DigestReply) []machine.Update {
 	if len(reply.Differing) == 0 || reply.Buckets <= 0 {
 		return nil
 	}
@@ -125,14 +125,14 @@
 	n.receive(m.Updates, now)
 	if compared, pending := n.comparisons[from]; pending && compared.stamp == m.Stamp {
 		delete(n.comparisons, from)
-		n.comparisonDone(compared, from, now)
+		n.completeComparison(compared, from, now)
 	}
 }
 
-// comparisonDone notes up to when this daemon's updates are now complete.
-func (n *Node) comparisonDone(compared comparison, from string, now clock.Micros) {
+// completeComparison notes up to when this daemon's updates are now complete.
+func (n *Node) completeComparison(compared comparison, from string, now clock.Micros) {
 	if len(n.voters) > 0 && !n.InjectedFaults.SkipVoterMajority {
-		n.learnAges(compared.ages, compared.stamp, now)
+		n.mergeAges(compared.ages, compared.stamp, now)
 		return
 	}
 	// Without voters another zone's answer counts.
@@ -141,8 +141,8 @@
 	}
 }
 
-// forgetComparisons drops the comparisons whose updates have not come for long.
-func (n *Node) forgetComparisons(now clock.Micros) {
+// removeStaleComparisons drops the comparisons whose updates have not come for long.
+func (n *Node) removeStaleComparisons(now clock.Micros) {
 	maps.DeleteFunc(n.comparisons, func(_ string, pending comparison) bool {
 		return now-pending.stamp > n.settings.SuspicionTimeout
 	})
--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -26,8 +26,8 @@
 }
 
 const (
-	// firstReleaseWithPush is the first release that knows PushUpdate.
-	firstReleaseWithPush = 2
+	// firstVersionWithPush is the first release that knows PushUpdate.
+	firstVersionWithPush = 2
 	// pushInterval is the time after which an update is pushed again to the voters that have not
 	// acknowledged it.
 	pushInterval = 120 * clock.Millisecond
@@ -42,12 +42,12 @@
 		deadline:     now + b.Timeout,
 		acknowledged: map[string]bool{n.self.ID: true},
 	}
-	n.resendPushes(now)
+	n.checkPushes(now)
 }
 
-// resendPushes answers the broadcasts that are delivered or timed out, and pushes the others
+// checkPushes answers the broadcasts that are delivered or timed out, and pushes the others
 // again.
-func (n *Node) resendPushes(now clock.Micros) {
+func (n *Node) checkPushes(now clock.Micros) {
 	for _, nonce := range sortedNonces(n.pushes) {
 		push := n.pushes[nonce]
 		switch {
@@ -82,7 +82,7 @@
 // pushTo sends an update to a voter. The release before knows no PushUpdate and would lose what
 // travels with it: it gets the update by gossip and counts without an acknowledgement.
 func (n *Node) pushTo(voter membership.Member, nonce uint64, push *outstandingPush) {
-	if voter.Version < firstReleaseWithPush {
+	if voter.Version < firstVersionWithPush {
 		push.acknowledged[voter.ID] = true
 		n.Emit(machine.Send{To: voter.Peer, Body: Gossip{Updates: []machine.Update{push.Update}}})
 		return
@@ -100,6 +100,6 @@
 func (m PushAck) handle(n *Node, _ string, now clock.Micros) {
 	if push := n.pushes[m.Nonce]; push != nil {
 		push.acknowledged[m.ID] = true
-		n.resendPushes(now)
+		n.checkPushes(now)
 	}
 }
--- a/internal/gossip/broadcast_test.go
+++ b/internal/gossip/broadcast_test.go
@@ -11,7 +11,7 @@
 
 // A broadcast is answered once a majority of the voters have acknowledged it; a voter of the
 // release before gets it by gossip and is pushed nothing.
-func TestBroadcastCompletesOnceMajorityOfVotersKnow(t *testing.T) {
+func TestBroadcastCompletesOnMajorityAcknowledgement(t *testing.T) {
 	for _, reached := range []bool{true, false} {
 		t.Run(fmt.Sprintf("majority reached %v", reached), func(t *testing.T) {
 			n := New(membership.Member{ID: "e", Kind: membership.Edge, Peer: "e", Zone: "z"}, nil, settingsWithVoters(), 1)
--- a/internal/gossip/commands.go
+++ b/internal/gossip/commands.go
@@ -30,11 +30,11 @@
 // Apply records the update; it is sent on at the next tick or message that sends updates on.
 func (p Publish) Apply(n *Node, now clock.Micros) { n.publish(p.Update, now) }
 
-// Reseed replaces the addresses to join by.
-type Reseed struct{ Seeds []string }
+// SetSeeds replaces the addresses to join by.
+type SetSeeds struct{ Seeds []string }
 
 // Apply replaces the addresses to join by.
-func (r Reseed) Apply(n *Node, _ clock.Micros) { n.seeds = r.Seeds }
+func (r SetSeeds) Apply(n *Node, _ clock.Micros) { n.seeds = r.Seeds }
 
 // Drain announces that this daemon is about to stop.
 type Drain struct{}
@@ -67,15 +67,15 @@
 	// joinInterval is the time between contacts with a seed and with a dead member, in a daemon
 	// that knows live members.
 	joinInterval = 3 * clock.Second
-	// lonelyJoinInterval is that of a daemon that knows fewer than minLiveMembers.
-	lonelyJoinInterval = 200 * clock.Millisecond
-	minLiveMembers     = 2
+	// isolatedJoinInterval is that of a daemon that knows fewer than minLiveMembers.
+	isolatedJoinInterval = 200 * clock.Millisecond
+	minLiveMembers       = 2
 )
 
 // Apply runs the periodic tasks that are due.
 func (Tick) Apply(n *Node, now clock.Micros) {
 	n.checkProbes(now)
-	n.resendPushes(now)
+	n.checkPushes(now)
 	if now >= n.nextDue.probe {
 		n.nextDue.probe = now + n.settings.ProbeInterval
 		n.probeNext(now)
@@ -87,8 +87,8 @@
 	if now >= n.nextDue.shuffle {
 		n.nextDue.shuffle = now + n.settings.ShuffleInterval
 		n.shuffleView()
-		n.forgetDead(now)
-		n.forgetComparisons(now)
+		n.removeDeadMembers(now)
+		n.removeStaleComparisons(now)
 	}
 	if now >= n.nextDue.join {
 		n.nextDue.join = now + n.joinInterval()
@@ -100,7 +100,7 @@
 
 func (n *Node) joinInterval() clock.Micros {
 	if len(n.liveMembers()) < minLiveMembers {
-		return lonelyJoinInterval
+		return isolatedJoinInterval
 	}
 	return joinInterval
 }
--- a/internal/gossip/digest_test.go
+++ b/internal/gossip/digest_test.go
@@ -19,7 +19,7 @@
 }
 
 // A digest differs in the bucket of the key that differs, and in no other.
-func TestOnlyTheBucketOfADifferenceDiffers(t *testing.T) {
+func TestDigestDiffersOnlyInChangedBucket(t *testing.T) {
 	const buckets = 32
 	base := newBucketSums(testUpdates(200), buckets, 7)
 	if got := base.differing(newBucketSums(testUpdates(200), buckets, 7)); len(got) > 0 {
@@ -61,7 +61,7 @@
 }
 
 // A malformed digest is passed over.
-func TestAMalformedDigestIsPassedOver(_ *testing.T) {
+func TestMalformedDigestIgnored(_ *testing.T) {
 	c := newTestCluster(1, 1)
 	for _, body := range []any{Digest{Sums: make([]byte, 7)}, DigestReply{Differing: []int{-1, 3, 900}, Buckets: -2}, DigestFetch{Keys: []string{"none"}}, DigestUpdates{Stamp: 4}} {
 		c.nodes["d00"].Do(Message{From: "x", Body: body}, c.now)
@@ -70,7 +70,7 @@
 
 // What another daemon's digest covers counts as known here only once the updates that it had and
 // this daemon lacked have come.
-func TestAgesCountOnceWhatWasMissingHasCome(t *testing.T) {
+func TestFreshnessWaitsForMissingUpdates(t *testing.T) {
 	c := newTestCluster(2, 2)
 	c.advance(clock.Second)
 	lost := true
@@ -86,7 +86,7 @@
 	before := c.nodes["d01"].FreshUntil()
 	c.do("d00", Publish{machine.Update{Key: "plan", Seq: 1, Value: []byte("x")}})
 	c.advance(clock.Second)
-	if got := c.nodes["d01"].FreshUntil(); got > before+digestSlack {
+	if got := c.nodes["d01"].FreshUntil(); got > before+maxComparisonAge {
 		t.Errorf("updates count as complete up to %d, though one was missing since %d", got, before)
 	}
 	lost = false
@@ -97,12 +97,12 @@
 	c.expectUpdateEverywhere(t, "plan")
 }
 
-// digestSlack is how long before the update the latest comparison may have been.
-const digestSlack = 400 * clock.Millisecond
+// maxComparisonAge is how long before the update the latest comparison may have been.
+const maxComparisonAge = 400 * clock.Millisecond
 
 // In a fleet at rest a comparison costs few bytes, however many keys there are: two messages,
 // without a version.
-func TestAComparisonWithoutADifferenceSendsNoVersions(t *testing.T) {
+func TestEqualDigestsSendNoVersions(t *testing.T) {
 	c := newTestCluster(6, 2)
 	c.advance(5 * clock.Second)
 	for i := range 500 {
--- a/internal/gossip/directory.go
+++ b/internal/gossip/directory.go
@@ -35,13 +35,13 @@
 		}
 		return false
 	}
-	before, known := n.members[member.ID]
+	previous, known := n.members[member.ID]
 	if !known && member.Status >= membership.Dead {
 		return false // dropped from the directory long ago: it must not come back
 	}
-	if before.Status != member.Status || before.Incarnation != member.Incarnation {
+	if previous.Status != member.Status || previous.Incarnation != member.Incarnation {
 		n.statusSince[member.ID] = now
-		n.logStatusChange(before, member)
+		n.logStatusChange(previous, member)
 	}
 	n.members[member.ID] = member
 	return true
@@ -56,15 +56,15 @@
 
 // logStatusChange logs a change unless a member was and is alive: at the start of a fleet every
 // daemon learns of every other.
-func (n *Node) logStatusChange(before, member membership.Member) {
-	if before.Status == membership.Alive && member.Status == membership.Alive {
+func (n *Node) logStatusChange(previous, current membership.Member) {
+	if previous.Status == membership.Alive && current.Status == membership.Alive {
 		return
 	}
 	n.Emit(machine.LogEvent{Event: MemberStatusChanged{
-		Member:      member.ID,
-		Kind:        member.Kind,
-		Status:      member.Status.String(),
-		Incarnation: member.Incarnation,
+		Member:      current.ID,
+		Kind:        current.Kind,
+		Status:      current.Status.String(),
+		Incarnation: current.Incarnation,
 	}})
 }
 
@@ -74,10 +74,10 @@
 	n.publish(memberUpdate(member), now)
 }
 
-// forgetDead drops the entries of members that have been dead for ForgetAfter.
-func (n *Node) forgetDead(now clock.Micros) {
+// removeDeadMembers drops the entries of members that have been dead for ForgetAfter.
+func (n *Node) removeDeadMembers(now clock.Micros) {
 	for _, member := range n.sortedMembers() {
-		if member.Status >= membership.Dead && now-n.statusSince[member.ID] > n.settings.ForgetAfter {
+		if member.Status >= membership.Dead && now-n.statusSince[member.ID] > n.settings.RemoveDeadAfter {
 			delete(n.members, member.ID)
 			delete(n.statusSince, member.ID)
 			delete(n.updates, membership.Key(member.ID))
--- a/internal/gossip/directory_test.go
+++ b/internal/gossip/directory_test.go
@@ -9,7 +9,7 @@
 
 // Fifteen daemons that know three seeds come to know all, each through a partial view; an update
 // reaches everyone within a second.
-func TestEveryoneComesToKnowEveryone(t *testing.T) {
+func TestAllMembersDiscoveredThroughPartialViews(t *testing.T) {
 	c := newTestCluster(15, 1)
 	c.advance(3 * clock.Second)
 	for _, name := range c.names {
--- a/internal/gossip/dissemination.go
+++ b/internal/gossip/dissemination.go
@@ -27,16 +27,16 @@
 
 // unsentUpdates are updates that are new here and were not sent on yet.
 type unsentUpdates struct {
-	own      []machine.Update // that started here
+	local    []machine.Update // that started here
 	received []machine.Update
 }
 
-func (u unsentUpdates) all() []machine.Update { return slices.Concat(u.own, u.received) }
+func (u unsentUpdates) all() []machine.Update { return slices.Concat(u.local, u.received) }
 
 // publish records an update that starts at this daemon.
 func (n *Node) publish(update machine.Update, now clock.Micros) {
 	if n.record(update, now) {
-		n.unsent.own = append(n.unsent.own, update)
+		n.unsent.local = append(n.unsent.local, update)
 	}
 }
 
@@ -73,18 +73,18 @@
 func (n *Node) sendPending() {
 	unsent := n.unsent
 	n.unsent = unsentUpdates{}
-	if len(unsent.own)+len(unsent.received) == 0 {
+	if len(unsent.local)+len(unsent.received) == 0 {
 		return
 	}
 	zones := n.peersByZone()
-	for _, peer := range n.samplePeersOf(zones[n.self.Zone], n.settings.Fanout) {
+	for _, peer := range n.sampleAddresses(zones[n.self.Zone], n.settings.Fanout) {
 		n.forward(peer, unsent.all())
 	}
 	others := slices.Sorted(maps.Keys(zones))
 	others = slices.DeleteFunc(others, func(zone string) bool { return zone == n.self.Zone })
-	if len(unsent.own) > 0 {
+	if len(unsent.local) > 0 {
 		for _, zone := range others {
-			n.forward(n.pickRandom(zones[zone]), unsent.own)
+			n.forward(n.pickRandom(zones[zone]), unsent.local)
 		}
 	}
 	if len(unsent.received) > 0 && len(others) > 0 && n.random.Intn(crossZoneDivisor) == 0 {
@@ -105,14 +105,14 @@
 	return zones
 }
 
-// samplePeersOf picks some of these addresses.
-func (n *Node) samplePeersOf(peers []string, count int) []string {
+// sampleAddresses picks some of these addresses.
+func (n *Node) sampleAddresses(peers []string, count int) []string {
 	var out []string
-	for _, at := range n.random.Perm(len(peers)) {
+	for _, i := range n.random.Perm(len(peers)) {
 		if len(out) == count {
 			break
 		}
-		out = append(out, peers[at])
+		out = append(out, peers[i])
 	}
 	return out
 }
--- a/internal/gossip/dissemination_test.go
+++ b/internal/gossip/dissemination_test.go
@@ -10,7 +10,7 @@
 
 // A large update reaches everyone about once, not from every side; also when the first daemon
 // that was asked for it does not answer.
-func TestLargeUpdateTravelsOnce(t *testing.T) {
+func TestLargeUpdateSentAboutOncePerDaemon(t *testing.T) {
 	for _, firstAnswerLost := range []bool{false, true} {
 		t.Run(fmt.Sprintf("first answer lost %v", firstAnswerLost), func(t *testing.T) {
 			c := newTestCluster(15, 1)
--- a/internal/gossip/failure_detection.go
+++ b/internal/gossip/failure_detection.go
@@ -12,9 +12,9 @@
 	// maxIndirectProbes is the number of peers that are asked to probe a member that has not
 	// replied.
 	maxIndirectProbes = 2
-	// probePeriods is after how many ProbeTimeouts a probe ends: one for the direct reply, and
+	// maxProbeTimeouts is after how many ProbeTimeouts a probe ends: one for the direct reply, and
 	// the rest for the requests to the indirect probers, their own wait, and their results.
-	probePeriods = 4
+	maxProbeTimeouts = 4
 )
 
 // outstandingProbe is a probe of this daemon that has not been answered.
@@ -99,7 +99,7 @@
 // checkProbes asks for indirect probes where the direct reply stayed out, suspects members that
 // no prober reached, and declares suspects dead.
 func (n *Node) checkProbes(now clock.Micros) {
-	n.reportUnreached(now)
+	n.reportFailedIndirectProbes(now)
 	for _, nonce := range sortedNonces(n.probes) {
 		probe := n.probes[nonce]
 		waited := now - probe.sentAt
@@ -107,7 +107,7 @@
 		case !probe.indirectProbesSent && waited >= n.settings.ProbeTimeout:
 			probe.indirectProbesSent = true
 			n.sendIndirectProbes(nonce, probe.peer)
-		case probe.indirectProbesSent && waited >= probePeriods*n.settings.ProbeTimeout:
+		case probe.indirectProbesSent && waited >= maxProbeTimeouts*n.settings.ProbeTimeout:
 			delete(n.probes, nonce)
 			n.suspect(probe, now)
 		}
@@ -125,9 +125,9 @@
 	}
 }
 
-// reportUnreached answers the daemons that asked for a probe of a member that has not replied in
+// reportFailedIndirectProbes answers the daemons that asked for a probe of a member that has not replied in
 // time.
-func (n *Node) reportUnreached(now clock.Micros) {
+func (n *Node) reportFailedIndirectProbes(now clock.Micros) {
 	for _, nonce := range sortedNonces(n.indirectProbes) {
 		probe := n.indirectProbes[nonce]
 		if now >= probe.deadline {
@@ -139,8 +139,8 @@
 
 func (n *Node) sendIndirectProbes(nonce uint64, target string) {
 	sent := 0
-	for _, at := range n.random.Perm(len(n.view)) {
-		if peer := n.view[at]; peer != target && sent < maxIndirectProbes {
+	for _, i := range n.random.Perm(len(n.view)) {
+		if peer := n.view[i]; peer != target && sent < maxIndirectProbes {
 			sent++
 			n.Emit(machine.Send{To: peer, Body: IndirectProbe{Nonce: nonce, Target: target}})
 		}
--- a/internal/gossip/failure_detection_test.go
+++ b/internal/gossip/failure_detection_test.go
@@ -46,7 +46,7 @@
 
 // Of many dead members the voters are contacted as often as all others together: who was cut off from
 // all of them finds them again while they are still at their addresses.
-func TestDeadVotersAreContactedSoon(t *testing.T) {
+func TestDeadVoterContactedEveryJoinInterval(t *testing.T) {
 	n := New(membership.Member{ID: "e", Kind: membership.Edge, Peer: "e", Zone: "z"}, nil, settingsWithVoters(), 1)
 	var updates []machine.Update
 	for _, id := range []string{"v1", "v2", "v3", "o1", "o2", "o3", "o4", "o5", "o6", "o7"} {
--- a/internal/gossip/freshness.go
+++ b/internal/gossip/freshness.go
@@ -64,21 +64,21 @@
 	return h.Sum64()
 }
 
-// learnAges adds what another daemon's updates included when it answered a digest that was sent
+// mergeAges adds what another daemon's updates included when it answered a digest that was sent
 // at sentAt: this daemon's include it now.
-func (n *Node) learnAges(ages Ages, sentAt, now clock.Micros) {
+func (n *Node) mergeAges(ages Ages, sentAt, now clock.Micros) {
 	ids := n.sortedVoters()
 	isComplete := len(ages.Counted) == len(ids) && len(ages.Raw) == len(ids)
 	if len(ids) == 0 || !isComplete || ages.Voters != checksumOf(ids) {
 		return
 	}
-	n.learnKnownUntil(n.knownUntil, ids, ages.Counted, sentAt)
-	n.learnKnownUntil(n.knownUntilRaw, ids, ages.Raw, sentAt)
+	n.mergeKnownUntil(n.knownUntil, ids, ages.Counted, sentAt)
+	n.mergeKnownUntil(n.knownUntilRaw, ids, ages.Raw, sentAt)
 	n.updateCaughtUp(now)
 	n.advanceFreshness(n.majorityFreshness(now))
 }
 
-func (n *Node) learnKnownUntil(known map[string]clock.Micros, ids []string, ages []clock.Micros, sentAt clock.Micros) {
+func (n *Node) mergeKnownUntil(known map[string]clock.Micros, ids []string, ages []clock.Micros, sentAt clock.Micros) {
 	for i, id := range ids {
 		if age := ages[i]; age != unknownAge && id != n.self.ID {
 			known[id] = max(known[id], sentAt-age)
--- a/internal/gossip/partial_view.go
+++ b/internal/gossip/partial_view.go
@@ -24,7 +24,7 @@
 }
 
 // samplePeers picks some addresses of the partial view.
-func (n *Node) samplePeers(count int) []string { return n.samplePeersOf(n.view, count) }
+func (n *Node) samplePeers(count int) []string { return n.sampleAddresses(n.view, count) }
 
 // shuffleView swaps a sample of the partial view, with this daemon's own address, with one peer.
 func (n *Node) shuffleView() {
--- a/internal/gossip/settings.go
+++ b/internal/gossip/settings.go
@@ -22,9 +22,9 @@
 	Fanout int
 	// ViewSize is the number of peers in the partial view. Default 6.
 	ViewSize int
-	// ForgetAfter is the time after which a dead member is dropped from the directory.
+	// RemoveDeadAfter is the time after which a dead member is dropped from the directory.
 	// Default 120 s.
-	ForgetAfter clock.Micros
+	RemoveDeadAfter clock.Micros
 	// Voters says who the voters are. Default: none, and then any answer from another zone
 	// counts for freshness.
 	Voters VoterSource
@@ -51,6 +51,6 @@
 		ShuffleInterval:  2 * clock.Second,
 		Fanout:           3,
 		ViewSize:         6,
-		ForgetAfter:      120 * clock.Second,
+		RemoveDeadAfter:  120 * clock.Second,
 	}
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -5,9 +5,9 @@
 
 import "encoding/json"
 
-// Release is the version of the protocol that a daemon announces (Member.Version). From 2 on it
+// ProtocolVersion is the version of the protocol that a daemon announces (Member.Version). From 2 on it
 // knows the messages between voters (docs/DESIGN.md, section 3.4).
-const Release = 2
+const ProtocolVersion = 2
 
 // roles are the names of the kinds as operators read them.
 var roles = map[string]string{Edge: "edge", Store: "store", Core: "core"}
--- a/internal/membership/member_test.go
+++ b/internal/membership/member_test.go
@@ -4,7 +4,7 @@
 
 // Of one incarnation a later statement replaces any status of an earlier one, and of one
 // statement a higher status a lower one.
-func TestStatementsAndStatusesReplaceInOrder(t *testing.T) {
+func TestSeqOrdersByStatementThenStatus(t *testing.T) {
 	inOrder := []Member{
 		{Statement: 0, Status: Alive},
 		{Statement: 0, Status: Suspect},
@@ -20,8 +20,8 @@
 	}
 }
 
-func TestMemberIsDecoded(t *testing.T) {
-	member := Member{ID: "a", Kind: Store, Zone: "north", Peer: "10.0.0.1:1", Incarnation: 3, Statement: 2, Status: Suspect, Draining: true, Version: Release}
+func TestMemberEncodeDecode(t *testing.T) {
+	member := Member{ID: "a", Kind: Store, Zone: "north", Peer: "10.0.0.1:1", Incarnation: 3, Statement: 2, Status: Suspect, Draining: true, Version: ProtocolVersion}
 	if got, ok := Decode(member.Encode()); !ok || got != member {
 		t.Errorf("decoded %+v, %v", got, ok)
 	}
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // A ring begins small, keeps its order while it grows, and rejects what exceeds its capacity.
-func TestRingGrowsInOrderUpToItsBound(t *testing.T) {
+func TestRingKeepsOrderWhileGrowingToCapacity(t *testing.T) {
 	const capacity = 1000
 	ring := New[int](capacity)
 	next := 0
@@ -34,7 +34,7 @@
 }
 
 // A closed ring rejects puts; what is in it is taken, and then nil.
-func TestAClosedRingIsEmptied(t *testing.T) {
+func TestClosedRingRejectsPutsAndDrains(t *testing.T) {
 	ring := New[int](4)
 	ring.Put(1)
 	ring.Close()
--- a/test/capacitymodel/daemon.go
+++ b/test/capacitymodel/daemon.go
@@ -52,7 +52,7 @@
 type loadVersion struct{ epoch, seq uint64 }
 
 func (d *daemon) member() membership.Member {
-	return membership.Member{ID: d.id, Kind: d.kind, Zone: d.zone, Peer: d.peer, HTTP: d.peer, Incarnation: d.incarnation, Version: membership.Release}
+	return membership.Member{ID: d.id, Kind: d.kind, Zone: d.zone, Peer: d.peer, HTTP: d.peer, Incarnation: d.incarnation, Version: membership.ProtocolVersion}
 }
 
 // boot starts a daemon from what its disk holds. It has the updates from the start, so that a
--- a/test/simulator/node_boot.go
+++ b/test/simulator/node_boot.go
@@ -34,7 +34,7 @@
 		incarnation = uint64(w.Now)
 		n.ID = fmt.Sprintf("%s.%d", n.Name, n.generation)
 	}
-	self := membership.Member{ID: n.ID, Kind: n.Kind, Name: n.Name, Zone: n.Zone, Peer: n.Peer, Incarnation: incarnation, Version: membership.Release}
+	self := membership.Member{ID: n.ID, Kind: n.Kind, Name: n.Name, Zone: n.Zone, Peer: n.Peer, Incarnation: incarnation, Version: membership.ProtocolVersion}
 	n.gossip = gossip.New(self, w.seeds, eventloop.GossipSettings(), w.Random.Int63())
 	switch n.Kind {
 	case membership.Core:
