--- a/internal/controlplane/election/bootstrap.go
+++ b/internal/controlplane/election/bootstrap.go
@@ -8,18 +8,18 @@
 	"tuliprudder/internal/replication"
 )
 
-// This file is how a fleet is bootstrapped (DESIGN §5.1): once, only where the settings say that
-// it is the first start, by the cores at the seeds, and only if every one of them
-// agrees. All other cores, and every core that lost its disk, are given a vote later.
+// Bootstrap of a fleet (DESIGN §5.1). It happens once, only if the settings mark this as the first
+// start, is done by the cores at the seeds, and needs the agreement of every one of them. All
+// other cores, and every core that lost its disk, become voters later.
 
-// maybeBootstrap bootstraps a fleet if this core is the one to do it.
+// maybeBootstrap starts the bootstrap of the fleet if this core is the bootstrap candidate.
 func (e *Election) maybeBootstrap(now clock.Micros) {
 	self := e.contacts.self
 	if !e.settings.Bootstrap || e.clusterExists || !slices.Contains(e.seeds, self.Peer) {
 		return
 	}
 	if e.group().IsPrimary() && now-e.wonTermAt < termCommitTimeout {
-		return // the bootstrap is won and about to be committed
+		return // the bootstrap term was won and is being committed
 	}
 	founders := e.founders(now)
 	if founders == nil || e.bootstrapCandidate(founders) != self.ID {
@@ -45,7 +45,8 @@
 	}, now)
 }
 
-// founders are the empty cores at the seeds; nil unless all of them are heard.
+// founders returns the cores at the seeds, this one included; nil unless recent heartbeats of all
+// of them were received. None has a committed term: otherwise clusterExists would be set.
 func (e *Election) founders(now clock.Micros) []CoreRef {
 	refs := []CoreRef{e.contacts.self}
 	for _, id := range e.contacts.ids() {
@@ -64,8 +65,8 @@
 	return refs
 }
 
-// bootstrapCandidate is the one that asks the others: the first in the order of ids of those
-// whose settings say that it is the first start.
+// bootstrapCandidate returns the ID of the founder that requests the votes: the lowest of those
+// whose settings mark this as the first start.
 func (e *Election) bootstrapCandidate(founders []CoreRef) string {
 	first := e.contacts.self.ID
 	for _, ref := range founders {
@@ -76,7 +77,8 @@
 	return first
 }
 
-// bootstrapAssignment is the first group, under a term above all that the founders granted.
+// bootstrapAssignment returns the first group, under a term above every term that a founder has
+// granted.
 func (e *Election) bootstrapAssignment(founders []CoreRef, now clock.Micros) replication.Assignment {
 	self := e.contacts.self.ID
 	epoch := e.vote.Term + 1
@@ -91,7 +93,8 @@
 	}
 }
 
-// bootstrapReplicas are the other members of the first group, those in zones of their own first.
+// bootstrapReplicas returns the other members of the first group. Founders in zones without another
+// member are preferred.
 func (e *Election) bootstrapReplicas(founders []CoreRef, now clock.Micros) []replication.Member {
 	var replicas []replication.Member
 	members := []string{e.contacts.self.ID}
@@ -110,8 +113,8 @@
 	return replicas
 }
 
-// bootstrapRefusalReason is why a core does not agree to a bootstrap; "" when it does. What
-// an unfinished bootstrap left behind binds nobody.
+// bootstrapRefusalReason returns why this core refuses a bootstrap, or "" if it agrees. Votes
+// granted in an unfinished bootstrap are no reason to refuse.
 func (e *Election) bootstrapRefusalReason(request VoteRequest) string {
 	if !e.vote.Committed.IsZero() || e.clusterExists {
 		return "the fleet was bootstrapped before"
--- a/internal/controlplane/election/bootstrap_test.go
+++ b/internal/controlplane/election/bootstrap_test.go
@@ -6,7 +6,7 @@
 	"tuliprudder/internal/clock"
 )
 
-// founder is a core at one of the seeds, with the two other empty cores heard.
+// founder returns a core at one of the seeds that has received heartbeats of other empty cores.
 func founder(id string, settings Settings, others ...string) *voter {
 	v := newVoter(id, settings, Vote{})
 	for _, other := range others {
@@ -24,29 +24,29 @@
 		voter    *voter
 		requests int
 	}{
-		"the first of all founders":                {founder("a", first, "b", "c"), 2},
-		"another one leaves it to the first":       {founder("b", first, "a", "c"), 0},
-		"not before all founders are heard":        {founder("a", first, "b"), 0},
-		"not where it is not the first start":      {founder("a", later, "b", "c"), 0},
-		"not a core that is at none of the seeds":  {founder("x", first, "a", "b", "c"), 0},
-		"a core that is at no seed does not count": {founder("a", first, "b", "x"), 0},
+		"the founder with the lowest ID":             {founder("a", first, "b", "c"), 2},
+		"a founder with a higher ID":                 {founder("b", first, "a", "c"), 0},
+		"a founder was not heard yet":                {founder("a", first, "b"), 0},
+		"the settings do not mark the first start":   {founder("a", later, "b", "c"), 0},
+		"a core that is not at a seed":               {founder("x", first, "a", "b", "c"), 0},
+		"a core not at a seed in place of a founder": {founder("a", first, "b", "x"), 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.voter.maybeCampaign(clock.Second + 1)
 			bodies, written := c.voter.sent()
 			for _, body := range bodies {
 				if request, ok := body.(VoteRequest); !ok || !request.Bootstrap || len(request.Voters) != 3 {
-					t.Errorf("sent %+v", body)
+					t.Errorf("sent %+v; want a bootstrap request with three voters", body)
 				}
 			}
 			if len(bodies) != c.requests || len(written) != 0 {
-				t.Errorf("%d are asked, %d writes", len(bodies), len(written))
+				t.Errorf("%d votes requested, %d records written", len(bodies), len(written))
 			}
 		})
 	}
 }
 
-// A bootstrap needs every founder; a majority is not enough.
+// A bootstrap needs the votes of all founders; a majority is not enough.
 func TestBootstrapNeedsEveryFounder(t *testing.T) {
 	settings := testSettings
 	settings.Bootstrap, settings.Founders = true, 3
@@ -55,10 +55,10 @@
 	v.sent()
 	v.HandleMessage("peer-b", VoteResponse{Epoch: 1, From: "b", Granted: true}, clock.Second+2)
 	if _, written := v.sent(); len(written) != 0 {
-		t.Fatal("two of three founders are enough")
+		t.Fatal("bootstrap won with the votes of two of three founders")
 	}
 	v.HandleMessage("peer-c", VoteResponse{Epoch: 1, From: "c", Granted: true}, clock.Second+3)
 	if _, written := v.sent(); len(written) != 1 || v.Vote().Term != 1 {
-		t.Fatal("all have agreed, and its own vote is not written")
+		t.Fatal("the candidate did not persist its own vote after all founders had granted theirs")
 	}
 }
--- a/internal/controlplane/election/campaign.go
+++ b/internal/controlplane/election/campaign.go
@@ -7,34 +7,35 @@
 	"tuliprudder/internal/machine"
 )
 
-// A campaign asks the voters for a term (DESIGN §5.1 to §5.3). A core becomes primary by
-// one, and the primary changes the members of its group or the voters by one.
+// A campaign requests the votes for a term (DESIGN §5.1 to §5.3). A core becomes primary by winning
+// one; the primary runs one to change the members of its group or the voters.
 
 const (
-	// voteTimeout is how long a campaign waits for its votes.
+	// voteTimeout is how long a campaign waits for votes before it is abandoned.
 	voteTimeout = 900 * clock.Millisecond
-	// candidateStagger is how much longer each successor waits than the one before it, so
-	// that two seldom campaign against each other.
+	// candidateStagger is how much longer each member of the group waits than the member before
+	// it, so that two members seldom campaign against each other.
 	candidateStagger = 250 * clock.Millisecond
-	// termCommitTimeout is how long a term that was won may take until it is committed.
+	// termCommitTimeout is the time within which a term that was won should be committed; after
+	// that another campaign may start.
 	termCommitTimeout = 4 * clock.Second
-	// grantTimeout is how long a grant keeps its voter from a campaign of its own
-	// although nothing is heard of the candidate that it was granted to.
+	// grantTimeout is how long a voter that granted a term does not campaign itself, even if it
+	// receives nothing from the candidate.
 	grantTimeout = clock.Second
 )
 
-// campaign is a term that the voters are asked for.
+// campaign is this core's request to the voters for one term.
 type campaign struct {
 	request        VoteRequest
 	quorums        quorums
-	previousVoters []CoreRef // that have to agree besides the request's voters
-	unanimous      bool      // a bootstrap: every founder has to agree
-	granted        map[string]bool
+	previousVoters []CoreRef       // must agree in addition to the request's voters
+	unanimous      bool            // bootstrap: every founder must agree
+	granted        map[string]bool // by voter ID
 	startedAt      clock.Micros
-	won            bool // its majorities have granted it
+	won            bool // the required votes were granted
 }
 
-// hasRequiredVotes tells whether all the votes that it takes are granted.
+// hasRequiredVotes reports whether the votes granted so far are enough to win the term.
 func (c *campaign) hasRequiredVotes() bool {
 	if !c.unanimous {
 		return c.quorums.haveMajorities(c.granted)
@@ -42,8 +43,8 @@
 	return !slices.ContainsFunc(c.request.Voters, func(ref CoreRef) bool { return !c.granted[ref.ID] })
 }
 
-// maybeCampaign starts a campaign where this core wants another term for long enough, and
-// ends one whose votes did not come in time.
+// maybeCampaign starts a campaign if this core has wanted another term for long enough, and
+// abandons one whose votes did not arrive in time.
 func (e *Election) maybeCampaign(now clock.Micros) {
 	if e.campaign != nil {
 		if now-e.campaign.startedAt < voteTimeout {
@@ -70,7 +71,7 @@
 	e.startCampaign(proposal, now)
 }
 
-// rank is this core's index among the members of the group that are heard.
+// rank returns this core's index among the reachable members of the committed group.
 func (e *Election) rank(now clock.Micros) int {
 	rank := 0
 	for _, id := range e.vote.Committed.IDs() {
@@ -84,7 +85,7 @@
 	return rank
 }
 
-// startCampaign begins a campaign under a term above all that are known.
+// startCampaign starts a campaign for the proposal under a term above all known ones.
 func (e *Election) startCampaign(proposed proposal, now clock.Micros) {
 	proposed.assignment.Epoch = e.nextTerm(proposed.assignment.Epoch)
 	e.CampaignsStarted++
@@ -108,7 +109,7 @@
 	}, now)
 }
 
-// nextTerm is a term above those that are known to be granted, the proposed one at least.
+// nextTerm returns a term above all that are known to be granted, and at least the proposed one.
 func (e *Election) nextTerm(proposed uint64) uint64 {
 	epoch := max(proposed, e.vote.Term+1)
 	for _, heard := range e.contacts.byID {
@@ -119,7 +120,7 @@
 	return epoch
 }
 
-// quorumsFor are the sets of voters that a term with the next voters needs.
+// quorumsFor returns the sets of voters that must agree to a term with the next voters.
 func (e *Election) quorumsFor(next []CoreRef) quorums {
 	if e.faults.SkipOldVoters {
 		return quorums{next}
@@ -127,7 +128,7 @@
 	return e.vote.quorumsFor(next)
 }
 
-// requestVotes asks the voters.
+// requestVotes starts a campaign: it sends its vote request to the voters.
 func (e *Election) requestVotes(c *campaign, now clock.Micros) {
 	self := e.contacts.self.ID
 	c.startedAt = now
@@ -141,7 +142,7 @@
 	e.countVotes(now)
 }
 
-// handleVoteResponse counts a vote, or learns why it was refused.
+// handleVoteResponse counts a granted vote, or adopts a newer committed term from a refusal.
 func (e *Election) handleVoteResponse(response VoteResponse, now clock.Micros) {
 	if !response.Granted {
 		e.learnCommitted(response.Vote, now)
@@ -159,7 +160,7 @@
 	e.countVotes(now)
 }
 
-// countVotes ends a campaign that has its majorities. This core's own grant is written
+// countVotes concludes a campaign that has the required votes. This core's own grant is persisted
 // last: until then it may still grant another candidate's term.
 func (e *Election) countVotes(now clock.Micros) {
 	c := e.campaign
@@ -168,7 +169,7 @@
 	}
 	epoch := c.request.Assignment.Epoch
 	if e.vote.Term >= epoch || e.vote.Committed.Epoch > c.request.Base {
-		e.campaign = nil // another term was granted meanwhile
+		e.campaign = nil // another term was granted or committed meanwhile
 		return
 	}
 	c.won = true
@@ -182,8 +183,8 @@
 	})
 }
 
-// becomePrimary makes this core the primary of the term that it was granted. It serves
-// once the term is committed.
+// becomePrimary makes this core the primary of the term that it won. It serves once the term is
+// committed.
 func (e *Election) becomePrimary(c *campaign, now clock.Micros) {
 	e.TermsWon++
 	e.pendingCommit = nil
@@ -206,8 +207,8 @@
 	e.groups.BecomePrimary(GroupUnit, assignment.Epoch, peers, now)
 }
 
-// formerPrimaryRestarted tells whether the incarnation that may hold a lease granted by this
-// core has ended: the former primary is this core, or runs in a later incarnation.
+// formerPrimaryRestarted reports whether the incarnation that may hold a lease granted by this core
+// has ended: the former primary is this core, or it now runs in a later incarnation.
 func (e *Election) formerPrimaryRestarted(now clock.Micros) bool {
 	former := e.vote.Committed.Primary
 	if former.ID == e.contacts.self.ID {
--- a/internal/controlplane/election/commit.go
+++ b/internal/controlplane/election/commit.go
@@ -5,18 +5,18 @@
 	"tuliprudder/internal/machine"
 )
 
-// This file is how a term is committed: once every member of the group holds the
-// state, majorities of all quorums write it down, and only then the primary serves.
+// A term is committed once every member of its group holds the complete state and majorities of all
+// quorums have then persisted the commit. Only after that does the primary serve.
 
 // pendingCommit is a term that is being committed.
 type pendingCommit struct {
 	message   Commit
 	quorums   quorums
-	committed map[string]bool // the voters that have it on disk
+	committed map[string]bool // voters that have persisted the commit
 }
 
-// GroupReady tells that every member of the group holds the whole state: the voters are asked to
-// write that down. It is called again until they have.
+// GroupReady is called when every member of the group holds the complete state. It asks the voters
+// to commit the term, and is called again until they have.
 func (e *Election) GroupReady(epoch uint64) {
 	if e.wonCampaign == nil || e.wonCampaign.request.Assignment.Epoch != epoch {
 		return
@@ -49,8 +49,8 @@
 	}
 }
 
-// handleCommit writes down that the group of a term is complete. from is "" where this core
-// is the primary itself.
+// handleCommit persists that the group of a term is complete. from is "" if this core is itself the
+// primary of the term.
 func (e *Election) handleCommit(m Commit, from string) {
 	if !e.mayCommit(m) {
 		return
@@ -75,9 +75,10 @@
 	})
 }
 
-// mayCommit tells whether a voter commits a term: one that is not stale, of its own fleet, that
-// it is or was a voter of. Refusing a term below the highest granted one is half of why
-// there is one line of terms (docs/CONTROL.md).
+// mayCommit reports whether this voter accepts a commit: the term must not be stale, must be of its
+// own fleet, and must have this core among its voters or the voters before them. Refusing a term
+// below the highest granted one is one of the two rules that keep the committed terms in a single
+// sequence (docs/CONTROL.md).
 func (e *Election) mayCommit(m Commit) bool {
 	epoch := m.Assignment.Epoch
 	isForeign := e.vote.Fleet != "" && m.Fleet != e.vote.Fleet && !e.vote.Committed.IsZero()
@@ -89,8 +90,8 @@
 	return isVoter(m.Voters, self) || isVoter(m.OldVoters, self)
 }
 
-// handleCommitAck counts the voters that committed the term; with the majorities this core
-// serves.
+// handleCommitAck counts the voters that committed the term. Once majorities of all quorums have,
+// this core serves.
 func (e *Election) handleCommitAck(id string, epoch uint64, now clock.Micros) {
 	pending := e.pendingCommit
 	if pending == nil || pending.message.Assignment.Epoch != epoch || e.group().Epoch != epoch {
@@ -113,8 +114,8 @@
 	e.startedServing(now)
 }
 
-// announceCommitted tells the voters that majorities of all quorums have committed the term: from
-// then on the voters before it are no longer needed.
+// announceCommitted tells the voters that majorities of all quorums have committed the term. From
+// then on the previous voters need not agree any more.
 func (e *Election) announceCommitted(pending *pendingCommit) {
 	message := pending.message
 	message.CommittedByAll = true
--- a/internal/controlplane/election/contacts.go
+++ b/internal/controlplane/election/contacts.go
@@ -8,28 +8,28 @@
 	"tuliprudder/internal/replication"
 )
 
-// contact is what was heard of another core.
+// contact is what is known of another core from its heartbeats.
 type contact struct {
 	heartbeat    Heartbeat // the latest
 	heardAt      clock.Micros
-	firstHeardAt clock.Micros // since when this incarnation is heard without a pause
+	firstHeardAt clock.Micros // start of this incarnation's heartbeats without a time-out
 }
 
-// contactTable is the table of the cores that sent heartbeats, and this core.
+// contactTable holds this core and the cores that sent it heartbeats.
 type contactTable struct {
 	self        CoreRef
 	incarnation uint64
 	draining    bool         // this core is about to stop
-	timeout     clock.Micros // after which a core that is not heard counts as lost
+	timeout     clock.Micros // after which a core without heartbeats counts as unreachable
 	byID        map[string]contact
 }
 
-// ids lists the other cores in the order of their ids.
+// ids lists the IDs of the other cores in order.
 func (t *contactTable) ids() []string { return slices.Sorted(maps.Keys(t.byID)) }
 
-// record takes a heartbeat in.
+// record records a heartbeat of another core.
 func (t *contactTable) record(h Heartbeat, now clock.Micros) {
-	// Another identity at a known address is an empty machine in the place of a lost one.
+	// A new identity at a known address is an empty machine that replaced a lost one.
 	for id, other := range t.byID {
 		if id != h.Core.ID && other.heartbeat.Core.Peer == h.Core.Peer && other.heardAt < now {
 			delete(t.byID, id)
@@ -43,7 +43,7 @@
 	t.byID[h.Core.ID] = contact{heartbeat: h, heardAt: now, firstHeardAt: firstHeardAt}
 }
 
-// incarnationOf is the incarnation that a core runs in now; false when it is not heard.
+// incarnationOf returns the current incarnation of a core; false if the core is unreachable.
 func (t *contactTable) incarnationOf(id string, now clock.Micros) (uint64, bool) {
 	if id == t.self.ID {
 		return t.incarnation, true
@@ -55,13 +55,15 @@
 	return heard.heartbeat.Incarnation, true
 }
 
-// liveMember is a core in the incarnation that it runs in now.
+// liveMember returns a core as a group member in its current incarnation; false if it is
+// unreachable.
 func (t *contactTable) liveMember(id string, now clock.Micros) (replication.Member, bool) {
 	incarnation, ok := t.incarnationOf(id, now)
 	return replication.Member{ID: id, Incarnation: incarnation}, ok
 }
 
-// heardCores lists the other cores that are heard: a link may carry messages in one direction only.
+// heardCores lists the other cores whose heartbeats arrive. It is sent in this core's own
+// heartbeats, because a link may carry messages in one direction only.
 func (t *contactTable) heardCores(now clock.Micros) []string {
 	var out []string
 	for _, id := range t.ids() {
@@ -72,13 +74,14 @@
 	return out
 }
 
-// hasTwoWayContact tells whether a core is heard and hears this one.
+// hasTwoWayContact reports whether heartbeats arrive in both directions between this core and
+// another one.
 func (t *contactTable) hasTwoWayContact(id string, now clock.Micros) bool {
 	_, heard := t.incarnationOf(id, now)
 	return heard && (id == t.self.ID || slices.Contains(t.byID[id].heartbeat.HeardCores, t.self.ID))
 }
 
-// isDraining tells whether a core said that it is about to stop.
+// isDraining reports whether a core has announced that it is about to stop.
 func (t *contactTable) isDraining(id string) bool {
 	if id == t.self.ID {
 		return t.draining
@@ -86,7 +89,7 @@
 	return t.byID[id].heartbeat.Draining
 }
 
-// zoneOf is the zone of a core: by its heartbeat, else by the list of voters.
+// zoneOf returns the zone of a core from its heartbeat, or else from the list of voters.
 func (t *contactTable) zoneOf(id string, voters []CoreRef) string {
 	if id == t.self.ID {
 		return t.self.Zone
--- a/internal/controlplane/election/events.go
+++ b/internal/controlplane/election/events.go
@@ -4,7 +4,7 @@
 
 // The log events of the election.
 type (
-	// CampaignStarted tells that this core asks the voters for a term.
+	// CampaignStarted is logged when this core requests the votes for a term.
 	CampaignStarted struct {
 		machine.Info
 		Term   uint64   `json:"term"`
@@ -13,7 +13,8 @@
 		Group  []string `json:"group"`
 		Voters []string `json:"voters"`
 	}
-	// BootstrapStarted tells that this core asks the other cores at the seeds to bootstrap the fleet.
+	// BootstrapStarted is logged when this core requests the votes of the other cores at the seeds to
+	// bootstrap the fleet.
 	BootstrapStarted struct {
 		machine.Info
 		Term   uint64   `json:"term"`
@@ -21,14 +22,15 @@
 		Group  []string `json:"group"`
 		Voters []string `json:"voters"`
 	}
-	// TermWon tells that the voters granted this core a term; its replicas are sent the state next.
+	// TermWon is logged when the voters have granted this core a term; next it sends the state to the
+	// replicas of that term.
 	TermWon struct {
 		machine.Info
 		Term   uint64   `json:"term"`
 		Member string   `json:"member"`
 		Group  []string `json:"group"`
 	}
-	// BecamePrimary tells that the term is committed, and this core serves.
+	// BecamePrimary is logged when the term is committed and this core begins to serve.
 	BecamePrimary struct {
 		machine.Info
 		Term   uint64   `json:"term"`
@@ -36,7 +38,7 @@
 		Group  []string `json:"group"`
 		Voters []string `json:"voters"`
 	}
-	// ForeignCoreIgnored tells that a core of another fleet sends heartbeats to this one.
+	// ForeignCoreIgnored is logged when a heartbeat of a core of another fleet arrives.
 	ForeignCoreIgnored struct {
 		machine.Warning
 		Peer  string `json:"peer"`
@@ -44,17 +46,17 @@
 	}
 )
 
-// EventName is the event's key in the log.
+// EventName returns the event's key in the log.
 func (CampaignStarted) EventName() string { return "campaign_started" }
 
-// EventName is the event's key in the log.
+// EventName returns the event's key in the log.
 func (BootstrapStarted) EventName() string { return "bootstrap_started" }
 
-// EventName is the event's key in the log.
+// EventName returns the event's key in the log.
 func (TermWon) EventName() string { return "term_won" }
 
-// EventName is the event's key in the log.
+// EventName returns the event's key in the log.
 func (BecamePrimary) EventName() string { return "became_primary" }
 
-// EventName is the event's key in the log.
+// EventName returns the event's key in the log.
 func (ForeignCoreIgnored) EventName() string { return "foreign_core_ignored" }
--- a/internal/controlplane/election/heartbeat.go
+++ b/internal/controlplane/election/heartbeat.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// sendHeartbeats tells the other cores that this one lives: those at the seeds, the voters,
-// and all that were heard.
+// sendHeartbeats sends a heartbeat to the cores at the seeds, to the voters, and to every core that
+// has sent one.
 func (e *Election) sendHeartbeats(now clock.Micros) {
 	heartbeat := e.heartbeat(now)
 	e.announcedLease = heartbeat.HoldsLease
@@ -45,8 +45,8 @@
 	}
 }
 
-// SendHeartbeatTo sends a heartbeat to cores that the membership has found; their own heartbeats then
-// make them known here.
+// SendHeartbeatTo sends a heartbeat to cores that the membership has discovered. Their own
+// heartbeats then make them known to the election.
 func (e *Election) SendHeartbeatTo(peers []string, now clock.Micros) {
 	for _, peer := range peers {
 		if peer != e.contacts.self.Peer {
@@ -71,34 +71,36 @@
 	e.learnCommitted(h.Vote, now)
 }
 
-// isFromForeignFleet tells whether a core has committed a term of another fleet than this one has.
+// isFromForeignFleet reports whether a heartbeat comes from a core that has committed a term of
+// another fleet than this core has.
 func (e *Election) isFromForeignFleet(h Heartbeat) bool {
 	differ := e.vote.Fleet != "" && h.Fleet != "" && h.Fleet != e.vote.Fleet
 	return differ && !e.vote.Committed.IsZero() && !h.Vote.Committed.IsZero()
 }
 
-// handleDuplicateIdentity ends a daemon whose data folder is a copy of another's: two voters with
-// one identity would count as one and decide as two.
+// handleDuplicateIdentity stops this daemon if its data folder is a copy of another daemon's: two
+// voters with the same identity count as one voter, but could grant the same term to two candidates.
 func (e *Election) handleDuplicateIdentity(h Heartbeat) {
 	if h.Core.Peer == e.contacts.self.Peer || h.Incarnation > e.contacts.incarnation {
 		return
 	}
-	e.effects.Emit(machine.Halt{Err: errs.New(errs.WrongFolder, "start with an empty data folder; the cores give it a vote",
-		"a core of the same identity runs at %s: this data folder is a copy", h.Core.Peer)})
+	e.effects.Emit(machine.Halt{Err: errs.New(errs.WrongFolder, "start with an empty data folder; the other cores then make it a voter",
+		"another core with the same identity runs at %s: this data folder is a copy", h.Core.Peer)})
 }
 
-// handleForeignFleet ignores a core of another fleet. A core that hears no other has
-// wrong seeds, and ends.
+// handleForeignFleet ignores a core of another fleet. If this core has heard no core of its own
+// fleet and is no primary, its seeds are wrong and the daemon stops.
 func (e *Election) handleForeignFleet(h Heartbeat) {
 	if len(e.contacts.byID) == 0 && !e.group().IsPrimary() {
-		e.effects.Emit(machine.Halt{Err: errs.New(errs.WrongFolder, "correct -seeds, or start with an empty data folder to be given a vote here",
-			"this core is of fleet %s; at its seeds is fleet %s", e.vote.Fleet, h.Fleet)})
+		e.effects.Emit(machine.Halt{Err: errs.New(errs.WrongFolder, "correct -seeds, or start with an empty data folder to join the fleet at the seeds",
+			"this core belongs to fleet %s, but the cores at its seeds belong to fleet %s", e.vote.Fleet, h.Fleet)})
 		return
 	}
 	e.effects.Emit(machine.LogEvent{Event: ForeignCoreIgnored{Peer: h.Core.Peer, Fleet: h.Fleet}})
 }
 
-// learnCommitted takes over what another voter knows to be committed.
+// learnCommitted adopts the committed term of another voter if it is newer than this core's, or
+// records that this core's is committed by all.
 func (e *Election) learnCommitted(other Vote, now clock.Micros) {
 	if e.vote.Fleet == "" || other.Fleet != e.vote.Fleet {
 		return
@@ -117,7 +119,7 @@
 	e.releaseStaleRole(now)
 }
 
-// adoptCommitted takes over a committed term. It also ends a lower term that was granted here.
+// adoptCommitted adopts a committed term. It also replaces a lower term that was granted here.
 func (e *Election) adoptCommitted(other Vote) {
 	e.wantsTermSince = 0
 	e.vote.Committed = other.Committed
@@ -131,7 +133,7 @@
 	}
 }
 
-// releaseStaleRole gives up a role that a higher term ended.
+// releaseStaleRole releases this core's role in a group that a higher committed term has ended.
 func (e *Election) releaseStaleRole(now clock.Micros) {
 	if group := e.group(); e.vote.Committed.Epoch > group.Epoch {
 		e.groups.Release(GroupUnit, group.Epoch, now)
--- a/internal/controlplane/election/lease.go
+++ b/internal/controlplane/election/lease.go
@@ -5,24 +5,23 @@
 	"tuliprudder/internal/replication"
 )
 
-// The lease itself is the replication group's (replication.Group, LeaseUntil): every
-// replica grants it for a span from the time it was asked. This file is where the
-// election, and through it the whole control plane, checks it.
+// The lease belongs to the replication group (replication.Group, LeaseUntil): every replica grants
+// it for a duration that begins when the primary sent the request. This file has the checks of the
+// lease for the election and, through it, for the whole control plane.
 
-// IsServing tells whether this core is the primary of a committed term. It may have been
-// succeeded without knowing; HoldsLease says that it was not.
+// IsServing reports whether this core is the primary of a committed term. Another core may have
+// succeeded it without its knowledge; HoldsLease rules that out.
 func (e *Election) IsServing() bool { return e.group().Role == replication.Serving }
 
-// HoldsLease tells whether this core is the primary and holds its lease: only then it
-// confirms, reads configurations back, decides and assigns. No other core can do so at
-// the same time, as each successor is a replica and waits until the lease that it granted
-// has ended.
+// HoldsLease reports whether this core is the primary and holds its lease. Only then does it
+// confirm, read configurations, decide and assign. No other core can do so at the same time,
+// because every successor is a replica and waits until the lease that it granted has expired.
 func (e *Election) HoldsLease(now clock.Micros) bool {
 	return e.IsServing() && (e.group().LeaseUntil() > now || e.faults.SkipLease)
 }
 
-// primaryReportsLease tells whether the committed primary said within a while, in the incarnation it
-// was assigned in, that it holds its lease, and is not about to stop.
+// primaryReportsLease reports whether a heartbeat of the committed primary, not older than maxAge and
+// from the assigned incarnation, says that it holds its lease and is not about to stop.
 func (e *Election) primaryReportsLease(now, maxAge clock.Micros) bool {
 	primary := e.vote.Committed.Primary
 	heard, ok := e.contacts.byID[primary.ID]
--- a/internal/controlplane/election/messages.go
+++ b/internal/controlplane/election/messages.go
@@ -7,28 +7,28 @@
 
 // Messages between cores. Their Go names and those of their fields are on the wire.
 type (
-	// Heartbeat tells the others that a core lives, and what it keeps as a voter.
+	// Heartbeat announces that a core is alive, with its state as a voter.
 	Heartbeat struct {
 		Core        CoreRef
 		Incarnation uint64
 		Fleet       string
 		Vote        Vote
 		Role        string
-		HoldsLease  bool     // it is primary and holds its lease
-		Draining    bool     // it is about to stop
-		Bootstrap   bool     // its settings say that this is the first start of the fleet
-		HeardCores  []string // the cores that it has heard lately
+		HoldsLease  bool     // the core is primary and holds its lease
+		Draining    bool     // the core is about to stop
+		Bootstrap   bool     // the core's settings mark this as the first start of the fleet
+		HeardCores  []string // other cores from which the core receives heartbeats
 	}
-	// VoteRequest asks a voter for a term.
+	// VoteRequest asks a voter to grant a term to the candidate.
 	VoteRequest struct {
 		Fleet      string
 		Assignment replication.Assignment
-		Voters     []CoreRef // under that term
-		Base       uint64    // the newest committed term that the candidate knows
+		Voters     []CoreRef // voters under that term
+		Base       uint64    // newest committed term that the candidate knows
 		Candidate  CoreRef
 		Bootstrap  bool
 	}
-	// VoteResponse answers it.
+	// VoteResponse answers a VoteRequest.
 	VoteResponse struct {
 		Epoch   uint64
 		From    string
@@ -36,8 +36,8 @@
 		Reason  string // why it was not granted
 		Vote    Vote
 	}
-	// Commit asks a voter to write down that the group of a term is complete. CommittedByAll
-	// tells that majorities of all quorums have done so.
+	// Commit asks a voter to persist that the group of a term is complete. CommittedByAll says that
+	// majorities of all quorums have done so.
 	Commit struct {
 		Fleet          string
 		Assignment     replication.Assignment
@@ -45,7 +45,7 @@
 		OldVoters      []CoreRef
 		CommittedByAll bool
 	}
-	// CommitAck answers it.
+	// CommitAck answers a Commit once it is persisted.
 	CommitAck struct {
 		Epoch uint64
 		From  string
--- a/internal/controlplane/election/quorum.go
+++ b/internal/controlplane/election/quorum.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// CoreRef is the identity of one core.
+// CoreRef identifies a core.
 type CoreRef struct {
 	ID   string `json:"id"`
 	Peer string `json:"peer"` // its address
 	Zone string `json:"zone"`
 }
 
-// quorums are the sets of voters of each of which a majority has to agree (joint
-// consensus): any two terms that build on the same committed one then have a voter in common.
+// quorums are sets of voters; a majority of each set must agree (joint consensus). Any two terms
+// that build on the same committed term then have a voter in common.
 type quorums [][]CoreRef
 
-// haveMajorities tells whether a majority of each set of voters agreed.
+// haveMajorities reports whether a majority of each set of voters agreed.
 func (q quorums) haveMajorities(agreed map[string]bool) bool {
 	for _, voters := range q {
 		count := 0
@@ -29,7 +29,7 @@
 	return true
 }
 
-// voters lists the cores of all sets, each once.
+// voters lists the cores of all sets without duplicates.
 func (q quorums) voters() []CoreRef {
 	var out []CoreRef
 	for _, voters := range q {
@@ -42,18 +42,18 @@
 	return out
 }
 
-// majority is how many of a number of voters are a majority.
+// majority returns the size of a majority of a number of voters.
 func majority(voters int) int { return voters/2 + 1 }
 
-// coveringReplicas is how many of the voters have to hold the control state so that every
-// majority of them has a copy.
+// coveringReplicas returns how many of the voters must hold the control state so that every majority
+// of them includes a replica.
 func coveringReplicas(voters int) int { return voters - majority(voters) + 1 }
 
 func isVoter(voters []CoreRef, id string) bool {
 	return slices.ContainsFunc(voters, func(ref CoreRef) bool { return ref.ID == id })
 }
 
-// voterIDs lists the ids of some voters in order.
+// voterIDs returns the sorted IDs of voters.
 func voterIDs(voters []CoreRef) []string {
 	var ids []string
 	for _, ref := range voters {
--- a/internal/controlplane/election/quorum_test.go
+++ b/internal/controlplane/election/quorum_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// cores are refs with these ids.
+// cores returns CoreRefs with the given IDs.
 func cores(ids ...string) []CoreRef {
 	var refs []CoreRef
 	for _, id := range ids {
@@ -27,7 +27,7 @@
 		"three of four":                    {quorums{four}, "bcd", true},
 		"a majority of the first set only": {quorums{three, four}, "ab", false},
 		"a majority of both sets":          {quorums{three, four}, "bcd", true},
-		"cores that are no voters":         {quorums{three}, "xyz", false},
+		"cores that are not voters":        {quorums{three}, "xyz", false},
 		"the only voter":                   {quorums{cores("a")}, "a", true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -36,21 +36,21 @@
 				agreed[string(id)] = true
 			}
 			if got := c.quorums.haveMajorities(agreed); got != c.want {
-				t.Errorf("majorities: %v", got)
+				t.Errorf("haveMajorities returned %v", got)
 			}
 		})
 	}
 }
 
-// Any two majorities of the same voters share one, and as many copies as coveringReplicas says
-// are in each majority.
+// Any two majorities of the same voters overlap, and coveringReplicas is the smallest number of
+// replicas that overlaps with every majority.
 func TestMajoritiesOverlap(t *testing.T) {
 	for voters := 1; voters <= maxVoters; voters++ {
 		if 2*majority(voters) <= voters {
 			t.Errorf("two majorities of %d voters need not overlap", voters)
 		}
 		if copies := coveringReplicas(voters); copies+majority(voters) <= voters || copies-1+majority(voters) > voters {
-			t.Errorf("%d copies are not the fewest that every majority of %d voters has one of", copies, voters)
+			t.Errorf("%d replicas are not the smallest number that overlaps with every majority of %d voters", copies, voters)
 		}
 	}
 }
@@ -63,18 +63,18 @@
 		want   quorums
 		before []CoreRef
 	}{
-		"the voters stay":                         {Vote{Voters: first, CommittedByAll: true}, first, quorums{first}, nil},
-		"the voters change":                       {Vote{Voters: first, CommittedByAll: true}, second, quorums{first, second}, first},
-		"the last change is not committed by all": {Vote{Voters: second, OldVoters: first}, second, quorums{second, first}, first},
-		"and another change follows":              {Vote{Voters: second, OldVoters: first}, third, quorums{second, first, third}, first},
-		"the last change is committed by all":     {Vote{Voters: second, OldVoters: first, CommittedByAll: true}, second, quorums{second}, nil},
+		"the voters stay":                           {Vote{Voters: first, CommittedByAll: true}, first, quorums{first}, nil},
+		"the voters change":                         {Vote{Voters: first, CommittedByAll: true}, second, quorums{first, second}, first},
+		"the last change is not committed by all":   {Vote{Voters: second, OldVoters: first}, second, quorums{second, first}, first},
+		"a change follows one not committed by all": {Vote{Voters: second, OldVoters: first}, third, quorums{second, first, third}, first},
+		"the last change is committed by all":       {Vote{Voters: second, OldVoters: first, CommittedByAll: true}, second, quorums{second}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := c.vote.quorumsFor(c.next); fmt.Sprint(got) != fmt.Sprint(c.want) {
-				t.Errorf("the quorums are %v, not %v", got, c.want)
+				t.Errorf("quorums %v, want %v", got, c.want)
 			}
 			if got := c.vote.previousVoters(c.next); fmt.Sprint(got) != fmt.Sprint(c.before) {
-				t.Errorf("the voters before are %v, not %v", got, c.before)
+				t.Errorf("previous voters %v, want %v", got, c.before)
 			}
 		})
 	}
--- a/internal/controlplane/election/status.go
+++ b/internal/controlplane/election/status.go
@@ -2,17 +2,17 @@
 
 import "tuliprudder/internal/clock"
 
-// Status is an account of the election for the operators.
+// Status describes the state of the election to operators.
 type Status struct {
 	Term              uint64
 	CampaignsStarted  int64
 	TermsWon          int64
 	Voters            int
 	UnreachableVoters int
-	ReplicasMissing   int // of the control state, by the members of the committed group
+	ReplicasMissing   int // replicas of the control state that the committed group lacks
 }
 
-// Status tells how the election stands.
+// Status returns the state of the election.
 func (e *Election) Status(now clock.Micros) Status {
 	return Status{
 		Term:              e.vote.Term,
@@ -24,7 +24,7 @@
 	}
 }
 
-// unreachableVoters counts the voters that are not heard.
+// unreachableVoters counts the voters without recent heartbeats.
 func (e *Election) unreachableVoters(now clock.Micros) int {
 	unreachable := 0
 	for _, ref := range e.vote.Voters {
--- a/internal/controlplane/election/stored_names.go
+++ b/internal/controlplane/election/stored_names.go
@@ -1,10 +1,10 @@
 package election
 
-// GroupUnit is the unit of the replication group that holds the control state. This
-// spelling is on disk; it never changes.
+// GroupUnit is the unit of the replication group that holds the control state. The value is stored
+// on disk and must never change.
 const GroupUnit = "core"
 
-// The unit and the kind of the record with a core's vote. These spellings are on disk; they
+// Unit and kind of the record that stores a core's vote. The values are stored on disk and must
 // never change.
 const (
 	unitVote = "oath"
--- a/internal/controlplane/election/term.go
+++ b/internal/controlplane/election/term.go
@@ -7,18 +7,18 @@
 	"tuliprudder/internal/replication"
 )
 
-// This file works out which term a core should ask for: which members the group of the
-// control state should have, and which voters.
+// This file determines the term that a core should campaign for: the members of the group that holds
+// the control state, and the voters.
 
-// proposal is a term that a core wants: the group and the voters under it.
+// proposal is a term that a core wants: the group and the voters under that term.
 type proposal struct {
 	assignment replication.Assignment
 	voters     []CoreRef
 	reason     string
 }
 
-// proposeTerm is the term that this core should ask for, or none. Only a member of the last
-// committed group asks for one, as it alone holds the whole state.
+// proposeTerm returns the term that this core should campaign for; false if there is none. Only
+// members of the last committed group campaign, because only they hold the complete state.
 func (e *Election) proposeTerm(now clock.Micros) (proposal, bool) {
 	committed, self := e.vote.Committed, e.contacts.self.ID
 	holdsState := slices.Contains(committed.IDs(), self) || e.faults.SkipStateCheck
@@ -33,17 +33,17 @@
 	}
 	var excluded []string
 	if e.group().IsPrimary() {
-		// A term that was won and is not committed.
+		// This core has won a term that is not committed yet.
 		excluded = e.unreachableReplicas(now)
 		if len(excluded) == 0 && now-e.wonTermAt < termCommitTimeout {
 			return proposal{}, false
 		}
 	}
 	next, ok := replication.Reassign(committed, e.clusterOfGroup(now), self, excluded)
-	return proposal{next, e.vote.Voters, "the primary does not lead"}, ok
+	return proposal{next, e.vote.Voters, "the primary does not report a valid lease"}, ok
 }
 
-// otherTermPending tells whether another core won a term and may be about to commit it.
+// otherTermPending reports whether another core may have won a term that it is about to commit.
 func (e *Election) otherTermPending(now clock.Micros) bool {
 	pending := e.vote.Pending
 	if e.vote.Term <= e.vote.Committed.Epoch || pending.Primary.ID == e.contacts.self.ID || e.termGrantedAt == 0 {
@@ -53,7 +53,8 @@
 	return since < grantTimeout || since < termCommitTimeout && e.pendingPrimaryIsActive(pending, now)
 }
 
-// pendingPrimaryIsActive tells whether the primary of a pending term is heard, and granted it itself.
+// pendingPrimaryIsActive reports whether the primary of a pending term is reachable, runs in the
+// assigned incarnation, and has granted that term itself.
 func (e *Election) pendingPrimaryIsActive(pending replication.Assignment, now clock.Micros) bool {
 	heard, ok := e.contacts.byID[pending.Primary.ID]
 	if !ok || now-heard.heardAt > e.settings.CoreTimeout {
@@ -64,7 +65,8 @@
 	return isSameTerm && heartbeat.Incarnation == pending.Primary.Incarnation
 }
 
-// proposeTermAsPrimary keeps the primary's group complete, and then its voters.
+// proposeTermAsPrimary proposes changes of the group until it is complete, and then changes of the
+// voters.
 func (e *Election) proposeTermAsPrimary(now clock.Micros) (proposal, bool) {
 	committed, cluster, self := e.vote.Committed, e.clusterOfGroup(now), e.contacts.self.ID
 	if excluded := e.unreachableReplicas(now); len(excluded) > 0 {
@@ -76,7 +78,7 @@
 	if next, reason, ok := replication.Next(committed, cluster); ok && next.Primary.ID == self {
 		return proposal{next, e.vote.Voters, reason}, true
 	}
-	// Voters change only under a complete group that all know of.
+	// Voters change only while the group is complete and committed by majorities of all quorums.
 	if len(committed.IDs()) < cluster.GroupSize || !e.vote.CommittedByAll || !e.HoldsLease(now) {
 		return proposal{}, false
 	}
@@ -86,13 +88,13 @@
 	return e.proposeVoterChange(now)
 }
 
-// replicasFor is how many cores hold the control state: more than may be lost at once, and
-// so many that every majority of the voters has a copy.
+// replicasFor returns how many cores hold the control state: more than may be lost at the same time,
+// and enough that every majority of the voters includes one.
 func (e *Election) replicasFor(voters int) int {
 	return min(voters, max(e.settings.Tolerance+1, coveringReplicas(voters)))
 }
 
-// clusterOfGroup is what the replication package has to know of the voters for the group.
+// clusterOfGroup describes the voters to package replication, which plans the group from it.
 func (e *Election) clusterOfGroup(now clock.Micros) replication.ClusterView {
 	voters := e.vote.Voters
 	return replication.ClusterView{
@@ -103,8 +105,8 @@
 	}
 }
 
-// memberIncarnation is the incarnation of a voter that may be a member of the group; false
-// when it may not.
+// memberIncarnation returns the incarnation of a voter that may be a member of the group; false if it
+// may not.
 func (e *Election) memberIncarnation(id string, now clock.Micros) (uint64, bool) {
 	departs := e.contacts.isDraining(id) && id != e.contacts.self.ID
 	if !isVoter(e.vote.Voters, id) || departs || !e.contacts.hasTwoWayContact(id, now) {
@@ -113,7 +115,8 @@
 	return e.contacts.incarnationOf(id, now)
 }
 
-// chooseReplacement picks a voter that is no member yet, in a zone of its own if there is one.
+// chooseReplacement returns a voter that is not a member yet, preferably one in a zone without a
+// member; "" if there is none.
 func (e *Election) chooseReplacement(members, excluded []string, now clock.Micros) string {
 	best, bestShared := "", true
 	for _, id := range voterIDs(e.vote.Voters) {
@@ -131,7 +134,7 @@
 	return best
 }
 
-// proposeZoneSpread moves a replica out of a zone that another member is in.
+// proposeZoneSpread proposes to move a replica out of a zone that it shares with another member.
 func (e *Election) proposeZoneSpread(now clock.Micros) (proposal, bool) {
 	committed := e.vote.Committed
 	zones := map[string]bool{e.contacts.self.Zone: true}
@@ -147,19 +150,19 @@
 			continue
 		}
 		next, ok := replication.Reassign(committed, e.clusterOfGroup(now), e.contacts.self.ID, []string{member.ID})
-		return proposal{next, e.vote.Voters, "two copies share a zone"}, ok
+		return proposal{next, e.vote.Voters, "two replicas share a zone"}, ok
 	}
 	return proposal{}, false
 }
 
 func (e *Election) zoneOf(id string) string { return e.contacts.zoneOf(id, e.vote.Voters) }
 
-// sharesZone tells whether a core is in the zone of one of the members.
+// sharesZone reports whether a core is in the same zone as one of the members.
 func (e *Election) sharesZone(members []string, id string) bool {
 	return slices.ContainsFunc(members, func(other string) bool { return e.zoneOf(other) == e.zoneOf(id) })
 }
 
-// unreachableReplicas are the members of this core's group that don't answer it.
+// unreachableReplicas returns the IDs of the members of this core's group that do not answer it.
 func (e *Election) unreachableReplicas(now clock.Micros) []string {
 	var out []string
 	unreachable := e.group().UnreachableReplicas(now)
--- a/internal/controlplane/election/vote.go
+++ b/internal/controlplane/election/vote.go
@@ -9,28 +9,28 @@
 	"tuliprudder/internal/replication"
 )
 
-// Vote is what a core keeps as a voter. It is durable before any message that follows
-// from it, so that a voter that restarts never takes back what others built on. The keys are
-// on disk; they never change.
+// Vote is the state that a core keeps as a voter. It is persisted before any message that depends on
+// it is sent, so that a restart never revokes a grant or commit that others rely on. The JSON keys
+// are stored on disk and must never change.
 type Vote struct {
 	Fleet string `json:"fleet"`
-	// Term is the highest epoch this voter has granted, Pending the assignment it was
-	// granted for and PendingVoters the voters under it.
+	// Term is the highest epoch that this voter has granted, Pending the assignment that it granted
+	// it for, and PendingVoters the voters under that assignment.
 	Term          uint64                 `json:"granted"`
 	Pending       replication.Assignment `json:"grant"`
 	PendingVoters []CoreRef              `json:"cores"`
-	// Committed is the newest assignment that this voter knows to be complete, Voters
-	// are the voters under it.
+	// Committed is the newest assignment that this voter knows to be complete, and Voters the voters
+	// under it.
 	Committed replication.Assignment `json:"done"`
 	Voters    []CoreRef              `json:"sworn"`
-	// OldVoters are those before a change of voters. Until CommittedByAll tells that
-	// majorities of both have committed it, both have to agree to whatever follows.
+	// OldVoters are the voters before a change of voters. Until CommittedByAll says that majorities
+	// of both sets have committed the change, majorities of both must agree to every later term.
 	OldVoters      []CoreRef `json:"old_voters,omitempty"`
 	CommittedByAll bool      `json:"settled,omitempty"`
 }
 
-// quorumsFor are the sets of voters of each of which a majority has to agree to a
-// term that builds on what is committed here and has the next voters.
+// quorumsFor returns the sets of voters that must agree to a term that builds on the committed one
+// and has the next voters.
 func (v Vote) quorumsFor(next []CoreRef) quorums {
 	sets := quorums{v.Voters}
 	if v.needsOldVoters() {
@@ -42,12 +42,12 @@
 	return sets
 }
 
-// needsOldVoters tells whether the voters before the committed term still have to agree: it
-// is not known that majorities of both sets committed it.
+// needsOldVoters reports whether the voters before the committed term must still agree, because it is
+// not known that majorities of both sets have committed it.
 func (v Vote) needsOldVoters() bool { return !v.CommittedByAll && len(v.OldVoters) > 0 }
 
-// previousVoters are the voters that have to agree besides the next ones until a term with
-// the next voters is committed by all; nil when there are none.
+// previousVoters returns the voters that must agree in addition to the next ones until a term with
+// the next voters is committed by all; nil if there are none.
 func (v Vote) previousVoters(next []CoreRef) []CoreRef {
 	switch {
 	case v.needsOldVoters():
@@ -58,31 +58,32 @@
 	return nil
 }
 
-// isParticipant tells whether a core is a voter of the committed term, or of the one before it.
+// isParticipant reports whether a core is a voter of the committed term, or was one before its change
+// of voters.
 func (v Vote) isParticipant(id string) bool {
 	return isVoter(v.Voters, id) || isVoter(v.OldVoters, id)
 }
 
-// VoteRecord is the vote as it is kept on disk.
+// VoteRecord returns the record that stores the vote on disk.
 func (e *Election) VoteRecord() machine.Record {
 	body, _ := json.Marshal(e.vote)
 	return machine.Record{Unit: unitVote, Kind: kindVote, Epoch: e.vote.Term, Body: body}
 }
 
-// RestoreVote reads the vote back from a record; false when the record is none of a vote.
-// A damaged one is an error: a core that forgot its vote could grant a term twice.
+// RestoreVote loads the vote from a record. It returns false if the record does not store a vote. A
+// damaged vote is an error: a core that lost its vote could grant a term twice.
 func (e *Election) RestoreVote(record machine.Record) (bool, error) {
 	if record.Unit != unitVote {
 		return false, nil
 	}
 	if err := json.Unmarshal(record.Body, &e.vote); err != nil {
-		return true, errs.New(errs.Corrupt, "move the whole data folder away and start empty: the cores give it a vote",
-			"the vote of this core can't be read: %v", err)
+		return true, errs.New(errs.Corrupt, "move the whole data folder away and start with an empty one; the other cores then make it a voter",
+			"the stored vote of this core can't be decoded: %v", err)
 	}
 	return true, nil
 }
 
-// persistVote writes the vote; what may follow from it is done once it is on disk.
+// persistVote writes the vote to disk and calls done once it is there.
 func (e *Election) persistVote(done func(now clock.Micros)) {
 	e.groups.Persist([]machine.Record{e.VoteRecord()}, done)
 }
@@ -103,7 +104,7 @@
 	})
 }
 
-// grantVote persists that a term is granted; done runs once it is on disk.
+// grantVote grants a term and persists the vote; done is called once it is on disk.
 func (e *Election) grantVote(request VoteRequest, now clock.Micros, done func(now clock.Micros)) {
 	e.vote.Fleet = request.Fleet
 	e.vote.Term = request.Assignment.Epoch
@@ -114,8 +115,8 @@
 	e.persistVote(done)
 }
 
-// voteRefusalReason is why a voter does not grant a term; "" when it does. A stale term, one
-// that is not above the highest granted, is refused here.
+// voteRefusalReason returns why this voter refuses a term, or "" if it grants it. It refuses stale
+// terms: those that are not above the highest granted one.
 func (e *Election) voteRefusalReason(request VoteRequest, now clock.Micros) string {
 	epoch, self := request.Assignment.Epoch, e.contacts.self.ID
 	switch {
@@ -128,19 +129,19 @@
 	case request.Bootstrap:
 		return e.bootstrapRefusalReason(request)
 	case e.vote.Committed.IsZero():
-		return "" // an empty core: those that hold the control state give it a vote
+		return "" // this core is empty; the cores that hold the control state make it a voter
 	}
 	return e.successorRefusalReason(request, now)
 }
 
-// hasGranted tells whether this very term is the last one that was granted.
+// hasGranted reports whether the requested term is the one that this voter granted last.
 func (e *Election) hasGranted(request VoteRequest) bool {
 	isSameTerm := request.Assignment.Epoch == e.vote.Term && request.Assignment.Equal(e.vote.Pending)
 	return isSameTerm && request.Fleet == e.vote.Fleet
 }
 
-// successorRefusalReason is why a voter that has committed a term does not grant a higher one;
-// "" when it does. A primary that leads is not disturbed, except by itself.
+// successorRefusalReason returns why a voter that has committed a term refuses a higher one, or "" if
+// it grants it. While the primary holds its lease, only the primary itself is granted a term.
 func (e *Election) successorRefusalReason(request VoteRequest, now clock.Micros) string {
 	switch {
 	case e.vote.Fleet != request.Fleet:
--- a/internal/controlplane/election/voters.go
+++ b/internal/controlplane/election/voters.go
@@ -6,30 +6,31 @@
 	"tuliprudder/internal/clock"
 )
 
-// This file is how the voters change (DESIGN §5.3): one at a time, under a term of its
-// own that majorities of the old and of the new voters grant and commit. Only a
-// primary whose group is complete and whose term all majorities have committed begins one.
+// Changes of the voters (DESIGN §5.3). Voters change one at a time, each under a term of its own that
+// majorities of the old and of the new voters grant and commit. Only a primary whose group is
+// complete and whose term is committed by majorities of all quorums starts a change.
 
 const (
-	// joinDelay is how long a core without a vote is heard until it is given one.
+	// joinDelay is how long a core without a vote must send heartbeats before it becomes a voter.
 	joinDelay = clock.Second
-	// maxVoters bounds the voters; further cores stand by.
+	// maxVoters is the maximum number of voters; further cores are spares.
 	maxVoters = 9
-	// absoluteMinVoters is how few voters there may be at any tolerance: the restart of one leaves
-	// a majority.
+	// absoluteMinVoters is the minimum number of voters at any tolerance: with three, a majority
+	// remains while one restarts.
 	absoluteMinVoters = 3
-	// missedHeartbeats is after how many heartbeats that did not come no voter is added.
+	// missedHeartbeats is the number of heartbeat intervals without a heartbeat from a voter after
+	// which no voter is added.
 	missedHeartbeats = 3
 )
 
-// voterChange is a change of the voters and its reason; voters is nil where there is none.
+// voterChange is a change of the voters and its reason; voters is nil if there is no change.
 type voterChange struct {
 	voters []CoreRef
 	reason string
 }
 
-// proposeVoterChange replaces a voter that is lost by a core without a vote, gives a further
-// core a vote, or takes the vote of one that is lost or draining.
+// proposeVoterChange proposes the first change that is due: remove a draining voter, replace a lost
+// or draining one by a core without a vote, add a voter, or remove a lost one.
 func (e *Election) proposeVoterChange(now clock.Micros) (proposal, bool) {
 	for _, change := range []func(clock.Micros) voterChange{
 		e.removeDrainingVoter,
@@ -50,12 +51,12 @@
 	return proposal{}, false
 }
 
-// minVoters is how few voters there may be: so many that they bear the losses of the
-// deployment and one voter's restart leaves a majority.
+// minVoters returns the minimum number of voters: a majority must remain after as many losses as the
+// deployment tolerates, and while one voter restarts.
 func (e *Election) minVoters() int { return max(absoluteMinVoters, 2*e.settings.Tolerance+1) }
 
-// removeDrainingVoter takes the vote of a core that is about to stop, where enough remain. A
-// member of the group is first replaced there.
+// removeDrainingVoter removes a voter that is about to stop if enough voters remain. A member of the
+// group is first replaced in the group.
 func (e *Election) removeDrainingVoter(clock.Micros) voterChange {
 	draining := e.drainingVoter()
 	if draining == "" || len(e.vote.Voters) <= e.minVoters() {
@@ -64,8 +65,8 @@
 	return voterChange{withoutVoter(e.vote.Voters, draining), "a core is draining: " + draining}
 }
 
-// drainingVoter is a voter that is about to stop and no member of the group; "" when there
-// is none.
+// drainingVoter returns a voter that is about to stop and not a member of the group; "" if there is
+// none.
 func (e *Election) drainingVoter() string {
 	for _, ref := range e.vote.Voters {
 		isOther := ref.ID != e.contacts.self.ID
@@ -76,7 +77,7 @@
 	return ""
 }
 
-// replaceLostVoter gives the vote of a core that is lost or draining to one that has none.
+// replaceLostVoter replaces a voter that is lost or draining by a core without a vote.
 func (e *Election) replaceLostVoter(now clock.Micros) voterChange {
 	replacement, timeout := e.chooseReplacementVoter(now)
 	lost := e.drainingVoter()
@@ -87,12 +88,12 @@
 		return voterChange{}
 	}
 	voters := append(withoutVoter(e.vote.Voters, lost), replacement)
-	return voterChange{voters, "voter " + lost + " is lost; its vote passes to " + replacement.ID}
+	return voterChange{voters, "voter " + lost + " is lost; it is replaced by " + replacement.ID}
 }
 
-// chooseReplacementVoter is the core that is given a lost core's vote, and how long that one has to
-// be lost. An empty core is given it sooner than one that had a vote before: nobody waits for
-// an empty one, while the other may still be needed with its own copy.
+// chooseReplacementVoter returns the core that replaces a lost voter, and for how long that voter
+// must be lost. An empty core replaces it sooner than one that had a vote before: no one waits for
+// an empty core, while the other may still be needed for its own copy of the state.
 func (e *Election) chooseReplacementVoter(now clock.Micros) (CoreRef, clock.Micros) {
 	timeout, replacement := e.settings.ReplaceAfter, CoreRef{}
 	emptyCoreTimeout := max(e.settings.ReplaceSoonAfter, e.settings.CoreTimeout)
@@ -108,7 +109,7 @@
 	return replacement, timeout
 }
 
-// addVoter gives a core a vote where all that have one are heard.
+// addVoter adds a voter if all current voters are reachable.
 func (e *Election) addVoter(now clock.Micros) voterChange {
 	if len(e.vote.Voters) >= maxVoters || e.hasUnreachableVoter(now) {
 		return voterChange{}
@@ -122,7 +123,7 @@
 	return voterChange{}
 }
 
-// removeLostVoter takes the vote of a core that is lost, where enough remain.
+// removeLostVoter removes a lost voter if enough voters remain.
 func (e *Election) removeLostVoter(now clock.Micros) voterChange {
 	lost := e.lostVoter(e.settings.ReplaceAfter, now)
 	if lost == "" || len(e.vote.Voters) <= e.minVoters() {
@@ -131,7 +132,7 @@
 	return voterChange{withoutVoter(e.vote.Voters, lost), "voter " + lost + " is lost"}
 }
 
-// voterCandidates are the cores without a vote that are heard, in the order of their ids.
+// voterCandidates returns the reachable cores that could become voters, ordered by ID.
 func (e *Election) voterCandidates(now clock.Micros) []contact {
 	var out []contact
 	for _, id := range e.contacts.ids() {
@@ -144,8 +145,8 @@
 	return out
 }
 
-// lostVoter finds a voter that was not heard for longer than the timeout, nor for as long as this
-// primary listens, and that is no member of the group; "" when there is none.
+// lostVoter returns a voter outside the group without heartbeats for longer than the timeout; "" if
+// there is none. No voter counts as lost until this primary has run that long without a pause.
 func (e *Election) lostVoter(timeout, now clock.Micros) string {
 	if now-e.runningSince <= timeout {
 		return ""
@@ -160,8 +161,8 @@
 	return ""
 }
 
-// hasUnreachableVoter tells whether a voter missed its latest heartbeats or is about to stop: a
-// further voter beside one that is lost would only raise the majority.
+// hasUnreachableVoter reports whether a voter missed its latest heartbeats or is about to stop.
+// Adding a voter while another is lost would only raise the number of votes needed for a majority.
 func (e *Election) hasUnreachableVoter(now clock.Micros) bool {
 	limit := missedHeartbeats * e.settings.HeartbeatInterval
 	return slices.ContainsFunc(e.vote.Voters, func(ref CoreRef) bool {
--- a/internal/controlplane/election/voters_test.go
+++ b/internal/controlplane/election/voters_test.go
@@ -8,16 +8,16 @@
 	"tuliprudder/internal/replication"
 )
 
-// testContact is a core that a primary hears: for how long, how long ago last, and its state.
+// testContact is a core from which the primary has received heartbeats.
 type testContact struct {
 	id           string
-	heardFor     clock.Micros // before now
-	lastHeardAgo clock.Micros
+	heardFor     clock.Micros // time since the first heartbeat
+	lastHeardAgo clock.Micros // time since the last heartbeat
 	draining     bool
-	hadVote      bool // it knows a committed term, so it is not empty
+	hadVote      bool // it knows a committed term and is not empty
 }
 
-// TestVoterChanges has a as primary and b as replica; now is long after the start.
+// Core a is the primary and b the replica; now is long after the start.
 func TestVoterChanges(t *testing.T) {
 	const now = 1000 * clock.Second
 	const long = 60 * clock.Second
@@ -25,26 +25,26 @@
 	for name, test := range map[string]struct {
 		voters string
 		heard  []testContact
-		want   string // the next voters; "" when they stay
+		want   string // the next voters; "" if they stay
 	}{
-		"all voters are heard":                        {"abc", []testContact{b, c}, ""},
-		"a core joins":                                {"abc", []testContact{b, c, {id: "d", heardFor: long}}, "[a b c d]"},
-		"a core that has just come waits":             {"abc", []testContact{b, c, {id: "d", heardFor: joinDelay - 1}}, ""},
-		"a draining core is given no vote":            {"abc", []testContact{b, c, {id: "d", heardFor: long, draining: true}}, ""},
-		"none joins beside a voter that is not heard": {"abc", []testContact{b, {id: "d", heardFor: long}, {id: "c", heardFor: long, lastHeardAgo: 800 * clock.Millisecond}}, ""},
-		"a lost voter's vote passes to an empty core early": {
+		"all voters are heard":                       {"abc", []testContact{b, c}, ""},
+		"a core joins":                               {"abc", []testContact{b, c, {id: "d", heardFor: long}}, "[a b c d]"},
+		"a core that joined just now waits":          {"abc", []testContact{b, c, {id: "d", heardFor: joinDelay - 1}}, ""},
+		"a draining core does not become a voter":    {"abc", []testContact{b, c, {id: "d", heardFor: long, draining: true}}, ""},
+		"no core joins while a voter is unreachable": {"abc", []testContact{b, {id: "d", heardFor: long}, {id: "c", heardFor: long, lastHeardAgo: 800 * clock.Millisecond}}, ""},
+		"an empty core replaces a lost voter early": {
 			"abc", []testContact{b, {id: "c", lastHeardAgo: testSettings.ReplaceSoonAfter + 1}, {id: "d", heardFor: long}}, "[a b d]"},
-		"and to one that had a vote later": {
+		"a former voter does not replace it early": {
 			"abc", []testContact{b, {id: "c", lastHeardAgo: testSettings.ReplaceSoonAfter + 1}, {id: "d", heardFor: long, hadVote: true}}, ""},
-		"which then has it": {
+		"a former voter replaces it later": {
 			"abc", []testContact{b, {id: "c", lastHeardAgo: testSettings.ReplaceAfter + 1}, {id: "d", heardFor: long, hadVote: true}}, "[a b d]"},
-		"a draining voter's vote passes on at once": {
+		"a draining voter is replaced at once": {
 			"abc", []testContact{b, {id: "c", draining: true}, {id: "d", heardFor: long}}, "[a b d]"},
-		"a draining voter stays while no other can have its vote": {"abc", []testContact{b, {id: "c", draining: true}}, ""},
-		"a lost member of the group is first replaced there":      {"abc", []testContact{{id: "b", lastHeardAgo: long}, c}, ""},
-		"one of four that drains loses its vote":                  {"abcd", []testContact{b, c, {id: "d", draining: true}}, "[a b c]"},
-		"one of four that is lost loses its vote":                 {"abcd", []testContact{b, c, {id: "d", lastHeardAgo: testSettings.ReplaceAfter + 1}}, "[a b c]"},
-		"there are no more than the most voters":                  {"abcefghij", []testContact{b, c, {id: "e"}, {id: "f"}, {id: "g"}, {id: "h"}, {id: "i"}, {id: "j"}, {id: "k", heardFor: long}}, ""},
+		"a draining voter stays while no core can replace it": {"abc", []testContact{b, {id: "c", draining: true}}, ""},
+		"a lost member of the group is first replaced there":  {"abc", []testContact{{id: "b", lastHeardAgo: long}, c}, ""},
+		"a draining voter of four is removed":                 {"abcd", []testContact{b, c, {id: "d", draining: true}}, "[a b c]"},
+		"a lost voter of four is removed":                     {"abcd", []testContact{b, c, {id: "d", lastHeardAgo: testSettings.ReplaceAfter + 1}}, "[a b c]"},
+		"no voter is added beyond maxVoters":                  {"abcefghij", []testContact{b, c, {id: "e"}, {id: "f"}, {id: "g"}, {id: "h"}, {id: "i"}, {id: "j"}, {id: "k", heardFor: long}}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			vote := committedTerm()
@@ -63,10 +63,10 @@
 				got = fmt.Sprint(voterIDs(next.voters))
 			}
 			if got != test.want {
-				t.Fatalf("the next voters are %q, not %q", got, test.want)
+				t.Fatalf("next voters %q, want %q", got, test.want)
 			}
 			if ok && (next.assignment.Epoch != vote.Committed.Epoch+1 || next.assignment.Complete || next.reason == "") {
-				t.Errorf("proposed is %+v", next)
+				t.Errorf("proposed %+v", next)
 			}
 		})
 	}
@@ -80,7 +80,8 @@
 	return contact{heartbeat: heartbeat, heardAt: now - h.lastHeardAgo, firstHeardAt: now - h.heardFor}
 }
 
-// A primary that was stopped itself takes no voter for lost before it has listened again.
+// After a pause of its own process a primary considers a voter lost only once it has waited for
+// heartbeats for the full timeout again.
 func TestPausedPrimaryConsidersNoVoterLost(t *testing.T) {
 	const now = 1000 * clock.Second
 	v := newVoter("a", testSettings, committedTerm())
@@ -91,6 +92,6 @@
 		t.Errorf("%s counts as lost right after the pause", lost)
 	}
 	if lost := v.lostVoter(testSettings.ReplaceAfter, now+testSettings.ReplaceAfter+1); lost != "c" {
-		t.Errorf("lost is %q after the primary has listened", lost)
+		t.Errorf("lost voter is %q after a full timeout, want c", lost)
 	}
 }
--- a/internal/gossip/anti_entropy.go
+++ b/internal/gossip/anti_entropy.go
@@ -8,27 +8,27 @@
 	"tuliprudder/internal/machine"
 )
 
-// Two daemons compare their updates in up to four messages:
+// Two daemons, an initiator and a responder, compare their updates in up to four messages:
 //
-//	Digest         checksums of all updates of the one that begins
-//	DigestReply    what differs, and what the other one knows of it, with its ages
-//	DigestUpdates  what the other one lacks; and
-//	DigestFetch    what the one that began lacks, answered by DigestUpdates
+//	Digest         the initiator's checksums of all its updates
+//	DigestReply    the buckets that differ, the responder's versions in them, and its ages
+//	DigestUpdates  the updates that the responder lacks
+//	DigestFetch    the keys of the updates that the initiator lacks, answered by DigestUpdates
 //
-// The ages count once everything that the other one knew when it replied is known here.
+// The initiator merges the ages once it has every update that the responder had when it replied.
 
-// comparison is one whose missing updates were asked for.
+// comparison is a comparison of digests whose missing updates were requested.
 type comparison struct {
-	stamp clock.Micros // of the digest
-	ages  Ages
+	stamp clock.Micros // time at which the digest was sent
+	ages  Ages         // of the responder
 }
 
 func (n *Node) digest(now clock.Micros) Digest {
 	return Digest{Sums: newBucketSums(n.updates, bucketCount(len(n.updates)), now), Stamp: now}
 }
 
-// exchangeDigest compares digests with one daemon. Every other time it is a voter in another
-// zone: from those it learns soonest what a majority of the voters knows.
+// exchangeDigest sends a digest to one daemon. Every other digest goes to a voter in another zone:
+// comparisons with those show soonest what a majority of the voters knows.
 func (n *Node) exchangeDigest(now clock.Micros) {
 	n.digestOtherZone = !n.digestOtherZone
 	if peer := n.pickRandom(n.digestPeers()); peer != "" {
@@ -36,7 +36,7 @@
 	}
 }
 
-// digestPeers are the addresses to which the next digest may go.
+// digestPeers returns the addresses to which the next digest may be sent.
 func (n *Node) digestPeers() []string {
 	if n.digestOtherZone {
 		if voters := n.votersInOtherZones(); len(voters) > 0 {
@@ -52,7 +52,7 @@
 	return peers
 }
 
-// handle answers a digest with the versions that are known here where the two differ.
+// handle answers a digest with the versions known here in the buckets that differ.
 func (m Digest) handle(n *Node, from string, now clock.Micros) {
 	sums := bucketSums(m.Sums)
 	buckets := sums.count()
@@ -69,8 +69,8 @@
 	}})
 }
 
-// handle sends what the answerer lacks, and asks for what is missing here. Where nothing is, it
-// notes up to when this daemon's updates are now complete.
+// handle sends the updates that the responder lacks and requests those that are missing here. If none
+// is missing, the comparison is complete.
 func (m DigestReply) handle(n *Node, from string, now clock.Micros) {
 	if updates := n.updatesMissingAtPeer(m); len(updates) > 0 {
 		n.Emit(machine.Send{To: from, Body: DigestUpdates{Updates: updates}})
@@ -84,8 +84,8 @@
 	n.Emit(machine.Send{To: from, Body: DigestFetch{Keys: missing, Stamp: m.Stamp}})
 }
 
-// updatesMissingAtPeer are the updates in the buckets that differ of which the answerer has an older
-// one, or none, in the order of their keys.
+// updatesMissingAtPeer returns the updates in the differing buckets of which the responder has an
+// older version or none, ordered by key.
 func (n *Node) updatesMissingAtPeer(reply DigestReply) []machine.Update {
 	if len(reply.Differing) == 0 || reply.Buckets <= 0 {
 		return nil
@@ -102,7 +102,7 @@
 	return out
 }
 
-// missingKeys lists the keys of which this daemon has an older update than given, or none.
+// missingKeys lists the keys of which this daemon has an older version than the given one, or none.
 func (n *Node) missingKeys(versions map[string]Version) []string {
 	missing := make([]string, 0)
 	for key, version := range versions {
@@ -118,8 +118,8 @@
 	n.Emit(machine.Send{To: from, Body: DigestUpdates{Updates: n.updatesOf(m.Keys), Stamp: m.Stamp}})
 }
 
-// handle records the updates that were missing here. Those that were asked for complete a
-// comparison, whether each of them is kept here or not.
+// handle records updates that were missing here. The answer to a DigestFetch completes the
+// comparison, whether or not each of its updates is kept here.
 func (m DigestUpdates) handle(n *Node, from string, now clock.Micros) {
 	n.UpdatesRepaired += int64(len(m.Updates))
 	n.receive(m.Updates, now)
@@ -129,19 +129,20 @@
 	}
 }
 
-// completeComparison notes up to when this daemon's updates are now complete.
+// completeComparison advances the time up to which this daemon's updates are complete.
 func (n *Node) completeComparison(compared comparison, from string, now clock.Micros) {
 	if len(n.voters) > 0 && !n.InjectedFaults.SkipVoterMajority {
 		n.mergeAges(compared.ages, compared.stamp, now)
 		return
 	}
-	// Without voters another zone's answer counts.
+	// Without voters, an answer from another zone advances freshness.
 	if n.inOtherZone(from) {
 		n.advanceFreshness(compared.stamp)
 	}
 }
 
-// removeStaleComparisons drops the comparisons whose updates have not come for long.
+// removeStaleComparisons drops the comparisons whose updates did not arrive within
+// SuspicionTimeout.
 func (n *Node) removeStaleComparisons(now clock.Micros) {
 	maps.DeleteFunc(n.comparisons, func(_ string, pending comparison) bool {
 		return now-pending.stamp > n.settings.SuspicionTimeout
--- a/internal/gossip/anti_entropy_test.go
+++ b/internal/gossip/anti_entropy_test.go
@@ -7,7 +7,7 @@
 	"tuliprudder/internal/machine"
 )
 
-// Dissemination fails altogether: comparing digests closes every gap.
+// Comparing digests repairs every lost update, even if dissemination fails completely.
 func TestDigestsRepairLostUpdates(t *testing.T) {
 	c := newTestCluster(9, 1)
 	c.advance(3 * clock.Second)
--- a/internal/gossip/broadcast.go
+++ b/internal/gossip/broadcast.go
@@ -7,10 +7,10 @@
 	"tuliprudder/internal/membership"
 )
 
-// Broadcast is an update that starts at this daemon and counts as delivered once a majority of
-// the voters know it: every daemon whose updates are fresh later knows it then, because the two
-// majorities share a voter (docs/DESIGN.md, section 3.4). The call is answered with Body then, or
-// with errs.OutcomeUnknown after Timeout.
+// Broadcast publishes an update that counts as delivered once a majority of the voters know it.
+// Every daemon whose updates become fresh after that knows it, because the two majorities share a
+// voter (docs/DESIGN.md, section 3.4). The call is then answered with Body, or with
+// errs.OutcomeUnknown after Timeout.
 type Broadcast struct {
 	Update  machine.Update
 	Call    uint64
@@ -18,22 +18,22 @@
 	Timeout clock.Micros // microseconds
 }
 
-// outstandingPush is a broadcast that too few voters have acknowledged.
+// outstandingPush is a broadcast that no majority of the voters has acknowledged yet.
 type outstandingPush struct {
 	Broadcast
 	deadline, nextSend clock.Micros
-	acknowledged       map[string]bool // by voter
+	acknowledged       map[string]bool // by voter ID
 }
 
 const (
-	// firstVersionWithPush is the first release that knows PushUpdate.
+	// firstVersionWithPush is the first protocol version with PushUpdate.
 	firstVersionWithPush = 2
-	// pushInterval is the time after which an update is pushed again to the voters that have not
-	// acknowledged it.
+	// pushInterval is the time between pushes of an update to the voters that have not acknowledged
+	// it.
 	pushInterval = 120 * clock.Millisecond
 )
 
-// Apply records the update and pushes it to the voters.
+// Apply publishes the update and pushes it to the voters.
 func (b Broadcast) Apply(n *Node, now clock.Micros) {
 	n.publish(b.Update, now)
 	n.sendPending()
@@ -45,8 +45,8 @@
 	n.checkPushes(now)
 }
 
-// checkPushes answers the broadcasts that are delivered or timed out, and pushes the others
-// again.
+// checkPushes answers the broadcasts that are delivered or timed out, and repeats the pushes of the
+// others when due.
 func (n *Node) checkPushes(now clock.Micros) {
 	for _, nonce := range sortedNonces(n.pushes) {
 		push := n.pushes[nonce]
@@ -66,8 +66,8 @@
 
 func errNotAcknowledged() error {
 	return errs.NewWithRetry(errs.OutcomeUnknown, clock.Second,
-		"read back what is in force, or send it again to another daemon",
-		"the update was sent, but a majority of the voters has not acknowledged it in time")
+		"read the value that is in force, or send the update again to another daemon",
+		"the update was sent, but no majority of the voters acknowledged it in time")
 }
 
 // pushToVoters sends an update to the voters that have not acknowledged it.
@@ -79,8 +79,9 @@
 	}
 }
 
-// pushTo sends an update to a voter. The release before knows no PushUpdate and would lose what
-// travels with it: it gets the update by gossip and counts without an acknowledgement.
+// pushTo sends an update to a voter. The previous release does not know PushUpdate and would drop
+// the messages that are sent together with it. Such a voter is sent the update as Gossip and counts as
+// having acknowledged it.
 func (n *Node) pushTo(voter membership.Member, nonce uint64, push *outstandingPush) {
 	if voter.Version < firstVersionWithPush {
 		push.acknowledged[voter.ID] = true
@@ -90,7 +91,7 @@
 	n.Emit(machine.Send{To: voter.Peer, Body: PushUpdate{Update: push.Update, Nonce: nonce}})
 }
 
-// handle records the update, sends it on and acknowledges it.
+// handle records the update, forwards it and acknowledges it.
 func (m PushUpdate) handle(n *Node, from string, now clock.Micros) {
 	n.receive([]machine.Update{m.Update}, now)
 	n.sendPending()
--- a/internal/gossip/broadcast_test.go
+++ b/internal/gossip/broadcast_test.go
@@ -9,8 +9,8 @@
 	"tuliprudder/internal/membership"
 )
 
-// A broadcast is answered once a majority of the voters have acknowledged it; a voter of the
-// release before gets it by gossip and is pushed nothing.
+// A broadcast is answered once a weighted majority of the voters has acknowledged it. A voter of the
+// previous release is sent the update as Gossip, not as PushUpdate.
 func TestBroadcastCompletesOnMajorityAcknowledgement(t *testing.T) {
 	for _, reached := range []bool{true, false} {
 		t.Run(fmt.Sprintf("majority reached %v", reached), func(t *testing.T) {
@@ -39,10 +39,10 @@
 			if _, old := pushed["s3"]; old || len(pushed) != 4 || reply != nil {
 				t.Fatalf("pushed to %v, answered %v before any acknowledgement", pushed, reply)
 			}
-			// s3 counts two of nine; s1 makes four, and k1 five.
+			// Weights: s3 counts 2 of 9 without an acknowledgement; with s1 it is 4, with k1 5.
 			collect(n.Do(Message{From: "s1", Body: PushAck{Nonce: pushed["s1"], ID: "s1"}}, 20))
 			if reply != nil {
-				t.Fatal("four of nine were taken for a majority")
+				t.Fatal("a weight of 4 of 9 counted as a majority")
 			}
 			if reached {
 				collect(n.Do(Message{From: "k1", Body: PushAck{Nonce: pushed["k1"], ID: "k1"}}, 30))
--- a/internal/gossip/cluster_test.go
+++ b/internal/gossip/cluster_test.go
@@ -10,8 +10,8 @@
 	"tuliprudder/internal/membership"
 )
 
-// votersKey is the key of the update that names the voters in these tests; its value is the
-// weights by identity, as JSON.
+// votersKey is the key of the update that names the voters in these tests. Its value has the weights
+// by member ID as JSON.
 const votersKey = "voters"
 
 func settingsWithVoters() Settings {
@@ -27,20 +27,20 @@
 	return settings
 }
 
-// testCluster is some nodes whose messages arrive at once, with links that can be cut.
+// testCluster is a set of nodes whose messages arrive immediately, over links that tests can cut.
 type testCluster struct {
 	now   clock.Micros
 	nodes map[string]*Node // by name, which is also the address
 	names []string
 	// isolated nodes neither run nor receive.
 	isolated map[string]bool
-	// drops, where set, reports whether a message is lost.
+	// drops, if set, reports whether a message is lost.
 	drops func(body any) bool
-	// partitioned, where set, reports whether two nodes don't reach each other.
+	// partitioned, if set, reports whether two nodes can't reach each other.
 	partitioned func(a, b string) bool
 }
 
-// newTestCluster makes nodes in a number of zones.
+// newTestCluster returns a cluster of nodes spread over a number of zones.
 func newTestCluster(count, zones int) *testCluster {
 	c := &testCluster{now: 1_000_000, nodes: map[string]*Node{}, isolated: map[string]bool{}}
 	seeds := []string{"d00", "d01", "d02"}
@@ -53,7 +53,7 @@
 	return c
 }
 
-// do applies a command at a node and delivers its messages.
+// do applies a command at a node and delivers the messages that result.
 func (c *testCluster) do(name string, command Command) {
 	c.deliver(name, c.nodes[name].Do(command, c.now))
 }
@@ -76,7 +76,7 @@
 	return c.partitioned == nil || !c.partitioned(from, send.To)
 }
 
-// advance lets time go by, with ticks.
+// advance advances the time in ticks of 20 ms.
 func (c *testCluster) advance(span clock.Micros) {
 	for end := c.now + span; c.now < end; {
 		c.now += 20 * clock.Millisecond
@@ -88,7 +88,7 @@
 	}
 }
 
-// statusOf is the status of a member at a node.
+// statusOf returns the status that a node has recorded for a member.
 func (c *testCluster) statusOf(t *testing.T, at, of string) membership.Status {
 	t.Helper()
 	for _, member := range c.nodes[at].Members() {
@@ -100,7 +100,7 @@
 	return 0
 }
 
-// expectUpdateEverywhere checks that every node has the update of a key.
+// expectUpdateEverywhere fails the test unless every node has an update of the key.
 func (c *testCluster) expectUpdateEverywhere(t *testing.T, key string) {
 	t.Helper()
 	for _, name := range c.names {
--- a/internal/gossip/commands.go
+++ b/internal/gossip/commands.go
@@ -6,11 +6,11 @@
 	"tuliprudder/internal/membership"
 )
 
-// Command is an input of the gossip node.
+// Command is an input of a Node.
 type Command = machine.Command[*Node]
 
-// Message is a message that was received; From is its sender's address. A body that is no message
-// of this package is ignored.
+// Message is a message from the daemon at address From. A body that is not a message of this package
+// is ignored.
 type Message struct {
 	From string
 	Body any
@@ -24,16 +24,16 @@
 	}
 }
 
-// Publish is an update that starts at this daemon.
+// Publish publishes an update that originates at this daemon.
 type Publish struct{ Update machine.Update }
 
-// Apply records the update; it is sent on at the next tick or message that sends updates on.
+// Apply records the update. It is sent with the next pending updates, at the latest at the next tick.
 func (p Publish) Apply(n *Node, now clock.Micros) { n.publish(p.Update, now) }
 
-// SetSeeds replaces the addresses to join by.
+// SetSeeds replaces the seed addresses.
 type SetSeeds struct{ Seeds []string }
 
-// Apply replaces the addresses to join by.
+// Apply replaces the seed addresses.
 func (r SetSeeds) Apply(n *Node, _ clock.Micros) { n.seeds = r.Seeds }
 
 // Drain announces that this daemon is about to stop.
@@ -47,10 +47,10 @@
 	n.sendPending()
 }
 
-// Leave announces that this daemon stopped on purpose.
+// Leave announces that this daemon has stopped intentionally.
 type Leave struct{}
 
-// Apply announces that this daemon stopped on purpose.
+// Apply announces that this daemon has stopped intentionally.
 func (Leave) Apply(n *Node, now clock.Micros) {
 	n.self.Status = membership.Left
 	n.announceSelf(now)
@@ -60,14 +60,14 @@
 // Tick runs the periodic tasks that are due. It is applied every few tens of milliseconds.
 type Tick struct{}
 
-// schedule is when the periodic tasks are due next.
+// schedule holds the times at which the periodic tasks are due next.
 type schedule struct{ probe, digest, shuffle, join clock.Micros }
 
 const (
-	// joinInterval is the time between contacts with a seed and with a dead member, in a daemon
-	// that knows live members.
+	// joinInterval is the time between digests to a seed and to dead members, in a daemon that knows
+	// at least minLiveMembers live members.
 	joinInterval = 3 * clock.Second
-	// isolatedJoinInterval is that of a daemon that knows fewer than minLiveMembers.
+	// isolatedJoinInterval is the joinInterval of a daemon that knows fewer.
 	isolatedJoinInterval = 200 * clock.Millisecond
 	minLiveMembers       = 2
 )
--- a/internal/gossip/digest.go
+++ b/internal/gossip/digest.go
@@ -10,35 +10,35 @@
 	"tuliprudder/internal/machine"
 )
 
-// A digest doesn't list the versions of all updates, for most comparisons find no difference: the
-// keys are hashed into buckets, and the digest has one checksum a bucket, of all keys in it with
-// their versions. Only of buckets that differ the versions are sent.
+// A digest does not list the versions of all updates, because most comparisons find no difference.
+// Instead the keys are hashed into buckets, and the digest has one checksum per bucket, over the keys
+// in it and their versions. Versions are sent only for buckets whose checksums differ.
 
 const (
-	// keysPerBucket is how many keys a bucket has on average, where the fleet has enough of them:
-	// a difference costs the versions of so many keys, and each bucket a checksum.
+	// keysPerBucket is the average number of keys per bucket between the two limits below. Each bucket
+	// costs a checksum in every digest, and each difference the versions of this many keys.
 	keysPerBucket = 8
 	minBuckets    = 16
 	maxBuckets    = 1024
 	checksumBytes = 4
 )
 
-// bucketSums are the checksums of all buckets, checksumBytes each. Their number is a power of two.
+// bucketSums holds the checksums of all buckets, checksumBytes each. Their number is a power of two.
 type bucketSums []byte
 
-// bucketCount is the number of buckets for a number of keys.
+// bucketCount returns the number of buckets for a number of keys.
 func bucketCount(keys int) int {
 	wanted := (keys + keysPerBucket - 1) / keysPerBucket
 	count := 1 << bits.Len(uint(max(0, wanted-1)))
 	return min(maxBuckets, max(minBuckets, count))
 }
 
-// newBucketSums computes the checksums of some buckets over all updates. The salt makes two
-// different buckets with the same checksum differ the next time.
+// newBucketSums computes the bucket checksums of all updates. The salt differs between digests, so
+// that a checksum collision does not hide a difference again in the next comparison.
 func newBucketSums(updates map[string]machine.Update, buckets int, salt clock.Micros) bucketSums {
 	sums := make([]uint32, buckets)
 	for key, update := range updates {
-		// The sum doesn't depend on the order of the keys.
+		// A sum does not depend on the order in which the map is iterated.
 		sums[bucketOf(key, buckets)] += updateChecksum(key, versionOf(update), salt)
 	}
 	out := make(bucketSums, 0, buckets*checksumBytes)
@@ -48,7 +48,7 @@
 	return out
 }
 
-// count is the number of buckets; 0 where the checksums are malformed.
+// count returns the number of buckets; 0 if the checksums are malformed.
 func (s bucketSums) count() int {
 	count := len(s) / checksumBytes
 	if count == 0 || len(s)%checksumBytes != 0 || count > maxBuckets || bits.OnesCount(uint(count)) != 1 {
@@ -57,7 +57,7 @@
 	return count
 }
 
-// differing lists the buckets whose checksums are not the same. Both have the same number.
+// differing lists the buckets whose checksums differ. Both must have the same number of buckets.
 func (s bucketSums) differing(other bucketSums) []int {
 	var out []int
 	for i := range s.count() {
@@ -69,7 +69,7 @@
 	return out
 }
 
-// bucketOf is the bucket of a key.
+// bucketOf returns the bucket of a key.
 func bucketOf(key string, buckets int) int {
 	h := fnv.New32a()
 	h.Write([]byte(key))
@@ -88,7 +88,7 @@
 	return uint32(sum ^ sum>>32)
 }
 
-// versionsInBuckets are the versions of the updates here whose keys are in some buckets.
+// versionsInBuckets returns the versions of this daemon's updates in the differing buckets, by key.
 func (n *Node) versionsInBuckets(differing []int, buckets int) map[string]Version {
 	out := map[string]Version{}
 	for key, update := range n.updates {
--- a/internal/gossip/directory.go
+++ b/internal/gossip/directory.go
@@ -8,7 +8,7 @@
 	"tuliprudder/internal/membership"
 )
 
-// memberUpdate is the update that describes a member.
+// memberUpdate returns the update that describes a member.
 func memberUpdate(member membership.Member) machine.Update {
 	return machine.Update{
 		Key:   membership.Key(member.ID),
@@ -22,8 +22,8 @@
 	n.publish(memberUpdate(n.self), now)
 }
 
-// recordMember records what an update says of a member. It returns false where the update must
-// neither be kept nor sent on.
+// recordMember records the member that an update describes. It returns false if the update must be
+// neither kept nor forwarded.
 func (n *Node) recordMember(update machine.Update, now clock.Micros) bool {
 	member, ok := membership.Decode(update.Value)
 	if !ok {
@@ -37,7 +37,7 @@
 	}
 	previous, known := n.members[member.ID]
 	if !known && member.Status >= membership.Dead {
-		return false // dropped from the directory long ago: it must not come back
+		return false // removed from the directory long ago: it must not be added again
 	}
 	if previous.Status != member.Status || previous.Incarnation != member.Incarnation {
 		n.statusSince[member.ID] = now
@@ -47,15 +47,16 @@
 	return true
 }
 
-// refute answers another daemon's statement that this one is suspect or dead by a higher one.
+// refute overrides another daemon's claim that this one is suspect or dead with a higher statement.
 func (n *Node) refute(statement uint64, now clock.Micros) {
 	n.Refuted++
 	n.self.Statement = max(n.self.Statement, statement) + 1
 	n.announceSelf(now)
 }
 
-// logStatusChange logs a change unless a member was and is alive: at the start of a fleet every
-// daemon learns of every other.
+// logStatusChange logs a change of a member's status or incarnation. Members that were alive, or
+// unknown, and are alive now are not logged: at the start of a fleet every daemon discovers every
+// other.
 func (n *Node) logStatusChange(previous, current membership.Member) {
 	if previous.Status == membership.Alive && current.Status == membership.Alive {
 		return
@@ -68,13 +69,14 @@
 	}})
 }
 
-// setStatus records and sends on another status of a member.
+// setStatus publishes a new status of a member.
 func (n *Node) setStatus(member membership.Member, status membership.Status, now clock.Micros) {
 	member.Status = status
 	n.publish(memberUpdate(member), now)
 }
 
-// removeDeadMembers drops the entries of members that have been dead for ForgetAfter.
+// removeDeadMembers removes the members that have been dead, or have left, for longer than
+// RemoveDeadAfter.
 func (n *Node) removeDeadMembers(now clock.Micros) {
 	for _, member := range n.sortedMembers() {
 		if member.Status >= membership.Dead && now-n.statusSince[member.ID] > n.settings.RemoveDeadAfter {
@@ -86,16 +88,16 @@
 	n.refillView()
 }
 
-// contactSeed sends a digest to a seed: seeds are hints to join by, not members.
+// contactSeed sends a digest to a random seed. Seeds are only addresses to join through, not members.
 func (n *Node) contactSeed(now clock.Micros) {
 	if seed := n.pickRandom(n.seeds); seed != "" && seed != n.self.Peer {
 		n.Emit(machine.Send{To: seed, Body: n.digest(now)})
 	}
 }
 
-// contactDead sends a digest to a dead member, which may only have been partitioned, and to a dead
-// voter: where all voters were gone for a while, nobody else knows how to find their successors, and
-// those that died long ago may be many.
+// contactDead sends a digest to a random dead member, which may only have been partitioned, and to a
+// random dead voter. Voters are picked separately: after all of them were unreachable for a while, no
+// other daemon knows how to find the voters that replaced them, and many other members may be dead.
 func (n *Node) contactDead(now clock.Micros) {
 	var dead, voters []string
 	for _, member := range n.sortedMembers() {
@@ -123,10 +125,10 @@
 	return out
 }
 
-// isLive reports whether a member takes part: a suspect does until it is declared dead.
+// isLive reports whether a member counts as live: a suspect does until it is declared dead.
 func isLive(member membership.Member) bool { return member.Status <= membership.Suspect }
 
-// liveMembers lists the other members that take part, by identity.
+// liveMembers lists the other live members, ordered by ID.
 func (n *Node) liveMembers() []membership.Member {
 	var out []membership.Member
 	for _, member := range n.sortedMembers() {
@@ -137,12 +139,12 @@
 	return out
 }
 
-// Members lists the directory in the order of the identities; this daemon is in it.
+// Members lists the members of the directory, including this daemon, ordered by ID.
 func (n *Node) Members() []membership.Member { return n.sortedMembers() }
 
-// inOtherZone reports whether the daemon at an address is in another zone. The daemons of a zone
-// that is partitioned still reach each other: what they know does not count as fresh. Where no
-// other zone has ever been known, every daemon counts as in another one.
+// inOtherZone reports whether the daemon at an address is in another zone. Daemons of a zone that is
+// partitioned still reach each other, so answers from the own zone do not advance freshness. If no
+// member of another zone is known, every daemon counts as being in another one.
 func (n *Node) inOtherZone(peer string) bool {
 	hasOtherZones := false
 	for _, member := range n.members {
--- a/internal/gossip/dissemination.go
+++ b/internal/gossip/dissemination.go
@@ -11,37 +11,37 @@
 	"tuliprudder/internal/membership"
 )
 
-// largeUpdate is the size in bytes from which an update is announced by its version alone: sent
-// on whole, every daemon would receive it several times.
+// largeUpdate is the size in bytes from which only the version of an update is announced. If the
+// update itself were forwarded, every daemon would receive it several times.
 const largeUpdate = 2 << 10
 
-// outstandingRequest is a large update that was asked for.
+// outstandingRequest is a request for a large update.
 type outstandingRequest struct {
 	version Version
 	sentAt  clock.Micros
 }
 
-// crossZoneDivisor is of how many daemons that send an update on one sends it to another zone, too.
-// Each zone gets an update from its origin; this covers for what is lost on that way.
+// crossZoneDivisor sets the share of daemons, one in crossZoneDivisor, that forward an update to
+// another zone as well. Each zone gets an update from its origin; this makes up for lost messages.
 const crossZoneDivisor = 5
 
-// unsentUpdates are updates that are new here and were not sent on yet.
+// unsentUpdates are new updates that were not forwarded yet.
 type unsentUpdates struct {
-	local    []machine.Update // that started here
+	local    []machine.Update // originating at this daemon
 	received []machine.Update
 }
 
 func (u unsentUpdates) all() []machine.Update { return slices.Concat(u.local, u.received) }
 
-// publish records an update that starts at this daemon.
+// publish records an update that originates at this daemon.
 func (n *Node) publish(update machine.Update, now clock.Micros) {
 	if n.record(update, now) {
 		n.unsent.local = append(n.unsent.local, update)
 	}
 }
 
-// receive records updates of other daemons. What is new goes to this daemon's other machines and is
-// sent on.
+// receive records updates from other daemons. New ones are emitted to this daemon's other state
+// machines and forwarded.
 func (n *Node) receive(updates []machine.Update, now clock.Micros) {
 	for _, update := range updates {
 		if n.record(update, now) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// record keeps an update; false where it is not new, or not to be kept.
+// record stores an update. It returns false if the update is not new or must not be kept.
 func (n *Node) record(update machine.Update, now clock.Micros) bool {
 	if known, ok := n.updates[update.Key]; ok && !update.Newer(known) {
 		n.DuplicatesReceived++
@@ -67,9 +67,10 @@
 	return true
 }
 
-// sendPending sends updates that are new here on: all of them to Fanout peers of the own zone, those
-// that started here to one of each other zone, and now and then the others to one of another zone. So
-// an update crosses to another zone a few times, not once for nearly each daemon.
+// sendPending forwards the new updates: all of them to Fanout peers of the own zone, those that
+// originate here to one peer of each other zone, and with a probability of 1/crossZoneDivisor the
+// received ones to one peer of another zone. An update thus crosses zones a few times rather than
+// about once per daemon.
 func (n *Node) sendPending() {
 	unsent := n.unsent
 	n.unsent = unsentUpdates{}
@@ -92,8 +93,8 @@
 	}
 }
 
-// peersByZone are the addresses to send updates to, by zone: those of the live members, or of the
-// view while none are known.
+// peersByZone returns the addresses to which updates may be forwarded, by zone: those of the live
+// members, or the partial view while no live member is known.
 func (n *Node) peersByZone() map[string][]string {
 	zones := map[string][]string{}
 	for _, member := range n.liveMembers() {
@@ -105,7 +106,7 @@
 	return zones
 }
 
-// sampleAddresses picks some of these addresses.
+// sampleAddresses returns up to count of the addresses at random.
 func (n *Node) sampleAddresses(peers []string, count int) []string {
 	var out []string
 	for _, i := range n.random.Perm(len(peers)) {
@@ -117,7 +118,7 @@
 	return out
 }
 
-// forward sends updates to a peer, large ones by their versions alone.
+// forward sends updates to a peer; of large ones only the versions.
 func (n *Node) forward(peer string, updates []machine.Update) {
 	var small []machine.Update
 	large := map[string]Version{}
@@ -138,8 +139,8 @@
 
 func (m Gossip) handle(n *Node, _ string, now clock.Micros) { n.receive(m.Updates, now) }
 
-// handle fetches the announced updates that are missing here from the first daemon that announced
-// them, and from another only if the first does not answer for a while.
+// handle fetches the announced updates that are missing here from the daemon that announced them
+// first, and from another one only if no answer arrived within half a DigestInterval.
 func (m Announcement) handle(n *Node, from string, now clock.Micros) {
 	var missing []string
 	for key, version := range m.Versions {
@@ -167,7 +168,7 @@
 	}
 }
 
-// updatesOf are the updates of those keys that are known here.
+// updatesOf returns this daemon's updates of the keys.
 func (n *Node) updatesOf(keys []string) []machine.Update {
 	var updates []machine.Update
 	for _, key := range keys {
@@ -187,13 +188,13 @@
 	return keys
 }
 
-// Update gives the update of a key; false where none was received.
+// Update returns the update of a key; false if there is none.
 func (n *Node) Update(key string) (machine.Update, bool) {
 	update, ok := n.updates[key]
 	return update, ok
 }
 
-// UpdatesWithPrefix lists the updates whose keys begin with a prefix, in the order of the keys.
+// UpdatesWithPrefix lists the updates whose keys begin with a prefix, ordered by key.
 func (n *Node) UpdatesWithPrefix(prefix string) []machine.Update {
 	var out []machine.Update
 	for _, key := range n.sortedKeys() {
--- a/internal/gossip/dissemination_test.go
+++ b/internal/gossip/dissemination_test.go
@@ -8,8 +8,8 @@
 	"tuliprudder/internal/machine"
 )
 
-// A large update reaches everyone about once, not from every side; also when the first daemon
-// that was asked for it does not answer.
+// A large update is sent to each daemon about once, not by every peer that has it, even if the first
+// fetch is not answered.
 func TestLargeUpdateSentAboutOncePerDaemon(t *testing.T) {
 	for _, firstAnswerLost := range []bool{false, true} {
 		t.Run(fmt.Sprintf("first answer lost %v", firstAnswerLost), func(t *testing.T) {
@@ -28,7 +28,7 @@
 			c.advance(2 * clock.Second)
 			c.expectUpdateEverywhere(t, "plan")
 			if copies > 20 {
-				t.Fatalf("it was sent %d times to 14 daemons", copies)
+				t.Fatalf("the update was sent %d times to reach 14 daemons, want at most 20", copies)
 			}
 		})
 	}
--- a/internal/gossip/events.go
+++ b/internal/gossip/events.go
@@ -2,8 +2,7 @@
 
 import "tuliprudder/internal/machine"
 
-// MemberStatusChanged is the log event of a member whose status or incarnation is
-// another one than before.
+// MemberStatusChanged is logged when the status or the incarnation of a member changes.
 type MemberStatusChanged struct {
 	machine.Info
 	Member      string `json:"member"`
@@ -12,5 +11,5 @@
 	Incarnation uint64 `json:"incarnation"`
 }
 
-// EventName is the event's key in the log.
+// EventName returns the event's key in the log.
 func (MemberStatusChanged) EventName() string { return "member_status_changed" }
--- a/internal/gossip/failure_detection.go
+++ b/internal/gossip/failure_detection.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// maxIndirectProbes is the number of peers that are asked to probe a member that has not
+	// maxIndirectProbes is the maximum number of peers that are asked to probe a member that has not
 	// replied.
 	maxIndirectProbes = 2
-	// maxProbeTimeouts is after how many ProbeTimeouts a probe ends: one for the direct reply, and
-	// the rest for the requests to the indirect probers, their own wait, and their results.
+	// maxProbeTimeouts is the duration of a probe in ProbeTimeouts: one for the direct reply, the rest
+	// for the requests to the indirect probers, the time that they wait, and their results.
 	maxProbeTimeouts = 4
 )
 
-// outstandingProbe is a probe of this daemon that has not been answered.
+// outstandingProbe is a probe by this daemon that has not been answered.
 type outstandingProbe struct {
 	id, peer           string
 	sentAt             clock.Micros
 	indirectProbesSent bool
-	// failedIndirect counts the indirect probers that did not reach the member either.
+	// failedIndirect is the number of indirect probers that did not reach the member either.
 	failedIndirect int
 }
 
 // indirectProbe is a probe on behalf of another daemon.
 type indirectProbe struct {
-	requester string // address
-	nonce     uint64 // of the requester's probe
+	requester string // address of that daemon
+	nonce     uint64 // nonce of the requester's probe
 	deadline  clock.Micros
 }
 
-// probeNext probes the next member of the round; a round has every live member in random order.
+// probeNext probes the next member of the cycle. A cycle has every live member, in random order.
 func (n *Node) probeNext(now clock.Micros) {
 	if len(n.probeSequence) == 0 {
 		n.beginProbeCycle()
@@ -65,7 +65,7 @@
 	n.Emit(machine.Send{To: from, Body: ProbeReply(m)})
 }
 
-// handle ends this daemon's probe, or passes the result on to the daemon that asked for it.
+// handle ends this daemon's probe, or reports success to the daemon that requested an indirect probe.
 func (m ProbeReply) handle(n *Node, _ string, _ clock.Micros) {
 	if m.For == "" {
 		delete(n.probes, m.Nonce)
@@ -96,8 +96,8 @@
 	}
 }
 
-// checkProbes asks for indirect probes where the direct reply stayed out, suspects members that
-// no prober reached, and declares suspects dead.
+// checkProbes requests indirect probes of members that have not replied directly, suspects members
+// that no prober reached, and declares suspects dead.
 func (n *Node) checkProbes(now clock.Micros) {
 	n.reportFailedIndirectProbes(now)
 	for _, nonce := range sortedNonces(n.probes) {
@@ -115,8 +115,8 @@
 	n.declareDead(now)
 }
 
-// suspect marks the member of a probe that ended without a reply, if an indirect prober did not
-// reach it either.
+// suspect marks a member as suspect after its probe ended without a reply, if at least one indirect
+// prober reported that it did not reach the member either.
 func (n *Node) suspect(probe *outstandingProbe, now clock.Micros) {
 	member, known := n.members[probe.id]
 	if known && probe.failedIndirect > 0 && member.Status == membership.Alive {
@@ -125,8 +125,8 @@
 	}
 }
 
-// reportFailedIndirectProbes answers the daemons that asked for a probe of a member that has not replied in
-// time.
+// reportFailedIndirectProbes reports failure to the daemons that requested an indirect probe of a
+// member that has not replied in time.
 func (n *Node) reportFailedIndirectProbes(now clock.Micros) {
 	for _, nonce := range sortedNonces(n.indirectProbes) {
 		probe := n.indirectProbes[nonce]
@@ -147,8 +147,8 @@
 	}
 }
 
-// declareDead declares suspects dead that have not refuted it in time, but not while this
-// daemon's own updates are old: a refutation may have missed it.
+// declareDead declares suspects dead that have not refuted the suspicion in time, but not while this
+// daemon's own updates are stale: it may have missed a refutation.
 func (n *Node) declareDead(now clock.Micros) {
 	for _, member := range n.sortedMembers() {
 		if member.Status != membership.Suspect || member.ID == n.self.ID {
@@ -162,8 +162,8 @@
 	}
 }
 
-// sortedNonces gives the keys in the order in which they were given out: the order of effects
-// must not depend on the order in which Go walks a map.
+// sortedNonces returns the keys of a map in increasing order, so that the order of effects does not
+// depend on Go's map iteration order.
 func sortedNonces[T any](m map[uint64]T) []uint64 {
 	out := make([]uint64, 0, len(m))
 	for nonce := range m {
--- a/internal/gossip/failure_detection_test.go
+++ b/internal/gossip/failure_detection_test.go
@@ -8,25 +8,26 @@
 	"tuliprudder/internal/membership"
 )
 
-// A daemon that can't be reached is suspected, then dead, and alive again when it is back.
+// An unreachable daemon is suspected, then declared dead, and alive again after it returns.
 func TestFailureAndRecovery(t *testing.T) {
 	c := newTestCluster(9, 1)
 	c.advance(3 * clock.Second)
 	c.isolated["d04"] = true
 	c.advance(8 * clock.Second)
 	if got := c.statusOf(t, "d00", "d04"); got != membership.Dead {
-		t.Fatalf("after 8 s of silence d04 is %s", got)
+		t.Fatalf("d04 is %s after 8 s without contact", got)
 	}
 	c.isolated["d04"] = false
 	c.advance(8 * clock.Second)
 	for _, name := range c.names {
 		if got := c.statusOf(t, name, "d04"); got != membership.Alive {
-			t.Fatalf("at %s d04 is %s after its return", name, got)
+			t.Fatalf("at %s, d04 is %s 8 s after its return", name, got)
 		}
 	}
 }
 
-// A daemon that is itself cut off declares nobody dead: no indirect prober answers it.
+// A daemon that is itself isolated suspects nobody, because no indirect prober answers it, and its
+// updates do not stay fresh.
 func TestIsolatedDaemonSuspectsNobody(t *testing.T) {
 	c := newTestCluster(9, 1)
 	c.advance(3 * clock.Second)
@@ -36,16 +37,16 @@
 	}
 	for _, member := range isolated.Members() {
 		if member.Status != membership.Alive {
-			t.Fatalf("d05, alone, takes %s to be %s", member.ID, member.Status)
+			t.Fatalf("the isolated d05 considers %s %s", member.ID, member.Status)
 		}
 	}
 	if isolated.FreshUntil() > c.now-9*clock.Second {
-		t.Fatal("d05 takes its updates for fresh")
+		t.Fatal("the updates of the isolated d05 count as fresh")
 	}
 }
 
-// Of many dead members the voters are contacted as often as all others together: who was cut off from
-// all of them finds them again while they are still at their addresses.
+// However many members are dead, a dead voter is contacted at every joinInterval: a daemon that was
+// partitioned from all voters finds them again while they are still at their addresses.
 func TestDeadVoterContactedEveryJoinInterval(t *testing.T) {
 	n := New(membership.Member{ID: "e", Kind: membership.Edge, Peer: "e", Zone: "z"}, nil, settingsWithVoters(), 1)
 	var updates []machine.Update
@@ -71,6 +72,6 @@
 		}
 	}
 	if voters := contacted["v1"] + contacted["v2"] + contacted["v3"]; voters != rounds {
-		t.Errorf("in %d rounds voters were contacted %d times: %v", rounds, voters, contacted)
+		t.Errorf("voters were contacted %d times in %d rounds: %v", rounds, voters, contacted)
 	}
 }
--- a/internal/gossip/freshness.go
+++ b/internal/gossip/freshness.go
@@ -8,14 +8,14 @@
 	"tuliprudder/internal/machine"
 )
 
-// Freshness (docs/DESIGN.md, section 3.4). A digest's answer says up to how long ago the
-// answerer's updates include all that each voter knew. Ages travel in place of times, so that the
-// clocks need not agree; an age counts from the time at which this daemon sent its digest, which
-// is too early rather than too late. Of a partitioned fleet at most one part has a majority of
-// the voters, so at most one part's updates stay fresh.
+// Freshness (docs/DESIGN.md, section 3.4). The reply to a digest says, for each voter, how long ago
+// the responder's updates last included everything that the voter knew. It has ages instead of times,
+// so that clocks need not be synchronised. This daemon subtracts an age from the time at which it
+// sent the digest, so the result is never too late. In a partitioned fleet at most one side has a
+// majority of the voters, so at most one side's updates stay fresh.
 
-// FreshUntil is the time up to which this daemon's updates include what a majority of the voters
-// knew; 0 before it is known.
+// FreshUntil returns the time up to which this daemon's updates include everything that a majority of
+// the voters knew; 0 while that is unknown.
 func (n *Node) FreshUntil() clock.Micros { return n.freshUntil }
 
 func (n *Node) advanceFreshness(at clock.Micros) {
@@ -25,7 +25,7 @@
 	}
 }
 
-// currentAges is what this daemon's updates include, for another one to add to its own.
+// currentAges returns the ages of this daemon's updates, for another daemon to merge with its own.
 func (n *Node) currentAges(now clock.Micros) Ages {
 	ids := n.sortedVoters()
 	ages := Ages{Voters: checksumOf(ids)}
@@ -43,7 +43,7 @@
 	return ages
 }
 
-// unknownAge stands in Ages where nothing is known of a voter.
+// unknownAge is the age in Ages of a voter of which nothing is known.
 const unknownAge clock.Micros = -1
 
 func ageOf(knownUntil map[string]clock.Micros, id string, now clock.Micros) clock.Micros {
@@ -54,7 +54,7 @@
 	return now - at
 }
 
-// checksumOf is a checksum of some identities, in their order.
+// checksumOf returns a checksum of IDs, which depends on their order.
 func checksumOf(ids []string) uint64 {
 	h := fnv.New64a()
 	for _, id := range ids {
@@ -64,8 +64,8 @@
 	return h.Sum64()
 }
 
-// mergeAges adds what another daemon's updates included when it answered a digest that was sent
-// at sentAt: this daemon's include it now.
+// mergeAges merges the ages of another daemon's reply to a digest that was sent at sentAt: everything
+// that its updates included is now included here.
 func (n *Node) mergeAges(ages Ages, sentAt, now clock.Micros) {
 	ids := n.sortedVoters()
 	isComplete := len(ages.Counted) == len(ids) && len(ages.Raw) == len(ids)
@@ -86,8 +86,8 @@
 	}
 }
 
-// updateCaughtUp notes once this daemon has compared digests with a majority of the voters. A
-// voter that restarted may lack what it knew before and counts for nothing until then.
+// updateCaughtUp sets caughtUp once this daemon has compared digests with a majority of the voters. A
+// voter that restarted may lack what it knew before, and does not count towards a majority until then.
 func (n *Node) updateCaughtUp(now clock.Micros) {
 	if n.caughtUp {
 		return
@@ -98,8 +98,8 @@
 	})
 }
 
-// majorityFreshness is the time up to which this daemon's updates include what a majority of the
-// voters knew.
+// majorityFreshness returns the time up to which this daemon's updates include everything that a
+// majority of the voters knew; 0 while that is unknown.
 func (n *Node) majorityFreshness(now clock.Micros) clock.Micros {
 	type stamp struct {
 		at     clock.Micros
--- a/internal/gossip/freshness_test.go
+++ b/internal/gossip/freshness_test.go
@@ -6,8 +6,8 @@
 	"tuliprudder/internal/clock"
 )
 
-// The daemons of a zone that is cut off don't take their updates for fresh, though they reach each
-// other; the other zones go on.
+// The updates of daemons in a partitioned zone do not stay fresh, although these daemons reach each
+// other. In the other zones they do.
 func TestPartitionedZoneIsNotFresh(t *testing.T) {
 	c := newTestCluster(9, 3)
 	c.advance(3 * clock.Second)
@@ -17,7 +17,7 @@
 	for _, name := range c.names {
 		age := c.now - c.nodes[name].FreshUntil()
 		if isStale := age > 2500*clock.Millisecond; isStale != isPartitioned(name) {
-			t.Errorf("%s, in the cut zone %v: its updates are %d us old", name, isPartitioned(name), age)
+			t.Errorf("%s, in the partitioned zone %v: its updates are %d us old", name, isPartitioned(name), age)
 		}
 	}
 }
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -17,59 +17,62 @@
 
 	settings Settings
 	self     membership.Member
-	seeds    []string // addresses to join by
+	seeds    []string // addresses to join through
 	random   *rand.Rand
-	// lastNonce numbers probes and pushes, so that replies find them.
+	// lastNonce is the last nonce used. Nonces match replies with probes and pushes.
 	lastNonce uint64
 	nextDue   schedule
 
 	// Updates and their dissemination.
 	updates   map[string]machine.Update // by key
 	unsent    unsentUpdates
-	requested map[string]outstandingRequest // large updates that were fetched, by key
-	// comparisons of digests whose missing updates were asked for, by the other daemon's address.
+	requested map[string]outstandingRequest // requests for large updates, by key
+	// comparisons of digests whose missing updates were requested, by the other daemon's address.
 	comparisons map[string]comparison
-	// digestOtherZone: the next digest goes to another zone.
+	// digestOtherZone is set if the digest is to be sent to another zone; it alternates.
 	digestOtherZone bool
 
 	// Directory, partial view and failure detection.
-	members        map[string]membership.Member // by identity
-	statusSince    map[string]clock.Micros      // by identity, when the status was learnt
+	members        map[string]membership.Member // by ID
+	statusSince    map[string]clock.Micros      // by ID, when the status or incarnation last changed
 	view           []string                     // addresses
-	probeSequence  []string                     // identities still to probe in this round
+	probeSequence  []string                     // IDs still to probe in this cycle
 	probes         map[uint64]*outstandingProbe // by nonce
-	indirectProbes map[uint64]indirectProbe     // by nonce, on behalf of others
+	indirectProbes map[uint64]indirectProbe     // by nonce, on behalf of other daemons
 
 	// Voters, freshness and broadcasts.
-	voters     map[string]int // weight by identity
+	voters     map[string]int // weight by ID
 	freshUntil clock.Micros
-	// knownUntil is, by voter, up to when the updates here include all that the voter knew.
+	// knownUntil is, by voter ID, the time up to which the updates here include everything that the
+	// voter knew.
 	knownUntil map[string]clock.Micros
-	// knownUntilRaw also counts voters that have only just restarted and may lack what they knew.
+	// knownUntilRaw is the same, but also counts voters that have just restarted and may lack what
+	// they knew before.
 	knownUntilRaw map[string]clock.Micros
-	// caughtUp: this daemon has compared digests with a majority of the voters since it started.
+	// caughtUp is set once this daemon has compared digests with a majority of the voters since it
+	// started.
 	caughtUp bool
 	pushes   map[uint64]*outstandingPush // by nonce
 }
 
-// Counters count events since the start, for the operators.
+// Counters count events since the start, for operators.
 type Counters struct {
 	UpdatesReceived    int64
 	DuplicatesReceived int64 // updates that were known already
-	UpdatesRepaired    int64 // updates that only a digest's answer brought
+	UpdatesRepaired    int64 // updates received through comparisons of digests
 	Suspected          int64 // suspicions that this daemon raised
 	Refuted            int64 // suspicions of itself that this daemon refuted
 }
 
-// InjectedFaults disable one safety rule each. They are set by tests only, which show that the
-// checkers notice the violation; in operation all are false.
+// InjectedFaults has one switch per safety rule that it disables. Tests set them to show that the
+// checkers detect the violation; in operation all are false.
 type InjectedFaults struct {
-	// SkipVoterMajority lets any daemon of another zone make updates fresh, whatever that daemon
-	// has received itself.
+	// SkipVoterMajority makes updates count as fresh after a comparison with any daemon of another
+	// zone, whatever that daemon has received itself.
 	SkipVoterMajority bool
 }
 
-// New makes the gossip node of a daemon. The same seed makes the same choices.
+// New returns the gossip node of a daemon. seed initialises its random choices.
 func New(self membership.Member, seeds []string, settings Settings, seed int64) *Node {
 	n := &Node{
 		settings:       settings,
@@ -102,7 +105,7 @@
 	return n.lastNonce
 }
 
-// pickRandom picks one of some addresses; "" where there is none.
+// pickRandom returns a random element; "" if there is none.
 func (n *Node) pickRandom(from []string) string {
 	if len(from) == 0 {
 		return ""
--- a/internal/gossip/partial_view.go
+++ b/internal/gossip/partial_view.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// shuffleSample is the number of other peers that a shuffle names; the answer names
+	// shuffleSample is the number of peers in a shuffle beside the sender; its answer has
 	// shuffleAnswerSample.
 	shuffleSample       = 2
 	shuffleAnswerSample = 3
 )
 
-// addToView adds an address to the partial view while there is room.
+// addToView adds an address to the partial view unless the view is full.
 func (n *Node) addToView(peer string) {
 	isAddable := peer != "" && peer != n.self.Peer && !slices.Contains(n.view, peer)
 	if isAddable && len(n.view) < n.settings.ViewSize {
@@ -23,10 +23,11 @@
 	}
 }
 
-// samplePeers picks some addresses of the partial view.
+// samplePeers returns up to count random addresses of the partial view.
 func (n *Node) samplePeers(count int) []string { return n.sampleAddresses(n.view, count) }
 
-// shuffleView swaps a sample of the partial view, with this daemon's own address, with one peer.
+// shuffleView exchanges samples of the partial view with a random peer. This daemon's sample includes
+// its own address.
 func (n *Node) shuffleView() {
 	if peer := n.pickRandom(n.view); peer != "" {
 		sample := append(n.samplePeers(shuffleSample), n.self.Peer)
@@ -34,8 +35,8 @@
 	}
 }
 
-// handle answers a shuffle and takes the peer's sample into the view, in place of random others
-// where it is full.
+// handle answers a shuffle and adds the peer's sample to the partial view. If the view is full, each
+// new address replaces a random one.
 func (m Shuffle) handle(n *Node, from string, _ clock.Micros) {
 	if !m.Answer {
 		n.Emit(machine.Send{To: from, Body: Shuffle{Peers: n.samplePeers(shuffleAnswerSample), Answer: true}})
@@ -52,7 +53,7 @@
 	}
 }
 
-// refillView drops the addresses of dead members from the partial view and fills it with live
+// refillView removes the addresses of dead members from the partial view and fills it up with live
 // members.
 func (n *Node) refillView() {
 	remaining := n.view[:0]
--- a/internal/gossip/voters.go
+++ b/internal/gossip/voters.go
@@ -6,7 +6,7 @@
 	"tuliprudder/internal/clock"
 )
 
-// updateVoters reads the voters again where an update that names them changed.
+// updateVoters reloads the voters if the update of the key is one that names them.
 func (n *Node) updateVoters(key string) {
 	source := n.settings.Voters
 	if !slices.Contains(source.Keys, key) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// sortedVoters are the identities of the voters, in order.
+// sortedVoters returns the sorted IDs of the voters.
 func (n *Node) sortedVoters() []string {
 	out := make([]string, 0, len(n.voters))
 	for id, weight := range n.voters {
@@ -42,8 +42,8 @@
 
 func (n *Node) isVoter(id string) bool { return n.voters[id] > 0 }
 
-// isMajority reports whether the voters that count weigh more than half of all. Before the voters
-// are known there is nobody to wait for.
+// isMajority reports whether the voters for which counts returns true have more than half of the total
+// weight. While no voters are known, it returns true.
 func (n *Node) isMajority(counts func(id string) bool) bool {
 	counted, total := 0, 0
 	for id, weight := range n.voters {
@@ -55,7 +55,7 @@
 	return 2*counted > total || total == 0
 }
 
-// votersInOtherZones are the addresses of live voters in other zones, in order.
+// votersInOtherZones returns the sorted addresses of the live voters in other zones.
 func (n *Node) votersInOtherZones() []string {
 	var out []string
 	for _, member := range n.liveMembers() {
--- a/internal/membership/member_test.go
+++ b/internal/membership/member_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Of one incarnation a later statement replaces any status of an earlier one, and of one
-// statement a higher status a lower one.
+// Within an incarnation, a higher statement replaces every status of a lower one, and within a
+// statement a higher status replaces a lower one.
 func TestSeqOrdersByStatementThenStatus(t *testing.T) {
 	inOrder := []Member{
 		{Statement: 0, Status: Alive},
@@ -27,7 +27,7 @@
 	}
 	for _, text := range []string{"", "{}", "[]", `{"Kind":"refuge"}`} {
 		if got, ok := Decode([]byte(text)); ok {
-			t.Errorf("%q was taken for the member %+v", text, got)
+			t.Errorf("%q was decoded as member %+v", text, got)
 		}
 	}
 }
--- a/internal/membership/stored_names.go
+++ b/internal/membership/stored_names.go
@@ -1,22 +1,22 @@
 package membership
 
-// Kinds of daemon. The spellings are those of the first release: they are gossiped
-// (Member.Kind) and in the identity file of a data folder, where daemons of a neighbouring
-// release read them. They never change. Identifiers that earlier releases made begin with
-// them too; nothing parses that.
+// Kinds of daemon. The values date from the first release and must never change: they are gossiped
+// (Member.Kind) and stored in the identity file of a data folder, where daemons of the previous or
+// next release read them. IDs that earlier releases generated also begin with them, but nothing
+// parses these IDs.
 const (
 	Edge  = "trailhead"
 	Store = "refuge"
 	Core  = "cairn"
 )
 
-// KeyPrefix begins the update key of a daemon; KeyKind is that without the slash. These spellings
-// are gossiped; they never change.
+// KeyPrefix is the prefix of the update key of a daemon; KeyKind is the same without the slash. The
+// values are gossiped and must never change.
 const (
 	KeyKind   = "daemon"
 	KeyPrefix = KeyKind + "/"
 )
 
-// statusNames are the spellings of the statuses in operators' JSON and in the log; they never
+// statusNames are the names of the statuses in the operators' JSON API and in the log. They must never
 // change.
 var statusNames = map[Status]string{Alive: "sound", Suspect: "suspect", Dead: "dead", Left: "left"}
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,15 +1,15 @@
-// Package ring has the bounded queues between goroutines (docs/DESIGN.md, section 2).
+// Package ring implements the bounded queues between goroutines (docs/DESIGN.md, section 2).
 package ring
 
 import "sync"
 
-// Ring is a bounded queue between goroutines. Put never blocks: a protocol goroutine must not
-// wait for a slower one, and what finds the ring full is dropped and counted. Its methods may be
+// Ring is a bounded queue between goroutines. Put never blocks, because a protocol goroutine must not
+// wait for a slower one; values put into a full ring are dropped and counted. Its methods may be
 // called from any goroutine.
 type Ring[T any] struct {
 	mu       sync.Mutex // guards the other fields
 	notEmpty *sync.Cond // on mu; signalled by Put and Close
-	// buffer has the values from head on, around its end. It grows up to capacity.
+	// buffer is circular: its count values start at head. It grows up to capacity.
 	buffer      []T
 	capacity    int
 	head, count int
@@ -17,10 +17,10 @@
 	dropped     int64
 }
 
-// initialCapacity is the size that a ring begins with: few ever hold more.
+// initialCapacity is the initial size of the buffer; few rings ever hold more values.
 const initialCapacity = 64
 
-// New makes a ring for up to capacity values, at least one.
+// New returns a ring for up to capacity values; a capacity below 1 counts as 1.
 func New[T any](capacity int) *Ring[T] {
 	capacity = max(capacity, 1)
 	r := &Ring[T]{buffer: make([]T, min(capacity, initialCapacity)), capacity: capacity}
@@ -28,7 +28,7 @@
 	return r
 }
 
-// Put adds a value; false when the ring is full or closed.
+// Put adds a value. It returns false if the ring is full or closed.
 func (r *Ring[T]) Put(value T) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,7 +45,7 @@
 	return true
 }
 
-// grow doubles the buffer, up to the capacity. r.mu is held and the buffer is full.
+// grow doubles the buffer, up to the capacity. r.mu must be held and the buffer full.
 func (r *Ring[T]) grow() {
 	grown := make([]T, min(2*r.count, r.capacity))
 	for i := range r.count {
@@ -70,14 +70,14 @@
 	var zero T
 	for i := range out {
 		out[i] = r.buffer[r.head]
-		r.buffer[r.head] = zero // lets the garbage collector have what it refers to
+		r.buffer[r.head] = zero // lets the garbage collector free what the value refers to
 		r.head = (r.head + 1) % len(r.buffer)
 	}
 	r.count -= len(out)
 	return out
 }
 
-// Close rejects all further puts; what is in the ring can still be taken.
+// Close rejects all further puts; values in the ring can still be taken.
 func (r *Ring[T]) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,14 +85,14 @@
 	r.notEmpty.Broadcast()
 }
 
-// Len is the number of values in the ring.
+// Len returns the number of values in the ring.
 func (r *Ring[T]) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.count
 }
 
-// Dropped is the number of puts that found the ring full or closed.
+// Dropped returns the number of values dropped because the ring was full or closed.
 func (r *Ring[T]) Dropped() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
