--- a/internal/batchstore/cluster_map.go
+++ b/internal/batchstore/cluster_map.go
@@ -133,7 +133,7 @@
 		s.groups.BecomeReplica(group.Unit, assignment.Epoch, primary.Peer, now)
 		s.announcer.requestForShards()
 	case releaseShard:
-		s.groups.Release(group.Unit, assignment.Epoch, now)
+		s.groups.StepDown(group.Unit, assignment.Epoch, now)
 	case dropShard:
 		s.groups.Drop(group.Unit, assignment.Epoch, now)
 	}
--- a/internal/batchstore/retention.go
+++ b/internal/batchstore/retention.go
@@ -26,8 +26,8 @@
 
 // finishedBefore lists the finished batches that were submitted before a point in time, and the
 // claims that began before it.
-func finishedBefore(state *shard.State, before clock.Micros) shard.Forget {
-	var entry shard.Forget
+func finishedBefore(state *shard.State, before clock.Micros) shard.Purge {
+	var entry shard.Purge
 	for _, id := range sortedBatches(state) {
 		batch := state.Batches[id]
 		if batch.State != shard.Open && batch.SubmittedAt < before {
--- a/internal/batchstore/shard/archive.go
+++ b/internal/batchstore/shard/archive.go
@@ -50,12 +50,12 @@
 // CompleteArchiving releases the items and results, which are durable in an archive file
 // now.
 func (b *Batch) CompleteArchiving() {
-	*b = *b.inArchive()
+	*b = *b.withoutArchivedData()
 }
 
-// inArchive is the batch without what an archive file has of it, or will have; itself where no
+// withoutArchivedData is the batch without what an archive file has of it, or will have; itself where no
 // file does.
-func (b *Batch) inArchive() *Batch {
+func (b *Batch) withoutArchivedData() *Batch {
 	if b.archiving == nil {
 		return b
 	}
--- a/internal/batchstore/shard/archive_test.go
+++ b/internal/batchstore/shard/archive_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestArchivedBatchIsReadBackComplete(t *testing.T) {
-	s := apply(submitOpen(2), listed(1, 5), listed(0, 9))
+	s := apply(submitOpen(2), listResult(1, 5), listResult(0, 9))
 	batch := s.Batches["b"]
 	before := *batch
 	data := batch.BeginArchiving(4)
@@ -31,7 +31,7 @@
 }
 
 func TestOpenBatchIsNotArchivable(t *testing.T) {
-	if apply(submitOpen(2), listed(0, 5)).Batches["b"].IsArchivable() {
+	if apply(submitOpen(2), listResult(0, 5)).Batches["b"].IsArchivable() {
 		t.Fatal("an open batch may be archived")
 	}
 }
--- a/internal/batchstore/shard/end_batch_test.go
+++ b/internal/batchstore/shard/end_batch_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestEndingKeepsResultsAndReleasesInputs(t *testing.T) {
-	batch := apply(submitOpen(3), listed(1, 5), EndBatch{Batch: "b", At: 70}).Batches["b"]
+	batch := apply(submitOpen(3), listResult(1, 5), EndBatch{Batch: "b", At: 70}).Batches["b"]
 	if batch.State != Ended || batch.ChangedAt != 70 || len(batch.Results) != 1 {
 		t.Fatalf("the batch is %+v", batch)
 	}
@@ -15,7 +15,7 @@
 }
 
 func TestEndingChangesOnlyAnOpenBatch(t *testing.T) {
-	s := apply(submitOpen(1), listed(0, 5), EndBatch{Batch: "b", At: 70}, EndBatch{Batch: "unknown", At: 70})
+	s := apply(submitOpen(1), listResult(0, 5), EndBatch{Batch: "b", At: 70}, EndBatch{Batch: "unknown", At: 70})
 	if batch := s.Batches["b"]; batch.State != Done || batch.ChangedAt != 0 || len(s.Batches) != 1 {
 		t.Fatalf("the batch is %+v", batch)
 	}
--- a/internal/batchstore/shard/entry.go
+++ b/internal/batchstore/shard/entry.go
@@ -16,7 +16,7 @@
 func (EndBatch) kind() string      { return kindEndBatch }
 func (BeginClaim) kind() string    { return kindBeginClaim }
 func (CompleteClaim) kind() string { return kindCompleteClaim }
-func (Forget) kind() string        { return kindForget }
+func (Purge) kind() string         { return kindPurge }
 func (RecordFailure) kind() string { return kindRecordFailure }
 
 var entries = machine.EntryCodec[Entry]{
@@ -25,7 +25,7 @@
 	kindEndBatch:      machine.Decoder(func(e EndBatch) Entry { return e }),
 	kindBeginClaim:    machine.Decoder(func(e BeginClaim) Entry { return e }),
 	kindCompleteClaim: machine.Decoder(func(e CompleteClaim) Entry { return e }),
-	kindForget:        machine.Decoder(func(e Forget) Entry { return e }),
+	kindPurge:         machine.Decoder(func(e Purge) Entry { return e }),
 	kindRecordFailure: machine.Decoder(func(e RecordFailure) Entry { return e }),
 }
 
--- a/internal/batchstore/shard/list_result_test.go
+++ b/internal/batchstore/shard/list_result_test.go
@@ -5,7 +5,7 @@
 // An item that ran twice is listed once, with the result that came first; the second
 // position is used up all the same.
 func TestResultOfAnItemIsListedOnce(t *testing.T) {
-	s := apply(submitOpen(2), listed(0, 5), listed(0, 6))
+	s := apply(submitOpen(2), listResult(0, 5), listResult(0, 6))
 	batch := s.Batches["b"]
 	if len(batch.Results) != 1 || batch.Results[0].Position != 5 {
 		t.Fatalf("the list is %+v", batch.Results)
@@ -19,7 +19,7 @@
 }
 
 func TestLastResultCompletesTheBatch(t *testing.T) {
-	s := apply(submitOpen(2), listed(1, 5), listed(0, 6))
+	s := apply(submitOpen(2), listResult(1, 5), listResult(0, 6))
 	batch := s.Batches["b"]
 	if batch.State != Done || batch.Results[0].Item != 1 || batch.Results[1].Item != 0 {
 		t.Fatalf("the batch is %+v", batch)
@@ -27,16 +27,16 @@
 }
 
 func TestInputIsReleasedOnceTheResultIsListed(t *testing.T) {
-	batch := apply(submitOpen(2), listed(0, 5)).Batches["b"]
+	batch := apply(submitOpen(2), listResult(0, 5)).Batches["b"]
 	if batch.Items[0].Input != "" || batch.Items[1].Input == "" {
 		t.Fatalf("the items are %+v", batch.Items)
 	}
 }
 
-func TestResultOfABatchThatIsNotOpenIsNotListed(t *testing.T) {
+func TestResultIsNotListedUnlessBatchIsOpen(t *testing.T) {
 	for name, s := range map[string]*State{
-		"ended":     apply(submitOpen(2), EndBatch{Batch: "b"}, listed(0, 5)),
-		"forgotten": apply(submitOpen(2), Forget{Batches: []string{"b"}}, listed(0, 5)),
+		"ended":     apply(submitOpen(2), EndBatch{Batch: "b"}, listResult(0, 5)),
+		"forgotten": apply(submitOpen(2), Purge{Batches: []string{"b"}}, listResult(0, 5)),
 	} {
 		if batch := s.Batches["b"]; batch != nil && len(batch.Results) > 0 {
 			t.Errorf("%s: the list is %+v", name, batch.Results)
--- a/internal/batchstore/shard/forget_test.go
+++ b/internal/batchstore/shard/purge_test.go
@@ -2,16 +2,16 @@
 
 import "testing"
 
-func TestForgetDropsOnlyWhatItNames(t *testing.T) {
+func TestPurgeDropsOnlyWhatItLists(t *testing.T) {
 	other := submitOpen(1)
 	other.Batch.ID = "other"
-	entry := Forget{Batches: []string{"b"}, Claims: []string{ClaimID("t", "k")}}
+	entry := Purge{Batches: []string{"b"}, Claims: []string{ClaimID("t", "k")}}
 	s := apply(submitOpen(1), other,
 		BeginClaim{Claim: Claim{Tenant: "t", Key: "k"}}, BeginClaim{Claim: Claim{Tenant: "t", Key: "k2"}}, entry)
 	if len(s.Batches) != 1 || s.Batches["other"] == nil || len(s.Claims) != 1 || s.Claims[ClaimID("t", "k2")] == nil {
 		t.Fatalf("left are %v and %v", s.Batches, s.Claims)
 	}
-	if entry.IsEmpty() || !(Forget{}).IsEmpty() {
+	if entry.IsEmpty() || !(Purge{}).IsEmpty() {
 		t.Fatal("IsEmpty is wrong")
 	}
 }
--- a/internal/batchstore/shard/snapshot.go
+++ b/internal/batchstore/shard/snapshot.go
@@ -95,7 +95,7 @@
 func (s *State) LocalParts() [][]byte {
 	out := [][]byte{s.positionsPart()}
 	for _, id := range slices.Sorted(maps.Keys(s.Batches)) {
-		out = append(out, snapshotPart{Batch: s.Batches[id].inArchive()}.encode())
+		out = append(out, snapshotPart{Batch: s.Batches[id].withoutArchivedData()}.encode())
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.Claims)) {
 		out = append(out, snapshotPart{Claim: s.Claims[id]}.encode())
--- a/internal/batchstore/shard/snapshot_test.go
+++ b/internal/batchstore/shard/snapshot_test.go
@@ -18,7 +18,7 @@
 func TestSnapshotRestoresTheState(t *testing.T) {
 	other := submitOpen(1)
 	other.Batch.ID = "a"
-	s := apply(submitOpen(2), other, listed(1, 5), BeginClaim{Claim: Claim{Tenant: "t", Key: "k", State: Claimed}})
+	s := apply(submitOpen(2), other, listResult(1, 5), BeginClaim{Claim: Claim{Tenant: "t", Key: "k", State: Claimed}})
 	for name, parts := range map[string][][]byte{"for another member": partsOf(s.Snapshot(nil)), "for this disk": s.LocalParts()} {
 		back, err := Restore(parts)
 		if err != nil || !reflect.DeepEqual(back, s) {
@@ -28,7 +28,7 @@
 			t.Fatalf("%s: the snapshot of the same state differs", name)
 		}
 		// The index of results is restored as well: the item is not listed again.
-		listed(1, 6).Apply(back)
+		listResult(1, 6).Apply(back)
 		if got := len(back.Batches["b"].Results); got != 1 {
 			t.Fatalf("%s: %d results", name, got)
 		}
@@ -37,8 +37,8 @@
 
 // Another member gets an archived batch as the archive has it, this daemon's own disk where it is;
 // that holds from the moment at which the file is being written.
-func TestSnapshotHasArchivedBatchesForOthersOnly(t *testing.T) {
-	s := apply(submitOpen(1), listed(0, 5))
+func TestArchivedBatchesAreInlinedForOtherMembersOnly(t *testing.T) {
+	s := apply(submitOpen(1), listResult(0, 5))
 	batch := s.Batches["b"]
 	encoded := batch.BeginArchiving(4)
 	check := func(when string) {
@@ -61,12 +61,12 @@
 }
 
 // The sizes of the parts are about what they have, so that chunks of a snapshot are of even size.
-func TestSizesOfSnapshotParts(t *testing.T) {
+func TestSnapshotPartSizesAreCloseToEncoded(t *testing.T) {
 	submit := submitOpen(40)
 	for i := range submit.Batch.Items {
 		submit.Batch.Items[i].Request = &Request{Target: "/some/target", Host: "host.example", Header: map[string]string{"name": "some value"}, Body: make([]byte, 1000)}
 	}
-	result := listed(3, 5)
+	result := listResult(3, 5)
 	result.Result.Output = strings.Repeat("some output\n", 2000)
 	s := apply(submit, result)
 	snapshot := s.Snapshot(nil)
--- a/internal/batchstore/shard/state_test.go
+++ b/internal/batchstore/shard/state_test.go
@@ -20,8 +20,8 @@
 	return SubmitBatch{Batch: batch}
 }
 
-// listed lists a result of an item of the batch "b" by writer 1.
-func listed(item int, position int64) ListResult {
+// listResult lists a result of an item of the batch "b" by writer 1.
+func listResult(item int, position int64) ListResult {
 	return ListResult{Result: Result{Writer: 1, Position: position, Batch: "b", Item: item, Status: StatusOK}}
 }
 
@@ -32,8 +32,8 @@
 	}{
 		"an empty shard":               {apply(), false},
 		"a batch without results":      {apply(submitOpen(2)), true},
-		"a batch with one of two":      {apply(submitOpen(2), listed(0, 1)), true},
-		"a batch with all its results": {apply(submitOpen(1), listed(0, 1)), false},
+		"a batch with one of two":      {apply(submitOpen(2), listResult(0, 1)), true},
+		"a batch with all its results": {apply(submitOpen(1), listResult(0, 1)), false},
 		"a batch that was ended":       {apply(submitOpen(2), EndBatch{Batch: "b"}), false},
 	} {
 		if got := c.state.HasOpenBatch(); got != c.want {
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestHighestPositionIsOfAnyWriter(t *testing.T) {
+func TestHighestPositionCoversAllWriters(t *testing.T) {
 	s := apply()
 	if got := s.HighestPosition(); got != 0 {
 		t.Fatalf("an empty shard has position %d", got)
--- a/internal/batchstore/shard/stored_names.go
+++ b/internal/batchstore/shard/stored_names.go
@@ -7,7 +7,7 @@
 	kindEndBatch      = "end"
 	kindBeginClaim    = "claim"
 	kindCompleteClaim = "settle"
-	kindForget        = "forget"
+	kindPurge         = "forget"
 	kindRecordFailure = "record-failure"
 )
 
--- a/internal/batchstore/token/known_positions.go
+++ b/internal/batchstore/token/known_positions.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// SetMap takes the epochs of all shards from the cluster map.
-func (v *KnownPositions) SetMap(epochs []uint64) {
+// SetShardEpochs takes the epochs of all shards from the cluster map.
+func (v *KnownPositions) SetShardEpochs(epochs []uint64) {
 	v.shards = len(epochs)
 	for shard, epoch := range epochs {
 		v.minEpochs[shard] = max(v.minEpochs[shard], epoch)
--- a/internal/batchstore/token/known_positions_test.go
+++ b/internal/batchstore/token/known_positions_test.go
@@ -17,7 +17,7 @@
 // twoWriters is a view of writer 1, which owns shard 0, and writer 2, which owns shard 1.
 func twoWriters() *KnownPositions {
 	v := NewKnownPositions()
-	v.SetMap([]uint64{1, 1})
+	v.SetShardEpochs([]uint64{1, 1})
 	v.Receive(update(1, Announcement{Writer: 1, PersistedUpTo: 10, Shards: []OwnedShard{{Shard: 0, Epoch: 1}}}))
 	v.Receive(update(1, Announcement{Writer: 2, PersistedUpTo: 3, Shards: []OwnedShard{{Shard: 1, Epoch: 1}}}))
 	return v
@@ -32,7 +32,7 @@
 }
 
 // Taking the minimum over all writers would hold the others back.
-func TestIdleWriterHoldsNobodyBack(t *testing.T) {
+func TestIdleWriterDoesNotLimitOthers(t *testing.T) {
 	v := twoWriters()
 	v.Receive(update(2, Announcement{Writer: 1, PersistedUpTo: 25, Shards: []OwnedShard{{Shard: 0, Epoch: 1}}}))
 	upTo, complete := v.ReadableUpTo()
@@ -42,7 +42,7 @@
 }
 
 // A lost announcement is made good by the next one.
-func TestOlderAnnouncementChangesNothing(t *testing.T) {
+func TestOlderAnnouncementIsIgnored(t *testing.T) {
 	v := twoWriters()
 	v.Receive(update(4, Announcement{Writer: 1, PersistedUpTo: 40, Shards: []OwnedShard{{Shard: 0, Epoch: 1}}}))
 	if v.Receive(update(3, Announcement{Writer: 1, PersistedUpTo: 30})) {
@@ -56,7 +56,7 @@
 // A shard that moved is read up to what its new owner has committed of the former writer.
 func TestFormerWriterIsReadToItsEnd(t *testing.T) {
 	v := twoWriters()
-	v.SetMap([]uint64{2, 1})
+	v.SetShardEpochs([]uint64{2, 1})
 	if _, ok := v.Owner(0); ok {
 		t.Fatal("shard 0 is moving and has an owner")
 	}
@@ -77,10 +77,10 @@
 // limited to below its first position, so that the order of a batch's results stays.
 func TestSuccessorIsLimitedUntilThePredecessorIsRead(t *testing.T) {
 	v := NewKnownPositions()
-	v.SetMap([]uint64{1, 1, 1})
+	v.SetShardEpochs([]uint64{1, 1, 1})
 	v.Receive(update(1, Announcement{Writer: 1, PersistedUpTo: 10, Shards: []OwnedShard{{Shard: 0, Epoch: 1}, {Shard: 1, Epoch: 1}}}))
 	v.Receive(update(1, Announcement{Writer: 2, PersistedUpTo: 3, Shards: []OwnedShard{{Shard: 2, Epoch: 1}}}))
-	v.SetMap([]uint64{2, 2, 1})
+	v.SetShardEpochs([]uint64{2, 2, 1})
 	v.Receive(update(2, Announcement{Writer: 2, PersistedUpTo: 30, Shards: []OwnedShard{movedToWriter2, {Shard: 2, Epoch: 1}}}))
 	upTo, complete := v.ReadableUpTo()
 	if complete || upTo[1] != 10 || upTo[2] != 20 {
@@ -97,7 +97,7 @@
 // while the first one's results can't be read.
 func TestEveryLaterOwnershipIsLimited(t *testing.T) {
 	v := NewKnownPositions()
-	v.SetMap([]uint64{3, 1, 2})
+	v.SetShardEpochs([]uint64{3, 1, 2})
 	v.Receive(update(1, Announcement{Writer: 1, PersistedUpTo: 10}))
 	v.Receive(update(1, Announcement{Writer: 2, PersistedUpTo: 90, Shards: []OwnedShard{{Shard: 1, Epoch: 1}}}))
 	v.Receive(update(1, Announcement{Writer: 3, PersistedUpTo: 200, Shards: []OwnedShard{{Shard: 0, Epoch: 3, LastPositions: map[int]int64{1: 14, 2: 40},
@@ -111,9 +111,9 @@
 // A position that came with a page of results says nothing of what its writer took over: reads over
 // shards wait for the announcement, so that a predecessor's results come before the successor's. Reads
 // of one shard go by it. (Simulator, shape three, seed 30: a feed gave a batch's position 265 before 233.)
-func TestAPositionFromAPageCountsWithinAShardOnly(t *testing.T) {
+func TestPositionFromPageAppliesWithinShardOnly(t *testing.T) {
 	v := twoWriters()
-	v.SetMap([]uint64{2, 1})
+	v.SetShardEpochs([]uint64{2, 1})
 	// Writer 2 took shard 0 over, and has no result there yet; 11 to 14 are unread results of writer 1.
 	withoutOwnResult := movedToWriter2
 	withoutOwnResult.Ownerships = withoutOwnResult.Ownerships[:1]
@@ -141,9 +141,9 @@
 // A shard that went away and came back: results of the owner's earlier ownership stay readable, also where
 // its persisted-up-to position has not passed them, because one of another shard is unfinished. (Issue 35:
 // LOST on scale-1 of nhacpho-render-grown, seed 1.)
-func TestAnEarlierOwnershipStaysReadable(t *testing.T) {
+func TestEarlierOwnershipStaysReadable(t *testing.T) {
 	v := NewKnownPositions()
-	v.SetMap([]uint64{3})
+	v.SetShardEpochs([]uint64{3})
 	v.Receive(update(1, Announcement{Writer: 1, PersistedUpTo: 7, Shards: []OwnedShard{{Shard: 0, Epoch: 3, LastPositions: map[int]int64{1: 9, 2: 20}}}}))
 	if upTo := v.ReadableInShard(0); upTo[1] != 9 || upTo[2] != 20 {
 		t.Errorf("up to %v", upTo)
--- a/internal/batchstore/token/token_test.go
+++ b/internal/batchstore/token/token_test.go
@@ -31,7 +31,7 @@
 
 // A writer that registered after the token was made is read from its start, not from the
 // minimum: its results may lie below it.
-func TestWriterAfterTheTokenIsReadFromItsStart(t *testing.T) {
+func TestWriterRegisteredAfterTokenIsReadFromItsStart(t *testing.T) {
 	token := NewToken("fleet", Vector{1: 1000, 2: 2000})
 	back, err := Parse("fleet", token.String())
 	if err != nil {
--- a/internal/controlplane/election/heartbeat.go
+++ b/internal/controlplane/election/heartbeat.go
@@ -134,6 +134,6 @@
 // releaseStaleRole gives up a role that a higher term ended.
 func (e *Election) releaseStaleRole(now clock.Micros) {
 	if group := e.group(); e.vote.Committed.Epoch > group.Epoch {
-		e.groups.Release(GroupUnit, group.Epoch, now)
+		e.groups.StepDown(GroupUnit, group.Epoch, now)
 	}
 }
--- a/internal/dataplane/reader/reader.go
+++ b/internal/dataplane/reader/reader.go
@@ -92,7 +92,7 @@
 	for i, assignment := range m.Shards {
 		epochs[i] = assignment.Epoch
 	}
-	r.positions.SetMap(epochs)
+	r.positions.SetShardEpochs(epochs)
 	return true
 }
 
--- a/internal/replication/assignment_test.go
+++ b/internal/replication/assignment_test.go
@@ -6,7 +6,7 @@
 )
 
 // The form of the release before, with one replica, is read.
-func TestAnOlderAssignmentIsRead(t *testing.T) {
+func TestAssignmentOfPreviousReleaseIsRead(t *testing.T) {
 	var a Assignment
 	old := `{"epoch":4,"owner":{"id":"a","life":2},"backup":{"id":"b","life":3},"complete":true,"trusted":["a","b"]}`
 	if err := json.Unmarshal([]byte(old), &a); err != nil {
--- a/internal/replication/cluster_test.go
+++ b/internal/replication/cluster_test.go
@@ -80,18 +80,18 @@
 	return ok
 }
 
-// messageFate is what becomes of a message.
-type messageFate string
+// messageFault is what becomes of a message.
+type messageFault string
 
 const (
-	delivered  messageFate = ""
-	dropped    messageFate = "drop"
-	duplicated messageFate = "duplicate"
-	delayed    messageFate = "delay" // until deliverDelayed
+	noFault    messageFault = ""
+	dropped    messageFault = "drop"
+	duplicated messageFault = "duplicate"
+	delayed    messageFault = "delay" // until deliverDelayed
 )
 
-// mutations are the fates other than delivery.
-var mutations = []messageFate{dropped, duplicated, delayed}
+// messageFaults are the fates other than delivery.
+var messageFaults = []messageFault{dropped, duplicated, delayed}
 
 type testMessage struct {
 	to, from string
@@ -106,8 +106,8 @@
 	messageCount int
 	delayed      []testMessage
 	largestChunk int // in bytes
-	// fate, where set, gives the fate of a message by its number, the first is 1.
-	fate func(number int) messageFate
+	// faultOf, where set, gives the faultOf of a message by its number, the first is 1.
+	faultOf func(number int) messageFault
 	// isCut, where set, reports whether messages of this way are lost.
 	isCut func(from, to string) bool
 }
@@ -120,13 +120,13 @@
 	return c
 }
 
-// mutateMessage gives one message, by its number, another fate than delivery.
-func (c *testCluster) mutateMessage(number int, fate messageFate) {
-	c.fate = func(now int) messageFate {
-		if now == number {
-			return fate
+// injectFault gives one message, by its number, another fate than delivery.
+func (c *testCluster) injectFault(number int, fault messageFault) {
+	c.faultOf = func(current int) messageFault {
+		if current == number {
+			return fault
 		}
-		return delivered
+		return noFault
 	}
 }
 
@@ -135,7 +135,7 @@
 	for {
 		messages, executed := c.executeEffects()
 		for _, message := range messages {
-			c.deliverByFate(message)
+			c.deliverWithFault(message)
 		}
 		if !executed && len(messages) == 0 {
 			return
@@ -161,16 +161,16 @@
 	return messages, executed
 }
 
-func (c *testCluster) deliverByFate(message testMessage) {
+func (c *testCluster) deliverWithFault(message testMessage) {
 	c.messageCount++
 	if chunk, ok := message.body.(SnapshotChunk); ok {
 		c.largestChunk = max(c.largestChunk, partsSize(chunk.Parts))
 	}
-	fate := delivered
-	if c.fate != nil {
-		fate = c.fate(c.messageCount)
+	fault := noFault
+	if c.faultOf != nil {
+		fault = c.faultOf(c.messageCount)
 	}
-	switch fate {
+	switch fault {
 	case dropped:
 	case duplicated:
 		c.deliver(message)
--- a/internal/replication/group.go
+++ b/internal/replication/group.go
@@ -53,8 +53,8 @@
 	primary  string // address
 	snapshot incomingSnapshot
 	granted  grantedLease
-	// earlyEntries are entries that arrived before their predecessors, by number.
-	earlyEntries map[uint64]Append
+	// reorderBuffer are entries that arrived before their predecessors, by number.
+	reorderBuffer map[uint64]Append
 }
 
 // IsPrimary reports whether this member is the primary of its epoch, serving or not yet.
--- a/internal/replication/groups.go
+++ b/internal/replication/groups.go
@@ -101,14 +101,14 @@
 	}
 }
 
-// Release ends this member's role under a higher epoch. What is on disk stays until Drop.
-func (gs *Groups) Release(unit string, epoch uint64, now clock.Micros) {
+// StepDown ends this member's role under a higher epoch. What is on disk stays until Drop.
+func (gs *Groups) StepDown(unit string, epoch uint64, now clock.Micros) {
 	g := gs.Group(unit)
-	gs.resign(g, max(g.Epoch, epoch), Idle, now)
+	gs.changeRole(g, max(g.Epoch, epoch), Idle, now)
 }
 
-// resign ends this member's role and gives it another one that is not a primary's.
-func (gs *Groups) resign(g *Group, epoch uint64, role Role, now clock.Micros) {
+// changeRole ends this member's role and gives it another one that is not a primary's.
+func (gs *Groups) changeRole(g *Group, epoch uint64, role Role, now clock.Micros) {
 	wasPrimary, formerEpoch := g.IsPrimary(), g.Epoch
 	gs.releaseLeases(g)
 	g.Epoch = epoch
@@ -122,7 +122,7 @@
 
 // Drop deletes the state of a unit whose complete group is elsewhere.
 func (gs *Groups) Drop(unit string, epoch uint64, now clock.Micros) {
-	gs.Release(unit, epoch, now)
+	gs.StepDown(unit, epoch, now)
 	g := gs.Group(unit)
 	g.Seq = 0
 	g.SyncedSeq = 0
@@ -196,6 +196,6 @@
 func (gs *Groups) handleStaleEpoch(m StaleEpoch, now clock.Micros) {
 	g := gs.Group(m.Unit)
 	if m.Epoch > g.Epoch && g.IsPrimary() {
-		gs.Release(m.Unit, g.Epoch, now)
+		gs.StepDown(m.Unit, g.Epoch, now)
 	}
 }
--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -12,8 +12,8 @@
 type grantedLease struct {
 	until clock.Micros // on this member's clock
 	epoch uint64
-	// forgotten: this member restarted, and what it granted before is not known.
-	forgotten bool
+	// unknownAfterRestart: this member restarted, and what it granted before is not known.
+	unknownAfterRestart bool
 }
 
 // LeaseUntil is when the primary's lease ends, on its own clock: the earliest end of what all of
@@ -36,7 +36,7 @@
 	switch {
 	case g.IsPrimary():
 		return 0
-	case granted.forgotten:
+	case granted.unknownAfterRestart:
 		return max(granted.until, gs.startedAt+LeaseWait)
 	}
 	return granted.until
@@ -47,7 +47,7 @@
 func (gs *Groups) VoidGrantedLease(unit string) {
 	granted := &gs.Group(unit).asReplica.granted
 	granted.until = 0
-	granted.forgotten = false
+	granted.unknownAfterRestart = false
 }
 
 // renewLeases requests leases again from every replica where one of them is due, for all units
--- a/internal/replication/lease_test.go
+++ b/internal/replication/lease_test.go
@@ -8,7 +8,7 @@
 )
 
 // A replica that takes over waits until the lease that it granted has ended.
-func TestTakeoverWaitsForTheLease(t *testing.T) {
+func TestTakeoverWaitsForGrantedLease(t *testing.T) {
 	c := newTestCluster("a", "b", "c")
 	c.formGroup(t, 1, "a", "b")
 	c.advance(clock.Second)
@@ -27,7 +27,7 @@
 
 // A member that restarted may have granted a lease right before: it takes over once that has
 // ended.
-func TestARestartedReplicaWaitsForTheLeaseItGranted(t *testing.T) {
+func TestRestartedReplicaWaitsForLeaseItGranted(t *testing.T) {
 	c := newTestCluster("a", "b", "c")
 	c.formGroup(t, 1, "a", "b")
 	c.advance(clock.Second)
@@ -42,7 +42,7 @@
 
 // The primary's lease is every replica's: it ends when one of them is cut off, and that replica
 // is then reported as unreachable.
-func TestALeaseNeedsEveryReplica(t *testing.T) {
+func TestLeaseNeedsEveryReplica(t *testing.T) {
 	c := newTestCluster("a", "b", "c")
 	c.formGroup(t, 1, "a", "b", "c")
 	c.advance(clock.Second)
--- a/internal/replication/limits.go
+++ b/internal/replication/limits.go
@@ -29,8 +29,8 @@
 const (
 	// maxResent bounds the entries of one unit that are looked at for resending at a tick.
 	maxResent = 64
-	// maxEarlyEntries bounds the entries of one unit that a replica buffers out of order.
-	maxEarlyEntries = 256
+	// maxReorderBuffer bounds the entries of one unit that a replica buffers out of order.
+	maxReorderBuffer = 256
 	// chunkSize is the size in bytes that a snapshot chunk does not exceed, unless a single part
 	// of the snapshot is larger.
 	chunkSize = 256 << 10
--- a/internal/replication/planning.go
+++ b/internal/replication/planning.go
@@ -88,26 +88,26 @@
 	ids      []string // of next's members
 }
 
-func (p *groupBuilder) isFull() bool { return len(p.ids) >= p.view.GroupSize }
+func (b *groupBuilder) isFull() bool { return len(b.ids) >= b.view.GroupSize }
 
 // addReplica adds a daemon if it may be a member and there is need of one.
-func (p *groupBuilder) addReplica(id string) bool {
-	if p.isFull() || slices.Contains(p.ids, id) || slices.Contains(p.excluded, id) {
+func (b *groupBuilder) addReplica(id string) bool {
+	if b.isFull() || slices.Contains(b.ids, id) || slices.Contains(b.excluded, id) {
 		return false
 	}
-	member, available := p.view.currentMember(id)
+	member, available := b.view.currentMember(id)
 	if !available {
 		return false
 	}
-	p.next.Replicas = append(p.next.Replicas, member)
-	p.ids = append(p.ids, id)
+	b.next.Replicas = append(b.next.Replicas, member)
+	b.ids = append(b.ids, id)
 	return true
 }
 
-func (p *groupBuilder) addReplacements() {
-	for !p.isFull() {
-		id := p.view.ChooseReplacement(p.ids, p.excluded)
-		if id == "" || !p.addReplica(id) {
+func (b *groupBuilder) addReplacements() {
+	for !b.isFull() {
+		id := b.view.ChooseReplacement(b.ids, b.excluded)
+		if id == "" || !b.addReplica(id) {
 			return
 		}
 	}
--- a/internal/replication/planning_test.go
+++ b/internal/replication/planning_test.go
@@ -9,20 +9,20 @@
 
 // testFleet is some daemons in zones, with the incarnations of those that are available.
 type testFleet struct {
-	copies, minCopies int
-	zones             map[string]string
-	incarnations      map[string]uint64
+	groupSize, minMembers int
+	zones                 map[string]string
+	incarnations          map[string]uint64
 }
 
 // view has one member in each zone.
 func (f testFleet) view() ClusterView {
 	return ClusterView{
-		GroupSize: f.copies,
+		GroupSize: f.groupSize,
 		Incarnation: func(id string) (uint64, bool) {
 			incarnation, available := f.incarnations[id]
 			return incarnation, available
 		},
-		AllowsDegraded: func(members []string) bool { return len(members) >= f.minCopies },
+		AllowsDegraded: func(members []string) bool { return len(members) >= f.minMembers },
 		ChooseReplacement: func(members, excluded []string) string {
 			for _, id := range slices.Sorted(maps.Keys(f.zones)) {
 				_, available := f.incarnations[id]
@@ -44,71 +44,71 @@
 	for _, test := range []struct {
 		name         string
 		assignment   Assignment
-		copies       int
-		minCopies    int
+		groupSize    int
+		minMembers   int
 		incarnations map[string]uint64
 		want         []Member // nil: the assignment stays
 		trusted      []string
 		reason       string
 	}{
 		{
-			name: "all members available", assignment: complete, copies: 2, minCopies: 2,
+			name: "all members available", assignment: complete, groupSize: 2, minMembers: 2,
 			incarnations: map[string]uint64{"a": 1, "b": 1, "c": 1},
 		},
 		{
-			name: "the replica is lost", assignment: complete, copies: 2, minCopies: 2,
+			name: "the replica is lost", assignment: complete, groupSize: 2, minMembers: 2,
 			incarnations: map[string]uint64{"a": 1, "c": 3},
 			want:         []Member{{"a", 1}, {"c", 3}}, trusted: []string{"a", "b"}, reason: reasonReplicaLost,
 		},
 		{
-			name: "the primary is lost", assignment: complete, copies: 2, minCopies: 2,
+			name: "the primary is lost", assignment: complete, groupSize: 2, minMembers: 2,
 			incarnations: map[string]uint64{"b": 1, "c": 3},
 			want:         []Member{{"b", 1}, {"c", 3}}, trusted: []string{"a", "b"}, reason: reasonPrimaryLost,
 		},
 		{
-			name: "the primary restarted", assignment: complete, copies: 2, minCopies: 2,
+			name: "the primary restarted", assignment: complete, groupSize: 2, minMembers: 2,
 			incarnations: map[string]uint64{"a": 2, "b": 1},
 			want:         []Member{{"b", 1}, {"a", 2}}, trusted: []string{"a", "b"}, reason: reasonPrimaryLost,
 		},
 		{
-			name: "all members restarted", assignment: complete, copies: 2, minCopies: 2,
+			name: "all members restarted", assignment: complete, groupSize: 2, minMembers: 2,
 			incarnations: map[string]uint64{"a": 2, "b": 2},
 			want:         []Member{{"a", 2}, {"b", 2}}, trusted: []string{"a", "b"}, reason: reasonGroupRecovered,
 		},
 		{
-			name: "all members are lost", assignment: complete, copies: 2, minCopies: 1,
+			name: "all members are lost", assignment: complete, groupSize: 2, minMembers: 1,
 			incarnations: map[string]uint64{"c": 1, "d": 1},
 		},
 		{
-			name: "no replacement and too few members", assignment: complete, copies: 2, minCopies: 2,
+			name: "no replacement and too few members", assignment: complete, groupSize: 2, minMembers: 2,
 			incarnations: map[string]uint64{"a": 1},
 		},
 		{
-			name: "no replacement, degraded allowed", assignment: complete, copies: 2, minCopies: 1,
+			name: "no replacement, degraded allowed", assignment: complete, groupSize: 2, minMembers: 1,
 			incarnations: map[string]uint64{"a": 1},
 			want:         []Member{{"a", 1}}, trusted: []string{"a", "b"}, reason: reasonReplicaLost,
 		},
 		{
-			name: "a replica is missing and available", assignment: complete, copies: 3, minCopies: 2,
+			name: "a replica is missing and available", assignment: complete, groupSize: 3, minMembers: 2,
 			incarnations: map[string]uint64{"a": 1, "b": 1, "c": 3},
 			want:         []Member{{"a", 1}, {"b", 1}, {"c", 3}}, trusted: []string{"a", "b"}, reason: reasonReplicaMissing,
 		},
 		{
-			name: "a replica is missing and none is available", assignment: complete, copies: 3, minCopies: 2,
+			name: "a replica is missing and none is available", assignment: complete, groupSize: 3, minMembers: 2,
 			incarnations: map[string]uint64{"a": 1, "b": 1},
 		},
 		{
-			name: "a replica of an incomplete group can't succeed", assignment: incomplete, copies: 2, minCopies: 1,
+			name: "a replica of an incomplete group can't succeed", assignment: incomplete, groupSize: 2, minMembers: 1,
 			incarnations: map[string]uint64{"c": 1, "d": 1},
 		},
 		{
-			name: "a member of the last complete group succeeds", assignment: incomplete, copies: 2, minCopies: 2,
+			name: "a member of the last complete group succeeds", assignment: incomplete, groupSize: 2, minMembers: 2,
 			incarnations: map[string]uint64{"b": 9, "c": 1},
 			want:         []Member{{"b", 9}, {"c", 1}}, trusted: []string{"a", "b"}, reason: reasonGroupRecovered,
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			fleet := testFleet{copies: test.copies, minCopies: test.minCopies, zones: fourZones, incarnations: test.incarnations}
+			fleet := testFleet{groupSize: test.groupSize, minMembers: test.minMembers, zones: fourZones, incarnations: test.incarnations}
 			next, reason, changed := Next(test.assignment, fleet.view())
 			if changed != (test.want != nil) {
 				t.Fatalf("changed is %v: %+v", changed, next)
@@ -127,28 +127,28 @@
 func TestReassign(t *testing.T) {
 	complete := Assignment{Epoch: 5, Primary: Member{"a", 1}, Replicas: []Member{{"b", 1}}, Complete: true, Trusted: []string{"a", "b"}}
 	incomplete := Assignment{Epoch: 6, Primary: Member{"a", 1}, Replicas: []Member{{"c", 1}}, Trusted: []string{"a", "b"}}
-	everybody := map[string]uint64{"a": 1, "b": 1, "c": 1, "d": 1}
+	allAvailable := map[string]uint64{"a": 1, "b": 1, "c": 1, "d": 1}
 	for _, test := range []struct {
 		name         string
 		assignment   Assignment
 		primary      string
 		excluded     []string
-		copies       int
-		minCopies    int
+		groupSize    int
+		minMembers   int
 		incarnations map[string]uint64
 		want         []Member // nil: too few members
 	}{
-		{"a replica becomes the primary", complete, "b", nil, 2, 2, everybody, []Member{{"b", 1}, {"a", 1}}},
-		{"an excluded member is replaced", complete, "a", []string{"b"}, 2, 2, everybody, []Member{{"a", 1}, {"c", 1}}},
-		{"an excluded daemon is no replacement", complete, "a", []string{"b", "c"}, 2, 2, everybody, []Member{{"a", 1}, {"d", 1}}},
-		{"the last complete group comes before replacements", incomplete, "a", []string{"c"}, 2, 2, everybody, []Member{{"a", 1}, {"b", 1}}},
-		{"members come before the last complete group", incomplete, "a", nil, 2, 2, everybody, []Member{{"a", 1}, {"c", 1}}},
+		{"a replica becomes the primary", complete, "b", nil, 2, 2, allAvailable, []Member{{"b", 1}, {"a", 1}}},
+		{"an excluded member is replaced", complete, "a", []string{"b"}, 2, 2, allAvailable, []Member{{"a", 1}, {"c", 1}}},
+		{"an excluded daemon is no replacement", complete, "a", []string{"b", "c"}, 2, 2, allAvailable, []Member{{"a", 1}, {"d", 1}}},
+		{"the last complete group comes before replacements", incomplete, "a", []string{"c"}, 2, 2, allAvailable, []Member{{"a", 1}, {"b", 1}}},
+		{"members come before the last complete group", incomplete, "a", nil, 2, 2, allAvailable, []Member{{"a", 1}, {"c", 1}}},
 		{"an unavailable primary", complete, "a", nil, 2, 1, map[string]uint64{"b": 1}, nil},
 		{"too few members", complete, "a", nil, 2, 2, map[string]uint64{"a": 1}, nil},
 		{"too few members, degraded allowed", complete, "a", nil, 2, 1, map[string]uint64{"a": 1}, []Member{{"a", 1}}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			fleet := testFleet{copies: test.copies, minCopies: test.minCopies, zones: fourZones, incarnations: test.incarnations}
+			fleet := testFleet{groupSize: test.groupSize, minMembers: test.minMembers, zones: fourZones, incarnations: test.incarnations}
 			next, ok := Reassign(test.assignment, fleet.view(), test.primary, test.excluded)
 			if ok != (test.want != nil) {
 				t.Fatalf("ok is %v: %+v", ok, next)
@@ -161,8 +161,8 @@
 }
 
 // Only a member of the last complete group may be the next primary.
-func TestOnlyTheTrustedMayOwn(t *testing.T) {
-	fleet := testFleet{copies: 2, minCopies: 2, zones: map[string]string{"a": "1", "b": "2", "c": "3"}, incarnations: map[string]uint64{"c": 1}}
+func TestOnlyMembersOfLastCompleteGroupBecomePrimary(t *testing.T) {
+	fleet := testFleet{groupSize: 2, minMembers: 2, zones: map[string]string{"a": "1", "b": "2", "c": "3"}, incarnations: map[string]uint64{"c": 1}}
 	receiving := Assignment{Epoch: 5, Primary: Member{"a", 1}, Replicas: []Member{{"c", 1}}, Trusted: []string{"a", "b"}}
 	if next, _, ok := Next(receiving, fleet.view()); ok {
 		t.Fatalf("c was receiving its snapshot and becomes %+v", next)
@@ -181,10 +181,10 @@
 
 // A group of three goes on with the two that are available once that is allowed, and takes a
 // third member in as soon as there is one.
-func TestAGroupOfThreeShrinksAndGrows(t *testing.T) {
-	strict := testFleet{copies: 3, minCopies: 3, zones: fourZones, incarnations: map[string]uint64{"a": 1, "b": 1}}
+func TestGroupOfThreeShrinksAndGrows(t *testing.T) {
+	strict := testFleet{groupSize: 3, minMembers: 3, zones: fourZones, incarnations: map[string]uint64{"a": 1, "b": 1}}
 	degraded := strict
-	degraded.minCopies = 2
+	degraded.minMembers = 2
 	complete := Assignment{Epoch: 5, Primary: Member{"a", 1}, Replicas: []Member{{"b", 1}, {"c", 1}}, Complete: true, Trusted: []string{"a", "b", "c"}}
 	if next, _, ok := Next(complete, strict.view()); ok {
 		t.Fatalf("two are not enough, and yet %+v follows", next)
--- a/internal/replication/primary.go
+++ b/internal/replication/primary.go
@@ -22,7 +22,7 @@
 	g.Epoch = epoch
 	g.Role = SendingSnapshot
 	g.asReplica.primary = ""
-	g.asReplica.earlyEntries = nil
+	g.asReplica.reorderBuffer = nil
 	g.asReplica.snapshot.chunks = nil
 
 	p.snapshot = newOutgoingSnapshot(g.stateEpoch, g.Seq, gs.state.Snapshot(unit))
--- a/internal/replication/primary_test.go
+++ b/internal/replication/primary_test.go
@@ -9,15 +9,15 @@
 
 // Every message of a run is dropped, duplicated or delayed, one at a time: in the end all members
 // have the same list and every entry is confirmed, once and in order.
-func TestEachMessageMutatedOnce(t *testing.T) {
-	run := func(t *testing.T, number int, fate messageFate, replicas []string) *testCluster {
+func TestAnySingleMessageDroppedDuplicatedOrDelayed(t *testing.T) {
+	run := func(t *testing.T, number int, fault messageFault, replicas []string) *testCluster {
 		t.Helper()
 		c := newTestCluster(append([]string{"a"}, replicas...)...)
-		c.mutateMessage(number, fate)
+		c.injectFault(number, fault)
 		c.formGroup(t, 1, "a", replicas...)
 		for i := 0; i < 5; i++ {
 			if !c.members["a"].add(fmt.Sprint(i), c.now) {
-				t.Fatalf("message %d, %s: the primary does not serve", number, fate)
+				t.Fatalf("message %d, %s: the primary does not serve", number, fault)
 			}
 			if i%2 == 0 {
 				c.run()
@@ -30,20 +30,20 @@
 	}
 	for _, replicas := range [][]string{{"b"}, {"b", "c"}} {
 		t.Run(fmt.Sprintf("%d replicas", len(replicas)), func(t *testing.T) {
-			total := run(t, 0, delivered, replicas).messageCount
+			total := run(t, 0, noFault, replicas).messageCount
 			if total < 12*len(replicas) {
 				t.Fatalf("only %d messages to mutate", total)
 			}
 			for number := 1; number <= total; number++ {
-				for _, fate := range mutations {
-					c := run(t, number, fate, replicas)
+				for _, fault := range messageFaults {
+					c := run(t, number, fault, replicas)
 					for name, member := range c.members {
 						if fmt.Sprint(member.list) != "[0 1 2 3 4]" {
-							t.Fatalf("message %d, %s: %s has %v", number, fate, name, member.list)
+							t.Fatalf("message %d, %s: %s has %v", number, fault, name, member.list)
 						}
 					}
 					if confirmed := c.members["a"].confirmed; fmt.Sprint(confirmed) != "[1 2 3 4 5]" {
-						t.Fatalf("message %d, %s: confirmed %v", number, fate, confirmed)
+						t.Fatalf("message %d, %s: confirmed %v", number, fault, confirmed)
 					}
 				}
 			}
@@ -52,7 +52,7 @@
 }
 
 // A deposed primary that does not know it confirms nothing: its replica rejects its epoch.
-func TestADeposedPrimaryConfirmsNothing(t *testing.T) {
+func TestDeposedPrimaryConfirmsNothing(t *testing.T) {
 	c := newTestCluster("a", "b", "c")
 	c.formGroup(t, 1, "a", "b")
 	c.members["b"].groups.BecomePrimary(testUnit, 2, []string{"c"}, c.now)
@@ -70,7 +70,7 @@
 
 // An entry is confirmed once every replica has it, not one of them; with the injected fault that
 // is content with one, the test sees that.
-func TestConfirmedMeansEveryReplica(t *testing.T) {
+func TestEntryIsConfirmedOnceEveryReplicaHasIt(t *testing.T) {
 	for _, injected := range []bool{false, true} {
 		t.Run(fmt.Sprintf("SkipLastReplica %v", injected), func(t *testing.T) {
 			c := newTestCluster("a", "b", "c")
--- a/internal/replication/recovery.go
+++ b/internal/replication/recovery.go
@@ -6,7 +6,7 @@
 // written. The group stays Idle: only a new epoch gives it a role again.
 func (gs *Groups) Recover(record machine.Record) {
 	g := gs.Group(record.Unit)
-	g.asReplica.granted.forgotten = true
+	g.asReplica.granted.unknownAfterRestart = true
 	switch record.Kind {
 	case KindSnapshot:
 		gs.state.Restore(record.Unit, decodeParts(record.Body))
--- a/internal/replication/recovery_test.go
+++ b/internal/replication/recovery_test.go
@@ -6,7 +6,7 @@
 )
 
 // Confirmed entries are read back from the disk of any member, which then has no role.
-func TestReadBack(t *testing.T) {
+func TestConfirmedEntriesAreRecoveredFromDisk(t *testing.T) {
 	c := newTestCluster("a", "b")
 	c.formGroup(t, 1, "a", "b")
 	for i := 0; i < 3; i++ {
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -10,8 +10,8 @@
 func (gs *Groups) BecomeReplica(unit string, epoch uint64, primary string, now clock.Micros) {
 	g := gs.Group(unit)
 	g.asReplica.primary = primary
-	g.asReplica.earlyEntries = nil
-	gs.resign(g, epoch, ReceivingSnapshot, now)
+	g.asReplica.reorderBuffer = nil
+	gs.changeRole(g, epoch, ReceivingSnapshot, now)
 }
 
 // handleAppend applies an entry in its order. One that arrives early is buffered.
@@ -29,28 +29,28 @@
 	case m.Seq <= g.Seq:
 		return // applied, and being written to disk
 	case m.Seq != g.Seq+1:
-		g.asReplica.bufferEarly(m)
+		g.asReplica.addToReorderBuffer(m)
 		return
 	}
 	gs.applyEntry(g, from, m)
 	for {
-		next, ok := g.asReplica.earlyEntries[g.Seq+1]
+		next, ok := g.asReplica.reorderBuffer[g.Seq+1]
 		if !ok || next.Epoch != g.Epoch {
 			return
 		}
-		delete(g.asReplica.earlyEntries, next.Seq)
+		delete(g.asReplica.reorderBuffer, next.Seq)
 		gs.applyEntry(g, from, next)
 	}
 }
 
-// bufferEarly keeps an entry whose predecessors have not arrived. What exceeds the buffer is
+// addToReorderBuffer keeps an entry whose predecessors have not arrived. What exceeds the buffer is
 // dropped; the primary sends it again.
-func (r *replicaState) bufferEarly(m Append) {
-	if r.earlyEntries == nil {
-		r.earlyEntries = map[uint64]Append{}
+func (r *replicaState) addToReorderBuffer(m Append) {
+	if r.reorderBuffer == nil {
+		r.reorderBuffer = map[uint64]Append{}
 	}
-	if len(r.earlyEntries) < maxEarlyEntries {
-		r.earlyEntries[m.Seq] = m
+	if len(r.reorderBuffer) < maxReorderBuffer {
+		r.reorderBuffer[m.Seq] = m
 	}
 }
 
--- a/internal/replication/snapshot_receiver.go
+++ b/internal/replication/snapshot_receiver.go
@@ -88,7 +88,7 @@
 	parts := g.asReplica.snapshot.join(m.Count)
 	g.asReplica.primary = from
 	g.asReplica.snapshot.chunks = nil
-	g.asReplica.earlyEntries = nil
+	g.asReplica.reorderBuffer = nil
 	g.stateEpoch = m.Epoch
 	localParts := gs.state.Install(m.Unit, parts)
 	g.Seq = m.Seq
--- a/internal/replication/snapshot_receiver_test.go
+++ b/internal/replication/snapshot_receiver_test.go
@@ -9,7 +9,7 @@
 
 // A replica that has the primary's state adopts the new epoch without a snapshot, and reads the
 // same back; one that has anything else is sent the whole.
-func TestWhatIsHeldAlreadyIsNotCopied(t *testing.T) {
+func TestReplicaWithSameStateNeedsNoSnapshot(t *testing.T) {
 	for _, behind := range []bool{false, true} {
 		t.Run(fmt.Sprintf("behind %v", behind), func(t *testing.T) {
 			c := newTestCluster("a", "b", "c")
--- a/internal/replication/snapshot_sender_test.go
+++ b/internal/replication/snapshot_sender_test.go
@@ -11,18 +11,18 @@
 
 // A large state is sent in chunks, a few at a time, and each chunk may be dropped, duplicated or
 // delayed.
-func TestALargeCopyGoesInChunks(t *testing.T) {
+func TestLargeSnapshotIsSentInChunks(t *testing.T) {
 	const partCount = 20
 	large := strings.Repeat("x", 100<<10)
 	for number := 0; number <= 24; number += 3 {
-		for _, fate := range mutations {
-			t.Run(fmt.Sprintf("message %d %s", number, fate), func(t *testing.T) {
+		for _, fault := range messageFaults {
+			t.Run(fmt.Sprintf("message %d %s", number, fault), func(t *testing.T) {
 				c := newTestCluster("a", "b")
 				a, b := c.members["a"], c.members["b"]
 				for i := range partCount {
 					a.list = append(a.list, fmt.Sprint(i, large))
 				}
-				c.mutateMessage(number, fate)
+				c.injectFault(number, fault)
 				c.formGroup(t, 1, "a", "b")
 				if c.largestChunk > 300<<10 {
 					t.Fatalf("a chunk has %d bytes", c.largestChunk)
@@ -37,7 +37,7 @@
 
 // The snapshots of many units share a budget: no more chunks are in flight than it allows, and
 // all get their turn.
-func TestCopiesShareABudget(t *testing.T) {
+func TestSnapshotsShareChunkBudget(t *testing.T) {
 	const unitCount = 10
 	unit := func(i int) string { return fmt.Sprint("u", i) }
 	a := newTestMember()
--- a/test/capacitymodel/bench_test.go
+++ b/test/capacitymodel/bench_test.go
@@ -243,7 +243,7 @@
 	for _, size := range [][2]int{{24, 24}, {512, 100}, {1024, 300}} {
 		b.Run(fmt.Sprintf("%dslots%dwriters", size[0], size[1]), func(b *testing.B) {
 			v := token.NewKnownPositions()
-			v.SetMap(make([]uint64, size[0]))
+			v.SetShardEpochs(make([]uint64, size[0]))
 			for w := range size[1] {
 				value := `{"writer":` + fmt.Sprint(w+1) + `,"store":"s","peer":"p","up_to":1000,"slots":[`
 				for shardIndex := w; shardIndex < size[0]; shardIndex += size[1] {
--- a/test/storedformat/golden_test.go
+++ b/test/storedformat/golden_test.go
@@ -143,7 +143,7 @@
 		"shard-end.json":          shardEntry[shard.EndBatch](t),
 		"shard-claim.json":        shardEntry[shard.BeginClaim](t),
 		"shard-settle.json":       shardEntry[shard.CompleteClaim](t),
-		"shard-forget.json":       shardEntry[shard.Forget](t),
+		"shard-forget.json":       shardEntry[shard.Purge](t),
 	} {
 		if err := goldenjson.CheckBytes(goldenFile(name), data); err != nil {
 			t.Error(err)
