--- a/internal/batchstore/positions/positions_test.go
+++ b/internal/batchstore/positions/positions_test.go
@@ -11,24 +11,24 @@
 	return position
 }
 
-// The source's own example (docs/DESIGN.md §6.2): A gets 5, B gets 6, B finishes first.
+// The example of docs/DESIGN.md §6.2: A gets 5, B gets 6, and B finishes first.
 func TestPersistedUpToWaitsForTheLowestUnfinished(t *testing.T) {
 	allocator := New(4)
 	allocator.ConfirmReservation(100)
 	a, b := allocate(t, allocator), allocate(t, allocator)
 	if a != 5 || b != 6 {
-		t.Fatalf("A got %d and B %d, not 5 and 6", a, b)
+		t.Fatalf("A got %d and B %d, want 5 and 6", a, b)
 	}
 	allocator.Finish(b)
 	if allocator.PersistedUpTo() != 4 {
-		t.Fatalf("B is finished, A is not: up to %d, not 4", allocator.PersistedUpTo())
+		t.Fatalf("B is finished, A is not: persisted up to %d, want 4", allocator.PersistedUpTo())
 	}
 	if allocator.Unfinished() != 2 {
-		t.Fatalf("%d positions are held back, not 2", allocator.Unfinished())
+		t.Fatalf("%d positions are unfinished, want 2", allocator.Unfinished())
 	}
 	allocator.Finish(a)
 	if allocator.PersistedUpTo() != 6 {
-		t.Fatalf("both are finished: up to %d, not 6", allocator.PersistedUpTo())
+		t.Fatalf("both are finished: persisted up to %d, want 6", allocator.PersistedUpTo())
 	}
 }
 
@@ -40,22 +40,22 @@
 	allocator.RaiseAbove(500)
 	second := allocate(t, allocator)
 	if second != 501 {
-		t.Fatalf("above a floor of 500 the position is %d", second)
+		t.Fatalf("with a floor of 500 the next position is %d, want 501", second)
 	}
 	if allocator.PersistedUpTo() != 500 {
-		t.Fatalf("up to %d while 501 is unfinished, not 500", allocator.PersistedUpTo())
+		t.Fatalf("persisted up to %d while 501 is unfinished, want 500", allocator.PersistedUpTo())
 	}
 	allocator.Finish(second)
 	if allocator.PersistedUpTo() != 501 {
-		t.Fatalf("up to %d, not 501", allocator.PersistedUpTo())
+		t.Fatalf("persisted up to %d, want 501", allocator.PersistedUpTo())
 	}
 	allocator.RaiseAbove(3)
 	if allocator.Next() != 502 {
-		t.Fatalf("a floor of 3 made the next position %d, not 502", allocator.Next())
+		t.Fatalf("with a floor of 3 the next position is %d, want 502", allocator.Next())
 	}
 }
 
-// A position is only allocated when a durable reservation covers it, so that no later
+// A position is allocated only if a durable reservation covers it, so that no later
 // incarnation can allocate it again.
 func TestNothingIsAllocatedBeyondTheReservation(t *testing.T) {
 	allocator := New(7)
@@ -66,7 +66,7 @@
 	allocator.ConfirmReservation(wanted)
 	for i := int64(8); i <= wanted; i++ {
 		if position := allocate(t, allocator); position != i {
-			t.Fatalf("allocated %d, not %d", position, i)
+			t.Fatalf("allocated %d, want %d", position, i)
 		}
 	}
 	if _, ok := allocator.Allocate(); ok {
@@ -85,6 +85,6 @@
 		allocate(t, allocator)
 	}
 	if left := allocator.ReservedUpTo() - allocator.Next() + 1; left != minReserved {
-		t.Fatalf("%d reserved positions are left, not %d", left, minReserved)
+		t.Fatalf("%d reserved positions are left, want %d", left, minReserved)
 	}
 }
--- a/internal/batchstore/shard/account.go
+++ b/internal/batchstore/shard/account.go
@@ -2,24 +2,25 @@
 
 import "cmp"
 
-// AccountName names the account that queued work counts in (docs/DESIGN.md §11.3). At least one of
-// its fields is set. It is sent between daemons: the names of its fields never change.
+// AccountName identifies the account to which queued work is charged (docs/DESIGN.md §11.3). At least
+// one field is set. It is sent between daemons, so the names of its fields must not change.
 type AccountName struct {
-	// Tenant is whose work it is; "" for batches that have no tenant.
+	// Tenant owns the work; "" for batches that have no tenant.
 	Tenant string
-	// Route is the forwarded route of the batches; "" for what counts in one account over all routes.
+	// Route is the forwarded route of the batches; "" for work that is charged to one account over all
+	// routes.
 	Route string
 }
 
-// BatchesOnly tells whether no daemon queues live requests in the account.
+// BatchesOnly reports whether the account has only batch items, never live requests.
 func (n AccountName) BatchesOnly() bool { return n.Route != "" }
 
-// Compare orders names in a way that doesn't differ between runs.
+// Compare orders names by tenant, then by route, so that the order is the same in every run.
 func (n AccountName) Compare(other AccountName) int {
 	return cmp.Or(cmp.Compare(n.Tenant, other.Tenant), cmp.Compare(n.Route, other.Route))
 }
 
-// String is the name as operators see it: the tenant, the route, or both.
+// String returns the name as it is shown to operators: the tenant, the route, or both.
 func (n AccountName) String() string {
 	if n.Tenant == "" || n.Route == "" {
 		return n.Tenant + n.Route
--- a/internal/batchstore/shard/archive.go
+++ b/internal/batchstore/shard/archive.go
@@ -8,26 +8,26 @@
 	"github.com/pkg/errors"
 )
 
-// ArchiveLocation tells where the items and results of a finished batch are stored on this
-// daemon's own disk, and what has to be known of them without reading the file.
+// ArchiveLocation is where the items and results of a finished batch are stored on this
+// daemon's own disk, with the facts about them that are needed without reading the file.
 type ArchiveLocation struct {
 	File          uint64        `json:"file"` // number of the archive file
 	Items         int           `json:"items"`
 	Results       int           `json:"rows"`
 	LastPositions map[int]int64 `json:"last"` // highest position of each writer
-	// size is how many bytes the batch has in the file; 0 where an earlier incarnation of this
+	// size is the size of the batch in the file in bytes; 0 if an earlier incarnation of this
 	// daemon wrote it.
 	size int
 }
 
-// IsArchivable tells whether the batch may be written to the archive: nothing can be
-// added to it, and it is neither archived nor being archived.
+// IsArchivable reports whether the batch may be written to the archive: it is no longer open,
+// and is neither archived nor being archived.
 func (b *Batch) IsArchivable() bool {
 	return b.State != Open && b.Archived == nil && b.archiving == nil
 }
 
-// BeginArchiving records that an archive file with the batch is being written, and gives the
-// batch as the file has it.
+// BeginArchiving records that an archive file with the batch is being written, and returns the
+// batch as encoded for the file.
 func (b *Batch) BeginArchiving(file uint64) []byte {
 	data := b.encodeForArchive()
 	location := &ArchiveLocation{
@@ -44,17 +44,17 @@
 	return data
 }
 
-// IsBeingArchived tells whether an archive file with the batch is being written.
+// IsBeingArchived reports whether an archive file with the batch is being written.
 func (b *Batch) IsBeingArchived() bool { return b.archiving != nil }
 
-// CompleteArchiving releases the items and results, which are durable in an archive file
-// now.
+// CompleteArchiving releases the items and results from memory once they are durable in an
+// archive file.
 func (b *Batch) CompleteArchiving() {
 	*b = *b.withoutArchivedData()
 }
 
-// withoutArchivedData is the batch without what an archive file has of it, or will have; itself where no
-// file does.
+// withoutArchivedData returns the batch without the items and results that an archive file being
+// written will hold, or the batch itself if no such file is being written.
 func (b *Batch) withoutArchivedData() *Batch {
 	if b.archiving == nil {
 		return b
@@ -66,17 +66,17 @@
 	return &archived
 }
 
-// unknownArchivedSize stands for the size of a batch that an earlier incarnation archived.
+// unknownArchivedSize is the assumed size of a batch that an earlier incarnation archived.
 const unknownArchivedSize = 256 << 10
 
-// Bytes that the JSON of a batch, an item and a result take besides their texts, about.
+// Approximate sizes in bytes of the JSON of a batch, an item and a result without their text.
 const (
 	batchOverhead  = 256
 	itemOverhead   = 192
 	resultOverhead = 160
 )
 
-// size is about how many bytes the complete batch has in a snapshot.
+// size returns the approximate size of the complete batch in a snapshot in bytes.
 func (b *Batch) size() int {
 	if b.Archived != nil {
 		return cmp.Or(b.Archived.size, unknownArchivedSize)
@@ -91,7 +91,7 @@
 	return size
 }
 
-// size is about how many bytes a request has in a snapshot, where its body is in base64.
+// size returns the approximate size of a request in a snapshot in bytes. Its body is in base64 there.
 func (r *Request) size() int {
 	if r == nil {
 		return 0
@@ -103,7 +103,7 @@
 	return size
 }
 
-// encodeForArchive is the complete batch as an archive file stores it.
+// encodeForArchive encodes the complete batch for an archive file.
 func (b *Batch) encodeForArchive() []byte {
 	complete := *b
 	complete.Archived = nil
@@ -111,11 +111,11 @@
 	return data
 }
 
-// DecodeArchived reads a complete batch from the body of an archive's record.
+// DecodeArchived decodes a complete batch from the body of an archive record.
 func DecodeArchived(data []byte) (*Batch, error) {
 	var b Batch
 	if err := json.Unmarshal(data, &b); err != nil {
-		return nil, errors.Wrap(err, "reading an archived batch")
+		return nil, errors.Wrap(err, "decoding an archived batch")
 	}
 	return &b, nil
 }
--- a/internal/batchstore/shard/batch.go
+++ b/internal/batchstore/shard/batch.go
@@ -3,33 +3,33 @@
 import "tuliprudder/internal/clock"
 
 // Batch is a batch of items and the list of their results, in the order in which they
-// were listed. It is stored, and sent between daemons: its keys and the names of its fields
-// never change.
+// were listed. It is stored and sent between daemons, so its JSON keys and the names of its
+// fields must not change.
 type Batch struct {
 	ID string `json:"id"`
-	// Tenant is the tenant that submitted it; where Key is "", the name of its route.
+	// Tenant is the tenant that submitted it or, if Key is "", the name of its route.
 	Tenant string `json:"customer"`
-	// Key is the tenant's idempotency key, for opaque requests the batch's ID. It is "" where the batch
-	// has no tenant: it was accepted before there were tenants, or without an API key on a public route.
+	// Key is the tenant's idempotency key, or the batch's ID for opaque requests. It is "" if the batch
+	// has no tenant: it was accepted by a release without tenants, or without an API key on a public route.
 	Key                  string       `json:"key"`
 	Hash                 string       `json:"hash"` // of the caller's body, see Hash
 	Route                string       `json:"route"`
-	ConfigurationVersion uint64       `json:"plan,omitempty"` // in force when it was submitted
+	ConfigurationVersion uint64       `json:"plan,omitempty"` // the version in force when it was submitted
 	Items                []Item       `json:"items"`
 	State                BatchState   `json:"state"`
 	SubmittedAt          clock.Micros `json:"enrolled"`
-	ChangedAt            clock.Micros `json:"changed"` // when it was ended by its tenant; 0 otherwise
+	ChangedAt            clock.Micros `json:"changed"` // when its tenant ended it; 0 otherwise
 	Results              []Result     `json:"rows"`
-	// Archived is set once the items and results have left memory; both lists are empty then.
+	// Archived is set once the items and results are only in an archive file; both lists are empty then.
 	Archived *ArchiveLocation `json:"shelved,omitempty"`
-	// hasResult holds the indices of the items that have their result.
+	// hasResult holds the indices of the items that have a result.
 	hasResult map[int]bool
-	// archiving is where the batch will be once an archive file that is being written is durable;
-	// nil where none is.
+	// archiving is the location of the batch in an archive file that is being written; nil if there
+	// is none.
 	archiving *ArchiveLocation
 }
 
-// BatchState is where a batch is in its life; the states are in stored_names.go.
+// BatchState is the state of a batch; the values are in stored_names.go.
 type BatchState string
 
 // Item is one item of a batch: an input for the route's model, or a request that is
@@ -37,7 +37,7 @@
 type Item struct {
 	ID      string   `json:"id"`
 	Input   string   `json:"input,omitempty"`
-	Request *Request `json:"request,omitempty"` // nil where there is an input
+	Request *Request `json:"request,omitempty"` // nil if the item has an input
 }
 
 // Request is an item that is forwarded to a server unchanged (docs/DESIGN.md §12.5).
@@ -46,8 +46,8 @@
 	Host   string            `json:"host"`
 	Header map[string]string `json:"header,omitempty"`
 	Body   []byte            `json:"body,omitempty"`
-	Size   int               `json:"size,omitempty"` // in bytes, of a body that lies behind its entry (entry_bodies.go)
-	Tokens int64             `json:"tokens"`         // what it counts for in the route's limit of queued tokens
+	Size   int               `json:"size,omitempty"` // in bytes, of a body that follows the JSON of its entry (entry_bodies.go)
+	Tokens int64             `json:"tokens"`         // charged against the route's limit of queued tokens
 }
 
 // Result is the result of one item, with its position in its writer's sequence.
@@ -62,7 +62,7 @@
 	Server   string `json:"server,omitempty"`
 }
 
-// Weight is what an item counts for while it is queued: a request's tokens, otherwise 1.
+// Weight returns the weight of an item in its queue: a request's tokens, otherwise 1.
 func (r *Request) Weight() int {
 	if r == nil || r.Tokens < 1 {
 		return 1
@@ -70,8 +70,8 @@
 	return int(r.Tokens)
 }
 
-// releaseInput drops what only a run of the item needs. The request is replaced, not
-// changed: an attempt that is under way still refers to it.
+// releaseInput drops the data that is needed only to run the item. The request is replaced, not
+// modified, because an attempt in progress still refers to it.
 func (i *Item) releaseInput() {
 	i.Input = ""
 	if r := i.Request; r != nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-// TenantName is the tenant that the batch belongs to; "" where it has none.
+// TenantName returns the tenant that the batch belongs to, or "" if it has none.
 func (b *Batch) TenantName() string {
 	if b.HasNoTenant() {
 		return ""
@@ -87,10 +87,10 @@
 	return b.Tenant
 }
 
-// HasNoTenant tells whether the batch belongs to no tenant: whoever knows its ID may use it.
+// HasNoTenant reports whether the batch belongs to no tenant. Any client that knows its ID may use it.
 func (b *Batch) HasNoTenant() bool { return b.Key == "" }
 
-// Account is the account that the batch's items count in.
+// Account returns the account to which the batch's items are charged.
 func (b *Batch) Account() AccountName {
 	if !b.IsForwarded() {
 		return AccountName{Tenant: b.Tenant}
@@ -98,11 +98,11 @@
 	return AccountName{Tenant: b.TenantName(), Route: b.Route}
 }
 
-// IsForwarded tells whether the items are opaque requests. Other batches have a key, and an ID that is
-// made of it (BatchID).
+// IsForwarded reports whether the items are opaque requests. Other batches have a key, and an ID that is
+// derived from it (BatchID).
 func (b *Batch) IsForwarded() bool { return b.Key == "" || b.Key == b.ID }
 
-// PendingWeight is the weight of the items that have no result; 0 once the batch is not open.
+// PendingWeight returns the total weight of the items without a result, or 0 if the batch is not open.
 func (b *Batch) PendingWeight() int {
 	if b.State != Open {
 		return 0
@@ -116,7 +116,7 @@
 	return sum
 }
 
-// Counts are the numbers of items and of results, archived or not.
+// Counts returns the numbers of items and of results, archived or not.
 func (b *Batch) Counts() (items, results int) {
 	if b.Archived != nil {
 		return b.Archived.Items, b.Archived.Results
@@ -124,16 +124,16 @@
 	return len(b.Items), len(b.Results)
 }
 
-// HasResult tells whether an item has its result.
+// HasResult reports whether an item has a result.
 func (b *Batch) HasResult(item int) bool { return b.hasResult[item] }
 
-// AwaitsResult tells whether a result of the item can still be listed: the batch is open,
-// it has such an item, and the item has no result yet.
+// AwaitsResult reports whether a result of the item can still be listed: the batch is open,
+// the item exists, and it has no result yet.
 func (b *Batch) AwaitsResult(item int) bool {
 	return b.State == Open && item >= 0 && item < len(b.Items) && !b.hasResult[item]
 }
 
-// PendingItem finds, by its ID, an item whose result can still be listed.
+// PendingItem returns the item with the given ID whose result can still be listed.
 func (b *Batch) PendingItem(id string) (*Item, bool) {
 	for i := range b.Items {
 		if b.Items[i].ID == id && b.AwaitsResult(i) {
--- a/internal/batchstore/shard/claims.go
+++ b/internal/batchstore/shard/claims.go
@@ -2,8 +2,8 @@
 
 import "tuliprudder/internal/clock"
 
-// Claim is a claim on a tenant's idempotency key by one one-shot request. It is sent between
-// daemons and stored: the names of its fields and keys never change.
+// Claim is a claim on a tenant's idempotency key by a one-shot request. It is stored and sent
+// between daemons, so the names of its fields and JSON keys must not change.
 type Claim struct {
 	Tenant    string       `json:"customer"`
 	Key       string       `json:"key"`
@@ -14,13 +14,13 @@
 	At        clock.Micros `json:"at"` // when the claim began
 }
 
-// BeginClaim claims a key before its request is forwarded. Who appends it has checked that
-// the key is free.
+// BeginClaim claims a key before its request is forwarded. The code that appends it has
+// checked that the key is free.
 type BeginClaim struct {
 	Claim Claim `json:"Claim"`
 }
 
-// Apply adds the claim, in place of a voided one of the same key.
+// Apply adds the claim. It replaces a voided claim on the same key.
 func (e BeginClaim) Apply(s *State) {
 	claim := e.Claim
 	s.Claims[ClaimID(claim.Tenant, claim.Key)] = &claim
@@ -33,7 +33,7 @@
 	Response []byte `json:"Answer"`
 }
 
-// Apply records the first outcome; a claim that has one keeps it.
+// Apply records the outcome, unless the claim already has one.
 func (e CompleteClaim) Apply(s *State) {
 	claim := s.Claims[e.ID]
 	if claim == nil || claim.State != Claimed {
--- a/internal/batchstore/shard/end_batch.go
+++ b/internal/batchstore/shard/end_batch.go
@@ -8,7 +8,7 @@
 	At    clock.Micros `json:"At"`
 }
 
-// Apply ends the batch if it is open. Results that were listed stay; no more are added.
+// Apply ends the batch if it is open. Listed results stay; no more are added.
 func (e EndBatch) Apply(s *State) {
 	batch := s.Batches[e.Batch]
 	if batch == nil || batch.State != Open {
--- a/internal/batchstore/shard/end_batch_test.go
+++ b/internal/batchstore/shard/end_batch_test.go
@@ -9,7 +9,7 @@
 	}
 	for i, item := range batch.Items {
 		if item.Input != "" {
-			t.Errorf("item %d keeps its input", i)
+			t.Errorf("the input of item %d was not released", i)
 		}
 	}
 }
--- a/internal/batchstore/shard/entry.go
+++ b/internal/batchstore/shard/entry.go
@@ -2,11 +2,11 @@
 
 import "tuliprudder/internal/machine"
 
-// Entry is one change of a shard, as it is replicated and stored. The types of entries are
-// SubmitBatch, ListResult, RecordFailure, EndBatch, BeginClaim, CompleteClaim and Forget, one a file.
-// Their JSON is on the disks of the stores; the keys never change.
+// Entry is one change to a shard, as it is replicated and stored. The entry types are
+// SubmitBatch, ListResult, RecordFailure, EndBatch, BeginClaim, CompleteClaim and Purge, one per file.
+// Their JSON is stored on disk, so the keys must not change.
 type Entry interface {
-	// Apply changes the state. The result depends on the state and the entry only.
+	// Apply changes the state. The result must depend only on the state and the entry.
 	Apply(s *State)
 	kind() string
 }
@@ -29,7 +29,7 @@
 	kindRecordFailure: machine.Decoder(func(e RecordFailure) Entry { return e }),
 }
 
-// Encode is an entry as it is replicated and stored.
+// Encode encodes an entry as it is replicated and stored.
 func Encode(e Entry) []byte {
 	if submit, ok := e.(SubmitBatch); ok {
 		return encodeSubmit(submit)
@@ -37,8 +37,8 @@
 	return entries.Encode(e.kind(), e)
 }
 
-// Decode reads an entry. It fails on an entry that is damaged, and on one of a kind that
-// this release does not know: an entry is never skipped.
+// Decode decodes an entry. It fails on a corrupt entry, and on one of a kind that this release
+// does not know, because no entry may be skipped.
 func Decode(data []byte) (Entry, error) {
 	if len(data) > 0 && data[0] == formatWithBodies {
 		return decodeSubmitWithBodies(data)
--- a/internal/batchstore/shard/entry_bodies.go
+++ b/internal/batchstore/shard/entry_bodies.go
@@ -6,14 +6,15 @@
 	"github.com/pkg/errors"
 )
 
-// The bodies of forwarded requests are most of a batch's size. In the entry that submits a
-// batch they follow the JSON of the rest as raw bytes: base64 inside the JSON would cost a
+// The bodies of forwarded requests make up most of a batch's size. In the entry that submits a
+// batch they follow the JSON of the rest as raw bytes: base64 inside the JSON would take a
 // third more bytes on every disk and connection, and the time to convert them.
 //
-// The form: formatWithBodies, the length of the JSON as a uvarint, the JSON, then the
-// bodies in the order of their items. Request.Size in the JSON is each body's length.
+// The format: formatWithBodies, the length of the JSON as a uvarint, the JSON, then the
+// bodies in the order of their items. Request.Size in the JSON is the length of each body.
 
-// encodeSubmit writes bodies behind the JSON where there are any, otherwise JSON alone.
+// encodeSubmit encodes the entry as JSON followed by the bodies, or as JSON alone if there are
+// no bodies.
 func encodeSubmit(e SubmitBatch) []byte {
 	withBodies := e.Batch.Items
 	withoutBodies, size := detachBodies(withBodies)
@@ -34,8 +35,8 @@
 	return out
 }
 
-// detachBodies copies items with the sizes of their bodies in place of the bodies; size is
-// the sum in bytes.
+// detachBodies returns a copy of items with the sizes of their bodies in place of the bodies.
+// size is the sum in bytes.
 func detachBodies(items []Item) (detached []Item, size int) {
 	detached = make([]Item, len(items))
 	copy(detached, items)
@@ -55,7 +56,7 @@
 func decodeSubmitWithBodies(data []byte) (Entry, error) {
 	length, n := binary.Uvarint(data[1:])
 	if n <= 0 || length > uint64(len(data)-1-n) {
-		return nil, errors.New("an entry with bodies is truncated")
+		return nil, errors.New("the entry's JSON is truncated")
 	}
 	head := data[1+n:][:length]
 	bodies := data[1+n:][length:]
@@ -65,7 +66,7 @@
 	}
 	submit, ok := entry.(SubmitBatch)
 	if !ok {
-		return nil, errors.Errorf("an entry of type %T has no bodies", entry)
+		return nil, errors.Errorf("an entry of type %T can't have request bodies", entry)
 	}
 	if err := attachBodies(submit.Batch.Items, bodies); err != nil {
 		return nil, err
@@ -73,8 +74,8 @@
 	return submit, nil
 }
 
-// attachBodies gives each request its own copy of its body: one that is released must not
-// keep the others in memory.
+// attachBodies copies each request's body out of bodies. Slices of the shared buffer would keep all
+// bodies in memory until the last one is released.
 func attachBodies(items []Item, bodies []byte) error {
 	for i := range items {
 		request := items[i].Request
@@ -82,14 +83,14 @@
 			continue
 		}
 		if request.Size < 0 || request.Size > len(bodies) {
-			return errors.New("the body of a request is truncated")
+			return errors.New("a request's body is truncated")
 		}
 		request.Body = append([]byte(nil), bodies[:request.Size]...)
 		bodies = bodies[request.Size:]
 		request.Size = 0
 	}
 	if len(bodies) > 0 {
-		return errors.Errorf("%d bytes follow the bodies of an entry", len(bodies))
+		return errors.Errorf("%d unexpected bytes after the request bodies of an entry", len(bodies))
 	}
 	return nil
 }
--- a/internal/batchstore/shard/entry_bodies_test.go
+++ b/internal/batchstore/shard/entry_bodies_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A batch with bodies is decoded as it was, whatever bytes they are; truncated anywhere it
-// is an error, never a batch with less in it.
+// A batch with bodies of arbitrary bytes is decoded unchanged. Truncated at any byte it is an
+// error, never a batch that lacks something.
 func TestEntryWithBodiesRoundTrip(t *testing.T) {
 	submit := SubmitBatch{Batch: Batch{ID: "b", Tenant: "c", State: Open, Items: []Item{
 		{ID: "1", Request: &Request{Target: "/x", Host: "h", Header: map[string]string{"a": "b"}, Body: []byte{0, 1, 255, '"', '}'}, Tokens: 7}},
@@ -27,7 +27,7 @@
 	}
 	for cut := 1; cut < len(data); cut++ {
 		if got, err := Decode(data[:cut]); err == nil {
-			t.Fatalf("truncated at %d of %d it is %+v", cut, len(data), got)
+			t.Fatalf("truncated at byte %d of %d it is decoded as %+v", cut, len(data), got)
 		}
 	}
 	if _, err := Decode(append(data, 'x')); err == nil {
@@ -35,7 +35,8 @@
 	}
 }
 
-// Entries without bodies are JSON, also those of earlier releases with other white space.
+// Entries without bodies are plain JSON. Those of earlier releases, which have other white space,
+// can be decoded too.
 func TestEntryWithoutBodiesIsJSON(t *testing.T) {
 	for _, e := range []Entry{SubmitBatch{Batch: Batch{ID: "b", Items: []Item{{ID: "1", Input: "x"}}}}, EndBatch{Batch: "b"}} {
 		if back, err := Decode(Encode(e)); err != nil || back.kind() != e.kind() {
--- a/internal/batchstore/shard/list_result.go
+++ b/internal/batchstore/shard/list_result.go
@@ -5,9 +5,9 @@
 	Result Result `json:"Row"`
 }
 
-// Apply lists the result unless its item already has one, or the batch is no longer open:
-// so an item that ran twice is listed once (docs/DESIGN.md §6.3). The position is used up
-// in each case.
+// Apply lists the result unless its item already has one or the batch is no longer open, so
+// that an item that ran twice is listed once (docs/DESIGN.md §6.3). The position is consumed
+// in either case.
 func (e ListResult) Apply(s *State) {
 	result := e.Result
 	s.LastPositions[result.Writer] = max(s.LastPositions[result.Writer], result.Position)
--- a/internal/batchstore/shard/list_result_test.go
+++ b/internal/batchstore/shard/list_result_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// An item that ran twice is listed once, with the result that came first; the second
-// position is used up all the same.
+// An item that ran twice is listed once, with its first result; the second position is consumed
+// nevertheless.
 func TestResultOfAnItemIsListedOnce(t *testing.T) {
 	s := apply(submitOpen(2), listResult(0, 5), listResult(0, 6))
 	batch := s.Batches["b"]
@@ -14,7 +14,7 @@
 		t.Fatalf("the batch is %+v", batch)
 	}
 	if s.LastPositions[1] != 6 {
-		t.Fatalf("writer 1 is at %d, not 6", s.LastPositions[1])
+		t.Fatalf("writer 1 is at position %d, want 6", s.LastPositions[1])
 	}
 }
 
@@ -42,7 +42,7 @@
 			t.Errorf("%s: the list is %+v", name, batch.Results)
 		}
 		if s.LastPositions[1] != 5 {
-			t.Errorf("%s: writer 1 is at %d, not 5", name, s.LastPositions[1])
+			t.Errorf("%s: writer 1 is at position %d, want 5", name, s.LastPositions[1])
 		}
 	}
 }
--- a/internal/batchstore/shard/names_test.go
+++ b/internal/batchstore/shard/names_test.go
@@ -4,7 +4,7 @@
 
 func TestHashKeepsTheBoundariesOfFields(t *testing.T) {
 	if Hash("ab", "c") == Hash("a", "bc") || Hash("ab") == Hash("ab", "") {
-		t.Fatal("other fields have the same hash")
+		t.Fatal("different fields have the same hash")
 	}
 	if BatchID("t", "k") == ClaimID("t", "k") {
 		t.Fatal("a batch and a claim have the same ID")
--- a/internal/batchstore/shard/ownership.go
+++ b/internal/batchstore/shard/ownership.go
@@ -1,19 +1,19 @@
 package shard
 
-// Ownership is the span of positions that one writer listed while it owned the shard. The
-// positions of the next span all lie above it.
+// Ownership is the span of positions that one writer listed while it owned the shard. All
+// positions of the next span are higher.
 type Ownership struct {
 	Writer int   `json:"writer"`
 	First  int64 `json:"first"`
 	Last   int64 `json:"last"`
 }
 
-// maxOwnerships is how many spans are kept. Every reader has long been able to read older
-// ones to their end, so they delay nobody (token.KnownPositions.ReadableUpTo).
+// maxOwnerships is the number of spans that are kept. Older spans are assumed to be fully
+// readable by every reader, so that they limit no writer (token.KnownPositions.ReadableUpTo).
 const maxOwnerships = 12
 
-// recordOwnership extends the newest span, or begins the next one when the writer is
-// another.
+// recordOwnership extends the newest span, or starts a new one if the writer is a different
+// one.
 func (s *State) recordOwnership(writer int, position int64) {
 	if n := len(s.Ownerships); n > 0 && s.Ownerships[n-1].Writer == writer {
 		s.Ownerships[n-1].Last = position
@@ -21,7 +21,7 @@
 	}
 	s.Ownerships = append(s.Ownerships, Ownership{Writer: writer, First: position, Last: position})
 	if extra := len(s.Ownerships) - maxOwnerships; extra > 0 {
-		// A copy, so that the dropped spans do not stay in memory behind the slice.
+		// Copy, so that the array with the dropped spans can be garbage-collected.
 		s.Ownerships = append([]Ownership(nil), s.Ownerships[extra:]...)
 	}
 }
--- a/internal/batchstore/shard/ownership_test.go
+++ b/internal/batchstore/shard/ownership_test.go
@@ -12,7 +12,7 @@
 	}
 	want := []Ownership{{Writer: 1, First: 3, Last: 8}, {Writer: 2, First: 21, Last: 21}, {Writer: 1, First: 40, Last: 41}}
 	if !reflect.DeepEqual(s.Ownerships, want) {
-		t.Fatalf("the spans are %v, not %v", s.Ownerships, want)
+		t.Fatalf("the spans are %v, want %v", s.Ownerships, want)
 	}
 }
 
@@ -22,6 +22,6 @@
 		s.recordOwnership(i%2+1, int64(i))
 	}
 	if len(s.Ownerships) != maxOwnerships || s.Ownerships[0].First != 3 {
-		t.Fatalf("%d spans, the oldest from %d", len(s.Ownerships), s.Ownerships[0].First)
+		t.Fatalf("%d spans are kept, and the oldest starts at %d", len(s.Ownerships), s.Ownerships[0].First)
 	}
 }
--- a/internal/batchstore/shard/purge.go
+++ b/internal/batchstore/shard/purge.go
@@ -1,15 +1,15 @@
 package shard
 
-// Purge drops batches and claims whose retention has passed, by their IDs.
+// Purge deletes batches and claims whose retention period has passed, by their IDs.
 type Purge struct {
 	Batches []string `json:"Bundles"`
 	Claims  []string `json:"Claims"`
 }
 
-// IsEmpty tells whether the entry would drop nothing.
+// IsEmpty reports whether the entry lists nothing to delete.
 func (e Purge) IsEmpty() bool { return len(e.Batches)+len(e.Claims) == 0 }
 
-// Apply drops what is listed.
+// Apply deletes the listed batches and claims.
 func (e Purge) Apply(s *State) {
 	for _, id := range e.Batches {
 		delete(s.Batches, id)
--- a/internal/batchstore/shard/record_failure.go
+++ b/internal/batchstore/shard/record_failure.go
@@ -1,13 +1,13 @@
 package shard
 
-// RecordFailure counts an attempt of a forwarded item that its server failed. The count is a part
-// of the shard, so that an owner that takes the shard over goes on with it.
+// RecordFailure counts a failed attempt of a forwarded item at its server. The count is part of the
+// shard's state, so that a new owner of the shard continues it.
 type RecordFailure struct {
 	Batch string `json:"Bundle"`
 	Item  int    `json:"Item"` // index in the batch
 }
 
-// Apply counts the failure unless the item needs no result any more.
+// Apply counts the failure if the item still awaits a result.
 func (e RecordFailure) Apply(s *State) {
 	batch := s.Batches[e.Batch]
 	if batch == nil || !batch.AwaitsResult(e.Item) {
--- a/internal/batchstore/shard/record_failure_test.go
+++ b/internal/batchstore/shard/record_failure_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Failed attempts are counted by item, are a part of a snapshot, and are forgotten once their
-// batch is no longer open.
+// Failed attempts are counted per item, are part of a snapshot, and are deleted once their batch is no
+// longer open.
 func TestFailuresAreCountedWhileTheBatchIsOpen(t *testing.T) {
 	s := New()
 	batch := Batch{ID: "b", State: Open, Items: []Item{{ID: "x"}, {ID: "y"}, {ID: "z"}}}
@@ -23,7 +23,7 @@
 		t.Helper()
 		for item, count := range want {
 			if got := s.FailedAttempts["b"][item]; got != count {
-				t.Errorf("item %d: %d failures, not %d", item, got, count)
+				t.Errorf("item %d: %d failures, want %d", item, got, count)
 			}
 		}
 	}
@@ -40,7 +40,7 @@
 	check(restored, 1, 2, 0)
 	apply(ListResult{Result: Result{Batch: "b", Item: 1}})
 	apply(RecordFailure{Batch: "b", Item: 1})
-	check(s, 1, 2, 0) // the item's count goes with its batch's
+	check(s, 1, 2, 0) // the item's count is deleted together with the batch's
 	apply(EndBatch{Batch: "b"})
 	check(s, 0, 0, 0)
 }
--- a/internal/batchstore/shard/snapshot.go
+++ b/internal/batchstore/shard/snapshot.go
@@ -8,14 +8,14 @@
 	"github.com/pkg/errors"
 )
 
-// snapshotPart is one part of a snapshot: the positions, spans and failed attempts (the first part),
-// one batch or one claim. Its JSON is stored and sent; the keys never change.
+// snapshotPart is one part of a snapshot: the positions, ownership spans and failed attempts (the first
+// part), one batch, or one claim. Its JSON is stored and sent, so the keys must not change.
 type snapshotPart struct {
 	Batch         *Batch        `json:"bundle,omitempty"`
 	Claim         *Claim        `json:"claim,omitempty"`
 	LastPositions map[int]int64 `json:"last,omitempty"`
 	Ownerships    []Ownership   `json:"tenures,omitempty"`
-	// FailedAttempts are a part of the first part too.
+	// FailedAttempts also belongs to the first part.
 	FailedAttempts map[string]map[int]int `json:"failed_attempts,omitempty"`
 }
 
@@ -24,18 +24,18 @@
 	return data
 }
 
-// Snapshot is the whole state for another member, in parts that are made one by one, in an order
-// that depends on the state only.
+// Snapshot is the full state for another member, in parts that are encoded one by one, in an order
+// that depends only on the state.
 type Snapshot struct {
 	state *State
-	// batches and claims are their IDs in order. The positions are the first part.
+	// batches and claims are the sorted IDs. Their parts follow the part with the positions.
 	batches, claims []string
 	readArchived    func(*Batch) []byte
 }
 
-// Snapshot is the whole state. readArchived gives an archived batch as the archive has it
-// (BeginArchiving): the other member doesn't have this daemon's archive. The state must not
-// change while parts are made.
+// Snapshot returns the full state for another member, which has no access to this daemon's archive:
+// readArchived returns an archived batch as it is encoded in the archive (BeginArchiving). The state
+// must not change while parts are encoded.
 func (s *State) Snapshot(readArchived func(*Batch) []byte) *Snapshot {
 	return &Snapshot{
 		state:        s,
@@ -45,7 +45,7 @@
 	}
 }
 
-// Sizes gives about how many bytes each part has.
+// Sizes returns the approximate size of each part in bytes.
 func (s *Snapshot) Sizes() []int {
 	sizes := []int{len(s.state.positionsPart())}
 	for _, id := range s.batches {
@@ -57,7 +57,7 @@
 	return sizes
 }
 
-// Part makes one part.
+// Part encodes one part.
 func (s *Snapshot) Part(index int) []byte {
 	if index == 0 {
 		return s.state.positionsPart()
@@ -76,7 +76,7 @@
 	return wrapBatch(s.readArchived(batch))
 }
 
-// wrapBatch is the part of a batch that is encoded already.
+// wrapBatch returns the part for a batch that is already encoded.
 func wrapBatch(batch []byte) []byte {
 	const before, after = `{"bundle":`, `}`
 	out := make([]byte, 0, len(before)+len(batch)+len(after))
@@ -89,9 +89,9 @@
 	return snapshotPart{LastPositions: s.LastPositions, Ownerships: s.Ownerships, FailedAttempts: s.FailedAttempts}.encode()
 }
 
-// LocalParts is the whole state in parts for this daemon's own disk: they refer to its archive, for
-// those batches too whose file is being written. So the file has to be durable before the parts
-// are.
+// LocalParts returns the full state in parts for this daemon's own disk. The parts refer to its
+// archive, even for batches whose archive file is still being written. So that file must be durable
+// before the parts are.
 func (s *State) LocalParts() [][]byte {
 	out := [][]byte{s.positionsPart()}
 	for _, id := range slices.Sorted(maps.Keys(s.Batches)) {
@@ -103,13 +103,13 @@
 	return out
 }
 
-// Restore makes the state from the parts of a snapshot; without parts it is empty.
+// Restore rebuilds the state from the parts of a snapshot. Without parts the state is empty.
 func Restore(parts [][]byte) (*State, error) {
 	s := New()
 	for _, data := range parts {
 		var part snapshotPart
 		if err := json.Unmarshal(data, &part); err != nil {
-			return nil, errors.Wrap(err, "reading a part of a shard's snapshot")
+			return nil, errors.Wrap(err, "decoding a part of a shard's snapshot")
 		}
 		s.restorePart(part)
 	}
@@ -121,7 +121,7 @@
 		s.LastPositions = part.LastPositions
 		s.Ownerships = part.Ownerships
 	}
-	if part.FailedAttempts != nil { // a batch may have some before any result has a position
+	if part.FailedAttempts != nil { // may be set although no result has a position yet
 		s.FailedAttempts = part.FailedAttempts
 	}
 	if batch := part.Batch; batch != nil {
--- a/internal/batchstore/shard/snapshot_test.go
+++ b/internal/batchstore/shard/snapshot_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// partsOf are all parts of a snapshot.
+// partsOf returns all parts of a snapshot.
 func partsOf(snapshot *Snapshot) [][]byte {
 	var parts [][]byte
 	for index := range snapshot.Sizes() {
@@ -27,7 +27,7 @@
 		if !reflect.DeepEqual(partsOf(back.Snapshot(nil)), parts) {
 			t.Fatalf("%s: the snapshot of the same state differs", name)
 		}
-		// The index of results is restored as well: the item is not listed again.
+		// The set of items with results is restored as well, so the item is not listed again.
 		listResult(1, 6).Apply(back)
 		if got := len(back.Batches["b"].Results); got != 1 {
 			t.Fatalf("%s: %d results", name, got)
@@ -35,8 +35,8 @@
 	}
 }
 
-// Another member gets an archived batch as the archive has it, this daemon's own disk where it is;
-// that holds from the moment at which the file is being written.
+// A snapshot for another member contains an archived batch completely; one for this daemon's own disk
+// contains only its archive location, from the time when the archive file is being written.
 func TestArchivedBatchesAreInlinedForOtherMembersOnly(t *testing.T) {
 	s := apply(submitOpen(1), listResult(0, 5))
 	batch := s.Batches["b"]
@@ -54,13 +54,14 @@
 	}
 	check("while the file is being written")
 	if len(batch.Results) != 1 {
-		t.Error("the results left memory before the file was durable")
+		t.Error("the results were released from memory before the file was durable")
 	}
 	batch.CompleteArchiving()
 	check("once it is durable")
 }
 
-// The sizes of the parts are about what they have, so that chunks of a snapshot are of even size.
+// The estimated sizes of the parts are close to the actual ones, so that chunks of a snapshot have an
+// even size.
 func TestSnapshotPartSizesAreCloseToEncoded(t *testing.T) {
 	submit := submitOpen(40)
 	for i := range submit.Batch.Items {
@@ -72,7 +73,7 @@
 	snapshot := s.Snapshot(nil)
 	for index, size := range snapshot.Sizes() {
 		if got := len(snapshot.Part(index)); size < got*3/4 || size > got*3/2+batchOverhead {
-			t.Errorf("part %d is taken for %d bytes, it has %d", index, size, got)
+			t.Errorf("part %d is estimated at %d bytes, and has %d", index, size, got)
 		}
 	}
 	batch := s.Batches["b"]
@@ -80,7 +81,7 @@
 	encoded := batch.BeginArchiving(1)
 	batch.CompleteArchiving()
 	if got := s.Snapshot(nil).Sizes()[1]; got != len(encoded) {
-		t.Errorf("an archived batch is taken for %d bytes, it has %d", got, len(encoded))
+		t.Errorf("an archived batch is estimated at %d bytes, and has %d", got, len(encoded))
 	}
 }
 
--- a/internal/batchstore/shard/state.go
+++ b/internal/batchstore/shard/state.go
@@ -1,26 +1,26 @@
-// Package shard is the replicated state of one shard (docs/DESIGN.md §6): its batches,
+// Package shard implements the replicated state of one shard (docs/DESIGN.md §6): its batches,
 // each with one ordered list of results, and the idempotency claims of one-shot requests.
 //
 // The state is a deterministic state machine. Its only inputs are entries (Entry), which
 // every member of the shard's replication group applies in the same order; it reads no
-// clock and has no effects. What may be appended, and when an entry is durable, is decided
-// outside: by internal/batchstore and internal/replication.
+// clock and has no side effects. internal/batchstore decides which entries may be appended,
+// and internal/replication when an entry is durable.
 //
-// Invariants: an item has at most one result; a batch that is no longer open never changes
-// again, except that its results move to the archive; positions of one ownership span all
-// lie above those of the span before.
+// Invariants: an item has at most one result; a batch that is no longer open does not change,
+// except that its items and results move to the archive; all positions of an ownership span
+// are higher than those of the previous span.
 //
-// Nothing here may be used by two goroutines at once.
+// The types are not safe for concurrent use.
 package shard
 
-// State is the state that one replication group replicates.
+// State is the replicated state of one shard.
 type State struct {
 	Batches       map[string]*Batch // by ID
 	Claims        map[string]*Claim // by ClaimID
 	LastPositions map[int]int64     // highest position of each writer in this shard
-	Ownerships    []Ownership       // the newest spans, in the order of their positions
-	// FailedAttempts counts the attempts that servers failed of items in open batches: by the batch's
-	// ID, then by the item's index. nil where there are none.
+	Ownerships    []Ownership       // the most recent spans, in the order of their positions
+	// FailedAttempts counts the failed attempts of items in open batches: by the batch's ID, then by
+	// the item's index. It is nil until the first failure.
 	FailedAttempts map[string]map[int]int
 }
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// HasOpenBatch tells whether any batch of the shard is open.
+// HasOpenBatch reports whether any batch of the shard is open.
 func (s *State) HasOpenBatch() bool {
 	for _, batch := range s.Batches {
 		if batch.State == Open {
@@ -43,7 +43,7 @@
 	return false
 }
 
-// PendingWeights are the weights of the items without a result in open batches, by account.
+// PendingWeights returns, by account, the total weight of the items without a result in open batches.
 func (s *State) PendingWeights() map[AccountName]int {
 	sum := map[AccountName]int{}
 	for _, batch := range s.Batches {
@@ -54,7 +54,7 @@
 	return sum
 }
 
-// PendingWeight is that of one account.
+// PendingWeight returns the total weight of the items without a result in one account's open batches.
 func (s *State) PendingWeight(account AccountName) int {
 	sum := 0
 	for _, batch := range s.Batches {
@@ -65,7 +65,7 @@
 	return sum
 }
 
-// HighestPosition is the highest position of any result of the shard; 0 without results.
+// HighestPosition returns the highest position of any result in the shard, or 0 if there is none.
 func (s *State) HighestPosition() int64 {
 	highest := int64(0)
 	for _, position := range s.LastPositions {
--- a/internal/batchstore/shard/state_test.go
+++ b/internal/batchstore/shard/state_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// apply makes the state after some entries.
+// apply returns the state after applying the entries to an empty shard.
 func apply(entries ...Entry) *State {
 	s := New()
 	for _, entry := range entries {
@@ -11,7 +11,7 @@
 	return s
 }
 
-// submitOpen submits the batch "b" with the given number of items with inputs.
+// submitOpen returns an entry that submits the open batch "b" with the given number of items.
 func submitOpen(items int) SubmitBatch {
 	batch := Batch{ID: "b", Tenant: "t", State: Open}
 	for range items {
@@ -20,7 +20,7 @@
 	return SubmitBatch{Batch: batch}
 }
 
-// listResult lists a result of an item of the batch "b" by writer 1.
+// listResult returns an entry that lists writer 1's result of an item of the batch "b".
 func listResult(item int, position int64) ListResult {
 	return ListResult{Result: Result{Writer: 1, Position: position, Batch: "b", Item: item, Status: StatusOK}}
 }
@@ -45,10 +45,10 @@
 func TestHighestPositionCoversAllWriters(t *testing.T) {
 	s := apply()
 	if got := s.HighestPosition(); got != 0 {
-		t.Fatalf("an empty shard has position %d", got)
+		t.Fatalf("the highest position of an empty shard is %d, want 0", got)
 	}
 	s.LastPositions = map[int]int64{1: 7, 2: 90, 3: 12}
 	if got := s.HighestPosition(); got != 90 {
-		t.Fatalf("the highest position is %d, not 90", got)
+		t.Fatalf("the highest position is %d, want 90", got)
 	}
 }
--- a/internal/batchstore/shard/submit_batch.go
+++ b/internal/batchstore/shard/submit_batch.go
@@ -1,6 +1,7 @@
 package shard
 
-// SubmitBatch adds a batch. Who appends it has checked that the shard has none of this ID.
+// SubmitBatch adds a batch. The code that appends it has checked that the shard has no batch with
+// this ID.
 type SubmitBatch struct {
 	Batch Batch `json:"Bundle"`
 }
--- a/internal/batchstore/token/known_positions.go
+++ b/internal/batchstore/token/known_positions.go
@@ -7,20 +7,20 @@
 	"tuliprudder/internal/machine"
 )
 
-// KnownPositions is what one reading daemon knows of all writers' positions, from their
-// announcements and from the cluster map. It has no lock; its caller serializes the calls.
+// KnownPositions is what one reading daemon knows about all writers' positions, from their
+// announcements and from the cluster map. It is not safe for concurrent use.
 type KnownPositions struct {
 	announcements map[int]Announcement
 	versions      map[int]machine.Update // epoch and sequence number of each announcement
-	// fromPages are, by writer, the positions that came with pages of results. They say nothing of the
-	// writer's ownerships, so they count within a shard alone.
+	// fromPages holds, by writer, the positions received with pages of results. They carry no
+	// information about the writer's ownerships, so they apply only to reads within one shard.
 	fromPages map[int]int64
 	owners    map[int]Owner
 	shards    int
-	minEpochs map[int]uint64 // by shard: the epoch in the map, whether its group is complete or not
+	minEpochs map[int]uint64 // by shard: the epoch in the cluster map, whether or not its group is complete
 }
 
-// NewKnownPositions knows no positions yet.
+// NewKnownPositions returns an empty KnownPositions.
 func NewKnownPositions() *KnownPositions {
 	return &KnownPositions{
 		announcements: map[int]Announcement{},
@@ -31,7 +31,7 @@
 	}
 }
 
-// SetShardEpochs takes the epochs of all shards from the cluster map.
+// SetShardEpochs sets the epochs of all shards in the cluster map. A shard's epoch never decreases.
 func (v *KnownPositions) SetShardEpochs(epochs []uint64) {
 	v.shards = len(epochs)
 	for shard, epoch := range epochs {
@@ -39,8 +39,8 @@
 	}
 }
 
-// Receive takes a writer's announcement and tells whether anything changed: one that is
-// older than the last, or can't be read, changes nothing.
+// Receive handles a writer's announcement and reports whether it was accepted. An announcement
+// that is not newer than the last one, or that can't be decoded, is ignored.
 func (v *KnownPositions) Receive(update machine.Update) bool {
 	var a Announcement
 	if json.Unmarshal(update.Value, &a) != nil || a.Writer == 0 {
@@ -50,7 +50,7 @@
 		return false
 	}
 	v.versions[a.Writer] = machine.Update{Epoch: update.Epoch, Seq: update.Seq}
-	// It never falls: what was readable stays readable.
+	// The position never decreases: what was readable stays readable.
 	a.PersistedUpTo = max(a.PersistedUpTo, v.announcements[a.Writer].PersistedUpTo)
 	v.announcements[a.Writer] = a
 	for _, owned := range a.Shards {
@@ -61,10 +61,10 @@
 	return true
 }
 
-// Advance takes a position that a writer has told with a page of results, and tells whether it is a
-// later one than was known. It is ignored before the writer's first announcement. It counts for reads
-// of one shard: over shards the order of a batch's results needs the ownerships too, and these come
-// with the announcements of the same position.
+// Advance records a writer's persisted-up-to position that was received with a page of results, and
+// reports whether it is higher than the known one. It is ignored before the writer's first
+// announcement. It applies only to reads of one shard: over several shards, the order of a batch's
+// results depends on the ownerships too, which only announcements carry.
 func (v *KnownPositions) Advance(writer int, persistedUpTo int64) bool {
 	if _, known := v.announcements[writer]; !known || persistedUpTo <= v.persistedUpTo(writer) {
 		return false
@@ -73,13 +73,13 @@
 	return true
 }
 
-// persistedUpTo is a writer's latest known position.
+// persistedUpTo returns a writer's highest known persisted-up-to position.
 func (v *KnownPositions) persistedUpTo(writer int) int64 {
 	return max(v.announcements[writer].PersistedUpTo, v.fromPages[writer])
 }
 
-// Owner is the owner of a shard, by the highest epoch announced; false while the map has a
-// higher epoch whose owner has not announced itself yet.
+// Owner returns the owner of a shard under the highest epoch announced. It returns false if there
+// is none, or while the cluster map has a higher epoch whose owner has not announced itself yet.
 func (v *KnownPositions) Owner(shard int) (Owner, bool) {
 	owner, ok := v.owners[shard]
 	if !ok || owner.Epoch < v.minEpochs[shard] {
@@ -88,9 +88,9 @@
 	return owner, true
 }
 
-// ReadableInShard is up to which positions a reader may read within one shard: the
-// persisted-up-to position of its owner, and of former writers everything that their
-// successors have committed. Without an owner it is empty.
+// ReadableInShard returns the positions up to which a reader may read within one shard: the
+// persisted-up-to position of its owner and, for former writers, everything that their
+// successors have committed. It is empty if the shard has no known owner.
 func (v *KnownPositions) ReadableInShard(shard int) Vector {
 	owner, ok := v.Owner(shard)
 	if !ok {
@@ -98,18 +98,18 @@
 	}
 	out := Vector{}
 	maps.Copy(out, owner.LastPositions)
-	// Of an earlier ownership of its own everything is committed, too, and may lie above a position that
-	// is unfinished in another shard. What was read under the owner in between has to stay readable.
+	// Results of the owner's own earlier ownership are all committed too, but may lie above a position
+	// that is unfinished in another shard. What was readable under the owner in between must stay readable.
 	out[owner.Writer] = max(out[owner.Writer], v.persistedUpTo(owner.Writer))
 	return out
 }
 
-// ReadableUpTo is up to which positions a reader may read over all shards, and whether
-// every shard has an owner that can be asked (docs/DESIGN.md §6.5).
+// ReadableUpTo returns the positions up to which a reader may read over all shards, and whether
+// every shard has a known owner (docs/DESIGN.md §6.5).
 //
-// A writer that owns no shard any more is read to its end once all owners are known. A
-// successor is limited to positions below its first one in a shard only while a former
-// writer's results there can't all be read: so the order of a batch's results stays.
+// A writer that no longer owns any shard is read to its last position once all owners are
+// known. A successor is limited to positions below its first one in a shard while some results
+// of a former writer there are not readable yet. This preserves the order of a batch's results.
 func (v *KnownPositions) ReadableUpTo() (upTo Vector, complete bool) {
 	upTo = Vector{}
 	for writer, announcement := range v.announcements {
@@ -121,14 +121,14 @@
 			upTo[writer] = max(upTo[writer], last)
 		}
 	}
-	// Limiting one writer may limit others.
+	// Limiting one writer may limit others, so repeat until nothing changes.
 	for v.limitSuccessors(upTo) {
 	}
 	return upTo, complete
 }
 
-// formerWriters is the last position of each writer that owns no shard any more, and whether
-// every shard has an owner.
+// formerWriters returns the last position of each writer that no longer owns any shard, and
+// whether every shard has a known owner.
 func (v *KnownPositions) formerWriters() (last Vector, complete bool) {
 	last = Vector{}
 	complete = v.shards > 0
@@ -151,7 +151,7 @@
 }
 
 // limitSuccessors limits each writer to positions below its first one in a shard while an
-// earlier ownership of that shard can't be read to its end. It tells whether anything
+// earlier ownership span of that shard is not fully readable. It reports whether anything
 // changed.
 func (v *KnownPositions) limitSuccessors(upTo Vector) (changed bool) {
 	for shard := range v.shards {
--- a/internal/batchstore/token/token.go
+++ b/internal/batchstore/token/token.go
@@ -1,9 +1,8 @@
-// Package token is the readers' side of positions (docs/DESIGN.md §6.4, §6.5): the position
-// token that a caller carries from one read to the next, the announcements by which writers
+// Package token implements the read side of positions (docs/DESIGN.md §6.4, §6.5): the position
+// token that a client passes from one read to the next, the announcements in which writers
 // publish their persisted-up-to positions, and what a reading daemon derives from them.
 //
-// Tokens and vectors are values; KnownPositions is not safe for concurrent use. Nothing here
-// reads a clock or does I/O.
+// KnownPositions is not safe for concurrent use. The package reads no clock and does no I/O.
 package token
 
 import (
@@ -17,12 +16,12 @@
 	"tuliprudder/internal/errs"
 )
 
-// Vector holds a position for each writer.
+// Vector maps each writer's ID to a position.
 type Vector map[int]int64
 
 // Token is a compact Vector: a minimum that all writers up to Highest have reached, and the
 // positions of those that are ahead of it. A writer with a higher ID registered after the
-// token was made, and is read from its start.
+// token was created, and is read from its first result.
 type Token struct {
 	Fleet   uint32 // see FleetTag
 	Minimum int64
@@ -30,14 +29,14 @@
 	Ahead   Vector
 }
 
-// FleetTag marks the tokens of a fleet, so that those of another fleet are rejected.
+// FleetTag returns the tag of a fleet's tokens, by which those of another fleet are rejected.
 func FleetTag(fleet string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(fleet))
 	return h.Sum32()
 }
 
-// NewToken makes the shortest token that holds the positions.
+// NewToken returns the shortest token that represents the positions.
 func NewToken(fleet string, positions Vector) Token {
 	t := Token{Fleet: FleetTag(fleet), Ahead: Vector{}}
 	for writer := range positions {
@@ -56,7 +55,7 @@
 	return t
 }
 
-// At is the token's position of a writer; 0 for one that the token does not know.
+// At returns the token's position of a writer, or 0 if the token does not know the writer.
 func (t Token) At(writer int) int64 {
 	if position, ok := t.Ahead[writer]; ok {
 		return position
@@ -67,7 +66,7 @@
 	return 0
 }
 
-// Vector is the token's positions of all writers that it knows.
+// Vector returns the positions of all writers that the token knows.
 func (t Token) Vector() Vector {
 	v := Vector{}
 	for writer := 1; writer <= t.Highest; writer++ {
@@ -76,20 +75,21 @@
 	return v
 }
 
-// The binary form of a token, before base64: the version (1 byte), the fleet (4 bytes),
-// then uvarints: minimum, highest writer, number of writers ahead and, for each of them,
-// its ID and its distance from the minimum; last the CRC-32 of all this (4 bytes).
+// The binary format of a token, before base64: the version (1 byte) and the fleet tag (4 bytes);
+// as uvarints the minimum, the highest writer, the number of writers ahead and, for each of
+// them, its ID and its distance from the minimum; then the CRC-32 of all this (4 bytes).
 const (
 	headerBytes   = 5
 	checksumBytes = 4
-	// maxTextBytes is more than any token that a fleet makes; longer texts aren't decoded.
+	// maxTextBytes exceeds the length of any valid token; longer strings aren't decoded.
 	maxTextBytes = 4096
-	// maxWriterID and maxNumber bound what a token with a valid checksum may claim.
+	// maxWriterID and maxNumber bound the values in a token: a valid checksum doesn't make them
+	// plausible.
 	maxWriterID = 1 << 20
 	maxNumber   = 1 << 62
 )
 
-// String is the text that a caller carries.
+// String returns the token as it is given to clients.
 func (t Token) String() string {
 	data := []byte{tokenVersion}
 	data = binary.BigEndian.AppendUint32(data, t.Fleet)
@@ -104,8 +104,9 @@
 	return base64.RawURLEncoding.EncodeToString(data)
 }
 
-// Parse reads a caller's token. The empty text is the start of the feed; anything else that
-// is not a token of this fleet is an error of kind errs.BadToken, never read as the start.
+// Parse decodes a client's token. The empty string stands for the start of the feed. Anything
+// else that is not a token of this fleet is an error of kind errs.BadToken, and is never taken
+// for the start.
 func Parse(fleet, text string) (Token, error) {
 	if text == "" {
 		return Token{Fleet: FleetTag(fleet), Ahead: Vector{}}, nil
@@ -128,8 +129,8 @@
 	return errs.New(errs.BadToken, "send the token exactly as the last response gave it, or omit it to read from the start", "the position token is %s", reason)
 }
 
-// decodeText undoes base64 and verifies the checksum; it returns what the checksum covers,
-// which has at least a header.
+// decodeText decodes base64 and verifies the checksum. It returns the bytes that the checksum
+// covers, which include at least the header.
 func decodeText(text string) ([]byte, error) {
 	if len(text) > maxTextBytes {
 		return nil, badToken("too long")
@@ -145,7 +146,7 @@
 	return body, nil
 }
 
-// decodePositions reads what follows the header.
+// decodePositions decodes the uvarints that follow the header.
 func decodePositions(tag uint32, data []byte) (Token, error) {
 	numbers := uvarintReader{rest: data}
 	minimum, highest, count := numbers.next(), numbers.next(), numbers.next()
@@ -166,7 +167,7 @@
 	return t, nil
 }
 
-// uvarintReader reads numbers one after the other; failed is set once one can't be read.
+// uvarintReader reads consecutive uvarints. failed is set once one can't be decoded or is too large.
 type uvarintReader struct {
 	rest   []byte
 	failed bool
--- a/internal/replication/assignment.go
+++ b/internal/replication/assignment.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Member is one incarnation of one daemon. A daemon that restarted is another member and has to
-// be assigned anew.
+// Member is one incarnation of a daemon. After a restart the daemon counts as a different member
+// and must be assigned again.
 type Member struct {
 	ID          string `json:"id"`
 	Incarnation uint64 `json:"life"`
@@ -14,19 +14,19 @@
 
 // Assignment names the members of one replication group under one epoch, as recorded by the
 // authority that assigns groups: the voters for the control state, the control state for the
-// shards. Its JSON is on disk; the keys never change.
+// shards. Its JSON is stored on disk, so the keys must not change.
 type Assignment struct {
 	Epoch    uint64   `json:"epoch"`
 	Primary  Member   `json:"owner"`
 	Replicas []Member `json:"replicas"`
-	// Complete: every member has the whole state on disk.
+	// Complete reports whether every member has the full state on disk.
 	Complete bool `json:"complete"`
-	// Trusted are the daemons of the last complete group. Each of them has every confirmed entry,
-	// so the next primary must be one of them.
+	// Trusted lists the daemons of the last complete group. Each of them has every confirmed
+	// entry, so the next primary must be one of them.
 	Trusted []string `json:"trusted"`
 }
 
-// UnmarshalJSON also reads the form of the release before, which had one replica.
+// UnmarshalJSON also decodes the format of the previous release, which had a single replica.
 func (a *Assignment) UnmarshalJSON(data []byte) error {
 	type plain Assignment
 	var read struct {
@@ -44,16 +44,16 @@
 	return nil
 }
 
-// IsZero reports whether the group was never assigned.
+// IsZero reports whether the group has never been assigned.
 func (a Assignment) IsZero() bool { return a.Epoch == 0 }
 
-// Equal compares two assignments.
+// Equal reports whether two assignments are the same.
 func (a Assignment) Equal(b Assignment) bool {
 	return a.Epoch == b.Epoch && a.Primary == b.Primary && a.Complete == b.Complete &&
 		slices.Equal(a.Replicas, b.Replicas) && slices.Equal(a.Trusted, b.Trusted)
 }
 
-// Members lists the primary and then the replicas; none before the first assignment.
+// Members returns the primary followed by the replicas, or nil before the first assignment.
 func (a Assignment) Members() []Member {
 	if a.IsZero() {
 		return nil
@@ -61,7 +61,7 @@
 	return append([]Member{a.Primary}, a.Replicas...)
 }
 
-// IDs lists the members' identities, the primary's first.
+// IDs returns the members' IDs, the primary's first.
 func (a Assignment) IDs() []string {
 	var ids []string
 	for _, member := range a.Members() {
@@ -70,26 +70,27 @@
 	return ids
 }
 
-// IsReplica reports whether an incarnation of a daemon is one of the replicas.
+// IsReplica reports whether a member is one of the replicas.
 func (a Assignment) IsReplica(member Member) bool { return slices.Contains(a.Replicas, member) }
 
-// IsTrusted reports whether a daemon has every confirmed entry.
+// IsTrusted reports whether a daemon belongs to the last complete group and so has every confirmed
+// entry.
 func (a Assignment) IsTrusted(id string) bool { return id != "" && slices.Contains(a.Trusted, id) }
 
-// MustKeep reports whether a daemon must keep what it has of this group: its members, and until
-// the group is complete those of the last complete one.
+// MustKeep reports whether a daemon must keep its state of this group. Members must, and until the
+// group is complete so must the members of the last complete group.
 func (a Assignment) MustKeep(id string) bool {
 	return slices.Contains(a.IDs(), id) || !a.Complete && a.IsTrusted(id)
 }
 
-// Completed is the assignment once every member has the whole state on disk.
+// Completed returns the assignment marked as complete: every member has the full state on disk.
 func (a Assignment) Completed() Assignment {
 	a.Complete = true
 	a.Trusted = a.IDs()
 	return a
 }
 
-// Successors are the daemons of which one has to be the next primary.
+// Successors returns the daemons that are eligible as the next primary.
 func (a Assignment) Successors() []string {
 	if a.Complete {
 		return a.IDs()
--- a/internal/replication/cluster_test.go
+++ b/internal/replication/cluster_test.go
@@ -9,10 +9,10 @@
 	"tuliprudder/internal/machine"
 )
 
-// testUnit is the one unit of a testMember.
+// testUnit is the only unit of a testMember.
 const testUnit = "u"
 
-// testMember is one daemon with one unit, whose state is a list of texts.
+// testMember is a daemon with one unit, whose state is a list of strings.
 type testMember struct {
 	machine.Effects
 	groups    *Groups
@@ -29,7 +29,7 @@
 	return m
 }
 
-// restarted is a member that has read back what is on this one's disk.
+// restarted returns a new member that has recovered from this member's disk.
 func (m *testMember) restarted() *testMember {
 	again := newTestMember()
 	for _, record := range m.disk {
@@ -70,7 +70,7 @@
 
 func (m *testMember) Deposed(_ string, _ uint64, _ clock.Micros) { m.deposed++ }
 
-// add appends a text; false where this member does not serve.
+// add appends a string as an entry. It returns false if this member is not serving.
 func (m *testMember) add(text string, now clock.Micros) bool {
 	if m.groups.Group(testUnit).Role != Serving {
 		return false
@@ -80,7 +80,7 @@
 	return ok
 }
 
-// messageFault is what becomes of a message.
+// messageFault is a network fault that affects one message.
 type messageFault string
 
 const (
@@ -90,7 +90,7 @@
 	delayed    messageFault = "delay" // until deliverDelayed
 )
 
-// messageFaults are the fates other than delivery.
+// messageFaults lists the faults, without noFault.
 var messageFaults = []messageFault{dropped, duplicated, delayed}
 
 type testMessage struct {
@@ -98,17 +98,17 @@
 	body     any
 }
 
-// testCluster is some members with their messages in between. Members that are deleted from it
-// are frozen.
+// testCluster is a set of members and the network between them. A member that is deleted from it is
+// frozen: it handles no more messages or ticks.
 type testCluster struct {
 	now          clock.Micros
 	members      map[string]*testMember
 	messageCount int
 	delayed      []testMessage
 	largestChunk int // in bytes
-	// faultOf, where set, gives the faultOf of a message by its number, the first is 1.
+	// faultOf, if set, returns the fault of a message by its number, counted from 1.
 	faultOf func(number int) messageFault
-	// isCut, where set, reports whether messages of this way are lost.
+	// isCut, if set, reports whether messages in this direction are lost.
 	isCut func(from, to string) bool
 }
 
@@ -120,7 +120,7 @@
 	return c
 }
 
-// injectFault gives one message, by its number, another fate than delivery.
+// injectFault applies a fault to the message with the given number.
 func (c *testCluster) injectFault(number int, fault messageFault) {
 	c.faultOf = func(current int) messageFault {
 		if current == number {
@@ -130,7 +130,7 @@
 	}
 }
 
-// run executes effects and delivers messages until nothing is left to do.
+// run executes effects and delivers messages until there are none left.
 func (c *testCluster) run() {
 	for {
 		messages, executed := c.executeEffects()
@@ -143,7 +143,8 @@
 	}
 }
 
-// executeEffects takes the members' effects, writes to their disks and gives their messages.
+// executeEffects drains the members' effects: it writes records to their disks and returns their
+// messages.
 func (c *testCluster) executeEffects() (messages []testMessage, executed bool) {
 	for _, name := range slices.Sorted(maps.Keys(c.members)) {
 		member := c.members[name]
@@ -206,7 +207,7 @@
 	c.delayed = nil
 }
 
-// advance lets time go by, with ticks.
+// advance advances the clock in steps of 50 ms, with a tick of every member at each step.
 func (c *testCluster) advance(span clock.Micros) {
 	for end := c.now + span; c.now < end; {
 		c.now += 50 * clock.Millisecond
@@ -217,7 +218,7 @@
 	}
 }
 
-// formGroup makes a primary serve with its replicas.
+// formGroup forms a group under a new epoch and waits until its primary serves.
 func (c *testCluster) formGroup(t *testing.T, epoch uint64, primary string, replicas ...string) {
 	t.Helper()
 	for _, replica := range replicas {
@@ -227,23 +228,23 @@
 	c.run()
 	c.advance(3 * clock.Second)
 	if c.members[primary].ready != epoch {
-		t.Fatalf("%s was never reported ready with %s", primary, replicas)
+		t.Fatalf("primary %s with replicas %s did not report the group as ready", primary, replicas)
 	}
 	c.members[primary].groups.CommitGroup(testUnit, epoch, c.now)
 	c.run()
 }
 
-// awaitTakeover lets time go by until a member is ready as primary of an epoch, which must not be
-// before a lease ends.
+// awaitTakeover advances the clock until a member is ready as the primary of an epoch. This must not
+// happen before leaseEnd.
 func (c *testCluster) awaitTakeover(t *testing.T, successor *testMember, epoch uint64, leaseEnd clock.Micros) {
 	t.Helper()
 	for successor.ready != epoch {
 		c.advance(50 * clock.Millisecond)
 		if successor.ready == epoch && c.now < leaseEnd {
-			t.Fatalf("the successor is ready at %d, before the lease ends at %d", c.now, leaseEnd)
+			t.Fatalf("the successor is ready at %d, before the lease expires at %d", c.now, leaseEnd)
 		}
 		if c.now > leaseEnd+5*clock.Second {
-			t.Fatal("the successor is never ready")
+			t.Fatal("the successor is not ready 5 s after the lease has expired")
 		}
 	}
 }
--- a/internal/replication/group.go
+++ b/internal/replication/group.go
@@ -2,67 +2,69 @@
 
 import "tuliprudder/internal/clock"
 
-// Group is this daemon's membership in the replication group of one unit. Its fields are read by
-// the daemon's machine and written by Groups only.
+// Group is this daemon's membership in the replication group of one unit. The daemon's machine
+// reads its fields; only Groups writes them.
 type Group struct {
 	Unit  string
 	Epoch uint64
 	Role  Role
-	// Seq is the number of the last entry that the primary appended or the replica applied.
+	// Seq is the sequence number of the last entry that the primary appended or the replica
+	// applied.
 	Seq uint64
-	// SyncedSeq is the number of the last entry up to which this disk has the log without a gap.
+	// SyncedSeq is the sequence number up to which this daemon's disk has the log without a gap.
 	SyncedSeq uint64
 	// stateEpoch is the epoch under which the state at Seq was written: two members with the same
-	// stateEpoch and Seq have the same state. It is 0 where there is no state.
+	// stateEpoch and Seq have the same state. It is 0 if there is no state.
 	stateEpoch uint64
 
 	asPrimary primaryState
 	asReplica replicaState
 }
 
-// primaryState is what the primary keeps about its group. It is meaningful in the primary's roles.
+// primaryState is the part of a Group that only a primary uses.
 type primaryState struct {
 	replicas []*replicaProgress
 	log      unconfirmedLog
 	snapshot outgoingSnapshot
-	// adoptedLocally: this member's own record of the epoch is on disk.
+	// adoptedLocally reports whether this member's adopt record of the epoch is on disk.
 	adoptedLocally bool
-	// readyReportedAt is when StateMachine.GroupReady was last called again.
+	// readyReportedAt is when StateMachine.GroupReady was last called as a repetition.
 	readyReportedAt clock.Micros
-	// formerLeaseEnd is when the lease that this member granted to the former primary ends.
+	// formerLeaseEnd is when the lease that this member granted to the former primary expires.
 	formerLeaseEnd clock.Micros
 	servingSince   clock.Micros
 	// leaseRequestedAt is when leases on this unit were last requested from any replica.
 	leaseRequestedAt clock.Micros
 }
 
-// replicaProgress is what the primary knows of one replica.
+// replicaProgress is what the primary knows about one replica.
 type replicaProgress struct {
 	peer string // address
-	// syncedSeq is the last entry up to which the replica's disk has the log without a gap.
+	// syncedSeq is the sequence number up to which the replica's disk has the log without a gap.
 	syncedSeq uint64
-	// snapshotInstalled: the epoch's snapshot is on the replica's disk.
+	// snapshotInstalled reports whether the epoch's snapshot is on the replica's disk.
 	snapshotInstalled bool
 	transfer          snapshotTransfer
-	// leaseUntil is the end of the lease that the replica granted, on the primary's clock.
+	// leaseUntil is when the lease that the replica granted expires, on the primary's clock.
 	leaseUntil clock.Micros
 }
 
-// replicaState is what a replica keeps about its group.
+// replicaState is the part of a Group that only a replica uses.
 type replicaState struct {
 	primary  string // address
 	snapshot incomingSnapshot
 	granted  grantedLease
-	// reorderBuffer are entries that arrived before their predecessors, by number.
+	// reorderBuffer holds entries that arrived before their predecessors, by sequence number.
 	reorderBuffer map[uint64]Append
 }
 
-// IsPrimary reports whether this member is the primary of its epoch, serving or not yet.
+// IsPrimary reports whether this member is the primary of its epoch, even if it is not serving yet.
 func (g *Group) IsPrimary() bool {
 	return g.Role == SendingSnapshot || g.Role == AwaitingCommit || g.Role == Serving
 }
 
-// Peer is the address of the first replica at the primary, and of the primary at other members.
+// Peer returns the address of the first replica on a primary, and that of the primary on other
+// members.
 func (g *Group) Peer() string {
 	if g.IsPrimary() && len(g.asPrimary.replicas) > 0 {
 		return g.asPrimary.replicas[0].peer
@@ -70,8 +72,8 @@
 	return g.asReplica.primary
 }
 
-// Peers lists the addresses of the other members that this one knows: a replica knows its
-// primary only.
+// Peers returns the addresses of the other members that this one knows. A replica knows only its
+// primary.
 func (g *Group) Peers() []string {
 	if !g.IsPrimary() {
 		return []string{g.asReplica.primary}
@@ -83,8 +85,8 @@
 	return out
 }
 
-// UnreachableReplicas lists the addresses of the replicas that have failed to answer this primary
-// for a while, neither granting a lease nor acknowledging the snapshot.
+// UnreachableReplicas returns the addresses of the replicas that have timed out: while serving, those
+// that granted no new lease; while sending the snapshot, those that acknowledged no further chunk.
 func (g *Group) UnreachableReplicas(now clock.Micros) []string {
 	var out []string
 	for _, replica := range g.asPrimary.replicas {
@@ -107,7 +109,7 @@
 	return false
 }
 
-// replicaAt finds a replica by its address; nil where there is none.
+// replicaAt returns the replica with the given address, or nil.
 func (g *Group) replicaAt(peer string) *replicaProgress {
 	for _, replica := range g.asPrimary.replicas {
 		if replica.peer == peer {
--- a/internal/replication/groups.go
+++ b/internal/replication/groups.go
@@ -9,45 +9,47 @@
 
 // StateMachine is the replicated state of the units, implemented by the daemon's machine.
 type StateMachine interface {
-	// Snapshot gives the whole state of a unit, to be sent to other members.
+	// Snapshot returns the full state of a unit, to be sent to other members.
 	Snapshot(unit string) Snapshot
-	// LocalSnapshot gives the whole state for this daemon's own disk: it may refer to archives
-	// that are on that disk.
+	// LocalSnapshot returns the full state for this daemon's own disk. It may refer to archives on
+	// that disk.
 	LocalSnapshot(unit string) [][]byte
-	// Install replaces the state of a unit by another member's snapshot. It gives the parts from
-	// which Restore makes the same state on this daemon: they may refer to archives whose writes
-	// Install has emitted, and which are durable before what is written next.
+	// Install replaces the state of a unit with another member's snapshot. It returns the parts
+	// from which Restore rebuilds the same state on this daemon. They may refer to archives whose
+	// writes Install has emitted; these are durable before any later write.
 	Install(unit string, parts [][]byte) (localParts [][]byte)
-	// Restore replaces the state of a unit by a snapshot of this daemon's own (LocalSnapshot,
-	// Install); no parts are the empty state.
+	// Restore replaces the state of a unit with a snapshot made by this daemon (LocalSnapshot,
+	// Install). No parts stand for the empty state.
 	Restore(unit string, parts [][]byte)
-	// ApplyEntry applies an entry at a replica, or when it is read back from disk. The primary
-	// applies its entries before it appends them.
+	// ApplyEntry applies an entry on a replica or during recovery from disk. The primary applies
+	// its entries before it appends them.
 	ApplyEntry(unit string, entry []byte)
-	// Confirmed is called at the primary once an entry is on every member's disk, in order.
+	// Confirmed is called on the primary once an entry is on every member's disk, in order of
+	// sequence numbers.
 	Confirmed(unit string, seq uint64, now clock.Micros)
-	// GroupReady is called at the primary once every member has the epoch's state on disk, and
-	// again every ResendAfter until CommitGroup. It reports to the authority that assigns groups.
+	// GroupReady is called on the primary once every member has the epoch's state on disk, and
+	// again every ResendAfter until CommitGroup. It must report this to the authority that assigns
+	// groups.
 	GroupReady(unit string, epoch uint64, now clock.Micros)
-	// Deposed is called at a primary that its group no longer follows under this epoch.
+	// Deposed is called on a primary that has lost its role in the group of this epoch.
 	Deposed(unit string, epoch uint64, now clock.Micros)
 }
 
-// Groups is all replication groups of a daemon, which share its disk and its connections.
+// Groups holds all replication groups of a daemon, which share its disk and its connections.
 type Groups struct {
 	effects *machine.Effects
 	state   StateMachine
 	groups  map[string]*Group
-	// pendingWrites are called with the time once the write of their token is on disk.
+	// pendingWrites holds the callbacks of writes by token, to be called once the write is on disk.
 	pendingWrites map[uint64]func(now clock.Micros)
 	lastToken     uint64
-	// startedAt is the first time that this incarnation was given.
+	// startedAt is the earliest time passed to this incarnation.
 	startedAt clock.Micros
-	// InjectedFaults is set by tests only.
+	// InjectedFaults is set only by tests.
 	InjectedFaults InjectedFaults
 }
 
-// NewGroups makes the groups of a daemon; their effects are emitted to effects.
+// NewGroups returns a daemon's Groups, which emits its effects to effects.
 func NewGroups(effects *machine.Effects, state StateMachine) *Groups {
 	return &Groups{
 		effects:       effects,
@@ -57,7 +59,7 @@
 	}
 }
 
-// Group gives the group of a unit; an unknown one is made and Idle.
+// Group returns the group of a unit. It creates an Idle one if the unit is unknown.
 func (gs *Groups) Group(unit string) *Group {
 	g := gs.groups[unit]
 	if g == nil {
@@ -67,7 +69,7 @@
 	return g
 }
 
-// All lists the groups in the order of their units.
+// All returns the groups ordered by unit.
 func (gs *Groups) All() []*Group {
 	out := make([]*Group, 0, len(gs.groups))
 	for _, g := range gs.groups {
@@ -77,14 +79,14 @@
 	return out
 }
 
-// Persist writes records and calls done, which may be nil, once they are on disk.
+// Persist writes records and calls done, if not nil, once they are on disk.
 func (gs *Groups) Persist(records []machine.Record, done func(now clock.Micros)) {
 	token := gs.RegisterWrite(done)
 	gs.effects.Emit(machine.Persist{Token: token, Records: records})
 }
 
-// RegisterWrite gives the token for a write that the caller emits itself; done, which may be nil,
-// is called once it is on disk.
+// RegisterWrite returns the token for a write that the caller emits itself. done, if not nil, is
+// called once the write is on disk.
 func (gs *Groups) RegisterWrite(done func(now clock.Micros)) uint64 {
 	gs.lastToken++
 	if done != nil {
@@ -101,13 +103,15 @@
 	}
 }
 
-// StepDown ends this member's role under a higher epoch. What is on disk stays until Drop.
+// StepDown makes this member Idle and raises its epoch to epoch if that is higher. The state on disk
+// stays until Drop.
 func (gs *Groups) StepDown(unit string, epoch uint64, now clock.Micros) {
 	g := gs.Group(unit)
 	gs.changeRole(g, max(g.Epoch, epoch), Idle, now)
 }
 
-// changeRole ends this member's role and gives it another one that is not a primary's.
+// changeRole ends this member's current role and gives it a non-primary role. It releases the leases
+// of a serving primary and reports a primary as deposed.
 func (gs *Groups) changeRole(g *Group, epoch uint64, role Role, now clock.Micros) {
 	wasPrimary, formerEpoch := g.IsPrimary(), g.Epoch
 	gs.releaseLeases(g)
@@ -120,7 +124,7 @@
 	}
 }
 
-// Drop deletes the state of a unit whose complete group is elsewhere.
+// Drop deletes the state of a unit whose complete group consists of other daemons.
 func (gs *Groups) Drop(unit string, epoch uint64, now clock.Micros) {
 	gs.StepDown(unit, epoch, now)
 	g := gs.Group(unit)
@@ -131,8 +135,8 @@
 	gs.Persist([]machine.Record{{Unit: unit, Kind: KindDrop, Epoch: epoch}}, nil)
 }
 
-// Tick renews leases and repeats what was not acknowledged. It is called every few tens of
-// milliseconds.
+// Tick renews leases and resends whatever was not acknowledged. It is to be called every few tens
+// of milliseconds.
 func (gs *Groups) Tick(now clock.Micros) {
 	gs.recordStart(now)
 	gs.renewLeases(now)
@@ -148,7 +152,7 @@
 	}
 }
 
-// HandleMessage handles a message between members; false when the body is none.
+// HandleMessage handles a message between members. It returns false if the body is not one.
 func (gs *Groups) HandleMessage(from string, body any, now clock.Micros) bool {
 	gs.recordStart(now)
 	switch m := body.(type) {
@@ -174,15 +178,15 @@
 	return true
 }
 
-// recordStart records when this incarnation began: leases that an earlier incarnation granted end
-// LeaseWait after it at the latest.
+// recordStart records when this incarnation started. Leases that an earlier incarnation granted
+// expire at most LeaseWait later.
 func (gs *Groups) recordStart(now clock.Micros) {
 	if gs.startedAt == 0 {
 		gs.startedAt = now
 	}
 }
 
-// rejectStaleEpoch reports whether a message's epoch is stale, and if so tells its sender.
+// rejectStaleEpoch reports whether a message's epoch is stale, and if so notifies its sender.
 func (gs *Groups) rejectStaleEpoch(from, unit string, epoch uint64) bool {
 	g := gs.Group(unit)
 	if epoch >= g.Epoch || gs.InjectedFaults.SkipEpochCheck {
@@ -192,7 +196,7 @@
 	return true
 }
 
-// handleStaleEpoch ends the role of a primary that another member knows to be succeeded.
+// handleStaleEpoch makes a primary step down when another member reports a higher epoch.
 func (gs *Groups) handleStaleEpoch(m StaleEpoch, now clock.Micros) {
 	g := gs.Group(m.Unit)
 	if m.Epoch > g.Epoch && g.IsPrimary() {
--- a/internal/replication/lease.go
+++ b/internal/replication/lease.go
@@ -7,17 +7,18 @@
 	"tuliprudder/internal/machine"
 )
 
-// grantedLease is the lease that this member granted to a primary. Until it has ended this member
-// must not serve as a successor.
+// grantedLease is the lease that this member granted to a primary. This member must not serve as a
+// successor before the lease has expired.
 type grantedLease struct {
 	until clock.Micros // on this member's clock
 	epoch uint64
-	// unknownAfterRestart: this member restarted, and what it granted before is not known.
+	// unknownAfterRestart is set after a restart: leases granted before it are not known.
 	unknownAfterRestart bool
 }
 
-// LeaseUntil is when the primary's lease ends, on its own clock: the earliest end of what all of
-// its replicas granted. It is 0 for other roles, and never reached for a primary without replicas.
+// LeaseUntil returns when the lease of a serving primary expires on its own clock: the earliest
+// expiry among the leases granted by its replicas. It is 0 in other roles, and the maximum value for
+// a primary without replicas, whose lease never expires.
 func (g *Group) LeaseUntil() clock.Micros {
 	if g.Role != Serving {
 		return 0
@@ -29,8 +30,8 @@
 	return until
 }
 
-// grantedLeaseEnd is until when a former primary may hold a lease that this member granted, in
-// this incarnation or in the one before. A primary has granted none.
+// grantedLeaseEnd returns until when a former primary may hold a lease that this member granted, in
+// this incarnation or the previous one. A primary has granted none.
 func (gs *Groups) grantedLeaseEnd(g *Group) clock.Micros {
 	granted := g.asReplica.granted
 	switch {
@@ -42,16 +43,16 @@
 	return granted.until
 }
 
-// VoidGrantedLease ends the lease that this replica granted, for the incarnation that it was
-// granted to is over.
+// VoidGrantedLease ends the lease that this replica granted. The caller knows that the incarnation
+// holding it has ended.
 func (gs *Groups) VoidGrantedLease(unit string) {
 	granted := &gs.Group(unit).asReplica.granted
 	granted.until = 0
 	granted.unknownAfterRestart = false
 }
 
-// renewLeases requests leases again from every replica where one of them is due, for all units
-// that it replicates at once.
+// renewLeases requests leases again from every replica for which the renewal of at least one lease
+// is due. One request covers all units that the replica replicates.
 func (gs *Groups) renewLeases(now clock.Micros) {
 	due := map[string]bool{}
 	byPeer := map[string][]*Group{}
@@ -77,7 +78,7 @@
 	}
 }
 
-// requestLeases asks a replica for leases on some units.
+// requestLeases requests leases on the given groups' units from a replica.
 func (gs *Groups) requestLeases(peer string, groups []*Group, now clock.Micros) {
 	request := LeaseRequest{Stamp: now}
 	for _, g := range groups {
@@ -87,8 +88,8 @@
 	gs.effects.Emit(machine.Send{To: peer, Body: request})
 }
 
-// handleLeaseRequest grants the leases that a primary asks for, on the units that this member
-// replicates for it.
+// handleLeaseRequest grants the requested leases on the units that this member replicates for the
+// requesting primary.
 func (gs *Groups) handleLeaseRequest(from string, m LeaseRequest, now clock.Micros) {
 	grant := LeaseGrant{Stamp: m.Stamp}
 	for _, requested := range m.Units {
@@ -109,8 +110,8 @@
 	}
 }
 
-// handleLeaseGrant extends the leases that a replica granted. They count from the request's time
-// on this clock, so that no agreement between clocks is needed.
+// handleLeaseGrant extends the leases that a replica granted. They run from the time of the request
+// on this daemon's clock, so that the clocks need not be synchronized.
 func (gs *Groups) handleLeaseGrant(from string, m LeaseGrant) {
 	for _, granted := range m.Units {
 		g := gs.Group(granted.Unit)
@@ -121,8 +122,8 @@
 	}
 }
 
-// releaseLeases gives the leases of a serving primary back to its replicas, so that a planned
-// successor need not wait for their end.
+// releaseLeases releases the leases of a serving primary to its replicas, so that a planned
+// successor need not wait for their expiry.
 func (gs *Groups) releaseLeases(g *Group) {
 	if g.Role != Serving {
 		return
@@ -132,8 +133,8 @@
 	}
 }
 
-// handleLeaseRelease ends the lease that this member granted; a successor that waited for its end
-// waits no longer.
+// handleLeaseRelease ends the lease that this member granted. If this member is a successor waiting
+// for its expiry, it stops waiting.
 func (gs *Groups) handleLeaseRelease(m LeaseRelease, now clock.Micros) {
 	g := gs.Group(m.Unit)
 	if m.Epoch < g.asReplica.granted.epoch {
--- a/internal/replication/lease_test.go
+++ b/internal/replication/lease_test.go
@@ -7,7 +7,7 @@
 	"tuliprudder/internal/clock"
 )
 
-// A replica that takes over waits until the lease that it granted has ended.
+// A replica that takes over waits until the lease that it granted has expired.
 func TestTakeoverWaitsForGrantedLease(t *testing.T) {
 	c := newTestCluster("a", "b", "c")
 	c.formGroup(t, 1, "a", "b")
@@ -21,12 +21,12 @@
 	c.members["b"].groups.BecomePrimary(testUnit, 2, []string{"c"}, c.now)
 	c.awaitTakeover(t, c.members["b"], 2, leaseEnd)
 	if a.groups.Group(testUnit).LeaseUntil() > c.now {
-		t.Fatal("the former primary's lease outlives the takeover")
+		t.Fatal("the former primary's lease is still valid after the takeover")
 	}
 }
 
-// A member that restarted may have granted a lease right before: it takes over once that has
-// ended.
+// A member may have granted a lease right before it restarted, and does not know it any more: it
+// takes over only once such a lease has expired.
 func TestRestartedReplicaWaitsForLeaseItGranted(t *testing.T) {
 	c := newTestCluster("a", "b", "c")
 	c.formGroup(t, 1, "a", "b")
@@ -34,14 +34,14 @@
 	leaseEnd := c.members["a"].groups.Group(testUnit).LeaseUntil()
 	successor := c.members["b"].restarted()
 	c.members["b"] = successor
-	delete(c.members, "a") // frozen: it can't give its lease back
+	delete(c.members, "a") // frozen: it can't release its lease
 	successor.groups.Tick(c.now)
 	successor.groups.BecomePrimary(testUnit, 2, []string{"c"}, c.now)
 	c.awaitTakeover(t, successor, 2, leaseEnd)
 }
 
-// The primary's lease is every replica's: it ends when one of them is cut off, and that replica
-// is then reported as unreachable.
+// The primary's lease needs a grant from every replica: it expires when one of them is partitioned
+// from the primary, and that replica is then reported as unreachable.
 func TestLeaseNeedsEveryReplica(t *testing.T) {
 	c := newTestCluster("a", "b", "c")
 	c.formGroup(t, 1, "a", "b", "c")
@@ -53,10 +53,10 @@
 	c.isCut = func(from, to string) bool { return (from == "c") != (to == "c") }
 	c.advance(LeaseWait)
 	if until := group.LeaseUntil(); until > c.now {
-		t.Fatalf("the lease runs to %d without c, now is %d", until, c.now)
+		t.Fatalf("the lease is valid until %d without c, now is %d", until, c.now)
 	}
 	c.advance(clock.Second)
 	if unreachable := group.UnreachableReplicas(c.now); fmt.Sprint(unreachable) != "[c]" {
-		t.Fatalf("unreachable are %v", unreachable)
+		t.Fatalf("unreachable replicas are %v, want [c]", unreachable)
 	}
 }
--- a/internal/replication/messages.go
+++ b/internal/replication/messages.go
@@ -6,10 +6,11 @@
 )
 
 // Messages between the members of a group. Each one carries its epoch, and a receiver that knows
-// a higher one rejects it with StaleEpoch. The names of the types and fields are on the wire.
+// a higher epoch rejects it with StaleEpoch. The names of the types and fields are part of the wire
+// format.
 type (
 	// SnapshotChunk is one chunk of the primary's state at the start of an epoch. StateEpoch and
-	// Seq identify that state: a replica that has the same one adopts it and needs no more chunks.
+	// Seq identify that state: a replica that already has it adopts it and needs no more chunks.
 	SnapshotChunk struct {
 		Unit         string
 		Epoch        uint64
@@ -18,34 +19,35 @@
 		Index, Count int
 		Parts        [][]byte
 	}
-	// SnapshotChunkAck acknowledges that a chunk was received. The snapshot is not on disk before
-	// an AppendAck says SnapshotInstalled.
+	// SnapshotChunkAck acknowledges the receipt of a chunk. The snapshot is on disk only once an
+	// AppendAck has SnapshotInstalled set.
 	SnapshotChunkAck struct {
 		Unit  string
 		Epoch uint64
 		Index int
 	}
-	// Append is one entry.
+	// Append replicates one entry.
 	Append struct {
 		Unit  string
 		Epoch uint64
 		Seq   uint64
 		Entry []byte
 	}
-	// AppendAck says up to which entry the replica's disk has the log without a gap, and whether
-	// it has the epoch's snapshot.
+	// AppendAck reports the sequence number up to which the replica's disk has the log without a
+	// gap, and whether the epoch's snapshot is on that disk.
 	AppendAck struct {
 		Unit              string
 		Epoch             uint64
 		Seq               uint64
 		SnapshotInstalled bool
 	}
-	// StaleEpoch tells a former primary that its epoch is stale, and the higher one.
+	// StaleEpoch rejects a message of a stale epoch. Epoch is the higher epoch that the receiver
+	// knows.
 	StaleEpoch struct {
 		Unit  string
 		Epoch uint64
 	}
-	// LeaseRequest asks a replica for leases on the units that it replicates for this primary.
+	// LeaseRequest requests leases from a replica on the units that it replicates for this primary.
 	// Stamp is the time of the request on the primary's clock.
 	LeaseRequest struct {
 		Units []UnitEpoch
@@ -57,12 +59,13 @@
 		Units []UnitEpoch
 		Stamp clock.Micros
 	}
-	// UnitEpoch is a unit under an epoch.
+	// UnitEpoch identifies a unit's group in one epoch.
 	UnitEpoch struct {
 		Unit  string
 		Epoch uint64
 	}
-	// LeaseRelease gives a lease back before it ends: the primary of that epoch serves no more.
+	// LeaseRelease gives up a lease before it expires: the primary of that epoch has stopped
+	// serving.
 	LeaseRelease struct {
 		Unit  string
 		Epoch uint64
--- a/internal/replication/planning.go
+++ b/internal/replication/planning.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// IncarnationFunc gives the current incarnation of a daemon; false where the daemon can't
-// be reached or may not be a member.
+// IncarnationFunc returns the current incarnation of a daemon. available is false if the daemon is
+// unreachable or must not be a member.
 type IncarnationFunc func(id string) (incarnation uint64, available bool)
 
-// AllowsDegradedFunc reports whether a group may go on with these members, by id, although they
-// are fewer than it should have.
+// AllowsDegradedFunc reports whether a group may continue with these members, given by ID, although
+// they are fewer than GroupSize.
 type AllowsDegradedFunc func(members []string) bool
 
-// ChooseReplacementFunc picks a further member for a group that has some, none of the excluded
-// daemons; "" where there is none.
+// ChooseReplacementFunc returns a daemon that can join the given members and is not excluded, or ""
+// if there is none.
 type ChooseReplacementFunc func(members, excluded []string) (id string)
 
-// ClusterView is what the authority that assigns groups knows of the daemons.
+// ClusterView is what the authority that assigns groups knows about the daemons.
 type ClusterView struct {
 	// GroupSize is the number of members that a group should have.
 	GroupSize         int
@@ -23,7 +23,7 @@
 	ChooseReplacement ChooseReplacementFunc
 }
 
-// The reasons for another assignment, as they are logged (docs/OPERATORS.md).
+// The reasons for a new assignment, as they are logged (docs/OPERATORS.md).
 const (
 	reasonReplicaLost    = "replica lost"
 	reasonPrimaryLost    = "primary lost"
@@ -31,9 +31,9 @@
 	reasonReplicaMissing = "a copy was missing"
 )
 
-// Next plans the assignment that should follow, with the reason: where a member is lost, or the
-// group has fewer members than it should and another is available. It returns false when the
-// assignment should stay, or nothing better is available yet.
+// Next plans the next assignment and returns the reason for it: a member is lost, or the group has
+// fewer members than GroupSize and another daemon is available. It returns false if the assignment
+// should stay, or no better one is possible yet.
 func Next(a Assignment, view ClusterView) (next Assignment, reason string, changed bool) {
 	allAvailable := !slices.ContainsFunc(a.Members(), view.isLost)
 	if allAvailable && len(a.Members()) >= view.GroupSize {
@@ -56,9 +56,10 @@
 	return next, reasonReplicaMissing, true
 }
 
-// Reassign plans the group's next assignment under a given primary, without the excluded daemons.
-// Available members stay, then available daemons of the last complete group join, which need the
-// shortest snapshot, then replacements. It returns false when too few members are available.
+// Reassign plans the group's next assignment with the given primary and without the excluded
+// daemons. Available members stay first; then available daemons of the last complete group join,
+// because they need the smallest snapshot; then replacements. It returns false if too few members
+// are available.
 func Reassign(a Assignment, view ClusterView, primary string, excluded []string) (next Assignment, ok bool) {
 	first, ok := view.currentMember(primary)
 	if !ok {
@@ -75,22 +76,23 @@
 	}
 	builder.addReplacements()
 	if !builder.isFull() && !view.AllowsDegraded(builder.ids) {
-		return a, false // wait for a further member
+		return a, false // wait for another member to become available
 	}
 	return builder.next, true
 }
 
-// groupBuilder fills an assignment.
+// groupBuilder builds an assignment member by member.
 type groupBuilder struct {
 	view     ClusterView
 	excluded []string
 	next     Assignment
-	ids      []string // of next's members
+	ids      []string // IDs of next's members
 }
 
 func (b *groupBuilder) isFull() bool { return len(b.ids) >= b.view.GroupSize }
 
-// addReplica adds a daemon if it may be a member and there is need of one.
+// addReplica adds a daemon if it is available and not excluded and the group is not full. It reports
+// whether it did.
 func (b *groupBuilder) addReplica(id string) bool {
 	if b.isFull() || slices.Contains(b.ids, id) || slices.Contains(b.excluded, id) {
 		return false
@@ -113,21 +115,21 @@
 	}
 }
 
-// currentMember gives a daemon in its present incarnation.
+// currentMember returns a daemon in its current incarnation, and whether it is available.
 func (v ClusterView) currentMember(id string) (Member, bool) {
 	incarnation, available := v.Incarnation(id)
 	return Member{ID: id, Incarnation: incarnation}, available
 }
 
-// isLost reports whether a member is not available in the incarnation that was assigned.
+// isLost reports whether a member is unavailable or no longer in the assigned incarnation.
 func (v ClusterView) isLost(member Member) bool {
 	current, available := v.currentMember(member.ID)
 	return !available || current != member
 }
 
-// successor picks the next primary: the present one if it is available, else a replica of a
-// complete group that is, else any daemon of the last complete group that is back with its disk.
-// "" where there is none.
+// successor picks the next primary: the current one if it is not lost; else, if the group is
+// complete, a replica that is not lost; else any available daemon of the last complete group, which
+// has recovered its state from disk. It returns "" if there is none.
 func (v ClusterView) successor(a Assignment) (id, reason string) {
 	if !v.isLost(a.Primary) {
 		return a.Primary.ID, reasonReplicaLost
--- a/internal/replication/planning_test.go
+++ b/internal/replication/planning_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// testFleet is some daemons in zones, with the incarnations of those that are available.
+// testFleet is a set of daemons in zones, with the incarnations of those that are available.
 type testFleet struct {
 	groupSize, minMembers int
 	zones                 map[string]string
 	incarnations          map[string]uint64
 }
 
-// view has one member in each zone.
+// view returns a cluster view that places at most one member in each zone.
 func (f testFleet) view() ClusterView {
 	return ClusterView{
 		GroupSize: f.groupSize,
@@ -47,7 +47,7 @@
 		groupSize    int
 		minMembers   int
 		incarnations map[string]uint64
-		want         []Member // nil: the assignment stays
+		want         []Member // nil if the assignment stays
 		trusted      []string
 		reason       string
 	}{
@@ -118,7 +118,7 @@
 			}
 			want := Assignment{Epoch: test.assignment.Epoch + 1, Primary: test.want[0], Replicas: test.want[1:], Trusted: test.trusted}
 			if !next.Equal(want) || reason != test.reason {
-				t.Fatalf("planned %+v (%s), not %+v (%s)", next, reason, want, test.reason)
+				t.Fatalf("planned %+v (%s), want %+v (%s)", next, reason, want, test.reason)
 			}
 		})
 	}
@@ -136,7 +136,7 @@
 		groupSize    int
 		minMembers   int
 		incarnations map[string]uint64
-		want         []Member // nil: too few members
+		want         []Member // nil if too few members are available
 	}{
 		{"a replica becomes the primary", complete, "b", nil, 2, 2, allAvailable, []Member{{"b", 1}, {"a", 1}}},
 		{"an excluded member is replaced", complete, "a", []string{"b"}, 2, 2, allAvailable, []Member{{"a", 1}, {"c", 1}}},
@@ -154,7 +154,7 @@
 				t.Fatalf("ok is %v: %+v", ok, next)
 			}
 			if ok && (fmt.Sprint(next.Members()) != fmt.Sprint(test.want) || next.Epoch != test.assignment.Epoch+1 || next.Complete) {
-				t.Fatalf("planned %+v, not %v", next, test.want)
+				t.Fatalf("planned %+v, want %v", next, test.want)
 			}
 		})
 	}
@@ -165,41 +165,41 @@
 	fleet := testFleet{groupSize: 2, minMembers: 2, zones: map[string]string{"a": "1", "b": "2", "c": "3"}, incarnations: map[string]uint64{"c": 1}}
 	receiving := Assignment{Epoch: 5, Primary: Member{"a", 1}, Replicas: []Member{{"c", 1}}, Trusted: []string{"a", "b"}}
 	if next, _, ok := Next(receiving, fleet.view()); ok {
-		t.Fatalf("c was receiving its snapshot and becomes %+v", next)
+		t.Fatalf("c was still receiving its snapshot, and yet the group becomes %+v", next)
 	}
 	fleet.incarnations["b"] = 9
 	next, _, ok := Next(receiving, fleet.view())
 	if !ok || next.Primary != (Member{"b", 9}) || next.Replicas[0].ID != "c" || next.Epoch != 6 {
-		t.Fatalf("b has every confirmed entry and is back: %+v %v", next, ok)
+		t.Fatalf("b has every confirmed entry and is available again: planned %+v, %v", next, ok)
 	}
 	complete := Assignment{Epoch: 5, Primary: Member{"a", 1}, Replicas: []Member{{"b", 9}}, Complete: true, Trusted: []string{"a", "b"}}
 	next, _, ok = Next(complete, fleet.view())
 	if !ok || next.Primary.ID != "b" || next.Complete || !next.IsTrusted("a") {
-		t.Fatalf("a is lost: %+v %v", next, ok)
+		t.Fatalf("a is lost: planned %+v, %v", next, ok)
 	}
 }
 
-// A group of three goes on with the two that are available once that is allowed, and takes a
-// third member in as soon as there is one.
+// A group of three continues with the two available members once that is allowed, and adds a third
+// member as soon as one is available.
 func TestGroupOfThreeShrinksAndGrows(t *testing.T) {
 	strict := testFleet{groupSize: 3, minMembers: 3, zones: fourZones, incarnations: map[string]uint64{"a": 1, "b": 1}}
 	degraded := strict
 	degraded.minMembers = 2
 	complete := Assignment{Epoch: 5, Primary: Member{"a", 1}, Replicas: []Member{{"b", 1}, {"c", 1}}, Complete: true, Trusted: []string{"a", "b", "c"}}
 	if next, _, ok := Next(complete, strict.view()); ok {
-		t.Fatalf("two are not enough, and yet %+v follows", next)
+		t.Fatalf("two members are too few, and yet %+v was planned", next)
 	}
 	next, _, ok := Next(complete, degraded.view())
 	if !ok || fmt.Sprint(next.IDs()) != "[a b]" || !next.IsTrusted("c") {
-		t.Fatalf("two are enough: %+v %v", next, ok)
+		t.Fatalf("two members are enough: planned %+v, %v", next, ok)
 	}
 	next = next.Completed()
 	if again, _, ok := Next(next, degraded.view()); ok {
-		t.Fatalf("no better group is available, and yet %+v follows", again)
+		t.Fatalf("no better group is possible, and yet %+v was planned", again)
 	}
 	degraded.incarnations["d"] = 1
 	next, _, ok = Next(next, degraded.view())
 	if !ok || fmt.Sprint(next.IDs()) != "[a b d]" || next.Complete || fmt.Sprint(next.Trusted) != "[a b]" {
-		t.Fatalf("d is available: %+v %v", next, ok)
+		t.Fatalf("d is available: planned %+v, %v", next, ok)
 	}
 }
--- a/internal/replication/primary.go
+++ b/internal/replication/primary.go
@@ -9,16 +9,16 @@
 
 // BecomePrimary makes this member the primary under a new epoch, with replicas at the given
 // addresses. It serves only after every member has this member's state on disk and the authority
-// that assigns groups has recorded the group as complete (CommitGroup): until then a successor
-// might lack what would be confirmed.
+// that assigns groups has recorded the group as complete (CommitGroup). If it served earlier, a
+// successor might lack confirmed entries.
 func (gs *Groups) BecomePrimary(unit string, epoch uint64, replicas []string, now clock.Micros) {
 	gs.recordStart(now)
 	g := gs.Group(unit)
 	p := &g.asPrimary
-	p.formerLeaseEnd = gs.grantedLeaseEnd(g) // of the role before this one
+	p.formerLeaseEnd = gs.grantedLeaseEnd(g) // from the previous role
 	p.adoptedLocally = false
 	p.readyReportedAt = 0
-	p.log.recordAllSynced() // the adopt record below is written after them
+	p.log.recordAllSynced() // the adopt record is written after them
 	g.Epoch = epoch
 	g.Role = SendingSnapshot
 	g.asReplica.primary = ""
@@ -39,7 +39,8 @@
 	return &replicaProgress{peer: peer, transfer: newSnapshotTransfer(chunks)}
 }
 
-// adoptLocally records on this member's own disk that its state continues under the new epoch.
+// adoptLocally writes a record to this member's own disk that carries its state over into the new
+// epoch.
 func (gs *Groups) adoptLocally(g *Group) {
 	epoch, seq := g.Epoch, g.Seq
 	record := machine.Record{Unit: g.Unit, Kind: KindAdopt, Epoch: epoch, Seq: seq}
@@ -52,7 +53,7 @@
 	})
 }
 
-// reportReadyAgain repeats the report that every member has the state, until CommitGroup.
+// reportReadyAgain repeats the GroupReady report every ResendAfter until CommitGroup.
 func (gs *Groups) reportReadyAgain(g *Group, now clock.Micros) {
 	if now-g.asPrimary.readyReportedAt >= ResendAfter {
 		g.asPrimary.readyReportedAt = now
@@ -60,8 +61,9 @@
 	}
 }
 
-// CommitGroup lets the primary serve: the authority that assigns groups has recorded the group of
-// this epoch as complete. It returns false when this member does not wait for that.
+// CommitGroup makes the primary serve, because the authority that assigns groups has recorded the
+// group of this epoch as complete. It returns false if this member is not AwaitingCommit in that
+// epoch.
 func (gs *Groups) CommitGroup(unit string, epoch uint64, now clock.Micros) bool {
 	g := gs.Group(unit)
 	if g.Epoch != epoch || g.Role != AwaitingCommit {
@@ -76,8 +78,8 @@
 	return true
 }
 
-// Append gives an entry its number, persists it and sends it to the replicas. The caller has
-// applied it already. It returns false when this member does not serve.
+// Append assigns a sequence number to an entry, persists the entry and sends it to the replicas. The
+// caller has already applied it. Append returns false if this member is not serving.
 func (gs *Groups) Append(unit string, body []byte, now clock.Micros) (uint64, bool) {
 	g := gs.Group(unit)
 	if g.Role != Serving {
@@ -114,8 +116,8 @@
 	gs.confirmEntries(g, now)
 }
 
-// confirmEntries confirms, in order, the entries that every member has on disk. Confirmed may
-// append further entries or end this member's role.
+// confirmEntries confirms, in order, the entries that every member has on disk.
+// StateMachine.Confirmed may append further entries or end this member's role.
 func (gs *Groups) confirmEntries(g *Group, now clock.Micros) {
 	for g.Role == Serving {
 		seq, ok := g.asPrimary.log.takeConfirmed(gs.replicatedSeq(g))
@@ -126,7 +128,8 @@
 	}
 }
 
-// replicatedSeq is the last entry that counts as on the disk of every replica.
+// replicatedSeq returns the last sequence number that counts as replicated, subject to injected
+// faults.
 func (gs *Groups) replicatedSeq(g *Group) uint64 {
 	switch {
 	case gs.InjectedFaults.SkipReplicas:
@@ -137,8 +140,8 @@
 	return g.syncedByAll()
 }
 
-// syncedByAll is the last entry that is on the disk of every replica; without replicas every
-// entry is.
+// syncedByAll returns the last sequence number that is on the disk of every replica, or the maximum
+// value if there are no replicas.
 func (g *Group) syncedByAll() uint64 {
 	lowest := uint64(math.MaxUint64)
 	for _, replica := range g.asPrimary.replicas {
@@ -147,7 +150,7 @@
 	return lowest
 }
 
-// syncedByAny is the last entry that is on the disk of at least one replica.
+// syncedByAny returns the last sequence number that is on the disk of at least one replica.
 func (g *Group) syncedByAny() uint64 {
 	highest := uint64(0)
 	for _, replica := range g.asPrimary.replicas {
@@ -156,7 +159,7 @@
 	return highest
 }
 
-// resendEntries sends entries again to the replicas that have not acknowledged them.
+// resendEntries resends entries to the replicas that have not acknowledged them.
 func (gs *Groups) resendEntries(g *Group, now clock.Micros) {
 	if gs.InjectedFaults.SkipReplicas {
 		return
@@ -170,7 +173,7 @@
 	}
 }
 
-// handleAppendAck notes what a replica has on disk.
+// handleAppendAck records what a replica has on disk and confirms entries accordingly.
 func (gs *Groups) handleAppendAck(from string, m AppendAck, now clock.Micros) {
 	g := gs.Group(m.Unit)
 	replica := g.replicaAt(from)
--- a/internal/replication/primary_test.go
+++ b/internal/replication/primary_test.go
@@ -7,8 +7,8 @@
 	"tuliprudder/internal/clock"
 )
 
-// Every message of a run is dropped, duplicated or delayed, one at a time: in the end all members
-// have the same list and every entry is confirmed, once and in order.
+// Each message of a run is dropped, duplicated or delayed, one message per run: in the end all members
+// have the same list, and every entry is confirmed once and in order.
 func TestAnySingleMessageDroppedDuplicatedOrDelayed(t *testing.T) {
 	run := func(t *testing.T, number int, fault messageFault, replicas []string) *testCluster {
 		t.Helper()
@@ -17,7 +17,7 @@
 		c.formGroup(t, 1, "a", replicas...)
 		for i := 0; i < 5; i++ {
 			if !c.members["a"].add(fmt.Sprint(i), c.now) {
-				t.Fatalf("message %d, %s: the primary does not serve", number, fault)
+				t.Fatalf("message %d, %s: the primary is not serving", number, fault)
 			}
 			if i%2 == 0 {
 				c.run()
@@ -32,7 +32,7 @@
 		t.Run(fmt.Sprintf("%d replicas", len(replicas)), func(t *testing.T) {
 			total := run(t, 0, noFault, replicas).messageCount
 			if total < 12*len(replicas) {
-				t.Fatalf("only %d messages to mutate", total)
+				t.Fatalf("only %d messages to inject faults into", total)
 			}
 			for number := 1; number <= total; number++ {
 				for _, fault := range messageFaults {
@@ -51,25 +51,26 @@
 	}
 }
 
-// A deposed primary that does not know it confirms nothing: its replica rejects its epoch.
+// A deposed primary that does not know of its successor confirms nothing, because its replica rejects
+// its epoch.
 func TestDeposedPrimaryConfirmsNothing(t *testing.T) {
 	c := newTestCluster("a", "b", "c")
 	c.formGroup(t, 1, "a", "b")
 	c.members["b"].groups.BecomePrimary(testUnit, 2, []string{"c"}, c.now)
 	if !c.members["a"].add("stray", c.now) {
-		t.Fatal("the former primary knows already; the test shows nothing")
+		t.Fatal("the former primary already knows that it was deposed, so the test does not cover the case")
 	}
 	c.advance(4 * clock.Second)
 	if a := c.members["a"]; len(a.confirmed) != 0 || a.deposed != 1 {
-		t.Fatalf("the former primary confirmed %v, deposed %d times", a.confirmed, a.deposed)
+		t.Fatalf("the former primary confirmed %v and was deposed %d times", a.confirmed, a.deposed)
 	}
 	if list := c.members["c"].list; len(list) != 0 {
-		t.Fatalf("the stray entry reached the new group: %v", list)
+		t.Fatalf("the former primary's entry reached the new group: %v", list)
 	}
 }
 
-// An entry is confirmed once every replica has it, not one of them; with the injected fault that
-// is content with one, the test sees that.
+// An entry is confirmed once every replica has it, not just one of them. With the injected fault
+// SkipLastReplica one replica suffices, which shows that the test detects the violation.
 func TestEntryIsConfirmedOnceEveryReplicaHasIt(t *testing.T) {
 	for _, injected := range []bool{false, true} {
 		t.Run(fmt.Sprintf("SkipLastReplica %v", injected), func(t *testing.T) {
--- a/internal/replication/recovery.go
+++ b/internal/replication/recovery.go
@@ -2,8 +2,8 @@
 
 import "tuliprudder/internal/machine"
 
-// Recover replays one record that was read back from disk, in the order in which the records were
-// written. The group stays Idle: only a new epoch gives it a role again.
+// Recover replays one record read from disk. Records must be replayed in the order in which they
+// were written. The group stays Idle: only a new epoch gives it a role.
 func (gs *Groups) Recover(record machine.Record) {
 	g := gs.Group(record.Unit)
 	g.asReplica.granted.unknownAfterRestart = true
@@ -30,7 +30,7 @@
 	g.SyncedSeq = g.Seq
 }
 
-// CompactedRecords gives one snapshot record for each group that has state. They replace all
+// CompactedRecords returns one snapshot record for each group that has state. They replace all
 // records that the groups have persisted so far (machine.Compact).
 func (gs *Groups) CompactedRecords() []machine.Record {
 	var out []machine.Record
--- a/internal/replication/recovery_test.go
+++ b/internal/replication/recovery_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Confirmed entries are read back from the disk of any member, which then has no role.
+// Any member recovers the confirmed entries from its disk, and is Idle afterwards.
 func TestConfirmedEntriesAreRecoveredFromDisk(t *testing.T) {
 	c := newTestCluster("a", "b")
 	c.formGroup(t, 1, "a", "b")
@@ -16,10 +16,10 @@
 	for name, member := range c.members {
 		again := member.restarted()
 		if fmt.Sprint(again.list) != "[0 1 2]" {
-			t.Fatalf("%s reads %v back", name, again.list)
+			t.Fatalf("%s recovered %v", name, again.list)
 		}
 		if role := again.groups.Group(testUnit).Role; role != Idle {
-			t.Fatalf("%s is %s after its start", name, role)
+			t.Fatalf("%s has role %s after recovery", name, role)
 		}
 	}
 }
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -5,8 +5,8 @@
 	"tuliprudder/internal/machine"
 )
 
-// BecomeReplica makes this member a replica of the primary at an address, under a new epoch. It
-// takes part once it has the primary's state on disk.
+// BecomeReplica makes this member a replica of the primary at the given address under a new epoch.
+// It accepts entries and grants leases once it has the primary's state on disk.
 func (gs *Groups) BecomeReplica(unit string, epoch uint64, primary string, now clock.Micros) {
 	g := gs.Group(unit)
 	g.asReplica.primary = primary
@@ -14,7 +14,8 @@
 	gs.changeRole(g, epoch, ReceivingSnapshot, now)
 }
 
-// handleAppend applies an entry in its order. One that arrives early is buffered.
+// handleAppend applies an entry in order of sequence numbers. An entry that arrives out of order is
+// buffered.
 func (gs *Groups) handleAppend(from string, m Append) {
 	if gs.rejectStaleEpoch(from, m.Unit, m.Epoch) {
 		return
@@ -27,7 +28,7 @@
 		gs.acknowledge(g, from, false)
 		return
 	case m.Seq <= g.Seq:
-		return // applied, and being written to disk
+		return // already applied; its write to disk is in progress
 	case m.Seq != g.Seq+1:
 		g.asReplica.addToReorderBuffer(m)
 		return
@@ -43,8 +44,8 @@
 	}
 }
 
-// addToReorderBuffer keeps an entry whose predecessors have not arrived. What exceeds the buffer is
-// dropped; the primary sends it again.
+// addToReorderBuffer buffers an entry whose predecessors have not arrived. If the buffer is full, the
+// entry is dropped; the primary resends it.
 func (r *replicaState) addToReorderBuffer(m Append) {
 	if r.reorderBuffer == nil {
 		r.reorderBuffer = map[uint64]Append{}
@@ -54,7 +55,7 @@
 	}
 }
 
-// applyEntry applies the next entry, and acknowledges it once it is on disk.
+// applyEntry applies the next entry and acknowledges it once it is on disk.
 func (gs *Groups) applyEntry(g *Group, from string, m Append) {
 	g.Seq = m.Seq
 	gs.state.ApplyEntry(m.Unit, m.Entry)
@@ -67,7 +68,7 @@
 	})
 }
 
-// acknowledge tells the primary what this member has on disk.
+// acknowledge reports to the primary what this member has on disk.
 func (gs *Groups) acknowledge(g *Group, to string, snapshotInstalled bool) {
 	gs.effects.Emit(machine.Send{
 		To: to,
--- a/internal/replication/role.go
+++ b/internal/replication/role.go
@@ -4,10 +4,10 @@
 type Role int
 
 const (
-	// Idle members keep what is on disk of an earlier incarnation or epoch and take no part in
-	// the group. Only a new epoch gives a member another role.
+	// Idle is a member that takes no part in the group, but keeps the state of an earlier
+	// incarnation or epoch on disk. Only a new epoch gives it another role.
 	Idle Role = iota
-	// SendingSnapshot is a primary that brings its replicas to its own state.
+	// SendingSnapshot is a primary that is sending its state to its replicas.
 	SendingSnapshot
 	// AwaitingCommit is a primary whose replicas all have its state on disk. It waits until the
 	// authority that assigns groups has recorded the group as complete (Groups.CommitGroup).
@@ -20,5 +20,5 @@
 	Replicating
 )
 
-// String gives the role as operators read it.
+// String returns the role as it is shown to operators.
 func (r Role) String() string { return roleNames[r] }
--- a/internal/replication/snapshot.go
+++ b/internal/replication/snapshot.go
@@ -1,20 +1,20 @@
 package replication
 
-// Snapshot is the whole state of a unit in parts. A part is made when it is asked for, so that a
-// snapshot takes little memory however large the state is, and nothing where the replica turns out
-// to have the state. The state does not change meanwhile: a primary appends nothing before every
-// member has it. A part that is asked for again may differ in its bytes, not in what it says.
+// Snapshot is the full state of a unit in parts. A part is encoded on demand, so that a snapshot
+// takes little memory however large the state is, and costs nothing if the replica already has the
+// state. The state does not change meanwhile: a primary appends nothing before every member has it.
+// A part that is encoded again may differ in its bytes, but not in its content.
 type Snapshot interface {
-	// Sizes gives about how many bytes each part has.
+	// Sizes returns the approximate size of each part in bytes.
 	Sizes() []int
-	// Part makes one part.
+	// Part encodes one part.
 	Part(index int) []byte
 }
 
-// Parts is a snapshot whose parts are made already.
+// Parts is a snapshot whose parts are already encoded.
 type Parts [][]byte
 
-// Sizes gives how many bytes each part has.
+// Sizes returns the size of each part in bytes.
 func (p Parts) Sizes() []int {
 	sizes := make([]int, len(p))
 	for i, part := range p {
@@ -23,15 +23,15 @@
 	return sizes
 }
 
-// Part gives one part.
+// Part returns one part.
 func (p Parts) Part(index int) []byte { return p[index] }
 
-// AllParts makes all parts of a snapshot.
+// AllParts encodes all parts of a snapshot.
 func AllParts(snapshot Snapshot) [][]byte {
 	return makeParts(snapshot, partRange{0, len(snapshot.Sizes())})
 }
 
-// partRange is consecutive parts of a snapshot: the first, and the one after the last.
+// partRange is the half-open range [from, to) of a snapshot's parts.
 type partRange struct{ from, to int }
 
 func makeParts(snapshot Snapshot, parts partRange) [][]byte {
@@ -42,9 +42,9 @@
 	return out
 }
 
-// splitIntoChunks groups parts by their sizes into chunks of chunkSize at most. A larger part is a
-// chunk of its own, and so is the first part: with the first chunk a replica that has the same state
-// needs no more, and the others need not be made. The empty state is one empty chunk.
+// splitIntoChunks groups consecutive parts into chunks of at most chunkSize. A larger part becomes a
+// chunk of its own. So does the first part: a replica that already has the same state needs only the
+// first chunk, so that the others need not be encoded. The empty state is one empty chunk.
 func splitIntoChunks(sizes []int) []partRange {
 	var chunks []partRange
 	chunk := partRange{}
--- a/internal/replication/snapshot_receiver.go
+++ b/internal/replication/snapshot_receiver.go
@@ -5,12 +5,12 @@
 	"tuliprudder/internal/machine"
 )
 
-// incomingSnapshot gathers the chunks of the primary's snapshot.
+// incomingSnapshot collects the chunks of the primary's snapshot.
 type incomingSnapshot struct {
-	// epoch is the one whose snapshot is gathered or being written.
+	// epoch is the epoch whose snapshot is being received or written to disk.
 	epoch uint64
-	// chunks are those that arrived, by index. It is nil once the snapshot is complete and being
-	// written.
+	// chunks holds the received chunks by index. It is nil once the snapshot is complete and being
+	// written to disk.
 	chunks map[int][][]byte
 }
 
@@ -19,7 +19,7 @@
 	s.chunks = map[int][][]byte{}
 }
 
-// join gives the parts of all chunks in order.
+// join returns the parts of all chunks in order.
 func (s *incomingSnapshot) join(count int) [][]byte {
 	var parts [][]byte
 	for index := range count {
@@ -28,8 +28,8 @@
 	return parts
 }
 
-// handleSnapshotChunk gathers the primary's state and installs it once every chunk is there. A
-// member that has the same state already adopts it with the first chunk.
+// handleSnapshotChunk collects the chunks of the primary's state and installs it once all have
+// arrived. A member that already has the same state adopts it on the first chunk it receives.
 func (gs *Groups) handleSnapshotChunk(from string, m SnapshotChunk, now clock.Micros) {
 	if gs.rejectStaleEpoch(from, m.Unit, m.Epoch) {
 		return
@@ -55,8 +55,7 @@
 	gs.receiveChunk(g, from, m)
 }
 
-// hasState reports whether this member's state is the one that was written up to seq under an
-// epoch.
+// hasState reports whether this member's state is the one written up to seq under stateEpoch.
 func (g *Group) hasState(stateEpoch, seq uint64) bool {
 	return stateEpoch > 0 && g.stateEpoch == stateEpoch && g.Seq == seq
 }
@@ -66,7 +65,7 @@
 	gs.effects.Emit(machine.Send{To: from, Body: SnapshotChunkAck{Unit: m.Unit, Epoch: m.Epoch, Index: m.Index}})
 	snapshot := &g.asReplica.snapshot
 	if snapshot.chunks == nil {
-		return // complete, and being written
+		return // complete; being written to disk
 	}
 	snapshot.chunks[m.Index] = m.Parts
 	if len(snapshot.chunks) == m.Count {
@@ -74,7 +73,7 @@
 	}
 }
 
-// adoptState continues the state that this member has under the new epoch.
+// adoptState carries this member's existing state over into the new epoch.
 func (gs *Groups) adoptState(g *Group, from string, m SnapshotChunk) {
 	g.asReplica.primary = from
 	g.asReplica.snapshot.chunks = nil
@@ -83,7 +82,7 @@
 	gs.Persist([]machine.Record{record}, gs.snapshotPersisted(g, from, m))
 }
 
-// installSnapshot replaces the state by the complete snapshot. m is any of its chunks.
+// installSnapshot replaces the state with the complete snapshot. m is any of its chunks.
 func (gs *Groups) installSnapshot(g *Group, from string, m SnapshotChunk) {
 	parts := g.asReplica.snapshot.join(m.Count)
 	g.asReplica.primary = from
@@ -97,8 +96,8 @@
 	gs.Persist([]machine.Record{record}, gs.snapshotPersisted(g, from, m))
 }
 
-// snapshotPersisted is called once the epoch's state is on disk: from then on this member
-// replicates.
+// snapshotPersisted returns the callback for the time when the epoch's state is on disk: this member
+// becomes Replicating and acknowledges the snapshot.
 func (gs *Groups) snapshotPersisted(g *Group, from string, m SnapshotChunk) func(now clock.Micros) {
 	return func(_ clock.Micros) {
 		if g.Epoch == m.Epoch && g.Role == ReceivingSnapshot {
--- a/internal/replication/snapshot_receiver_test.go
+++ b/internal/replication/snapshot_receiver_test.go
@@ -7,8 +7,8 @@
 	"tuliprudder/internal/clock"
 )
 
-// A replica that has the primary's state adopts the new epoch without a snapshot, and reads the
-// same back; one that has anything else is sent the whole.
+// A replica that has the primary's state adopts it under the new epoch without a snapshot, and
+// recovers the same state from disk. A replica with any other state receives the full snapshot.
 func TestReplicaWithSameStateNeedsNoSnapshot(t *testing.T) {
 	for _, behind := range []bool{false, true} {
 		t.Run(fmt.Sprintf("behind %v", behind), func(t *testing.T) {
@@ -31,7 +31,7 @@
 			again := replica.restarted()
 			want := c.members["b"].list
 			if fmt.Sprint(again.list) != fmt.Sprint(want) || again.groups.Group(testUnit).Epoch != 2 {
-				t.Fatalf("c reads %v of epoch %d back, b has %v", again.list, again.groups.Group(testUnit).Epoch, want)
+				t.Fatalf("c recovered %v of epoch %d, b has %v", again.list, again.groups.Group(testUnit).Epoch, want)
 			}
 		})
 	}
--- a/internal/replication/snapshot_sender.go
+++ b/internal/replication/snapshot_sender.go
@@ -5,11 +5,12 @@
 	"tuliprudder/internal/machine"
 )
 
-// outgoingSnapshot is the state of the primary at the start of an epoch, divided into chunks.
+// outgoingSnapshot is the primary's state at the start of an epoch, divided into chunks.
 type outgoingSnapshot struct {
 	source Snapshot    // nil once every replica has it
-	chunks []partRange // its parts by chunk
-	// baseEpoch and seq identify the state: a replica with the same stateEpoch and Seq has it.
+	chunks []partRange // the parts of each chunk
+	// baseEpoch and seq identify the state: a replica with the same stateEpoch and Seq already
+	// has it.
 	baseEpoch uint64
 	seq       uint64
 }
@@ -25,12 +26,12 @@
 
 // snapshotTransfer is the progress of the primary's snapshot at one replica.
 type snapshotTransfer struct {
-	sentAt []clock.Micros // by chunk, when it was last sent; 0 before
+	sentAt []clock.Micros // by chunk: when it was last sent, 0 if never
 	acked  []bool         // by chunk
-	// awaitingInstalledSince is when a chunk was last acknowledged, or the first one was sent
-	// again to learn whether the snapshot is on disk.
+	// awaitingInstalledSince is when a chunk was last acknowledged, or the first chunk was resent
+	// to find out whether the snapshot is on disk.
 	awaitingInstalledSince clock.Micros
-	// progressAt is when the transfer began, or a chunk was last acknowledged; 0 before.
+	// progressAt is when the transfer began or a chunk was last acknowledged; 0 before the start.
 	progressAt clock.Micros
 }
 
@@ -43,7 +44,7 @@
 	return t.progressAt > 0 && now-t.progressAt > snapshotTimeout
 }
 
-// isInFlight reports whether a chunk was sent and is neither acknowledged nor due again.
+// isInFlight reports whether a chunk was sent and is neither acknowledged nor due for resending.
 func (t *snapshotTransfer) isInFlight(chunk int, now clock.Micros) bool {
 	return !t.acked[chunk] && t.sentAt[chunk] > 0 && now-t.sentAt[chunk] < resendChunkAfter
 }
@@ -58,9 +59,9 @@
 	return true
 }
 
-// dueChunks gives the chunks to send now, at most budget. Chunks in flight count towards
-// maxChunksPerReplica. The first chunk goes alone: a replica that has the same state already
-// needs no more.
+// dueChunks returns the chunks to send now, at most budget. Chunks in flight count towards
+// maxChunksPerReplica. The first chunk is sent alone, because a replica that already has the same
+// state needs no more.
 func (t *snapshotTransfer) dueChunks(budget int, now clock.Micros) []int {
 	var due []int
 	unacked := 0
@@ -84,8 +85,8 @@
 	return due
 }
 
-// ChunksLeft is the number of snapshot chunks that the replicas of this primary have not
-// acknowledged.
+// ChunksLeft returns the number of snapshot chunks that the replicas of this primary have not
+// acknowledged yet.
 func (g *Group) ChunksLeft() int {
 	count := 0
 	for _, replica := range g.asPrimary.replicas {
@@ -101,8 +102,8 @@
 	return count
 }
 
-// sendSnapshot keeps a few chunks in flight to each replica and repeats those that were not
-// acknowledged. It begins once the former primary's lease has ended.
+// sendSnapshot keeps a few chunks in flight to each replica and resends those that were not
+// acknowledged. It does nothing before the former primary's lease has expired.
 func (gs *Groups) sendSnapshot(g *Group, now clock.Micros) {
 	if g.Role != SendingSnapshot || now < g.asPrimary.formerLeaseEnd {
 		return
@@ -128,14 +129,14 @@
 		gs.sendChunk(g, replica, chunk)
 	}
 	if transfer.isComplete() && now-transfer.awaitingInstalledSince >= resendChunkAfter {
-		// The acknowledgement that the snapshot is on disk was lost, or is not due yet. The
-		// replica answers any chunk with it.
+		// The acknowledgement that the snapshot is on disk was lost, or the write is still in
+		// progress. Once the snapshot is on disk, the replica answers any chunk with it.
 		transfer.awaitingInstalledSince = now
 		gs.sendChunk(g, replica, 0)
 	}
 }
 
-// chunksInFlight counts the chunks of all units' snapshots that are in flight.
+// chunksInFlight returns the number of chunks in flight over all units' snapshots.
 func (gs *Groups) chunksInFlight(now clock.Micros) int {
 	count := 0
 	for _, g := range gs.groups {
@@ -178,8 +179,8 @@
 	})
 }
 
-// handleSnapshotChunkAck notes a chunk that a replica has, and sends what may follow: of this
-// unit first, then of the others, which share the budget.
+// handleSnapshotChunkAck records that a replica has received a chunk and sends further chunks: of
+// this unit first, then of the others, which share the budget.
 func (gs *Groups) handleSnapshotChunkAck(from string, m SnapshotChunkAck, now clock.Micros) {
 	g := gs.Group(m.Unit)
 	replica := g.replicaAt(from)
@@ -201,7 +202,7 @@
 }
 
 // checkSnapshotsInstalled reports the group as ready once every member has the epoch's state on
-// disk and the former primary's lease has ended.
+// disk and the former primary's lease has expired.
 func (gs *Groups) checkSnapshotsInstalled(g *Group, now clock.Micros) {
 	p := &g.asPrimary
 	if g.Role != SendingSnapshot || !p.adoptedLocally || now < p.formerLeaseEnd {
@@ -219,7 +220,8 @@
 	gs.state.GroupReady(g.Unit, g.Epoch, now)
 }
 
-// SnapshotBytes is how many bytes of snapshots are in memory, gathered from other members.
+// SnapshotBytes returns the size in bytes of the snapshot chunks from other members that are
+// buffered in memory.
 func (gs *Groups) SnapshotBytes() int64 {
 	size := int64(0)
 	for _, g := range gs.groups {
--- a/internal/replication/snapshot_sender_test.go
+++ b/internal/replication/snapshot_sender_test.go
@@ -9,8 +9,8 @@
 	"tuliprudder/internal/machine"
 )
 
-// A large state is sent in chunks, a few at a time, and each chunk may be dropped, duplicated or
-// delayed.
+// A large state is sent in chunks, a few at a time, and arrives complete although a message is
+// dropped, duplicated or delayed.
 func TestLargeSnapshotIsSentInChunks(t *testing.T) {
 	const partCount = 20
 	large := strings.Repeat("x", 100<<10)
@@ -35,8 +35,8 @@
 	}
 }
 
-// The snapshots of many units share a budget: no more chunks are in flight than it allows, and
-// all get their turn.
+// The snapshots of many units share a budget: no more chunks are in flight than it allows, and every
+// chunk is eventually sent.
 func TestSnapshotsShareChunkBudget(t *testing.T) {
 	const unitCount = 10
 	unit := func(i int) string { return fmt.Sprint("u", i) }
@@ -75,7 +75,7 @@
 	for i := range unitCount {
 		for chunk, done := range a.groups.Group(unit(i)).asPrimary.replicas[0].transfer.acked {
 			if !done {
-				t.Fatalf("%s: chunk %d never had its turn (%d acknowledged)", unit(i), chunk, acked)
+				t.Fatalf("%s: chunk %d was never sent (%d chunks acknowledged)", unit(i), chunk, acked)
 			}
 		}
 	}
--- a/internal/replication/unconfirmed_log.go
+++ b/internal/replication/unconfirmed_log.go
@@ -2,15 +2,14 @@
 
 import "tuliprudder/internal/clock"
 
-// unconfirmedLog has the entries that the primary appended and has not confirmed yet, in the
-// order of their numbers.
+// unconfirmedLog holds the entries that the primary has appended and not confirmed yet, in the order
+// of their sequence numbers.
 type unconfirmedLog struct{ entries []logEntry }
 
-// logEntry is one entry of the log.
 type logEntry struct {
 	seq           uint64
 	body          []byte
-	syncedLocally bool         // it is on the primary's own disk
+	syncedLocally bool         // whether it is on the primary's own disk
 	sentAt        clock.Micros // when it was last sent to the replicas
 	appendedAt    clock.Micros
 }
@@ -30,15 +29,15 @@
 	}
 }
 
-// recordAllSynced records that every entry counts as on the primary's own disk.
+// recordAllSynced marks every entry as on the primary's own disk.
 func (l *unconfirmedLog) recordAllSynced() {
 	for i := range l.entries {
 		l.entries[i].syncedLocally = true
 	}
 }
 
-// takeConfirmed removes the first entry and gives its number if it is on the primary's disk and
-// not above replicatedSeq.
+// takeConfirmed removes the first entry and returns its sequence number, provided that the entry is
+// on the primary's own disk and not above replicatedSeq.
 func (l *unconfirmedLog) takeConfirmed(replicatedSeq uint64) (seq uint64, ok bool) {
 	if len(l.entries) == 0 {
 		return 0, false
@@ -51,8 +50,8 @@
 	return first.seq, true
 }
 
-// takeDue gives the entries to send again, of the first maxResent ones, and notes that they are
-// sent now.
+// takeDue returns those of the first maxResent entries that are due for resending, and marks them as
+// sent at now.
 func (l *unconfirmedLog) takeDue(now clock.Micros) []logEntry {
 	var due []logEntry
 	for i := range l.entries[:min(len(l.entries), maxResent)] {
@@ -65,11 +64,11 @@
 	return due
 }
 
-// Unconfirmed is the number of entries that are not confirmed yet.
+// Unconfirmed returns the number of entries that are not confirmed yet.
 func (g *Group) Unconfirmed() int { return len(g.asPrimary.log.entries) }
 
-// OldestUnconfirmed is how long the oldest entry that is not confirmed has waited, in
-// microseconds; 0 where there is none.
+// OldestUnconfirmed returns the age of the oldest unconfirmed entry in microseconds, or 0 if there is
+// none.
 func (g *Group) OldestUnconfirmed(now clock.Micros) clock.Micros {
 	if len(g.asPrimary.log.entries) == 0 {
 		return 0
