--- a/internal/controlplane/election/heartbeat.go
+++ b/internal/controlplane/election/heartbeat.go
@@ -136,6 +136,6 @@
 // releaseStaleRole releases this core's role in a group that a higher committed term has ended.
 func (e *Election) releaseStaleRole(now clock.Micros) {
 	if group := e.group(); e.vote.Committed.Epoch > group.Epoch {
-		e.groups.Release(GroupUnit, group.Epoch, now)
+		e.groups.StepDown(GroupUnit, group.Epoch, now)
 	}
 }
