--- a/internal/daemon/machines/updates.go
+++ b/internal/daemon/machines/updates.go
@@ -36,7 +36,7 @@
 		s.members[member.ID] = member
 	}
 	s.Reports.SetIncarnation(s.members[s.self].Incarnation)
-	s.Scheduler.SetServerOffset(s.serverOffset())
+	s.Scheduler.SetRotationOffset(s.serverOffset())
 	s.Scheduler.SetZone(s.members[s.self].Zone)
 }
 
--- a/internal/dataplane/observations/observations.go
+++ b/internal/dataplane/observations/observations.go
@@ -61,7 +61,7 @@
 
 // Tick sends what was seen since the last message, when it is due.
 func (x *Exchange) Tick(members map[string]membership.Member, emit func(machine.Effect), now clock.Micros) {
-	if now < x.nextSend || x.scheduler.Disables(mechanism.Observations) {
+	if now < x.nextSend || x.scheduler.IsDisabled(mechanism.Observations) {
 		return
 	}
 	x.nextSend = now + interval
--- a/internal/dataplane/proxy/attempts.go
+++ b/internal/dataplane/proxy/attempts.go
@@ -51,7 +51,7 @@
 // queueDeadline is until when a request may wait for a server. One that has waited longer is
 // better rejected: its caller learns when to retry while there is still time for it.
 func (p *Proxy) queueDeadline(r *activeRequest, now clock.Micros) clock.Micros {
-	if p.scheduler.Disables(mechanism.QueueTimeLimit) {
+	if p.scheduler.IsDisabled(mechanism.QueueTimeLimit) {
 		return r.deadline
 	}
 	limit := now + p.settings.MaxQueueTime
--- a/internal/dataplane/scheduler/assignment.go
+++ b/internal/dataplane/scheduler/assignment.go
@@ -29,7 +29,7 @@
 // assign counts a request in at its chosen server.
 func (sc *Scheduler) assign(r *Request, server *serverState, scores []scoring.Score, now clock.Micros) *Assignment {
 	sc.Assigned++
-	sc.retries.add()
+	sc.retries.refill()
 	sc.assignments.Record(now)
 	sc.prefixes.record(r, server.server.Name)
 	if r.IsBatchItem {
@@ -88,7 +88,7 @@
 	if a.released {
 		return
 	}
-	a.free(now)
+	a.releaseCapacity(now)
 	a.scheduler.observeOutcome(a.server, !succeeded, now)
 	if succeeded {
 		a.server.recordSuccess(duration, now)
@@ -112,7 +112,7 @@
 	if a.released {
 		return
 	}
-	a.free(now)
+	a.releaseCapacity(now)
 	a.scheduler.observeOutcome(a.server, true, now)
 	a.server.recordSuccess(0, now)
 }
@@ -123,7 +123,7 @@
 	if a.released {
 		return
 	}
-	a.free(now)
+	a.releaseCapacity(now)
 }
 
 // Rejected ends the assignment because the server was full: it is given a backoff.
@@ -132,20 +132,20 @@
 	if a.released {
 		return
 	}
-	a.free(now)
+	a.releaseCapacity(now)
 	a.server.recordSuccess(0, now)
 }
 
 // backoff is how long a server is left alone after a rejection or failure.
 func (sc *Scheduler) backoff() clock.Micros {
-	if sc.Disables(mechanism.ServerBackoff) {
+	if sc.IsDisabled(mechanism.ServerBackoff) {
 		return 0
 	}
 	return sc.settings.ServerBackoff
 }
 
-// free gives the place on the server back.
-func (a *Assignment) free(now clock.Micros) {
+// releaseCapacity gives the place on the server back.
+func (a *Assignment) releaseCapacity(now clock.Micros) {
 	a.endPrefill()
 	a.released = true
 	a.interval.endedAt = now
--- a/internal/dataplane/scheduler/assignment_test.go
+++ b/internal/dataplane/scheduler/assignment_test.go
@@ -10,7 +10,7 @@
 
 // A request that ends for reasons of its own says nothing of its server: one that is
 // unresponsive stays so, and its failures stay counted.
-func TestAbandonSaysNothingOfTheServer(t *testing.T) {
+func TestAbandonKeepsServerState(t *testing.T) {
 	sc := New(Defaults(), 1)
 	configuration := &config.Configuration{Version: 1, Pools: []config.Pool{{Name: "p"}}, ScorerWeights: map[string]float64{"spread": 1},
 		Routes: []config.Route{{Name: "r", Kind: config.Stream, Forward: &config.Forward{}}}, Tenants: []config.Tenant{{Name: "r", Class: "c"}}, Classes: []config.PriorityClass{{Name: "c", Priority: 1}}}
--- a/internal/dataplane/scheduler/batch_allotment.go
+++ b/internal/dataplane/scheduler/batch_allotment.go
@@ -25,22 +25,22 @@
 	Connections connections.Shares
 }
 
-// of are the places in the allotment.
-func (a BatchAllotment) of(places []string) []string {
-	if len(places) == 0 || a.Total <= 0 {
-		return places
+// selectSlots are the places in the allotment.
+func (a BatchAllotment) selectSlots(slots []string) []string {
+	if len(slots) == 0 || a.Total <= 0 {
+		return slots
 	}
-	first := min(a.Offset*len(places)/a.Total, len(places)-1)
-	end := (a.Offset + a.Size) * len(places) / a.Total
-	return places[first:min(max(end, first+1), len(places))]
+	first := min(a.Offset*len(slots)/a.Total, len(slots)-1)
+	end := (a.Offset + a.Size) * len(slots) / a.Total
+	return slots[first:min(max(end, first+1), len(slots))]
 }
 
-// batchPlaces are the places for batch items of all servers.
-type batchPlaces struct {
-	inOrder    []string       // servers' names, once for each place
+// batchState are the places for batch items of all servers.
+type batchState struct {
+	sequence   []string       // servers' names, once for each place
 	byServer   map[string]int // how many a server has
 	ownLimits  map[string]int // how many of them are this daemon's; nil: all
-	elsewhere  map[string]int // items of other daemons that run there, as far as known
+	otherItems map[string]int // items of other daemons that run there, as far as known
 	itemTokens int            // of an item, on average; 0: unknown
 	// connections are the daemons that share the servers' connections.
 	connections connections.Shares
@@ -52,9 +52,9 @@
 func (sc *Scheduler) SetBatchAllotment(allotment BatchAllotment) {
 	sc.batch.itemTokens = allotment.ItemTokens
 	sc.batch.connections = allotment.Connections
-	sc.listBatchPlaces()
+	sc.listBatchSlots()
 	sc.batch.ownLimits = map[string]int{}
-	for _, name := range sc.ownPlaces(allotment) {
+	for _, name := range sc.ownSlots(allotment) {
 		sc.batch.ownLimits[name]++
 	}
 	for name, limit := range sc.batch.ownLimits {
@@ -66,22 +66,22 @@
 // connectionLimit is how many connections to a known server a store may have.
 func (sc *Scheduler) connectionLimit(server endpoints.Server) int {
 	total := sc.servers[server.Name].maxConnections
-	if total == 0 || sc.batch.connections == (connections.Shares{}) || sc.Disables(mechanism.BatchConnections) {
+	if total == 0 || sc.batch.connections == (connections.Shares{}) || sc.IsDisabled(mechanism.BatchConnections) {
 		return math.MaxInt
 	}
 	return sc.batch.connections.Of(membership.Store, total, server.Slots)
 }
 
-func (sc *Scheduler) ownPlaces(allotment BatchAllotment) []string {
-	if sc.Disables(mechanism.BatchShares) {
-		return sc.batch.inOrder
+func (sc *Scheduler) ownSlots(allotment BatchAllotment) []string {
+	if sc.IsDisabled(mechanism.BatchShares) {
+		return sc.batch.sequence
 	}
-	return allotment.of(sc.batch.inOrder)
+	return allotment.selectSlots(sc.batch.sequence)
 }
 
 // SetOtherBatchItems says how many batch items of other daemons run on the servers, by their names.
 func (sc *Scheduler) SetOtherBatchItems(byServer map[string]int) {
-	sc.batch.elsewhere = byServer
+	sc.batch.otherItems = byServer
 	sc.changed = true
 }
 
@@ -96,26 +96,26 @@
 	return out
 }
 
-// listBatchPlaces lists the places for batch items of all servers. Every daemon lists them in the
+// listBatchSlots lists the places for batch items of all servers. Every daemon lists them in the
 // same order: zone by zone, and in a zone first one place of each server, then a second one of each,
 // and so on. So a daemon's places are on as many servers as possible, in as few zones as possible.
 // Where a store has fewer connections to a server than that has places, the zones are passed through with as
 // many places of each server at a time: a part of the list would have more on a server than its store can use there.
-func (sc *Scheduler) listBatchPlaces() {
+func (sc *Scheduler) listBatchSlots() {
 	servers := sc.sortedServers()
-	sc.batch.byServer = sc.placesByServer(servers)
-	sc.batch.inOrder = sc.batch.inOrder[:0]
+	sc.batch.byServer = sc.slotsByServer(servers)
+	sc.batch.sequence = sc.batch.sequence[:0]
 	for pass := 0; ; pass++ {
-		before := len(sc.batch.inOrder)
+		before := len(sc.batch.sequence)
 		for from := 0; from < len(servers); {
 			to := from
 			for to < len(servers) && servers[to].Labels[endpoints.LabelZone] == servers[from].Labels[endpoints.LabelZone] {
 				to++
 			}
-			sc.listPlacesInTurn(servers[from:to], pass)
+			sc.interleaveSlots(servers[from:to], pass)
 			from = to
 		}
-		if len(sc.batch.inOrder) == before {
+		if len(sc.batch.sequence) == before {
 			return
 		}
 	}
@@ -135,9 +135,9 @@
 	return servers
 }
 
-// placesByServer is how many places each server has. Their exact number needs not be whole: then some
+// slotsByServer is how many places each server has. Their exact number needs not be whole: then some
 // servers have one more than others, so that all together have as many as they should.
-func (sc *Scheduler) placesByServer(servers []endpoints.Server) map[string]int {
+func (sc *Scheduler) slotsByServer(servers []endpoints.Server) map[string]int {
 	out := make(map[string]int, len(servers))
 	sum, counted := 0.0, 0
 	for _, server := range servers {
@@ -149,29 +149,29 @@
 	return out
 }
 
-// listPlacesInTurn lists the places that some servers have in a pass, one of each in turn.
-func (sc *Scheduler) listPlacesInTurn(servers []endpoints.Server, pass int) {
-	left := make([]int, len(servers))
+// interleaveSlots lists the places that some servers have in a pass, one of each in turn.
+func (sc *Scheduler) interleaveSlots(servers []endpoints.Server, pass int) {
+	counts := make([]int, len(servers))
 	for i, server := range servers {
-		left[i] = placesInPass(sc.batch.byServer[server.Name], sc.connectionLimit(server), pass)
+		counts[i] = slotsInPass(sc.batch.byServer[server.Name], sc.connectionLimit(server), pass)
 	}
 	for rank := 0; ; rank++ {
-		before := len(sc.batch.inOrder)
+		before := len(sc.batch.sequence)
 		for i, server := range servers {
-			if rank < left[i] {
-				sc.batch.inOrder = append(sc.batch.inOrder, server.Name)
+			if rank < counts[i] {
+				sc.batch.sequence = append(sc.batch.sequence, server.Name)
 			}
 		}
-		if len(sc.batch.inOrder) == before {
+		if len(sc.batch.sequence) == before {
 			return
 		}
 	}
 }
 
-// placesInPass is how many of a server's places are in a pass that has so many at most.
-func placesInPass(places, perPass, pass int) int {
-	perPass = max(1, min(perPass, places))
-	return max(0, min(perPass, places-pass*perPass))
+// slotsInPass is how many of a server's places are in a pass that has so many at most.
+func slotsInPass(slots, perPass, pass int) int {
+	perPass = max(1, min(perPass, slots))
+	return max(0, min(perPass, slots-pass*perPass))
 }
 
 // batchCapacity is how many batch items of all daemons a server may run, by its slots and by its
@@ -182,7 +182,7 @@
 	if sc.configuration != nil {
 		memory = sc.configuration.MemoryTokens(server.Labels)
 	}
-	if memory == 0 || sc.batch.itemTokens == 0 || sc.Disables(mechanism.BatchMemory) {
+	if memory == 0 || sc.batch.itemTokens == 0 || sc.IsDisabled(mechanism.BatchMemory) {
 		return bySlots
 	}
 	return min(bySlots, sc.settings.BatchMemoryShare*float64(memory)/float64(sc.batch.itemTokens))
@@ -194,19 +194,19 @@
 	if sc.batch.ownLimits == nil {
 		return max(1, int(math.Round(sc.batchCapacity(server))))
 	}
-	return min(sc.freeBatchPlaces(server), sc.batch.ownLimits[server.Name])
+	return min(sc.freeBatchSlots(server), sc.batch.ownLimits[server.Name])
 }
 
-// freeBatchPlaces is how many places for batch items of a server other daemons don't use, whosever part
+// freeBatchSlots is how many places for batch items of a server other daemons don't use, whosever part
 // they are. An item that can't run on some servers goes by it: this daemon's part may be on just those,
 // and the item would wait for as long as the parts stay as they are.
-func (sc *Scheduler) freeBatchPlaces(server endpoints.Server) int {
+func (sc *Scheduler) freeBatchSlots(server endpoints.Server) int {
 	if sc.batch.ownLimits == nil {
 		return sc.batchLimit(server)
 	}
 	free := sc.batch.byServer[server.Name]
-	if !sc.Disables(mechanism.BatchRunning) {
-		free -= sc.batch.elsewhere[server.Name]
+	if !sc.IsDisabled(mechanism.BatchRunning) {
+		free -= sc.batch.otherItems[server.Name]
 	}
 	return max(0, free)
 }
--- a/internal/dataplane/scheduler/batch_allotment_test.go
+++ b/internal/dataplane/scheduler/batch_allotment_test.go
@@ -75,7 +75,7 @@
 }
 
 // A store's places are in as few zones as possible, and there on as many servers.
-func TestAnAllotmentIsInFewZones(t *testing.T) {
+func TestAllotmentSpansFewZones(t *testing.T) {
 	sc := newFleetScheduler(5, 18, 9)
 	sc.SetBatchAllotment(BatchAllotment{Offset: 113, Size: 36, Total: 567})
 	if len(sc.batch.ownLimits) != 18 {
@@ -98,7 +98,7 @@
 
 // A store with a third of all items had all places of a third of the servers and the connections for a
 // quarter of them: its items waited beside free servers.
-func TestAPartFitsItsStoresConnections(t *testing.T) {
+func TestAllotmentFitsStoreConnections(t *testing.T) {
 	for _, test := range []struct{ size, want int }{
 		{size: 10, want: 6},
 		{size: 230, want: 150},
@@ -120,7 +120,7 @@
 }
 
 // Items that avoid a server, or want certain weights, were sent to servers that the store had no connection to left.
-func TestAParticularItemNeedsAConnectionToo(t *testing.T) {
+func TestConstrainedItemsRespectConnectionLimit(t *testing.T) {
 	sc, shares := newConnectionLimitedScheduler()
 	sc.SetBatchAllotment(BatchAllotment{Offset: 0, Size: 10, Total: 614, Connections: shares})
 	avoiding := &Request{IsBatchItem: true, AvoidedServers: map[string]int{"server-0-00": MaxFailuresPerServer}}
@@ -134,11 +134,11 @@
 }
 
 // Passes over the servers leave no place out and list none twice.
-func TestPassesListEachPlaceOnce(t *testing.T) {
+func TestPassesListEachBatchSlotOnce(t *testing.T) {
 	sc, shares := newConnectionLimitedScheduler()
 	sc.SetBatchAllotment(BatchAllotment{Size: 1, Total: 1, Connections: shares})
 	listed := map[string]int{}
-	for _, name := range sc.batch.inOrder {
+	for _, name := range sc.batch.sequence {
 		listed[name]++
 	}
 	if !maps.Equal(listed, sc.batch.byServer) {
@@ -147,7 +147,7 @@
 }
 
 // Servers that are draining or removed have no places.
-func TestDrainingServersHaveNoPlaces(t *testing.T) {
+func TestDrainingServersHaveNoBatchSlots(t *testing.T) {
 	sc := newFleetScheduler(1, 3, 4)
 	sc.SetServer(endpoints.Server{Name: "server-0-00", Slots: 4, Draining: true})
 	sc.SetServer(endpoints.Server{Name: "server-0-01", Slots: 4, Removed: true})
@@ -160,7 +160,7 @@
 
 // A server has no more places than its memory holds items, where the configuration names the memory;
 // a fraction of a place goes to some servers whole.
-func TestPlacesKeepToTheServersMemory(t *testing.T) {
+func TestServerMemoryLimitsBatchSlots(t *testing.T) {
 	for name, c := range map[string]struct {
 		memory, itemTokens int
 		want               int // places of all ten servers
@@ -179,15 +179,15 @@
 			for _, limit := range sc.batch.byServer {
 				least, most = min(least, limit), max(most, limit)
 			}
-			if len(sc.batch.inOrder) != c.want || most-least > 1 {
-				t.Errorf("%d places, %d to %d on a server", len(sc.batch.inOrder), least, most)
+			if len(sc.batch.sequence) != c.want || most-least > 1 {
+				t.Errorf("%d places, %d to %d on a server", len(sc.batch.sequence), least, most)
 			}
 		})
 	}
 }
 
 // A store starts nothing where others' items have taken the places.
-func TestPlacesThatOthersHaveAreLeft(t *testing.T) {
+func TestBatchLimitExcludesSlotsUsedByOthers(t *testing.T) {
 	sc := newFleetScheduler(1, 2, 10)
 	sc.SetBatchAllotment(BatchAllotment{Size: 1, Total: 2})
 	first, second := sc.servers["server-0-00"].server, sc.servers["server-0-01"].server
@@ -200,7 +200,7 @@
 // An item that failed on a server goes to another one, also where this store's part of the places is on
 // that server alone: other stores may have nothing to run, so that the parts stay as they are. (Of ten
 // plays of TestAWholeDeployment beside each other about three had such an item, which waited for ever.)
-func TestAnItemThatFailedLeavesItsStoresPart(t *testing.T) {
+func TestFailedItemRunsOutsideItsStoresAllotment(t *testing.T) {
 	f := newFixture(t, newServer("one", 4), newServer("two", 4))
 	f.route.Forward = &config.Forward{}
 	f.SetBatchAllotment(BatchAllotment{Offset: 0, Size: 1, Total: 6})
--- a/internal/dataplane/scheduler/choose.go
+++ b/internal/dataplane/scheduler/choose.go
@@ -42,7 +42,7 @@
 func (sc *Scheduler) newSelection(r *Request, now clock.Micros) selection {
 	servers, fastest := sc.activeServers()
 	avoided := r.AvoidedServers
-	if sc.Disables(mechanism.RetryAvoidance) {
+	if sc.IsDisabled(mechanism.RetryAvoidance) {
 		avoided = nil
 	}
 	if r.IsBatchItem && len(avoided) > 0 && !sc.hasOtherServer(r, servers) {
@@ -58,7 +58,7 @@
 		prefixServer:     sc.prefixes.lastServer(r),
 		requirements:     scoring.Requirements{Model: r.Route.Model, Adapter: r.Route.Adapter, Weights: r.Route.Weights, WeightVersion: r.WantedWeights},
 		avoided:          avoided,
-		rotationStart:    int(sc.serverOffset * float64(len(servers))),
+		rotationStart:    int(sc.rotationOffset * float64(len(servers))),
 	}
 }
 
@@ -98,7 +98,7 @@
 		UtilizationLimit: s.utilizationLimit,
 		Draining:         server.server.Draining && !sc.InjectedFaults.IgnoreStaleness,
 		Healthy:          server.isHealthy(),
-		WeightVersion:    server.weights.at(s.now),
+		WeightVersion:    server.weights.versionAt(s.now),
 		HasPrefix:        s.prefixServer == server.server.Name,
 		FailureRate:      server.outcomes.failureRate(s.now),
 		SameZone:         sc.zone != "" && server.server.Labels[endpoints.LabelZone] == sc.zone,
@@ -118,10 +118,10 @@
 
 func (sc *Scheduler) batchUsage(r *Request, server *serverState) *scoring.BatchUsage {
 	out := &scoring.BatchUsage{Limit: sc.batchLimit(server.server), Running: server.runningBatchItems}
-	if r.isParticular() {
-		out.Limit = min(sc.freeBatchPlaces(server.server), sc.connectionLimit(server.server))
+	if r.hasServerConstraints() {
+		out.Limit = min(sc.freeBatchSlots(server.server), sc.connectionLimit(server.server))
 	}
-	if !sc.Disables(mechanism.BatchPrefillLimit) {
+	if !sc.IsDisabled(mechanism.BatchPrefillLimit) {
 		out.Prefilling = server.prefillingBatchItems
 	}
 	return out
--- a/internal/dataplane/scheduler/configuration.go
+++ b/internal/dataplane/scheduler/configuration.go
@@ -35,7 +35,7 @@
 // enabledScorers are the weights of the scorers that are not switched off.
 func (sc *Scheduler) enabledScorers(weights map[string]float64) map[string]float64 {
 	out := maps.Clone(weights)
-	maps.DeleteFunc(out, func(name string, _ float64) bool { return sc.Disables(mechanism.Scorer(name)) })
+	maps.DeleteFunc(out, func(name string, _ float64) bool { return sc.IsDisabled(mechanism.Scorer(name)) })
 	return out
 }
 
@@ -80,5 +80,5 @@
 // prioritizesItems tells whether a forwarded route's batch items go by priority. Where callers have no tenants, a
 // route's priority is one of urgency among live requests alone, and its items go by their due times.
 func (sc *Scheduler) prioritizesItems(route *config.Route) bool {
-	return route.Forward.IsAuthenticated() && !sc.Disables(mechanism.ItemPriority)
+	return route.Forward.IsAuthenticated() && !sc.IsDisabled(mechanism.ItemPriority)
 }
--- a/internal/dataplane/scheduler/item_levels_test.go
+++ b/internal/dataplane/scheduler/item_levels_test.go
@@ -66,9 +66,9 @@
 	item := f.submitForwardedItem("item", "p1000", clock.Second)
 	f.demoteOverdue(f.now + 2)
 	f.SetServer(newServer("s", 1))
-	f.turns.startsBeforeOverdue = onTimePerOverdue
+	f.itemPromotion.startsSinceOverdue = onTimeStartsPerOverdue
 	f.promoteItemsIfDue(f.now)
-	if promoted.overdue != isPromoted {
+	if promoted.dueState != statePromotedOverdue {
 		t.Fatal("the overdue item isn't promoted")
 	}
 	live := f.submit("live", 1, func(r *Request) { r.Route, _ = f.Configuration().Route("live"); r.Tenant = "" })
@@ -79,7 +79,7 @@
 
 // Forwarded items go by their tenants' priorities, those without one by their route's; overdue ones go behind all
 // that can be ready in time, by priority as well.
-func TestForwardedItemsGoByPriority(t *testing.T) {
+func TestForwardedItemsAreOrderedByPriority(t *testing.T) {
 	f := newFixture(t)
 	f.useItemRoute(3, 9)
 	const late, soon = 1, 100 * clock.Second
@@ -100,7 +100,7 @@
 }
 
 // An overdue item of a low priority isn't left for ever: its turn comes before all that can be ready in time.
-func TestAnOverdueItemOfALowPriorityHasItsTurn(t *testing.T) {
+func TestOverdueLowPriorityItemIsPromoted(t *testing.T) {
 	f := newFixture(t)
 	f.useItemRoute(3, 9)
 	items := []*Request{f.submitForwardedItem("late low", "p3", 1)}
@@ -109,7 +109,7 @@
 	}
 	f.now += clock.Millisecond
 	f.AdvanceFreshness(f.now)
-	if order := f.startOrder(t, items...); slices.Index(order, "late low") != onTimePerOverdue {
+	if order := f.startOrder(t, items...); slices.Index(order, "late low") != onTimeStartsPerOverdue {
 		t.Errorf("the order is %v", order)
 	}
 }
@@ -127,7 +127,7 @@
 }
 
 // An item that only some servers can't take is tried though its route's other items have no place.
-func TestAParticularItemIsTriedAtEachLevel(t *testing.T) {
+func TestConstrainedItemIsTriedAtEachLevel(t *testing.T) {
 	f := newFixture(t, newServer("s", 10))
 	f.useItemRoute(3, 9)
 	f.SetBatchAllotment(BatchAllotment{Offset: 0, Size: 0, Total: 10})
@@ -152,7 +152,7 @@
 }
 
 // Items of a route whose callers have no tenants go in the order of their submission, whatever the routes' priorities are.
-func TestItemsWithoutTenantsDoNotGoByTheirRoutesPriority(t *testing.T) {
+func TestItemsWithoutTenantsIgnoreRoutePriority(t *testing.T) {
 	f := newFixture(t, newServer("s", 0))
 	configuration := &config.Configuration{Version: 2, ScorerWeights: f.Configuration().ScorerWeights, Pools: f.Configuration().Pools,
 		Routes: []config.Route{{Name: "low", Kind: config.Batch, Forward: &config.Forward{Priority: 1}}, {Name: "high", Kind: config.Batch, Forward: &config.Forward{Priority: 9}}}}
--- a/internal/dataplane/scheduler/item_starvation_test.go
+++ b/internal/dataplane/scheduler/item_starvation_test.go
@@ -36,7 +36,7 @@
 }
 
 // An item of a route that names no due time is never overdue: of a low priority it was left for ever. (Issue 40.)
-func TestAnItemWithoutADueTimeHasItsTurn(t *testing.T) {
+func TestItemWithoutDueTimeIsPromoted(t *testing.T) {
 	f := newFixture(t)
 	f.useItemRoute(3, 9)
 	low := f.submitForwardedItem("low", "p3", 0)
@@ -46,7 +46,7 @@
 }
 
 // Overdue items that no server can run took the turns of those that one can. (Issue 40.)
-func TestItemsWithoutServersTakeNobodysTurn(t *testing.T) {
+func TestItemsWithoutServersAreNotPromoted(t *testing.T) {
 	f := newFixture(t)
 	f.useItemRoute(3, 9)
 	parked := &config.Route{Name: "parked", Kind: config.Batch, Pools: config.Selector{"u": {"nowhere"}}, Forward: &config.Forward{Authentication: config.AuthenticationRequired, Priority: 5}}
@@ -65,7 +65,7 @@
 	}
 	low := f.submitForwardedItem("late low", "p3", 1)
 	f.now += clock.Millisecond
-	if at := f.startsUnderLoad(t, low, 300, func(i int) { park(100 + i) }); at != onTimePerOverdue {
+	if at := f.startsUnderLoad(t, low, 300, func(i int) { park(100 + i) }); at != onTimeStartsPerOverdue {
 		t.Errorf("it starts after %d starts", at)
 	}
 }
@@ -111,7 +111,7 @@
 
 // Where the items of higher priorities take all servers, those of a lower one are not left out: they were served under a
 // quarter as often as all. (Issue 40.)
-func TestItemsOfALowPriorityAreNotLeftOut(t *testing.T) {
+func TestLowPriorityItemsAreNotStarved(t *testing.T) {
 	for name, due := range map[string]clock.Micros{"due soon": 8 * clock.Second, "due after they are given up": 120 * clock.Second, "never due": 0} {
 		all, low := servedShares(t, due)
 		t.Logf("%s: served are %.2f of all, %.2f of a low priority", name, all, low)
--- a/internal/dataplane/scheduler/levels.go
+++ b/internal/dataplane/scheduler/levels.go
@@ -30,9 +30,9 @@
 		return max(liveLevel(r.Priority), r.promotedLevel)
 	case !r.isForwardedItem():
 		return batchLevel(r.Priority)
-	case r.overdue == isOverdue:
+	case r.dueState == stateOverdue:
 		return overdueItemLevel(r.Priority)
-	case r.overdue == isPromoted, r.overdue == isAdvanced:
+	case r.dueState == statePromotedOverdue, r.dueState == statePromotedOnTime:
 		return promotedItemLevel
 	}
 	return onTimeItemLevel(r.Priority)
@@ -84,7 +84,7 @@
 // daemon has them.
 func (sc *Scheduler) utilizationLimit(r *Request, now clock.Micros) float64 {
 	lowest, highest := sc.settings.MinUtilizationLimit, sc.settings.MaxUtilizationLimit
-	if sc.Disables(mechanism.LevelLimits) {
+	if sc.IsDisabled(mechanism.LevelLimits) {
 		return highest
 	}
 	limit := lowest + sc.levels.position(queueLevel(r))*(highest-lowest)
@@ -98,7 +98,7 @@
 // completely. Only one at a time may, so that batches always progress without taking
 // the capacity of live requests.
 func (sc *Scheduler) isStarving(r *Request, now clock.Micros) bool {
-	if sc.Disables(mechanism.Starvation) {
+	if sc.IsDisabled(mechanism.Starvation) {
 		return false
 	}
 	return r.IsBatchItem && sc.runningBatchItems == 0 && now-r.queuedAt > sc.settings.StarvationTimeout
--- a/internal/dataplane/scheduler/promotion.go
+++ b/internal/dataplane/scheduler/live_promotion.go
@@ -11,40 +11,40 @@
 // live requests that start while some of lower levels wait, one is the oldest of these (docs/DESIGN.md section 11.1).
 const startsPerPromotion = 3
 
-// promotions say when a live request of a lower level goes before the others.
-type promotions struct {
-	starts   int      // live requests that started before lower ones that wait, since a promoted one did
-	isDue    bool     // the next to start is one of a lower level
-	promoted *Request // it was chosen
+// livePromotion say when a live request of a lower level goes before the others.
+type livePromotion struct {
+	startsSincePromotion int      // live requests that started before lower ones that wait, since a promoted one did
+	isDue                bool     // the next to start is one of a lower level
+	promoted             *Request // it was chosen
 }
 
 // countLiveStart counts a live request that starts.
 func (sc *Scheduler) countLiveStart(r *Request) {
-	if !r.isForwardedLive() || sc.Disables(mechanism.LivePromotion) {
+	if !r.isForwardedLive() || sc.IsDisabled(mechanism.LivePromotion) {
 		return
 	}
 	if r.promotedLevel > 0 {
-		sc.promotions = promotions{}
+		sc.livePromotion = livePromotion{}
 		return
 	}
 	if sc.queue.oldestLiveBelow(queueLevel(r)) == nil {
 		return
 	}
-	sc.promotions.starts++
-	sc.promotions.isDue = sc.promotions.starts >= startsPerPromotion
+	sc.livePromotion.startsSincePromotion++
+	sc.livePromotion.isDue = sc.livePromotion.startsSincePromotion >= startsPerPromotion
 }
 
 // promoteIfDue puts the oldest live request of the lower levels before those of the highest, when it is its turn. One
 // that was dropped meanwhile is replaced by the next.
 func (sc *Scheduler) promoteIfDue() {
-	isChosen := sc.promotions.promoted != nil && sc.promotions.promoted.isQueued()
-	if !sc.promotions.isDue || isChosen {
+	isChosen := sc.livePromotion.promoted != nil && sc.livePromotion.promoted.isQueued()
+	if !sc.livePromotion.isDue || isChosen {
 		return
 	}
 	highest := sc.queue.highestLiveLevel()
 	if oldest := sc.queue.oldestLiveBelow(highest); oldest != nil {
 		sc.queue.promoteTo(oldest, highest)
-		sc.promotions.promoted = oldest
+		sc.livePromotion.promoted = oldest
 	}
 }
 
@@ -80,9 +80,9 @@
 
 // promoteTo puts a queued request before the others of a higher level.
 func (q *requestQueue) promoteTo(r *Request, level int64) {
-	q.unlist(r)
+	q.removeFromList(r)
 	r.promotedLevel = level
-	q.enlist(r, (*list.List).PushFront)
+	q.insertIntoList(r, (*list.List).PushFront)
 }
 
 // isForwardedLive tells whether the request is a live one that is forwarded unchanged.
--- a/internal/dataplane/scheduler/promotion_test.go
+++ b/internal/dataplane/scheduler/live_promotion_test.go
@@ -29,7 +29,7 @@
 
 // One in four starts is of a lower level, the oldest of those that wait there; without lower ones it is as if there
 // was no turn to take.
-func TestLowerLevelsTakeTheirTurn(t *testing.T) {
+func TestLowerLevelsArePromotedPeriodically(t *testing.T) {
 	for name, c := range map[string]struct{ submitted, want string }{
 		"two levels":         {"h1 h2 h3 h4 h5 h6 l1 l2", "h1 h2 h3 l1 h4 h5 h6 l2"},
 		"the oldest of both": {"h1 h2 h3 h4 m1 l1 m2", "h1 h2 h3 m1 h4 m2 l1"},
@@ -49,7 +49,7 @@
 }
 
 // A request whose turn it is and that is dropped before a server is free leaves its turn to the next.
-func TestADroppedTurnPassesOn(t *testing.T) {
+func TestDroppedPromotionPassesToTheNext(t *testing.T) {
 	f := newLiveFixture(t)
 	f.SetServer(newServer("s", 1))
 	var running *Assignment
--- a/internal/dataplane/scheduler/match.go
+++ b/internal/dataplane/scheduler/match.go
@@ -53,7 +53,7 @@
 	sc.demoteOverdue(now)
 	sc.promoteIfDue()
 	sc.promoteItemsIfDue(now)
-	pass := &matchPass{withoutPlaces: map[*config.Route]bool{}}
+	pass := &matchPass{noBatchSlots: map[*config.Route]bool{}}
 	for _, level := range sc.queue.nonEmptyLevels() {
 		for _, requests := range sc.queue.listsAt(level) {
 			sc.assignFromList(pass, requests, now)
@@ -65,9 +65,9 @@
 // matchPass is one pass through the queue.
 type matchPass struct {
 	assigned []assignedRequest
-	// withoutPlaces are the routes for whose forwarded batch items no server has a place. It is the same
+	// noBatchSlots are the routes for whose forwarded batch items no server has a place. It is the same
 	// at each of their levels, of which there may be one for each tenant.
-	withoutPlaces map[*config.Route]bool
+	noBatchSlots map[*config.Route]bool
 }
 
 // assignFromList assigns the requests of one level and route, the oldest first, until no
@@ -78,16 +78,16 @@
 	for e := requests.Front(); e != nil; e = next {
 		next = e.Next()
 		r := e.Value.(*Request)
-		if pass.withoutPlaces[r.Route] && r.isForwardedItem() && !r.isParticular() {
+		if pass.noBatchSlots[r.Route] && r.isForwardedItem() && !r.hasServerConstraints() {
 			return
 		}
 		assignment := sc.assignToBest(r, now)
 		if assignment == nil {
-			if r.isParticular() {
+			if r.hasServerConstraints() {
 				continue
 			}
 			// While none of them runs, one that has waited long may start all the same (isStarving).
-			pass.withoutPlaces[r.Route] = r.isForwardedItem() && sc.runningBatchItems > 0
+			pass.noBatchSlots[r.Route] = r.isForwardedItem() && sc.runningBatchItems > 0
 			return
 		}
 		sc.queue.remove(r)
--- a/internal/dataplane/scheduler/match_test.go
+++ b/internal/dataplane/scheduler/match_test.go
@@ -10,7 +10,7 @@
 
 // The higher priority goes first however late it was submitted; live requests go
 // before the batch items of their priority.
-func TestPriority(t *testing.T) {
+func TestHigherLevelStartsFirst(t *testing.T) {
 	f := newFixture(t, newServer("s", 4))
 	f.submit("low", 1, nil)
 	f.submit("batch", 5, func(r *Request) { r.IsBatchItem = true })
@@ -48,7 +48,7 @@
 
 // A request whose deadline passes is dropped at the next match, also while no server
 // may take it; a load report of a lower epoch is ignored.
-func TestDeadlineAndEpoch(t *testing.T) {
+func TestExpiredRequestIsDroppedAndLowerEpochIgnored(t *testing.T) {
 	f := newFixture(t, newServer("s", 4))
 	f.SetLoad("s", 5, endpoints.Load{ReadAt: f.now, Healthy: false})
 	f.SetLoad("s", 4, endpoints.Load{ReadAt: f.now, Healthy: true})
--- a/internal/dataplane/scheduler/mechanism_test.go
+++ b/internal/dataplane/scheduler/mechanism_test.go
@@ -26,8 +26,8 @@
 			return sc.batchLimit(endpoints.Server{Name: "s"}) == 3
 		},
 		mechanism.BatchShares: func(sc *Scheduler) bool {
-			sc.batch.inOrder = []string{"a", "b"}
-			return len(sc.ownPlaces(BatchAllotment{Size: 1, Total: 2})) == 1
+			sc.batch.sequence = []string{"a", "b"}
+			return len(sc.ownSlots(BatchAllotment{Size: 1, Total: 2})) == 1
 		},
 		mechanism.ItemPriority: func(sc *Scheduler) bool {
 			item := &Request{IsBatchItem: true, Route: &config.Route{Name: "r", Forward: &config.Forward{Authentication: config.AuthenticationRequired}}}
@@ -37,7 +37,7 @@
 			route := &config.Route{Forward: &config.Forward{}}
 			sc.queue.submit(&Request{IsBatchItem: true, Priority: 1, Route: route})
 			sc.countItemStart(&Request{IsBatchItem: true, Priority: 2, Route: route})
-			return sc.turns.startsBeforeLower == 1
+			return sc.itemPromotion.startsSinceLower == 1
 		},
 		mechanism.LevelLimits: func(sc *Scheduler) bool {
 			return sc.utilizationLimit(&Request{IsBatchItem: true, Priority: 1}, 0) < 1
@@ -50,7 +50,7 @@
 			for range startsPerPromotion {
 				sc.countLiveStart(live(2))
 			}
-			return sc.promotions.isDue
+			return sc.livePromotion.isDue
 		},
 		mechanism.OverdueLast: func(sc *Scheduler) bool {
 			sc.queue.submit(&Request{IsBatchItem: true, Route: &config.Route{}, DueAt: 1})
--- a/internal/dataplane/scheduler/observation.go
+++ b/internal/dataplane/scheduler/observation.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// loadMemory is after how long what a server told of its load counts half: a queue is gone soon.
-	loadMemory = 250 * clock.Millisecond
-	// outcomeMemory is after how long a request's outcome counts half.
-	outcomeMemory = 2 * clock.Second
+	// loadHalvingTime is after how long what a server told of its load counts half: a queue is gone soon.
+	loadHalvingTime = 250 * clock.Millisecond
+	// outcomeHalvingTime is after how long a request's outcome counts half.
+	outcomeHalvingTime = 2 * clock.Second
 	// priorOutcomes is how many requests a server is taken to have served well before any was seen.
 	priorOutcomes = 2
 )
@@ -33,7 +33,7 @@
 // outcomeRate is the share of a server's requests that fail, with older ones counting less.
 type outcomeRate struct {
 	succeeded, failed float64
-	at                clock.Micros // up to when they have decayed
+	decayedAt         clock.Micros // up to when they have decayed
 }
 
 // add counts outcomes.
@@ -44,10 +44,10 @@
 }
 
 func (r *outcomeRate) decay(now clock.Micros) {
-	factor := remaining(now-r.at, outcomeMemory)
+	factor := decayFactor(now-r.decayedAt, outcomeHalvingTime)
 	r.succeeded *= factor
 	r.failed *= factor
-	r.at = now
+	r.decayedAt = now
 }
 
 // failureRate is from 0 to 1; 0 where nothing was seen lately.
@@ -56,9 +56,9 @@
 	return r.failed / (r.succeeded + r.failed + priorOutcomes)
 }
 
-// remaining is what is left of 1 after a while.
-func remaining(elapsed, half clock.Micros) float64 {
-	return math.Exp2(-float64(max(0, elapsed)) / float64(half))
+// decayFactor is what is left of 1 after a while.
+func decayFactor(elapsed, halvingTime clock.Micros) float64 {
+	return math.Exp2(-float64(max(0, elapsed)) / float64(halvingTime))
 }
 
 // ObserveLoad takes the load that a server told this daemon with an answer; nil is none.
@@ -119,12 +119,12 @@
 // observeLoad takes a load that a server told some daemon, unless a later one is known.
 func (s *serverState) observeLoad(load endpoints.ReportedLoad, at clock.Micros) {
 	if at > s.reportedAt {
-		s.reported, s.reportedAt = load, at
+		s.reportedLoad, s.reportedAt = load, at
 	}
 }
 
 // expectedWaiting is how many requests wait on the server by what it told: the longer ago that was,
 // the less it counts.
 func (s *serverState) expectedWaiting(now clock.Micros) float64 {
-	return float64(s.reported.Waiting) * remaining(now-s.reportedAt, loadMemory)
+	return float64(s.reportedLoad.Waiting) * decayFactor(now-s.reportedAt, loadHalvingTime)
 }
--- a/internal/dataplane/scheduler/observation_test.go
+++ b/internal/dataplane/scheduler/observation_test.go
@@ -8,7 +8,7 @@
 )
 
 // What a server told counts less the older it is; an older reading doesn't replace a newer one.
-func TestToldLoadsAge(t *testing.T) {
+func TestReportedLoadDecays(t *testing.T) {
 	sc := newFleetScheduler(1, 1, 9)
 	server := sc.servers["server-0-00"]
 	now := 100 * clock.Second
@@ -19,7 +19,7 @@
 	sc.ReceiveObservation(Observation{Server: "server-0-00", Load: &endpoints.ReportedLoad{Waiting: 2, Slots: 9}, At: now - 1}, now)
 	sc.ObserveLoad("server-0-00", nil, now+1)
 	sc.ObserveLoad("unknown", &endpoints.ReportedLoad{Waiting: 3}, now)
-	for elapsed, want := range map[clock.Micros]float64{0: 8, loadMemory: 4, 2 * loadMemory: 2} {
+	for elapsed, want := range map[clock.Micros]float64{0: 8, loadHalvingTime: 4, 2 * loadHalvingTime: 2} {
 		if got := server.expectedWaiting(now + elapsed); got < want-1e-6 || got > want+1e-6 {
 			t.Errorf("after %d us %v wait, not %v", elapsed, got, want)
 		}
@@ -41,11 +41,11 @@
 	if got := r.failureRate(now); got < 0.9 {
 		t.Errorf("after 21 failures the rate is %v", got)
 	}
-	r.add(20, 0, now+outcomeMemory)
-	if got := r.failureRate(now + outcomeMemory); got > 0.4 {
+	r.add(20, 0, now+outcomeHalvingTime)
+	if got := r.failureRate(now + outcomeHalvingTime); got > 0.4 {
 		t.Errorf("after 20 successes the rate is %v", got)
 	}
-	if got := r.failureRate(now + 20*outcomeMemory); got > 0.001 {
+	if got := r.failureRate(now + 20*outcomeHalvingTime); got > 0.001 {
 		t.Errorf("long after the rate is %v", got)
 	}
 }
@@ -72,7 +72,7 @@
 }
 
 // A server at another address starts without its past.
-func TestAServerAtAnotherAddressStartsAnew(t *testing.T) {
+func TestAddressChangeResetsServerState(t *testing.T) {
 	sc := newFleetScheduler(1, 1, 9)
 	now := 100 * clock.Second
 	sc.ReceiveObservation(Observation{Server: "server-0-00", Failed: 9, Load: &endpoints.ReportedLoad{Waiting: 8, Slots: 9}, At: now}, now)
--- a/internal/dataplane/scheduler/overdue.go
+++ b/internal/dataplane/scheduler/overdue.go
@@ -12,19 +12,19 @@
 // any more goes behind those that can (docs/DESIGN.md section 12.6). It isn't left for ever, see
 // item_turns.go.
 
-// overdueState tells how a request stands with the time that its result is due.
-type overdueState int
+// dueState tells how a request stands with the time that its result is due.
+type dueState int
 
 const (
-	isOnTime overdueState = iota
-	isOverdue
-	isPromoted // was overdue, and goes before the others now
-	isAdvanced // is in time, of a lower level, and goes before the others now
+	stateOnTime dueState = iota
+	stateOverdue
+	statePromotedOverdue // was overdue, and goes before the others now
+	statePromotedOnTime  // is in time, of a lower level, and goes before the others now
 )
 
 // overdueRank orders lists of requests: those of overdue ones are last.
 func overdueRank(r *Request) int {
-	if r.overdue == isOverdue {
+	if r.dueState == stateOverdue {
 		return 1
 	}
 	return 0
@@ -32,7 +32,7 @@
 
 // demoteOverdue puts the batch items behind the others that would be ready only after they are due.
 func (sc *Scheduler) demoteOverdue(now clock.Micros) {
-	if sc.Disables(mechanism.OverdueLast) {
+	if sc.IsDisabled(mechanism.OverdueLast) {
 		return
 	}
 	readyAt := now + sc.batch.itemDuration
@@ -50,14 +50,14 @@
 func (q *requestQueue) demoteFirst(requests *list.List, readyAt clock.Micros) {
 	for requests.Len() > 0 {
 		r := firstOf(requests)
-		if r.DueAt == 0 || r.DueAt >= readyAt || r.overdue != isOnTime {
+		if r.DueAt == 0 || r.DueAt >= readyAt || r.dueState != stateOnTime {
 			return
 		}
-		q.unlist(r)
-		r.overdue = isOverdue
-		q.enlist(r, (*list.List).PushBack)
+		q.removeFromList(r)
+		r.dueState = stateOverdue
+		q.insertIntoList(r, (*list.List).PushBack)
 	}
 }
 
 // OverdueBatchItems counts the queued batch items that can't be ready in time.
-func (sc *Scheduler) OverdueBatchItems() int { return sc.queue.overdue }
+func (sc *Scheduler) OverdueBatchItems() int { return sc.queue.overdueCount }
--- a/internal/dataplane/scheduler/overdue_test.go
+++ b/internal/dataplane/scheduler/overdue_test.go
@@ -66,7 +66,7 @@
 }
 
 // Of nine items that start one is overdue, so that these don't wait for ever.
-func TestOverdueItemsAreNotLeftForEver(t *testing.T) {
+func TestOverdueItemsAreNotStarved(t *testing.T) {
 	f := newFixture(t, newServer("s", 1))
 	dueAfter := []clock.Micros{1, 1, 1}
 	for range 30 {
@@ -100,7 +100,7 @@
 }
 
 // With the mechanism off, items go in the order of submission.
-func TestOverdueItemsCanBeLeftInTheirOrder(t *testing.T) {
+func TestOverdueItemsKeepTheirOrderWhenDisabled(t *testing.T) {
 	f := newFixture(t, newServer("s", 1))
 	disable(t, f.Scheduler, mechanism.OverdueLast)
 	if got := runItems(t, f, []clock.Micros{1, 1, 100 * clock.Second}); !slices.Equal(got, []string{"0", "1", "2"}) {
--- a/internal/dataplane/scheduler/pool_usage.go
+++ b/internal/dataplane/scheduler/pool_usage.go
@@ -36,11 +36,11 @@
 
 // poolUsage is what this daemon's requests take of a pool's slots.
 type poolUsage struct {
-	running                 int
-	busyTime                clock.Micros // of all requests since the last reading, up to changedAt
-	changedAt, readAt       clock.Micros
-	started, rejected, late int64
-	lastRead                PoolLoad
+	running                  int
+	busyTime                 clock.Micros // of all requests since the last reading, up to changedAt
+	changedAt, intervalStart clock.Micros
+	started, rejected, late  int64
+	lastReported             PoolLoad
 }
 
 // advance counts the time up to now.
@@ -57,8 +57,8 @@
 // takeBusy is the mean of the slots taken since the last reading, in thousandths.
 func (u *poolUsage) takeBusy(now clock.Micros) int64 {
 	u.advance(now)
-	elapsed, busyTime := now-u.readAt, u.busyTime
-	u.readAt, u.busyTime = now, 0
+	elapsed, busyTime := now-u.intervalStart, u.busyTime
+	u.intervalStart, u.busyTime = now, 0
 	if elapsed <= 0 {
 		return int64(u.running) * milli
 	}
@@ -71,7 +71,7 @@
 		return nil
 	}
 	if sc.pools[pool] == nil {
-		sc.pools[pool] = &poolUsage{changedAt: now, readAt: now}
+		sc.pools[pool] = &poolUsage{changedAt: now, intervalStart: now}
 	}
 	return sc.pools[pool]
 }
@@ -98,7 +98,7 @@
 // TakeLoads gives the load of each scaled pool, by name, and begins a new reading. A pool that was idle at
 // the last reading and still is has none.
 func (sc *Scheduler) TakeLoads(now clock.Micros) []PoolLoad {
-	if sc.configuration == nil || sc.Disables(mechanism.Autoscale) {
+	if sc.configuration == nil || sc.IsDisabled(mechanism.Autoscale) {
 		return nil
 	}
 	queued := sc.queuedByPool(now)
@@ -108,10 +108,10 @@
 		load := queued[name]
 		load.Pool, load.Busy = name, u.takeBusy(now)
 		load.Started, load.Rejected, load.Late = u.started, u.rejected, u.late
-		if load != u.lastRead || !load.isIdle() {
+		if load != u.lastReported || !load.isIdle() {
 			out = append(out, load)
 		}
-		u.lastRead = load
+		u.lastReported = load
 	}
 	return out
 }
--- a/internal/dataplane/scheduler/pool_usage_test.go
+++ b/internal/dataplane/scheduler/pool_usage_test.go
@@ -9,20 +9,20 @@
 	"tuliprudder/internal/dataplane/mechanism"
 )
 
-// usageBench is a scheduler before one server of 4 slots in a scaled pool, with a route of live requests and
+// usageFixture is a scheduler before one server of 4 slots in a scaled pool, with a route of live requests and
 // one of batch items that are due 8 s after their submission.
-type usageBench struct {
+type usageFixture struct {
 	*Scheduler
 	live, batch *config.Route
 	started     []*Assignment
 	now         clock.Micros
 }
 
-func newUsageBench(t *testing.T, disabled mechanism.Set) *usageBench {
+func newUsageFixture(t *testing.T, disabled mechanism.Set) *usageFixture {
 	t.Helper()
 	settings := Defaults()
 	settings.Disabled = disabled
-	b := &usageBench{Scheduler: New(settings, 7), now: 100 * clock.Second}
+	b := &usageFixture{Scheduler: New(settings, 7), now: 100 * clock.Second}
 	forward := &config.Forward{Host: "h", PathPrefix: "/", CompletionWindow: 8 * clock.Second, Priority: 5}
 	c := &config.Configuration{
 		Version: 1,
@@ -39,7 +39,7 @@
 }
 
 // submit submits a request that waits for a while at most; 0: for ever.
-func (b *usageBench) submit(route *config.Route, wait clock.Micros) {
+func (b *usageFixture) submit(route *config.Route, wait clock.Micros) {
 	r := &Request{Route: route, Priority: 5, IsBatchItem: route == b.batch}
 	r.Start = func(assignment *Assignment, _ clock.Micros) { b.started = append(b.started, assignment) }
 	r.Drop = func(error, clock.Micros) {}
@@ -55,39 +55,39 @@
 	b.MatchUntilStable(b.now)
 }
 
-func (b *usageBench) pass(elapsed clock.Micros) {
+func (b *usageFixture) advance(elapsed clock.Micros) {
 	b.now += elapsed
 	b.Match(b.now)
 }
 
 func TestBusySlotsAreTheMeanSinceTheLastReading(t *testing.T) {
-	b := newUsageBench(t, mechanism.Set{})
+	b := newUsageFixture(t, mechanism.Set{})
 	b.submit(b.live, 0)
 	b.TakeLoads(b.now)
-	b.pass(clock.Second)
+	b.advance(clock.Second)
 	b.submit(b.live, 0)
-	b.pass(clock.Second)
+	b.advance(clock.Second)
 	b.started[0].Release(2*clock.Second, true, b.now)
-	b.pass(2 * clock.Second)
+	b.advance(2 * clock.Second)
 	b.started[1].CountLate()
 	b.started[1].Release(3*clock.Second, true, b.now)
-	b.pass(clock.Second)
+	b.advance(clock.Second)
 	got := b.TakeLoads(b.now)
 	if len(got) != 1 || got[0] != (PoolLoad{Pool: "p", Busy: 1000, Started: 2, Late: 1}) { // 1 s, 2 s and 2 s of slots in 5 s
 		t.Errorf("the load is %+v", got)
 	}
-	b.pass(clock.Second)
+	b.advance(clock.Second)
 	if got := b.TakeLoads(b.now); len(got) != 1 || got[0].Busy != 0 {
 		t.Errorf("once it is idle the load is %+v", got)
 	}
-	b.pass(clock.Second)
+	b.advance(clock.Second)
 	if got := b.TakeLoads(b.now); len(got) != 0 {
 		t.Errorf("while it stays idle the load is %+v", got)
 	}
 }
 
-func TestWhatWaitsIsCounted(t *testing.T) {
-	b := newUsageBench(t, mechanism.Set{})
+func TestQueuedRequestsAreCounted(t *testing.T) {
+	b := newUsageFixture(t, mechanism.Set{})
 	for range 9 {
 		b.submit(b.live, clock.Second)
 	}
@@ -95,17 +95,17 @@
 	if got := b.TakeLoads(b.now)[0]; got.Queued != int64(9-full) || got.Started != int64(full) || got.Rejected != 0 {
 		t.Errorf("while %d of 9 wait the load is %+v", 9-full, got)
 	}
-	b.pass(2 * clock.Second)
+	b.advance(2 * clock.Second)
 	if got := b.TakeLoads(b.now)[0]; got.Queued != 0 || got.Rejected != int64(9-full) {
 		t.Errorf("after their deadlines the load is %+v", got)
 	}
 }
 
 // Ten items of 2 s that are due in 8 s need two and a half slots.
-func TestSlotsThatBatchItemsNeed(t *testing.T) {
-	b := newUsageBench(t, mechanism.Set{})
+func TestRequiredSlotsOfBatchItems(t *testing.T) {
+	b := newUsageFixture(t, mechanism.Set{})
 	b.submit(b.batch, 0)
-	b.pass(2 * clock.Second)
+	b.advance(2 * clock.Second)
 	for range 40 { // the mean of the items' durations grows by an eighth each time
 		b.started[len(b.started)-1].Release(2*clock.Second, true, b.now)
 		b.submit(b.batch, 0)
@@ -121,12 +121,12 @@
 	}
 }
 
-func TestNoLoadIsReadWhereNothingIsScaled(t *testing.T) {
+func TestNoLoadIsReportedWithoutAutoscaling(t *testing.T) {
 	disabled, err := mechanism.Parse(string(mechanism.Autoscale))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := newUsageBench(t, disabled)
+	b := newUsageFixture(t, disabled)
 	b.submit(b.live, 0)
 	if got := b.TakeLoads(b.now); len(got) != 0 {
 		t.Errorf("the load is %+v", got)
--- a/internal/dataplane/scheduler/queue.go
+++ b/internal/dataplane/scheduler/queue.go
@@ -16,12 +16,12 @@
 // length count the same requests. Lists are kept by route because requests of one route
 // can run on the same servers: once the first finds none, the rest need not look.
 type requestQueue struct {
-	byLevel    map[int64]map[listKey]*list.List // no list is empty
-	byDeadline deadlineHeap
-	weights    map[string]int // queued weight by tenant; no entry is 0
-	length     int
-	overdue    int // of them, in lists of overdue requests
-	lastSeq    uint64
+	byLevel      map[int64]map[listKey]*list.List // no list is empty
+	byDeadline   deadlineHeap
+	weights      map[string]int // queued weight by tenant; no entry is 0
+	length       int
+	overdueCount int // of them, in lists of overdue requests
+	lastSeq      uint64
 }
 
 // listKey names one of a level's lists.
@@ -30,7 +30,7 @@
 	isOverdue bool
 }
 
-func keyOf(r *Request) listKey { return listKey{route: r.Route, isOverdue: r.overdue == isOverdue} }
+func keyOf(r *Request) listKey { return listKey{route: r.Route, isOverdue: r.dueState == stateOverdue} }
 
 func newRequestQueue() requestQueue {
 	return requestQueue{byLevel: map[int64]map[listKey]*list.List{}, weights: map[string]int{}}
@@ -45,7 +45,7 @@
 
 // add puts a request at the end of the list of its level and route.
 func (q *requestQueue) add(r *Request) {
-	q.enlist(r, (*list.List).PushBack)
+	q.insertIntoList(r, (*list.List).PushBack)
 	r.started = false
 	r.removed = false
 	if r.Deadline > 0 {
@@ -55,29 +55,29 @@
 	q.weights[r.Tenant] += r.queueWeight()
 }
 
-// enlist puts a request into its list, at the end that push says.
-func (q *requestQueue) enlist(r *Request, push func(l *list.List, value any) *list.Element) {
-	r.queueElement = push(q.listOf(r), r)
-	if r.overdue == isOverdue {
-		q.overdue++
+// insertIntoList puts a request into its list, at the end that push says.
+func (q *requestQueue) insertIntoList(r *Request, push func(l *list.List, value any) *list.Element) {
+	r.queueElement = push(q.listFor(r), r)
+	if r.dueState == stateOverdue {
+		q.overdueCount++
 	}
 }
 
-// unlist takes a request out of its list.
-func (q *requestQueue) unlist(r *Request) {
+// removeFromList takes a request out of its list.
+func (q *requestQueue) removeFromList(r *Request) {
 	lists := q.byLevel[queueLevel(r)]
 	requests := lists[keyOf(r)]
 	requests.Remove(r.queueElement)
 	if requests.Len() == 0 {
 		delete(lists, keyOf(r))
 	}
-	if r.overdue == isOverdue {
-		q.overdue--
+	if r.dueState == stateOverdue {
+		q.overdueCount--
 	}
 }
 
-// listOf is the list that a request belongs into, made if there is none.
-func (q *requestQueue) listOf(r *Request) *list.List {
+// listFor is the list that a request belongs into, made if there is none.
+func (q *requestQueue) listFor(r *Request) *list.List {
 	level := queueLevel(r)
 	if q.byLevel[level] == nil {
 		q.byLevel[level] = map[listKey]*list.List{}
@@ -92,7 +92,7 @@
 
 // remove takes a queued request out.
 func (q *requestQueue) remove(r *Request) {
-	q.unlist(r)
+	q.removeFromList(r)
 	if r.Deadline > 0 {
 		heap.Remove(&q.byDeadline, r.heapIndex)
 	}
--- a/internal/dataplane/scheduler/request.go
+++ b/internal/dataplane/scheduler/request.go
@@ -44,7 +44,7 @@
 	seq          uint64        // order of submission at this daemon
 	heapIndex    int           // in the deadlineHeap
 	queueElement *list.Element // in the queue of its level and route
-	overdue      overdueState
+	dueState     dueState
 	// promotedLevel is the level that a live request was promoted to; 0: it was not.
 	promotedLevel int64
 	started       bool
@@ -62,9 +62,11 @@
 	return r.AvoidedServers[server] >= MaxFailuresPerServer
 }
 
-// isParticular tells whether there may be servers that can't take this request and can take others of
+// hasServerConstraints tells whether there may be servers that can't take this request and can take others of
 // its route.
-func (r *Request) isParticular() bool { return len(r.AvoidedServers) > 0 || r.WantedWeights != 0 }
+func (r *Request) hasServerConstraints() bool {
+	return len(r.AvoidedServers) > 0 || r.WantedWeights != 0
+}
 
 // isForwardedItem tells whether the request is a batch item that is forwarded unchanged.
 func (r *Request) isForwardedItem() bool {
--- a/internal/dataplane/scheduler/retry_budget.go
+++ b/internal/dataplane/scheduler/retry_budget.go
@@ -13,8 +13,8 @@
 
 func newRetryBudget() retryBudget { return retryBudget{balance: maxRetryBudget} }
 
-// add is called for each assignment.
-func (b *retryBudget) add() { b.balance = min(maxRetryBudget, b.balance+retriesPerAssignment) }
+// refill is called for each assignment.
+func (b *retryBudget) refill() { b.balance = min(maxRetryBudget, b.balance+retriesPerAssignment) }
 
 // spend takes one retry; false where there is none left.
 func (b *retryBudget) spend() bool {
--- a/internal/dataplane/scheduler/scheduler.go
+++ b/internal/dataplane/scheduler/scheduler.go
@@ -64,11 +64,11 @@
 	pools         map[string]*poolUsage   // of the scaled pools, by name
 	zone          string                  // this daemon's
 
-	serverOffset      float64 // where this daemon's rotation of servers begins, 0 to 1
-	batch             batchPlaces
+	rotationOffset    float64 // where this daemon's rotation of servers begins, 0 to 1
+	batch             batchState
 	runningBatchItems int // batch items that this daemon has running
-	promotions        promotions
-	turns             itemTurns
+	livePromotion     livePromotion
+	itemPromotion     itemPromotion
 	freshAsOf         clock.Micros // this daemon's updates are complete up to here
 	changed           bool         // another Match may assign something
 	closed            bool
@@ -96,12 +96,12 @@
 	sc.prefixes.capacity = sc.settings.MaxPrefixes
 }
 
-// Disables tells whether a mechanism is switched off.
-func (sc *Scheduler) Disables(name mechanism.Name) bool { return sc.settings.Disabled.Has(name) }
+// IsDisabled tells whether a mechanism is switched off.
+func (sc *Scheduler) IsDisabled(name mechanism.Name) bool { return sc.settings.Disabled.Has(name) }
 
-// SetServerOffset says where this daemon's rotation of servers begins, from 0 to 1.
+// SetRotationOffset says where this daemon's rotation of servers begins, from 0 to 1.
 // Daemons begin at different servers, so that their choices seldom meet.
-func (sc *Scheduler) SetServerOffset(offset float64) { sc.serverOffset = offset }
+func (sc *Scheduler) SetRotationOffset(offset float64) { sc.rotationOffset = offset }
 
 // SetZone says which zone this daemon is in.
 func (sc *Scheduler) SetZone(zone string) { sc.zone = zone }
@@ -120,7 +120,7 @@
 // SpendRetry takes one retry out of the budget; false means that the budget is used up
 // and the request must not be tried again.
 func (sc *Scheduler) SpendRetry() bool {
-	return sc.Disables(mechanism.RetryBudget) || sc.retries.spend()
+	return sc.IsDisabled(mechanism.RetryBudget) || sc.retries.spend()
 }
 
 // RetryAfter estimates when the present queue will have been worked off, by the rate of
--- a/internal/dataplane/scheduler/server.go
+++ b/internal/dataplane/scheduler/server.go
@@ -34,7 +34,7 @@
 	otherRequests int            // of other daemons, at the latest load report
 
 	outcomes            outcomeRate
-	reported            endpoints.ReportedLoad // the latest load that the server told a daemon of the zone
+	reportedLoad        endpoints.ReportedLoad // the latest load that the server told a daemon of the zone
 	reportedAt          clock.Micros
 	weights             observedWeights
 	latency             clock.Micros // moving average of a request's duration; 0: unknown
@@ -77,7 +77,7 @@
 		s.load = endpoints.Load{}
 		s.otherRequests = 0
 		s.outcomes = outcomeRate{}
-		s.reported, s.reportedAt = endpoints.ReportedLoad{}, 0
+		s.reportedLoad, s.reportedAt = endpoints.ReportedLoad{}, 0
 		s.weights = observedWeights{}
 		s.latency = 0
 		s.consecutiveFailures = 0
@@ -131,13 +131,13 @@
 	return servers, maps.Clone(sc.queue.weights)
 }
 
-// maxRunInterval is for how long a request that has ended is remembered where no load is read.
-const maxRunInterval = 10 * clock.Second
+// runIntervalRetention is for how long a request that has ended is remembered where no load is read.
+const runIntervalRetention = 10 * clock.Second
 
 // add counts a new assignment in.
 func (s *serverState) add(a *Assignment) {
 	s.ownRequests++
-	s.runIntervals = slices.DeleteFunc(s.runIntervals, func(i *runInterval) bool { return !i.endsAfter(a.AssignedAt - maxRunInterval) })
+	s.runIntervals = slices.DeleteFunc(s.runIntervals, func(i *runInterval) bool { return !i.endsAfter(a.AssignedAt - runIntervalRetention) })
 	s.runIntervals = append(s.runIntervals, a.interval)
 	s.prefilling = append(s.prefilling, a)
 	s.prefillTokens += a.promptTokens
--- a/internal/dataplane/scheduler/submit_test.go
+++ b/internal/dataplane/scheduler/submit_test.go
@@ -20,7 +20,7 @@
 
 // A request that was rejected can't be cancelled: its caller may disconnect while the
 // rejection is still being persisted.
-func TestCancelOfWhatWasNeverQueued(t *testing.T) {
+func TestCancelOfUnqueuedRequest(t *testing.T) {
 	f := newFixture(t)
 	removed := *f.route
 	removed.Name = "removed"
--- a/internal/dataplane/scheduler/weights.go
+++ b/internal/dataplane/scheduler/weights.go
@@ -2,10 +2,10 @@
 
 import "tuliprudder/internal/clock"
 
-// weightsMemory is for how long the version of a server's weights counts that it told. A server that
+// weightsTTL is for how long the version of a server's weights counts that it told. A server that
 // is asked for other versions alone would never be tried again otherwise, and it may have got new
 // weights meanwhile.
-const weightsMemory = 5 * clock.Second
+const weightsTTL = 5 * clock.Second
 
 // observedWeights is the version of a server's weights, as it told it last.
 type observedWeights struct {
@@ -13,9 +13,9 @@
 	reportedAt clock.Micros
 }
 
-// at is the version by what is known now; 0 where that is nothing.
-func (w observedWeights) at(now clock.Micros) int64 {
-	if now-w.reportedAt > weightsMemory {
+// versionAt is the version by what is known now; 0 where that is nothing.
+func (w observedWeights) versionAt(now clock.Micros) int64 {
+	if now-w.reportedAt > weightsTTL {
 		return 0
 	}
 	return w.version
@@ -27,7 +27,7 @@
 	if s == nil || version == 0 {
 		return
 	}
-	if s.weights.at(now) != version {
+	if s.weights.versionAt(now) != version {
 		sc.changed = true
 	}
 	s.weights = observedWeights{version: version, reportedAt: now}
--- a/internal/dataplane/scheduler/weights_test.go
+++ b/internal/dataplane/scheduler/weights_test.go
@@ -39,7 +39,7 @@
 		t.Fatalf("%s", got)
 	}
 	expect("any", 0, "two") // three on either, the rest is the rotation
-	f.now += weightsMemory + 1
+	f.now += weightsTTL + 1
 	f.AdvanceFreshness(f.now)
 	f.submit("late", 5, func(r *Request) { r.WantedWeights = 9 })
 	f.MatchUntilStable(f.now)
