--- a/internal/dataplane/scheduler/assignment.go
+++ b/internal/dataplane/scheduler/assignment.go
@@ -9,8 +9,9 @@
 	"tuliprudder/internal/dataplane/scoring"
 )
 
-// Assignment is a request's place on its chosen server. Its holder ends it once, with
-// Release, Abandon or Rejected; whatever comes after that does nothing.
+// Assignment is the assignment of a request to a server. Its holder ends it once, with Release,
+// ServerFailed, Abandon or Rejected. Later calls have no effect, except that Rejected still gives
+// the server a backoff.
 type Assignment struct {
 	Server     endpoints.Server
 	Scores     []scoring.Score // why this server was chosen
@@ -22,11 +23,11 @@
 	interval     *runInterval
 	scheduler    *Scheduler
 	server       *serverState
-	usage        *poolUsage // of the scaled pool that the server is in; nil: of none
+	usage        *poolUsage // of the autoscaled pool that the server is in; nil if it is in none
 	released     bool
 }
 
-// assign counts a request in at its chosen server.
+// assign assigns a request to a server and updates the counts of both.
 func (sc *Scheduler) assign(r *Request, server *serverState, scores []scoring.Score, now clock.Micros) *Assignment {
 	sc.Assigned++
 	sc.retries.refill()
@@ -54,7 +55,7 @@
 	return assignment
 }
 
-// countStart counts the assignment in the pool's usage.
+// countStart adds the assignment to its pool's usage.
 func (a *Assignment) countStart(now clock.Micros) {
 	if a.usage == nil {
 		return
@@ -65,15 +66,15 @@
 	}
 }
 
-// CountLate counts that the request's response came later than its route's targets.
+// CountLate counts a response that missed its route's latency targets.
 func (a *Assignment) CountLate() {
 	if a.usage != nil {
 		a.usage.late++
 	}
 }
 
-// PrefillDone notes that the server has produced the first event: the prompt is
-// prefilled, and decoding has begun.
+// PrefillDone records that the server has produced the first event: the prompt is prefilled
+// and decoding has begun.
 func (a *Assignment) PrefillDone(now clock.Micros) {
 	if a.released || a.prefillDone {
 		return
@@ -82,8 +83,8 @@
 	a.endPrefill()
 }
 
-// Release ends the assignment and reports on the server. duration is how long the
-// request ran, 0 where that is unknown; succeeded is false where the server failed.
+// Release ends the assignment and records the outcome for the server. duration is how long the
+// request ran, 0 if unknown; succeeded is false if the server failed.
 func (a *Assignment) Release(duration clock.Micros, succeeded bool, now clock.Micros) {
 	if a.released {
 		return
@@ -98,7 +99,7 @@
 	a.server.recordFailure(a.scheduler.backoff(), now)
 }
 
-// recordItemDuration takes how long a batch item ran; 0 where that is unknown.
+// recordItemDuration adds a batch item's duration to the moving average; 0 means unknown.
 func (a *Assignment) recordItemDuration(duration clock.Micros) {
 	if a.isBatchItem && duration > 0 {
 		mean := &a.scheduler.batch.itemDuration
@@ -106,8 +107,8 @@
 	}
 }
 
-// ServerFailed ends the assignment of a request that the server answered with a failure of its own:
-// it can be reached, so it gets no backoff, but it counts as less reliable.
+// ServerFailed ends the assignment of a request to which the server responded with a server error.
+// The server is reachable, so it gets no backoff, but the failure lowers its reliability score.
 func (a *Assignment) ServerFailed(now clock.Micros) {
 	if a.released {
 		return
@@ -117,8 +118,8 @@
 	a.server.recordSuccess(0, now)
 }
 
-// Abandon ends the assignment without a report on the server: the request ended for
-// reasons of its own, such as a caller that disconnected.
+// Abandon ends the assignment without recording an outcome for the server: the request ended
+// for another reason, such as a caller that disconnected.
 func (a *Assignment) Abandon(now clock.Micros) {
 	if a.released {
 		return
@@ -126,7 +127,7 @@
 	a.releaseCapacity(now)
 }
 
-// Rejected ends the assignment because the server was full: it is given a backoff.
+// Rejected ends the assignment because the server was full, and gives the server a backoff.
 func (a *Assignment) Rejected(now clock.Micros) {
 	a.server.backoffUntil = now + a.scheduler.backoff()
 	if a.released {
@@ -136,7 +137,7 @@
 	a.server.recordSuccess(0, now)
 }
 
-// backoff is how long a server is left alone after a rejection or failure.
+// backoff returns how long no request is assigned to a server after a rejection or failure.
 func (sc *Scheduler) backoff() clock.Micros {
 	if sc.IsDisabled(mechanism.ServerBackoff) {
 		return 0
@@ -144,7 +145,7 @@
 	return sc.settings.ServerBackoff
 }
 
-// releaseCapacity gives the place on the server back.
+// releaseCapacity ends the assignment and returns its capacity to the server.
 func (a *Assignment) releaseCapacity(now clock.Micros) {
 	a.endPrefill()
 	a.released = true
--- a/internal/dataplane/scheduler/assignment_test.go
+++ b/internal/dataplane/scheduler/assignment_test.go
@@ -8,8 +8,8 @@
 	"tuliprudder/internal/dataplane/endpoints"
 )
 
-// A request that ends for reasons of its own says nothing of its server: one that is
-// unresponsive stays so, and its failures stay counted.
+// Abandoning an assignment records no outcome for its server: an unresponsive server stays
+// unresponsive.
 func TestAbandonKeepsServerState(t *testing.T) {
 	sc := New(Defaults(), 1)
 	configuration := &config.Configuration{Version: 1, Pools: []config.Pool{{Name: "p"}}, ScorerWeights: map[string]float64{"spread": 1},
@@ -32,6 +32,6 @@
 	later := now + 2*clock.Second
 	assignments[0].Abandon(later)
 	if unresponsive := sc.servers["s"].unresponsiveFor(later); unresponsive != 2*clock.Second {
-		t.Fatalf("the server is unresponsive for %d us", unresponsive)
+		t.Fatalf("the server is unresponsive for %d us, not 2 s", unresponsive)
 	}
 }
--- a/internal/dataplane/scheduler/batch_allotment.go
+++ b/internal/dataplane/scheduler/batch_allotment.go
@@ -12,20 +12,21 @@
 	"tuliprudder/internal/membership"
 )
 
-// BatchAllotment is a daemon's part of the places that all servers together have for batch items:
-// of Total parts those from Offset on, Size of them. Daemons whose parts don't overlap don't take
-// the same places, but that each has one place at least.
+// BatchAllotment is a daemon's share of the batch slots of all servers. A batch slot is the capacity
+// to run one batch item on a server. Of Total equal parts of the list of batch slots, the daemon has
+// Size parts beginning at Offset. Daemons whose parts don't overlap don't use the same slots, except
+// that each daemon has at least one slot.
 type BatchAllotment struct {
 	Offset, Size, Total int
-	// ItemTokens is how many tokens an item takes of a server's memory, on average over what all
-	// daemons have to run; 0: unknown.
+	// ItemTokens is the average number of tokens of a server's memory that an item uses, over the
+	// items that all daemons have to run; 0: unknown.
 	ItemTokens int
-	// Connections are the daemons that share the servers' connections: a daemon runs no more items on a
-	// server than it has connections there. The zero value is no limit.
+	// Connections counts the daemons that share the servers' connections. A daemon runs no more items
+	// on a server than it may have connections there. The zero value means no limit.
 	Connections connections.Shares
 }
 
-// selectSlots are the places in the allotment.
+// selectSlots returns the slots that belong to the allotment.
 func (a BatchAllotment) selectSlots(slots []string) []string {
 	if len(slots) == 0 || a.Total <= 0 {
 		return slots
@@ -35,20 +36,20 @@
 	return slots[first:min(max(end, first+1), len(slots))]
 }
 
-// batchState are the places for batch items of all servers.
+// batchState is what a scheduler knows of the batch slots of all servers.
 type batchState struct {
-	sequence   []string       // servers' names, once for each place
-	byServer   map[string]int // how many a server has
-	ownLimits  map[string]int // how many of them are this daemon's; nil: all
-	otherItems map[string]int // items of other daemons that run there, as far as known
-	itemTokens int            // of an item, on average; 0: unknown
-	// connections are the daemons that share the servers' connections.
+	sequence   []string       // server names, one entry per batch slot, in an order that all daemons share
+	byServer   map[string]int // number of batch slots by server
+	ownLimits  map[string]int // number of them that are this daemon's, by server; nil: all
+	otherItems map[string]int // known running items of other daemons, by server
+	itemTokens int            // average per item; 0: unknown
+	// connections counts the daemons that share the servers' connections.
 	connections connections.Shares
-	// itemDuration is the moving average of how long a batch item runs.
+	// itemDuration is the moving average of a batch item's duration.
 	itemDuration clock.Micros
 }
 
-// SetBatchAllotment says which part of the servers' places for batch items is this daemon's.
+// SetBatchAllotment sets this daemon's share of the servers' batch slots.
 func (sc *Scheduler) SetBatchAllotment(allotment BatchAllotment) {
 	sc.batch.itemTokens = allotment.ItemTokens
 	sc.batch.connections = allotment.Connections
@@ -63,7 +64,7 @@
 	sc.changed = true
 }
 
-// connectionLimit is how many connections to a known server a store may have.
+// connectionLimit returns how many connections a store may have to a server, which must be known.
 func (sc *Scheduler) connectionLimit(server endpoints.Server) int {
 	total := sc.servers[server.Name].maxConnections
 	if total == 0 || sc.batch.connections == (connections.Shares{}) || sc.IsDisabled(mechanism.BatchConnections) {
@@ -79,13 +80,13 @@
 	return allotment.selectSlots(sc.batch.sequence)
 }
 
-// SetOtherBatchItems says how many batch items of other daemons run on the servers, by their names.
+// SetOtherBatchItems sets the numbers of other daemons' running batch items, by server name.
 func (sc *Scheduler) SetOtherBatchItems(byServer map[string]int) {
 	sc.batch.otherItems = byServer
 	sc.changed = true
 }
 
-// RunningBatchItems counts this daemon's batch items on the servers, by their names.
+// RunningBatchItems returns the numbers of this daemon's running batch items, by server name.
 func (sc *Scheduler) RunningBatchItems() map[string]int {
 	out := map[string]int{}
 	for name, s := range sc.servers {
@@ -96,11 +97,12 @@
 	return out
 }
 
-// listBatchSlots lists the places for batch items of all servers. Every daemon lists them in the
-// same order: zone by zone, and in a zone first one place of each server, then a second one of each,
-// and so on. So a daemon's places are on as many servers as possible, in as few zones as possible.
-// Where a store has fewer connections to a server than that has places, the zones are passed through with as
-// many places of each server at a time: a part of the list would have more on a server than its store can use there.
+// listBatchSlots lists the batch slots of all servers. Every daemon lists them in the same order:
+// zone by zone, and within a zone first one slot of each server, then a second one of each, and so
+// on. So a daemon's slots are on as many servers as possible, in as few zones as possible.
+// If a store may have fewer connections to a server than the server has batch slots, the zones are
+// listed in several passes, each with at most that many slots per server. In a single pass a store's
+// share could have more slots on a server than the store has connections to use them.
 func (sc *Scheduler) listBatchSlots() {
 	servers := sc.sortedServers()
 	sc.batch.byServer = sc.slotsByServer(servers)
@@ -121,7 +123,7 @@
 	}
 }
 
-// sortedServers are the servers that may have places, in the order of their zones and names.
+// sortedServers returns the servers that may have batch slots, sorted by zone and name.
 func (sc *Scheduler) sortedServers() []endpoints.Server {
 	servers := make([]endpoints.Server, 0, len(sc.servers))
 	for _, s := range sc.servers {
@@ -135,8 +137,9 @@
 	return servers
 }
 
-// slotsByServer is how many places each server has. Their exact number needs not be whole: then some
-// servers have one more than others, so that all together have as many as they should.
+// slotsByServer returns the number of batch slots of each server. A server's capacity may be
+// fractional. The fractions are carried over from server to server, so that the total is right and
+// some servers have one slot more than others.
 func (sc *Scheduler) slotsByServer(servers []endpoints.Server) map[string]int {
 	out := make(map[string]int, len(servers))
 	sum, counted := 0.0, 0
@@ -149,7 +152,7 @@
 	return out
 }
 
-// interleaveSlots lists the places that some servers have in a pass, one of each in turn.
+// interleaveSlots appends the batch slots that these servers have in a pass, alternating between servers.
 func (sc *Scheduler) interleaveSlots(servers []endpoints.Server, pass int) {
 	counts := make([]int, len(servers))
 	for i, server := range servers {
@@ -168,14 +171,14 @@
 	}
 }
 
-// slotsInPass is how many of a server's places are in a pass that has so many at most.
+// slotsInPass returns how many of a server's batch slots are listed in a pass of at most perPass slots per server.
 func slotsInPass(slots, perPass, pass int) int {
 	perPass = max(1, min(perPass, slots))
 	return max(0, min(perPass, slots-pass*perPass))
 }
 
-// batchCapacity is how many batch items of all daemons a server may run, by its slots and by its
-// memory.
+// batchCapacity returns how many batch items of all daemons a server may run, limited by its
+// request slots and its memory.
 func (sc *Scheduler) batchCapacity(server endpoints.Server) float64 {
 	bySlots := sc.settings.MinUtilizationLimit * float64(server.Slots)
 	memory := int64(0)
@@ -188,8 +191,8 @@
 	return min(bySlots, sc.settings.BatchMemoryShare*float64(memory)/float64(sc.batch.itemTokens))
 }
 
-// batchLimit is how many batch items this daemon may have on a server: as many as it has places
-// there, and with what others have there no more than the server may run.
+// batchLimit returns how many batch items this daemon may run on a server: at most its own batch
+// slots there, and at most those that other daemons don't use.
 func (sc *Scheduler) batchLimit(server endpoints.Server) int {
 	if sc.batch.ownLimits == nil {
 		return max(1, int(math.Round(sc.batchCapacity(server))))
@@ -197,9 +200,9 @@
 	return min(sc.freeBatchSlots(server), sc.batch.ownLimits[server.Name])
 }
 
-// freeBatchSlots is how many places for batch items of a server other daemons don't use, whosever part
-// they are. An item that can't run on some servers goes by it: this daemon's part may be on just those,
-// and the item would wait for as long as the parts stay as they are.
+// freeBatchSlots returns how many of a server's batch slots other daemons don't use, whichever daemon's
+// share they belong to. It limits items that can't run on some servers: this daemon's share may consist of
+// just those servers, and the item would wait until the shares change.
 func (sc *Scheduler) freeBatchSlots(server endpoints.Server) int {
 	if sc.batch.ownLimits == nil {
 		return sc.batchLimit(server)
--- a/internal/dataplane/scheduler/batch_allotment_test.go
+++ b/internal/dataplane/scheduler/batch_allotment_test.go
@@ -12,7 +12,7 @@
 	"tuliprudder/internal/dataplane/endpoints"
 )
 
-// newFleetScheduler is a scheduler that knows servers of these slots in each of some zones.
+// newFleetScheduler returns a scheduler with serversPerZone servers in each zone.
 func newFleetScheduler(zones, serversPerZone, slots int) *Scheduler {
 	sc := New(Defaults(), 1)
 	for zone := range zones {
@@ -27,8 +27,8 @@
 	return sc
 }
 
-// However many stores there are, and however uneven their demands, together they run no more items
-// on a server than it may have, and each of them may run at least one.
+// For any number of stores with uneven demands, the stores' limits add up to no more items on a server
+// than it may run, and each store may run at least one item.
 func TestAllotmentsOfAllStoresAddUp(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	for _, c := range []struct{ stores, zones, servers, slots int }{
@@ -41,7 +41,7 @@
 		}
 		exact := max(1, Defaults().MinUtilizationLimit*float64(c.slots))
 		places := int(math.Round(float64(c.zones*c.servers) * exact))
-		running, before, shared := map[string]int{}, 0, 0 // shared: stores whose part is less than a place
+		running, before, shared := map[string]int{}, 0, 0 // shared: stores whose share is less than one batch slot
 		for i, demand := range demands {
 			sc := newFleetScheduler(c.zones, c.servers, c.slots)
 			sc.SetBatchAllotment(BatchAllotment{Offset: before, Size: demand, Total: sum})
@@ -55,49 +55,50 @@
 				own += limit
 			}
 			if own == 0 {
-				t.Errorf("%+v: store %d with %d of %d items may run none", c, i, demand, sum)
+				t.Errorf("%+v: store %d with %d of %d items may not run any", c, i, demand, sum)
 			}
 		}
 		sumOfAll := 0
 		for name, count := range running {
 			if float64(count) > exact+1+float64(shared) {
-				t.Errorf("%+v: the stores may run %d items on %s, which may have %.2f", c, count, name, exact)
+				t.Errorf("%+v: the stores may run %d items on %s, which may run %.2f", c, count, name, exact)
 			}
 			sumOfAll += count
 		}
 		if sumOfAll > places+shared || sumOfAll < places {
-			t.Errorf("%+v: the stores may run %d items in %d places", c, sumOfAll, places)
+			t.Errorf("%+v: the stores may run %d items in %d batch slots", c, sumOfAll, places)
 		}
 		if len(running) < min(places, c.zones*c.servers) {
-			t.Errorf("%+v: %d servers have items", c, len(running))
+			t.Errorf("%+v: only %d servers have batch slots", c, len(running))
 		}
 	}
 }
 
-// A store's places are in as few zones as possible, and there on as many servers.
+// A store's batch slots are in as few zones as possible, and within these on as many servers as possible.
 func TestAllotmentSpansFewZones(t *testing.T) {
 	sc := newFleetScheduler(5, 18, 9)
 	sc.SetBatchAllotment(BatchAllotment{Offset: 113, Size: 36, Total: 567})
 	if len(sc.batch.ownLimits) != 18 {
-		t.Errorf("36 places are on %d servers", len(sc.batch.ownLimits))
+		t.Errorf("36 batch slots are on %d servers, not 18", len(sc.batch.ownLimits))
 	}
 	for name, limit := range sc.batch.ownLimits {
 		if sc.servers[name].server.Labels[endpoints.LabelZone] != "zone-1" || limit != 2 {
-			t.Errorf("%d places on %s", limit, name)
+			t.Errorf("%d batch slots on %s", limit, name)
 		}
 	}
 }
 
-// newConnectionLimitedScheduler is a fleet of 5 zones with 10 servers, each of 16 slots, that take 79
-// connections each; 49 edges and 9 stores share them, so that a store has 3 connections to a server.
+// newConnectionLimitedScheduler returns a scheduler with 5 zones of 10 servers. Each server has 16 slots
+// and accepts 79 connections; 49 edges and 9 stores share them, so that a store has 3 connections to a server.
 func newConnectionLimitedScheduler() (*Scheduler, connections.Shares) {
 	sc := newFleetScheduler(5, 10, 16)
 	sc.SetConfiguration(&config.Configuration{Version: 1, Pools: []config.Pool{{Name: "p", Servers: config.Selector{}, MaxConnections: 79}}}, 1)
 	return sc, connections.Shares{Edges: 49, Stores: 9}
 }
 
-// A store with a third of all items had all places of a third of the servers and the connections for a
-// quarter of them: its items waited beside free servers.
+// A store's share must not have more batch slots on a server than the store has connections to it. Otherwise
+// a store with a third of all items has all slots of a third of the servers, but connections for only a
+// quarter of these slots, and its items wait although servers are free.
 func TestAllotmentFitsStoreConnections(t *testing.T) {
 	for _, test := range []struct{ size, want int }{
 		{size: 10, want: 6},
@@ -109,17 +110,18 @@
 		usable := 0
 		for name, limit := range sc.batch.ownLimits {
 			if limit > 3 {
-				t.Errorf("size %d: %d places on %s", test.size, limit, name)
+				t.Errorf("size %d: %d batch slots on %s", test.size, limit, name)
 			}
 			usable += limit
 		}
 		if usable < test.want {
-			t.Errorf("size %d of 614: %d places are usable, not %d", test.size, usable, test.want)
+			t.Errorf("size %d of 614: %d batch slots are usable, not %d", test.size, usable, test.want)
 		}
 	}
 }
 
-// Items that avoid a server, or want certain weights, were sent to servers that the store had no connection to left.
+// The connection limit also applies to items that avoid a server or want certain weights. Otherwise they are sent to
+// servers to which the store has no connection left.
 func TestConstrainedItemsRespectConnectionLimit(t *testing.T) {
 	sc, shares := newConnectionLimitedScheduler()
 	sc.SetBatchAllotment(BatchAllotment{Offset: 0, Size: 10, Total: 614, Connections: shares})
@@ -127,13 +129,13 @@
 	for _, r := range []*Request{avoiding, {IsBatchItem: true, WantedWeights: 2}} {
 		for name, server := range sc.servers {
 			if limit := sc.batchUsage(r, server).Limit; limit > 3 || limit < 1 {
-				t.Errorf("%d places on %s", limit, name)
+				t.Errorf("%d batch slots on %s", limit, name)
 			}
 		}
 	}
 }
 
-// Passes over the servers leave no place out and list none twice.
+// The passes over the servers list each batch slot exactly once.
 func TestPassesListEachBatchSlotOnce(t *testing.T) {
 	sc, shares := newConnectionLimitedScheduler()
 	sc.SetBatchAllotment(BatchAllotment{Size: 1, Total: 1, Connections: shares})
@@ -142,28 +144,28 @@
 		listed[name]++
 	}
 	if !maps.Equal(listed, sc.batch.byServer) {
-		t.Errorf("the list has %v, and the servers %v", listed, sc.batch.byServer)
+		t.Errorf("slots in the list by server: %v; slots of the servers: %v", listed, sc.batch.byServer)
 	}
 }
 
-// Servers that are draining or removed have no places.
+// Servers that are draining or removed have no batch slots.
 func TestDrainingServersHaveNoBatchSlots(t *testing.T) {
 	sc := newFleetScheduler(1, 3, 4)
 	sc.SetServer(endpoints.Server{Name: "server-0-00", Slots: 4, Draining: true})
 	sc.SetServer(endpoints.Server{Name: "server-0-01", Slots: 4, Removed: true})
 	sc.SetBatchAllotment(BatchAllotment{Size: 1, Total: 1})
 	if len(sc.batch.ownLimits) != 1 || sc.batch.ownLimits["server-0-02"] == 0 {
-		t.Errorf("the places are %v", sc.batch.ownLimits)
+		t.Errorf("the batch slots are %v", sc.batch.ownLimits)
 	}
 	New(Defaults(), 1).SetBatchAllotment(BatchAllotment{Size: 1, Total: 1}) // a fleet without servers
 }
 
-// A server has no more places than its memory holds items, where the configuration names the memory;
-// a fraction of a place goes to some servers whole.
+// A server has no more batch slots than its memory has capacity for items, if the configuration states the
+// memory. Fractional slots are rounded so that the total is right and servers differ by at most one.
 func TestServerMemoryLimitsBatchSlots(t *testing.T) {
 	for name, c := range map[string]struct {
 		memory, itemTokens int
-		want               int // places of all ten servers
+		want               int // batch slots of all ten servers
 	}{
 		"the slots are fewer":    {1_000_000, 1000, 63},
 		"the memory is fewer":    {7_000, 1000, 46},
@@ -180,32 +182,32 @@
 				least, most = min(least, limit), max(most, limit)
 			}
 			if len(sc.batch.sequence) != c.want || most-least > 1 {
-				t.Errorf("%d places, %d to %d on a server", len(sc.batch.sequence), least, most)
+				t.Errorf("%d batch slots, %d to %d on a server", len(sc.batch.sequence), least, most)
 			}
 		})
 	}
 }
 
-// A store starts nothing where others' items have taken the places.
+// A store starts no items in batch slots that other stores' items use.
 func TestBatchLimitExcludesSlotsUsedByOthers(t *testing.T) {
 	sc := newFleetScheduler(1, 2, 10)
 	sc.SetBatchAllotment(BatchAllotment{Size: 1, Total: 2})
 	first, second := sc.servers["server-0-00"].server, sc.servers["server-0-01"].server
 	sc.SetOtherBatchItems(map[string]int{first.Name: 5, second.Name: 9})
 	if got := [2]int{sc.batchLimit(first), sc.batchLimit(second)}; got != [2]int{2, 0} {
-		t.Errorf("7 places on each, 4 and 3 of them its own, 5 and 9 taken by others: %v are left", got)
+		t.Errorf("7 batch slots on each, 4 and 3 of them its own, 5 and 9 used by others: the limits are %v", got)
 	}
 }
 
-// An item that failed on a server goes to another one, also where this store's part of the places is on
-// that server alone: other stores may have nothing to run, so that the parts stay as they are. (Of ten
-// plays of TestAWholeDeployment beside each other about three had such an item, which waited for ever.)
+// An item that failed on a server is assigned to another one even if this store's batch slots are all on the
+// first server. Otherwise it waits forever if the other stores have nothing to run, because then the shares
+// don't change. (About three of ten concurrent runs of TestAWholeDeployment had such an item.)
 func TestFailedItemRunsOutsideItsStoresAllotment(t *testing.T) {
 	f := newFixture(t, newServer("one", 4), newServer("two", 4))
 	f.route.Forward = &config.Forward{}
 	f.SetBatchAllotment(BatchAllotment{Offset: 0, Size: 1, Total: 6})
 	if len(f.batch.ownLimits) != 1 || f.batch.ownLimits["one"] != 1 {
-		t.Fatalf("this store's part is %v", f.batch.ownLimits)
+		t.Fatalf("this store's batch slots are %v", f.batch.ownLimits)
 	}
 	submit := func(name string, avoided map[string]int) string {
 		f.submit(name, 1, func(r *Request) { r.IsBatchItem, r.AvoidedServers = true, avoided })
@@ -218,11 +220,11 @@
 		}
 	}
 	if got := submit("failed", map[string]int{"one": MaxFailuresPerServer}); got != "failed@two" {
-		t.Fatalf("an item that failed on the only server of this store's part: %q", got)
+		t.Fatalf("an item that failed on the only server with batch slots of this store: %q", got)
 	}
 	f.SetOtherBatchItems(map[string]int{"two": f.batch.byServer["two"]})
 	if got := submit("failed-too", map[string]int{"one": MaxFailuresPerServer}); got != "" {
-		t.Fatalf("the places of the other server are used by other stores: %q", got)
+		t.Fatalf("other stores use the batch slots of the other server, and the item starts: %q", got)
 	}
 	if got := submit("first", nil); got != "first@one" {
 		t.Fatalf("an item that has not failed: %q", got)
--- a/internal/dataplane/scheduler/choose.go
+++ b/internal/dataplane/scheduler/choose.go
@@ -10,26 +10,26 @@
 	"tuliprudder/internal/dataplane/scoring"
 )
 
-// scoreTolerance is how far apart two sums of scores may be and still count as equal:
-// sums of the same scores in floating point.
+// scoreTolerance is the difference up to which two sums of scores count as equal, because of
+// floating-point rounding.
 const scoreTolerance = 1e-9
 
-// selection is what is the same for all servers while one request looks for one.
+// selection holds the inputs to the choice of a server for one request that are the same for
+// all servers.
 type selection struct {
 	request          *Request
 	now              clock.Micros
-	servers          []string     // names of those that are not removed, sorted
-	fastestLatency   clock.Micros // of all servers; 0: none is known
+	servers          []string     // names of the servers that are not removed, sorted
+	fastestLatency   clock.Micros // of all servers; 0: unknown
 	utilizationLimit float64
-	prefixServer     string // it ran the request's prefix last
+	prefixServer     string // the server that ran the request's prefix last
 	requirements     scoring.Requirements
 	avoided          map[string]int // failures of this request, by server
 	rotationStart    int            // index in servers at which this daemon's rotation begins
 }
 
-// assignToBest assigns a request to the server with the highest sum of scores; the
-// seeded random source decides between equal ones. It returns nil where no server may
-// take the request now.
+// assignToBest assigns a request to the server with the highest sum of scores; ties are broken
+// by the seeded random source. It returns nil if no server may take the request now.
 func (sc *Scheduler) assignToBest(r *Request, now clock.Micros) *Assignment {
 	best, scores := sc.bestServers(sc.newSelection(r, now))
 	if len(best) == 0 {
@@ -46,7 +46,7 @@
 		avoided = nil
 	}
 	if r.IsBatchItem && len(avoided) > 0 && !sc.hasOtherServer(r, servers) {
-		// An accepted item rather retries where it failed than nowhere.
+		// An accepted item is retried on a server where it failed rather than not at all.
 		avoided = nil
 	}
 	return selection{
@@ -62,10 +62,10 @@
 	}
 }
 
-// bestServers are the servers with the highest sum of scores, in the order of their
-// names, and the scores of the first of them.
+// bestServers returns the servers with the highest sum of scores, sorted by name, and the
+// scores of the first of them.
 func (sc *Scheduler) bestServers(s selection) (best []string, bestScores []scoring.Score) {
-	highest := -1.0 // below every sum
+	highest := -1.0 // lower than any sum
 	for i, name := range s.servers {
 		server := sc.servers[name]
 		if s.avoided[name] >= MaxFailuresPerServer || !sc.serves(s.request, server.server.Labels) {
@@ -85,7 +85,7 @@
 	return best, bestScores
 }
 
-// candidate is what the scorers see of the server at an index of the selection.
+// candidate returns the scorers' input for the server at an index of the selection.
 func (sc *Scheduler) candidate(s selection, server *serverState, index int) scoring.Candidate {
 	count := len(s.servers)
 	out := scoring.Candidate{
@@ -127,8 +127,8 @@
 	return out
 }
 
-// activeServers are the names of the servers that are not removed, sorted, and the
-// latency of the fastest server; 0 where none is known.
+// activeServers returns the sorted names of the servers that are not removed, and the latency
+// of the fastest server, 0 if none is known.
 func (sc *Scheduler) activeServers() (names []string, fastest clock.Micros) {
 	names = make([]string, 0, len(sc.servers))
 	for name, s := range sc.servers {
@@ -143,7 +143,7 @@
 	return names, fastest
 }
 
-// serves tells whether a server with these labels is in the request's pools.
+// serves reports whether a server with these labels is in the request's pools.
 func (sc *Scheduler) serves(r *Request, labels config.Labels) bool {
 	if r.Pools != nil {
 		return sc.configuration.Selects(r.Pools, labels)
@@ -151,8 +151,9 @@
 	return sc.configuration.Serves(r.Route, labels)
 }
 
-// hasOtherServer tells whether there is a healthy server for a request besides those
-// that it avoids. One that is full or in backoff counts, for it will take requests again.
+// hasOtherServer reports whether there is a healthy server for a request besides those
+// that it avoids. A server that is full or in backoff counts, because it will accept requests
+// again.
 func (sc *Scheduler) hasOtherServer(r *Request, names []string) bool {
 	return slices.ContainsFunc(names, func(name string) bool {
 		s := sc.servers[name]
--- a/internal/dataplane/scheduler/choose_test.go
+++ b/internal/dataplane/scheduler/choose_test.go
@@ -8,8 +8,8 @@
 	"tuliprudder/internal/dataplane/endpoints"
 )
 
-// A server that drains, is unhealthy, full or in backoff, has other weights or is
-// outside the pool gets nothing; with old updates nothing is assigned.
+// No request is assigned to a server that is draining, removed, unhealthy, full or in backoff, has
+// other weights or is outside the pool, nor to any server while the daemon's updates are stale.
 func TestNothingIsAssignedToAnExcludedServer(t *testing.T) {
 	for name, change := range map[string]func(*fixture){
 		"draining":  func(f *fixture) { s := newServer("s", 4); s.Draining = true; f.SetServer(s) },
@@ -34,12 +34,12 @@
 	f.submit("x", 1, nil)
 	f.Match(f.now)
 	if got := <-f.started; got != "x@s" {
-		t.Fatalf("without a reason against it: %s", got)
+		t.Fatalf("with no reason to exclude the server: %s", got)
 	}
 }
 
-// Prefix affinity does not overload a server, and an old load report does not send all
-// requests to one: what this daemon assigned counts at once.
+// Neither prefix affinity nor an outdated load report makes all requests go to one server:
+// this daemon's own assignments count immediately.
 func TestAffinityDoesNotOverloadOneServer(t *testing.T) {
 	f := newFixture(t, newServer("s1", 8), newServer("s2", 8), newServer("s3", 8))
 	for i := 0; i < 18; i++ {
@@ -57,6 +57,6 @@
 		}
 	}
 	if len(got) != 3 {
-		t.Fatalf("spread over %v", got)
+		t.Fatalf("the requests went to %v, not to 3 servers", got)
 	}
 }
--- a/internal/dataplane/scheduler/configuration.go
+++ b/internal/dataplane/scheduler/configuration.go
@@ -8,8 +8,8 @@
 	"tuliprudder/internal/dataplane/mechanism"
 )
 
-// SetConfiguration puts a configuration in force; an older one than that in force is
-// ignored. Queued requests go by the new routes and priorities from now on; those
+// SetConfiguration puts a configuration in force, unless its version is not newer than the
+// current one. Queued requests get the routes and priorities of the new configuration; those
 // whose route or tenant was removed are dropped (docs/DESIGN.md section 8.2).
 func (sc *Scheduler) SetConfiguration(configuration *config.Configuration, now clock.Micros) {
 	if sc.configuration != nil && configuration.Version <= sc.configuration.Version {
@@ -32,19 +32,19 @@
 	}
 }
 
-// enabledScorers are the weights of the scorers that are not switched off.
+// enabledScorers returns the weights of the scorers that are not disabled.
 func (sc *Scheduler) enabledScorers(weights map[string]float64) map[string]float64 {
 	out := maps.Clone(weights)
 	maps.DeleteFunc(out, func(name string, _ float64) bool { return sc.IsDisabled(mechanism.Scorer(name)) })
 	return out
 }
 
-// Configuration is the configuration in force; nil before the first.
+// Configuration returns the configuration in force, nil until the first one is set.
 func (sc *Scheduler) Configuration() *config.Configuration { return sc.configuration }
 
-// applyConfiguration gives a request the route and priority of the configuration in
-// force, which may be newer than the one that it was checked by. The request must not be
-// queued.
+// applyConfiguration sets a request's route and priority from the configuration in force,
+// which may be newer than the one that the request was validated against. The request must
+// not be queued.
 func (sc *Scheduler) applyConfiguration(r *Request) error {
 	if sc.configuration == nil || sc.InjectedFaults.KeepOldConfiguration {
 		return nil
@@ -54,8 +54,8 @@
 	if route == nil || forwarded != (route.Forward != nil) {
 		return errRouteRemoved(r.Route.Name)
 	}
-	// A batch item was accepted and runs for as long as its route exists; so does a forwarded request,
-	// whose tenant may have no class, or none at all.
+	// An accepted batch item may run as long as its route exists. So may a forwarded request: its
+	// tenant may have no class, and it may have no tenant.
 	needsClass := !r.IsBatchItem && !forwarded
 	if needsClass && (class == nil || !route.Classes.Matches(class.Labels)) {
 		return errRouteRemoved(r.Route.Name)
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// applyPriority gives a request the priority of its tenant's class (nil for none) or of its route.
+// applyPriority sets a request's priority from its tenant's class (nil if it has none) or from its route.
 func (sc *Scheduler) applyPriority(r *Request, class *config.PriorityClass) {
 	switch {
 	case r.isForwardedItem() && !sc.prioritizesItems(r.Route):
@@ -77,8 +77,8 @@
 	}
 }
 
-// prioritizesItems tells whether a forwarded route's batch items go by priority. Where callers have no tenants, a
-// route's priority is one of urgency among live requests alone, and its items go by their due times.
+// prioritizesItems reports whether a forwarded route's batch items are ordered by priority. Where callers have no
+// tenants, a route's priority ranks live requests only, and its items are ordered by their due times.
 func (sc *Scheduler) prioritizesItems(route *config.Route) bool {
 	return route.Forward.IsAuthenticated() && !sc.IsDisabled(mechanism.ItemPriority)
 }
--- a/internal/dataplane/scheduler/configuration_test.go
+++ b/internal/dataplane/scheduler/configuration_test.go
@@ -6,8 +6,8 @@
 	"tuliprudder/internal/config"
 )
 
-// The items of a forwarded route go by their tenant's priority, those of no tenant by the route's, also where
-// a tenant happens to be named like the route.
+// Items of a forwarded route get their tenant's priority, and the route's if their tenant has no class or there is
+// no such tenant, even if some tenant has the same name as the route.
 func TestForwardedItemsGetTheirTenantsPriority(t *testing.T) {
 	f := newFixture(t, newServer("s", 4))
 	configuration := &config.Configuration{Version: 2, ScorerWeights: f.Configuration().ScorerWeights, Pools: f.Configuration().Pools,
--- a/internal/dataplane/scheduler/deadline_heap.go
+++ b/internal/dataplane/scheduler/deadline_heap.go
@@ -1,8 +1,7 @@
 package scheduler
 
-// deadlineHeap holds the queued requests that have a deadline, the earliest first
-// (container/heap). Each request knows its index, so that it can be removed from the
-// middle.
+// deadlineHeap is a container/heap of the queued requests that have a deadline, earliest
+// first. Each request stores its index, so that it can be removed from the middle.
 type deadlineHeap []*Request
 
 func (h deadlineHeap) Len() int { return len(h) }
@@ -26,7 +25,7 @@
 func (h *deadlineHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = nil // the array must not keep the request alive
+	old[len(old)-1] = nil // lets the garbage collector free the request
 	*h = old[:len(old)-1]
 	return last
 }
--- a/internal/dataplane/scheduler/deadline_heap_test.go
+++ b/internal/dataplane/scheduler/deadline_heap_test.go
@@ -8,8 +8,8 @@
 	"tuliprudder/internal/clock"
 )
 
-// However requests come and are removed, the earliest deadline is on top, and each
-// request knows its index.
+// After any sequence of insertions and removals the earliest deadline is on top, and each request
+// stores its index.
 func TestDeadlineHeapKeepsItsOrder(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	var h deadlineHeap
@@ -21,10 +21,10 @@
 		}
 		for i, r := range h {
 			if r.heapIndex != i {
-				t.Fatalf("the request at %d believes to be at %d", i, r.heapIndex)
+				t.Fatalf("the request at index %d has heapIndex %d", i, r.heapIndex)
 			}
 			if r.Deadline < h[0].Deadline {
-				t.Fatalf("a deadline of %d below the top of %d", r.Deadline, h[0].Deadline)
+				t.Fatalf("a deadline of %d is earlier than that on top, %d", r.Deadline, h[0].Deadline)
 			}
 		}
 	}
--- a/internal/dataplane/scheduler/errors.go
+++ b/internal/dataplane/scheduler/errors.go
@@ -17,7 +17,7 @@
 
 func errStale() error {
 	return errs.NewWithRetry(errs.NotReady, clock.Second, "send the request to another daemon, or retry",
-		"this daemon's updates are too old to choose a server by; the request did not run and will not")
+		"this daemon's updates are too old for it to choose a server; the request did not run and will not")
 }
 
 func errDeadlineExceeded(retryAfter clock.Micros) error {
@@ -26,10 +26,10 @@
 }
 
 func errNotPermitted() error {
-	return errs.New(errs.Rejected, "nothing to do: another store runs it, or it has ended", "the request may not be started here")
+	return errs.New(errs.Rejected, "none needed: another store runs the request, or it has ended", "the request may not be started here")
 }
 
 func errRouteRemoved(route string) error {
 	return errs.New(errs.UnknownRoute, "name a route that the configuration opens to this tenant's class",
-		"the configuration in force has no route %q for this tenant any more; the request did not run and will not", route)
+		"the configuration in force no longer has a route %q for this tenant; the request did not run and will not", route)
 }
--- a/internal/dataplane/scheduler/fixture_test.go
+++ b/internal/dataplane/scheduler/fixture_test.go
@@ -10,8 +10,8 @@
 	"tuliprudder/internal/errs"
 )
 
-// fixture is a scheduler under a configuration with three classes and one route. Each
-// request that it submits reports its start or drop on a channel.
+// fixture is a scheduler with a configuration of three classes and one route. Each request that
+// it submits reports its start or drop on a channel.
 type fixture struct {
 	*Scheduler
 	now     clock.Micros
--- a/internal/dataplane/scheduler/item_levels_test.go
+++ b/internal/dataplane/scheduler/item_levels_test.go
@@ -9,8 +9,8 @@
 	"tuliprudder/internal/config"
 )
 
-// useItemRoute puts a configuration in force with a route "items" that forwards batches, of priority 5; the
-// tenant of each of these priorities is named after it.
+// useItemRoute puts a configuration in force with a route "items" of priority 5 that forwards batches, and a tenant
+// for each of the given priorities, such as "p3" for 3.
 func (f *fixture) useItemRoute(priorities ...int64) {
 	configuration := &config.Configuration{Version: 2, ScorerWeights: f.Configuration().ScorerWeights, Pools: f.Configuration().Pools,
 		Routes: []config.Route{{Name: "items", Kind: config.Batch, Forward: &config.Forward{Authentication: config.AuthenticationRequired, Priority: 5}}, {Name: "live", Kind: config.OneShot, Forward: &config.Forward{Priority: 1}}}}
@@ -23,7 +23,7 @@
 	f.SetConfiguration(configuration, f.now)
 }
 
-// submitForwardedItem submits an item of a tenant that is due after a time; 0: never.
+// submitForwardedItem submits a tenant's item that is due after dueAfter; 0: never.
 func (f *fixture) submitForwardedItem(name, tenant string, dueAfter clock.Micros) *Request {
 	return f.submit(name, 1, func(r *Request) {
 		r.IsBatchItem = true
@@ -35,7 +35,7 @@
 	})
 }
 
-// startOrder lets requests start on a server of one slot, each once the one before has ended.
+// startOrder adds a server of one slot that runs the requests one after the other, and returns the order of their starts.
 func (f *fixture) startOrder(t *testing.T, requests ...*Request) []string {
 	t.Helper()
 	var order []string
@@ -58,7 +58,7 @@
 	return order
 }
 
-// A live request never waits behind a forwarded item, however high the item's priority is.
+// A live request never waits behind a forwarded item, whatever the item's priority, even a promoted one.
 func TestLiveRequestsGoBeforeForwardedItems(t *testing.T) {
 	f := newFixture(t)
 	f.useItemRoute(1000)
@@ -77,8 +77,8 @@
 	}
 }
 
-// Forwarded items go by their tenants' priorities, those without one by their route's; overdue ones go behind all
-// that can be ready in time, by priority as well.
+// Forwarded items are ordered by their tenants' priorities, those without a tenant by their route's. Overdue items
+// come after all that can be ready in time, also ordered by priority.
 func TestForwardedItemsAreOrderedByPriority(t *testing.T) {
 	f := newFixture(t)
 	f.useItemRoute(3, 9)
@@ -99,7 +99,7 @@
 	}
 }
 
-// An overdue item of a low priority isn't left for ever: its turn comes before all that can be ready in time.
+// An overdue item of a low priority does not starve: it is promoted ahead of the items that can be ready in time.
 func TestOverdueLowPriorityItemIsPromoted(t *testing.T) {
 	f := newFixture(t)
 	f.useItemRoute(3, 9)
@@ -114,7 +114,7 @@
 	}
 }
 
-// However high its priority is, an item leaves the places on a server that the lowest level leaves.
+// Whatever its priority, a forwarded item leaves as much capacity of a server as the lowest level does.
 func TestForwardedItemsLeaveCapacityWhateverTheirPriority(t *testing.T) {
 	f := newFixture(t)
 	f.useItemRoute(1, 1000)
@@ -126,14 +126,14 @@
 	}
 }
 
-// An item that only some servers can't take is tried though its route's other items have no place.
+// An item with server constraints is tried even if there is no batch slot for its route's other items.
 func TestConstrainedItemIsTriedAtEachLevel(t *testing.T) {
 	f := newFixture(t, newServer("s", 10))
 	f.useItemRoute(3, 9)
 	f.SetBatchAllotment(BatchAllotment{Offset: 0, Size: 0, Total: 10})
 	f.submitForwardedItem("first", "p9", 0)
 	if f.Match(f.now); len(f.started) != 1 {
-		t.Fatalf("%d items start on a part of one place", len(f.started))
+		t.Fatalf("%d items start in a share of one batch slot", len(f.started))
 	}
 	<-f.started
 	f.submitForwardedItem("high", "p9", 0)
@@ -151,7 +151,7 @@
 	}
 }
 
-// Items of a route whose callers have no tenants go in the order of their submission, whatever the routes' priorities are.
+// Items of routes whose callers have no tenants are ordered by submission, whatever the routes' priorities are.
 func TestItemsWithoutTenantsIgnoreRoutePriority(t *testing.T) {
 	f := newFixture(t, newServer("s", 0))
 	configuration := &config.Configuration{Version: 2, ScorerWeights: f.Configuration().ScorerWeights, Pools: f.Configuration().Pools,
--- a/internal/dataplane/scheduler/item_promotion.go
+++ b/internal/dataplane/scheduler/item_promotion.go
@@ -7,22 +7,22 @@
 	"tuliprudder/internal/dataplane/mechanism"
 )
 
-// Where items that go first take all places, those behind them would never start. So they have turns
-// (docs/DESIGN.md section 12.6): of onTimePerOverdue+1 items that start while overdue ones wait, one is the oldest
-// of these, and of startsPerPromotion+1 forwarded items that start in time while some of lower levels wait, one is
-// the oldest of these. Only items that some server can run take a turn.
+// If the batch items at the front of the queue use all batch slots, those behind them would starve. So some of these
+// are promoted (docs/DESIGN.md section 12.6). Of onTimeStartsPerOverdue+1 items that start while overdue items wait,
+// one is the oldest overdue item. Of startsPerPromotion+1 on-time forwarded items that start while on-time items of
+// lower levels wait, one is the oldest of these. Only items that some server can run are promoted.
 
-// onTimeStartsPerOverdue is how many items that can be ready in time go before one that can't.
+// onTimeStartsPerOverdue is the number of on-time items that start before an overdue item is promoted.
 const onTimeStartsPerOverdue = 8
 
-// itemPromotion say when an item goes before the others.
+// itemPromotion decides when a batch item is promoted to the front of the queue of items.
 type itemPromotion struct {
-	startsSinceOverdue             int      // items that started in time since an overdue one did
-	startsSinceLower               int      // items that started before lower ones that wait, since one of those did
-	promotedOverdue, promotedLower *Request // those whose turn it is; nil or not queued: none was chosen
+	startsSinceOverdue             int      // on-time items that started since the last overdue one
+	startsSinceLower               int      // items that started while items of lower levels waited, since the last promoted one started
+	promotedOverdue, promotedLower *Request // the items promoted now; none if nil or no longer queued
 }
 
-// countItemStart counts a batch item that starts.
+// countItemStart counts the start of a batch item.
 func (sc *Scheduler) countItemStart(r *Request) {
 	if r.dueState == stateOnTime || r.dueState == statePromotedOnTime {
 		sc.itemPromotion.startsSinceOverdue++
@@ -37,8 +37,8 @@
 	}
 }
 
-// promoteItemsIfDue puts the items whose turn it is before the others. One that was dropped meanwhile is replaced by
-// the next; where there is none, the turn passes.
+// promoteItemsIfDue promotes an overdue item and an item of a lower level when the counts of starts call for it. If a
+// promoted item has been dropped, the next one is promoted instead; if there is none, the count restarts.
 func (sc *Scheduler) promoteItemsIfDue(now clock.Micros) {
 	if sc.itemPromotion.startsSinceOverdue >= onTimeStartsPerOverdue && !isWaiting(sc.itemPromotion.promotedOverdue) {
 		sc.itemPromotion.promotedOverdue = sc.oldestRunnableItem(now, func(key listKey, _ *Request) bool { return key.isOverdue })
@@ -57,11 +57,11 @@
 
 func isWaiting(r *Request) bool { return r != nil && r.isQueued() }
 
-// isOnTimeItem tells whether the request is a forwarded batch item that goes by its level, and is not overdue.
+// isOnTimeItem reports whether the request is a forwarded batch item that is neither overdue nor promoted.
 func (r *Request) isOnTimeItem() bool { return r.isForwardedItem() && r.dueState == stateOnTime }
 
-// oldestRunnableItem is the batch item that was submitted first, of those in the lists that are wanted, and that some server
-// can run; nil where there is none.
+// oldestRunnableItem returns the batch item that was submitted first among those that some server can run, in the
+// lists that isCandidate selects; nil if there is none.
 func (sc *Scheduler) oldestRunnableItem(now clock.Micros, isCandidate func(key listKey, first *Request) bool) *Request {
 	var oldest *Request
 	for _, lists := range sc.queue.byLevel {
@@ -78,7 +78,7 @@
 	return oldest
 }
 
-// firstRunnable is the first request of a list that some server can run; nil where there is none.
+// firstRunnable returns the first request of a list that some server can run, nil if there is none.
 func (sc *Scheduler) firstRunnable(requests *list.List, now clock.Micros) *Request {
 	for e := requests.Front(); e != nil; e = e.Next() {
 		r := e.Value.(*Request)
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// hasServerFor tells whether there is a server for a request, however busy it is.
+// hasServerFor reports whether some server can run a request, regardless of its load.
 func (sc *Scheduler) hasServerFor(r *Request, now clock.Micros) bool {
 	for _, s := range sc.servers {
 		isUsable := !s.server.Removed && !s.server.Draining && s.isHealthy()
@@ -105,7 +105,8 @@
 	return false
 }
 
-// highestOnTimeItemLevel is the highest level of a forwarded item that waits in time.
+// highestOnTimeItemLevel returns the highest level with a queued on-time forwarded item. Without one it returns a
+// level that is below all levels of on-time items.
 func (q *requestQueue) highestOnTimeItemLevel() int64 {
 	highest := overdueItemLevel(0)
 	for level, lists := range q.byLevel {
@@ -118,7 +119,7 @@
 	return highest
 }
 
-// hasOnTimeItemBelow tells whether a forwarded item waits in time below a level.
+// hasOnTimeItemBelow reports whether an on-time forwarded item is queued below a level.
 func (q *requestQueue) hasOnTimeItemBelow(level int64) bool {
 	for other, lists := range q.byLevel {
 		for _, requests := range lists {
@@ -130,7 +131,8 @@
 	return false
 }
 
-// promoteItem puts a queued item before the others; false where it is nil.
+// promoteItem sets a queued item's state and moves it to the front of the list for that state. It returns false if r
+// is nil.
 func (q *requestQueue) promoteItem(r *Request, state dueState) bool {
 	if r == nil {
 		return false
--- a/internal/dataplane/scheduler/item_starvation_test.go
+++ b/internal/dataplane/scheduler/item_starvation_test.go
@@ -8,8 +8,8 @@
 	"tuliprudder/internal/config"
 )
 
-// startsUnderLoad has a server of one slot run items, one of a high priority coming with each start, and returns
-// after how many starts the awaited item starts; -1 if it doesn't in so many.
+// startsUnderLoad runs items on a server of one slot while one item of a high priority arrives per start. It returns
+// the number of starts before the awaited item starts, -1 if it is not among the given number of starts.
 func (f *fixture) startsUnderLoad(t *testing.T, awaited *Request, starts int, arrive func(i int)) int {
 	t.Helper()
 	started := -1
@@ -35,7 +35,8 @@
 	return -1
 }
 
-// An item of a route that names no due time is never overdue: of a low priority it was left for ever. (Issue 40.)
+// An item of a route without due times is never overdue, so promoting overdue items does not keep one of a low
+// priority from starving. (Issue 40.)
 func TestItemWithoutDueTimeIsPromoted(t *testing.T) {
 	f := newFixture(t)
 	f.useItemRoute(3, 9)
@@ -45,7 +46,7 @@
 	}
 }
 
-// Overdue items that no server can run took the turns of those that one can. (Issue 40.)
+// Overdue items that no server can run must not be promoted in place of those that a server can run. (Issue 40.)
 func TestItemsWithoutServersAreNotPromoted(t *testing.T) {
 	f := newFixture(t)
 	f.useItemRoute(3, 9)
@@ -70,8 +71,8 @@
 	}
 }
 
-// servedShares has more items come than one server can run, most of them of a low priority; one that has waited for
-// too long is given up. It returns which part was served of all items, and of those of the low priority.
+// servedShares submits more items than one server can run, most of them of a low priority, and cancels those that have
+// waited too long. It returns the fractions of all items and of the low-priority items that were served.
 func servedShares(t *testing.T, due clock.Micros) (all, low float64) {
 	const (
 		itemDuration = 100 * clock.Millisecond
@@ -109,14 +110,14 @@
 	return (served["p3"] + served["p9"]) / (submitted["p3"] + submitted["p9"]), low
 }
 
-// Where the items of higher priorities take all servers, those of a lower one are not left out: they were served under a
-// quarter as often as all. (Issue 40.)
+// Items of a low priority do not starve while items of higher priorities could use all servers. Without promotion the
+// fraction of them that is served falls below a quarter of that of all items. (Issue 40.)
 func TestLowPriorityItemsAreNotStarved(t *testing.T) {
 	for name, due := range map[string]clock.Micros{"due soon": 8 * clock.Second, "due after they are given up": 120 * clock.Second, "never due": 0} {
 		all, low := servedShares(t, due)
-		t.Logf("%s: served are %.2f of all, %.2f of a low priority", name, all, low)
+		t.Logf("%s: served fractions: %.2f of all items, %.2f of those of a low priority", name, all, low)
 		if low < all/4 {
-			t.Errorf("%s: served are %.2f of all, %.2f of a low priority", name, all, low)
+			t.Errorf("%s: served fractions: %.2f of all items, %.2f of those of a low priority", name, all, low)
 		}
 	}
 }
--- a/internal/dataplane/scheduler/levels_test.go
+++ b/internal/dataplane/scheduler/levels_test.go
@@ -9,8 +9,8 @@
 	"tuliprudder/internal/dataplane/endpoints"
 )
 
-// Batch items leave capacity that live requests may use, also where another daemon
-// filled the server. They don't starve: after a while one at a time may fill it.
+// Batch items leave capacity for live requests, also if another daemon's requests fill the
+// server. They don't starve: after StarvationTimeout one item at a time may fill the server.
 func TestBatchesLeaveCapacityAndDoNotStarve(t *testing.T) {
 	f := newFixture(t, newServer("s", 10))
 	f.SetLoad("s", 1, endpoints.Load{ReadAt: f.now, Healthy: true, Running: 8})
@@ -29,11 +29,11 @@
 		t.Fatalf("started %s", got)
 	}
 	if f.Match(f.now); len(f.started) != 0 {
-		t.Fatalf("two at a time: %s", <-f.started)
+		t.Fatalf("a second batch item started at the same time: %s", <-f.started)
 	}
 }
 
-// A forwarded route's own priority is a level, as that of a class is.
+// The priority of a forwarded route has levels, as that of a class does.
 func TestForwardedRoutesHaveLevels(t *testing.T) {
 	table := newLevelTable(&config.Configuration{Classes: []config.PriorityClass{{Priority: 5}},
 		Routes: []config.Route{{Forward: &config.Forward{Priority: 3}}, {}, {Forward: &config.Forward{Priority: 5}}}})
--- a/internal/dataplane/scheduler/live_promotion.go
+++ b/internal/dataplane/scheduler/live_promotion.go
@@ -6,19 +6,19 @@
 	"tuliprudder/internal/dataplane/mechanism"
 )
 
-// Where live requests of a higher level take all that servers have, those of a lower one would never start, and a
-// tenant of a lower priority would get nothing for as long as that lasts. So of startsPerPromotion+1 forwarded
-// live requests that start while some of lower levels wait, one is the oldest of these (docs/DESIGN.md section 11.1).
+// While live requests of a higher level use all capacity of the servers, those of a lower level would never start,
+// and tenants of a lower priority would starve. So of startsPerPromotion+1 forwarded live requests that start while
+// some of lower levels wait, one is the oldest of these (docs/DESIGN.md section 11.1).
 const startsPerPromotion = 3
 
-// livePromotion say when a live request of a lower level goes before the others.
+// livePromotion decides when a live request of a lower level is promoted.
 type livePromotion struct {
-	startsSincePromotion int      // live requests that started before lower ones that wait, since a promoted one did
-	isDue                bool     // the next to start is one of a lower level
-	promoted             *Request // it was chosen
+	startsSincePromotion int      // live requests that started while lower levels waited, since the last promoted one
+	isDue                bool     // the next request to start is one of a lower level
+	promoted             *Request // the request chosen for that; nil: none yet
 }
 
-// countLiveStart counts a live request that starts.
+// countLiveStart counts the start of a live request.
 func (sc *Scheduler) countLiveStart(r *Request) {
 	if !r.isForwardedLive() || sc.IsDisabled(mechanism.LivePromotion) {
 		return
@@ -34,8 +34,8 @@
 	sc.livePromotion.isDue = sc.livePromotion.startsSincePromotion >= startsPerPromotion
 }
 
-// promoteIfDue puts the oldest live request of the lower levels before those of the highest, when it is its turn. One
-// that was dropped meanwhile is replaced by the next.
+// promoteIfDue moves the oldest live request of the lower levels ahead of those of the highest level, if a promotion
+// is due. If the promoted request has been dropped, the next one is promoted instead.
 func (sc *Scheduler) promoteIfDue() {
 	isChosen := sc.livePromotion.promoted != nil && sc.livePromotion.promoted.isQueued()
 	if !sc.livePromotion.isDue || isChosen {
@@ -48,7 +48,7 @@
 	}
 }
 
-// highestLiveLevel is the highest level of a forwarded live request that is queued; 0 where none is.
+// highestLiveLevel returns the highest level with a queued forwarded live request, 0 if there is none.
 func (q *requestQueue) highestLiveLevel() int64 {
 	highest := int64(0)
 	for level, lists := range q.byLevel {
@@ -61,7 +61,7 @@
 	return highest
 }
 
-// oldestLiveBelow is the forwarded live request below a level that was submitted first; nil where there is none.
+// oldestLiveBelow returns the forwarded live request below a level that was submitted first, nil if there is none.
 func (q *requestQueue) oldestLiveBelow(level int64) *Request {
 	var oldest *Request
 	for other, lists := range q.byLevel {
@@ -78,14 +78,14 @@
 	return oldest
 }
 
-// promoteTo puts a queued request before the others of a higher level.
+// promoteTo moves a queued request to the front of a higher level.
 func (q *requestQueue) promoteTo(r *Request, level int64) {
 	q.removeFromList(r)
 	r.promotedLevel = level
 	q.insertIntoList(r, (*list.List).PushFront)
 }
 
-// isForwardedLive tells whether the request is a live one that is forwarded unchanged.
+// isForwardedLive reports whether the request is a live request that is forwarded unchanged.
 func (r *Request) isForwardedLive() bool {
 	return !r.IsBatchItem && r.Route != nil && r.Route.Forward != nil
 }
--- a/internal/dataplane/scheduler/live_promotion_test.go
+++ b/internal/dataplane/scheduler/live_promotion_test.go
@@ -9,7 +9,7 @@
 	"tuliprudder/internal/config"
 )
 
-// submitLive submits a forwarded live request of a priority.
+// submitLive submits a forwarded live request with the given priority.
 func (f *fixture) submitLive(name string, priority int64, change func(r *Request)) *Request {
 	return f.submit(name, priority, func(r *Request) {
 		r.Route = &config.Route{Name: "live", Kind: config.Stream, Forward: &config.Forward{Priority: priority}}
@@ -19,16 +19,15 @@
 	})
 }
 
-// newLiveFixture has no servers, and a server of one slot will run one request at a time.
+// newLiveFixture returns a fixture without servers, in which a server of one slot runs one request at a time.
 func newLiveFixture(t *testing.T) *fixture {
 	f := newFixture(t)
 	f.settings.MaxUtilizationLimit = 1
-	f.InjectedFaults.KeepOldConfiguration = true // the requests of a test keep the route and priority that they have
+	f.InjectedFaults.KeepOldConfiguration = true // keeps the routes and priorities that a test gives its requests
 	return f
 }
 
-// One in four starts is of a lower level, the oldest of those that wait there; without lower ones it is as if there
-// was no turn to take.
+// One in four starts is the oldest request of the lower levels, if there is one.
 func TestLowerLevelsArePromotedPeriodically(t *testing.T) {
 	for name, c := range map[string]struct{ submitted, want string }{
 		"two levels":         {"h1 h2 h3 h4 h5 h6 l1 l2", "h1 h2 h3 l1 h4 h5 h6 l2"},
@@ -48,7 +47,7 @@
 	}
 }
 
-// A request whose turn it is and that is dropped before a server is free leaves its turn to the next.
+// If a promoted request is dropped before it starts, the next one is promoted.
 func TestDroppedPromotionPassesToTheNext(t *testing.T) {
 	f := newLiveFixture(t)
 	f.SetServer(newServer("s", 1))
@@ -71,7 +70,7 @@
 	}
 	f.MatchUntilStable(f.now)
 	next()
-	next() // h3 runs: the next turn is l1's
+	next() // h3 runs, and l1 is promoted next
 	f.Match(f.now)
 	f.now += 2 * clock.Millisecond
 	f.AdvanceFreshness(f.now)
@@ -86,7 +85,7 @@
 	}
 }
 
-// Batch items never take such a turn, nor do requests that aren't forwarded.
+// Neither batch items nor requests that aren't forwarded are promoted.
 func TestOnlyForwardedLiveRequestsArePromoted(t *testing.T) {
 	f := newLiveFixture(t)
 	var requests []*Request
--- a/internal/dataplane/scheduler/match.go
+++ b/internal/dataplane/scheduler/match.go
@@ -7,23 +7,23 @@
 	"tuliprudder/internal/config"
 )
 
-// assignedRequest is a request with the server that was chosen for it.
+// assignedRequest is a request with its assignment.
 type assignedRequest struct {
 	request    *Request
 	assignment *Assignment
 }
 
-// MatchUntilStable matches for as long as that changes something. The daemon's state
-// machine calls it at the end of each of its steps.
+// MatchUntilStable calls Match until nothing changes any more. The daemon's state machine
+// calls it at the end of each step.
 func (sc *Scheduler) MatchUntilStable(now clock.Micros) {
 	for sc.changed {
 		sc.Match(now)
 	}
 }
 
-// Match drops what can't start any more and assigns what can be assigned now, the
-// highest level first. All choices are made before the first callback runs, because
-// callbacks may submit and release.
+// Match drops requests that can no longer start and assigns those for which a server has
+// capacity, highest level first. All assignments are made before the first callback runs,
+// because callbacks may submit requests and release assignments.
 func (sc *Scheduler) Match(now clock.Micros) {
 	sc.changed = false
 	expired := sc.queue.removeExpired(now)
@@ -32,8 +32,8 @@
 	var stale []*Request
 	switch {
 	case !sc.IsFresh(now):
-		// Other daemons lend this one's quota of live requests anew, so these must
-		// not stay. Batch items were accepted, and stay queued.
+		// Other daemons may use this daemon's quota of live requests by now, so these must
+		// not stay queued. Batch items stay queued because they were accepted.
 		stale = sc.queue.removeLive()
 	case sc.configuration != nil:
 		assigned = sc.assignQueued(now)
@@ -48,7 +48,7 @@
 	}
 }
 
-// assignQueued assigns from all lists of the queue, the highest level first.
+// assignQueued assigns requests from all lists of the queue, highest level first.
 func (sc *Scheduler) assignQueued(now clock.Micros) []assignedRequest {
 	sc.demoteOverdue(now)
 	sc.promoteIfDue()
@@ -62,17 +62,18 @@
 	return pass.assigned
 }
 
-// matchPass is one pass through the queue.
+// matchPass is the state of one pass over the queue.
 type matchPass struct {
 	assigned []assignedRequest
-	// noBatchSlots are the routes for whose forwarded batch items no server has a place. It is the same
-	// at each of their levels, of which there may be one for each tenant.
+	// noBatchSlots holds the routes for whose forwarded batch items no server has a free batch slot.
+	// This is the same at all levels of a route, of which there may be one per tenant, so that the
+	// other levels need not be tried.
 	noBatchSlots map[*config.Route]bool
 }
 
-// assignFromList assigns the requests of one level and route, the oldest first, until no
-// server is left for them. A request that not every server may take says nothing about the
-// rest, so the list goes on behind it.
+// assignFromList assigns the requests of one level and route, oldest first, until no server can
+// take one. A request with server constraints for which there is no server is skipped, because
+// the requests behind it may still be assignable.
 func (sc *Scheduler) assignFromList(pass *matchPass, requests *list.List, now clock.Micros) {
 	var next *list.Element
 	for e := requests.Front(); e != nil; e = next {
@@ -86,7 +87,7 @@
 			if r.hasServerConstraints() {
 				continue
 			}
-			// While none of them runs, one that has waited long may start all the same (isStarving).
+			// While no batch item runs, a starving one may still start at another level (isStarving).
 			pass.noBatchSlots[r.Route] = r.isForwardedItem() && sc.runningBatchItems > 0
 			return
 		}
@@ -96,7 +97,7 @@
 	}
 }
 
-// startAssigned starts the assigned requests that may start now.
+// startAssigned starts the assigned requests, except those whose MayStart returns false.
 func (sc *Scheduler) startAssigned(assigned []assignedRequest, now clock.Micros) {
 	for _, a := range assigned {
 		if a.request.MayStart != nil && !a.request.MayStart(now) {
--- a/internal/dataplane/scheduler/match_test.go
+++ b/internal/dataplane/scheduler/match_test.go
@@ -8,7 +8,7 @@
 	"tuliprudder/internal/dataplane/endpoints"
 )
 
-// The higher priority goes first however late it was submitted; live requests go
+// Requests of a higher priority start first, regardless of submission order; live requests start
 // before the batch items of their priority.
 func TestHigherLevelStartsFirst(t *testing.T) {
 	f := newFixture(t, newServer("s", 4))
@@ -33,7 +33,7 @@
 	}
 }
 
-// MayStart is asked right before the start; where it says no nothing starts.
+// MayStart is called immediately before the start; if it returns false the request does not start.
 func TestNoStartWithoutPermission(t *testing.T) {
 	f := newFixture(t, newServer("s", 4))
 	f.submit("x", 1, func(r *Request) { r.MayStart = func(clock.Micros) bool { return false } })
@@ -42,12 +42,12 @@
 		t.Fatalf("dropped as %s", got)
 	}
 	if len(f.started) != 0 {
-		t.Fatal("it started")
+		t.Fatal("the request started although MayStart returned false")
 	}
 }
 
-// A request whose deadline passes is dropped at the next match, also while no server
-// may take it; a load report of a lower epoch is ignored.
+// A request whose deadline passes is dropped at the next match, also if no server can take it.
+// A load report of a lower epoch is ignored.
 func TestExpiredRequestIsDroppedAndLowerEpochIgnored(t *testing.T) {
 	f := newFixture(t, newServer("s", 4))
 	f.SetLoad("s", 5, endpoints.Load{ReadAt: f.now, Healthy: false})
@@ -60,6 +60,6 @@
 		t.Fatalf("dropped as %s", got)
 	}
 	if f.QueueLength() != 0 || f.QueuedWeight("c1") != 0 {
-		t.Fatalf("%d still wait", f.QueueLength())
+		t.Fatalf("%d requests are still queued", f.QueueLength())
 	}
 }
--- a/internal/dataplane/scheduler/mechanism_test.go
+++ b/internal/dataplane/scheduler/mechanism_test.go
@@ -9,7 +9,7 @@
 	"tuliprudder/internal/dataplane/mechanism"
 )
 
-// Each mechanism does something, and nothing once it is switched off.
+// Each mechanism has an effect, and none while it is disabled.
 func TestMechanismsCanBeSwitchedOff(t *testing.T) {
 	for name, works := range map[mechanism.Name]func(sc *Scheduler) bool{
 		mechanism.BatchMemory: func(sc *Scheduler) bool {
@@ -73,10 +73,10 @@
 		},
 	} {
 		if !works(newMechanismScheduler(t)) {
-			t.Errorf("%s does nothing", name)
+			t.Errorf("%s has no effect", name)
 		}
 		if works(newMechanismScheduler(t, name)) {
-			t.Errorf("%s still works when it is off", name)
+			t.Errorf("%s has an effect while disabled", name)
 		}
 	}
 }
--- a/internal/dataplane/scheduler/observation.go
+++ b/internal/dataplane/scheduler/observation.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	// loadHalvingTime is after how long what a server told of its load counts half: a queue is gone soon.
+	// loadHalvingTime is the half-life of a load that a server reported. It is short because a queue soon drains.
 	loadHalvingTime = 250 * clock.Millisecond
-	// outcomeHalvingTime is after how long a request's outcome counts half.
+	// outcomeHalvingTime is the half-life of a request's outcome.
 	outcomeHalvingTime = 2 * clock.Second
-	// priorOutcomes is how many requests a server is taken to have served well before any was seen.
+	// priorOutcomes is the number of assumed successes in a server's failure rate, so that few outcomes weigh little.
 	priorOutcomes = 2
 )
 
-// Observation is what a daemon saw of a server since it last told other daemons: the latest load that
-// the server told it, and how its requests there ended.
+// Observation is what a daemon observed of a server since it last sent its observations to other daemons:
+// the latest load that the server reported to it, and the outcomes of its requests there.
 type Observation struct {
 	Server string
-	// Load is nil where the server told none.
+	// Load is nil if the server reported none.
 	Load *endpoints.ReportedLoad
-	// At is when it was told.
+	// At is when the load was reported.
 	At clock.Micros
-	// Succeeded and Failed count requests that the server answered, and those that it failed.
+	// Succeeded and Failed count the requests that succeeded and failed on the server.
 	Succeeded, Failed int
 }
 
-// outcomeRate is the share of a server's requests that fail, with older ones counting less.
+// outcomeRate holds exponentially decaying counts of a server's outcomes.
 type outcomeRate struct {
 	succeeded, failed float64
-	decayedAt         clock.Micros // up to when they have decayed
+	decayedAt         clock.Micros // the time up to which the counts have decayed
 }
 
-// add counts outcomes.
+// add adds outcomes to the counts.
 func (r *outcomeRate) add(succeeded, failed int, now clock.Micros) {
 	r.decay(now)
 	r.succeeded += float64(succeeded)
@@ -50,18 +50,18 @@
 	r.decayedAt = now
 }
 
-// failureRate is from 0 to 1; 0 where nothing was seen lately.
+// failureRate returns the fraction of requests that fail, 0 if there were no recent outcomes.
 func (r *outcomeRate) failureRate(now clock.Micros) float64 {
 	r.decay(now)
 	return r.failed / (r.succeeded + r.failed + priorOutcomes)
 }
 
-// decayFactor is what is left of 1 after a while.
+// decayFactor returns the factor by which a value decays exponentially within elapsed.
 func decayFactor(elapsed, halvingTime clock.Micros) float64 {
 	return math.Exp2(-float64(max(0, elapsed)) / float64(halvingTime))
 }
 
-// ObserveLoad takes the load that a server told this daemon with an answer; nil is none.
+// ObserveLoad records the load that a server reported to this daemon with a response; nil means none.
 func (sc *Scheduler) ObserveLoad(name string, load *endpoints.ReportedLoad, now clock.Micros) {
 	s := sc.servers[name]
 	if s == nil || load == nil {
@@ -73,7 +73,7 @@
 	sc.changed = true
 }
 
-// observeOutcome takes how a request of this daemon's ended on a server.
+// observeOutcome records the outcome of one of this daemon's requests on a server.
 func (sc *Scheduler) observeOutcome(s *serverState, failed bool, now clock.Micros) {
 	unsent := sc.unsentObservation(s.server.Name)
 	if failed {
@@ -92,8 +92,8 @@
 	return sc.observations[name]
 }
 
-// TakeObservations returns what this daemon saw of servers since the last call, by the servers'
-// names, for other daemons.
+// TakeObservations returns what this daemon has observed of servers since the last call, sorted by
+// server name, to be sent to other daemons.
 func (sc *Scheduler) TakeObservations() []Observation {
 	var out []Observation
 	for _, name := range slices.Sorted(maps.Keys(sc.observations)) {
@@ -103,7 +103,7 @@
 	return out
 }
 
-// ReceiveObservation takes what another daemon saw of a server.
+// ReceiveObservation records another daemon's observation of a server.
 func (sc *Scheduler) ReceiveObservation(observation Observation, now clock.Micros) {
 	s := sc.servers[observation.Server]
 	if s == nil {
@@ -116,15 +116,15 @@
 	sc.changed = true
 }
 
-// observeLoad takes a load that a server told some daemon, unless a later one is known.
+// observeLoad records a load that the server reported to any daemon, unless a later one is known.
 func (s *serverState) observeLoad(load endpoints.ReportedLoad, at clock.Micros) {
 	if at > s.reportedAt {
 		s.reportedLoad, s.reportedAt = load, at
 	}
 }
 
-// expectedWaiting is how many requests wait on the server by what it told: the longer ago that was,
-// the less it counts.
+// expectedWaiting returns the number of requests waiting on the server by its last reported load,
+// which decays with its age.
 func (s *serverState) expectedWaiting(now clock.Micros) float64 {
 	return float64(s.reportedLoad.Waiting) * decayFactor(now-s.reportedAt, loadHalvingTime)
 }
--- a/internal/dataplane/scheduler/observation_test.go
+++ b/internal/dataplane/scheduler/observation_test.go
@@ -7,13 +7,13 @@
 	"tuliprudder/internal/dataplane/endpoints"
 )
 
-// What a server told counts less the older it is; an older reading doesn't replace a newer one.
+// The weight of a reported load decays with its age, and an older report does not replace a newer one.
 func TestReportedLoadDecays(t *testing.T) {
 	sc := newFleetScheduler(1, 1, 9)
 	server := sc.servers["server-0-00"]
 	now := 100 * clock.Second
 	if server.expectedWaiting(now) != 0 {
-		t.Fatal("something waits before anything was told")
+		t.Fatal("requests wait before any load was reported")
 	}
 	sc.ReceiveObservation(Observation{Server: "server-0-00", Load: &endpoints.ReportedLoad{Waiting: 8, Slots: 9}, At: now}, now)
 	sc.ReceiveObservation(Observation{Server: "server-0-00", Load: &endpoints.ReportedLoad{Waiting: 2, Slots: 9}, At: now - 1}, now)
@@ -21,17 +21,17 @@
 	sc.ObserveLoad("unknown", &endpoints.ReportedLoad{Waiting: 3}, now)
 	for elapsed, want := range map[clock.Micros]float64{0: 8, loadHalvingTime: 4, 2 * loadHalvingTime: 2} {
 		if got := server.expectedWaiting(now + elapsed); got < want-1e-6 || got > want+1e-6 {
-			t.Errorf("after %d us %v wait, not %v", elapsed, got, want)
+			t.Errorf("after %d us %v requests wait, not %v", elapsed, got, want)
 		}
 	}
 }
 
-// The failure rate follows the latest outcomes, of this daemon and of others, and is forgotten.
+// The failure rate follows the latest outcomes and decays without new ones.
 func TestFailureRatesFollowOutcomes(t *testing.T) {
 	var r outcomeRate
 	now := 100 * clock.Second
 	if r.failureRate(now) != 0 {
-		t.Fatal("a server fails before anything was seen")
+		t.Fatal("the failure rate is not 0 before any outcome")
 	}
 	r.add(0, 1, now)
 	if got := r.failureRate(now); got <= 0.1 || got >= 0.5 {
@@ -46,11 +46,11 @@
 		t.Errorf("after 20 successes the rate is %v", got)
 	}
 	if got := r.failureRate(now + 20*outcomeHalvingTime); got > 0.001 {
-		t.Errorf("long after the rate is %v", got)
+		t.Errorf("after 19 more half-lives the rate is %v", got)
 	}
 }
 
-// What a daemon saw is handed out once, summed up by server.
+// Each observation is returned once, aggregated by server.
 func TestObservationsAreTakenOnce(t *testing.T) {
 	sc := newFleetScheduler(1, 2, 9)
 	first, second := sc.servers["server-0-00"], sc.servers["server-0-01"]
@@ -61,17 +61,17 @@
 	sc.ObserveLoad("server-0-00", &endpoints.ReportedLoad{Running: 4, Waiting: 1, Slots: 9}, now+1)
 	got := sc.TakeObservations()
 	if len(got) != 2 || got[0].Server != "server-0-00" || got[0].Succeeded != 1 || got[0].Failed != 1 || got[0].Load == nil || got[0].At != now+1 {
-		t.Fatalf("taken are %+v", got)
+		t.Fatalf("the observations are %+v", got)
 	}
 	if got[1].Server != "server-0-01" || got[1].Succeeded != 1 || got[1].Load != nil {
-		t.Fatalf("taken are %+v", got)
+		t.Fatalf("the observations are %+v", got)
 	}
 	if again := sc.TakeObservations(); len(again) > 0 {
-		t.Errorf("taken again are %+v", again)
+		t.Errorf("observations were returned again: %+v", again)
 	}
 }
 
-// A server at another address starts without its past.
+// When a server's address changes, its load and failure rate are reset.
 func TestAddressChangeResetsServerState(t *testing.T) {
 	sc := newFleetScheduler(1, 1, 9)
 	now := 100 * clock.Second
@@ -79,11 +79,11 @@
 	sc.SetServer(endpoints.Server{Name: "server-0-00", Address: "elsewhere", Slots: 9})
 	server := sc.servers["server-0-00"]
 	if server.expectedWaiting(now) != 0 || server.outcomes.failureRate(now) != 0 {
-		t.Errorf("%v wait, %v fail", server.expectedWaiting(now), server.outcomes.failureRate(now))
+		t.Errorf("%v requests wait, the failure rate is %v", server.expectedWaiting(now), server.outcomes.failureRate(now))
 	}
 }
 
-// The times of ended requests are not kept for ever where no load is read.
+// The number of run intervals of ended requests is bounded even without load reports.
 func TestRunIntervalsAreBounded(t *testing.T) {
 	s := &serverState{}
 	for i := range 10_000 {
@@ -91,6 +91,6 @@
 		s.add(&Assignment{AssignedAt: at, interval: &runInterval{startedAt: at, endedAt: at + 1}})
 	}
 	if len(s.runIntervals) > 1100 {
-		t.Errorf("%d are kept", len(s.runIntervals))
+		t.Errorf("%d run intervals are kept", len(s.runIntervals))
 	}
 }
--- a/internal/dataplane/scheduler/overdue.go
+++ b/internal/dataplane/scheduler/overdue.go
@@ -7,22 +7,22 @@
 	"tuliprudder/internal/dataplane/mechanism"
 )
 
-// Where more batch items wait than servers can run in time, the order of submission would make all of
-// them late: each runs only when its result is overdue already. So an item that can't be ready in time
-// any more goes behind those that can (docs/DESIGN.md section 12.6). It isn't left for ever, see
-// item_turns.go.
+// If more batch items are queued than the servers can run in time, submission order would make all of
+// them late: each would start when its result is already overdue. So an item that can no longer be
+// ready in time is moved behind those that can (docs/DESIGN.md section 12.6). It is promoted
+// eventually, see item_promotion.go.
 
-// dueState tells how a request stands with the time that its result is due.
+// dueState is a request's state with regard to the time at which its result is due.
 type dueState int
 
 const (
 	stateOnTime dueState = iota
 	stateOverdue
-	statePromotedOverdue // was overdue, and goes before the others now
-	statePromotedOnTime  // is in time, of a lower level, and goes before the others now
+	statePromotedOverdue // was overdue, and is now ahead of the others
+	statePromotedOnTime  // on time, of a lower level, and is now ahead of the others
 )
 
-// overdueRank orders lists of requests: those of overdue ones are last.
+// overdueRank is a sort key for lists of requests: those of overdue requests come last.
 func overdueRank(r *Request) int {
 	if r.dueState == stateOverdue {
 		return 1
@@ -30,7 +30,7 @@
 	return 0
 }
 
-// demoteOverdue puts the batch items behind the others that would be ready only after they are due.
+// demoteOverdue moves the batch items that would be ready only after their due time behind the others.
 func (sc *Scheduler) demoteOverdue(now clock.Micros) {
 	if sc.IsDisabled(mechanism.OverdueLast) {
 		return
@@ -45,8 +45,8 @@
 	}
 }
 
-// demoteFirst demotes the first requests of a list, up to one that is due after readyAt. Lists are in
-// the order of submission, so those behind it are due later still, but for retries.
+// demoteFirst demotes requests from the front of a list, up to the first that is due at readyAt or
+// later. Lists are in submission order, so those behind it are due even later, except for retries.
 func (q *requestQueue) demoteFirst(requests *list.List, readyAt clock.Micros) {
 	for requests.Len() > 0 {
 		r := firstOf(requests)
@@ -59,5 +59,5 @@
 	}
 }
 
-// OverdueBatchItems counts the queued batch items that can't be ready in time.
+// OverdueBatchItems returns the number of queued batch items that can't be ready in time.
 func (sc *Scheduler) OverdueBatchItems() int { return sc.queue.overdueCount }
--- a/internal/dataplane/scheduler/overdue_test.go
+++ b/internal/dataplane/scheduler/overdue_test.go
@@ -9,8 +9,8 @@
 	"tuliprudder/internal/dataplane/mechanism"
 )
 
-// runItems runs batch items one at a time, a second each, until none is left, and returns the order
-// in which they started. The items are due after these times.
+// runItems submits batch items that are due after the given times, runs them one at a time, one second
+// each, until none is left, and returns the order in which they started.
 func runItems(t *testing.T, f *fixture, dueAfter []clock.Micros) []string {
 	t.Helper()
 	var order []string
@@ -32,7 +32,7 @@
 	for range dueAfter {
 		f.Match(f.now)
 		if running == nil {
-			t.Fatalf("nothing runs after %v", order)
+			t.Fatalf("nothing starts after %v", order)
 		}
 		f.now += clock.Second
 		running.Release(clock.Second, true, f.now)
@@ -45,8 +45,8 @@
 	return order
 }
 
-// Items that can't be ready in time go behind those that can, in their order. Those without a due time
-// go in the order of submission.
+// Items that can't be ready in time come after those that can, in submission order. Items without a due
+// time are ordered by submission.
 func TestOverdueItemsGoLast(t *testing.T) {
 	const s = clock.Second
 	for name, c := range map[string]struct {
@@ -54,7 +54,7 @@
 		order    []string
 	}{
 		"all in time":         {[]clock.Micros{10 * s, 11 * s, 12 * s}, []string{"0", "1", "2"}},
-		"too late at once":    {[]clock.Micros{s / 2, s / 2, 10 * s, 11 * s}, []string{"0", "2", "3", "1"}}, // that items last long is seen with the first
+		"too late at once":    {[]clock.Micros{s / 2, s / 2, 10 * s, 11 * s}, []string{"0", "2", "3", "1"}}, // the first item's duration shows that the second will be late
 		"late while it waits": {[]clock.Micros{10 * s, 2 * s, 2 * s, 2 * s, 10 * s}, []string{"0", "1", "4", "2", "3"}},
 		"none is due":         {[]clock.Micros{0, 0, s / 2}, []string{"0", "1", "2"}},
 	} {
@@ -65,7 +65,7 @@
 	}
 }
 
-// Of nine items that start one is overdue, so that these don't wait for ever.
+// One of nine started items is an overdue one, so that overdue items don't starve.
 func TestOverdueItemsAreNotStarved(t *testing.T) {
 	f := newFixture(t, newServer("s", 1))
 	dueAfter := []clock.Micros{1, 1, 1}
@@ -78,7 +78,7 @@
 	}
 }
 
-// A change of configuration leaves overdue items behind the others.
+// Overdue items stay behind the others after a change of configuration.
 func TestOverdueItemsStayLastUnderANewConfiguration(t *testing.T) {
 	f := newFixture(t)
 	f.Scheduler.batch.itemDuration = clock.Second
@@ -90,16 +90,16 @@
 	next.Version++
 	f.SetConfiguration(&next, f.now)
 	if f.OverdueBatchItems() != 1 {
-		t.Fatalf("%d overdue", f.OverdueBatchItems())
+		t.Fatalf("%d items are overdue, not 1", f.OverdueBatchItems())
 	}
 	f.SetServer(newServer("s", 1))
 	f.Match(f.now)
 	if got := <-f.started; got != "1@s" {
-		t.Errorf("started is %s", got)
+		t.Errorf("started %s", got)
 	}
 }
 
-// With the mechanism off, items go in the order of submission.
+// With the mechanism disabled, items start in submission order.
 func TestOverdueItemsKeepTheirOrderWhenDisabled(t *testing.T) {
 	f := newFixture(t, newServer("s", 1))
 	disable(t, f.Scheduler, mechanism.OverdueLast)
@@ -108,7 +108,7 @@
 	}
 }
 
-// disable switches mechanisms off.
+// disable disables mechanisms of a scheduler.
 func disable(t *testing.T, sc *Scheduler, names ...mechanism.Name) {
 	t.Helper()
 	text := ""
--- a/internal/dataplane/scheduler/pool_usage.go
+++ b/internal/dataplane/scheduler/pool_usage.go
@@ -10,40 +10,41 @@
 	"tuliprudder/internal/dataplane/mechanism"
 )
 
-// milli is what fractions of slots are counted in.
+// milli is the number of units per slot in which fractions of slots are counted.
 const milli = 1000
 
-// defaultCompletionWindow is the time in which batch items count as due where their route names none.
+// defaultCompletionWindow is the completion window of batch items whose route has none.
 const defaultCompletionWindow = 60 * clock.Second
 
-// PoolLoad is what this daemon has to run in a pool whose servers are scaled.
+// PoolLoad is this daemon's load on an autoscaled pool.
 type PoolLoad struct {
-	Pool string // its name
-	// Busy is how many slots of servers its requests took, the mean since the last reading, in
+	Pool string // name of the pool
+	// Busy is the mean number of server slots that its requests used since the last TakeLoads, in
 	// thousandths.
 	Busy int64
-	// Queued is how many live requests wait for a server now.
+	// Queued is the number of live requests that are queued now.
 	Queued int64
-	// Required is how many slots its queued batch items need to be ready when they are due, in thousandths.
+	// Required is the number of slots that its queued batch items need to be ready when due, in thousandths.
 	Required int64
-	// Started, Rejected and Late count live requests since the daemon's start: those that got a server,
-	// those that got none in time, and responses that came later than their route's targets.
+	// Started, Rejected and Late count live requests since the daemon's start: those that were assigned
+	// to a server, those that were not assigned in time, and those whose response missed its route's
+	// latency targets.
 	Started, Rejected, Late int64
 }
 
-// isIdle tells whether nothing runs or waits.
+// isIdle reports whether nothing runs or is queued.
 func (l PoolLoad) isIdle() bool { return l.Busy == 0 && l.Queued == 0 && l.Required == 0 }
 
-// poolUsage is what this daemon's requests take of a pool's slots.
+// poolUsage tracks how many of a pool's slots this daemon's requests use.
 type poolUsage struct {
 	running                  int
-	busyTime                 clock.Micros // of all requests since the last reading, up to changedAt
+	busyTime                 clock.Micros // of all requests, from intervalStart to changedAt
 	changedAt, intervalStart clock.Micros
 	started, rejected, late  int64
 	lastReported             PoolLoad
 }
 
-// advance counts the time up to now.
+// advance adds the busy time up to now.
 func (u *poolUsage) advance(now clock.Micros) {
 	u.busyTime += clock.Micros(u.running) * (now - u.changedAt)
 	u.changedAt = now
@@ -54,7 +55,7 @@
 	u.running += change
 }
 
-// takeBusy is the mean of the slots taken since the last reading, in thousandths.
+// takeBusy returns the mean number of slots used since intervalStart, in thousandths, and begins a new interval.
 func (u *poolUsage) takeBusy(now clock.Micros) int64 {
 	u.advance(now)
 	elapsed, busyTime := now-u.intervalStart, u.busyTime
@@ -65,7 +66,7 @@
 	return busyTime * milli / elapsed
 }
 
-// usageOf is the usage of a pool; nil for the name "".
+// usageOf returns the usage of a pool, creating it if there is none; nil for the name "".
 func (sc *Scheduler) usageOf(pool string, now clock.Micros) *poolUsage {
 	if pool == "" {
 		return nil
@@ -76,7 +77,7 @@
 	return sc.pools[pool]
 }
 
-// countRejected counts a live request that got no server in time.
+// countRejected counts a live request that was not assigned in time. Batch items are not counted.
 func (sc *Scheduler) countRejected(r *Request, now clock.Micros) {
 	if r.IsBatchItem {
 		return
@@ -86,8 +87,8 @@
 	}
 }
 
-// scaledPools are the names of the scaled pools that serve a route; chosen, where set, is the selector of
-// those that serve the request at hand.
+// scaledPools returns the names of the autoscaled pools that serve a route. chosen, if set, is the selector
+// of the pools that serve the request (Request.Pools).
 func (sc *Scheduler) scaledPools(route *config.Route, chosen config.Selector) []string {
 	if sc.configuration == nil {
 		return nil
@@ -95,8 +96,8 @@
 	return sc.configuration.ScaledPools(route, chosen)
 }
 
-// TakeLoads gives the load of each scaled pool, by name, and begins a new reading. A pool that was idle at
-// the last reading and still is has none.
+// TakeLoads returns the loads of the autoscaled pools, sorted by name, and begins a new interval. A pool that
+// was idle at the last call and still is is left out.
 func (sc *Scheduler) TakeLoads(now clock.Micros) []PoolLoad {
 	if sc.configuration == nil || sc.IsDisabled(mechanism.Autoscale) {
 		return nil
@@ -116,7 +117,8 @@
 	return out
 }
 
-// queuedByPool is what waits here, by pool. It looks at the lists of the queue alone, not at each request.
+// queuedByPool returns the queued load by pool. It reads only the ends and lengths of the queue's lists, not each
+// request.
 func (sc *Scheduler) queuedByPool(now clock.Micros) map[string]PoolLoad {
 	out := map[string]PoolLoad{}
 	for _, lists := range sc.queue.byLevel {
@@ -136,8 +138,8 @@
 	return out
 }
 
-// requiredSlots is how many slots a list's batch items need to be ready when they are due, in thousandths: their
-// running time over what is left, on average, until then. Overdue ones are allowed the time that a new one has.
+// requiredSlots returns how many slots a list's batch items need to be ready when due, in thousandths: their total
+// duration divided by the mean time until they are due. For overdue items this is the completion window of a new item.
 func (sc *Scheduler) requiredSlots(key listKey, requests *list.List, now clock.Micros) int64 {
 	window := defaultCompletionWindow
 	if key.route.Forward != nil && key.route.Forward.CompletionWindow > 0 {
--- a/internal/dataplane/scheduler/pool_usage_test.go
+++ b/internal/dataplane/scheduler/pool_usage_test.go
@@ -9,8 +9,8 @@
 	"tuliprudder/internal/dataplane/mechanism"
 )
 
-// usageFixture is a scheduler before one server of 4 slots in a scaled pool, with a route of live requests and
-// one of batch items that are due 8 s after their submission.
+// usageFixture is a scheduler with one server of 4 slots in an autoscaled pool, a route for live requests and one
+// for batch items that are due 8 s after submission.
 type usageFixture struct {
 	*Scheduler
 	live, batch *config.Route
@@ -38,7 +38,7 @@
 	return b
 }
 
-// submit submits a request that waits for a while at most; 0: for ever.
+// submit submits a request with a deadline after wait; 0: none.
 func (b *usageFixture) submit(route *config.Route, wait clock.Micros) {
 	r := &Request{Route: route, Priority: 5, IsBatchItem: route == b.batch}
 	r.Start = func(assignment *Assignment, _ clock.Micros) { b.started = append(b.started, assignment) }
@@ -73,12 +73,12 @@
 	b.started[1].Release(3*clock.Second, true, b.now)
 	b.advance(clock.Second)
 	got := b.TakeLoads(b.now)
-	if len(got) != 1 || got[0] != (PoolLoad{Pool: "p", Busy: 1000, Started: 2, Late: 1}) { // 1 s, 2 s and 2 s of slots in 5 s
+	if len(got) != 1 || got[0] != (PoolLoad{Pool: "p", Busy: 1000, Started: 2, Late: 1}) { // slots were used for 2 s and 3 s, in 5 s
 		t.Errorf("the load is %+v", got)
 	}
 	b.advance(clock.Second)
 	if got := b.TakeLoads(b.now); len(got) != 1 || got[0].Busy != 0 {
-		t.Errorf("once it is idle the load is %+v", got)
+		t.Errorf("after it became idle the load is %+v", got)
 	}
 	b.advance(clock.Second)
 	if got := b.TakeLoads(b.now); len(got) != 0 {
@@ -93,7 +93,7 @@
 	}
 	full := len(b.started)
 	if got := b.TakeLoads(b.now)[0]; got.Queued != int64(9-full) || got.Started != int64(full) || got.Rejected != 0 {
-		t.Errorf("while %d of 9 wait the load is %+v", 9-full, got)
+		t.Errorf("while %d of 9 requests are queued the load is %+v", 9-full, got)
 	}
 	b.advance(2 * clock.Second)
 	if got := b.TakeLoads(b.now)[0]; got.Queued != 0 || got.Rejected != int64(9-full) {
@@ -101,12 +101,13 @@
 	}
 }
 
-// Ten items of 2 s that are due in 8 s need two and a half slots.
+// Required follows from the queued items' mean duration and due time: ten items of 2 s that are due in
+// 8 s need two and a half slots.
 func TestRequiredSlotsOfBatchItems(t *testing.T) {
 	b := newUsageFixture(t, mechanism.Set{})
 	b.submit(b.batch, 0)
 	b.advance(2 * clock.Second)
-	for range 40 { // the mean of the items' durations grows by an eighth each time
+	for range 40 { // each item moves the average duration an eighth closer to 2 s
 		b.started[len(b.started)-1].Release(2*clock.Second, true, b.now)
 		b.submit(b.batch, 0)
 	}
@@ -117,7 +118,7 @@
 	}
 	got := b.TakeLoads(b.now)[0]
 	if want := waiting * 2 * milli / 8; got.Required < want*95/100 || got.Required > want*105/100 {
-		t.Errorf("for %d items %d thousandths of a slot are required", waiting, got.Required)
+		t.Errorf("%d queued items require %d thousandths of a slot", waiting, got.Required)
 	}
 }
 
--- a/internal/dataplane/scheduler/prefix_table_test.go
+++ b/internal/dataplane/scheduler/prefix_table_test.go
@@ -39,6 +39,6 @@
 		}
 	}
 	if len(table.servers) != 2 || table.byAge.Len() != 2 {
-		t.Errorf("%d and %d prefixes are kept, not 2", len(table.servers), table.byAge.Len())
+		t.Errorf("the table holds %d and the eviction list %d prefixes, not 2", len(table.servers), table.byAge.Len())
 	}
 }
--- a/internal/dataplane/scheduler/queue.go
+++ b/internal/dataplane/scheduler/queue.go
@@ -11,20 +11,20 @@
 	"tuliprudder/internal/config"
 )
 
-// requestQueue holds the queued requests. Each is in the list of its level and route,
-// in the order of submission, and in byDeadline if it has a deadline; weights and
-// length count the same requests. Lists are kept by route because requests of one route
-// can run on the same servers: once the first finds none, the rest need not look.
+// requestQueue holds the queued requests. Each is in the list of its level and route, in
+// submission order, and in byDeadline if it has a deadline; weights and length count the same
+// requests. There is a list per route because requests of one route can run on the same
+// servers: if there is no server for the first, the rest need not be tried.
 type requestQueue struct {
 	byLevel      map[int64]map[listKey]*list.List // no list is empty
 	byDeadline   deadlineHeap
-	weights      map[string]int // queued weight by tenant; no entry is 0
+	weights      map[string]int // queued weight by tenant; tenants without any have no entry
 	length       int
-	overdueCount int // of them, in lists of overdue requests
+	overdueCount int // number of requests in lists of overdue requests
 	lastSeq      uint64
 }
 
-// listKey names one of a level's lists.
+// listKey identifies a list within a level.
 type listKey struct {
 	route     *config.Route
 	isOverdue bool
@@ -36,14 +36,14 @@
 	return requestQueue{byLevel: map[int64]map[listKey]*list.List{}, weights: map[string]int{}}
 }
 
-// submit puts a new request at the end of the queue.
+// submit appends a new request to the queue.
 func (q *requestQueue) submit(r *Request) {
 	q.lastSeq++
 	r.seq = q.lastSeq
 	q.add(r)
 }
 
-// add puts a request at the end of the list of its level and route.
+// add appends a request to the list of its level and route.
 func (q *requestQueue) add(r *Request) {
 	q.insertIntoList(r, (*list.List).PushBack)
 	r.started = false
@@ -55,7 +55,7 @@
 	q.weights[r.Tenant] += r.queueWeight()
 }
 
-// insertIntoList puts a request into its list, at the end that push says.
+// insertIntoList adds a request to its list with push, (*list.List).PushBack or PushFront.
 func (q *requestQueue) insertIntoList(r *Request, push func(l *list.List, value any) *list.Element) {
 	r.queueElement = push(q.listFor(r), r)
 	if r.dueState == stateOverdue {
@@ -63,7 +63,7 @@
 	}
 }
 
-// removeFromList takes a request out of its list.
+// removeFromList removes a request from its list, and the list if it is empty then.
 func (q *requestQueue) removeFromList(r *Request) {
 	lists := q.byLevel[queueLevel(r)]
 	requests := lists[keyOf(r)]
@@ -76,7 +76,7 @@
 	}
 }
 
-// listFor is the list that a request belongs into, made if there is none.
+// listFor returns the list for a request, creating it if there is none.
 func (q *requestQueue) listFor(r *Request) *list.List {
 	level := queueLevel(r)
 	if q.byLevel[level] == nil {
@@ -90,7 +90,7 @@
 	return out
 }
 
-// remove takes a queued request out.
+// remove removes a queued request from the queue.
 func (q *requestQueue) remove(r *Request) {
 	q.removeFromList(r)
 	if r.Deadline > 0 {
@@ -104,7 +104,7 @@
 	}
 }
 
-// removeAll empties the queue and returns its requests in the order of submission.
+// removeAll empties the queue and returns its requests in submission order.
 func (q *requestQueue) removeAll() []*Request {
 	out := q.inOrder()
 	for _, r := range out {
@@ -113,7 +113,7 @@
 	return out
 }
 
-// removeLive takes out the live requests, in the order of submission.
+// removeLive removes the live requests and returns them in submission order.
 func (q *requestQueue) removeLive() []*Request {
 	out := slices.DeleteFunc(q.inOrder(), func(r *Request) bool { return r.IsBatchItem })
 	for _, r := range out {
@@ -122,7 +122,7 @@
 	return out
 }
 
-// removeExpired takes out the requests whose deadline has passed, the earliest first.
+// removeExpired removes the requests whose deadline has passed and returns them by deadline.
 func (q *requestQueue) removeExpired(now clock.Micros) []*Request {
 	var out []*Request
 	for len(q.byDeadline) > 0 && now >= q.byDeadline[0].Deadline {
@@ -133,7 +133,7 @@
 	return out
 }
 
-// inOrder lists the queued requests in the order of submission.
+// inOrder returns the queued requests in submission order.
 func (q *requestQueue) inOrder() []*Request {
 	out := make([]*Request, 0, q.length)
 	for _, routes := range q.byLevel {
@@ -147,7 +147,7 @@
 	return out
 }
 
-// nonEmptyLevels lists the levels that have requests, highest first.
+// nonEmptyLevels returns the levels that have requests, highest first.
 func (q *requestQueue) nonEmptyLevels() []int64 {
 	out := make([]int64, 0, len(q.byLevel))
 	for level, routes := range q.byLevel {
@@ -160,8 +160,8 @@
 	return out
 }
 
-// listsAt lists a level's lists, that with the oldest first request in front, that of a promoted one before it, and
-// those of overdue requests behind the others.
+// listsAt returns a level's lists, sorted by the age of their first request, oldest first. Lists that begin with a
+// promoted request come before the others, lists of overdue requests after them.
 func (q *requestQueue) listsAt(level int64) []*list.List {
 	out := slices.Collect(maps.Values(q.byLevel[level]))
 	slices.SortFunc(out, func(a, b *list.List) int {
--- a/internal/dataplane/scheduler/queue_test.go
+++ b/internal/dataplane/scheduler/queue_test.go
@@ -8,8 +8,8 @@
 	"tuliprudder/internal/config"
 )
 
-// queueOf fills a queue with requests of two routes and two priorities; the earlier a
-// request stands in the list, the earlier it was submitted.
+// queueOf returns a queue to which the requests were submitted in the given order, live requests
+// and batch items on a route each.
 func queueOf(requests ...*Request) *requestQueue {
 	routes := map[bool]*config.Route{false: {Name: "live"}, true: {Name: "batch"}}
 	q := newRequestQueue()
@@ -45,7 +45,7 @@
 	requireIDs(t, "live ones", q.removeLive(), "a", "b")
 	requireIDs(t, "the rest", q.removeAll(), "c")
 	if q.length != 0 || len(q.weights) != 0 || len(q.nonEmptyLevels()) != 0 {
-		t.Errorf("not empty: %+v", q)
+		t.Errorf("the queue is not empty: %+v", q)
 	}
 }
 
--- a/internal/dataplane/scheduler/retry_budget_test.go
+++ b/internal/dataplane/scheduler/retry_budget_test.go
@@ -7,8 +7,8 @@
 	"tuliprudder/internal/clock"
 )
 
-// Retries have a budget: where every server fails, they stop multiplying the load. A
-// long queue says when it will have been worked off.
+// The retry budget is bounded and refilled by assignments, so that retries don't multiply the
+// load when every server fails. RetryAfter estimates when a long queue will have drained.
 func TestRetriesHaveABudget(t *testing.T) {
 	f := newFixture(t, newServer("s", 1000))
 	spent := 0
@@ -28,7 +28,7 @@
 		t.Fatalf("%d retries at first, %d after 100 requests", spent, refilled)
 	}
 	if after := f.RetryAfter(f.now); after != clock.Second/2 {
-		t.Fatalf("nothing is queued, and one is to come back after %d us", after)
+		t.Fatalf("with an empty queue RetryAfter is %d us, not 0.5 s", after)
 	}
 	f.Scheduler.settings.MaxQueued = 400
 	f.Scheduler.servers["s"].server.Slots = 1
@@ -36,6 +36,6 @@
 		f.submit("w", 1, nil)
 	}
 	if after := f.RetryAfter(f.now); after < 3*clock.Second || after > 5*clock.Second {
-		t.Fatalf("400 are queued at 100 a second, and one is to come back after %d us", after)
+		t.Fatalf("with 400 requests queued at 100 a second RetryAfter is %d us, not 3 to 5 s", after)
 	}
 }
--- a/internal/dataplane/scheduler/server.go
+++ b/internal/dataplane/scheduler/server.go
@@ -10,45 +10,45 @@
 )
 
 const (
-	// latencySmoothing is the divisor of the moving average of latencies: each new one
-	// counts an eighth, as in TCP's round-trip estimate (RFC 6298 section 2).
+	// latencySmoothing is the divisor of the moving average of durations: each new value
+	// has a weight of 1/8, as in TCP's round-trip estimate (RFC 6298 section 2).
 	latencySmoothing = 8
-	// maxBackoffFactor bounds how often ServerBackoff a server is left alone after
-	// failures in a row.
+	// maxBackoffFactor limits the backoff after consecutive failures, in multiples of
+	// Settings.ServerBackoff.
 	maxBackoffFactor = 3
 )
 
-// serverState is what this daemon knows of one server. Counts of "own" requests are
-// those of this daemon.
+// serverState is what this daemon knows of one server. "Own" requests are those of this
+// daemon.
 type serverState struct {
 	server endpoints.Server
-	// maxConnections is how many connections it takes, by the configuration in force; 0: any number.
+	// maxConnections is the server's maximum number of connections in the configuration in force; 0: unlimited.
 	maxConnections int64
-	scaledPool     string // the scaled pool that it is in, by the same; "": none
+	scaledPool     string // the autoscaled pool that it is in, in the configuration in force; "": none
 
 	load      endpoints.Load
-	loadEpoch uint64 // of the reader that load is from
+	loadEpoch uint64 // epoch of the load's reader
 
-	ownRequests   int            // assigned now
-	runIntervals  []*runInterval // own requests since the latest load report
+	ownRequests   int            // number assigned now
+	runIntervals  []*runInterval // of own requests that run or ended after the latest load report
 	otherRequests int            // of other daemons, at the latest load report
 
 	outcomes            outcomeRate
-	reportedLoad        endpoints.ReportedLoad // the latest load that the server told a daemon of the zone
+	reportedLoad        endpoints.ReportedLoad // the latest load that the server reported to a daemon of the zone
 	reportedAt          clock.Micros
 	weights             observedWeights
 	latency             clock.Micros // moving average of a request's duration; 0: unknown
 	consecutiveFailures int
 	backoffUntil        clock.Micros
 
-	prefilling           []*Assignment // own requests without a first event, the oldest first
+	prefilling           []*Assignment // own requests without a first event, oldest first
 	prefillTokens        int64         // their prompt tokens
 	runningBatchItems    int
 	prefillingBatchItems int
 	lastProgressAt       clock.Micros // latest first event or end of an own request
 }
 
-// runInterval is the time of one request on a server; endedAt is 0 while it runs.
+// runInterval is the time during which one request runs on a server; endedAt is 0 until it ends.
 type runInterval struct{ startedAt, endedAt clock.Micros }
 
 func (i *runInterval) isRunningAt(at clock.Micros) bool {
@@ -57,7 +57,7 @@
 
 func (i *runInterval) endsAfter(at clock.Micros) bool { return i.endedAt == 0 || i.endedAt > at }
 
-// ServerSnapshot is one server as this daemon sees it, for the operators.
+// ServerSnapshot is this daemon's view of one server, for operators.
 type ServerSnapshot struct {
 	endpoints.Server
 	Load        endpoints.Load `json:"load"`
@@ -65,8 +65,8 @@
 	Latency     clock.Micros   `json:"latency_us"` // moving average; 0: unknown
 }
 
-// SetServer takes a server's entry in the endpoint list. A server that comes back under
-// another address starts without its past.
+// SetServer adds or updates a server from its entry in the endpoint list. If its address has
+// changed, the load, weights, latency and failures known of the old address are discarded.
 func (sc *Scheduler) SetServer(server endpoints.Server) {
 	s := sc.servers[server.Name]
 	if s == nil {
@@ -88,7 +88,7 @@
 	sc.changed = true
 }
 
-// configureServer notes what the configuration in force says about a server.
+// configureServer applies the configuration in force to a server.
 func (sc *Scheduler) configureServer(s *serverState) {
 	if sc.configuration != nil {
 		s.maxConnections = sc.configuration.MaxConnections(s.server.Labels)
@@ -96,8 +96,8 @@
 	}
 }
 
-// SetLoad takes a load report. One of a lower epoch is ignored: it is from a daemon
-// that no longer reads this server.
+// SetLoad records a load report. A report of a lower epoch is ignored: it is from a daemon
+// that no longer reads this server's load.
 func (sc *Scheduler) SetLoad(name string, epoch uint64, load endpoints.Load) {
 	s := sc.servers[name]
 	if s == nil || epoch < s.loadEpoch {
@@ -108,7 +108,7 @@
 	sc.changed = true
 }
 
-// Servers lists the servers known here, by name.
+// Servers returns the known servers, sorted by name.
 func (sc *Scheduler) Servers() []endpoints.Server {
 	out := make([]endpoints.Server, 0, len(sc.servers))
 	for _, s := range sc.servers {
@@ -118,11 +118,11 @@
 	return out
 }
 
-// ServerNames are the names of the servers known here, in no order.
+// ServerNames returns the names of the known servers, in no particular order.
 func (sc *Scheduler) ServerNames() []string { return slices.Collect(maps.Keys(sc.servers)) }
 
-// Snapshot is this daemon's view of the servers, by name, and the queued weight of each
-// tenant, for the operators.
+// Snapshot returns this daemon's view of the servers, sorted by name, and the queued weight of
+// each tenant, for operators.
 func (sc *Scheduler) Snapshot() (servers []ServerSnapshot, queuedWeights map[string]int) {
 	for _, s := range sc.servers {
 		servers = append(servers, ServerSnapshot{Server: s.server, Load: s.load, OwnRequests: s.ownRequests, Latency: s.latency})
@@ -131,10 +131,11 @@
 	return servers, maps.Clone(sc.queue.weights)
 }
 
-// runIntervalRetention is for how long a request that has ended is remembered where no load is read.
+// runIntervalRetention is how long the run interval of an ended request is kept at most. Load reports remove run
+// intervals earlier; this bounds their number while there are none.
 const runIntervalRetention = 10 * clock.Second
 
-// add counts a new assignment in.
+// add counts a new assignment.
 func (s *serverState) add(a *Assignment) {
 	s.ownRequests++
 	s.runIntervals = slices.DeleteFunc(s.runIntervals, func(i *runInterval) bool { return !i.endsAfter(a.AssignedAt - runIntervalRetention) })
@@ -147,8 +148,8 @@
 	}
 }
 
-// setLoad takes a load report: what it counts beyond the own requests that ran at that
-// time are other daemons' requests.
+// setLoad records a load report. The requests that it counts beyond the own requests that ran
+// at that time are those of other daemons.
 func (s *serverState) setLoad(load endpoints.Load) {
 	own := 0
 	for _, interval := range s.runIntervals {
@@ -173,18 +174,18 @@
 	s.latency += (duration - s.latency) / latencySmoothing
 }
 
-// recordFailure gives the server a backoff that grows with the failures in a row.
+// recordFailure gives the server a backoff that grows with the number of consecutive failures.
 func (s *serverState) recordFailure(backoff, now clock.Micros) {
 	s.consecutiveFailures = min(s.consecutiveFailures+1, maxBackoffFactor)
 	s.backoffUntil = now + backoff*clock.Micros(s.consecutiveFailures)
 }
 
-// isHealthy tells whether the server answered at the latest load report; one without a
-// report is taken for healthy.
+// isHealthy reports whether the server was healthy at the latest load report. A server without
+// a report counts as healthy.
 func (s *serverState) isHealthy() bool { return s.load.ReadAt == 0 || s.load.Healthy }
 
-// unresponsiveFor is how long the server has shown no progress although this daemon
-// has requests in prefill there; 0 where it has none.
+// unresponsiveFor returns how long the server has made no progress although this daemon
+// has requests in prefill there; 0 if it has none.
 func (s *serverState) unresponsiveFor(now clock.Micros) clock.Micros {
 	if len(s.prefilling) == 0 {
 		return 0
--- a/internal/dataplane/scheduler/server_test.go
+++ b/internal/dataplane/scheduler/server_test.go
@@ -8,8 +8,8 @@
 	"tuliprudder/internal/dataplane/endpoints"
 )
 
-// Requests that started and ended since the last load report don't make a server look
-// full: only what runs there now does.
+// Requests that started and ended since the last load report don't make a server count as
+// full: only those that run now count.
 func TestFinishedRequestsFreeCapacityBeforeTheNextLoadReport(t *testing.T) {
 	f := newFixture(t, newServer("s", 2))
 	f.SetLoad("s", 1, endpoints.Load{ReadAt: f.now, Healthy: true, Running: 1})
@@ -19,23 +19,23 @@
 		f.submit(fmt.Sprint(i), 1, func(r *Request) { r.Start = func(assignment *Assignment, _ clock.Micros) { assignments <- assignment } })
 		f.Match(f.now)
 		if f.Assigned != int64(i+1) {
-			t.Fatalf("request %d was not assigned, though one of another daemon and none of this one runs there", i)
+			t.Fatalf("request %d was not assigned, although the server runs one request of another daemon and none of this one", i)
 		}
 		(<-assignments).Release(5*clock.Millisecond, true, f.now)
 	}
-	// What ran at the time of a report is not counted twice.
+	// An own request that runs at the time of a report is not counted twice.
 	f.submit("long", 1, func(r *Request) { r.Start = func(assignment *Assignment, _ clock.Micros) { assignments <- assignment } })
 	f.Match(f.now)
 	<-assignments
 	f.now += clock.Second / 2
 	f.SetLoad("s", 1, endpoints.Load{ReadAt: f.now, Healthy: true, Running: 2})
 	if s := f.Scheduler.servers["s"]; s.otherRequests != 1 || s.ownRequests != 1 {
-		t.Fatalf("others %d, own %d", s.otherRequests, s.ownRequests)
+		t.Fatalf("other requests %d, own requests %d; want 1 and 1", s.otherRequests, s.ownRequests)
 	}
 }
 
-// Each failure in a row makes the backoff longer, up to maxBackoffFactor times; a success
-// ends the row.
+// Each consecutive failure lengthens the backoff, up to maxBackoffFactor times the base; a
+// success resets it.
 func TestBackoffGrowsWithFailuresInARow(t *testing.T) {
 	var s serverState
 	now, backoff := clock.Second, 300*clock.Millisecond
--- a/internal/dataplane/scheduler/settings.go
+++ b/internal/dataplane/scheduler/settings.go
@@ -5,42 +5,42 @@
 	"tuliprudder/internal/dataplane/mechanism"
 )
 
-// Settings of a scheduler. Defaults gives the value named at each field.
+// Settings configure a scheduler. Each field's default value is given in parentheses.
 type Settings struct {
-	// MaxQueued is how many requests may be queued (20,000).
+	// MaxQueued is the maximum number of queued requests (20,000).
 	MaxQueued int
-	// MaxPrefixes is how many prompt prefixes are remembered with the server that
-	// ran them last (4,096).
+	// MaxPrefixes is the number of prompt prefixes for which the server that ran them last
+	// is remembered (4,096).
 	MaxPrefixes int
-	// MinUtilizationLimit is the utilization of a server, requests per slot, up to
-	// which the lowest queue level may fill it (0.7).
+	// MinUtilizationLimit is the utilization of a server, in requests per slot, up to which
+	// requests of the lowest queue level may fill it (0.7).
 	MinUtilizationLimit float64
-	// BatchMemoryShare is which part of a server's memory, in tokens, batch items may take (0.66):
-	// a server that runs out of it takes up no request, or puts the newest one back. It counts only
-	// where the configuration names the memory.
+	// BatchMemoryShare is the fraction of a server's memory, in tokens, that batch items may use (0.66).
+	// A server that runs out of memory admits no request, or preempts the newest one. The setting
+	// applies only where the configuration states the server's memory.
 	BatchMemoryShare float64
-	// MaxUtilizationLimit is the same for the highest level (1.3): a little queueing
-	// at the server keeps its slots busy between two load reports.
+	// MaxUtilizationLimit is the same for the highest level (1.3). A short queue at the server
+	// keeps its slots busy between two load reports.
 	MaxUtilizationLimit float64
-	// StarvationTimeout is how long a batch item waits, where none runs, before it
-	// may fill a server completely (3 s).
+	// StarvationTimeout is how long a batch item waits, while this daemon runs none, before it
+	// may fill a server up to utilization 1 (3 s).
 	StarvationTimeout clock.Micros
-	// ServerBackoff is how long a server that rejected a request, or failed once, is
-	// left alone (300 ms).
+	// ServerBackoff is how long no request is assigned to a server that rejected a request or
+	// failed once (300 ms).
 	ServerBackoff clock.Micros
-	// MaxStaleness is the age of this daemon's updates from which on it assigns
-	// nothing (2.5 s). See UnlimitedStaleness.
+	// MaxStaleness is the age of this daemon's updates above which it assigns no requests
+	// (2.5 s). See UnlimitedStaleness.
 	MaxStaleness clock.Micros
-	// Disabled are the mechanisms that are switched off, to measure what they are worth (none).
+	// Disabled is the set of disabled mechanisms, used to measure each mechanism's effect (none).
 	Disabled mechanism.Set
 }
 
-// UnlimitedStaleness as MaxStaleness has a daemon assign by its last knowledge however
-// old its updates are. Where the guarantees bind only daemons that are in touch,
-// serving on is worth more (docs/DESIGN.md section 3.4).
+// UnlimitedStaleness as MaxStaleness makes a daemon assign requests by its latest known state,
+// however old its updates are. It is for deployments whose guarantees cover only daemons that
+// are connected, where availability matters more (docs/DESIGN.md section 3.4).
 const UnlimitedStaleness clock.Micros = 1 << 62
 
-// Defaults are the values used where nothing is set.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
 		MaxQueued:           20_000,
--- a/internal/dataplane/scheduler/simulation_test.go
+++ b/internal/dataplane/scheduler/simulation_test.go
@@ -12,18 +12,18 @@
 	"tuliprudder/internal/errs"
 )
 
-// fakeServer is a model server in virtual time: slots, a speed, and a cache of
-// prefixes.
+// fakeServer is a model server in virtual time, with a number of slots, a service time and a
+// prefix cache.
 type fakeServer struct {
 	name           string
-	slotFreeAt     []clock.Micros // when each slot is free
+	slotFreeAt     []clock.Micros // when each slot becomes free
 	runningUntil   []clock.Micros
 	serviceTime    clock.Micros
 	cachedPrefixes []string
 	busyTime       clock.Micros
 }
 
-// serve runs a request and returns when it ends and whether its prefix was cached.
+// serve runs a request and returns its end time and whether its prefix was cached.
 func (m *fakeServer) serve(now clock.Micros, prefix string) (clock.Micros, bool) {
 	at := 0
 	for i := range m.slotFreeAt {
@@ -55,7 +55,7 @@
 type simulationResult struct {
 	requests, cacheHits int
 	p99                 clock.Micros
-	imbalance           float64 // the busiest server's work over the mean
+	imbalance           float64 // the busiest server's busy time divided by the mean
 }
 
 const (
@@ -66,8 +66,8 @@
 	simulatedStep       = 5 * clock.Millisecond
 )
 
-// simulation is several daemons' schedulers that assign to the same servers, of uneven
-// speed, in virtual time.
+// simulation runs the schedulers of several daemons in virtual time. They assign requests to the
+// same servers, which have different speeds.
 type simulation struct {
 	t          *testing.T
 	now        clock.Micros
@@ -130,7 +130,7 @@
 	return s
 }
 
-// simulate runs a quarter of a minute of virtual time, with the scorers weighted as given.
+// simulate runs a simulation of 15 s of virtual time with the given scorer weights.
 func simulate(t *testing.T, seed int64, weights string) simulationResult {
 	t.Helper()
 	s := newSimulation(t, seed, weights)
@@ -163,7 +163,8 @@
 	})
 }
 
-// reportLoads has the servers' loads read, more often where a server is half full.
+// reportLoads reports the servers' loads to all schedulers, more often for servers that are at
+// least half full.
 func (s *simulation) reportLoads() {
 	for _, m := range s.servers {
 		if s.now < s.nextReport[m] {
@@ -185,7 +186,7 @@
 	sc.AdvanceFreshness(s.now)
 	for s.rng.Float64() < 0.22 {
 		s.result.requests++
-		prefix := fmt.Sprint(s.rng.Intn(24) * s.rng.Intn(24) / 24) // some far more often than others
+		prefix := fmt.Sprint(s.rng.Intn(24) * s.rng.Intn(24) / 24) // a skewed distribution
 		receivedAt := s.now
 		r := &Request{ID: fmt.Sprint(s.result.requests), Tenant: "c", Route: s.route, Priority: 1, Prefix: prefix}
 		r.Start = func(assignment *Assignment, _ clock.Micros) {
@@ -208,8 +209,8 @@
 	s.running = append(s.running, runningRequest{startedAt: s.now, endsAt: endsAt, assignment: started.assignment})
 }
 
-// The scorers together, against fewer of them: prefix affinity finds more cached
-// prefixes, and neither overloads a server nor lengthens the worst latencies.
+// Compares all scorers together with fewer of them: prefix affinity raises the number of cache
+// hits, and neither overloads a server nor raises the p99 latency.
 func TestScorersTogether(t *testing.T) {
 	sum := func(weights string) (out simulationResult) {
 		for seed := int64(1); seed <= 3; seed++ {
@@ -224,12 +225,12 @@
 	withoutAffinity := sum(`{"prefix":0}`)
 	strongAffinity := sum(`{"prefix":50,"fullness":1}`)
 	if float64(all.cacheHits) < 1.15*float64(withoutAffinity.cacheHits) {
-		t.Errorf("affinity found %d cached prefixes, without it %d", all.cacheHits, withoutAffinity.cacheHits)
+		t.Errorf("%d cache hits with affinity, %d without", all.cacheHits, withoutAffinity.cacheHits)
 	}
 	if all.p99 > withoutAffinity.p99*11/10 || all.imbalance > 1.6 {
-		t.Errorf("affinity: p99 %d against %d us, imbalance %.2f", all.p99, withoutAffinity.p99, all.imbalance)
+		t.Errorf("with affinity p99 is %d us, without it %d us; imbalance %.2f", all.p99, withoutAffinity.p99, all.imbalance)
 	}
 	if strongAffinity.requests != all.requests {
-		t.Errorf("not the same requests: %d and %d", strongAffinity.requests, all.requests)
+		t.Errorf("the runs have different numbers of requests: %d and %d", strongAffinity.requests, all.requests)
 	}
 }
--- a/internal/dataplane/scheduler/submit.go
+++ b/internal/dataplane/scheduler/submit.go
@@ -2,10 +2,10 @@
 
 import "tuliprudder/internal/clock"
 
-// Submit queues a request. An error means that it never will run, and that neither
-// Start nor Drop will be called: errs.NotReady while the daemon drains, errs.Busy when
-// the queue is full, errs.UnknownRoute when the configuration in force has no route for
-// it.
+// Submit queues a request. If it returns an error the request will never run, and neither
+// Start nor Drop will be called. The error is errs.NotReady while the daemon drains, errs.Busy
+// if the queue is full, and errs.UnknownRoute if the configuration in force has no route for
+// the request.
 func (sc *Scheduler) Submit(r *Request, now clock.Micros) error {
 	if sc.closed {
 		return errDraining()
@@ -18,7 +18,7 @@
 	if err := sc.applyConfiguration(r); err != nil {
 		return err
 	}
-	if r.queuedAt == 0 { // a retry goes on with the time of its first attempt
+	if r.queuedAt == 0 { // a retry keeps the time of its first attempt
 		r.queuedAt = now
 	}
 	sc.queue.submit(r)
@@ -26,8 +26,8 @@
 	return nil
 }
 
-// Cancel takes a request out of the queue, without a call of Drop. It returns false
-// when the request isn't queued: it has started, was dropped, or never was accepted.
+// Cancel removes a request from the queue without calling Drop. It returns false if the request
+// isn't queued: it has started, was dropped, or was never accepted.
 func (sc *Scheduler) Cancel(r *Request) bool {
 	if !r.isQueued() {
 		return false
@@ -36,7 +36,7 @@
 	return true
 }
 
-// Close drops what is queued and rejects what comes after.
+// Close drops all queued requests and makes Submit reject new ones.
 func (sc *Scheduler) Close(now clock.Micros) {
 	sc.closed = true
 	for _, r := range sc.queue.removeAll() {
@@ -44,8 +44,8 @@
 	}
 }
 
-// QueuedWeight is how much of a tenant's work is queued, by weight.
+// QueuedWeight returns the total weight of a tenant's queued requests.
 func (sc *Scheduler) QueuedWeight(tenant string) int { return sc.queue.weights[tenant] }
 
-// QueueLength is how many requests are queued.
+// QueueLength returns the number of queued requests.
 func (sc *Scheduler) QueueLength() int { return sc.queue.length }
--- a/internal/dataplane/scheduler/submit_test.go
+++ b/internal/dataplane/scheduler/submit_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Queued requests count by their weight; one without a weight counts as one.
+// QueuedWeight adds up the weights of queued requests; a request without a weight counts as 1.
 func TestQueuedWeightCountsWeights(t *testing.T) {
 	f := newFixture(t)
 	heavy := f.submit("heavy", 1, func(r *Request) { r.IsBatchItem, r.Weight = true, 700 })
@@ -14,11 +14,11 @@
 	}
 	f.Cancel(heavy)
 	if got := f.QueuedWeight("c1"); got != 1 {
-		t.Fatalf("weight %d is queued once the heavy one is cancelled", got)
+		t.Fatalf("weight %d is queued after the heavy request was cancelled", got)
 	}
 }
 
-// A request that was rejected can't be cancelled: its caller may disconnect while the
+// Cancel returns false for a request that was rejected: its caller may disconnect while the
 // rejection is still being persisted.
 func TestCancelOfUnqueuedRequest(t *testing.T) {
 	f := newFixture(t)
@@ -31,7 +31,7 @@
 		prepare()
 		r := f.submit("late", 5, func(r *Request) { r.Route = &removed })
 		if f.Cancel(r) {
-			t.Errorf("%s: a request that never was queued was cancelled", name)
+			t.Errorf("%s: a request that was never queued was cancelled", name)
 		}
 		if got := f.QueuedWeight("c5"); got != 0 {
 			t.Errorf("%s: weight %d is queued", name, got)
--- a/internal/dataplane/scheduler/weights.go
+++ b/internal/dataplane/scheduler/weights.go
@@ -2,18 +2,18 @@
 
 import "tuliprudder/internal/clock"
 
-// weightsTTL is for how long the version of a server's weights counts that it told. A server that
-// is asked for other versions alone would never be tried again otherwise, and it may have got new
-// weights meanwhile.
+// weightsTTL is how long a reported version of a server's weights is considered valid. Without it a
+// server for which all requests want another version would never be tried again, although it may have
+// loaded new weights since.
 const weightsTTL = 5 * clock.Second
 
-// observedWeights is the version of a server's weights, as it told it last.
+// observedWeights is the version of its weights that a server reported last.
 type observedWeights struct {
-	version    int64 // 0: it told none
+	version    int64 // 0: none was reported
 	reportedAt clock.Micros
 }
 
-// versionAt is the version by what is known now; 0 where that is nothing.
+// versionAt returns the reported version, 0 if there is none or it is too old.
 func (w observedWeights) versionAt(now clock.Micros) int64 {
 	if now-w.reportedAt > weightsTTL {
 		return 0
@@ -21,7 +21,7 @@
 	return w.version
 }
 
-// ObserveWeights takes the version of a server's weights that it told this daemon; 0 is none.
+// ObserveWeights records the version of its weights that a server reported to this daemon; 0 means none.
 func (sc *Scheduler) ObserveWeights(name string, version int64, now clock.Micros) {
 	s := sc.servers[name]
 	if s == nil || version == 0 {
--- a/internal/dataplane/scheduler/weights_test.go
+++ b/internal/dataplane/scheduler/weights_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A request that wants a version of the weights goes to no server that told another one of late; other
-// requests do. A server whose version isn't known, or was told long ago, or that has got another
-// address, is tried.
+// A request that wants a version of the weights is not assigned to a server that recently reported
+// another one; other requests are. A server whose version is unknown, or was reported longer than
+// weightsTTL ago, is tried.
 func TestWantedWeights(t *testing.T) {
 	f := newFixture(t, newServer("one", 4), newServer("two", 4))
 	f.ObserveWeights("one", 1, f.now)
@@ -33,17 +33,17 @@
 			expect("c", 3, "")
 		}
 	}
-	f.ObserveWeights("one", 3, f.now) // c has waited for it
+	f.ObserveWeights("one", 3, f.now) // c has waited for this version
 	f.MatchUntilStable(f.now)
 	if got := <-f.started; got != "c@one" {
-		t.Fatalf("%s", got)
+		t.Fatalf("after the version was reported: %s", got)
 	}
-	expect("any", 0, "two") // three on either, the rest is the rotation
+	expect("any", 0, "two") // each server has three requests, so that the rotation decides
 	f.now += weightsTTL + 1
 	f.AdvanceFreshness(f.now)
 	f.submit("late", 5, func(r *Request) { r.WantedWeights = 9 })
 	f.MatchUntilStable(f.now)
 	if len(f.started) != 1 {
-		t.Fatal("a server whose version was told long ago isn't tried")
+		t.Fatal("a server whose version was reported longer than weightsTTL ago isn't tried")
 	}
 }
