--- a/internal/dataplane/scheduler/batch_allotment_test.go
+++ b/internal/dataplane/scheduler/batch_allotment_test.go
@@ -40,13 +40,13 @@
 			sum += demands[i]
 		}
 		exact := max(1, Defaults().MinUtilizationLimit*float64(c.slots))
-		places := int(math.Round(float64(c.zones*c.servers) * exact))
+		batchSlots := int(math.Round(float64(c.zones*c.servers) * exact))
 		running, before, shared := map[string]int{}, 0, 0 // shared: stores whose share is less than one batch slot
 		for i, demand := range demands {
 			sc := newFleetScheduler(c.zones, c.servers, c.slots)
 			sc.SetBatchAllotment(BatchAllotment{Offset: before, Size: demand, Total: sum})
 			before += demand
-			if demand*places < sum {
+			if demand*batchSlots < sum {
 				shared++
 			}
 			own := 0
@@ -65,10 +65,10 @@
 			}
 			sumOfAll += count
 		}
-		if sumOfAll > places+shared || sumOfAll < places {
-			t.Errorf("%+v: the stores may run %d items in %d batch slots", c, sumOfAll, places)
+		if sumOfAll > batchSlots+shared || sumOfAll < batchSlots {
+			t.Errorf("%+v: the stores may run %d items in %d batch slots", c, sumOfAll, batchSlots)
 		}
-		if len(running) < min(places, c.zones*c.servers) {
+		if len(running) < min(batchSlots, c.zones*c.servers) {
 			t.Errorf("%+v: only %d servers have batch slots", c, len(running))
 		}
 	}
