--- a/internal/dataplane/scheduler/weights_test.go
+++ b/internal/dataplane/scheduler/weights_test.go
@@ -36,7 +36,7 @@
 	f.ObserveWeights("one", 3, f.now) // c has waited for this version
 	f.MatchUntilStable(f.now)
 	if got := <-f.started; got != "c@one" {
-		t.Fatalf("after the version was reported: %s", got)
+		t.Fatalf("%s", got)
 	}
 	expect("any", 0, "two") // each server has three requests, so that the rotation decides
 	f.now += weightsTTL + 1
