--- a/internal/controlplane/changequeue/configuration.go
+++ b/internal/controlplane/changequeue/configuration.go
@@ -47,15 +47,15 @@
 	case p.Number != 0:
 		applied, known = current.Requests.Find(p.Number)
 	case p.HasBase:
-		applied, known = current.Requests.BuiltOn(p.Base)
+		applied, known = current.Requests.FindByBase(p.Base)
 	}
 	return applied.Number, known && applied.Digest == p.Digest
 }
 
-// isForgotten tells whether it is no longer known what became of such a request: it
+// isOutcomeUnknown tells whether it is no longer known what became of such a request: it
 // is older than all that the table of requests recognises.
-func (p *Configuration) isForgotten(current *state.State) bool {
-	oldest := current.Requests.ForgottenUpTo()
+func (p *Configuration) isOutcomeUnknown(current *state.State) bool {
+	oldest := current.Requests.PrunedUpTo()
 	if p.Number != 0 {
 		return p.Number <= oldest
 	}
@@ -80,12 +80,12 @@
 		p.decidedNumber = number
 		return nil, nil
 	}
-	if p.isForgotten(current) {
+	if p.isOutcomeUnknown(current) {
 		return nil, errs.New(errs.OutcomeUnknown, "read back what is in force; put what is missing under a new number",
 			"more than %d configurations were put since: it is no longer known whether this one was among them", state.MaxRequests)
 	}
 	latest, _ := current.Latest()
-	if err := p.objection(current, latest.Number); err != nil {
+	if err := p.checkVersion(current, latest.Number); err != nil {
 		return nil, err
 	}
 	entry := state.PutConfiguration{Version: state.Version{Number: p.Number, Body: p.Body, By: p.By, At: p.ReceivedAt}}
@@ -117,8 +117,8 @@
 	return patched, check(patched)
 }
 
-// objection is why the request can't be applied on top of the version in force.
-func (p *Configuration) objection(current *state.State, inForce uint64) error {
+// checkVersion is why the request can't be applied on top of the version in force.
+func (p *Configuration) checkVersion(current *state.State, inForce uint64) error {
 	if _, taken := current.Requests.Find(p.Number); taken {
 		return errs.New(errs.StaleBase, "read the configuration in force, merge, and put with its version as base and a number above it",
 			"version %d exists already and has another document", p.Number)
--- a/internal/controlplane/changequeue/expire.go
+++ b/internal/controlplane/changequeue/expire.go
@@ -43,7 +43,7 @@
 	if c.Configuration == nil {
 		return q.inFlight != nil && isRetirement(q.inFlight.Entry)
 	}
-	if _, applied := c.Configuration.appliedVersion(current); applied || c.Configuration.isForgotten(current) {
+	if _, applied := c.Configuration.appliedVersion(current); applied || c.Configuration.isOutcomeUnknown(current) {
 		return true
 	}
 	return slices.ContainsFunc(q.waiting, func(other Change) bool {
--- a/internal/controlplane/changequeue/queue_test.go
+++ b/internal/controlplane/changequeue/queue_test.go
@@ -11,8 +11,8 @@
 	"tuliprudder/internal/errs"
 )
 
-// put is an operator's request to put a configuration of the operator's own number.
-func put(t *testing.T, call, number, base uint64) Change {
+// putRequest is an operator's request to putRequest a configuration of the operator's own number.
+func putRequest(t *testing.T, call, number, base uint64) Change {
 	t.Helper()
 	body := fmt.Appendf(nil, `{"n":%d}`, number)
 	digest, err := state.DigestOf(body)
@@ -22,8 +22,8 @@
 	return Change{Call: call, Deadline: clock.Second, Configuration: &Configuration{Number: number, Base: base, HasBase: true, Body: body, Digest: digest}}
 }
 
-// inForce is a state with configurations of these numbers.
-func inForce(numbers ...uint64) *state.State {
+// stateWithVersions is a state with configurations of these numbers.
+func stateWithVersions(numbers ...uint64) *state.State {
 	s := state.New()
 	for _, number := range numbers {
 		state.PutConfiguration{Version: state.Version{Number: number, Body: json.RawMessage(fmt.Sprintf(`{"n":%d}`, number))}}.Apply(s)
@@ -31,9 +31,9 @@
 	return s
 }
 
-func anyStore(string) error { return nil }
+func allowRetirement(string) error { return nil }
 
-func TestDecisionsOnConfigurations(t *testing.T) {
+func TestConfigurationDecisions(t *testing.T) {
 	for name, c := range map[string]struct {
 		current      *state.State
 		number, base uint64
@@ -42,18 +42,18 @@
 		refused      errs.Kind // "" where it is not
 		waits        bool
 	}{
-		"on the version in force":          {inForce(5), 7, 5, 7, true, "", false},
-		"the first one":                    {inForce(), 3, 0, 3, true, "", false},
-		"applied before":                   {inForce(5, 7), 7, 5, 7, false, "", false},
-		"on a version that was succeeded":  {inForce(5, 7), 9, 5, 0, false, errs.StaleBase, false},
-		"applied before, succeeded since":  {inForce(5, 7), 5, 7, 5, false, "", false},
-		"a number below the one in force":  {inForce(5, 7), 6, 7, 0, false, errs.InvalidConfiguration, false},
-		"on a version that is yet to come": {inForce(5), 9, 8, 0, false, "", true},
+		"on the version in force":          {stateWithVersions(5), 7, 5, 7, true, "", false},
+		"the first one":                    {stateWithVersions(), 3, 0, 3, true, "", false},
+		"applied before":                   {stateWithVersions(5, 7), 7, 5, 7, false, "", false},
+		"on a version that was succeeded":  {stateWithVersions(5, 7), 9, 5, 0, false, errs.StaleBase, false},
+		"applied before, succeeded since":  {stateWithVersions(5, 7), 5, 7, 5, false, "", false},
+		"a number below the one in force":  {stateWithVersions(5, 7), 6, 7, 0, false, errs.InvalidConfiguration, false},
+		"on a version that is yet to come": {stateWithVersions(5), 9, 8, 0, false, "", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var q Queue
-			q.Add(put(t, 1, c.number, c.base))
-			change, ok, err := q.Next(c.current, Checks{CanRetire: anyStore})
+			q.Add(putRequest(t, 1, c.number, c.base))
+			change, ok, err := q.Next(c.current, Checks{CanRetire: allowRetirement})
 			if ok == c.waits {
 				t.Fatalf("its turn came: %v", ok)
 			}
@@ -74,33 +74,33 @@
 }
 
 // A number is given to one document only.
-func TestAnotherDocumentOfANumberIsRefused(t *testing.T) {
+func TestSameNumberWithOtherDocumentIsRefused(t *testing.T) {
 	var q Queue
-	other := put(t, 1, 7, 5)
+	other := putRequest(t, 1, 7, 5)
 	other.Configuration.Digest[0] ^= 1
 	q.Add(other)
-	if _, ok, err := q.Next(inForce(5, 7), Checks{CanRetire: anyStore}); !ok || !errs.Is(err, errs.StaleBase) {
+	if _, ok, err := q.Next(stateWithVersions(5, 7), Checks{CanRetire: allowRetirement}); !ok || !errs.Is(err, errs.StaleBase) {
 		t.Errorf("its turn came: %v, %v", ok, err)
 	}
 }
 
 // A configuration that overtook the one that it is built on waits for it.
-func TestAConfigurationWaitsForItsBase(t *testing.T) {
+func TestConfigurationWaitsForItsBase(t *testing.T) {
 	var q Queue
-	q.Add(put(t, 1, 3, 2))
-	q.Add(put(t, 2, 2, 1))
-	current := inForce(1)
-	change, ok, err := q.Next(current, Checks{CanRetire: anyStore})
+	q.Add(putRequest(t, 1, 3, 2))
+	q.Add(putRequest(t, 2, 2, 1))
+	current := stateWithVersions(1)
+	change, ok, err := q.Next(current, Checks{CanRetire: allowRetirement})
 	if !ok || err != nil || change.Call != 2 {
 		t.Fatalf("first is call %d, %v", change.Call, err)
 	}
 	change.Entry.Apply(current)
-	if change, ok, err = q.Next(current, Checks{CanRetire: anyStore}); !ok || err != nil || change.Call != 1 {
+	if change, ok, err = q.Next(current, Checks{CanRetire: allowRetirement}); !ok || err != nil || change.Call != 1 {
 		t.Fatalf("second is call %d, %v", change.Call, err)
 	}
 }
 
-func TestDecisionsOnRetirements(t *testing.T) {
+func TestRetirementDecisions(t *testing.T) {
 	current := state.New()
 	state.RegisterStore{Store: state.Store{ID: "s1", Peer: "p1", Name: "m1"}}.Apply(current)
 	state.RegisterStore{Store: state.Store{ID: "s2", Peer: "p2", Name: "m2"}}.Apply(current)
@@ -144,7 +144,7 @@
 	}
 	retiring := retire(1)
 	retiring.Entry = state.Retire{ID: "s1"}
-	later := put(t, 3, 7, 0)
+	later := putRequest(t, 3, 7, 0)
 	later.Deadline = 60 * clock.Second
 	for name, c := range map[string]struct {
 		inFlight *Change
@@ -152,14 +152,14 @@
 		current  *state.State
 		want     []TimedOut
 	}{
-		"in flight":                                {&retiring, nil, inForce(), []TimedOut{{1, true}}},
-		"waited, never decided":                    {nil, []Change{put(t, 2, 7, 0)}, inForce(), []TimedOut{{2, false}}},
-		"the same one is applied":                  {nil, []Change{put(t, 2, 7, 0)}, inForce(7), []TimedOut{{2, true}}},
-		"the same one waits for another":           {nil, []Change{put(t, 2, 7, 0), later}, inForce(), []TimedOut{{2, true}}},
-		"a retirement, while another is in flight": {&retiring, []Change{retire(2)}, inForce(), []TimedOut{{1, true}, {2, true}}},
-		"a retirement that waited":                 {nil, []Change{retire(2)}, inForce(), []TimedOut{{2, false}}},
-		"the core's own has no deadline":           {nil, []Change{{Entry: state.Retire{ID: "s1", Done: true}}}, inForce(), nil},
-		"before the deadline":                      {nil, []Change{later}, inForce(), nil},
+		"in flight":                                {&retiring, nil, stateWithVersions(), []TimedOut{{1, true}}},
+		"waited, never decided":                    {nil, []Change{putRequest(t, 2, 7, 0)}, stateWithVersions(), []TimedOut{{2, false}}},
+		"the same one is applied":                  {nil, []Change{putRequest(t, 2, 7, 0)}, stateWithVersions(7), []TimedOut{{2, true}}},
+		"the same one waits for another":           {nil, []Change{putRequest(t, 2, 7, 0), later}, stateWithVersions(), []TimedOut{{2, true}}},
+		"a retirement, while another is in flight": {&retiring, []Change{retire(2)}, stateWithVersions(), []TimedOut{{1, true}, {2, true}}},
+		"a retirement that waited":                 {nil, []Change{retire(2)}, stateWithVersions(), []TimedOut{{2, false}}},
+		"the core's own has no deadline":           {nil, []Change{{Entry: state.Retire{ID: "s1", Done: true}}}, stateWithVersions(), nil},
+		"before the deadline":                      {nil, []Change{later}, stateWithVersions(), nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var q Queue
@@ -179,37 +179,37 @@
 	}
 }
 
-// filled is a queue with one change in flight and two that wait, one of them the core's own.
-func filled(t *testing.T) *Queue {
+// testQueue is a queue with one change in flight and two that wait, one of them the core's own.
+func testQueue(t *testing.T) *Queue {
 	t.Helper()
 	var q Queue
-	q.Start(put(t, 1, 3, 0))
+	q.Start(putRequest(t, 1, 3, 0))
 	q.Add(Change{Entry: state.Retire{ID: "s1", Done: true}})
-	q.Add(put(t, 2, 4, 3))
+	q.Add(putRequest(t, 2, 4, 3))
 	return &q
 }
 
-func TestCallsThatWait(t *testing.T) {
-	q := filled(t)
+func TestReleaseCallsAndClear(t *testing.T) {
+	q := testQueue(t)
 	if calls := q.ReleaseCalls(); !slices.Equal(calls, []uint64{1, 2}) {
 		t.Errorf("released are the calls %v", calls)
 	}
 	if confirmed, ok := q.Confirm(); !ok || confirmed.Call != 0 || !q.HasEntry(func(e state.Entry) bool { return e == state.Retire{ID: "s1", Done: true} }) || q.IsIdle() {
 		t.Errorf("after the release %+v was in flight, and the queue is %+v", confirmed, q)
 	}
-	q = filled(t)
+	q = testQueue(t)
 	if calls := q.Clear(); !slices.Equal(calls, []uint64{1, 2}) || !q.IsIdle() {
 		t.Errorf("cleared are the calls %v, the queue is %+v", calls, q)
 	}
 }
 
-func TestTheQueueIsBounded(t *testing.T) {
+func TestQueueIsBounded(t *testing.T) {
 	var q Queue
 	for i := range uint64(maxWaiting) {
 		if q.IsFull() {
 			t.Fatalf("full with %d changes", i)
 		}
-		q.Add(put(t, i+1, i+1, i))
+		q.Add(putRequest(t, i+1, i+1, i))
 	}
 	if !q.IsFull() {
 		t.Fatal("never full")
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -74,7 +74,7 @@
 	usage          *usage.Collector   // nil where nothing is reported of use
 	autoscale      *autoscale.Planner // nil where no servers are scaled
 
-	placementMemory placement.Memory
+	placementMemory placement.PlannerState
 	nextReconcileAt clock.Micros
 	published       published
 	disk            diskProbation
--- a/internal/controlplane/counters.go
+++ b/internal/controlplane/counters.go
@@ -65,7 +65,7 @@
 // underReplicatedShards counts the shards with fewer complete copies than there should be.
 func (c *Core) underReplicatedShards() int64 {
 	short := int64(0)
-	replicas := c.settings.placement().Replicas()
+	replicas := c.settings.placement().GroupSize()
 	for _, assignment := range c.state.Shards {
 		if !assignment.Complete || len(assignment.Members()) < replicas {
 			short++
--- a/internal/controlplane/durableupdates/table_test.go
+++ b/internal/controlplane/durableupdates/table_test.go
@@ -40,7 +40,7 @@
 
 // What was written is read back and published once, in the order of keys, whatever the
 // order of the records.
-func TestUpdatesReadBack(t *testing.T) {
+func TestUpdatesRoundTrip(t *testing.T) {
 	written, table := New(), New()
 	old := accept(t, written, update("server/b", 1), true)
 	records := accept(t, written, update("server/b", 4), true)
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestOtherRecordsAndDamage(t *testing.T) {
+func TestRestoreOfOtherAndDamagedRecords(t *testing.T) {
 	table := New()
 	if isKept, err := table.Restore(machine.Record{Unit: "core"}); isKept || err != nil {
 		t.Errorf("another unit: %v %v", isKept, err)
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestTheTableIsBounded(t *testing.T) {
+func TestTableIsBounded(t *testing.T) {
 	table := New()
 	for i := range maxUpdates {
 		accept(t, table, update(fmt.Sprint("server/", i), 1), true)
--- a/internal/controlplane/placement/balance.go
+++ b/internal/controlplane/placement/balance.go
@@ -14,10 +14,10 @@
 // balance moves one shard towards even shares: first a copy, then, once that is complete,
 // the primary's role. One move at a time bounds the copying that live work has to bear.
 func (p *planner) balance() {
-	if p.cluster.Now < p.memory.NextBalance || len(p.eligible) < 2 {
+	if p.cluster.Now < p.state.NextBalance || len(p.eligible) < 2 {
 		return
 	}
-	p.memory.NextBalance = p.cluster.Now + p.settings.BalanceInterval
+	p.state.NextBalance = p.cluster.Now + p.settings.BalanceInterval
 	for _, id := range p.eligible {
 		if p.cluster.Now-p.cluster.Stores[id].FirstHeardAt < p.settings.BalanceDelay {
 			return
@@ -100,7 +100,7 @@
 	lowest := p.leastLoaded(p.primaryCount)
 	for _, highest := range p.overloaded(p.primaryCount, lowest) {
 		for shard, a := range p.cluster.Shards {
-			if a.Primary.ID == highest && p.replaceReplica(shard, p.busiestReplica(a), lowest, "even shares: copied to the store that leads fewest") {
+			if a.Primary.ID == highest && p.replaceReplica(shard, p.maxLoadReplica(a), lowest, "even shares: copied to the store that leads fewest") {
 				return true
 			}
 		}
@@ -149,15 +149,15 @@
 	return replacement
 }
 
-// busiestReplica is the replica of a group with the most copies.
-func (p *planner) busiestReplica(a replication.Assignment) string {
-	busiest := ""
+// maxLoadReplica is the replica of a group with the most copies.
+func (p *planner) maxLoadReplica(a replication.Assignment) string {
+	highest := ""
 	for _, replica := range a.Replicas {
-		if busiest == "" || p.replicaCount[replica.ID] > p.replicaCount[busiest] {
-			busiest = replica.ID
+		if highest == "" || p.replicaCount[replica.ID] > p.replicaCount[highest] {
+			highest = replica.ID
 		}
 	}
-	return busiest
+	return highest
 }
 
 // replaceReplica puts a store in the place of a replica where the zones of the group
--- a/internal/controlplane/placement/cluster.go
+++ b/internal/controlplane/placement/cluster.go
@@ -27,8 +27,8 @@
 	Busy []int
 }
 
-// mustGiveUpShards tells whether shards have to move off the store although it runs.
-func (s Store) mustGiveUpShards() bool { return s.Retiring || s.Draining || s.Stalled }
+// mustEvacuate tells whether shards have to move off the store although it runs.
+func (s Store) mustEvacuate() bool { return s.Retiring || s.Draining || s.Stalled }
 
 // ClusterView is all that a placement depends on, at one moment.
 type ClusterView struct {
@@ -44,7 +44,7 @@
 func (v ClusterView) Eligible() []string {
 	var out []string
 	for _, id := range slices.Sorted(maps.Keys(v.Stores)) {
-		if store := v.Stores[id]; store.Live && !store.mustGiveUpShards() {
+		if store := v.Stores[id]; store.Live && !store.mustEvacuate() {
 			out = append(out, id)
 		}
 	}
@@ -69,8 +69,8 @@
 // isLive tells whether a store is not taken for lost.
 func (v ClusterView) isLive(id string) bool { return v.Stores[id].Live }
 
-// givesUpShards tells whether shards have to move off a store although it runs.
-func (v ClusterView) givesUpShards(id string) bool { return v.Stores[id].mustGiveUpShards() }
+// mustEvacuate tells whether shards have to move off a store although it runs.
+func (v ClusterView) mustEvacuate(id string) bool { return v.Stores[id].mustEvacuate() }
 
 // missingFor is for how long every lost member of a group has been missing at least. One
 // that runs again in another incarnation is no longer missing.
--- a/internal/controlplane/placement/drain.go
+++ b/internal/controlplane/placement/evacuate.go
@@ -6,34 +6,34 @@
 	"tuliprudder/internal/replication"
 )
 
-// moveOffDraining moves a shard off stores that are retiring, draining or stalled. Such a store
+// evacuate moves a shard off stores that are retiring, draining or stalled. Such a store
 // counts as a member until the new group is complete without it, so that no copy is
 // given up before another one replaces it.
-func (p *planner) moveOffDraining(a replication.Assignment) (replication.Assignment, string, bool) {
+func (p *planner) evacuate(a replication.Assignment) (replication.Assignment, string, bool) {
 	if !a.Complete {
 		return a, "", false
 	}
-	departing := p.departingMembers(a)
-	if len(departing) == 0 {
+	evacuating := p.evacuatingMembers(a)
+	if len(evacuating) == 0 {
 		return a, "", false
 	}
 	primary, reason := a.Primary.ID, "a replica's store is draining"
-	if slices.Contains(departing, primary) {
-		primary, reason = firstReplicaOutside(a, departing), "the primary's store is draining"
+	if slices.Contains(evacuating, primary) {
+		primary, reason = firstReplicaNotIn(a, evacuating), "the primary's store is draining"
 	}
 	if primary == "" || primary == a.Primary.ID && p.hasDrainingReplica(a) {
 		return a, "", false // a replica that drains is replaced once it has stopped
 	}
-	next, ok := replication.Reassign(a, p.clusterOfGroup(a), primary, departing)
-	if ok && len(next.Members()) < len(a.Members()) && !p.mayShrink(departing) {
+	next, ok := replication.Reassign(a, p.clusterOfGroup(a), primary, evacuating)
+	if ok && len(next.Members()) < len(a.Members()) && !p.mayShrink(evacuating) {
 		return a, "", false
 	}
 	return next, reason, ok
 }
 
-// departingMembers are the members of a group that have to give up their shards.
-func (p *planner) departingMembers(a replication.Assignment) []string {
-	return slices.DeleteFunc(a.IDs(), func(id string) bool { return !p.cluster.givesUpShards(id) })
+// evacuatingMembers are the members of a group that have to give up their shards.
+func (p *planner) evacuatingMembers(a replication.Assignment) []string {
+	return slices.DeleteFunc(a.IDs(), func(id string) bool { return !p.cluster.mustEvacuate(id) })
 }
 
 // hasDrainingReplica tells whether the process of a replica's store is about to stop.
@@ -41,8 +41,8 @@
 	return slices.ContainsFunc(a.Replicas, func(m replication.Member) bool { return p.cluster.Stores[m.ID].Draining })
 }
 
-// firstReplicaOutside is the first replica that is none of the excluded; "" when there is none.
-func firstReplicaOutside(a replication.Assignment, excluded []string) string {
+// firstReplicaNotIn is the first replica that is none of the excluded; "" when there is none.
+func firstReplicaNotIn(a replication.Assignment, excluded []string) string {
 	for _, replica := range a.Replicas {
 		if !slices.Contains(excluded, replica.ID) {
 			return replica.ID
@@ -53,6 +53,6 @@
 
 // mayShrink tells whether a group may lose members that leave without others in their place.
 // Not those that an operator retires: these run until their copies are elsewhere.
-func (p *planner) mayShrink(departing []string) bool {
-	return !slices.ContainsFunc(departing, func(id string) bool { return p.cluster.Stores[id].Retiring })
+func (p *planner) mayShrink(evacuating []string) bool {
+	return !slices.ContainsFunc(evacuating, func(id string) bool { return p.cluster.Stores[id].Retiring })
 }
--- a/internal/controlplane/placement/placement.go
+++ b/internal/controlplane/placement/placement.go
@@ -34,26 +34,26 @@
 
 // Settings of the placement.
 type Settings struct {
-	Tolerance       int          // machines with a disk that may be lost at once
-	Zones           int          // zones that the copies of a shard have to be in
-	PartitionMemory clock.Micros // for how long two stores that lost contact share no group
-	BalanceInterval clock.Micros // between two moves towards even shares
-	BalanceDelay    clock.Micros // for how long a store is heard until shards move to it
+	Tolerance         int          // machines with a disk that may be lost at once
+	Zones             int          // zones that the copies of a shard have to be in
+	PartitionCooldown clock.Micros // for how long two stores that lost contact share no group
+	BalanceInterval   clock.Micros // between two moves towards even shares
+	BalanceDelay      clock.Micros // for how long a store is heard until shards move to it
 }
 
-// Replicas is how many stores hold a shard: one more than may be lost at once.
-func (s Settings) Replicas() int { return s.Tolerance + 1 }
+// GroupSize is how many stores hold a shard: one more than may be lost at once.
+func (s Settings) GroupSize() int { return s.Tolerance + 1 }
 
-// MinReplicas is how few copies a shard may go on with while stores are missing. Two
+// MinGroupSize is how few copies a shard may go on with while stores are missing. Two
 // are the least where anything may be lost: what is lost already counts against the
 // tolerance, but a store may be missing only for this core.
-func (s Settings) MinReplicas() int { return min(2, s.Replicas()) }
+func (s Settings) MinGroupSize() int { return min(2, s.GroupSize()) }
 
-// zonesFor is how many zones a number of copies has to be in.
-func (s Settings) zonesFor(replicas int) int { return min(s.Zones, replicas) }
+// requiredZonesFor is how many zones a number of copies has to be in.
+func (s Settings) requiredZonesFor(replicas int) int { return min(s.Zones, replicas) }
 
 // RequiredZones is how many zones the stores of a complete group are in.
-func (s Settings) RequiredZones() int { return s.zonesFor(s.Replicas()) }
+func (s Settings) RequiredZones() int { return s.requiredZonesFor(s.GroupSize()) }
 
 // StorePair is two stores, the lower id first.
 type StorePair [2]string
@@ -66,8 +66,8 @@
 	return StorePair{one, other}
 }
 
-// Memory is what the decisions of one call are to the next ones.
-type Memory struct {
+// PlannerState is what the decisions of one call are to the next ones.
+type PlannerState struct {
 	// PartitionedUntil is when two stores that lost contact may be in one group again.
 	PartitionedUntil map[StorePair]clock.Micros
 	// NextBalance is when the next move towards even shares is due.
@@ -82,15 +82,15 @@
 	Events []machine.Event
 	// AllComplete tells that every shard had a complete group with all its copies before.
 	AllComplete bool
-	// Memory is what the next call has to be given.
-	Memory Memory
+	// NextState is what the next call has to be given.
+	NextState PlannerState
 }
 
 // planner is one call of Decide.
 type planner struct {
 	settings     Settings
 	cluster      ClusterView
-	memory       Memory
+	state        PlannerState
 	eligible     []string       // stores that take shards, in the order of their ids
 	primaryCount map[string]int // shards by their primary
 	replicaCount map[string]int // shards by their replicas
@@ -100,11 +100,11 @@
 
 // Decide works out which shards need another assignment. Repairs come first; shards move
 // towards even shares only while every group is complete.
-func Decide(settings Settings, cluster ClusterView, memory Memory) Decision {
-	p := newPlanner(settings, cluster, memory)
+func Decide(settings Settings, cluster ClusterView, previous PlannerState) Decision {
+	p := newPlanner(settings, cluster, previous)
 	complete := true
 	for shard, assignment := range cluster.Shards {
-		complete = complete && assignment.Complete && len(assignment.Members()) >= settings.Replicas()
+		complete = complete && assignment.Complete && len(assignment.Members()) >= settings.GroupSize()
 		p.repair(shard, assignment)
 	}
 	if len(p.assignments) == 0 && complete {
@@ -114,25 +114,25 @@
 		Assignments: p.assignments,
 		Events:      p.events,
 		AllComplete: complete,
-		Memory:      p.memory,
+		NextState:   p.state,
 	}
 }
 
-func newPlanner(settings Settings, cluster ClusterView, memory Memory) *planner {
+func newPlanner(settings Settings, cluster ClusterView, previous PlannerState) *planner {
 	p := &planner{
 		settings: settings,
 		cluster:  cluster,
-		memory: Memory{
-			PartitionedUntil: maps.Clone(memory.PartitionedUntil),
-			NextBalance:      memory.NextBalance,
+		state: PlannerState{
+			PartitionedUntil: maps.Clone(previous.PartitionedUntil),
+			NextBalance:      previous.NextBalance,
 		},
 		eligible:     cluster.Eligible(),
 		primaryCount: map[string]int{},
 		replicaCount: map[string]int{},
 		assignments:  map[int]replication.Assignment{},
 	}
-	if p.memory.PartitionedUntil == nil {
-		p.memory.PartitionedUntil = map[StorePair]clock.Micros{}
+	if p.state.PartitionedUntil == nil {
+		p.state.PartitionedUntil = map[StorePair]clock.Micros{}
 	}
 	for _, assignment := range cluster.Shards {
 		p.countMembers(assignment)
@@ -160,11 +160,11 @@
 		Epoch:           next.Epoch,
 		Reason:          reason,
 		Group:           next.IDs(),
-		ReplicasMissing: max(0, p.settings.Replicas()-len(next.Members())),
+		ReplicasMissing: max(0, p.settings.GroupSize()-len(next.Members())),
 	})
 }
 
 // recentlyPartitioned tells whether two stores lost contact lately.
 func (p *planner) recentlyPartitioned(one, other string) bool {
-	return p.cluster.Now < p.memory.PartitionedUntil[PairOf(one, other)]
+	return p.cluster.Now < p.state.PartitionedUntil[PairOf(one, other)]
 }
--- a/internal/controlplane/placement/placement_test.go
+++ b/internal/controlplane/placement/placement_test.go
@@ -13,7 +13,7 @@
 
 const testNow = 1000 * clock.Second
 
-var testSettings = Settings{Tolerance: 1, Zones: 2, PartitionMemory: 30 * clock.Second, BalanceInterval: clock.Second, BalanceDelay: 4 * clock.Second}
+var testSettings = Settings{Tolerance: 1, Zones: 2, PartitionCooldown: 30 * clock.Second, BalanceInterval: clock.Second, BalanceDelay: 4 * clock.Second}
 
 // liveStores are stores s1, s2 …, one in each of the zones, that are heard for a minute.
 func liveStores(zones ...string) map[string]Store {
@@ -37,8 +37,8 @@
 	return ClusterView{Now: testNow, ServingSince: testNow - 60*clock.Second, Shards: shards, Stores: stores}
 }
 
-// change changes one store of a view.
-func (v ClusterView) change(id string, edit func(s *Store)) ClusterView {
+// editStore changes one store of a view.
+func (v ClusterView) editStore(id string, edit func(s *Store)) ClusterView {
 	store := v.Stores[id]
 	edit(&store)
 	v.Stores[id] = store
@@ -53,35 +53,35 @@
 	}{
 		"every member lives": {view(three(), group("s1", "s2")), ""},
 		"the replica is lost": {
-			view(three(), group("s1", "s2")).change("s2", func(s *Store) { s.Live = false }), "[s1 s3]"},
+			view(three(), group("s1", "s2")).editStore("s2", func(s *Store) { s.Live = false }), "[s1 s3]"},
 		"the primary is lost: a replica follows it": {
-			view(three(), group("s1", "s2")).change("s1", func(s *Store) { s.Live = false }), "[s2 s3]"},
+			view(three(), group("s1", "s2")).editStore("s1", func(s *Store) { s.Live = false }), "[s2 s3]"},
 		"the replica restarted": {
-			view(three(), group("s1", "s2")).change("s2", func(s *Store) { s.Incarnation = 2 }), "[s1 s2]"},
+			view(three(), group("s1", "s2")).editStore("s2", func(s *Store) { s.Incarnation = 2 }), "[s1 s2]"},
 		"the primary drains": {
-			view(three(), group("s1", "s2")).change("s1", func(s *Store) { s.Draining = true }), "[s2 s3]"},
+			view(three(), group("s1", "s2")).editStore("s1", func(s *Store) { s.Draining = true }), "[s2 s3]"},
 		"a replica that drains is awaited": {
-			view(three(), group("s1", "s2")).change("s2", func(s *Store) { s.Draining = true }), ""},
+			view(three(), group("s1", "s2")).editStore("s2", func(s *Store) { s.Draining = true }), ""},
 		"the replica's store is retired": {
-			view(three(), group("s1", "s2")).change("s2", func(s *Store) { s.Retiring = true }), "[s1 s3]"},
+			view(three(), group("s1", "s2")).editStore("s2", func(s *Store) { s.Retiring = true }), "[s1 s3]"},
 		"a retired store stays while no other takes its copy": {
-			view(liveStores("z1", "z2"), group("s1", "s2")).change("s2", func(s *Store) { s.Retiring = true }), ""},
+			view(liveStores("z1", "z2"), group("s1", "s2")).editStore("s2", func(s *Store) { s.Retiring = true }), ""},
 		"one copy alone does not go on": {
-			view(liveStores("z1", "z2"), group("s1", "s2")).change("s2", func(s *Store) { s.Live, s.HeardAt = false, 0 }), ""},
+			view(liveStores("z1", "z2"), group("s1", "s2")).editStore("s2", func(s *Store) { s.Live, s.HeardAt = false, 0 }), ""},
 		"a replica does not answer its primary": {
-			view(three(), group("s1", "s2")).change("s1", func(s *Store) {
+			view(three(), group("s1", "s2")).editStore("s1", func(s *Store) {
 				s.Unreachable = map[int]registration.UnreachableReplicas{0: {Epoch: 1, Peers: []string{"p2"}}}
 			}), "[s1 s3]"},
 		"a report of another epoch counts for nothing": {
-			view(three(), group("s1", "s2")).change("s1", func(s *Store) {
+			view(three(), group("s1", "s2")).editStore("s1", func(s *Store) {
 				s.Unreachable = map[int]registration.UnreachableReplicas{0: {Epoch: 9, Peers: []string{"p2"}}}
 			}), ""},
 		"a shard that was never assigned": {view(three(), replication.Assignment{}), "[s1 s2]"},
 		"a store was heard too lately for a first assignment": {
-			view(three(), replication.Assignment{}).change("s3", func(s *Store) { s.FirstHeardAt = testNow - 1 }), ""},
+			view(three(), replication.Assignment{}).editStore("s3", func(s *Store) { s.FirstHeardAt = testNow - 1 }), ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			decision := Decide(testSettings, c.view, Memory{NextBalance: testNow + 1})
+			decision := Decide(testSettings, c.view, PlannerState{NextBalance: testNow + 1})
 			got := ""
 			if next, ok := decision.Assignments[0]; ok {
 				got = fmt.Sprint(next.IDs())
@@ -97,7 +97,7 @@
 }
 
 // A group of three goes on with two once the third has been missing for long enough.
-func TestAGroupShrinksOnlyAfterAWhile(t *testing.T) {
+func TestGroupShrinksOnlyAfterDelay(t *testing.T) {
 	settings := testSettings
 	settings.Tolerance = 2
 	for _, c := range []struct {
@@ -105,8 +105,8 @@
 		want       int
 	}{{shrinkDelay - 1, 0}, {shrinkDelay, 2}} {
 		v := view(liveStores("z1", "z2", "z3"), group("s1", "s2", "s3"))
-		v.change("s3", func(s *Store) { s.Live, s.HeardAt = false, testNow-c.missingFor })
-		decision := Decide(settings, v, Memory{})
+		v.editStore("s3", func(s *Store) { s.Live, s.HeardAt = false, testNow-c.missingFor })
+		decision := Decide(settings, v, PlannerState{})
 		if got := len(decision.Assignments[0].Members()); got != c.want {
 			t.Errorf("missing for %d us: a group of %d, not %d", c.missingFor, got, c.want)
 		}
@@ -114,18 +114,18 @@
 }
 
 // Stores that lost contact share no group for a while where another store can do it.
-func TestPartitionsAreRemembered(t *testing.T) {
+func TestPartitionedStoresShareNoGroup(t *testing.T) {
 	report := func(s *Store) {
 		s.Unreachable = map[int]registration.UnreachableReplicas{0: {Epoch: 1, Peers: []string{"p2"}}}
 	}
-	memory := Memory{NextBalance: testNow + 60*clock.Second}
-	before := view(liveStores("z1", "z2", "z3"), group("s1", "s2")).change("s1", report)
-	memory = Decide(testSettings, before, memory).Memory
-	if until := memory.PartitionedUntil[PairOf("s2", "s1")]; until != testNow+testSettings.PartitionMemory {
+	memory := PlannerState{NextBalance: testNow + 60*clock.Second}
+	before := view(liveStores("z1", "z2", "z3"), group("s1", "s2")).editStore("s1", report)
+	memory = Decide(testSettings, before, memory).NextState
+	if until := memory.PartitionedUntil[PairOf("s2", "s1")]; until != testNow+testSettings.PartitionCooldown {
 		t.Fatalf("remembered until %d", until)
 	}
 	later := view(liveStores("z1", "z2", "z3", "z4"), group("s1", "s3"))
-	later.change("s3", func(s *Store) { s.Live = false })
+	later.editStore("s3", func(s *Store) { s.Live = false })
 	if got := Decide(testSettings, later, memory).Assignments[0].IDs(); !slices.Equal(got, []string{"s1", "s4"}) {
 		t.Errorf("the next group is %v", got)
 	}
@@ -135,16 +135,16 @@
 	uneven := []replication.Assignment{group("s1", "s2"), group("s1", "s2"), group("s1", "s2"), group("s2", "s1")}
 	for name, c := range map[string]struct {
 		view   ClusterView
-		memory Memory
+		memory PlannerState
 		moves  int
 	}{
-		"one shard moves at a time": {view(liveStores("z1", "z2", "z3"), uneven...), Memory{}, 1},
-		"the next move is not due":  {view(liveStores("z1", "z2", "z3"), uneven...), Memory{NextBalance: testNow + 1}, 0},
+		"one shard moves at a time": {view(liveStores("z1", "z2", "z3"), uneven...), PlannerState{}, 1},
+		"the next move is not due":  {view(liveStores("z1", "z2", "z3"), uneven...), PlannerState{NextBalance: testNow + 1}, 0},
 		"a store has just come": {
-			view(liveStores("z1", "z2", "z3"), uneven...).change("s3", func(s *Store) { s.FirstHeardAt = testNow - clock.Second }), Memory{}, 0},
+			view(liveStores("z1", "z2", "z3"), uneven...).editStore("s3", func(s *Store) { s.FirstHeardAt = testNow - clock.Second }), PlannerState{}, 0},
 		"a group is not complete": {
-			view(liveStores("z1", "z2", "z3"), append(slices.Clone(uneven), replication.Assignment{Epoch: 1, Primary: replication.Member{ID: "s1", Incarnation: 1}, Replicas: []replication.Member{{ID: "s2", Incarnation: 1}}, Trusted: []string{"s1"}})...), Memory{}, 0},
-		"the shares are even": {view(liveStores("z1", "z2"), group("s1", "s2"), group("s2", "s1")), Memory{}, 0},
+			view(liveStores("z1", "z2", "z3"), append(slices.Clone(uneven), replication.Assignment{Epoch: 1, Primary: replication.Member{ID: "s1", Incarnation: 1}, Replicas: []replication.Member{{ID: "s2", Incarnation: 1}}, Trusted: []string{"s1"}})...), PlannerState{}, 0},
+		"the shares are even": {view(liveStores("z1", "z2"), group("s1", "s2"), group("s2", "s1")), PlannerState{}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := Decide(testSettings, c.view, c.memory); len(got.Assignments) != c.moves {
@@ -155,12 +155,12 @@
 }
 
 // What goes in is not changed, so the same input always gives the same decision.
-func TestDecideIsPure(t *testing.T) {
+func TestDecideDoesNotModifyItsInput(t *testing.T) {
 	v := view(liveStores("z1", "z2", "z3"), group("s1", "s2"), group("s2", "s1"))
-	v.change("s1", func(s *Store) {
+	v.editStore("s1", func(s *Store) {
 		s.Unreachable = map[int]registration.UnreachableReplicas{0: {Epoch: 1, Peers: []string{"p2"}}}
 	})
-	memory := Memory{PartitionedUntil: map[StorePair]clock.Micros{}}
+	memory := PlannerState{PartitionedUntil: map[StorePair]clock.Micros{}}
 	first := fmt.Sprintf("%+v", Decide(testSettings, v, memory))
 	if again := fmt.Sprintf("%+v", Decide(testSettings, v, memory)); again != first || len(memory.PartitionedUntil) != 0 {
 		t.Errorf("first %s, then %s, the memory given is %v", first, again, memory)
@@ -175,8 +175,8 @@
 		"enough stores and zones remain": {view(liveStores("z1", "z2", "z3")), false},
 		"too few stores":                 {view(liveStores("z1", "z2")), true},
 		"too few zones":                  {view(liveStores("z1", "z2", "z2")), true},
-		"another one is down":            {view(liveStores("z1", "z2", "z3")).change("s2", func(s *Store) { s.Live = false }), true},
-		"another one is draining":        {view(liveStores("z1", "z2", "z3")).change("s2", func(s *Store) { s.Draining = true }), true},
+		"another one is down":            {view(liveStores("z1", "z2", "z3")).editStore("s2", func(s *Store) { s.Live = false }), true},
+		"another one is draining":        {view(liveStores("z1", "z2", "z3")).editStore("s2", func(s *Store) { s.Draining = true }), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			err := CheckRetirement(testSettings, c.view, "s1")
--- a/internal/controlplane/placement/repair.go
+++ b/internal/controlplane/placement/repair.go
@@ -20,11 +20,11 @@
 		p.assign(shard, next, reason)
 		return
 	}
-	if next, reason, ok := p.moveOffDraining(assignment); ok {
+	if next, reason, ok := p.evacuate(assignment); ok {
 		p.assign(shard, next, reason)
 		return
 	}
-	if next, ok := p.reconnect(shard, assignment); ok {
+	if next, ok := p.replaceUnreachable(shard, assignment); ok {
 		p.assign(shard, next, "members of the group do not reach each other")
 	}
 }
@@ -32,7 +32,7 @@
 // clusterOfGroup is what the replication package has to know of the stores for one group.
 func (p *planner) clusterOfGroup(assignment replication.Assignment) replication.ClusterView {
 	return replication.ClusterView{
-		GroupSize:         p.settings.Replicas(),
+		GroupSize:         p.settings.GroupSize(),
 		Incarnation:       p.cluster.incarnation,
 		AllowsDegraded:    func(members []string) bool { return p.allowsDegraded(assignment, members) },
 		ChooseReplacement: p.chooseReplacement,
@@ -41,8 +41,8 @@
 
 // allowsDegraded tells whether a group may go on with fewer copies than it should have.
 func (p *planner) allowsDegraded(assignment replication.Assignment, members []string) bool {
-	fewest := p.settings.MinReplicas()
-	if len(members) < fewest || p.cluster.ZoneCount(members) < p.settings.zonesFor(fewest) {
+	fewest := p.settings.MinGroupSize()
+	if len(members) < fewest || p.cluster.ZoneCount(members) < p.settings.requiredZonesFor(fewest) {
 		return false
 	}
 	return p.cluster.missingFor(assignment) >= shrinkDelay
@@ -56,7 +56,7 @@
 	replicas    int // shards that it replicates
 }
 
-func (c replacementCost) isBelow(other replacementCost) bool {
+func (c replacementCost) less(other replacementCost) bool {
 	one := []int{c.partitioned, c.sharedZone, c.replicas}
 	return slices.Compare(one, []int{other.partitioned, other.sharedZone, other.replicas}) < 0
 }
@@ -80,7 +80,7 @@
 			sharedZone:  boolToInt(shared),
 			replicas:    p.replicaCount[id],
 		}
-		if best == "" || cost.isBelow(bestCost) {
+		if best == "" || cost.less(bestCost) {
 			best, bestCost = id, cost
 		}
 	}
@@ -96,7 +96,7 @@
 // mayShareZone tells whether a further member may be in the zone of another one: the copies
 // that are still to come suffice for the zones that the group has to be in.
 func (p *planner) mayShareZone(members []string) bool {
-	remaining := p.settings.Replicas() - len(members) - 1
+	remaining := p.settings.GroupSize() - len(members) - 1
 	return p.cluster.ZoneCount(members)+remaining >= p.settings.RequiredZones()
 }
 
@@ -116,11 +116,11 @@
 	}
 	byLoad := slices.Clone(p.eligible)
 	sort.SliceStable(byLoad, func(i, j int) bool { return p.primaryCount[byLoad[i]] < p.primaryCount[byLoad[j]] })
-	waitedEnough := p.cluster.Now-p.cluster.ServingSince > firstAssignmentTimeout
+	timedOut := p.cluster.Now-p.cluster.ServingSince > firstAssignmentTimeout
 	for _, primary := range byLoad {
-		blank := replication.Assignment{Trusted: []string{primary}}
-		next, ok := replication.Reassign(blank, p.clusterOfGroup(blank), primary, nil)
-		if ok && (len(next.Members()) == p.settings.Replicas() || waitedEnough) {
+		unassigned := replication.Assignment{Trusted: []string{primary}}
+		next, ok := replication.Reassign(unassigned, p.clusterOfGroup(unassigned), primary, nil)
+		if ok && (len(next.Members()) == p.settings.GroupSize() || timedOut) {
 			next.Trusted = next.IDs()
 			return next, true
 		}
--- a/internal/controlplane/placement/retire.go
+++ b/internal/controlplane/placement/retire.go
@@ -12,7 +12,7 @@
 			zones[cluster.Stores[other].Zone] = true
 		}
 	}
-	replicas, requiredZones := settings.Replicas(), settings.RequiredZones()
+	replicas, requiredZones := settings.GroupSize(), settings.RequiredZones()
 	if remaining >= replicas && len(zones) >= requiredZones {
 		return nil
 	}
--- a/internal/controlplane/placement/reconnect.go
+++ b/internal/controlplane/placement/unreachable.go
@@ -6,20 +6,20 @@
 	"tuliprudder/internal/replication"
 )
 
-// reconnect finds other replicas for a primary that some do not answer although all
+// replaceUnreachable finds other replicas for a primary that some do not answer although all
 // live, or whose disk holds writes back. A primary that is alone again before its group
 // was ever complete is replaced by another trusted store: it may be the one that nobody
 // hears.
-func (p *planner) reconnect(shard int, a replication.Assignment) (replication.Assignment, bool) {
+func (p *planner) replaceUnreachable(shard int, a replication.Assignment) (replication.Assignment, bool) {
 	unreachable := p.unreachableReplicas(shard, a)
-	primaryDeparts := !a.Complete && p.cluster.givesUpShards(a.Primary.ID)
-	excluded := append(slices.Clone(unreachable), p.departingReplicas(a)...)
-	if len(excluded) == 0 && !primaryDeparts {
+	evacuatePrimary := !a.Complete && p.cluster.mustEvacuate(a.Primary.ID)
+	excluded := append(slices.Clone(unreachable), p.evacuatingReplicas(a)...)
+	if len(excluded) == 0 && !evacuatePrimary {
 		return a, false
 	}
 	p.recordPartitions(a.Primary.ID, unreachable)
 	primary := a.Primary.ID
-	if !a.Complete && (primaryDeparts || len(unreachable) > 0) {
+	if !a.Complete && (evacuatePrimary || len(unreachable) > 0) {
 		if other := p.otherTrustedStore(a); other != "" {
 			primary, excluded = other, []string{a.Primary.ID}
 		}
@@ -55,15 +55,15 @@
 	return out
 }
 
-// departingReplicas are, in a group that was never complete, the replicas that have to give
+// evacuatingReplicas are, in a group that was never complete, the replicas that have to give
 // up their shards. Those of a complete group are up to moveOffDraining.
-func (p *planner) departingReplicas(a replication.Assignment) []string {
+func (p *planner) evacuatingReplicas(a replication.Assignment) []string {
 	if a.Complete {
 		return nil
 	}
 	var out []string
 	for _, replica := range a.Replicas {
-		if p.cluster.givesUpShards(replica.ID) {
+		if p.cluster.mustEvacuate(replica.ID) {
 			out = append(out, replica.ID)
 		}
 	}
@@ -73,14 +73,14 @@
 // recordPartitions has a store share no group with some others for a while.
 func (p *planner) recordPartitions(id string, others []string) {
 	for _, other := range others {
-		p.memory.PartitionedUntil[PairOf(id, other)] = p.cluster.Now + p.settings.PartitionMemory
+		p.state.PartitionedUntil[PairOf(id, other)] = p.cluster.Now + p.settings.PartitionCooldown
 	}
 }
 
 // otherTrustedStore is a trusted store other than the primary that may lead; "" when there is none.
 func (p *planner) otherTrustedStore(a replication.Assignment) string {
 	for _, id := range a.Trusted {
-		if id != a.Primary.ID && p.cluster.isLive(id) && !p.cluster.givesUpShards(id) {
+		if id != a.Primary.ID && p.cluster.isLive(id) && !p.cluster.mustEvacuate(id) {
 			return id
 		}
 	}
--- a/internal/controlplane/primaryreport/sender.go
+++ b/internal/controlplane/primaryreport/sender.go
@@ -34,14 +34,14 @@
 	calls       *machine.Calls
 	parts       []Part
 
-	primary string   // its address; "" while none is known
-	voters  []string // the addresses of the cores with a vote
-	epoch   uint64   // the newest term that is known
-	nextAt  clock.Micros
-	waiting uint64 // the number of the report whose reply is awaited; 0: none is
+	primary       string   // its address; "" while none is known
+	voters        []string // the addresses of the cores with a vote
+	epoch         uint64   // the newest term that is known
+	nextAt        clock.Micros
+	pendingReport uint64 // the number of the report whose reply is awaited; 0: none is
 
-	flushes       []func() // who waits for a Flush
-	flushAttempts int
+	flushCallbacks []func() // who waits for a Flush
+	flushAttempts  int
 
 	// Sent and Failed count reports, for the operators.
 	Sent, Failed int64
@@ -84,7 +84,7 @@
 	if epoch <= s.epoch {
 		return
 	}
-	s.epoch, s.waiting, s.nextAt = epoch, 0, 0
+	s.epoch, s.pendingReport, s.nextAt = epoch, 0, 0
 	if !s.InjectedFaults.KeepAcknowledgements {
 		s.resetParts()
 	}
@@ -122,7 +122,7 @@
 	if report, hasChanges := s.newReport(now); hasChanges && !s.InjectedFaults.FlushToPrimaryOnly {
 		s.sendToVoters(report)
 	}
-	s.flushes = append(s.flushes, done)
+	s.flushCallbacks = append(s.flushCallbacks, done)
 	s.flushAttempts = 0
 	s.continueFlush(now)
 }
@@ -136,15 +136,15 @@
 
 // continueFlush sends the next report of a Flush, or ends it.
 func (s *Sender) continueFlush(now clock.Micros) {
-	if s.waiting > 0 || len(s.flushes) == 0 {
+	if s.pendingReport > 0 || len(s.flushCallbacks) == 0 {
 		return
 	}
 	s.flushAttempts++
 	if s.flushAttempts <= maxFlushAttempts && s.send(now) {
 		return
 	}
-	ended := s.flushes
-	s.flushes = nil
+	ended := s.flushCallbacks
+	s.flushCallbacks = nil
 	for _, done := range ended {
 		done()
 	}
@@ -152,7 +152,7 @@
 
 // send sends a report; false where there is nothing to report, or no primary is known.
 func (s *Sender) send(now clock.Micros) bool {
-	if s.waiting > 0 || s.primary == "" || s.incarnation == 0 {
+	if s.pendingReport > 0 || s.primary == "" || s.incarnation == 0 {
 		return false
 	}
 	report, hasChanges := s.newReport(now)
@@ -161,10 +161,10 @@
 	}
 	s.Sent++
 	number := uint64(s.Sent)
-	s.waiting = number
+	s.pendingReport = number
 	s.calls.Request(s.primary, report, replyTimeout, func(body any, err error, now clock.Micros) {
-		if s.waiting == number {
-			s.waiting = 0
+		if s.pendingReport == number {
+			s.pendingReport = 0
 			s.handleReply(report, body, err, now)
 		}
 	})
--- a/internal/controlplane/primaryreport/sender_test.go
+++ b/internal/controlplane/primaryreport/sender_test.go
@@ -10,10 +10,10 @@
 	"tuliprudder/internal/machine"
 )
 
-// figure is a part that tells one number when it differs from the acknowledged one.
-type figure struct{ value, acknowledged int64 }
+// testPart is a part that tells one number when it differs from the acknowledged one.
+type testPart struct{ value, acknowledged int64 }
 
-func (f *figure) Add(report *Report, _ clock.Micros) bool {
+func (f *testPart) Add(report *Report, _ clock.Micros) bool {
 	if f.value == f.acknowledged {
 		return false
 	}
@@ -21,34 +21,34 @@
 	return true
 }
 
-func (f *figure) Acknowledged(report Report, _ Reply) { f.acknowledged = report.Usage[0].Counts["t"] }
-func (f *figure) Reset()                              { f.acknowledged = 0 }
+func (f *testPart) Acknowledged(report Report, _ Reply) { f.acknowledged = report.Usage[0].Counts["t"] }
+func (f *testPart) Reset()                              { f.acknowledged = 0 }
 
-// senderBench is a sender with one part, whose requests wait for their replies.
-type senderBench struct {
+// senderFixture is a sender with one part, whose requests wait for their replies.
+type senderFixture struct {
 	*Sender
-	*figure
+	*testPart
 	t     *testing.T
 	calls *machine.Calls
 	now   clock.Micros
 }
 
-func newSenderBench(t *testing.T) *senderBench {
-	b := &senderBench{t: t, calls: machine.NewCalls(), figure: &figure{}, now: 100 * clock.Second}
+func newSenderFixture(t *testing.T) *senderFixture {
+	b := &senderFixture{t: t, calls: machine.NewCalls(), testPart: &testPart{}, now: 100 * clock.Second}
 	b.Sender = NewSender("edge-1", b.calls)
-	b.AddPart(b.figure)
+	b.AddPart(b.testPart)
 	b.SetIncarnation(7)
 	return b
 }
 
 // tick advances the time by one interval and gives the report that is sent; false for none.
-func (b *senderBench) tick() (machine.Request, bool) {
+func (b *senderFixture) tick() (machine.Request, bool) {
 	b.now += Interval
 	b.Tick(b.now)
 	return b.sent()
 }
 
-func (b *senderBench) sent() (machine.Request, bool) {
+func (b *senderFixture) sent() (machine.Request, bool) {
 	effects := b.calls.Drain()
 	if len(effects) == 0 {
 		return machine.Request{}, false
@@ -59,7 +59,7 @@
 	return effects[0].(machine.Request), true
 }
 
-func (b *senderBench) mustTick() machine.Request {
+func (b *senderFixture) mustTick() machine.Request {
 	b.t.Helper()
 	request, ok := b.tick()
 	if !ok {
@@ -68,12 +68,12 @@
 	return request
 }
 
-func (b *senderBench) reply(request machine.Request, reply Reply) {
+func (b *senderFixture) reply(request machine.Request, reply Reply) {
 	b.calls.ReplyReceived(request.Token, reply, nil, b.now)
 }
 
-func TestNothingIsSentWithoutNews(t *testing.T) {
-	b := newSenderBench(t)
+func TestNothingIsSentWithoutChanges(t *testing.T) {
+	b := newSenderFixture(t)
 	b.value = 1
 	if _, ok := b.tick(); ok {
 		t.Fatal("sent without a primary")
@@ -92,8 +92,8 @@
 	b.mustTick()
 }
 
-func TestWhatFailedIsToldAgain(t *testing.T) {
-	b := newSenderBench(t)
+func TestFailedReportIsSentAgain(t *testing.T) {
+	b := newSenderFixture(t)
 	b.SetPrimary(state.CoreUpdate{Epoch: 3, Peer: "core"})
 	b.value = 1
 	first := b.mustTick()
@@ -108,8 +108,8 @@
 }
 
 // Acknowledgements of a former primary don't count at the next one, whichever way its term is learnt.
-func TestEverythingIsToldAnewToAnotherPrimary(t *testing.T) {
-	b := newSenderBench(t)
+func TestNewPrimaryGetsFullReport(t *testing.T) {
+	b := newSenderFixture(t)
 	b.SetPrimary(state.CoreUpdate{Epoch: 3, Peer: "core"})
 	b.value = 1
 	b.reply(b.mustTick(), Reply{Epoch: 3})
@@ -132,8 +132,8 @@
 }
 
 // A reply that crosses a change of the primary acknowledges nothing.
-func TestALateAcknowledgementDoesNotCount(t *testing.T) {
-	b := newSenderBench(t)
+func TestLateAcknowledgementIsIgnored(t *testing.T) {
+	b := newSenderFixture(t)
 	b.SetPrimary(state.CoreUpdate{Epoch: 3, Peer: "core"})
 	b.value = 1
 	request := b.mustTick()
@@ -148,8 +148,8 @@
 	}
 }
 
-func TestAFlushEndsOnceAllIsTold(t *testing.T) {
-	b := newSenderBench(t)
+func TestFlushEndsOnceAllIsAcknowledged(t *testing.T) {
+	b := newSenderFixture(t)
 	ended := 0
 	b.Flush(b.now, func() { ended++ })
 	if ended != 1 {
@@ -171,8 +171,8 @@
 	}
 }
 
-func TestAFlushEndsAfterAFewFailures(t *testing.T) {
-	b := newSenderBench(t)
+func TestFlushEndsAfterMaxAttempts(t *testing.T) {
+	b := newSenderFixture(t)
 	b.SetPrimary(state.CoreUpdate{Epoch: 3, Peer: "core"})
 	b.value = 1
 	ended := 0
@@ -188,8 +188,8 @@
 }
 
 // A report to the primary alone would be lost with it.
-func TestAFlushGoesToAllVoters(t *testing.T) {
-	b := newSenderBench(t)
+func TestFlushSendsToAllVoters(t *testing.T) {
+	b := newSenderFixture(t)
 	b.SetPrimary(state.CoreUpdate{Epoch: 3, Peer: "core", VoterPeers: []string{"a", "core", "b"}})
 	b.value = 1
 	b.reply(b.mustTick(), Reply{Epoch: 3})
--- a/internal/controlplane/primaryreport/size_test.go
+++ b/internal/controlplane/primaryreport/size_test.go
@@ -10,7 +10,7 @@
 )
 
 // A report on a connection that has carried one before stays small: bytes between zones are paid for.
-func TestAReportIsSmall(t *testing.T) {
+func TestReportSizeIsBounded(t *testing.T) {
 	const (
 		changedTenants = 13 // of an edge with 13 requests a second
 		maxBytes       = 330
--- a/internal/controlplane/reconcile.go
+++ b/internal/controlplane/reconcile.go
@@ -29,7 +29,7 @@
 	}
 	c.evictUnreachableStores(now)
 	decision := placement.Decide(c.settings.placement(), c.stores.Cluster(c.state, now), c.placementMemory)
-	c.placementMemory = decision.Memory
+	c.placementMemory = decision.NextState
 	for _, event := range decision.Events {
 		c.Emit(machine.LogEvent{Event: event})
 	}
--- a/internal/controlplane/settings.go
+++ b/internal/controlplane/settings.go
@@ -81,11 +81,11 @@
 // placement are the settings of the placement.
 func (s Settings) placement() placement.Settings {
 	return placement.Settings{
-		Tolerance:       s.Tolerance,
-		Zones:           s.ShardZones,
-		PartitionMemory: s.PartitionMemory,
-		BalanceInterval: s.BalanceEvery,
-		BalanceDelay:    s.BalanceAfter,
+		Tolerance:         s.Tolerance,
+		Zones:             s.ShardZones,
+		PartitionCooldown: s.PartitionMemory,
+		BalanceInterval:   s.BalanceEvery,
+		BalanceDelay:      s.BalanceAfter,
 	}
 }
 
--- a/internal/controlplane/state/entries.go
+++ b/internal/controlplane/state/entries.go
@@ -53,7 +53,7 @@
 
 func (Bootstrap) kind() string     { return kindBootstrap }
 func (RegisterStore) kind() string { return kindRegisterStore }
-func (AssignShards) kind() string  { return kindPair }
+func (AssignShards) kind() string  { return kindAssignShards }
 func (Retire) kind() string        { return kindRetire }
 func (UpdateActs) kind() string    { return kindUpdateActs }
 
@@ -61,7 +61,7 @@
 	kindBootstrap:        machine.Decoder(func(e Bootstrap) Entry { return e }),
 	kindPutConfiguration: machine.Decoder(func(e PutConfiguration) Entry { return e }),
 	kindRegisterStore:    machine.Decoder(func(e RegisterStore) Entry { return e }),
-	kindPair:             machine.Decoder(func(e AssignShards) Entry { return e }),
+	kindAssignShards:     machine.Decoder(func(e AssignShards) Entry { return e }),
 	kindRetire:           machine.Decoder(func(e Retire) Entry { return e }),
 	kindUpdateActs:       machine.Decoder(func(e UpdateActs) Entry { return e }),
 }
--- a/internal/controlplane/state/requests.go
+++ b/internal/controlplane/state/requests.go
@@ -46,8 +46,8 @@
 // RequestTable recognises the configurations that were applied, after their documents
 // were dropped. Numbers rise from entry to entry; the oldest entries are dropped.
 type RequestTable struct {
-	entries       []AppliedRequest
-	forgottenUpTo uint64
+	entries    []AppliedRequest
+	prunedUpTo uint64
 }
 
 // Len is the number of requests in the table.
@@ -56,9 +56,9 @@
 // All lists the requests by rising number.
 func (t *RequestTable) All() []AppliedRequest { return append([]AppliedRequest(nil), t.entries...) }
 
-// ForgottenUpTo is the highest number that was dropped; whether a request up to it was
+// PrunedUpTo is the highest number that was dropped; whether a request up to it was
 // applied is no longer known.
-func (t *RequestTable) ForgottenUpTo() uint64 { return t.forgottenUpTo }
+func (t *RequestTable) PrunedUpTo() uint64 { return t.prunedUpTo }
 
 // Find looks a request up by its number.
 func (t *RequestTable) Find(number uint64) (AppliedRequest, bool) {
@@ -69,8 +69,8 @@
 	return t.entries[at], true
 }
 
-// BuiltOn looks up the request that was applied on top of a version.
-func (t *RequestTable) BuiltOn(base uint64) (AppliedRequest, bool) {
+// FindByBase looks up the request that was applied on top of a version.
+func (t *RequestTable) FindByBase(base uint64) (AppliedRequest, bool) {
 	at := sort.Search(len(t.entries), func(i int) bool { return t.entries[i].Base >= base })
 	if at == len(t.entries) || t.entries[at].Base != base {
 		return AppliedRequest{}, false
@@ -81,7 +81,7 @@
 // add appends a request whose number is above all others.
 func (t *RequestTable) add(request AppliedRequest) {
 	if len(t.entries) >= MaxRequests {
-		t.forgottenUpTo = t.entries[0].Number
+		t.prunedUpTo = t.entries[0].Number
 		copy(t.entries, t.entries[1:])
 		t.entries = t.entries[:len(t.entries)-1]
 	}
@@ -92,21 +92,21 @@
 // distance from the one before, its base's distance from its number, both as
 // variable-length integers, and its digest.
 type requestTableDocument struct {
-	Forgotten uint64 `json:"forgotten"`
-	Packed    []byte `json:"packed"`
+	PrunedUpTo uint64 `json:"forgotten"`
+	Packed     []byte `json:"packed"`
 }
 
 // MarshalJSON packs the table.
 func (t RequestTable) MarshalJSON() ([]byte, error) {
 	packed := make([]byte, 0, len(t.entries)*(DigestSize+4))
-	last := t.forgottenUpTo
+	last := t.prunedUpTo
 	for _, request := range t.entries {
 		packed = binary.AppendUvarint(packed, request.Number-last)
 		packed = binary.AppendUvarint(packed, request.Number-request.Base)
 		packed = append(packed, request.Digest[:]...)
 		last = request.Number
 	}
-	return json.Marshal(requestTableDocument{Forgotten: t.forgottenUpTo, Packed: packed})
+	return json.Marshal(requestTableDocument{PrunedUpTo: t.prunedUpTo, Packed: packed})
 }
 
 // UnmarshalJSON unpacks the table.
@@ -115,9 +115,9 @@
 	if err := json.Unmarshal(data, &document); err != nil {
 		return errors.Wrap(err, "reading the table of requests")
 	}
-	fresh := RequestTable{forgottenUpTo: document.Forgotten}
+	fresh := RequestTable{prunedUpTo: document.PrunedUpTo}
 	reader := bytes.NewReader(document.Packed)
-	last := document.Forgotten
+	last := document.PrunedUpTo
 	for reader.Len() > 0 {
 		request, err := readRequest(reader, last)
 		if err != nil {
@@ -131,16 +131,16 @@
 }
 
 func readRequest(reader *bytes.Reader, last uint64) (AppliedRequest, error) {
-	rise, err := binary.ReadUvarint(reader)
+	numberDelta, err := binary.ReadUvarint(reader)
 	if err != nil {
 		return AppliedRequest{}, err
 	}
-	request := AppliedRequest{Number: last + rise}
-	depth, err := binary.ReadUvarint(reader)
+	request := AppliedRequest{Number: last + numberDelta}
+	baseDelta, err := binary.ReadUvarint(reader)
 	if err != nil {
 		return AppliedRequest{}, err
 	}
-	request.Base = request.Number - depth
+	request.Base = request.Number - baseDelta
 	if n, _ := reader.Read(request.Digest[:]); n != DigestSize {
 		return AppliedRequest{}, errors.New("the digest is too short")
 	}
--- a/internal/controlplane/state/shards.go
+++ b/internal/controlplane/state/shards.go
@@ -11,7 +11,7 @@
 		}
 	}
 	s.Shards = shards
-	s.forgetDepartedStores()
+	s.pruneDepartedStores()
 }
 
 // refersTo tells whether a shard's assignment names a store.
--- a/internal/controlplane/state/snapshot.go
+++ b/internal/controlplane/state/snapshot.go
@@ -12,8 +12,8 @@
 // A snapshot is a header that names its format (snapshotMagic), a checksum and the state in
 // JSON. The release before wrote the JSON alone.
 const (
-	snapshotHeader  = len(snapshotMagic) + crc32.Size
-	maxSnapshotPart = 64 << 10 // bytes of one part
+	snapshotHeaderSize  = len(snapshotMagic) + crc32.Size
+	maxSnapshotPartSize = 64 << 10 // bytes of one part
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -21,14 +21,14 @@
 // Snapshot is the whole state, in parts of a bounded size.
 func (s *State) Snapshot() [][]byte {
 	body, _ := json.Marshal(s)
-	data := make([]byte, 0, snapshotHeader+len(body))
+	data := make([]byte, 0, snapshotHeaderSize+len(body))
 	data = append(data, snapshotMagic...)
 	data = binary.BigEndian.AppendUint32(data, crc32.Checksum(body, castagnoli))
 	data = append(data, body...)
 	var parts [][]byte
-	for len(data) > maxSnapshotPart {
-		parts = append(parts, data[:maxSnapshotPart:maxSnapshotPart])
-		data = data[maxSnapshotPart:]
+	for len(data) > maxSnapshotPartSize {
+		parts = append(parts, data[:maxSnapshotPartSize:maxSnapshotPartSize])
+		data = data[maxSnapshotPartSize:]
 	}
 	return append(parts, data)
 }
@@ -44,13 +44,13 @@
 	if data[0] == '{' {
 		return restoreFirstFormat(fresh, data)
 	}
-	if len(data) < snapshotHeader || string(data[:len(snapshotFamily)]) != snapshotFamily {
+	if len(data) < snapshotHeaderSize || string(data[:len(snapshotMagicPrefix)]) != snapshotMagicPrefix {
 		return nil, errs.New(errs.Corrupt, damagedStateRemedy, "this is no snapshot of the control state")
 	}
 	if magic := string(data[:len(snapshotMagic)]); magic != snapshotMagic {
 		return nil, errs.New(errs.WrongFolder, "run the release that wrote it, or its neighbour", "the control state is of format %q, this release reads %s", magic, snapshotMagic)
 	}
-	body := data[snapshotHeader:]
+	body := data[snapshotHeaderSize:]
 	if crc32.Checksum(body, castagnoli) != binary.BigEndian.Uint32(data[len(snapshotMagic):]) {
 		return nil, errs.New(errs.Corrupt, damagedStateRemedy, "the snapshot of the control state does not match its checksum")
 	}
@@ -77,6 +77,6 @@
 		fresh.Requests.add(AppliedRequest{Number: version.Number, Base: base, Digest: digest})
 		base = version.Number
 	}
-	fresh.dropDocuments()
+	fresh.pruneDocuments()
 	return fresh, nil
 }
--- a/internal/controlplane/state/snapshot_test.go
+++ b/internal/controlplane/state/snapshot_test.go
@@ -31,7 +31,7 @@
 }
 
 // A snapshot reads back as it was written, whatever its size.
-func TestASnapshotReadsBack(t *testing.T) {
+func TestSnapshotRoundTrip(t *testing.T) {
 	for _, versions := range []int{0, 1, 3, 100, MaxRequests + 7} {
 		s := configured(t, versions)
 		RegisterStore{Store{ID: "a", Peer: "1", Zone: "z"}}.Apply(s)
@@ -47,7 +47,7 @@
 			t.Errorf("%d versions: written again it differs", versions)
 		}
 		for _, part := range parts {
-			if len(part) > maxSnapshotPart {
+			if len(part) > maxSnapshotPartSize {
 				t.Errorf("a part of %d bytes", len(part))
 			}
 		}
@@ -59,12 +59,12 @@
 
 // Damage anywhere in a snapshot is found, and reported with a remedy; another release's
 // form is not taken for damage.
-func TestADamagedSnapshotIsAnError(t *testing.T) {
+func TestRestoreOfDamagedSnapshotFails(t *testing.T) {
 	whole := bytes.Join(configured(t, 3).Snapshot(), nil)
 	for at := range whole {
-		spoilt := bytes.Clone(whole)
-		spoilt[at] ^= 0x10
-		if _, err := Restore([][]byte{spoilt}); err == nil || errs.Of(err).Remedy == "" || !errs.Is(err, errs.Corrupt) && !errs.Is(err, errs.WrongFolder) {
+		corrupted := bytes.Clone(whole)
+		corrupted[at] ^= 0x10
+		if _, err := Restore([][]byte{corrupted}); err == nil || errs.Of(err).Remedy == "" || !errs.Is(err, errs.Corrupt) && !errs.Is(err, errs.WrongFolder) {
 			t.Fatalf("byte %d: told %v", at, err)
 		}
 		if _, err := Restore([][]byte{whole[:at]}); at > 0 && !errs.Is(err, errs.Corrupt) {
@@ -82,7 +82,7 @@
 
 // What the release before wrote is read: every configuration is recognised, the
 // newest read back, and stores and shards are as they were.
-func TestTheReleaseBeforesStateIsRead(t *testing.T) {
+func TestRestoreReadsPreviousRelease(t *testing.T) {
 	data, err := os.ReadFile("testdata/release-before.json")
 	if err != nil {
 		t.Fatal(err)
@@ -121,10 +121,10 @@
 
 // Documents are kept by number and by size, and the newest two whatever their size;
 // requests by number.
-func TestTheStateIsBounded(t *testing.T) {
+func TestStateSizeIsBounded(t *testing.T) {
 	s := configured(t, MaxRequests+50)
-	if len(s.Versions) != maxDocuments || s.Requests.Len() != MaxRequests || s.Requests.ForgottenUpTo() != 100 {
-		t.Errorf("%d documents, %d requests, %d forgotten", len(s.Versions), s.Requests.Len(), s.Requests.ForgottenUpTo())
+	if len(s.Versions) != maxDocuments || s.Requests.Len() != MaxRequests || s.Requests.PrunedUpTo() != 100 {
+		t.Errorf("%d documents, %d requests, %d forgotten", len(s.Versions), s.Requests.Len(), s.Requests.PrunedUpTo())
 	}
 	large := fmt.Sprintf(`{"text":"%s"}`, bytes.Repeat([]byte("x"), maxDocumentBytes))
 	latest, _ := s.Latest()
@@ -140,7 +140,7 @@
 }
 
 // A number is given to one document only, and never goes back.
-func TestANumberIsGivenOnce(t *testing.T) {
+func TestVersionNumberIsNotReused(t *testing.T) {
 	s := configured(t, 3)
 	put(t, s, 6, `{"other":1}`)
 	put(t, s, 5, `{"other":1}`)
@@ -150,7 +150,7 @@
 }
 
 // White space makes no other document; anything else does.
-func TestDigests(t *testing.T) {
+func TestDigestIgnoresOnlyWhiteSpace(t *testing.T) {
 	digest := func(text string) Digest {
 		d, err := DigestOf([]byte(text))
 		if err != nil {
@@ -170,7 +170,7 @@
 
 // What every daemon is sent does not grow with the stores that departed: the newest
 // of them stay, and those that a shard refers to; no writer id is given again.
-func TestDepartedStoresAreForgotten(t *testing.T) {
+func TestDepartedStoresArePruned(t *testing.T) {
 	s := New()
 	Bootstrap{Fleet: "f", Shards: 1}.Apply(s)
 	RegisterStore{Store{ID: "first", Peer: "p0"}}.Apply(s)
@@ -191,13 +191,13 @@
 			t.Errorf("%s is no longer in the state", id)
 		}
 	}
-	living := 0
+	active := 0
 	for _, store := range s.Stores {
 		if !store.Evicted && !store.Retired {
-			living++
+			active++
 		}
 	}
-	if departed := len(s.Stores) - living; departed > maxDepartedStores+2 || departed < maxDepartedStores {
+	if departed := len(s.Stores) - active; departed > maxDepartedStores+2 || departed < maxDepartedStores {
 		t.Errorf("%d departed stores are kept", departed)
 	}
 	RegisterStore{Store{ID: "store-0", Peer: "p9"}}.Apply(s)
--- a/internal/controlplane/state/state_test.go
+++ b/internal/controlplane/state/state_test.go
@@ -4,7 +4,7 @@
 
 // The operator's name means the newest store that has it and is not evicted; no name
 // means none.
-func TestTheNewestStoreOfAName(t *testing.T) {
+func TestStoreNamedFindsNewest(t *testing.T) {
 	s := New()
 	for _, store := range []Store{{ID: "c", Peer: "1", Name: "m"}, {ID: "b", Peer: "2", Name: "m"}, {ID: "a", Peer: "3", Name: "m"}, {ID: "d", Peer: "4"}} {
 		RegisterStore{store}.Apply(s)
--- a/internal/controlplane/state/stored_names.go
+++ b/internal/controlplane/state/stored_names.go
@@ -13,7 +13,7 @@
 	kindBootstrap        = "found"
 	kindPutConfiguration = "put-plan"
 	kindRegisterStore    = "enrol-store"
-	kindPair             = "pair"
+	kindAssignShards     = "pair"
 	kindRetire           = "retire"
 	kindUpdateActs       = "acts"
 )
@@ -21,6 +21,6 @@
 // What a snapshot begins with, and what the snapshots of all formats begin with.
 // These spellings are on disk; they never change.
 const (
-	snapshotMagic  = "TRS1"
-	snapshotFamily = "TRS"
+	snapshotMagic       = "TRS1"
+	snapshotMagicPrefix = "TRS"
 )
--- a/internal/controlplane/state/stores.go
+++ b/internal/controlplane/state/stores.go
@@ -21,16 +21,16 @@
 		}
 	}
 	s.setStore(store)
-	s.forgetDepartedStores()
+	s.pruneDepartedStores()
 }
 
 // maxDepartedStores is how many stores that are evicted or retired, and that no shard
 // refers to, stay in the state: for a while one that comes back is still recognised.
 const maxDepartedStores = 16
 
-// forgetDepartedStores drops the oldest of the departed stores. Their writer ids
+// pruneDepartedStores drops the oldest of the departed stores. Their writer ids
 // are not given again.
-func (s *State) forgetDepartedStores() {
+func (s *State) pruneDepartedStores() {
 	var departed []Store
 	for _, store := range s.Stores {
 		if (store.Evicted || store.Retired) && !s.refersTo(store.ID) {
@@ -87,6 +87,6 @@
 	if store, ok := s.Stores[e.ID]; ok {
 		store.Retiring, store.Retired = !e.Cancel, e.Done && !e.Cancel
 		s.setStore(store)
-		s.forgetDepartedStores()
+		s.pruneDepartedStores()
 	}
 }
--- a/internal/controlplane/state/versions.go
+++ b/internal/controlplane/state/versions.go
@@ -71,11 +71,11 @@
 	e.Version.Base = latest.Number
 	s.Requests.add(AppliedRequest{Number: e.Version.Number, Base: latest.Number, Digest: digest})
 	s.Versions = append(slices.Clone(s.Versions), e.Version)
-	s.dropDocuments()
+	s.pruneDocuments()
 }
 
-// dropDocuments keeps the newest documents, up to their bounds.
-func (s *State) dropDocuments() {
+// pruneDocuments keeps the newest documents, up to their bounds.
+func (s *State) pruneDocuments() {
 	kept, size := 0, 0
 	for _, version := range slices.Backward(s.Versions) {
 		size += len(version.Body)
--- a/internal/controlplane/stores.go
+++ b/internal/controlplane/stores.go
@@ -11,7 +11,7 @@
 // handleStoreHeartbeat takes a store's heartbeat in; the primary registers the store and tells it
 // its writer id (DESIGN §6.6, §8.4).
 func (c *Core) handleStoreHeartbeat(from string, heartbeat registration.Heartbeat, now clock.Micros) {
-	if reason := c.stores.Objection(heartbeat, c.joinRules(heartbeat.ID), now); reason != "" {
+	if reason := c.stores.RejectionReason(heartbeat, c.joinRules(heartbeat.ID), now); reason != "" {
 		c.rejectStore(from, heartbeat, reason)
 		return
 	}
--- a/internal/controlplane/stores/join.go
+++ b/internal/controlplane/stores/join.go
@@ -17,10 +17,10 @@
 	NewestIncarnation uint64
 }
 
-// Objection is why a heartbeat is not from the store it names; "" when it may be: another process with
+// RejectionReason is why a heartbeat is not from the store it names; "" when it may be: another process with
 // the same identity runs elsewhere, or a newer incarnation was heard before. The disk of such
 // a process would be taken for the trusted one.
-func (t *Table) Objection(h registration.Heartbeat, rules JoinRules, now clock.Micros) string {
+func (t *Table) RejectionReason(h registration.Heartbeat, rules JoinRules, now clock.Micros) string {
 	if h.Fleet != "" && rules.Fleet != "" && h.Fleet != rules.Fleet {
 		return fmt.Sprintf("it is of fleet %s, this is %s", h.Fleet, rules.Fleet)
 	}
--- a/internal/controlplane/stores/table_test.go
+++ b/internal/controlplane/stores/table_test.go
@@ -20,8 +20,8 @@
 	return registration.Heartbeat{ID: id, Peer: "peer-" + id, Zone: "z", Incarnation: incarnation, Fleet: "f"}
 }
 
-// registered is a state with these stores in incarnation 1, and a configuration.
-func registered(ids ...string) *state.State {
+// stateWithStores is a state with these stores in incarnation 1, and a configuration.
+func stateWithStores(ids ...string) *state.State {
 	s := state.New()
 	for _, id := range ids {
 		state.RegisterStore{Store: state.Store{ID: id, Peer: "peer-" + id, Zone: "z", Incarnation: 1}}.Apply(s)
@@ -30,7 +30,7 @@
 	return s
 }
 
-func TestWhichStoresLive(t *testing.T) {
+func TestStoreLiveness(t *testing.T) {
 	for name, c := range map[string]struct {
 		silence            clock.Micros
 		suspected, evicted bool
@@ -44,7 +44,7 @@
 		"evicted":                   {0, false, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			table, current := New(testSettings), registered("a")
+			table, current := New(testSettings), stateWithStores("a")
 			table.Record(heartbeat("a", 1), testNow-c.silence)
 			table.SetSuspected("a", c.suspected)
 			if c.evicted {
@@ -57,14 +57,14 @@
 	}
 }
 
-func TestWhoMayJoin(t *testing.T) {
+func TestRejectionReason(t *testing.T) {
 	moved := heartbeat("a", 2)
 	moved.Peer = "peer-x"
 	for name, c := range map[string]struct {
 		heartbeat registration.Heartbeat
 		rules     JoinRules
 		heardFor  clock.Micros // since the last heartbeat of a's first address
-		objects   bool
+		rejected  bool
 	}{
 		"a known store":                           {heartbeat("a", 1), JoinRules{Fleet: "f", NewestIncarnation: 1}, 0, false},
 		"a new incarnation":                       {heartbeat("a", 2), JoinRules{Fleet: "f", NewestIncarnation: 1}, 0, false},
@@ -77,7 +77,7 @@
 		t.Run(name, func(t *testing.T) {
 			table := New(testSettings)
 			table.Record(heartbeat("a", 1), testNow-c.heardFor)
-			if reason := table.Objection(c.heartbeat, c.rules, testNow); (reason != "") != c.objects {
+			if reason := table.RejectionReason(c.heartbeat, c.rules, testNow); (reason != "") != c.rejected {
 				t.Errorf("the objection is %q", reason)
 			}
 		})
@@ -85,8 +85,8 @@
 }
 
 // An evicted store does not come back while another one runs at its address.
-func TestAReplacedStoreStaysOut(t *testing.T) {
-	table, current := New(testSettings), registered("a")
+func TestReplacedStoreIsNotReadmitted(t *testing.T) {
+	table, current := New(testSettings), stateWithStores("a")
 	state.RegisterStore{Store: state.Store{ID: "b", Peer: "peer-a"}}.Apply(current) // an empty one in its place
 	if table.IsReplaced(current, "a", testNow) {
 		t.Error("replaced by one that is not heard")
@@ -98,7 +98,7 @@
 }
 
 func TestRegistration(t *testing.T) {
-	current := registered("a")
+	current := stateWithStores("a")
 	for name, c := range map[string]struct {
 		change  func(h *registration.Heartbeat)
 		changed bool
@@ -119,7 +119,7 @@
 }
 
 func TestCompletedShards(t *testing.T) {
-	current := registered("a")
+	current := stateWithStores("a")
 	primary := replication.Member{ID: "a", Incarnation: 1}
 	current.Shards = []replication.Assignment{
 		{Epoch: 3, Primary: primary},
@@ -135,8 +135,8 @@
 	}
 }
 
-func TestANewPrimaryListensFirst(t *testing.T) {
-	table, current := New(testSettings), registered("a", "b")
+func TestNewPrimaryListensBeforeDeciding(t *testing.T) {
+	table, current := New(testSettings), stateWithStores("a", "b")
 	table.Record(heartbeat("a", 1), testNow-1)
 	table.StartServing(testNow)
 	table.Record(heartbeat("b", 1), testNow+1)
@@ -169,7 +169,7 @@
 		"retired": {func(_ *Table, current *state.State) { state.Retire{ID: "b", Done: true}.Apply(current) }, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			table, current := New(testSettings), registered("a", "b")
+			table, current := New(testSettings), stateWithStores("a", "b")
 			table.StartServing(testNow - 60*clock.Second)
 			table.SetFreshUntil(testNow)
 			table.Record(heartbeat("a", 1), testNow)
@@ -188,7 +188,7 @@
 
 // A store whose machine another store has taken over is evicted sooner; one that is still heard,
 // or whose successor is not, is not.
-func TestAReplacedStoreIsEvictedSooner(t *testing.T) {
+func TestReplacedStoreIsEvictedSooner(t *testing.T) {
 	const sooner = 2 * clock.Second // Timeout, which is longer than ListenDelay
 	for name, c := range map[string]struct {
 		name       string // of the later store's machine
@@ -205,7 +205,7 @@
 		"lost for long, successor is, too": {"m", testSettings.EvictAfter, 5 * clock.Second, []string{"a"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			table, current := New(testSettings), registered()
+			table, current := New(testSettings), stateWithStores()
 			machine := "m"
 			if c.name == "" {
 				machine = ""
@@ -229,8 +229,8 @@
 
 // Many stores are lost at once, on top of many that are evicted: each eviction may have the
 // state forget an older store, and only stores that are registered are evicted.
-func TestManyEvictionsAtOnce(t *testing.T) {
-	table, current := New(testSettings), registered()
+func TestManySimultaneousEvictions(t *testing.T) {
+	table, current := New(testSettings), stateWithStores()
 	for i := range 40 {
 		state.RegisterStore{Store: state.Store{ID: fmt.Sprintf("s%02d", 40-i), Peer: fmt.Sprint("p", i), Evicted: i < 16}}.Apply(current)
 	}
--- a/test/storedformat/folders_test.go
+++ b/test/storedformat/folders_test.go
@@ -172,7 +172,7 @@
 	for _, a := range s.Shards {
 		shards = append(shards, assignmentObject(a))
 	}
-	return object{"fleet": s.Fleet, "changes": s.Seq, "next_writer": s.NextWriter, "configurations": configurations, "orders": orders, "orders_forgotten": s.Requests.ForgottenUpTo(), "stores": stores, "shards": shards}
+	return object{"fleet": s.Fleet, "changes": s.Seq, "next_writer": s.NextWriter, "configurations": configurations, "orders": orders, "orders_forgotten": s.Requests.PrunedUpTo(), "stores": stores, "shards": shards}
 }
 
 // updateObjects are the updates that a core publishes again.
