--- a/internal/controlplane/changequeue/configuration.go
+++ b/internal/controlplane/changequeue/configuration.go
@@ -9,37 +9,38 @@
 	"tuliprudder/internal/errs"
 )
 
-// Configuration is a request to put a configuration, to be decided at its turn (DESIGN §8.1).
+// Configuration is a request to put a configuration. It is decided when its turn comes (DESIGN
+// §8.1).
 type Configuration struct {
-	Number     uint64 // the operator's own version; 0: the core numbers it
-	Base       uint64 // the version that it is built on; 0: none is in force
-	HasBase    bool   // only if Base is in force
-	Body       []byte // the whole document; nil for a patch
+	Number     uint64 // chosen by the operator; 0: the core assigns it
+	Base       uint64 // the version that it is based on; 0: none is in force
+	HasBase    bool   // the request is valid only if Base is in force
+	Body       []byte // the whole document; nil if the request is a patch
 	Patch      *config.Patch
 	By         string
-	Digest     state.Digest // of the document, or of the patch, as it was sent
+	Digest     state.Digest // of the document or the patch, as it was sent
 	ReceivedAt clock.Micros
 
 	decidedNumber uint64
 }
 
-// Version is the number that the configuration has once it is decided.
+// Version returns the number that the configuration got when it was decided.
 func (p *Configuration) Version() uint64 { return p.decidedNumber }
 
-// isSameRequest tells whether two requests are one that was sent twice.
+// isSameRequest reports whether two requests are the same request, sent twice.
 func (p *Configuration) isSameRequest(other *Configuration) bool {
 	sameBase := p.HasBase == other.HasBase && p.Base == other.Base
 	return p.Number == other.Number && sameBase && p.Digest == other.Digest
 }
 
-// dependsOn tells whether a request is built on top of another one that waits, too.
+// dependsOn reports whether a request is based on another waiting one.
 func (p *Configuration) dependsOn(other *Configuration) bool {
 	return p.HasBase && p.Number > p.Base && other.Number == p.Base
 }
 
-// appliedVersion finds the version that this request became, whether that is confirmed or in
-// flight. A request with the operator's own number is recognised by the number and
-// the document; one that the core numbered by the document and its base.
+// appliedVersion returns the version that this request became, whether that is confirmed or in
+// flight, and false if the request was not applied. A request that the operator numbered is
+// recognised by its number and digest, one that the core numbered by its base and digest.
 func (p *Configuration) appliedVersion(current *state.State) (uint64, bool) {
 	var applied state.AppliedRequest
 	var known bool
@@ -52,8 +53,8 @@
 	return applied.Number, known && applied.Digest == p.Digest
 }
 
-// isOutcomeUnknown tells whether it is no longer known what became of such a request: it
-// is older than all that the table of requests recognises.
+// isOutcomeUnknown reports whether it is no longer known if this request was applied, because it
+// is older than all requests in the table of requests.
 func (p *Configuration) isOutcomeUnknown(current *state.State) bool {
 	oldest := current.Requests.PrunedUpTo()
 	if p.Number != 0 {
@@ -62,27 +63,26 @@
 	return p.HasBase && p.Base < oldest
 }
 
-// awaitsBase tells whether a request is built on a version above the one in force, which
-// somebody may have put and nobody has brought here yet. No decision on it would be final.
+// awaitsBase reports whether a request is based on a version above the one in force. The request
+// for that version may still be on its way, so no decision would be final yet.
 func (p *Configuration) awaitsBase(current *state.State) bool {
 	latest, _ := current.Latest()
 	return p.HasBase && p.Base > latest.Number && (p.Number == 0 || p.Number > p.Base)
 }
 
-// decide numbers the configuration, or refuses it where its base is not in force
-// or its number is not above the one in force (DESIGN §8.1, §12.7). The entry is nil
-// where the very same request was applied before: it is not written again. A refusal is
-// final: numbers in force only rise, so a request that is refused once would be
-// refused at any later time. (One built on a version that is yet to come waits, and is
-// not decided.)
+// decide numbers the configuration, or refuses it if its base is not in force or its
+// number is not above the one in force (DESIGN §8.1, §12.7). The entry is nil if the same
+// request was applied before: it is not written again. A refusal is final: numbers in
+// force only increase, so a request that is refused once would be refused at any later
+// time. (A request based on a version that is still to come waits and is not decided.)
 func (p *Configuration) decide(current *state.State, check CheckDocument) (state.Entry, error) {
 	if number, applied := p.appliedVersion(current); applied {
 		p.decidedNumber = number
 		return nil, nil
 	}
 	if p.isOutcomeUnknown(current) {
-		return nil, errs.New(errs.OutcomeUnknown, "read back what is in force; put what is missing under a new number",
-			"more than %d configurations were put since: it is no longer known whether this one was among them", state.MaxRequests)
+		return nil, errs.New(errs.OutcomeUnknown, "read the configuration in force, and put what is missing under a new number",
+			"more than %d configurations were put since this request; it is no longer known whether it was applied", state.MaxRequests)
 	}
 	latest, _ := current.Latest()
 	if err := p.checkVersion(current, latest.Number); err != nil {
@@ -104,8 +104,9 @@
 	return entry, nil
 }
 
-// patch makes the whole document of the one in force. A patch is applied here, where its base is
-// checked, so that no other change can come between the two.
+// patch applies the patch to the document in force and checks the result. It is applied when the
+// request is decided, so that no other change can come between the check of its base and the
+// patch.
 func (p *Configuration) patch(document []byte, check CheckDocument) ([]byte, error) {
 	patched, err := p.Patch.Apply(document)
 	if err != nil {
@@ -117,19 +118,19 @@
 	return patched, check(patched)
 }
 
-// checkVersion is why the request can't be applied on top of the version in force.
+// checkVersion returns an error if the request cannot be applied on top of the version in force.
 func (p *Configuration) checkVersion(current *state.State, inForce uint64) error {
 	if _, taken := current.Requests.Find(p.Number); taken {
 		return errs.New(errs.StaleBase, "read the configuration in force, merge, and put with its version as base and a number above it",
-			"version %d exists already and has another document", p.Number)
+			"version %d already exists with a different document", p.Number)
 	}
 	if p.HasBase && p.Base != inForce {
 		return errs.New(errs.StaleBase, "read the configuration in force, merge, and put with its version as base",
 			"the configuration in force is version %d, not %d", inForce, p.Base)
 	}
 	if p.Number != 0 && p.Number <= inForce {
-		return errs.New(errs.InvalidConfiguration, fmt.Sprintf("number the configuration above %d", inForce),
-			"version %d is not above the one in force, %d", p.Number, inForce)
+		return errs.New(errs.InvalidConfiguration, fmt.Sprintf("use a version number above %d", inForce),
+			"version %d is not above the version in force, %d", p.Number, inForce)
 	}
 	return nil
 }
--- a/internal/controlplane/changequeue/expire.go
+++ b/internal/controlplane/changequeue/expire.go
@@ -7,16 +7,16 @@
 	"tuliprudder/internal/controlplane/state"
 )
 
-// TimedOut is a call whose deadline passed.
+// TimedOut is a call whose deadline has passed.
 type TimedOut struct {
 	Call uint64
-	// MayBeApplied tells that the change, or the very same one at another's call, was or may
-	// yet be applied. Otherwise it was dropped and never will be.
+	// MayBeApplied reports that the change, or the same change requested by another call, was
+	// applied or may still be. Otherwise the change was dropped and will never be applied.
 	MayBeApplied bool
 }
 
-// Expire ends the calls whose deadlines passed. The change in flight goes on without its
-// caller; changes that waited are dropped.
+// Expire removes and returns the calls whose deadlines have passed. The change in flight
+// continues without its caller; waiting changes are dropped.
 func (q *Queue) Expire(current *state.State, now clock.Micros) []TimedOut {
 	var timedOut []TimedOut
 	if q.inFlight != nil && now >= q.inFlight.Deadline && q.inFlight.Call != 0 {
@@ -38,7 +38,8 @@
 	return timedOut
 }
 
-// mayBeApplied tells whether the very same change was or may yet be applied at another's call.
+// mayBeApplied reports whether the same change, requested by another call, was or may still be
+// applied.
 func (q *Queue) mayBeApplied(c Change, current *state.State) bool {
 	if c.Configuration == nil {
 		return q.inFlight != nil && isRetirement(q.inFlight.Entry)
--- a/internal/controlplane/changequeue/queue.go
+++ b/internal/controlplane/changequeue/queue.go
@@ -1,11 +1,10 @@
 // Package changequeue orders the changes of the control state (DESIGN §5.4, §8.1): which
-// change is next, what became of an operator's request, and who is to be answered.
+// change is next, how an operator's request was decided, and which calls are to be answered.
 //
-// It is data and decisions only: the control state goes in as a value, changes and answers
-// come out, and the caller, the primary core, replicates and sends them. One change at a time
-// is in flight, so that an operator's request is decided on a state in which every earlier
-// change is confirmed or will be before the answer is given. It is not safe for concurrent
-// use.
+// It performs no I/O: it takes the control state as a value and returns changes and answers,
+// which the caller, the primary core, replicates and sends. Only one change at a time is in
+// flight, so that an operator's request is decided on a state in which every earlier change
+// is confirmed or will be before the answer is given. It is not safe for concurrent use.
 package changequeue
 
 import (
@@ -15,33 +14,34 @@
 	"tuliprudder/internal/controlplane/state"
 )
 
-// maxWaiting is how many changes may wait for their turn until operators' are rejected.
+// maxWaiting is how many changes may wait before operators' requests are rejected.
 const maxWaiting = 64
 
-// Change is one change that waits for its turn, or is on its way to the replicas.
-// The core's own changes have an entry from the start; an operator's request
-// gets one when it is decided.
+// Change is one change that is waiting for its turn or being replicated. The core's own
+// changes have an entry from the start; an operator's request gets one when it is
+// decided.
 type Change struct {
-	// Entry is what is replicated; nil before the decision, and after one that there is
-	// nothing to write.
+	// Entry is what is replicated. It is nil before the decision, and also after it if nothing
+	// needs to be written.
 	Entry         state.Entry
 	Configuration *Configuration // a request to put a configuration, else nil
 	Retirement    *Retirement    // a request to retire a store, else nil
-	Call          uint64         // of the operator who waits; 0: nobody does
+	Call          uint64         // the operator's call to be answered; 0: none
 	Deadline      clock.Micros   // of the call
 }
 
-// CheckDocument says what is wrong with a whole configuration document.
+// CheckDocument returns an error if a whole configuration document is invalid.
 type CheckDocument func(document []byte) error
 
-// Checks are what operators' requests are held against at their turn, besides the control state.
+// Checks are applied to operators' requests when they are decided, in addition to the control
+// state.
 type Checks struct {
-	CanRetire func(id string) error // why a store can't be retired; nil when it can
-	// Document checks what a patch makes; nil: all is valid.
+	CanRetire func(id string) error // returns an error if a store can't be retired
+	// Document checks the result of a patch; if nil, every result is valid.
 	Document CheckDocument
 }
 
-// decide decides an operator's request at its turn.
+// decide decides an operator's request, which gives it its entry.
 func (c *Change) decide(current *state.State, checks Checks) (err error) {
 	switch {
 	case c.Configuration != nil:
@@ -52,29 +52,28 @@
 	return err
 }
 
-// Queue is the changes that wait, in the order in which they came, and the one that is in
-// flight.
+// Queue holds the waiting changes in order of arrival, and the one in flight.
 type Queue struct {
 	waiting  []Change
 	inFlight *Change
 }
 
-// IsFull tells whether no further request of an operator is to be taken in.
+// IsFull reports whether further operators' requests must be rejected.
 func (q *Queue) IsFull() bool { return len(q.waiting) >= maxWaiting }
 
-// IsIdle tells that no change waits and none is in flight.
+// IsIdle reports whether no change is waiting or in flight.
 func (q *Queue) IsIdle() bool { return q.inFlight == nil && len(q.waiting) == 0 }
 
-// HasInFlight tells whether a change is on its way to the replicas.
+// HasInFlight reports whether a change is being replicated.
 func (q *Queue) HasInFlight() bool { return q.inFlight != nil }
 
-// HasConfigurationInFlight tells whether a configuration is on its way to the replicas: the
-// state has it already, but it is not confirmed.
+// HasConfigurationInFlight reports whether a configuration is being replicated. It is already in
+// the state but not confirmed yet.
 func (q *Queue) HasConfigurationInFlight() bool {
 	return q.inFlight != nil && q.inFlight.Configuration != nil
 }
 
-// HasEntry tells whether an entry that waits or is in flight matches.
+// HasEntry reports whether the entry of a change that is waiting or in flight matches.
 func (q *Queue) HasEntry(match func(state.Entry) bool) bool {
 	if q.inFlight != nil && q.inFlight.Entry != nil && match(q.inFlight.Entry) {
 		return true
@@ -85,9 +84,10 @@
 // Add appends a change.
 func (q *Queue) Add(c Change) { q.waiting = append(q.waiting, c) }
 
-// Next takes the change whose turn it is out of the queue and decides it; false when all
-// wait. The error is why an operator's request is refused. Only a primary that holds its
-// lease may call it: what another one decides could differ from what is in force.
+// Next removes the change whose turn it is from the queue and decides it. It returns false if
+// there is none that can be decided now, and an error if an operator's request is refused. Only
+// a primary that holds its lease may call it: otherwise the decision could be based on a state
+// that is no longer in force.
 func (q *Queue) Next(current *state.State, checks Checks) (c Change, ok bool, err error) {
 	at := slices.IndexFunc(q.waiting, func(c Change) bool {
 		return c.Configuration == nil || !q.baseIsPending(c.Configuration, current)
@@ -101,18 +101,19 @@
 	return c, true, err
 }
 
-// baseIsPending tells whether the configuration that another is built on waits here, or may
-// yet come: its request may have been overtaken on the way.
+// baseIsPending reports whether the configuration that a request is based on is waiting here, or
+// may still arrive because the request overtook it on the way.
 func (q *Queue) baseIsPending(put *Configuration, current *state.State) bool {
 	return put.awaitsBase(current) || slices.ContainsFunc(q.waiting, func(other Change) bool {
 		return other.Configuration != nil && put.dependsOn(other.Configuration)
 	})
 }
 
-// Start records that a change is on its way to the replicas.
+// Start records that a change is being replicated.
 func (q *Queue) Start(c Change) { q.inFlight = &c }
 
-// Confirm ends the change in flight: every replica has it on disk. False when there was none.
+// Confirm removes and returns the change in flight once every replica has it on disk, or returns
+// false if there is none.
 func (q *Queue) Confirm() (Change, bool) {
 	if q.inFlight == nil {
 		return Change{}, false
@@ -122,9 +123,9 @@
 	return confirmed, true
 }
 
-// Clear drops all changes, as this core is no longer primary, and lists the calls that wait
-// for them. The outcome of these is not known: the successor may have the change in flight,
-// and the operator may have sent the others to it.
+// Clear drops all changes when this core is no longer primary, and returns the calls that were
+// waiting for them. Their outcome is unknown: the successor may have the change that was in
+// flight, and operators may have sent the other requests to it as well.
 func (q *Queue) Clear() []uint64 {
 	calls := q.callsInFlight()
 	for _, c := range q.waiting {
@@ -134,8 +135,8 @@
 	return calls
 }
 
-// ReleaseCalls lists the calls that wait, and drops operators' changes that are not in
-// flight; the core's own remain.
+// ReleaseCalls returns the waiting calls and drops the changes of operators that are not in
+// flight. The core's own changes remain.
 func (q *Queue) ReleaseCalls() []uint64 {
 	calls := q.callsInFlight()
 	if q.inFlight != nil {
--- a/internal/controlplane/changequeue/queue_test.go
+++ b/internal/controlplane/changequeue/queue_test.go
@@ -11,7 +11,7 @@
 	"tuliprudder/internal/errs"
 )
 
-// putRequest is an operator's request to putRequest a configuration of the operator's own number.
+// putRequest returns an operator's request to put a configuration with the given number.
 func putRequest(t *testing.T, call, number, base uint64) Change {
 	t.Helper()
 	body := fmt.Appendf(nil, `{"n":%d}`, number)
@@ -22,7 +22,7 @@
 	return Change{Call: call, Deadline: clock.Second, Configuration: &Configuration{Number: number, Base: base, HasBase: true, Body: body, Digest: digest}}
 }
 
-// stateWithVersions is a state with configurations of these numbers.
+// stateWithVersions returns a state with configurations of the given numbers.
 func stateWithVersions(numbers ...uint64) *state.State {
 	s := state.New()
 	for _, number := range numbers {
@@ -37,25 +37,25 @@
 	for name, c := range map[string]struct {
 		current      *state.State
 		number, base uint64
-		want         uint64    // the version it gets
-		entry        bool      // it is written
-		refused      errs.Kind // "" where it is not
+		want         uint64    // the resulting version
+		entry        bool      // an entry is written
+		refused      errs.Kind // "" if it is accepted
 		waits        bool
 	}{
-		"on the version in force":          {stateWithVersions(5), 7, 5, 7, true, "", false},
-		"the first one":                    {stateWithVersions(), 3, 0, 3, true, "", false},
-		"applied before":                   {stateWithVersions(5, 7), 7, 5, 7, false, "", false},
-		"on a version that was succeeded":  {stateWithVersions(5, 7), 9, 5, 0, false, errs.StaleBase, false},
-		"applied before, succeeded since":  {stateWithVersions(5, 7), 5, 7, 5, false, "", false},
-		"a number below the one in force":  {stateWithVersions(5, 7), 6, 7, 0, false, errs.InvalidConfiguration, false},
-		"on a version that is yet to come": {stateWithVersions(5), 9, 8, 0, false, "", true},
+		"on the version in force":             {stateWithVersions(5), 7, 5, 7, true, "", false},
+		"the first one":                       {stateWithVersions(), 3, 0, 3, true, "", false},
+		"applied before":                      {stateWithVersions(5, 7), 7, 5, 7, false, "", false},
+		"on a superseded version":             {stateWithVersions(5, 7), 9, 5, 0, false, errs.StaleBase, false},
+		"applied before, superseded since":    {stateWithVersions(5, 7), 5, 7, 5, false, "", false},
+		"a number below the version in force": {stateWithVersions(5, 7), 6, 7, 0, false, errs.InvalidConfiguration, false},
+		"on a version still to come":          {stateWithVersions(5), 9, 8, 0, false, "", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var q Queue
 			q.Add(putRequest(t, 1, c.number, c.base))
 			change, ok, err := q.Next(c.current, Checks{CanRetire: allowRetirement})
 			if ok == c.waits {
-				t.Fatalf("its turn came: %v", ok)
+				t.Fatalf("decided: %v, want the opposite", ok)
 			}
 			if c.waits {
 				return
@@ -73,18 +73,18 @@
 	}
 }
 
-// A number is given to one document only.
+// A number is never reused for another document.
 func TestSameNumberWithOtherDocumentIsRefused(t *testing.T) {
 	var q Queue
 	other := putRequest(t, 1, 7, 5)
 	other.Configuration.Digest[0] ^= 1
 	q.Add(other)
 	if _, ok, err := q.Next(stateWithVersions(5, 7), Checks{CanRetire: allowRetirement}); !ok || !errs.Is(err, errs.StaleBase) {
-		t.Errorf("its turn came: %v, %v", ok, err)
+		t.Errorf("decided: %v, error %v, want StaleBase", ok, err)
 	}
 }
 
-// A configuration that overtook the one that it is built on waits for it.
+// A configuration that arrives before the one it is based on waits for it.
 func TestConfigurationWaitsForItsBase(t *testing.T) {
 	var q Queue
 	q.Add(putRequest(t, 1, 3, 2))
@@ -92,11 +92,11 @@
 	current := stateWithVersions(1)
 	change, ok, err := q.Next(current, Checks{CanRetire: allowRetirement})
 	if !ok || err != nil || change.Call != 2 {
-		t.Fatalf("first is call %d, %v", change.Call, err)
+		t.Fatalf("decided first: call %d, error %v", change.Call, err)
 	}
 	change.Entry.Apply(current)
 	if change, ok, err = q.Next(current, Checks{CanRetire: allowRetirement}); !ok || err != nil || change.Call != 1 {
-		t.Fatalf("second is call %d, %v", change.Call, err)
+		t.Fatalf("decided second: call %d, error %v", change.Call, err)
 	}
 }
 
@@ -120,9 +120,9 @@
 		"no name":                 {Retirement{}, nil, "", nil, errs.NotFound},
 		"too few would remain":    {Retirement{ID: "s1"}, tooFew, "", nil, errs.Rejected},
 		"retiring already":        {Retirement{ID: "s2"}, tooFew, "s2", nil, ""},
-		"only a look":             {Retirement{ID: "s1", ReadOnly: true}, tooFew, "s1", nil, ""},
+		"read only":               {Retirement{ID: "s1", ReadOnly: true}, tooFew, "s1", nil, ""},
 		"cancelled":               {Retirement{ID: "s2", Cancel: true}, tooFew, "s2", state.Retire{ID: "s2", Cancel: true}, ""},
-		"cancelled, never wanted": {Retirement{ID: "s1", Cancel: true}, nil, "s1", nil, ""},
+		"cancelled, not retiring": {Retirement{ID: "s1", Cancel: true}, nil, "s1", nil, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var q Queue
@@ -153,12 +153,12 @@
 		want     []TimedOut
 	}{
 		"in flight":                                {&retiring, nil, stateWithVersions(), []TimedOut{{1, true}}},
-		"waited, never decided":                    {nil, []Change{putRequest(t, 2, 7, 0)}, stateWithVersions(), []TimedOut{{2, false}}},
-		"the same one is applied":                  {nil, []Change{putRequest(t, 2, 7, 0)}, stateWithVersions(7), []TimedOut{{2, true}}},
-		"the same one waits for another":           {nil, []Change{putRequest(t, 2, 7, 0), later}, stateWithVersions(), []TimedOut{{2, true}}},
+		"waiting, never decided":                   {nil, []Change{putRequest(t, 2, 7, 0)}, stateWithVersions(), []TimedOut{{2, false}}},
+		"the same request was applied":             {nil, []Change{putRequest(t, 2, 7, 0)}, stateWithVersions(7), []TimedOut{{2, true}}},
+		"the same request waits for another call":  {nil, []Change{putRequest(t, 2, 7, 0), later}, stateWithVersions(), []TimedOut{{2, true}}},
 		"a retirement, while another is in flight": {&retiring, []Change{retire(2)}, stateWithVersions(), []TimedOut{{1, true}, {2, true}}},
-		"a retirement that waited":                 {nil, []Change{retire(2)}, stateWithVersions(), []TimedOut{{2, false}}},
-		"the core's own has no deadline":           {nil, []Change{{Entry: state.Retire{ID: "s1", Done: true}}}, stateWithVersions(), nil},
+		"a waiting retirement":                     {nil, []Change{retire(2)}, stateWithVersions(), []TimedOut{{2, false}}},
+		"the core's own change has no deadline":    {nil, []Change{{Entry: state.Retire{ID: "s1", Done: true}}}, stateWithVersions(), nil},
 		"before the deadline":                      {nil, []Change{later}, stateWithVersions(), nil},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -170,16 +170,17 @@
 				q.Add(change)
 			}
 			if got := q.Expire(c.current, clock.Second); !slices.Equal(got, c.want) {
-				t.Errorf("expired are %+v, not %+v", got, c.want)
+				t.Errorf("expired: got %+v, want %+v", got, c.want)
 			}
 			if got := q.Expire(c.current, clock.Second); len(got) != 0 {
-				t.Errorf("told twice: %+v", got)
+				t.Errorf("expired a second time: %+v", got)
 			}
 		})
 	}
 }
 
-// testQueue is a queue with one change in flight and two that wait, one of them the core's own.
+// testQueue returns a queue with one change in flight and two waiting, one of which is the core's
+// own.
 func testQueue(t *testing.T) *Queue {
 	t.Helper()
 	var q Queue
@@ -192,14 +193,14 @@
 func TestReleaseCallsAndClear(t *testing.T) {
 	q := testQueue(t)
 	if calls := q.ReleaseCalls(); !slices.Equal(calls, []uint64{1, 2}) {
-		t.Errorf("released are the calls %v", calls)
+		t.Errorf("released calls: got %v, want [1 2]", calls)
 	}
 	if confirmed, ok := q.Confirm(); !ok || confirmed.Call != 0 || !q.HasEntry(func(e state.Entry) bool { return e == state.Retire{ID: "s1", Done: true} }) || q.IsIdle() {
-		t.Errorf("after the release %+v was in flight, and the queue is %+v", confirmed, q)
+		t.Errorf("after the release: change in flight %+v, queue %+v", confirmed, q)
 	}
 	q = testQueue(t)
 	if calls := q.Clear(); !slices.Equal(calls, []uint64{1, 2}) || !q.IsIdle() {
-		t.Errorf("cleared are the calls %v, the queue is %+v", calls, q)
+		t.Errorf("cleared calls %v, queue %+v", calls, q)
 	}
 }
 
@@ -207,11 +208,11 @@
 	var q Queue
 	for i := range uint64(maxWaiting) {
 		if q.IsFull() {
-			t.Fatalf("full with %d changes", i)
+			t.Fatalf("full with only %d changes", i)
 		}
 		q.Add(putRequest(t, i+1, i+1, i))
 	}
 	if !q.IsFull() {
-		t.Fatal("never full")
+		t.Fatal("not full with maxWaiting changes")
 	}
 }
--- a/internal/controlplane/changequeue/retirement.go
+++ b/internal/controlplane/changequeue/retirement.go
@@ -5,22 +5,22 @@
 	"tuliprudder/internal/errs"
 )
 
-// Retirement is a request to retire a store, to be decided at its turn: two that come
-// at once are decided one after the other (DESIGN §8.4, §12.7).
+// Retirement is a request to retire a store. It is decided when its turn comes, so that
+// concurrent requests are decided one after the other (DESIGN §8.4, §12.7).
 type Retirement struct {
-	ID       string // of the store; "": the store that the operator calls Name
+	ID       string // of the store; "": the store is identified by Name
 	Name     string
-	Cancel   bool // the store is to stay
-	ReadOnly bool // only look how far it is
+	Cancel   bool // the retirement is to be cancelled
+	ReadOnly bool // only report the progress
 
 	decidedID string
 }
 
-// StoreID is the store that the request is about once it is decided.
+// StoreID returns the id of the store that the request refers to, once it is decided.
 func (r *Retirement) StoreID() string { return r.decidedID }
 
-// decide marks a store as retiring, where the fleet can do without it; the entry is nil
-// where there is nothing to change.
+// decide returns the entry that marks a store as retiring or removes the mark. The entry is nil if
+// there is nothing to change, and the error is not nil if the store cannot be retired.
 func (r *Retirement) decide(current *state.State, canRetire func(id string) error) (state.Entry, error) {
 	store, err := r.find(current)
 	if err != nil {
@@ -39,18 +39,18 @@
 	return state.Retire{ID: store.ID, Cancel: r.Cancel}, nil
 }
 
-// find looks the store up.
+// find returns the store that the request refers to.
 func (r *Retirement) find(current *state.State) (state.Store, error) {
 	if r.ID == "" {
 		store, known := current.StoreNamed(r.Name)
 		if !known {
-			return store, errs.New(errs.NotFound, "list the stores to see the names that exist", "no store is called %q", r.Name)
+			return store, errs.New(errs.NotFound, "list the stores to see the names that exist", "there is no store named %q", r.Name)
 		}
 		return store, nil
 	}
 	store, known := current.Stores[r.ID]
 	if !known {
-		return store, errs.New(errs.NotFound, "list the stores to see the ids that exist", "no store %q is registered", r.ID)
+		return store, errs.New(errs.NotFound, "list the stores to see the ids that exist", "there is no registered store %q", r.ID)
 	}
 	return store, nil
 }
--- a/internal/controlplane/durableupdates/stored_names.go
+++ b/internal/controlplane/durableupdates/stored_names.go
@@ -2,20 +2,20 @@
 
 import "strings"
 
-// The unit and the kind of the records of updates. These spellings are on disk; they
-// never change.
+// The unit and the kind of the records of updates. They are stored on disk and must not
+// change.
 const (
 	unitUpdates = "listed"
 	kindUpdate  = "rumour"
 )
 
-// The keys of the updates that are kept: those of model servers, as package dataplane/endpoints
-// has them, and of the configuration in force, as package state has it. These spellings are on disk
-// and gossiped; they never change.
+// The keys of the updates that are kept: those of model servers, as defined by package
+// dataplane/endpoints, and that of the configuration in force, as defined by package state. They
+// are stored on disk and are part of the gossip protocol, so they must not change.
 const (
 	serverPrefix     = "server/"
 	configurationKey = "plan"
 )
 
-// IsKept tells whether updates of a key are kept.
+// IsKept reports whether updates with the key are kept.
 func IsKept(key string) bool { return key == configurationKey || strings.HasPrefix(key, serverPrefix) }
--- a/internal/controlplane/durableupdates/table.go
+++ b/internal/controlplane/durableupdates/table.go
@@ -1,13 +1,12 @@
-// Package durableupdates keeps the updates that callers can't be served without on the disk of each
-// core: what the platform says of model servers, and the configuration in force.
+// Package durableupdates persists, on the disk of each core, the updates without which requests
+// cannot be served: the platform's updates on model servers, and the configuration in force.
 //
-// Updates on servers start at any daemon and are in memory only there; the configuration is
-// published by the primary core alone, which has to be elected first. Each core writes them down as
-// they come, so that they outlive a stop of the whole fleet (DESIGN §8.3), and publishes them
-// again when it starts. A configuration is published only once it is confirmed, and daemons go by
-// the newest, so an older one that a core publishes after a stop takes nothing back. The table
-// decides nothing else; its caller writes the records that it returns. It is not safe for
-// concurrent use.
+// Updates on servers originate at any daemon, which holds them in memory only; the configuration
+// is published only by the primary core, which must be elected first. Each core persists them as
+// they arrive, so that they survive a stop of the whole fleet (DESIGN §8.3), and publishes them
+// again when it starts. A configuration is published only once it is confirmed, and daemons use
+// the newest, so an older one that a core publishes after a stop does not undo a newer one. The
+// table only selects the records; its caller writes them. It is not safe for concurrent use.
 package durableupdates
 
 import (
@@ -19,30 +18,31 @@
 	"tuliprudder/internal/machine"
 )
 
-// maxUpdates bounds the table; a further update is known until all daemons stop, but not on disk.
+// maxUpdates bounds the table. Updates beyond it are gossiped as usual but not persisted, so they
+// are lost when all daemons stop.
 const maxUpdates = 10_000
 
-// Table is the newest update of each key that is kept.
+// Table holds the newest update of each key that is kept.
 type Table struct {
 	updates     map[string]machine.Update // by key
 	republished bool
 }
 
-// New is an empty table.
+// New returns an empty table.
 func New() *Table { return &Table{updates: map[string]machine.Update{}} }
 
-// LimitError tells that an update is not kept, as the table is full.
+// LimitError reports that an update is not kept because the table is full.
 type LimitError struct {
 	Key string // of the update
 }
 
 func (e *LimitError) Error() string {
-	return "more updates than a core keeps; " + e.Key + " is not on disk"
+	return "the table of durable updates is full; the update " + e.Key + " is not persisted"
 }
 
-// Accept takes an update into the table, and returns the record to write. There is none
-// where the update is of something else, or not newer than what is known. The error is
-// a *LimitError.
+// Accept adds an update to the table and returns the record to write. There is none if
+// updates with the key are not kept or the update is not newer than the known one. The
+// error is a *LimitError.
 func (t *Table) Accept(update machine.Update) (records []machine.Record, err error) {
 	known, isKnown := t.updates[update.Key]
 	if !IsKept(update.Key) || !update.Newer(known) {
@@ -55,15 +55,16 @@
 	return []machine.Record{recordOf(update)}, nil
 }
 
-// Restore reads an update back from a record; false when the record is of something else.
+// Restore adds the update in a stored record to the table. It returns false if the record belongs
+// to another unit.
 func (t *Table) Restore(record machine.Record) (bool, error) {
 	if record.Unit != unitUpdates {
 		return false, nil
 	}
 	var update machine.Update
 	if err := json.Unmarshal(record.Body, &update); err != nil {
-		return true, errs.New(errs.Corrupt, "move the whole data folder away and start empty: the cores give it a vote",
-			"an update can't be read: %v", err)
+		return true, errs.New(errs.Corrupt, "move the whole data folder away and start with an empty one: the cores then give this core a vote again",
+			"decoding a stored update: %v", err)
 	}
 	if update.Newer(t.updates[update.Key]) {
 		t.updates[update.Key] = update
@@ -71,8 +72,8 @@
 	return true, nil
 }
 
-// Republish returns the updates that were read back, in the order of their keys, the first
-// time that it is called.
+// Republish returns, on its first call, the updates in the table sorted by key, so that those
+// restored from disk are published again. Later calls return nil.
 func (t *Table) Republish() []machine.Update {
 	if t.republished {
 		return nil
@@ -85,7 +86,8 @@
 	return out
 }
 
-// Records are records that say the same as all written so far, in the order of their keys.
+// Records returns one record for each update in the table, sorted by key. Together they are
+// equivalent to all records written so far.
 func (t *Table) Records() []machine.Record {
 	var out []machine.Record
 	for _, key := range t.keys() {
--- a/internal/controlplane/durableupdates/table_test.go
+++ b/internal/controlplane/durableupdates/table_test.go
@@ -13,7 +13,7 @@
 	return machine.Update{Key: key, Epoch: 1, Seq: seq, Value: []byte(`{}`)}
 }
 
-// accept takes an update that has to be written or ignored.
+// accept passes an update to the table and checks whether it is to be written.
 func accept(t *testing.T, table *Table, u machine.Update, written bool) []machine.Record {
 	t.Helper()
 	records, err := table.Accept(u)
@@ -34,12 +34,12 @@
 	accept(t, table, update("plan", 9), true)
 	accept(t, table, update("plan", 8), false)
 	if n := len(table.Records()); n != 2 {
-		t.Errorf("%d records say the same as all", n)
+		t.Errorf("got %d records, want 2", n)
 	}
 }
 
-// What was written is read back and published once, in the order of keys, whatever the
-// order of the records.
+// Written updates are restored, whatever the order of the records, and are published once, sorted
+// by key.
 func TestUpdatesRoundTrip(t *testing.T) {
 	written, table := New(), New()
 	old := accept(t, written, update("server/b", 1), true)
@@ -53,20 +53,20 @@
 	}
 	published := table.Republish()
 	if len(published) != 3 || published[0].Key != "plan" || published[1].Key != "server/a" || published[2].Key != "server/b" || published[2].Seq != 4 {
-		t.Errorf("published are %+v", published)
+		t.Errorf("published: %+v", published)
 	}
 	if again := table.Republish(); again != nil {
-		t.Errorf("published a second time are %+v", again)
+		t.Errorf("published a second time: %+v", again)
 	}
 }
 
 func TestRestoreOfOtherAndDamagedRecords(t *testing.T) {
 	table := New()
 	if isKept, err := table.Restore(machine.Record{Unit: "core"}); isKept || err != nil {
-		t.Errorf("another unit: %v %v", isKept, err)
+		t.Errorf("record of another unit: %v %v", isKept, err)
 	}
 	if isKept, err := table.Restore(machine.Record{Unit: unitUpdates, Body: []byte("{")}); !isKept || !errs.Is(err, errs.Corrupt) || errs.Of(err).Remedy == "" {
-		t.Errorf("a damaged record: %v %v", isKept, err)
+		t.Errorf("damaged record: %v %v", isKept, err)
 	}
 }
 
@@ -77,7 +77,7 @@
 	}
 	var limit *LimitError
 	if _, err := table.Accept(update("server/more", 1)); !errors.As(err, &limit) || limit.Key != "server/more" {
-		t.Errorf("one more: %v", err)
+		t.Errorf("one update above the limit: got error %v", err)
 	}
-	accept(t, table, update("server/0", 2), true) // a known one is still updated
+	accept(t, table, update("server/0", 2), true) // a known key is still updated
 }
--- a/internal/controlplane/placement/balance.go
+++ b/internal/controlplane/placement/balance.go
@@ -7,12 +7,14 @@
 	"tuliprudder/internal/replication"
 )
 
-// urgentImbalance is how uneven the shares have to be for a shard to move whose batches are
-// open: the new primary runs their items anew.
+// urgentImbalance is the difference in primary counts from which a shard with open batches may
+// change its primary. Below it such shards stay, because the new primary runs the items of open
+// batches again.
 const urgentImbalance = 6
 
-// balance moves one shard towards even shares: first a copy, then, once that is complete,
-// the primary's role. One move at a time bounds the copying that live work has to bear.
+// balance makes one move that evens out the load. A copy is moved first; once the new group is
+// complete, the primary role can follow. Making one move at a time limits how much copying
+// competes with live work.
 func (p *planner) balance() {
 	if p.cluster.Now < p.state.NextBalance || len(p.eligible) < 2 {
 		return
@@ -30,7 +32,7 @@
 	}
 }
 
-// leastLoaded is the store with the lowest count.
+// leastLoaded returns the eligible store with the lowest count.
 func (p *planner) leastLoaded(counts map[string]int) string {
 	lowest := p.eligible[0]
 	for _, id := range p.eligible {
@@ -41,7 +43,8 @@
 	return lowest
 }
 
-// overloaded are the stores with at least two more than the lowest, the highest count first.
+// overloaded returns the stores whose count exceeds that of the lowest by at least two, highest
+// count first.
 func (p *planner) overloaded(counts map[string]int, lowest string) []string {
 	var out []string
 	for _, id := range p.eligible {
@@ -53,7 +56,8 @@
 	return out
 }
 
-// move gives a shard another primary of the group, or another replica in the place of one.
+// move records a new assignment of a shard: with another member as primary, or with one replica
+// replaced. The members of the current group stay trusted.
 func (p *planner) move(shard int, members []replication.Member, reason string) {
 	a := p.cluster.Shards[shard]
 	next := replication.Assignment{
@@ -71,8 +75,8 @@
 	})
 }
 
-// promoteReplica makes the store with the fewest shards as primary the primary of one that it
-// replicates.
+// promoteReplica makes the store that is the primary of the fewest shards the primary of a shard
+// of which it is a replica.
 func (p *planner) promoteReplica() bool {
 	lowest := p.leastLoaded(p.primaryCount)
 	for _, highest := range p.overloaded(p.primaryCount, lowest) {
@@ -87,20 +91,20 @@
 			}
 			members := a.Members()
 			members[0], members[at+1] = members[at+1], members[0]
-			p.move(shard, members, "even shares: its replica leads it now")
+			p.move(shard, members, "balancing: a replica becomes the primary")
 			return true
 		}
 	}
 	return false
 }
 
-// replicateToLeastLoaded copies a shard to the store with the fewest shards as primary, in the
-// place of a replica.
+// replicateToLeastLoaded replaces a replica of a shard with the store that is the primary of the
+// fewest shards, so that promoteReplica can make it the primary later.
 func (p *planner) replicateToLeastLoaded() bool {
 	lowest := p.leastLoaded(p.primaryCount)
 	for _, highest := range p.overloaded(p.primaryCount, lowest) {
 		for shard, a := range p.cluster.Shards {
-			if a.Primary.ID == highest && p.replaceReplica(shard, p.maxLoadReplica(a), lowest, "even shares: copied to the store that leads fewest") {
+			if a.Primary.ID == highest && p.replaceReplica(shard, p.maxLoadReplica(a), lowest, "balancing: a copy moves to the store that is the primary of the fewest shards") {
 				return true
 			}
 		}
@@ -108,12 +112,12 @@
 	return false
 }
 
-// balanceReplicas copies a shard to the store with the fewest copies.
+// balanceReplicas moves a replica from an overloaded store to the store with the fewest replicas.
 func (p *planner) balanceReplicas() bool {
 	lowest := p.leastLoaded(p.replicaCount)
 	for _, highest := range p.overloaded(p.replicaCount, lowest) {
 		for shard := range p.cluster.Shards {
-			if p.replaceReplica(shard, highest, lowest, "even shares of copies") {
+			if p.replaceReplica(shard, highest, lowest, "balancing: a copy moves to the store with the fewest replicas") {
 				return true
 			}
 		}
@@ -121,13 +125,13 @@
 	return false
 }
 
-// spreadZones moves a replica out of a zone that another member of its group is in.
+// spreadZones moves a replica out of a zone that it shares with another member of its group.
 func (p *planner) spreadZones() bool {
 	for shard, a := range p.cluster.Shards {
 		for _, replica := range a.Replicas {
 			others := slices.DeleteFunc(a.IDs(), func(id string) bool { return id == replica.ID })
 			replacement := p.replacementInOtherZone(a, replica, others)
-			if replacement != "" && p.replaceReplica(shard, replica.ID, replacement, "two copies shared a zone") {
+			if replacement != "" && p.replaceReplica(shard, replica.ID, replacement, "two copies were in the same zone") {
 				return true
 			}
 		}
@@ -135,8 +139,9 @@
 	return false
 }
 
-// replacementInOtherZone is a store in a zone of its own for a replica that shares one with
-// the others of its group; "" when the replica is alone in its zone or no such store is there.
+// replacementInOtherZone returns a store in an unused zone to replace a replica that shares its
+// zone with another member of the group. It returns "" if the replica is alone in its zone or if
+// there is no such store.
 func (p *planner) replacementInOtherZone(a replication.Assignment, replica replication.Member, others []string) string {
 	zones := p.cluster.ZoneCount(others)
 	if zones < p.cluster.ZoneCount(a.IDs()) {
@@ -149,7 +154,7 @@
 	return replacement
 }
 
-// maxLoadReplica is the replica of a group with the most copies.
+// maxLoadReplica returns the replica of a group whose store holds the most replicas.
 func (p *planner) maxLoadReplica(a replication.Assignment) string {
 	highest := ""
 	for _, replica := range a.Replicas {
@@ -160,8 +165,8 @@
 	return highest
 }
 
-// replaceReplica puts a store in the place of a replica where the zones of the group
-// allow it and the store did not lose contact with the primary lately.
+// replaceReplica replaces a replica with another store, unless the group would span fewer zones or
+// the store recently lost contact with the primary. It reports whether it did so.
 func (p *planner) replaceReplica(shard int, replaced, replacement, reason string) bool {
 	a := p.cluster.Shards[shard]
 	at := indexOfReplica(a, replaced)
@@ -183,7 +188,7 @@
 	return true
 }
 
-// indexOfReplica is a store's index among the replicas of a group; -1 where it is none.
+// indexOfReplica returns a store's index among the replicas of a group, or -1.
 func indexOfReplica(a replication.Assignment, id string) int {
 	return slices.IndexFunc(a.Replicas, func(m replication.Member) bool { return m.ID == id })
 }
--- a/internal/controlplane/placement/cluster.go
+++ b/internal/controlplane/placement/cluster.go
@@ -9,38 +9,39 @@
 	"tuliprudder/internal/replication"
 )
 
-// Store is one store as the primary core sees it.
+// Store is the primary core's view of one store.
 type Store struct {
 	Zone string
-	Peer string // its address
-	// Incarnation is the one that the store runs in now; only where it is Live.
+	Peer string // address
+	// Incarnation is the store's current incarnation. It is valid only if the store is Live.
 	Incarnation  uint64
 	Live         bool
-	Retiring     bool         // an operator wants it emptied
-	Draining     bool         // its process is about to stop
-	Stalled      bool         // its disk holds writes back
-	HeardAt      clock.Micros // its latest heartbeat; 0: none
-	FirstHeardAt clock.Micros // the first heartbeat of this incarnation
-	// Unreachable are, by shard that it is the primary of, the replicas that don't answer it.
+	Retiring     bool         // an operator has requested its retirement
+	Draining     bool         // its process is about to exit
+	Stalled      bool         // its disk is not accepting writes or is too slow
+	HeardAt      clock.Micros // time of the latest heartbeat; 0 if there was none
+	FirstHeardAt clock.Micros // time of the first heartbeat of this incarnation
+	// Unreachable lists, for each shard of which the store is the primary, the replicas that do not
+	// answer it.
 	Unreachable map[int]registration.UnreachableReplicas
-	// Busy are the shards that it is the primary of and whose batches are open.
+	// Busy lists the shards of which the store is the primary and that have open batches.
 	Busy []int
 }
 
-// mustEvacuate tells whether shards have to move off the store although it runs.
+// mustEvacuate reports whether shards must move off the store although it is running.
 func (s Store) mustEvacuate() bool { return s.Retiring || s.Draining || s.Stalled }
 
-// ClusterView is all that a placement depends on, at one moment.
+// ClusterView is a snapshot of everything that placement depends on.
 type ClusterView struct {
 	Now clock.Micros
-	// ServingSince is since when the primary core hears the stores without a pause: a store that it
-	// did not hear before may still live.
+	// ServingSince is the time since which the primary core has received heartbeats without
+	// interruption. A store that it had not heard before that time may still be alive.
 	ServingSince clock.Micros
 	Shards       []replication.Assignment
-	Stores       map[string]Store // by id; all that a shard refers to are among them
+	Stores       map[string]Store // by id; includes every store that a shard refers to
 }
 
-// Eligible lists the stores that take shards, in the order of their ids.
+// Eligible returns the ids of the stores that can take shards, sorted.
 func (v ClusterView) Eligible() []string {
 	var out []string
 	for _, id := range slices.Sorted(maps.Keys(v.Stores)) {
@@ -51,7 +52,7 @@
 	return out
 }
 
-// ZoneCount counts the zones that some stores are in.
+// ZoneCount returns the number of distinct zones of the given stores.
 func (v ClusterView) ZoneCount(ids []string) int {
 	zones := map[string]bool{}
 	for _, id := range ids {
@@ -60,20 +61,21 @@
 	return len(zones)
 }
 
-// incarnation is the one that a store runs in now; false where it is taken for lost.
+// incarnation returns a store's current incarnation, or false if the store is considered lost.
 func (v ClusterView) incarnation(id string) (uint64, bool) {
 	store := v.Stores[id]
 	return store.Incarnation, store.Live
 }
 
-// isLive tells whether a store is not taken for lost.
+// isLive reports whether a store is not considered lost.
 func (v ClusterView) isLive(id string) bool { return v.Stores[id].Live }
 
-// mustEvacuate tells whether shards have to move off a store although it runs.
+// mustEvacuate reports whether shards must move off a store although it is running.
 func (v ClusterView) mustEvacuate(id string) bool { return v.Stores[id].mustEvacuate() }
 
-// missingFor is for how long every lost member of a group has been missing at least. One
-// that runs again in another incarnation is no longer missing.
+// missingFor returns the time for which all lost members of a group have been missing: the shortest
+// of their times since the last heartbeat, but at most the time since ServingSince. A member that
+// runs again in another incarnation is not missing.
 func (v ClusterView) missingFor(assignment replication.Assignment) clock.Micros {
 	missing := v.Now - v.ServingSince
 	for _, member := range assignment.Members() {
--- a/internal/controlplane/placement/evacuate.go
+++ b/internal/controlplane/placement/evacuate.go
@@ -6,9 +6,9 @@
 	"tuliprudder/internal/replication"
 )
 
-// evacuate moves a shard off stores that are retiring, draining or stalled. Such a store
-// counts as a member until the new group is complete without it, so that no copy is
-// given up before another one replaces it.
+// evacuate moves a shard off stores that are retiring, draining or stalled. Such a store must
+// keep its copy until the new group is complete without it, so that no copy is dropped before
+// another one has replaced it.
 func (p *planner) evacuate(a replication.Assignment) (replication.Assignment, string, bool) {
 	if !a.Complete {
 		return a, "", false
@@ -22,7 +22,7 @@
 		primary, reason = firstReplicaNotIn(a, evacuating), "the primary's store is draining"
 	}
 	if primary == "" || primary == a.Primary.ID && p.hasDrainingReplica(a) {
-		return a, "", false // a replica that drains is replaced once it has stopped
+		return a, "", false // a draining replica is replaced once its process has exited
 	}
 	next, ok := replication.Reassign(a, p.clusterOfGroup(a), primary, evacuating)
 	if ok && len(next.Members()) < len(a.Members()) && !p.mayShrink(evacuating) {
@@ -31,17 +31,17 @@
 	return next, reason, ok
 }
 
-// evacuatingMembers are the members of a group that have to give up their shards.
+// evacuatingMembers returns the members of a group whose stores must give up their shards.
 func (p *planner) evacuatingMembers(a replication.Assignment) []string {
 	return slices.DeleteFunc(a.IDs(), func(id string) bool { return !p.cluster.mustEvacuate(id) })
 }
 
-// hasDrainingReplica tells whether the process of a replica's store is about to stop.
+// hasDrainingReplica reports whether the process of a replica's store is about to exit.
 func (p *planner) hasDrainingReplica(a replication.Assignment) bool {
 	return slices.ContainsFunc(a.Replicas, func(m replication.Member) bool { return p.cluster.Stores[m.ID].Draining })
 }
 
-// firstReplicaNotIn is the first replica that is none of the excluded; "" when there is none.
+// firstReplicaNotIn returns the first replica that is not excluded, or "".
 func firstReplicaNotIn(a replication.Assignment, excluded []string) string {
 	for _, replica := range a.Replicas {
 		if !slices.Contains(excluded, replica.ID) {
@@ -51,8 +51,8 @@
 	return ""
 }
 
-// mayShrink tells whether a group may lose members that leave without others in their place.
-// Not those that an operator retires: these run until their copies are elsewhere.
+// mayShrink reports whether evacuating members may leave the group without being replaced. Members
+// that an operator is retiring may not: they keep running until their copies are elsewhere.
 func (p *planner) mayShrink(evacuating []string) bool {
 	return !slices.ContainsFunc(evacuating, func(id string) bool { return p.cluster.Stores[id].Retiring })
 }
--- a/internal/controlplane/placement/placement.go
+++ b/internal/controlplane/placement/placement.go
@@ -1,15 +1,15 @@
 // Package placement decides which stores hold which shard (DESIGN §5.4, §6.6, §8.4).
 //
-// Decide is a pure function: a ClusterView and the memory of earlier calls go in, new
-// assignments and the reasons for them come out. It keeps no state, reads no clock and
-// has no side effect, so any goroutine may call it. The caller, the primary core, replicates
-// the assignments and calls Decide again when something changed.
+// Decide is a pure function: it takes a ClusterView and the state returned by the previous call,
+// and returns new assignments and the reasons for them. It keeps no state, reads no clock and
+// has no side effects, so any goroutine may call it. The caller, the primary core, replicates
+// the assignments and calls Decide again when something has changed.
 //
-// Two rules hold for every assignment that Decide returns:
-//   - Its primary is a store that holds all that was ever confirmed (replication.Assignment,
-//     Trusted), or the shard was never assigned before.
-//   - It has MinReplicas members at least, in as many of the required zones as these allow: where
-//     losses are tolerated, one copy may be lost without losing what was confirmed.
+// Two invariants hold for every assignment that Decide returns:
+//   - Its primary is a store that has every confirmed entry (replication.Assignment, Trusted), or
+//     the shard has never been assigned before.
+//   - It has at least MinGroupSize members, in as many of the required zones as that number
+//     allows: if the settings tolerate losses, one copy can be lost without losing confirmed data.
 package placement
 
 import (
@@ -21,44 +21,45 @@
 )
 
 const (
-	// shrinkDelay is how long a group that lacks a member waits for one until it goes on
-	// with fewer copies than it should have.
+	// shrinkDelay is how long the members of a group must have been missing before the group
+	// continues with fewer copies than configured.
 	shrinkDelay = 1500 * clock.Millisecond
-	// firstAssignmentDelay is how long every store has to be heard until shards are assigned
-	// for the first time: the load is spread over all stores that start together.
+	// firstAssignmentDelay is how long every eligible store must have been sending heartbeats
+	// before shards are assigned for the first time, so that the load is spread over all stores
+	// that start together.
 	firstAssignmentDelay = 700 * clock.Millisecond
-	// firstAssignmentTimeout is how long a primary waits at the first assignment for as many
-	// stores as there should be copies.
+	// firstAssignmentTimeout is how long a primary core waits for enough stores for a full group
+	// before it makes a first assignment with fewer copies.
 	firstAssignmentTimeout = 4 * clock.Second
 )
 
-// Settings of the placement.
+// Settings are the parameters of the placement.
 type Settings struct {
-	Tolerance         int          // machines with a disk that may be lost at once
-	Zones             int          // zones that the copies of a shard have to be in
-	PartitionCooldown clock.Micros // for how long two stores that lost contact share no group
-	BalanceInterval   clock.Micros // between two moves towards even shares
-	BalanceDelay      clock.Micros // for how long a store is heard until shards move to it
+	Tolerance         int          // machines with a disk that may be lost at the same time
+	Zones             int          // zones over which the copies of a shard must be spread
+	PartitionCooldown clock.Micros // how long two stores that lost contact are kept out of one group
+	BalanceInterval   clock.Micros // between two balancing moves
+	BalanceDelay      clock.Micros // how long every eligible store must have been heard before balancing
 }
 
-// GroupSize is how many stores hold a shard: one more than may be lost at once.
+// GroupSize returns how many stores hold a shard: one more than may be lost at the same time.
 func (s Settings) GroupSize() int { return s.Tolerance + 1 }
 
-// MinGroupSize is how few copies a shard may go on with while stores are missing. Two
-// are the least where anything may be lost: what is lost already counts against the
-// tolerance, but a store may be missing only for this core.
+// MinGroupSize returns the smallest number of copies with which a shard may continue while stores
+// are missing. If any loss is tolerated it is two: lost stores already count against the
+// tolerance, but a store may appear missing to this core only.
 func (s Settings) MinGroupSize() int { return min(2, s.GroupSize()) }
 
-// requiredZonesFor is how many zones a number of copies has to be in.
+// requiredZonesFor returns how many zones the given number of copies must be spread over.
 func (s Settings) requiredZonesFor(replicas int) int { return min(s.Zones, replicas) }
 
-// RequiredZones is how many zones the stores of a complete group are in.
+// RequiredZones returns how many zones the stores of a full group must be spread over.
 func (s Settings) RequiredZones() int { return s.requiredZonesFor(s.GroupSize()) }
 
-// StorePair is two stores, the lower id first.
+// StorePair is an unordered pair of store ids, stored with the lower id first.
 type StorePair [2]string
 
-// PairOf is the pair of two stores in any order.
+// PairOf returns the pair of two stores, given in any order.
 func PairOf(one, other string) StorePair {
 	if one > other {
 		one, other = other, one
@@ -66,40 +67,42 @@
 	return StorePair{one, other}
 }
 
-// PlannerState is what the decisions of one call are to the next ones.
+// PlannerState is the state that is carried over from one call to Decide to the next.
 type PlannerState struct {
-	// PartitionedUntil is when two stores that lost contact may be in one group again.
+	// PartitionedUntil is the time until which two stores that lost contact are kept out of one
+	// group.
 	PartitionedUntil map[StorePair]clock.Micros
-	// NextBalance is when the next move towards even shares is due.
+	// NextBalance is when the next balancing move is due.
 	NextBalance clock.Micros
 }
 
-// Decision is what should change.
+// Decision is the result of Decide.
 type Decision struct {
-	// Assignments are the new assignments by shard.
+	// Assignments holds the new assignments by shard.
 	Assignments map[int]replication.Assignment
-	// Events tell the reasons, in the order of the decisions.
+	// Events records the reasons for the log, in the order of the decisions.
 	Events []machine.Event
-	// AllComplete tells that every shard had a complete group with all its copies before.
+	// AllComplete reports whether every shard already had a complete group of full size before
+	// this call.
 	AllComplete bool
-	// NextState is what the next call has to be given.
+	// NextState must be passed to the next call.
 	NextState PlannerState
 }
 
-// planner is one call of Decide.
+// planner holds the working state of one call to Decide.
 type planner struct {
 	settings     Settings
 	cluster      ClusterView
 	state        PlannerState
-	eligible     []string       // stores that take shards, in the order of their ids
-	primaryCount map[string]int // shards by their primary
-	replicaCount map[string]int // shards by their replicas
+	eligible     []string       // stores that can take shards, sorted by id
+	primaryCount map[string]int // number of shards of which a store is the primary
+	replicaCount map[string]int // number of shards of which a store is a replica
 	assignments  map[int]replication.Assignment
 	events       []machine.Event
 }
 
-// Decide works out which shards need another assignment. Repairs come first; shards move
-// towards even shares only while every group is complete.
+// Decide returns new assignments for the shards that need one. Repairs take precedence: balancing
+// moves are made only while every group is complete.
 func Decide(settings Settings, cluster ClusterView, previous PlannerState) Decision {
 	p := newPlanner(settings, cluster, previous)
 	complete := true
@@ -140,7 +143,7 @@
 	return p
 }
 
-// countMembers adds the members of an assignment to the stores' loads.
+// countMembers adds the members of an assignment to the per-store counts.
 func (p *planner) countMembers(assignment replication.Assignment) {
 	if assignment.IsZero() {
 		return
@@ -164,7 +167,7 @@
 	})
 }
 
-// recentlyPartitioned tells whether two stores lost contact lately.
+// recentlyPartitioned reports whether two stores lost contact within PartitionCooldown.
 func (p *planner) recentlyPartitioned(one, other string) bool {
 	return p.cluster.Now < p.state.PartitionedUntil[PairOf(one, other)]
 }
--- a/internal/controlplane/placement/repair.go
+++ b/internal/controlplane/placement/repair.go
@@ -7,8 +7,8 @@
 	"tuliprudder/internal/replication"
 )
 
-// repair gives a shard the assignment that it lacks, if any. A lost member is replaced
-// first, as only that puts confirmed data at risk.
+// repair assigns a shard anew if that is needed. Replacing a lost member takes precedence, because
+// only a lost member puts confirmed data at risk.
 func (p *planner) repair(shard int, assignment replication.Assignment) {
 	if assignment.IsZero() {
 		if next, ok := p.assignFirst(); ok {
@@ -25,11 +25,12 @@
 		return
 	}
 	if next, ok := p.replaceUnreachable(shard, assignment); ok {
-		p.assign(shard, next, "members of the group do not reach each other")
+		p.assign(shard, next, "members of the group cannot reach each other")
 	}
 }
 
-// clusterOfGroup is what the replication package has to know of the stores for one group.
+// clusterOfGroup returns the view of the stores that the replication package needs to assign one
+// group.
 func (p *planner) clusterOfGroup(assignment replication.Assignment) replication.ClusterView {
 	return replication.ClusterView{
 		GroupSize:         p.settings.GroupSize(),
@@ -39,7 +40,7 @@
 	}
 }
 
-// allowsDegraded tells whether a group may go on with fewer copies than it should have.
+// allowsDegraded reports whether a group may continue with fewer copies than configured.
 func (p *planner) allowsDegraded(assignment replication.Assignment, members []string) bool {
 	fewest := p.settings.MinGroupSize()
 	if len(members) < fewest || p.cluster.ZoneCount(members) < p.settings.requiredZonesFor(fewest) {
@@ -48,12 +49,12 @@
 	return p.cluster.missingFor(assignment) >= shrinkDelay
 }
 
-// replacementCost compares the stores that could join a group; the first number that
-// differs decides, and the lower one is better.
+// replacementCost ranks the candidates for joining a group. The fields are compared in order, and
+// the lower value is better.
 type replacementCost struct {
-	partitioned int // 1: it lost contact with a member lately
-	sharedZone  int // 1: it is in the zone of a member
-	replicas    int // shards that it replicates
+	partitioned int // 1 if it recently lost contact with a member, else 0
+	sharedZone  int // 1 if it is in the zone of a member, else 0
+	replicas    int // number of shards of which it is a replica
 }
 
 func (c replacementCost) less(other replacementCost) bool {
@@ -61,9 +62,10 @@
 	return slices.Compare(one, []int{other.partitioned, other.sharedZone, other.replicas}) < 0
 }
 
-// chooseReplacement picks a further member for a group: a store in a zone of its own if there is
-// one, else in any zone where the group is in enough of them; the one with the fewest
-// copies among these. One that lost contact with a member lately is better than none.
+// chooseReplacement returns an additional member for a group, or "". A store in a zone of an
+// existing member is a candidate only if the group can still reach the required number of zones.
+// The candidate with the lowest replacementCost is chosen; one that recently lost contact with a
+// member is better than none.
 func (p *planner) chooseReplacement(members, excluded []string) string {
 	best, bestCost := "", replacementCost{}
 	for _, id := range p.eligible {
@@ -87,14 +89,15 @@
 	return best
 }
 
-// sharesZone tells whether a store is in the zone of one of the members.
+// sharesZone reports whether a store is in the zone of one of the members.
 func (p *planner) sharesZone(members []string, id string) bool {
 	zone := p.cluster.Stores[id].Zone
 	return slices.ContainsFunc(members, func(other string) bool { return p.cluster.Stores[other].Zone == zone })
 }
 
-// mayShareZone tells whether a further member may be in the zone of another one: the copies
-// that are still to come suffice for the zones that the group has to be in.
+// mayShareZone reports whether the next member may be in the zone of an existing one, that is,
+// whether the members that are still to be added after it suffice to reach the required number of
+// zones.
 func (p *planner) mayShareZone(members []string) bool {
 	remaining := p.settings.GroupSize() - len(members) - 1
 	return p.cluster.ZoneCount(members)+remaining >= p.settings.RequiredZones()
@@ -107,7 +110,8 @@
 	return 0
 }
 
-// assignFirst assigns a shard for the first time, to the store that is the primary of the fewest.
+// assignFirst returns the first assignment of a shard, with the store that is the primary of the
+// fewest shards as primary.
 func (p *planner) assignFirst() (replication.Assignment, bool) {
 	for _, id := range p.eligible {
 		if p.cluster.Now-p.cluster.Stores[id].FirstHeardAt < firstAssignmentDelay {
--- a/internal/controlplane/placement/unreachable.go
+++ b/internal/controlplane/placement/unreachable.go
@@ -6,10 +6,11 @@
 	"tuliprudder/internal/replication"
 )
 
-// replaceUnreachable finds other replicas for a primary that some do not answer although all
-// live, or whose disk holds writes back. A primary that is alone again before its group
-// was ever complete is replaced by another trusted store: it may be the one that nobody
-// hears.
+// replaceUnreachable reassigns a shard whose primary reports replicas as unreachable although all
+// members are live. In a group that was never complete it also replaces members that must be
+// evacuated. If replicas of such a group are unreachable or its primary must be evacuated, another
+// trusted store becomes the primary if there is one, because the primary itself may be the member
+// that no other can reach.
 func (p *planner) replaceUnreachable(shard int, a replication.Assignment) (replication.Assignment, bool) {
 	unreachable := p.unreachableReplicas(shard, a)
 	evacuatePrimary := !a.Complete && p.cluster.mustEvacuate(a.Primary.ID)
@@ -30,7 +31,7 @@
 	return p.reassignWithoutPrimary(a)
 }
 
-// reassignWithoutPrimary makes the first replica that can have a group the primary.
+// reassignWithoutPrimary makes the first replica for which a group can be formed the primary.
 func (p *planner) reassignWithoutPrimary(a replication.Assignment) (replication.Assignment, bool) {
 	for _, replica := range a.Replicas {
 		if next, ok := replication.Reassign(a, p.clusterOfGroup(a), replica.ID, []string{a.Primary.ID}); ok {
@@ -40,7 +41,8 @@
 	return a, false
 }
 
-// unreachableReplicas are the replicas that don't answer the primary of a shard, by its report.
+// unreachableReplicas returns the replicas that the primary of a shard reports as unreachable. A
+// report of another epoch is ignored.
 func (p *planner) unreachableReplicas(shard int, a replication.Assignment) []string {
 	report, ok := p.cluster.Stores[a.Primary.ID].Unreachable[shard]
 	if !ok || report.Epoch != a.Epoch {
@@ -55,8 +57,8 @@
 	return out
 }
 
-// evacuatingReplicas are, in a group that was never complete, the replicas that have to give
-// up their shards. Those of a complete group are up to moveOffDraining.
+// evacuatingReplicas returns the replicas of a group that was never complete whose stores must
+// give up their shards. For a complete group, evacuate handles them.
 func (p *planner) evacuatingReplicas(a replication.Assignment) []string {
 	if a.Complete {
 		return nil
@@ -70,14 +72,15 @@
 	return out
 }
 
-// recordPartitions has a store share no group with some others for a while.
+// recordPartitions keeps a store out of groups with the given others for PartitionCooldown.
 func (p *planner) recordPartitions(id string, others []string) {
 	for _, other := range others {
 		p.state.PartitionedUntil[PairOf(id, other)] = p.cluster.Now + p.settings.PartitionCooldown
 	}
 }
 
-// otherTrustedStore is a trusted store other than the primary that may lead; "" when there is none.
+// otherTrustedStore returns a trusted store, other than the primary, that can be the primary, or
+// "".
 func (p *planner) otherTrustedStore(a replication.Assignment) string {
 	for _, id := range a.Trusted {
 		if id != a.Primary.ID && p.cluster.isLive(id) && !p.cluster.mustEvacuate(id) {
--- a/internal/controlplane/primaryreport/sender.go
+++ b/internal/controlplane/primaryreport/sender.go
@@ -7,69 +7,72 @@
 )
 
 const (
-	// Interval is between two reports of a daemon.
+	// Interval is the time between two reports of a daemon.
 	Interval = clock.Second
-	// retryDelay is between a report that failed and the next.
+	// retryDelay is the time between a failed report and the next one.
 	retryDelay = 500 * clock.Millisecond
-	// replyTimeout is how long a report waits for its acknowledgement.
+	// replyTimeout is how long the sender waits for the reply to a report.
 	replyTimeout = 800 * clock.Millisecond
-	// maxFlushAttempts is how many reports are sent at most for one Flush.
+	// maxFlushAttempts is the maximum number of reports sent for one Flush.
 	maxFlushAttempts = 3
 )
 
-// Part is what a part of the daemon's machine has for reports.
+// Part is a component of the daemon's machine that contributes to reports.
 type Part interface {
-	// Add adds to a report what the primary hasn't acknowledged; false where that is nothing.
+	// Add adds to a report what the primary has not acknowledged, and reports whether there was
+	// anything to add.
 	Add(report *Report, now clock.Micros) bool
-	// Acknowledged takes that the primary has a report.
+	// Acknowledged is called when the primary has acknowledged a report.
 	Acknowledged(report Report, reply Reply)
-	// Reset forgets all acknowledgements: the primary has another term.
+	// Reset discards all acknowledgements, so that everything is reported again: the primary has
+	// another term, or the daemon flushes its reports.
 	Reset()
 }
 
 // Sender sends the reports of one daemon.
 type Sender struct {
 	daemon      string
-	incarnation uint64 // 0: not known yet
+	incarnation uint64 // 0 while unknown
 	calls       *machine.Calls
 	parts       []Part
 
-	primary       string   // its address; "" while none is known
+	primary       string   // the primary's address; "" while unknown
 	voters        []string // the addresses of the cores with a vote
-	epoch         uint64   // the newest term that is known
+	epoch         uint64   // the newest known term
 	nextAt        clock.Micros
-	pendingReport uint64 // the number of the report whose reply is awaited; 0: none is
+	pendingReport uint64 // number of the report whose reply is outstanding; 0: none
 
-	flushCallbacks []func() // who waits for a Flush
+	flushCallbacks []func() // to be called when the current Flush ends
 	flushAttempts  int
 
-	// Sent and Failed count reports, for the operators.
+	// Sent and Failed count reports, for the metrics.
 	Sent, Failed int64
 
 	InjectedFaults InjectedFaults
 }
 
-// InjectedFaults are set by tests only, to show that their checks find such a fault.
+// InjectedFaults are set only by tests, to show that their checks detect such a fault.
 type InjectedFaults struct {
-	// KeepAcknowledgements: what a former primary acknowledged is not reported to the next one.
+	// KeepAcknowledgements does not report again to a new primary what the former one acknowledged.
 	KeepAcknowledgements bool
-	// FlushToPrimaryOnly: a daemon that ends reports to the primary alone.
+	// FlushToPrimaryOnly makes a terminating daemon report to the primary alone.
 	FlushToPrimaryOnly bool
 }
 
-// NewSender makes the sender of a daemon. Nothing is sent before it has a part, and its incarnation and
-// the primary are known.
+// NewSender returns the sender of a daemon. It sends nothing until it has a part, and the
+// incarnation and the primary are known.
 func NewSender(daemon string, calls *machine.Calls) *Sender {
 	return &Sender{daemon: daemon, calls: calls}
 }
 
-// AddPart adds a part of the reports.
+// AddPart adds a component that contributes to the reports.
 func (s *Sender) AddPart(part Part) { s.parts = append(s.parts, part) }
 
-// SetIncarnation takes the daemon's incarnation.
+// SetIncarnation sets the daemon's incarnation.
 func (s *Sender) SetIncarnation(incarnation uint64) { s.incarnation = incarnation }
 
-// SetPrimary takes the primary's address and term, and the cores with a vote.
+// SetPrimary sets the primary's address and term, and the cores with a vote. An update of an older
+// term is ignored.
 func (s *Sender) SetPrimary(update state.CoreUpdate) {
 	if update.Epoch < s.epoch {
 		return
@@ -78,8 +81,8 @@
 	s.learnEpoch(update.Epoch)
 }
 
-// learnEpoch has everything reported anew under a new term, at once: a reply of the former primary is not
-// awaited.
+// learnEpoch makes everything be reported again in a new term, without delay: a reply of the former
+// primary is not waited for.
 func (s *Sender) learnEpoch(epoch uint64) {
 	if epoch <= s.epoch {
 		return
@@ -96,7 +99,7 @@
 	}
 }
 
-// newReport is a report of what isn't acknowledged; false where that is nothing.
+// newReport returns a report of what has not been acknowledged, and whether that is anything.
 func (s *Sender) newReport(now clock.Micros) (report Report, hasChanges bool) {
 	report = Report{Daemon: s.daemon, Incarnation: s.incarnation, Epoch: s.epoch, SentAt: now}
 	for _, part := range s.parts {
@@ -105,7 +108,7 @@
 	return report, hasChanges
 }
 
-// Tick sends a report when it is due and has something to report.
+// Tick sends a report if one is due and there is something to report.
 func (s *Sender) Tick(now clock.Micros) {
 	if now < s.nextAt {
 		return
@@ -114,9 +117,10 @@
 	s.send(now)
 }
 
-// Flush is for a daemon that is about to end: all that is undecided goes to the primary at once, and to
-// all cores with a vote, of which another may be primary before it is decided. done is called once the
-// primary has it, or after a few attempts.
+// Flush is called when the daemon is about to exit. It reports everything that is not final at
+// once, to the primary and to all cores with a vote, because another one may become primary before
+// it is final. done is called once the primary has acknowledged everything, or after
+// maxFlushAttempts.
 func (s *Sender) Flush(now clock.Micros, done func()) {
 	s.resetParts()
 	if report, hasChanges := s.newReport(now); hasChanges && !s.InjectedFaults.FlushToPrimaryOnly {
@@ -127,14 +131,14 @@
 	s.continueFlush(now)
 }
 
-// sendToVoters sends a report to all cores with a vote, without an acknowledgement.
+// sendToVoters sends a report to all cores with a vote, without waiting for replies.
 func (s *Sender) sendToVoters(report Report) {
 	for _, peer := range s.voters {
 		s.calls.Emit(machine.Send{To: peer, Body: report})
 	}
 }
 
-// continueFlush sends the next report of a Flush, or ends it.
+// continueFlush sends the next report of a Flush, or ends the Flush.
 func (s *Sender) continueFlush(now clock.Micros) {
 	if s.pendingReport > 0 || len(s.flushCallbacks) == 0 {
 		return
@@ -150,7 +154,8 @@
 	}
 }
 
-// send sends a report; false where there is nothing to report, or no primary is known.
+// send sends a report. It returns false if a reply is outstanding, if there is nothing to report,
+// or if the primary or the incarnation is unknown.
 func (s *Sender) send(now clock.Micros) bool {
 	if s.pendingReport > 0 || s.primary == "" || s.incarnation == 0 {
 		return false
@@ -171,7 +176,8 @@
 	return true
 }
 
-// handleReply takes the primary's answer to a report. What a failed one had is reported again.
+// handleReply handles the primary's reply to a report. The content of a failed report is reported
+// again.
 func (s *Sender) handleReply(report Report, body any, err error, now clock.Micros) {
 	reply, ok := body.(Reply)
 	if err != nil || !ok {
--- a/internal/controlplane/primaryreport/sender_test.go
+++ b/internal/controlplane/primaryreport/sender_test.go
@@ -10,7 +10,7 @@
 	"tuliprudder/internal/machine"
 )
 
-// testPart is a part that tells one number when it differs from the acknowledged one.
+// testPart is a Part that reports one number if it differs from the acknowledged one.
 type testPart struct{ value, acknowledged int64 }
 
 func (f *testPart) Add(report *Report, _ clock.Micros) bool {
@@ -24,7 +24,7 @@
 func (f *testPart) Acknowledged(report Report, _ Reply) { f.acknowledged = report.Usage[0].Counts["t"] }
 func (f *testPart) Reset()                              { f.acknowledged = 0 }
 
-// senderFixture is a sender with one part, whose requests wait for their replies.
+// senderFixture is a sender with one part, whose requests stay outstanding until reply is called.
 type senderFixture struct {
 	*Sender
 	*testPart
@@ -41,7 +41,7 @@
 	return b
 }
 
-// tick advances the time by one interval and gives the report that is sent; false for none.
+// tick advances the time by one interval and returns the report that is sent, or false.
 func (b *senderFixture) tick() (machine.Request, bool) {
 	b.now += Interval
 	b.Tick(b.now)
@@ -54,7 +54,7 @@
 		return machine.Request{}, false
 	}
 	if len(effects) > 1 {
-		b.t.Fatalf("%d effects", len(effects))
+		b.t.Fatalf("got %d effects, want at most 1", len(effects))
 	}
 	return effects[0].(machine.Request), true
 }
@@ -63,7 +63,7 @@
 	b.t.Helper()
 	request, ok := b.tick()
 	if !ok {
-		b.t.Fatal("nothing is sent")
+		b.t.Fatal("no report was sent")
 	}
 	return request
 }
@@ -86,7 +86,7 @@
 	}
 	b.reply(request, Reply{Epoch: 3})
 	if _, ok := b.tick(); ok {
-		t.Fatal("sent what was acknowledged")
+		t.Fatal("sent again what was acknowledged")
 	}
 	b.value = 2
 	b.mustTick()
@@ -98,7 +98,7 @@
 	b.value = 1
 	first := b.mustTick()
 	if _, ok := b.tick(); ok {
-		t.Fatal("a second report while the first one waits")
+		t.Fatal("sent a second report while the reply to the first is outstanding")
 	}
 	b.calls.ReplyReceived(first.Token, nil, errors.New("lost"), b.now)
 	b.mustTick()
@@ -107,7 +107,8 @@
 	}
 }
 
-// Acknowledgements of a former primary don't count at the next one, whichever way its term is learnt.
+// Acknowledgements of a former primary are discarded when a new term becomes known, whether by an
+// update or by a reply.
 func TestNewPrimaryGetsFullReport(t *testing.T) {
 	b := newSenderFixture(t)
 	b.SetPrimary(state.CoreUpdate{Epoch: 3, Peer: "core"})
@@ -131,7 +132,8 @@
 	}
 }
 
-// A reply that crosses a change of the primary acknowledges nothing.
+// A reply to a report of the former term, received after a change of the primary, acknowledges
+// nothing.
 func TestLateAcknowledgementIsIgnored(t *testing.T) {
 	b := newSenderFixture(t)
 	b.SetPrimary(state.CoreUpdate{Epoch: 3, Peer: "core"})
@@ -140,7 +142,7 @@
 	b.SetPrimary(state.CoreUpdate{Epoch: 4, Peer: "next"})
 	b.Tick(b.now)
 	if anew, ok := b.sent(); !ok || anew.To != "next" {
-		t.Fatal("the next primary has to wait")
+		t.Fatal("no report was sent to the new primary at once")
 	}
 	b.reply(request, Reply{Epoch: 3})
 	if b.acknowledged != 0 {
@@ -153,7 +155,7 @@
 	ended := 0
 	b.Flush(b.now, func() { ended++ })
 	if ended != 1 {
-		t.Fatal("a flush without a primary waits")
+		t.Fatal("a flush without a known primary does not end at once")
 	}
 	b.SetPrimary(state.CoreUpdate{Epoch: 3, Peer: "core"})
 	b.value = 1
@@ -187,7 +189,8 @@
 	}
 }
 
-// A report to the primary alone would be lost with it.
+// A report that only the primary has would be lost if the primary fails, so a flush goes to all
+// voters.
 func TestFlushSendsToAllVoters(t *testing.T) {
 	b := newSenderFixture(t)
 	b.SetPrimary(state.CoreUpdate{Epoch: 3, Peer: "core", VoterPeers: []string{"a", "core", "b"}})
@@ -207,6 +210,6 @@
 		}
 	}
 	if !slices.Equal(to, []string{"a", "core", "b", "core"}) {
-		t.Errorf("sent to %q", to)
+		t.Errorf("got reports to %q", to)
 	}
 }
--- a/internal/controlplane/primaryreport/size_test.go
+++ b/internal/controlplane/primaryreport/size_test.go
@@ -9,10 +9,11 @@
 	"tuliprudder/internal/transport"
 )
 
-// A report on a connection that has carried one before stays small: bytes between zones are paid for.
+// Bounds the size of a report on a connection that has already carried one, because traffic between
+// zones is charged for.
 func TestReportSizeIsBounded(t *testing.T) {
 	const (
-		changedTenants = 13 // of an edge with 13 requests a second
+		changedTenants = 13 // for an edge with 13 requests per second
 		maxBytes       = 330
 		maxIdleBytes   = 120
 	)
--- a/internal/controlplane/registration/messages.go
+++ b/internal/controlplane/registration/messages.go
@@ -1,9 +1,9 @@
-// Package registration has the messages between stores and cores: a store reports itself in
-// heartbeats, and the primary core registers or rejects it (docs/DESIGN.md §6.6). It has
-// data only; the cores' side is package stores, the stores' side package batchstore.
+// Package registration defines the messages between stores and cores: a store reports its state
+// in heartbeats, and the primary core registers or rejects it (docs/DESIGN.md §6.6). It contains
+// only data types; the cores' side is in package stores, the stores' side in package batchstore.
 //
-// The messages are sent as gob: a change of a type's or field's name is a new version of
-// the transport's protocol.
+// The messages are encoded with gob, so renaming a type or a field requires a new version of the
+// transport protocol.
 package registration
 
 import "tuliprudder/internal/transport"
@@ -11,30 +11,31 @@
 // Heartbeat is what a store reports to the cores.
 type Heartbeat struct {
 	ID, Zone, Peer string
-	Name           string // the operator's name of the machine; "" where there is none
+	Name           string // the machine's name as set by the operator; "" if none
 	Incarnation    uint64
-	Ready          map[int]uint64 // shards whose members all have the state, by epoch
+	Ready          map[int]uint64 // epochs, by shard, in which all members have the state
 	Fleet          string         // "" before the store is registered
 	Draining       bool
-	Stalled        bool                        // its disk takes no writes, or takes them too slowly
-	Unreachable    map[int]UnreachableReplicas // by shard of which it is the primary
-	Busy           []int                       // owned shards with open batches: moving them runs items again
+	Stalled        bool                        // its disk accepts no writes, or is too slow
+	Unreachable    map[int]UnreachableReplicas // by shard of which the store is the primary
+	Busy           []int                       // shards with open batches, as primary: moving them runs items again
 }
 
-// UnreachableReplicas are the replicas that don't answer the primary of an epoch.
+// UnreachableReplicas lists the replicas that do not answer the primary of an epoch.
 type UnreachableReplicas struct {
 	Epoch uint64
 	Peers []string // addresses
 }
 
-// Rejected tells a store that its data folder is a copy of another store's, or an old one.
+// Rejected tells a store that its heartbeat was rejected: it belongs to another fleet, or its data
+// folder is a copy of another store's or an outdated one.
 type Rejected struct {
 	ID          string
 	Incarnation uint64
 	Reason      string
 }
 
-// Registered tells a store its fleet and its writer ID.
+// Registered tells a store its fleet and its writer id.
 type Registered struct {
 	Fleet  string
 	Writer int
--- a/internal/controlplane/state/entries.go
+++ b/internal/controlplane/state/entries.go
@@ -6,49 +6,50 @@
 	"tuliprudder/internal/replication"
 )
 
-// Entry is one change of the state: a command on it.
+// Entry is one replicated command that changes the state.
 type Entry interface {
 	Apply(s *State)
 	kind() string
 }
 
-// The changes there are. Their JSON is on the disks of the cores; the keys never change.
+// The entry types. Their JSON is stored on the cores' disks, so the keys must not change.
 type (
-	// Bootstrap gives a fleet its name and its fixed number of shards.
+	// Bootstrap sets a fleet's name and its fixed number of shards.
 	Bootstrap struct {
 		Fleet  string `json:"Fleet"`
 		Shards int    `json:"Slots"`
 	}
-	// RegisterStore gives a store its writer id, or writes down its new address, name or
-	// incarnation.
+	// RegisterStore assigns a new store its writer id, or records the changed address, zone, name,
+	// incarnation or eviction of a known one.
 	RegisterStore struct {
 		Store Store `json:"Store"`
 	}
-	// Retire marks a store as retiring, takes the mark back, or writes down that
-	// nothing depends on it any more.
+	// Retire marks a store as retiring, removes the mark (Cancel), or records that no shard
+	// depends on the store any more (Done).
 	Retire struct {
 		ID     string `json:"ID"`
 		Cancel bool   `json:"Back"`
 		Done   bool   `json:"Done"`
 	}
-	// AssignShards writes down new assignments of shards.
+	// AssignShards records new assignments of shards.
 	AssignShards struct {
 		Shards map[int]replication.Assignment `json:"Slots"`
 	}
-	// UpdateActs writes down who may perform which acts on outside systems, and which are done.
+	// UpdateActs records who may perform which acts on external systems, and which are done.
 	UpdateActs struct {
 		Update exclusive.Update `json:"update"`
 	}
 )
 
-// Apply does so once only: the number of shards is fixed from then on.
+// Apply sets the name and the number of shards. It has an effect only once, because the number of
+// shards is fixed from then on.
 func (e Bootstrap) Apply(s *State) {
 	if s.Fleet == "" {
 		s.Fleet, s.Shards = e.Fleet, make([]replication.Assignment, e.Shards)
 	}
 }
 
-// Apply changes the table of acts.
+// Apply updates the table of acts.
 func (e UpdateActs) Apply(s *State) { s.Acts.Apply(e.Update) }
 
 func (Bootstrap) kind() string     { return kindBootstrap }
@@ -66,10 +67,10 @@
 	kindUpdateActs:       machine.Decoder(func(e UpdateActs) Entry { return e }),
 }
 
-// Encode is an entry as the replicas get it.
+// Encode returns an entry in the form that is replicated.
 func Encode(e Entry) []byte { return entries.Encode(e.kind(), e) }
 
-// ApplyEntry applies an encoded entry.
+// ApplyEntry decodes and applies an entry.
 func (s *State) ApplyEntry(data []byte) error {
 	entry, err := entries.Decode(data)
 	if err != nil {
--- a/internal/controlplane/state/requests.go
+++ b/internal/controlplane/state/requests.go
@@ -12,55 +12,55 @@
 )
 
 // MaxRequests is how many of the newest requests to put a configuration are recognised when
-// they are sent again. An older one is neither applied nor refused: its outcome is
-// unknown.
+// they are repeated. An older request is neither applied nor refused, because it is unknown
+// whether it was applied before.
 const MaxRequests = 1024
 
-// DigestSize is the length of a document's digest in bytes.
+// DigestSize is the length of a digest in bytes.
 const DigestSize = 16
 
-// Digest identifies a document, whatever its white space.
+// Digest identifies a document irrespective of white space.
 type Digest [DigestSize]byte
 
-// String is the digest in hexadecimal.
+// String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// DigestOf is the digest of a JSON document in its compact form.
+// DigestOf returns the digest of the compact form of a JSON document.
 func DigestOf(document json.RawMessage) (Digest, error) {
 	compact, err := json.Marshal(document)
 	if err != nil {
-		return Digest{}, errors.Wrap(err, "reading a configuration")
+		return Digest{}, errors.Wrap(err, "reading a configuration document")
 	}
 	sum := sha256.Sum256(compact)
 	return Digest(sum[:DigestSize]), nil
 }
 
-// AppliedRequest is the identity of a configuration that was applied: its number, the version
-// it was built on and the digest of its document.
+// AppliedRequest identifies a request that was applied: the number of the resulting version, the
+// version it was based on, and the digest of the document or patch that was sent.
 type AppliedRequest struct {
 	Number uint64 `json:"version"`
 	Base   uint64 `json:"base"`
 	Digest Digest `json:"-"`
 }
 
-// RequestTable recognises the configurations that were applied, after their documents
-// were dropped. Numbers rise from entry to entry; the oldest entries are dropped.
+// RequestTable recognises requests that were applied, even after their documents were
+// dropped. Its entries are sorted by number; the oldest ones are dropped.
 type RequestTable struct {
 	entries    []AppliedRequest
 	prunedUpTo uint64
 }
 
-// Len is the number of requests in the table.
+// Len returns the number of requests in the table.
 func (t *RequestTable) Len() int { return len(t.entries) }
 
-// All lists the requests by rising number.
+// All returns the requests in ascending order of their numbers.
 func (t *RequestTable) All() []AppliedRequest { return append([]AppliedRequest(nil), t.entries...) }
 
-// PrunedUpTo is the highest number that was dropped; whether a request up to it was
-// applied is no longer known.
+// PrunedUpTo returns the highest number that was dropped. Whether a request with a number up to
+// it was applied is no longer known.
 func (t *RequestTable) PrunedUpTo() uint64 { return t.prunedUpTo }
 
-// Find looks a request up by its number.
+// Find returns the request with the given number.
 func (t *RequestTable) Find(number uint64) (AppliedRequest, bool) {
 	at := sort.Search(len(t.entries), func(i int) bool { return t.entries[i].Number >= number })
 	if at == len(t.entries) || t.entries[at].Number != number {
@@ -69,7 +69,7 @@
 	return t.entries[at], true
 }
 
-// FindByBase looks up the request that was applied on top of a version.
+// FindByBase returns the request that was applied on top of the given version.
 func (t *RequestTable) FindByBase(base uint64) (AppliedRequest, bool) {
 	at := sort.Search(len(t.entries), func(i int) bool { return t.entries[i].Base >= base })
 	if at == len(t.entries) || t.entries[at].Base != base {
@@ -78,7 +78,7 @@
 	return t.entries[at], true
 }
 
-// add appends a request whose number is above all others.
+// add appends a request, whose number must be above all others.
 func (t *RequestTable) add(request AppliedRequest) {
 	if len(t.entries) >= MaxRequests {
 		t.prunedUpTo = t.entries[0].Number
@@ -88,15 +88,15 @@
 	t.entries = append(t.entries, request)
 }
 
-// requestTableDocument is the table in a snapshot. Each request is its number's
-// distance from the one before, its base's distance from its number, both as
-// variable-length integers, and its digest.
+// requestTableDocument is the table's form in a snapshot. Each request is packed as the
+// difference between its number and the previous one, the difference between its number
+// and its base, both as variable-length integers, and its digest.
 type requestTableDocument struct {
 	PrunedUpTo uint64 `json:"forgotten"`
 	Packed     []byte `json:"packed"`
 }
 
-// MarshalJSON packs the table.
+// MarshalJSON encodes the table in packed form.
 func (t RequestTable) MarshalJSON() ([]byte, error) {
 	packed := make([]byte, 0, len(t.entries)*(DigestSize+4))
 	last := t.prunedUpTo
@@ -109,7 +109,7 @@
 	return json.Marshal(requestTableDocument{PrunedUpTo: t.prunedUpTo, Packed: packed})
 }
 
-// UnmarshalJSON unpacks the table.
+// UnmarshalJSON decodes the packed form.
 func (t *RequestTable) UnmarshalJSON(data []byte) error {
 	var document requestTableDocument
 	if err := json.Unmarshal(data, &document); err != nil {
@@ -121,7 +121,7 @@
 	for reader.Len() > 0 {
 		request, err := readRequest(reader, last)
 		if err != nil {
-			return errors.Wrapf(err, "request %d of the table is cut short", len(fresh.entries))
+			return errors.Wrapf(err, "request %d of the table is truncated", len(fresh.entries))
 		}
 		fresh.entries = append(fresh.entries, request)
 		last = request.Number
--- a/internal/controlplane/state/shards.go
+++ b/internal/controlplane/state/shards.go
@@ -2,7 +2,7 @@
 
 import "tuliprudder/internal/replication"
 
-// Apply writes the assignments down; an epoch never goes back.
+// Apply records the assignments. An assignment with an older epoch than the current one is ignored.
 func (e AssignShards) Apply(s *State) {
 	shards := append([]replication.Assignment(nil), s.Shards...)
 	for shard, assignment := range e.Shards {
@@ -14,7 +14,7 @@
 	s.pruneDepartedStores()
 }
 
-// refersTo tells whether a shard's assignment names a store.
+// refersTo reports whether a shard's assignment refers to a store.
 func (s *State) refersTo(id string) bool {
 	for _, assignment := range s.Shards {
 		if assignment.MustKeep(id) || assignment.IsTrusted(id) {
@@ -24,7 +24,7 @@
 	return false
 }
 
-// DependentShards counts the shards that still need a store.
+// DependentShards returns the number of shards that still depend on a store.
 func (s *State) DependentShards(id string) int {
 	count := 0
 	for _, assignment := range s.Shards {
--- a/internal/controlplane/state/state.go
+++ b/internal/controlplane/state/state.go
@@ -1,13 +1,13 @@
 // Package state is the control state that the cores replicate (DESIGN §5): the
-// configurations, the stores with their permanent writer ids, and which stores hold
-// which shard under which epoch. It is bounded: neither a snapshot nor what every
-// daemon is sent grows with the number of changes.
+// configurations, the stores with their permanent writer ids, and the assignment of each
+// shard to stores, with its epoch. Its size is bounded: neither a snapshot nor the part
+// that is sent to every daemon grows with the number of changes.
 //
-// A State is changed only by entries (entries.go), in one order on every replica; the
-// same entries give the same state. Entries and snapshots are on the disks of the
-// cores and read by the neighbouring releases: their JSON keys never change. A State is
-// not safe for concurrent use; its maps and slices are replaced, not changed, so that
-// what Map returned stays as it is.
+// A State is changed only by entries (entries.go), which are applied in the same order on
+// every replica and are deterministic. Entries and snapshots are stored on the cores'
+// disks and are read by the previous and the next release, so their JSON keys must not
+// change. A State is not safe for concurrent use. Its maps and slices are replaced, never
+// modified, so that a value returned by Map stays valid.
 package state
 
 import (
@@ -15,17 +15,18 @@
 	"tuliprudder/internal/replication"
 )
 
-// Store is a store daemon; its writer id is never given to another.
+// Store is a registered store daemon. Its writer id is never reused.
 type Store struct {
 	ID          string `json:"id"`
 	Writer      int    `json:"writer"`
 	Zone        string `json:"zone"`
 	Peer        string `json:"peer"`
-	Name        string `json:"name,omitempty"` // the operator's name of the machine
-	Incarnation uint64 `json:"life"`           // the newest one it was heard in
+	Name        string `json:"name,omitempty"` // the machine's name as set by the operator
+	Incarnation uint64 `json:"life"`           // the newest one that was registered
 	Retiring    bool   `json:"retiring,omitempty"`
 	Retired     bool   `json:"retired,omitempty"`
-	// Evicted: it was not heard for long and no longer counts as a voter for updates (DESIGN §3.4).
+	// Evicted reports that the store was lost for long, or that another one replaced it at its
+	// address; it no longer counts as a voter for updates (DESIGN §3.4).
 	Evicted bool `json:"struck,omitempty"`
 }
 
@@ -33,18 +34,18 @@
 type State struct {
 	Fleet      string                   `json:"fleet"`
 	Seq        uint64                   `json:"seq"`
-	Versions   []Version                `json:"plans"`  // the newest ones, with their documents
-	Requests   RequestTable             `json:"orders"` // what recognises a repeated request
+	Versions   []Version                `json:"plans"`  // the newest configurations, with their documents
+	Requests   RequestTable             `json:"orders"` // for recognising repeated requests
 	Stores     map[string]Store         `json:"stores"`
 	NextWriter int                      `json:"next_writer"`
 	Shards     []replication.Assignment `json:"slots"`
-	Acts       exclusive.Table          `json:"acts,omitzero"` // on outside systems
+	Acts       exclusive.Table          `json:"acts,omitzero"` // acts on external systems
 }
 
-// New is an empty state.
+// New returns an empty state.
 func New() *State { return &State{Stores: map[string]Store{}, NextWriter: 1} }
 
-// Map is the part of the state that every daemon is sent.
+// Map is the part of the state that is sent to every daemon.
 type Map struct {
 	Fleet  string                   `json:"fleet"`
 	Seq    uint64                   `json:"seq"`
@@ -52,12 +53,12 @@
 	Shards []replication.Assignment `json:"slots"`
 }
 
-// Map copies that part.
+// Map returns the part of the state that is sent to every daemon.
 func (s *State) Map() Map {
 	return Map{Fleet: s.Fleet, Seq: s.Seq, Stores: s.Stores, Shards: s.Shards}
 }
 
-// CoreUpdate says who is primary.
+// CoreUpdate is the update that names the primary core and the cores with a vote.
 type CoreUpdate struct {
 	Fleet      string   `json:"fleet"`
 	Epoch      uint64   `json:"epoch"`
@@ -65,5 +66,5 @@
 	Peer       string   `json:"peer"`
 	Replicas   []string `json:"replicas"`
 	VoterPeers []string `json:"cores"`
-	VoterIDs   []string `json:"seats"` // the cores' ids
+	VoterIDs   []string `json:"seats"` // ids of the cores with a vote
 }
--- a/internal/controlplane/state/stored_names.go
+++ b/internal/controlplane/state/stored_names.go
@@ -1,14 +1,14 @@
 package state
 
 // MapKey, ConfigurationKey and CoreKey are the keys of the updates that the primary core publishes.
-// These spellings are gossiped; they never change.
+// They are part of the gossip protocol and must not change.
 const (
 	MapKey           = "map"
 	ConfigurationKey = "plan"
 	CoreKey          = "core"
 )
 
-// The kinds of changes. These spellings are on disk; they never change.
+// The kinds of entries. They are stored on disk and must not change.
 const (
 	kindBootstrap        = "found"
 	kindPutConfiguration = "put-plan"
@@ -18,8 +18,8 @@
 	kindUpdateActs       = "acts"
 )
 
-// What a snapshot begins with, and what the snapshots of all formats begin with.
-// These spellings are on disk; they never change.
+// snapshotMagic is the header of the current snapshot format, snapshotMagicPrefix the start of
+// the headers of all formats. They are stored on disk and must not change.
 const (
 	snapshotMagic       = "TRS1"
 	snapshotMagicPrefix = "TRS"
--- a/internal/controlplane/state/stores.go
+++ b/internal/controlplane/state/stores.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Apply registers the store, or writes down what changed; a known store keeps its writer id.
+// Apply registers the store, or records what changed. A known store keeps its writer id and its
+// retirement marks.
 func (e RegisterStore) Apply(s *State) {
 	store := e.Store
 	if known, ok := s.Stores[store.ID]; ok {
@@ -13,7 +14,7 @@
 	} else {
 		store.Writer = s.NextWriter
 		s.NextWriter++
-		// An empty store at the address of another: that one's disk is lost for good.
+		// A new store runs at the address of another one, whose disk is therefore lost for good.
 		for _, id := range s.StoresAt(store.Peer) {
 			departed := s.Stores[id]
 			departed.Evicted = true
@@ -24,12 +25,12 @@
 	s.pruneDepartedStores()
 }
 
-// maxDepartedStores is how many stores that are evicted or retired, and that no shard
-// refers to, stay in the state: for a while one that comes back is still recognised.
+// maxDepartedStores is how many evicted or retired stores that no shard refers to stay in
+// the state, so that a store that comes back soon is still recognised.
 const maxDepartedStores = 16
 
-// pruneDepartedStores drops the oldest of the departed stores. Their writer ids
-// are not given again.
+// pruneDepartedStores drops the oldest departed stores above maxDepartedStores. Their
+// writer ids are not reused.
 func (s *State) pruneDepartedStores() {
 	var departed []Store
 	for _, store := range s.Stores {
@@ -48,7 +49,8 @@
 	s.Stores = kept
 }
 
-// StoresAt lists the stores that count and were last heard at an address.
+// StoresAt returns the ids of the stores, sorted, that are registered at an address and not
+// evicted.
 func (s *State) StoresAt(peer string) []string {
 	var out []string
 	for id, store := range s.Stores {
@@ -60,8 +62,8 @@
 	return out
 }
 
-// StoreNamed finds the store that has the operator's name: one that is not evicted, the
-// newest where there are several.
+// StoreNamed returns the store with the name that the operator gave to its machine. Evicted stores
+// are skipped; if there are several others, it returns the newest.
 func (s *State) StoreNamed(name string) (Store, bool) {
 	var newest Store
 	for _, store := range s.Stores {
@@ -72,7 +74,7 @@
 	return newest, newest.ID != ""
 }
 
-// setStore replaces the map, which may have been handed out.
+// setStore sets a store in a copy of the map, because callers of Map may hold the old one.
 func (s *State) setStore(store Store) {
 	stores := make(map[string]Store, len(s.Stores)+1)
 	for id, known := range s.Stores {
@@ -82,7 +84,7 @@
 	s.Stores = stores
 }
 
-// Apply marks the store.
+// Apply sets or removes the store's retirement marks.
 func (e Retire) Apply(s *State) {
 	if store, ok := s.Stores[e.ID]; ok {
 		store.Retiring, store.Retired = !e.Cancel, e.Done && !e.Cancel
--- a/internal/controlplane/state/versions.go
+++ b/internal/controlplane/state/versions.go
@@ -7,9 +7,8 @@
 	"tuliprudder/internal/clock"
 )
 
-// Bounds on the documents that are kept for reading back. The newest two are kept
-// whatever their size: while the newest is on its way to the replicas, the one
-// before it is the newest that is confirmed.
+// Bounds on the documents that are kept for reading. The newest two are kept whatever their
+// size: while the newest is being replicated, the one before it is the newest confirmed one.
 const (
 	minDocuments     = 2
 	maxDocuments     = 8
@@ -19,13 +18,13 @@
 // Version is one configuration as it was applied.
 type Version struct {
 	Number uint64          `json:"version"`
-	Base   uint64          `json:"base,omitempty"` // the version in force before it
+	Base   uint64          `json:"base,omitempty"` // the version that it replaced
 	Body   json.RawMessage `json:"plan"`
 	By     string          `json:"by"`
 	At     clock.Micros    `json:"at_us"`
 }
 
-// Latest is the newest configuration; false when none was ever put.
+// Latest returns the newest configuration, or false if there has never been one.
 func (s *State) Latest() (Version, bool) {
 	if len(s.Versions) == 0 {
 		return Version{}, false
@@ -33,7 +32,7 @@
 	return s.Versions[len(s.Versions)-1], true
 }
 
-// Version finds a configuration whose document is kept, by its number.
+// Version returns the configuration with the given number if its document is kept.
 func (s *State) Version(number uint64) (Version, bool) {
 	for _, version := range slices.Backward(s.Versions) {
 		if version.Number == number {
@@ -43,19 +42,18 @@
 	return Version{}, false
 }
 
-// Configured tells whether a configuration was ever put.
+// Configured reports whether there has ever been a configuration.
 func (s *State) Configured() bool { return len(s.Versions) > 0 }
 
-// PutConfiguration adds the next version.
+// PutConfiguration is the entry that adds the next configuration version.
 type PutConfiguration struct {
 	Version Version `json:"Version"`
-	// RequestDigest identifies the request where that was no whole document but a patch; nil where
-	// it was the document.
+	// RequestDigest identifies the request if it was a patch; nil if it was the whole document.
 	RequestDigest []byte `json:"Request,omitempty"`
 }
 
-// Apply adds the version. One whose number is not above all others is ignored:
-// a number is given to one document only.
+// Apply adds the version. A version whose number is not above all others is ignored,
+// because a number is never reused for another document.
 func (e PutConfiguration) Apply(s *State) {
 	latest, ok := s.Latest()
 	if ok && e.Version.Number <= latest.Number {
@@ -63,7 +61,7 @@
 	}
 	digest, err := DigestOf(e.Version.Body)
 	if err != nil {
-		return // what does not read as JSON is never put
+		return // a document that is not valid JSON is never put
 	}
 	if len(e.RequestDigest) == DigestSize {
 		digest = Digest(e.RequestDigest)
@@ -74,7 +72,7 @@
 	s.pruneDocuments()
 }
 
-// pruneDocuments keeps the newest documents, up to their bounds.
+// pruneDocuments drops the oldest documents until the bounds are met.
 func (s *State) pruneDocuments() {
 	kept, size := 0, 0
 	for _, version := range slices.Backward(s.Versions) {
--- a/internal/controlplane/state/weights.go
+++ b/internal/controlplane/state/weights.go
@@ -2,18 +2,18 @@
 
 import "encoding/json"
 
-// What a daemon counts for when most of the fleet has to have heard of something
-// (DESIGN §3): a store two, so that the stores alone are most of a fleet whose
-// cores are lost; a core one.
+// The weights of the voters for updates, which decide whether a majority of the fleet knows
+// an update (DESIGN §3). A store weighs more than a core, so that the stores alone are a
+// majority if the cores are lost.
 const (
 	storeWeight = 2
 	coreWeight  = 1
 )
 
-// VoterWeights is who counts, by id, from the core's own updates: the stores that are neither
-// retired nor evicted, and the cores with a vote. It is empty before a
-// store was registered. No two halves of it weigh the same: otherwise both sides of a partition
-// could miss a majority.
+// VoterWeights returns the weights of the voters for updates by id, from the updates MapKey and
+// CoreKey: the stores that are neither retired nor evicted, and the cores with a vote. It is nil
+// before a store is registered. The sum is always odd, because with an even sum both sides of a
+// partition could lack a majority.
 func VoterWeights(mapUpdate, coreUpdate []byte) map[string]int {
 	var m Map
 	var s CoreUpdate
--- a/internal/controlplane/stores/cluster.go
+++ b/internal/controlplane/stores/cluster.go
@@ -6,8 +6,8 @@
 	"tuliprudder/internal/controlplane/state"
 )
 
-// Cluster is what the placement has to know: the shards, and the registered stores as they are
-// heard.
+// Cluster returns the view that placement needs: the shards, and the registered stores with what
+// their heartbeats report.
 func (t *Table) Cluster(current *state.State, now clock.Micros) placement.ClusterView {
 	cluster := placement.ClusterView{
 		Now:          now,
--- a/internal/controlplane/stores/evict.go
+++ b/internal/controlplane/stores/evict.go
@@ -8,10 +8,11 @@
 	"tuliprudder/internal/controlplane/state"
 )
 
-// HasQuorumContact tells whether this core hears a majority of the voters for updates: only then may
-// it change who they are. Before the first configuration there is nothing to keep apart. One that has
-// served for long without hearing a majority takes those it does not hear for
-// lost: otherwise a fleet that lost most of its daemons at once would never come back.
+// HasQuorumContact reports whether this core is in contact with a majority of the voters for
+// updates, which it needs to change the set of voters. Before the first configuration it always
+// is, as there is nothing to protect yet. A core that has served for AssumeLostAfter without
+// contact to a majority considers the voters that it does not hear lost: otherwise a fleet that
+// lost most of its daemons at once would never recover.
 func (t *Table) HasQuorumContact(current *state.State, now clock.Micros) bool {
 	if !current.Configured() || now-t.freshUntil <= t.settings.MaxStaleness {
 		return true
@@ -19,9 +20,9 @@
 	return now-max(t.freshUntil, t.servingSince) > t.settings.AssumeLostAfter
 }
 
-// ToEvict lists the stores, in the order of their ids, that are lost and that no shard depends on:
-// evicted, they no longer count as voters for updates, so that lost ones do not come to be half of
-// these.
+// ToEvict returns the stores, sorted by id, that are lost and that no shard depends on. Once
+// evicted, they no longer count as voters for updates, so that lost stores cannot add up to half
+// of the voters.
 func (t *Table) ToEvict(current *state.State, now clock.Micros) []state.Store {
 	if !t.HasQuorumContact(current, now) || !current.Configured() {
 		return nil
@@ -39,9 +40,9 @@
 	return out
 }
 
-// isLost tells whether this core, since it serves, has not heard a store for long enough to
-// evict it. That is sooner where another store has taken its machine over: where cores restart
-// often, no primary may serve for EvictAfter.
+// isLost reports whether this core, while serving, has not heard a store for long enough to
+// evict it. The timeout is shorter if another store has taken over the store's machine, because
+// with frequent restarts of cores no primary may serve for as long as EvictAfter.
 func (t *Table) isLost(current *state.State, store state.Store, now clock.Micros) bool {
 	timeout := t.settings.EvictAfter
 	if t.hasSuccessor(current, store, now) {
@@ -50,7 +51,7 @@
 	return now-max(t.byID[store.ID].heardAt, t.servingSince) >= timeout
 }
 
-// hasSuccessor tells whether a live store was registered later under the same machine's name.
+// hasSuccessor reports whether a live store was registered later under the same machine name.
 func (t *Table) hasSuccessor(current *state.State, store state.Store, now clock.Micros) bool {
 	newest, known := current.StoreNamed(store.Name)
 	if !known || newest.ID == store.ID {
--- a/internal/controlplane/stores/join.go
+++ b/internal/controlplane/stores/join.go
@@ -9,33 +9,34 @@
 	"tuliprudder/internal/replication"
 )
 
-// JoinRules are what a store's heartbeat is held against.
+// JoinRules are the values that a store's heartbeat is checked against.
 type JoinRules struct {
-	Fleet string // the fleet of this core; "" before it has one
-	// NewestIncarnation is the newest one that the store was registered with; 0 where this core is
-	// not primary, as its state may be old.
+	Fleet string // this core's fleet; "" before it has one
+	// NewestIncarnation is the newest incarnation that the store was registered with. It is 0 if
+	// this core is not primary, because its state may be out of date.
 	NewestIncarnation uint64
 }
 
-// RejectionReason is why a heartbeat is not from the store it names; "" when it may be: another process with
-// the same identity runs elsewhere, or a newer incarnation was heard before. The disk of such
-// a process would be taken for the trusted one.
+// RejectionReason returns why a heartbeat must be rejected, or "". It is rejected if it is from
+// another fleet, if another process with the same identity runs elsewhere, or if a newer
+// incarnation was registered. In the last two cases the disk of the process would be mistaken for
+// the trusted one.
 func (t *Table) RejectionReason(h registration.Heartbeat, rules JoinRules, now clock.Micros) string {
 	if h.Fleet != "" && rules.Fleet != "" && h.Fleet != rules.Fleet {
-		return fmt.Sprintf("it is of fleet %s, this is %s", h.Fleet, rules.Fleet)
+		return fmt.Sprintf("the store belongs to fleet %s, this core to %s", h.Fleet, rules.Fleet)
 	}
 	heard, known := t.byID[h.ID]
 	if known && heard.heartbeat.Peer != h.Peer && now-heard.heardAt < t.settings.Timeout/2 {
-		return "a store of the same identity runs at " + heard.heartbeat.Peer
+		return "a store with the same identity runs at " + heard.heartbeat.Peer
 	}
 	if h.Incarnation < rules.NewestIncarnation {
-		return fmt.Sprintf("incarnation %d of this store was heard, this is incarnation %d: the folder is an old copy", rules.NewestIncarnation, h.Incarnation)
+		return fmt.Sprintf("incarnation %d of this store was registered, the heartbeat is of incarnation %d: the data folder is an old copy", rules.NewestIncarnation, h.Incarnation)
 	}
 	return ""
 }
 
-// IsReplaced tells whether a store is evicted and another one runs at its address. A
-// heartbeat that was under way at that time does not bring it back.
+// IsReplaced reports whether a store is evicted and another one runs at its address. A late
+// heartbeat of such a store must not register it again.
 func (t *Table) IsReplaced(current *state.State, id string, now clock.Micros) bool {
 	store := current.Stores[id]
 	if !store.Evicted {
@@ -49,8 +50,8 @@
 	return false
 }
 
-// Registration is what has to be written down of a store that sent a heartbeat; false when the
-// state says it already.
+// Registration returns the store to register after a heartbeat, or false if the state already has
+// it unchanged.
 func Registration(current *state.State, h registration.Heartbeat) (state.Store, bool) {
 	store := state.Store{ID: h.ID, Zone: h.Zone, Peer: h.Peer, Name: h.Name, Incarnation: h.Incarnation}
 	known, isRegistered := current.Stores[h.ID]
@@ -58,9 +59,9 @@
 	return store, !isRegistered || known.Evicted || !isUnchanged
 }
 
-// CompletedShards are the assignments, by shard, that become complete by a primary's report that
-// every member of its group holds the shard. A report of another epoch or incarnation counts
-// for nothing.
+// CompletedShards returns the assignments, by shard, that become complete because their primary
+// reports that every member of the group has the shard. A report of another epoch or incarnation
+// is ignored.
 func CompletedShards(current *state.State, h registration.Heartbeat) map[int]replication.Assignment {
 	completed := map[int]replication.Assignment{}
 	primary := replication.Member{ID: h.ID, Incarnation: h.Incarnation}
--- a/internal/controlplane/stores/table.go
+++ b/internal/controlplane/stores/table.go
@@ -1,10 +1,10 @@
-// Package stores is the table of the store daemons that a core hears (DESIGN §3.4, §6.6): which
-// of them live, which may join, which are to be evicted, and which shards they report
+// Package stores tracks the store daemons that a core receives heartbeats from (DESIGN §3.4, §6.6):
+// which of them are live, which may join, which are to be evicted, and which shards they report as
 // complete.
 //
-// The table holds heartbeats and times, and decides on these and on the control state that it
-// is given; it changes neither the control state nor anything else, and has no effects. Its
-// caller, the core, does. It is not safe for concurrent use.
+// The table holds heartbeats and times, and derives its answers from these and from the control
+// state that it is given. It does not change the control state and emits no effects; that is up to
+// its caller, the core. It is not safe for concurrent use.
 package stores
 
 import (
@@ -13,40 +13,42 @@
 	"tuliprudder/internal/controlplane/state"
 )
 
-// Settings of the table. All spans are in microseconds.
+// Settings are the table's parameters. All durations are in microseconds.
 type Settings struct {
-	Timeout         clock.Micros // after which a store that is not heard counts as lost, if the membership suspects it
-	ListenDelay     clock.Micros // for how long a new primary listens until it decides on stores
-	EvictAfter      clock.Micros // after which a store that is not heard no longer counts as a voter for updates
-	MaxStaleness    clock.Micros // how old the updates here may be for a store to be evicted
-	AssumeLostAfter clock.Micros // after which a core takes the voters for updates that it does not hear for lost
+	Timeout         clock.Micros // silence after which a store counts as lost if the membership suspects it
+	ListenDelay     clock.Micros // how long a new primary listens before it decides which stores are live
+	EvictAfter      clock.Micros // silence after which a store no longer counts as a voter for updates
+	MaxStaleness    clock.Micros // maximum age of this core's updates at which it may evict stores
+	AssumeLostAfter clock.Micros // time without a majority after which silent voters for updates are considered lost
 }
 
-// contact is what was heard of a store.
+// contact is what the table knows about one store from its heartbeats.
 type contact struct {
 	heartbeat    registration.Heartbeat // the latest
 	heardAt      clock.Micros
-	firstHeardAt clock.Micros // the first heartbeat of this incarnation
+	firstHeardAt clock.Micros // time of the first heartbeat of this incarnation
 }
 
-// Table is what a core knows of the stores.
+// Table is what a core knows about the stores.
 type Table struct {
 	settings Settings
 	byID     map[string]contact
-	// suspects are the stores that the membership does not take for alive.
+	// suspects are the stores that the membership considers unhealthy.
 	suspects map[string]bool
-	// servingSince is since when this core is primary and hears the stores without a pause.
+	// servingSince is the time since which this core, as primary, has received heartbeats without
+	// interruption.
 	servingSince clock.Micros
-	// freshUntil is up to when its updates include what a majority of the voters for updates knew.
+	// freshUntil is the time up to which this core's updates include all that a majority of the
+	// voters for updates knew.
 	freshUntil clock.Micros
 }
 
-// New is an empty table.
+// New returns an empty table.
 func New(settings Settings) *Table {
 	return &Table{settings: settings, byID: map[string]contact{}, suspects: map[string]bool{}}
 }
 
-// Record takes a heartbeat in.
+// Record stores a heartbeat.
 func (t *Table) Record(h registration.Heartbeat, now clock.Micros) {
 	heard, known := t.byID[h.ID]
 	if !known || heard.heartbeat.Incarnation != h.Incarnation {
@@ -56,7 +58,7 @@
 	t.byID[h.ID] = heard
 }
 
-// SetSuspected tells whether the membership takes a store for unhealthy.
+// SetSuspected records whether the membership considers a store unhealthy.
 func (t *Table) SetSuspected(id string, suspected bool) {
 	if suspected {
 		t.suspects[id] = true
@@ -65,17 +67,18 @@
 	}
 }
 
-// SetFreshUntil tells up to when this daemon's updates include what a majority of the voters for
-// updates knew.
+// SetFreshUntil records the time up to which this daemon's updates include all that a majority of
+// the voters for updates knew.
 func (t *Table) SetFreshUntil(at clock.Micros) { t.freshUntil = max(t.freshUntil, at) }
 
-// StartServing tells that this core is primary and hears the stores from now on: what it
-// did not hear before says nothing about a store.
+// StartServing records that this core is primary and receives the stores' heartbeats from now on.
+// Silence before that time says nothing about a store.
 func (t *Table) StartServing(now clock.Micros) { t.servingSince = now }
 
-// Incarnation is the one that a store runs in now; false when it is taken for lost. A store that
-// is not heard counts as lost once the membership suspects it, too, or after twice the
-// time. One that is evicted is lost at once: its shards are assigned anew (DESIGN §3.4).
+// Incarnation returns a store's current incarnation, or false if the store is considered lost. A
+// silent store counts as lost after Timeout if the membership suspects it too, otherwise after
+// twice that time. An evicted store is lost at once, so that its shards are reassigned (DESIGN
+// §3.4).
 func (t *Table) Incarnation(current *state.State, id string, now clock.Micros) (uint64, bool) {
 	heard, ok := t.byID[id]
 	if !ok || current.Stores[id].Evicted {
@@ -88,8 +91,8 @@
 	return heard.heartbeat.Incarnation, true
 }
 
-// HasHeardEnough tells whether a new primary has heard enough to decide which stores live: all the
-// stores that count, or for long enough (DESIGN §5.4).
+// HasHeardEnough reports whether a new primary can decide which stores are live: it has heard all
+// stores that are neither evicted nor retired, or has listened for ListenDelay (DESIGN §5.4).
 func (t *Table) HasHeardEnough(current *state.State, now clock.Micros) bool {
 	if now-t.servingSince >= t.settings.ListenDelay {
 		return true
