--- a/internal/controlplane/placement/placement_test.go
+++ b/internal/controlplane/placement/placement_test.go
@@ -121,15 +121,15 @@
 	report := func(s *Store) {
 		s.Unreachable = map[int]registration.UnreachableReplicas{0: {Epoch: 1, Peers: []string{"p2"}}}
 	}
-	memory := PlannerState{NextBalance: testNow + 60*clock.Second}
+	state := PlannerState{NextBalance: testNow + 60*clock.Second}
 	before := view(liveStores("z1", "z2", "z3"), group("s1", "s2")).editStore("s1", report)
-	memory = Decide(testSettings, before, memory).NextState
-	if until := memory.PartitionedUntil[PairOf("s2", "s1")]; until != testNow+testSettings.PartitionCooldown {
+	state = Decide(testSettings, before, state).NextState
+	if until := state.PartitionedUntil[PairOf("s2", "s1")]; until != testNow+testSettings.PartitionCooldown {
 		t.Fatalf("partitioned until %d, want PartitionCooldown from now", until)
 	}
 	later := view(liveStores("z1", "z2", "z3", "z4"), group("s1", "s3"))
 	later.editStore("s3", func(s *Store) { s.Live = false })
-	if got := Decide(testSettings, later, memory).Assignments[0].IDs(); !slices.Equal(got, []string{"s1", "s4"}) {
+	if got := Decide(testSettings, later, state).Assignments[0].IDs(); !slices.Equal(got, []string{"s1", "s4"}) {
 		t.Errorf("next group: got %v, want [s1 s4]", got)
 	}
 }
@@ -137,9 +137,9 @@
 func TestBalance(t *testing.T) {
 	uneven := []replication.Assignment{group("s1", "s2"), group("s1", "s2"), group("s1", "s2"), group("s2", "s1")}
 	for name, c := range map[string]struct {
-		view   ClusterView
-		memory PlannerState
-		moves  int
+		view     ClusterView
+		previous PlannerState
+		moves    int
 	}{
 		"one move at a time":       {view(liveStores("z1", "z2", "z3"), uneven...), PlannerState{}, 1},
 		"the next move is not due": {view(liveStores("z1", "z2", "z3"), uneven...), PlannerState{NextBalance: testNow + 1}, 0},
@@ -150,7 +150,7 @@
 		"the load is balanced": {view(liveStores("z1", "z2"), group("s1", "s2"), group("s2", "s1")), PlannerState{}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := Decide(testSettings, c.view, c.memory); len(got.Assignments) != c.moves {
+			if got := Decide(testSettings, c.view, c.previous); len(got.Assignments) != c.moves {
 				t.Errorf("got %d moves: %+v", len(got.Assignments), got.Assignments)
 			}
 		})
@@ -163,10 +163,10 @@
 	v.editStore("s1", func(s *Store) {
 		s.Unreachable = map[int]registration.UnreachableReplicas{0: {Epoch: 1, Peers: []string{"p2"}}}
 	})
-	memory := PlannerState{PartitionedUntil: map[StorePair]clock.Micros{}}
-	first := fmt.Sprintf("%+v", Decide(testSettings, v, memory))
-	if again := fmt.Sprintf("%+v", Decide(testSettings, v, memory)); again != first || len(memory.PartitionedUntil) != 0 {
-		t.Errorf("first %s, then %s; the state passed in is now %v", first, again, memory)
+	previous := PlannerState{PartitionedUntil: map[StorePair]clock.Micros{}}
+	first := fmt.Sprintf("%+v", Decide(testSettings, v, previous))
+	if again := fmt.Sprintf("%+v", Decide(testSettings, v, previous)); again != first || len(previous.PartitionedUntil) != 0 {
+		t.Errorf("first %s, then %s; the state passed in is now %v", first, again, previous)
 	}
 }
 
