--- a/internal/batchstore/access.go
+++ b/internal/batchstore/access.go
@@ -13,8 +13,8 @@
 	AnyTenant bool
 }
 
-// finds tells whether a call may use a batch, or learn that it is there.
-func (a Access) finds(batch *shard.Batch) bool {
+// allows tells whether a call may use a batch, or learn that it is there.
+func (a Access) allows(batch *shard.Batch) bool {
 	switch {
 	case batch.HasNoTenant():
 		return a.WithoutTenant || a.AnyTenant
@@ -24,10 +24,10 @@
 	return batch.Tenant == a.Tenant
 }
 
-// find returns a batch if the call may use it.
-func (sh servedShard) find(id string, by Access) (*shard.Batch, error) {
+// findBatch returns a batch if the call may use it.
+func (sh servedShard) findBatch(id string, by Access) (*shard.Batch, error) {
 	batch := sh.state.Batches[id]
-	if batch == nil || !by.finds(batch) {
+	if batch == nil || !by.allows(batch) {
 		return nil, errNoSuchBatch(id)
 	}
 	return batch, nil
--- a/internal/batchstore/access_test.go
+++ b/internal/batchstore/access_test.go
@@ -8,8 +8,8 @@
 	"tuliprudder/internal/errs"
 )
 
-// batchOf is a batch of opaque requests that a tenant submits.
-func batchOf(tenant, id string, items int) SubmitRequest {
+// tenantBatch is a batch of opaque requests that a tenant submits.
+func tenantBatch(tenant, id string, items int) SubmitRequest {
 	request := forwardedBatch(id, items)
 	request.Batch.Tenant, request.Batch.Key = tenant, id
 	request.By = Access{Tenant: tenant, WithoutTenant: true}
@@ -17,7 +17,7 @@
 }
 
 // Which batches a call finds, by its access.
-func TestWhichBatchesACallFinds(t *testing.T) {
+func TestAccessAllowsBatchesByTenant(t *testing.T) {
 	batches := map[string]*shard.Batch{
 		"of t":               {ID: "id", Key: "id", Tenant: "t", Route: "r"},
 		"of a tenant like r": {ID: "id", Key: "id", Tenant: "r", Route: "r"},
@@ -41,7 +41,7 @@
 			want[name] = true
 		}
 		for name, batch := range batches {
-			if test.by.finds(batch) != want[name] {
+			if test.by.allows(batch) != want[name] {
 				t.Errorf("%+v: finds the batch %s: %v", test.by, name, !want[name])
 			}
 		}
@@ -52,7 +52,7 @@
 // alone. (Issue 40.)
 func TestAnotherTenantsBatchIsNotFound(t *testing.T) {
 	c := newCluster(t)
-	c.mustCall(batchOf("t", "one", 2))
+	c.mustCall(tenantBatch("t", "one", 2))
 	for _, by := range []Access{{Tenant: "other", WithoutTenant: true}, {WithoutTenant: true}, {Tenant: "route", WithoutTenant: true}} {
 		for _, request := range []any{
 			BatchStatusRequest{Batch: "one", By: by},
@@ -81,22 +81,22 @@
 
 // An ID that another tenant's batch has is taken, whatever comes under it; nothing of that batch changes.
 // One of no tenant is recognised by every tenant.
-func TestAnIDThatAnotherTenantUses(t *testing.T) {
+func TestBatchIDOfAnotherTenantIsRejected(t *testing.T) {
 	c := newCluster(t)
-	c.mustCall(batchOf("t", "one", 2))
-	c.mustReject(errs.Conflict, batchOf("other", "one", 2))
-	c.mustReject(errs.Conflict, batchOf("other", "one", 1))
-	without := forwardedBatch("one", 2)
-	without.By = Access{WithoutTenant: true}
-	c.mustReject(errs.Conflict, without)
-	if again := c.mustCall(batchOf("t", "one", 2)).(SubmitResponse); !again.Repeated {
+	c.mustCall(tenantBatch("t", "one", 2))
+	c.mustReject(errs.Conflict, tenantBatch("other", "one", 2))
+	c.mustReject(errs.Conflict, tenantBatch("other", "one", 1))
+	withoutTenant := forwardedBatch("one", 2)
+	withoutTenant.By = Access{WithoutTenant: true}
+	c.mustReject(errs.Conflict, withoutTenant)
+	if again := c.mustCall(tenantBatch("t", "one", 2)).(SubmitResponse); !again.Repeated {
 		t.Errorf("the tenant's own is answered %+v", again)
 	}
 	if batch := c.stores["a"].shard(Unit(0)).state.Batches["one"]; batch.Tenant != "t" || len(batch.Items) != 2 {
 		t.Errorf("the batch is %+v", batch)
 	}
 	c.mustCall(forwardedBatch("shared", 1))
-	if again := c.mustCall(batchOf("t", "shared", 1)).(SubmitResponse); !again.Repeated {
+	if again := c.mustCall(tenantBatch("t", "shared", 1)).(SubmitResponse); !again.Repeated {
 		t.Errorf("a batch of no tenant is answered %+v", again)
 	}
 }
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	batch := state.Batches["one"]
-	if !batch.HasNoTenant() || batch.TenantName() != "" || batch.Account() != (shard.AccountName{Route: "r"}) || !(Access{Tenant: "t", WithoutTenant: true}).finds(batch) {
+	if !batch.HasNoTenant() || batch.TenantName() != "" || batch.Account() != (shard.AccountName{Route: "r"}) || !(Access{Tenant: "t", WithoutTenant: true}).allows(batch) {
 		t.Errorf("tenant %q, account %+v", batch.TenantName(), batch.Account())
 	}
 }
--- a/internal/batchstore/announce.go
+++ b/internal/batchstore/announce.go
@@ -23,15 +23,15 @@
 // minAnnounceInterval is the shortest time between two announcements, whatever changed.
 const minAnnounceInterval = 15 * clock.Millisecond
 
-// requestForPosition makes an announcement of a new position due.
-func (a *announcer) requestForPosition() { a.positionChanged = true }
+// requestPositionAnnouncement makes an announcement of a new position due.
+func (a *announcer) requestPositionAnnouncement() { a.positionChanged = true }
 
-// requestForShards makes an announcement of the shards served here due: readers don't find these
+// requestShardAnnouncement makes an announcement of the shards served here due: readers don't find these
 // until then.
-func (a *announcer) requestForShards() { a.shardsChanged = true }
+func (a *announcer) requestShardAnnouncement() { a.shardsChanged = true }
 
-// begin begins an announcement if one is due, and tells whether it is.
-func (a *announcer) begin(now, positionInterval clock.Micros) bool {
+// beginIfDue begins an announcement if one is due, and tells whether it is.
+func (a *announcer) beginIfDue(now, positionInterval clock.Micros) bool {
 	interval := positionInterval
 	if a.shardsChanged {
 		interval = min(interval, minAnnounceInterval)
@@ -49,7 +49,7 @@
 // announce publishes to the reading daemons, when it is due, this writer's persisted-up-to
 // position and the shards that it serves (docs/DESIGN.md §6.5).
 func (s *Store) announce(now clock.Micros) {
-	if s.identity.Writer == 0 || !s.announcer.begin(now, s.settings.AnnounceEvery) {
+	if s.identity.Writer == 0 || !s.announcer.beginIfDue(now, s.settings.AnnounceEvery) {
 		return
 	}
 	value, _ := json.Marshal(s.announcement())
@@ -80,8 +80,8 @@
 	local := s.shard(group.Unit)
 	formerWriters := maps.Clone(local.state.LastPositions)
 	delete(formerWriters, s.identity.Writer)
-	if local.formerOwnPosition > 0 {
-		formerWriters[s.identity.Writer] = local.formerOwnPosition
+	if local.ownPositionAtTakeover > 0 {
+		formerWriters[s.identity.Writer] = local.ownPositionAtTakeover
 	}
 	return token.OwnedShard{
 		Shard:         local.index,
--- a/internal/batchstore/announce_test.go
+++ b/internal/batchstore/announce_test.go
@@ -15,25 +15,25 @@
 	return UpdateReceived{Update: machine.Update{Key: token.Key(writer), Value: value}}
 }
 
-func TestAnnouncementsAreMadeOnRequestAndNotTooOften(t *testing.T) {
+func TestAnnouncementsFollowChangesAndAreRateLimited(t *testing.T) {
 	const interval = 150 * clock.Millisecond
 	var a announcer
-	if a.begin(0, interval) {
+	if a.beginIfDue(0, interval) {
 		t.Fatal("announced without a request")
 	}
-	a.requestForPosition()
-	a.requestForPosition()
-	if !a.begin(clock.Second, interval) || a.seq != 1 {
+	a.requestPositionAnnouncement()
+	a.requestPositionAnnouncement()
+	if !a.beginIfDue(clock.Second, interval) || a.seq != 1 {
 		t.Fatal("not announced on request")
 	}
-	if a.begin(clock.Second+interval, interval) {
+	if a.beginIfDue(clock.Second+interval, interval) {
 		t.Fatal("announced again without a request")
 	}
-	a.requestForPosition()
-	if a.begin(clock.Second+interval-1, interval) {
+	a.requestPositionAnnouncement()
+	if a.beginIfDue(clock.Second+interval-1, interval) {
 		t.Fatal("announced again too early")
 	}
-	if !a.begin(clock.Second+interval, interval) || a.seq != 2 {
+	if !a.beginIfDue(clock.Second+interval, interval) || a.seq != 2 {
 		t.Fatal("not announced again in time")
 	}
 }
@@ -42,17 +42,17 @@
 func TestShardsAreAnnouncedSoonerThanPositions(t *testing.T) {
 	const interval = clock.Second
 	var a announcer
-	a.requestForPosition()
-	a.begin(clock.Second, interval)
-	a.requestForShards()
-	if a.begin(clock.Second+minAnnounceInterval-1, interval) {
+	a.requestPositionAnnouncement()
+	a.beginIfDue(clock.Second, interval)
+	a.requestShardAnnouncement()
+	if a.beginIfDue(clock.Second+minAnnounceInterval-1, interval) {
 		t.Fatal("announced again too early")
 	}
-	if !a.begin(clock.Second+minAnnounceInterval, interval) {
+	if !a.beginIfDue(clock.Second+minAnnounceInterval, interval) {
 		t.Fatal("not announced soon")
 	}
-	a.requestForPosition()
-	if a.begin(clock.Second+2*minAnnounceInterval, interval) {
+	a.requestPositionAnnouncement()
+	if a.beginIfDue(clock.Second+2*minAnnounceInterval, interval) {
 		t.Fatal("a position is announced as soon as shards are")
 	}
 }
--- a/internal/batchstore/archive.go
+++ b/internal/batchstore/archive.go
@@ -50,8 +50,8 @@
 	return a
 }
 
-// nextFile is the number of a new file.
-func (a *archiver) nextFile() uint64 {
+// allocateFile is the number of a new file.
+func (a *archiver) allocateFile() uint64 {
 	a.lastFile++
 	a.files[a.lastFile] = true // to be deleted if no batch comes to refer to it
 	return a.lastFile
@@ -89,7 +89,7 @@
 func (s *Store) archiveFinished() {
 	var batches []*shard.Batch
 	for _, group := range s.groups.All() {
-		if isStable(group) {
+		if allEntriesDurable(group) {
 			batches = append(batches, archivableBatches(s.shard(group.Unit).state)...)
 		}
 	}
@@ -106,7 +106,7 @@
 // way there.
 func archivableBatches(state *shard.State) []*shard.Batch {
 	var batches []*shard.Batch
-	for _, id := range sortedBatches(state) {
+	for _, id := range sortedBatchIDs(state) {
 		if batch := state.Batches[id]; batch.IsArchivable() {
 			batches = append(batches, batch)
 		}
@@ -128,7 +128,7 @@
 // once it is durable; the entries that made them stay on disk until a compaction refers to the
 // file.
 func (s *Store) writeArchiveFile(batches []*shard.Batch) (count int) {
-	file := s.archiver.nextFile()
+	file := s.archiver.allocateFile()
 	var records []machine.Record
 	for size := 0; count < min(len(batches), archiveBatchLimit) && size < archiveFileSize; count++ {
 		batch := batches[count]
@@ -147,9 +147,9 @@
 	return count
 }
 
-// isStable tells whether every entry that this member has is durable: on all members at the
+// allEntriesDurable tells whether every entry that this member has is durable: on all members at the
 // primary, on its own disk at a replica.
-func isStable(group *replication.Group) bool {
+func allEntriesDurable(group *replication.Group) bool {
 	switch group.Role {
 	case replication.Serving:
 		return group.Unconfirmed() == 0
@@ -163,7 +163,7 @@
 func (s *Store) readArchived(batch *shard.Batch) *shard.Batch {
 	complete, err := s.archiver.read(batch)
 	if err != nil {
-		s.reportDamage(err)
+		s.reportArchiveReadError(err)
 		return batch
 	}
 	return complete
@@ -173,14 +173,14 @@
 func (s *Store) readArchivedEncoded(batch *shard.Batch) []byte {
 	data, err := s.archiver.readEncoded(batch)
 	if err != nil {
-		s.reportDamage(err)
+		s.reportArchiveReadError(err)
 	}
 	return data
 }
 
-// reportDamage tells of an archived batch that can't be read: the daemon ends, so that another
+// reportArchiveReadError tells of an archived batch that can't be read: the daemon ends, so that another
 // member of the group serves the shard.
-func (s *Store) reportDamage(err error) {
+func (s *Store) reportArchiveReadError(err error) {
 	s.BadRecord = err
 	if s.OnDamage != nil {
 		s.OnDamage(err)
@@ -206,9 +206,9 @@
 	}
 }
 
-// FinishedInMemory is how many bytes of outputs of finished batches are in memory because they
+// FinishedBytesInMemory is how many bytes of outputs of finished batches are in memory because they
 // are not in the archive yet.
-func (s *Store) FinishedInMemory() int64 {
+func (s *Store) FinishedBytesInMemory() int64 {
 	size := int64(0)
 	for _, local := range s.shards {
 		for _, batch := range local.state.Batches {
--- a/internal/batchstore/archive_test.go
+++ b/internal/batchstore/archive_test.go
@@ -7,7 +7,7 @@
 	"tuliprudder/internal/clock"
 )
 
-func TestUnusedArchiveFilesAreTakenOnce(t *testing.T) {
+func TestUnusedArchiveFilesAreReturnedOnce(t *testing.T) {
 	a := newArchiver(newMemoryArchive())
 	a.files = map[uint64]bool{1: true, 2: true, 3: true}
 	if got := a.takeUnused(map[uint64]bool{2: true, 4: true}); !slices.Equal(got, []uint64{1, 3}) {
@@ -32,14 +32,14 @@
 	if batch.Archived != nil || !batch.IsBeingArchived() {
 		t.Fatalf("while its file is being written the batch is %+v", batch)
 	}
-	c.release()
+	c.executeDelayed()
 	if batch.Archived == nil || batch.IsBeingArchived() || len(batch.Results) != 0 {
 		t.Fatalf("once its file is durable the batch is %+v", batch)
 	}
 }
 
 // A batch that can't be read back is reported.
-func TestDamagedArchiveIsReported(t *testing.T) {
+func TestUnreadableArchiveIsReported(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 1))
 	c.do("a", finished("one", 0))
--- a/internal/batchstore/call.go
+++ b/internal/batchstore/call.go
@@ -85,9 +85,9 @@
 	return servedShard{localShard: s.shard(unit), group: group}, nil
 }
 
-// requireServingAt is requireServing at a reader's epoch. A reader at another epoch knows other
+// requireServingAtEpoch is requireServing at a reader's epoch. A reader at another epoch knows other
 // ends of former writers' results, and would miss some.
-func (s *Store) requireServingAt(shardIndex int, epoch uint64, now clock.Micros) (servedShard, error) {
+func (s *Store) requireServingAtEpoch(shardIndex int, epoch uint64, now clock.Micros) (servedShard, error) {
 	served, err := s.requireServing(shardIndex, now)
 	if err == nil && served.group.Epoch != epoch {
 		return servedShard{}, errStaleEpoch(shardIndex, served.group.Epoch, epoch)
--- a/internal/batchstore/claim.go
+++ b/internal/batchstore/claim.go
@@ -14,13 +14,13 @@
 		return
 	}
 	id := shard.ClaimID(request.Claim.Tenant, request.Claim.Key)
-	if known := served.state.Claims[id]; known != nil && known.State != shard.Voided {
-		if known.Hash != request.Claim.Hash {
+	if existing := served.state.Claims[id]; existing != nil && existing.State != shard.Voided {
+		if existing.Hash != request.Claim.Hash {
 			s.replyError(call, errClaimKeyReused())
 			return
 		}
-		isRequesters := known.RequestID == request.Claim.RequestID
-		s.replyOnceDurable(served, pendingCall{number: call, deadline: now + request.Timeout, response: ClaimResponse{Yours: isRequesters, Claim: *known}})
+		ownedByRequester := existing.RequestID == request.Claim.RequestID
+		s.replyOnceDurable(served, pendingCall{number: call, deadline: now + request.Timeout, response: ClaimResponse{Yours: ownedByRequester, Claim: *existing}})
 		return
 	}
 	claim := request.Claim
--- a/internal/batchstore/cluster_map.go
+++ b/internal/batchstore/cluster_map.go
@@ -44,7 +44,7 @@
 	}
 	previous := s.clusterMap
 	s.clusterMap = received
-	s.voidEndedLeases(previous)
+	s.voidLeasesOfEndedIncarnations(previous)
 	for shardIndex, assignment := range s.clusterMap.Shards {
 		s.reconcile(shardIndex, assignment, now)
 	}
@@ -70,10 +70,10 @@
 	}
 }
 
-// voidEndedLeases voids the leases that this store granted to incarnations that have ended:
+// voidLeasesOfEndedIncarnations voids the leases that this store granted to incarnations that have ended:
 // a store that restarted has another incarnation, and the one before starts nothing any
 // more (docs/DESIGN.md §4.4).
-func (s *Store) voidEndedLeases(previous state.Map) {
+func (s *Store) voidLeasesOfEndedIncarnations(previous state.Map) {
 	for shardIndex, assignment := range previous.Shards {
 		group := s.groups.Group(Unit(shardIndex))
 		primary := assignment.Primary
@@ -131,7 +131,7 @@
 	case becomeReplica:
 		primary := s.clusterMap.Stores[assignment.Primary.ID]
 		s.groups.BecomeReplica(group.Unit, assignment.Epoch, primary.Peer, now)
-		s.announcer.requestForShards()
+		s.announcer.requestShardAnnouncement()
 	case releaseShard:
 		s.groups.StepDown(group.Unit, assignment.Epoch, now)
 	case dropShard:
@@ -164,12 +164,12 @@
 		Replicas:   assignment.IDs()[1:],
 		FormerRole: group.Role.String(),
 	}})
-	s.groups.BecomePrimary(group.Unit, assignment.Epoch, s.peersOf(assignment.Replicas), now)
-	s.announcer.requestForShards()
+	s.groups.BecomePrimary(group.Unit, assignment.Epoch, s.peerAddresses(assignment.Replicas), now)
+	s.announcer.requestShardAnnouncement()
 }
 
-// peersOf are the addresses of some members of a group.
-func (s *Store) peersOf(members []replication.Member) []string {
+// peerAddresses are the addresses of some members of a group.
+func (s *Store) peerAddresses(members []replication.Member) []string {
 	var peers []string
 	for _, member := range members {
 		peers = append(peers, s.clusterMap.Stores[member.ID].Peer)
@@ -181,12 +181,12 @@
 // shard has, so that each ownership span lies above the one before.
 func (s *Store) startServing(group *replication.Group, now clock.Micros) {
 	local := s.shard(group.Unit)
-	local.formerOwnPosition = local.state.LastPositions[s.identity.Writer]
+	local.ownPositionAtTakeover = local.state.LastPositions[s.identity.Writer]
 	s.unconfirmedReleases.takeUnit(group.Unit) // every member has this state
 	s.positions.RaiseAbove(local.state.HighestPosition())
 	s.reservePositions()
 	s.finishOrphans(local.index, group.Epoch)
-	s.announcer.requestForShards()
+	s.announcer.requestShardAnnouncement()
 	s.startShardItems(group.Unit)
 	s.Emit(machine.LogEvent{Event: ShardServing{
 		Shard:         local.index,
--- a/internal/batchstore/disk_test.go
+++ b/internal/batchstore/disk_test.go
@@ -13,7 +13,7 @@
 var diskFull = DiskStateChanged{machine.DiskState{Reason: "the disk is full"}}
 var diskWritable = DiskStateChanged{machine.DiskState{Writable: true}}
 
-func TestDiskIsStalledByAnOldWriteUntilAfterTheProbation(t *testing.T) {
+func TestSlowWriteStallsDiskUntilProbationEnds(t *testing.T) {
 	const timeout, probation = 10, 100
 	d := newDiskMonitor(timeout, probation)
 	d.writeStarted(1, 1000)
@@ -38,7 +38,7 @@
 
 // A store whose disk is full tells the cores at once that its shards should move, and takes
 // shards again once the disk has kept up for the probation.
-func TestAFullDiskIsReportedAtOnce(t *testing.T) {
+func TestFullDiskIsReportedImmediately(t *testing.T) {
 	s := newStore(Self{ID: "s", Zone: "z", Peer: "p", Incarnation: 1})
 	s.Do(CorePeers{Peers: []string{"c"}}, clock.Second)
 	expect := func(when string, effects []machine.Effect, stalled bool) {
@@ -59,17 +59,17 @@
 
 // What would have to be written is rejected at once, and what is durable is still read;
 // once the disk is writable the same request is accepted.
-func TestAFullDiskAcceptsNothingNew(t *testing.T) {
+func TestFullDiskRejectsWritesAndServesReads(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 1))
 	c.do("a", diskFull)
-	for _, request := range []any{forwardedBatch("two", 1), EndRequest{Batch: "one", By: byID, Timeout: clock.Second}} {
+	for _, request := range []any{forwardedBatch("two", 1), EndRequest{Batch: "one", By: accessByID, Timeout: clock.Second}} {
 		c.mustReject(errs.NotReady, request)
 	}
 	if c.stores["a"].shard(Unit(0)).state.Batches["two"] != nil {
 		t.Fatal("a batch that was rejected is there")
 	}
-	if status := c.mustCall(BatchStatusRequest{Batch: "one", By: byID}).(BatchStatus); status.Items != 1 {
+	if status := c.mustCall(BatchStatusRequest{Batch: "one", By: accessByID}).(BatchStatus); status.Items != 1 {
 		t.Fatalf("the status is %+v", status)
 	}
 	c.do("a", diskWritable)
@@ -78,7 +78,7 @@
 
 // A replica whose disk is full takes no entry and acknowledges none: it would only wait in
 // memory. The primary repeats it, and it is taken once the disk is writable.
-func TestAReplicaWithAFullDiskTakesNoEntries(t *testing.T) {
+func TestReplicaWithFullDiskIgnoresEntries(t *testing.T) {
 	c := newCluster(t)
 	replica := c.stores["b"].groups.Group(Unit(0))
 	before := replica.Seq
@@ -97,7 +97,7 @@
 }
 
 // A snapshot is not taken either.
-func TestNoSnapshotIsTakenByAFullDisk(t *testing.T) {
+func TestFullDiskIgnoresSnapshots(t *testing.T) {
 	s := newStore(Self{ID: "s", Zone: "z", Peer: "p", Incarnation: 1})
 	s.Do(diskFull, clock.Second)
 	chunk := replication.SnapshotChunk{Unit: Unit(0), Epoch: 3, Seq: 1, Count: 1, Parts: shard.New().LocalParts()}
@@ -110,7 +110,7 @@
 }
 
 // A compaction that could not be written is made anew when the event loop asks for it.
-func TestACompactionIsMadeAgain(t *testing.T) {
+func TestFailedCompactionIsRetried(t *testing.T) {
 	c := newCluster(t)
 	compactions := 0
 	for _, effect := range c.stores["a"].Do(CompactAgain{}, c.now) {
--- a/internal/batchstore/end_batch.go
+++ b/internal/batchstore/end_batch.go
@@ -14,7 +14,7 @@
 		s.replyError(call, err)
 		return
 	}
-	batch, err := served.find(request.Batch, request.By)
+	batch, err := served.findBatch(request.Batch, request.By)
 	if err != nil {
 		s.replyError(call, err)
 		return
--- a/internal/batchstore/end_batch_test.go
+++ b/internal/batchstore/end_batch_test.go
@@ -12,7 +12,7 @@
 func TestEndIsAcknowledgedOnceItIsDurable(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 2))
-	request := EndRequest{Batch: "one", By: byID, Timeout: clock.Second}
+	request := EndRequest{Batch: "one", By: accessByID, Timeout: clock.Second}
 	c.delayed = true
 	if response, err := c.call(request); response != nil || err != nil {
 		t.Fatalf("not durable: %v %v", response, err)
@@ -20,7 +20,7 @@
 	if got := c.tasks[len(c.tasks)-1]; got != (CancelItems{Batch: "one", Shard: -1}) {
 		t.Fatalf("the last task is %+v", got)
 	}
-	c.release()
+	c.executeDelayed()
 	if status, ok := c.replies[c.lastCall].Body.(BatchStatus); !ok || status.State != string(shard.Ended) {
 		t.Fatalf("durable: %+v", c.replies[c.lastCall])
 	}
--- a/internal/batchstore/fixture_test.go
+++ b/internal/batchstore/fixture_test.go
@@ -49,13 +49,13 @@
 	stores         map[string]*Store
 	archives       map[string]*memoryArchive
 	delayed        bool     // the writes and messages of "a" wait
-	waiting        []func() // these
+	delayedEffects []func() // these
 	replies        map[uint64]machine.Reply
 	tasks          []any              // of the Execute effects
 	announced      token.Announcement // the last one of "a"
 	lastCall       uint64
 	mapSeq         uint64         // of the latest map
-	muted          string         // messages to this store are lost
+	unreachable    string         // messages to this store are lost
 	persistedBytes map[string]int // in bodies of records, by store
 	recordBytes    map[string]int // the same since its last compaction
 	compactions    map[string]int // by store
@@ -111,7 +111,7 @@
 	if c.delayed && id == "a" {
 		switch effect.(type) {
 		case machine.Persist, machine.Archive, machine.Send:
-			c.waiting = append(c.waiting, func() { c.execute(id, effect) })
+			c.delayedEffects = append(c.delayedEffects, func() { c.execute(id, effect) })
 			return
 		}
 	}
@@ -129,7 +129,7 @@
 		c.archives[id].files[e.File] = e.Records
 		c.do(id, Persisted{Token: e.Token})
 	case machine.Send:
-		if c.stores[e.To] != nil && e.To != c.muted {
+		if c.stores[e.To] != nil && e.To != c.unreachable {
 			c.do(e.To, Message{From: id, Body: e.Body})
 		}
 	case machine.Reply:
@@ -145,13 +145,13 @@
 	}
 }
 
-// release executes what was delayed, in order.
-func (c *cluster) release() {
+// executeDelayed executes what was delayed, in order.
+func (c *cluster) executeDelayed() {
 	c.delayed = false
-	for _, execute := range c.waiting {
+	for _, execute := range c.delayedEffects {
 		execute()
 	}
-	c.waiting = nil
+	c.delayedEffects = nil
 }
 
 // advance lets time pass in steps of 50 ms.
@@ -186,8 +186,8 @@
 	}
 }
 
-// byID is the access of callers that are not known by keys.
-var byID = Access{AnyTenant: true}
+// accessByID is the access of callers that are not known by keys.
+var accessByID = Access{AnyTenant: true}
 
 // forwardedBatch submits a batch of requests that are forwarded, without a tenant. The items i0, i1, … have 10, 11, … tokens.
 func forwardedBatch(id string, items int) SubmitRequest {
@@ -201,7 +201,7 @@
 			Tokens: int64(10 + i),
 		}})
 	}
-	return SubmitRequest{Batch: batch, By: byID, Timeout: clock.Second}
+	return SubmitRequest{Batch: batch, By: accessByID, Timeout: clock.Second}
 }
 
 // finished is the successful outcome of an item's run.
--- a/internal/batchstore/heartbeat_test.go
+++ b/internal/batchstore/heartbeat_test.go
@@ -31,20 +31,20 @@
 }
 
 // A shard is reported as busy while it has an open batch.
-func TestHeartbeatNamesBusyShards(t *testing.T) {
+func TestHeartbeatListsBusyShards(t *testing.T) {
 	c := newCluster(t)
 	busy := func() int { return len(c.stores["a"].heartbeat(c.now).Busy) }
 	c.mustCall(forwardedBatch("one", 1))
 	if got := busy(); got != 1 {
 		t.Fatalf("%d shards are busy with an open batch", got)
 	}
-	c.mustCall(EndRequest{Batch: "one", By: byID, Timeout: clock.Second})
+	c.mustCall(EndRequest{Batch: "one", By: accessByID, Timeout: clock.Second})
 	if got := busy(); got != 0 {
 		t.Fatalf("%d shards are busy once it has ended", got)
 	}
 }
 
-func TestDrainIsReportedAtOnce(t *testing.T) {
+func TestDrainIsReportedImmediately(t *testing.T) {
 	s := newStore(Self{ID: "s", Incarnation: 1})
 	s.Do(CorePeers{Peers: []string{"c"}}, clock.Second)
 	if heartbeat := lastHeartbeat(s.Do(Drain{}, clock.Second)); heartbeat == nil || !heartbeat.Draining {
--- a/internal/batchstore/item_body.go
+++ b/internal/batchstore/item_body.go
@@ -10,7 +10,7 @@
 		s.replyError(call, err)
 		return
 	}
-	if batch, err := served.find(request.Batch, request.By); err == nil {
+	if batch, err := served.findBatch(request.Batch, request.By); err == nil {
 		if item, ok := batch.PendingItem(request.Item); ok && item.Request != nil {
 			s.reply(call, ItemBodyResponse{Body: item.Request.Body})
 			return
--- a/internal/batchstore/item_body_test.go
+++ b/internal/batchstore/item_body_test.go
@@ -10,7 +10,7 @@
 
 // A forwarded item is run complete; its body is released once it has its result or its
 // batch has ended, its weight stays, and an attempt under way keeps the body.
-func TestBodiesAreReleasedOnceNobodyNeedsThem(t *testing.T) {
+func TestItemBodiesAreReleasedWhenNoLongerNeeded(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 2))
 	c.mustCall(forwardedBatch("two", 1))
@@ -23,11 +23,11 @@
 	if first.ItemID != "i0" || first.Request == nil || string(first.Request.Body) != "body 0" {
 		t.Fatalf("the task is %+v", first)
 	}
-	if got := c.mustCall(ItemBodyRequest{Batch: "one", Item: "i0", By: byID}).(ItemBodyResponse); string(got.Body) != "body 0" {
+	if got := c.mustCall(ItemBodyRequest{Batch: "one", Item: "i0", By: accessByID}).(ItemBodyResponse); string(got.Body) != "body 0" {
 		t.Fatalf("the body is %q", got.Body)
 	}
 	c.do("a", ItemFinished{Batch: "one", Item: 0, Status: shard.StatusOK, Output: "x"})
-	c.mustCall(EndRequest{Batch: "two", By: byID, Timeout: clock.Second})
+	c.mustCall(EndRequest{Batch: "two", By: accessByID, Timeout: clock.Second})
 	for _, s := range c.stores {
 		for _, id := range []string{"one", "two"} {
 			request := s.shard(Unit(0)).state.Batches[id].Items[0].Request
@@ -39,10 +39,10 @@
 	if string(first.Request.Body) != "body 0" {
 		t.Fatal("an attempt under way lost its body")
 	}
-	for _, request := range []ItemBodyRequest{{Batch: "one", Item: "i0", By: byID}, {Batch: "two", Item: "i0", By: byID}, {Batch: "one", Item: "i9", By: byID}, {Batch: "three", Item: "i0", By: byID}} {
+	for _, request := range []ItemBodyRequest{{Batch: "one", Item: "i0", By: accessByID}, {Batch: "two", Item: "i0", By: accessByID}, {Batch: "one", Item: "i9", By: accessByID}, {Batch: "three", Item: "i0", By: accessByID}} {
 		c.mustReject(errs.NotFound, request)
 	}
-	if got := c.mustCall(ItemBodyRequest{Batch: "one", Item: "i1", By: byID}).(ItemBodyResponse); string(got.Body) != "body 1" {
+	if got := c.mustCall(ItemBodyRequest{Batch: "one", Item: "i1", By: accessByID}).(ItemBodyResponse); string(got.Body) != "body 1" {
 		t.Fatalf("the body is %q", got.Body)
 	}
 	if again := c.mustCall(forwardedBatch("one", 2)).(SubmitResponse); !again.Repeated || again.Items != 2 {
@@ -51,9 +51,9 @@
 }
 
 // Without a valid lease a store does not deny an item: its successor may have it.
-func TestAnItemIsDeniedOnlyUnderALease(t *testing.T) {
+func TestItemIsReportedMissingOnlyUnderLease(t *testing.T) {
 	c := newCluster(t)
-	c.mustReject(errs.NotFound, ItemBodyRequest{Batch: "one", Item: "i0", By: byID})
+	c.mustReject(errs.NotFound, ItemBodyRequest{Batch: "one", Item: "i0", By: accessByID})
 	c.now += 10 * clock.Second
-	c.mustReject(errs.NotReady, ItemBodyRequest{Batch: "one", Item: "i0", By: byID})
+	c.mustReject(errs.NotReady, ItemBodyRequest{Batch: "one", Item: "i0", By: accessByID})
 }
--- a/internal/batchstore/items.go
+++ b/internal/batchstore/items.go
@@ -77,7 +77,7 @@
 
 // startShardItems does the same for all batches of a shard.
 func (s *Store) startShardItems(unit string) {
-	for _, id := range sortedBatches(s.shard(unit).state) {
+	for _, id := range sortedBatchIDs(s.shard(unit).state) {
 		s.startItems(unit, id)
 	}
 }
@@ -92,5 +92,5 @@
 	}
 }
 
-// sortedBatches are the IDs of a shard's batches, in an order that depends on them only.
-func sortedBatches(state *shard.State) []string { return slices.Sorted(maps.Keys(state.Batches)) }
+// sortedBatchIDs are the IDs of a shard's batches, in an order that depends on them only.
+func sortedBatchIDs(state *shard.State) []string { return slices.Sorted(maps.Keys(state.Batches)) }
--- a/internal/batchstore/items_test.go
+++ b/internal/batchstore/items_test.go
@@ -11,7 +11,7 @@
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 2))
 	c.mustCall(forwardedBatch("ended", 1))
-	c.mustCall(EndRequest{Batch: "ended", By: byID, Timeout: clock.Second})
+	c.mustCall(EndRequest{Batch: "ended", By: accessByID, Timeout: clock.Second})
 	c.do("a", finished("one", 0))
 	for name, test := range map[string]struct {
 		store string
@@ -34,7 +34,7 @@
 }
 
 // Items without a result are repeated from time to time: their run may have been dropped.
-func TestUnfinishedItemsAreRepeated(t *testing.T) {
+func TestUnfinishedItemsAreExecutedAgain(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 2))
 	c.do("a", finished("one", 0))
--- a/internal/batchstore/memory_test.go
+++ b/internal/batchstore/memory_test.go
@@ -58,13 +58,13 @@
 }
 
 // Finished batches leave memory as fast as they finish, at the primary and at its replica.
-func TestFinishedBatchesLeaveMemoryAsFastAsTheyFinish(t *testing.T) {
+func TestFinishedBatchesAreMovedOutOfMemory(t *testing.T) {
 	c := newCluster(t)
 	const batches = 100
 	c.finishBatches(batches)
 	c.advance(3 * resumeInterval)
 	for id, store := range c.stores {
-		if left := store.FinishedInMemory(); left > 0 {
+		if left := store.FinishedBytesInMemory(); left > 0 {
 			t.Errorf("%s has %d KB of the outputs of %d finished batches in memory, after %d s", id, left>>10, batches, 3*resumeInterval/clock.Second)
 		}
 	}
@@ -72,7 +72,7 @@
 
 // A store that is filled with another one's shard has the finished batches in its archive, not
 // in its memory, and not in the records that its next start reads.
-func TestAFilledStoreHasFinishedBatchesInItsArchive(t *testing.T) {
+func TestInstalledSnapshotArchivesFinishedBatches(t *testing.T) {
 	c := newCluster(t)
 	const batches = 60
 	c.finishBatches(batches)
@@ -86,7 +86,7 @@
 	if got := filled.Groups().Group(Unit(0)).Role; got != replication.Replicating {
 		t.Fatalf("the store is not filled: it is %v", got)
 	}
-	if left := filled.FinishedInMemory(); left > 0 {
+	if left := filled.FinishedBytesInMemory(); left > 0 {
 		t.Errorf("%d KB of outputs are in memory", left>>10)
 	}
 	if got := c.persistedBytes["c"]; got > batches*outputSize/10 {
@@ -109,7 +109,7 @@
 
 // What a snapshot has of the archive is read as it is sent: a primary whose replica has the same
 // state reads nothing, and one whose replica does not answer no more than it may send.
-func TestASnapshotIsReadAsItIsSent(t *testing.T) {
+func TestSnapshotReadsArchiveOnlyWhenSent(t *testing.T) {
 	c := newCluster(t)
 	c.finishBatches(60)
 	c.advance(60 * clock.Second)
@@ -120,7 +120,7 @@
 		t.Errorf("%d batches were read back for a replica that has them", got)
 	}
 	c.addStore("c", 3)
-	c.muted = "c"
+	c.unreachable = "c"
 	c.assign(3, "c", false)
 	c.advance(clock.Second)
 	const chunk = 256 << 10
@@ -131,7 +131,7 @@
 
 // A store whose records are few and large makes a snapshot of them in time: the next start has them
 // all in memory.
-func TestLargeRecordsAreCompactedByTheirSize(t *testing.T) {
+func TestLargeRecordsTriggerCompaction(t *testing.T) {
 	c := newCluster(t)
 	store := c.stores["a"]
 	const bodySize = 1 << 20
--- a/internal/batchstore/pending_calls_test.go
+++ b/internal/batchstore/pending_calls_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// numbers are the numbers of some calls.
-func numbers(calls []pendingCall) []uint64 {
+// callNumbers are the callNumbers of some calls.
+func callNumbers(calls []pendingCall) []uint64 {
 	var out []uint64
 	for _, call := range calls {
 		out = append(out, call.number)
@@ -14,7 +14,7 @@
 	return out
 }
 
-func threeCalls() pendingCalls {
+func testPendingCalls() pendingCalls {
 	p := newPendingCalls()
 	p.add("u", 8, pendingCall{number: 1, deadline: 50})
 	p.add("u", 7, pendingCall{number: 2, deadline: 30})
@@ -24,8 +24,8 @@
 }
 
 func TestPendingCallsOfAnEntryAreTakenOnce(t *testing.T) {
-	p := threeCalls()
-	if got := numbers(p.takeDurable("u", 7)); !slices.Equal(got, []uint64{2, 3}) {
+	p := testPendingCalls()
+	if got := callNumbers(p.takeDurable("u", 7)); !slices.Equal(got, []uint64{2, 3}) {
 		t.Fatalf("taken: %v", got)
 	}
 	if got := p.takeDurable("u", 7); len(got) != 0 {
@@ -34,22 +34,22 @@
 }
 
 func TestPendingCallsOfAUnitAreInTheOrderOfEntries(t *testing.T) {
-	p := threeCalls()
-	if got := numbers(p.takeUnit("u")); !slices.Equal(got, []uint64{2, 3, 1}) {
+	p := testPendingCalls()
+	if got := callNumbers(p.takeUnit("u")); !slices.Equal(got, []uint64{2, 3, 1}) {
 		t.Fatalf("taken: %v", got)
 	}
-	if got := numbers(p.takeUnit("t")); !slices.Equal(got, []uint64{4}) {
+	if got := callNumbers(p.takeUnit("t")); !slices.Equal(got, []uint64{4}) {
 		t.Fatalf("taken of the other unit: %v", got)
 	}
 }
 
 func TestPendingCallsExpireAtTheirDeadlines(t *testing.T) {
-	p := threeCalls()
+	p := testPendingCalls()
 	for _, step := range []struct {
 		now  int64
 		want []uint64
 	}{{29, nil}, {30, []uint64{4, 2}}, {49, []uint64{3}}, {50, []uint64{1}}, {90, nil}} {
-		if got := numbers(p.takeOverdue(step.now)); !slices.Equal(got, step.want) {
+		if got := callNumbers(p.takeOverdue(step.now)); !slices.Equal(got, step.want) {
 			t.Fatalf("at %d: %v expired, not %v", step.now, got, step.want)
 		}
 	}
--- a/internal/batchstore/pending_weights.go
+++ b/internal/batchstore/pending_weights.go
@@ -11,8 +11,8 @@
 // until its result, or the batch's end, is durable: so a successor, which may lack entries that
 // were not confirmed, never finds more than this store has counted.
 
-// released is weight that counts until the entry that released it is durable.
-type released struct {
+// releasedWeight is weight that counts until the entry that releasedWeight it is durable.
+type releasedWeight struct {
 	account shard.AccountName
 	weight  int
 }
@@ -62,18 +62,18 @@
 	return sum
 }
 
-// releasedBy is the weight that an entry is about to release in a shard.
-func releasedBy(entry shard.Entry, state *shard.State) released {
+// weightReleasedBy is the weight that an entry is about to release in a shard.
+func weightReleasedBy(entry shard.Entry, state *shard.State) releasedWeight {
 	switch e := entry.(type) {
 	case shard.ListResult:
 		batch := state.Batches[e.Result.Batch]
 		if batch != nil && batch.AwaitsResult(e.Result.Item) {
-			return released{batch.Account(), batch.Items[e.Result.Item].Request.Weight()}
+			return releasedWeight{batch.Account(), batch.Items[e.Result.Item].Request.Weight()}
 		}
 	case shard.EndBatch:
 		if batch := state.Batches[e.Batch]; batch != nil {
-			return released{batch.Account(), batch.PendingWeight()}
+			return releasedWeight{batch.Account(), batch.PendingWeight()}
 		}
 	}
-	return released{}
+	return releasedWeight{}
 }
--- a/internal/batchstore/pending_weights_test.go
+++ b/internal/batchstore/pending_weights_test.go
@@ -9,8 +9,8 @@
 	"tuliprudder/internal/replication"
 )
 
-// assignedTo is a map of two stores whose complete group has the given primary and replica.
-func assignedTo(seq, epoch uint64, primary, replica string) UpdateReceived {
+// completeGroupUpdate is a map of two stores whose complete group has the given primary and replica.
+func completeGroupUpdate(seq, epoch uint64, primary, replica string) UpdateReceived {
 	stores := map[string]state.Store{"a": {Peer: "a", Incarnation: 1}, "b": {Peer: "b", Incarnation: 1}}
 	return mapUpdate(seq, stores, replication.Assignment{
 		Epoch:    epoch,
@@ -24,8 +24,8 @@
 // routeAccount is the account of forwarded batches without a tenant.
 var routeAccount = shard.AccountName{Route: "route"}
 
-// pending is what a store reports of the shard; serving is false where it must report nothing.
-func (c *cluster) pending(id string) (weight int, serving bool) {
+// pendingWeight is what a store reports of the shard; serving is false where it must report nothing.
+func (c *cluster) pendingWeight(id string) (weight int, serving bool) {
 	if _, serving = c.stores[id].ServingEpoch(0, c.now); !serving {
 		return 0, false
 	}
@@ -34,7 +34,7 @@
 
 func (c *cluster) expectPending(id string, want int) {
 	c.t.Helper()
-	if got, serving := c.pending(id); !serving || got != want {
+	if got, serving := c.pendingWeight(id); !serving || got != want {
 		c.t.Fatalf("%s counts %d, serving %v; not %d", id, got, serving, want)
 	}
 }
@@ -52,7 +52,7 @@
 
 // Items count from their batch's entry on until their results are durable, whatever attempts there
 // are: a forwarded one by its tokens, one with an input as one.
-func TestItemsCountUntilTheirResultsAreDurable(t *testing.T) {
+func TestPendingWeightIncludesItemsUntilResultsAreDurable(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 3)) // 10, 11 and 12 tokens
 	c.expectPending("a", 33)
@@ -66,12 +66,12 @@
 	c.delayed = true
 	c.do("a", finished("one", 1))
 	c.expectPendingOf(routeAccount, 33)
-	c.release()
+	c.executeDelayed()
 	c.expectPendingOf(routeAccount, 22)
 	c.delayed = true
-	c.call(EndRequest{Batch: "one", By: byID, Timeout: clock.Second})
+	c.call(EndRequest{Batch: "one", By: accessByID, Timeout: clock.Second})
 	c.expectPendingOf(routeAccount, 22)
-	c.release()
+	c.executeDelayed()
 	c.expectPendingOf(routeAccount, 0)
 	c.expectPendingOf(chatAccount, 1)
 }
@@ -95,60 +95,60 @@
 // A shard counts at the store that serves it and nowhere else: not at its replica, not at a store
 // that restarted, whatever that one read back, and not at one that has lost it. (Ghent's scale-1,
 // seed 117614157011, and issue 29: what two stores counted for safety was spent.)
-func TestAShardCountsWhereItIsServed(t *testing.T) {
+func TestPendingWeightIsReportedOnlyByTheServingStore(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 3))
 	c.expectPending("a", 33)
-	if _, serving := c.pending("b"); serving {
+	if _, serving := c.pendingWeight("b"); serving {
 		t.Error("the replica reports the shard")
 	}
 	records := append(c.stores["a"].ownRecords(), c.stores["a"].groups.CompactedRecords()...)
 	restarted := New(Self{ID: "a", Zone: "a", Peer: "a", Incarnation: 2}, Defaults(), records, newMemoryArchive())
-	restarted.Do(assignedTo(9, 1, "a", "b"), c.now)
+	restarted.Do(completeGroupUpdate(9, 1, "a", "b"), c.now)
 	if _, serving := restarted.ServingEpoch(0, c.now); serving || restarted.PendingWeights(c.now)[routeAccount] != 0 {
 		t.Error("a store that restarted reports a shard that it doesn't serve yet")
 	}
 	empty := New(Self{ID: "a", Zone: "a", Peer: "a", Incarnation: 2}, Defaults(), nil, newMemoryArchive())
-	empty.Do(assignedTo(9, 1, "a", "b"), c.now)
+	empty.Do(completeGroupUpdate(9, 1, "a", "b"), c.now)
 	if _, serving := empty.ServingEpoch(0, c.now); serving {
 		t.Error("a store that lost its disk reports a shard whose batches it doesn't know")
 	}
 	primary := c.stores["a"]
-	primary.Do(assignedTo(10, 2, "b", "a"), c.now)
+	primary.Do(completeGroupUpdate(10, 2, "b", "a"), c.now)
 	if _, serving := primary.ServingEpoch(0, c.now); serving || primary.PendingWeights(c.now)[routeAccount] != 0 {
 		t.Error("a store that lost the shard reports it")
 	}
 }
 
 // A successor reports all that was accepted once it serves the shard, and not before.
-func TestASuccessorReportsWhatItTookOver(t *testing.T) {
+func TestSuccessorReportsPendingWeightOnceServing(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 3))
 	for _, id := range []string{"a", "b"} {
-		c.do(id, assignedTo(10, 2, "b", "a"))
+		c.do(id, completeGroupUpdate(10, 2, "b", "a"))
 	}
-	if _, serving := c.pending("b"); serving {
+	if _, serving := c.pendingWeight("b"); serving {
 		t.Error("it reports before every member has the state")
 	}
 	c.advance(3 * clock.Second)
-	c.do("b", assignedTo(11, 2, "b", "a"))
+	c.do("b", completeGroupUpdate(11, 2, "b", "a"))
 	c.advance(clock.Second)
 	c.expectPending("b", 33)
 	if epoch, _ := c.stores["b"].ServingEpoch(0, c.now); epoch != 2 {
 		t.Errorf("it serves under epoch %d", epoch)
 	}
-	if _, serving := c.pending("a"); serving {
+	if _, serving := c.pendingWeight("a"); serving {
 		t.Error("the former primary reports too")
 	}
 }
 
 // A store whose lease has ended reports nothing: its successor may have admitted more.
-func TestAStoreWithoutALeaseReportsNothing(t *testing.T) {
+func TestStoreWithoutLeaseReportsNoPendingWeight(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 3))
-	c.muted = "b"
+	c.unreachable = "b"
 	c.advance(2 * clock.Second)
-	if _, serving := c.pending("a"); serving || c.stores["a"].PendingWeights(c.now)[routeAccount] != 0 {
+	if _, serving := c.pendingWeight("a"); serving || c.stores["a"].PendingWeights(c.now)[routeAccount] != 0 {
 		t.Error("it reports without a lease")
 	}
 }
--- a/internal/batchstore/read.go
+++ b/internal/batchstore/read.go
@@ -16,7 +16,7 @@
 	s.Reads++
 	response := ReadResponse{Writer: s.identity.Writer, PersistedUpTo: s.positions.PersistedUpTo()}
 	for _, shardIndex := range slices.Sorted(maps.Keys(request.Shards)) {
-		served, err := s.requireServingAt(shardIndex, request.Shards[shardIndex], now)
+		served, err := s.requireServingAtEpoch(shardIndex, request.Shards[shardIndex], now)
 		if err == nil {
 			err = s.readShard(served, request, &response)
 		}
@@ -48,11 +48,11 @@
 	persistedUpTo int64        // of this store in this shard
 }
 
-func (s *Store) boundOf(request ReadRequest, shardIndex int) readBound {
+func (s *Store) readBoundFor(request ReadRequest, shardIndex int) readBound {
 	return readBound{
 		announced:     request.Bound[shardIndex],
 		writer:        s.identity.Writer,
-		persistedUpTo: max(s.positions.PersistedUpTo(), s.shard(Unit(shardIndex)).formerOwnPosition),
+		persistedUpTo: max(s.positions.PersistedUpTo(), s.shard(Unit(shardIndex)).ownPositionAtTakeover),
 	}
 }
 
@@ -80,12 +80,12 @@
 
 // readShard adds the results of one shard to the response.
 func (s *Store) readShard(served servedShard, request ReadRequest, response *ReadResponse) error {
-	bound := s.boundOf(request, served.index)
+	bound := s.readBoundFor(request, served.index)
 	if request.Batch != "" {
 		return s.readBatch(served, request, bound, response)
 	}
-	for _, id := range sortedBatches(served.state) {
-		if batch := served.state.Batches[id]; request.By.finds(batch) {
+	for _, id := range sortedBatchIDs(served.state) {
+		if batch := served.state.Batches[id]; request.By.allows(batch) {
 			s.readAfter(batch, request.After, bound, response)
 		}
 	}
@@ -95,7 +95,7 @@
 // readBatch adds the results and the state of one batch. To a reader that may not have all
 // results yet, the batch is open.
 func (s *Store) readBatch(served servedShard, request ReadRequest, bound readBound, response *ReadResponse) error {
-	batch, err := served.find(request.Batch, request.By)
+	batch, err := served.findBatch(request.Batch, request.By)
 	if err != nil {
 		return err
 	}
--- a/internal/batchstore/read_test.go
+++ b/internal/batchstore/read_test.go
@@ -16,7 +16,7 @@
 	request := ReadRequest{
 		Shards:  map[int]uint64{0: 1},
 		Batch:   "one",
-		By:      byID,
+		By:      accessByID,
 		Indexed: true,
 		From:    from,
 		Bound:   map[int]token.Vector{0: {1: c.announced.PersistedUpTo}},
@@ -41,7 +41,7 @@
 
 // A list is read by index: in the order of its results, cut by count and by bytes, never
 // past what the reader has received or what is durable, and the same from the archive.
-func TestAListIsReadByIndex(t *testing.T) {
+func TestReadByIndex(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 4))
 	for _, item := range []int{2, 0, 3} {
@@ -79,7 +79,7 @@
 	if got := c.readIndexed(2, ahead); got.itemIDs() != "i3 " || got.State != string(shard.Open) {
 		t.Fatalf("past what is durable: %+v", got)
 	}
-	c.release()
+	c.executeDelayed()
 	// Finished and archived: the list is the same, and its end is told at once.
 	c.advance(3 * clock.Second)
 	if c.stores["a"].BatchesArchived != 1 {
@@ -102,14 +102,14 @@
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 1))
 	for _, epoch := range []uint64{0, 2} {
-		c.mustReject(errs.NotReady, ReadRequest{Shards: map[int]uint64{0: epoch}, Batch: "one", By: byID})
+		c.mustReject(errs.NotReady, ReadRequest{Shards: map[int]uint64{0: epoch}, Batch: "one", By: accessByID})
 	}
-	c.mustCall(ReadRequest{Shards: map[int]uint64{0: 1}, Batch: "one", By: byID})
+	c.mustCall(ReadRequest{Shards: map[int]uint64{0: 1}, Batch: "one", By: accessByID})
 }
 
 // The feed of all of a tenant's batches is in the order of positions, after the reader's
 // vector and cut at the limit.
-func TestFeedIsInTheOrderOfPositions(t *testing.T) {
+func TestTenantReadIsInPositionOrder(t *testing.T) {
 	c := newCluster(t)
 	for _, id := range []string{"one", "two"} {
 		request := forwardedBatch(id, 2)
--- a/internal/batchstore/replicated_state.go
+++ b/internal/batchstore/replicated_state.go
@@ -52,7 +52,7 @@
 // sequence number.
 func (s *Store) appendEntry(unit string, entry shard.Entry, now clock.Micros) (seq uint64) {
 	data := shard.Encode(entry)
-	release := releasedBy(entry, s.shard(unit).state)
+	release := weightReleasedBy(entry, s.shard(unit).state)
 	entry.Apply(s.shard(unit).state)
 	seq, _ = s.groups.Append(unit, data, now)
 	if release.weight > 0 {
@@ -68,7 +68,7 @@
 	s.EntriesConfirmed++
 	s.unconfirmedReleases.take(unit, seq)
 	if s.positions.finishEntry(unit, seq) {
-		s.announcer.requestForPosition()
+		s.announcer.requestPositionAnnouncement()
 	}
 	if batch, ok := s.submitted.take(unit, seq); ok {
 		s.startItems(unit, batch)
@@ -94,5 +94,5 @@
 	shardIndex := shardOfUnit(unit)
 	s.Emit(machine.Execute{Task: CancelItems{Shard: shardIndex}})
 	s.Emit(machine.LogEvent{Event: ShardTransferred{Shard: shardIndex, UnfinishedPositions: unfinished}})
-	s.announcer.requestForShards()
+	s.announcer.requestShardAnnouncement()
 }
--- a/internal/batchstore/results.go
+++ b/internal/batchstore/results.go
@@ -95,7 +95,7 @@
 	s.ResultsRecorded++
 	if s.InjectedFaults.SkipDurability {
 		s.positions.Finish(position)
-		s.announcer.requestForPosition()
+		s.announcer.requestPositionAnnouncement()
 		return true
 	}
 	s.positions.assign(unit, seq, position)
@@ -122,6 +122,6 @@
 // serves it.
 func (s *Store) finishOrphans(shardIndex int, ownerEpoch uint64) {
 	if s.positions.finishOrphans(shardIndex, ownerEpoch) {
-		s.announcer.requestForPosition()
+		s.announcer.requestPositionAnnouncement()
 	}
 }
--- a/internal/batchstore/results_test.go
+++ b/internal/batchstore/results_test.go
@@ -12,7 +12,7 @@
 )
 
 // The persisted-up-to position passes a result only once it is durable on both members.
-func TestPersistedUpToPassesDurableResultsOnly(t *testing.T) {
+func TestPersistedUpToCoversDurableResultsOnly(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 2))
 	c.do("a", finished("one", 0))
@@ -24,7 +24,7 @@
 	if got := c.stores["a"].positions.PersistedUpTo(); got != before {
 		t.Fatalf("up to %d, not %d", got, before)
 	}
-	c.release()
+	c.executeDelayed()
 	c.advance(100 * clock.Millisecond)
 	if c.announced.PersistedUpTo != before+1 {
 		t.Fatalf("announced up to %d, not %d", c.announced.PersistedUpTo, before+1)
@@ -32,7 +32,7 @@
 }
 
 // A second result of an item, and one of an unknown batch, use no position.
-func TestResultsThatAreNotNeededAreDropped(t *testing.T) {
+func TestDuplicateAndUnknownResultsAreDropped(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 2))
 	c.do("a", finished("one", 0))
@@ -57,7 +57,7 @@
 	if got := len(c.stores["a"].pendingResults); got != 1 {
 		t.Fatalf("%d results wait, not 1", got)
 	}
-	c.release()
+	c.executeDelayed()
 	if got := len(c.stores["a"].pendingResults); got != 0 {
 		t.Fatalf("%d results still wait", got)
 	}
@@ -74,7 +74,7 @@
 	c.do("a", AttemptFailed{Batch: "unknown"})
 	c.do("b", AttemptFailed{Batch: "one"}) // it doesn't serve the shard
 	c.tasks = nil
-	c.passShard(2, "b", "a")
+	c.moveShard(2, "b", "a")
 	counts := map[string]int{}
 	for _, task := range c.tasks {
 		if run, ok := task.(RunItem); ok && run.Epoch == 2 {
@@ -88,31 +88,31 @@
 
 // A shard goes to another store and comes back while a position of its first owner is unfinished: what was
 // listed there before is announced and read, as it was under the owner in between.
-func TestResultsOfAnEarlierOwnershipAreRead(t *testing.T) {
+func TestResultsOfAnEarlierOwnershipAreReadable(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 2))
 	a := c.stores["a"]
 	a.positions.Allocate() // of another shard, whose entry is never durable
 	c.do("a", finished("one", 0))
 	c.advance(clock.Second)
-	stuck := a.positions.PersistedUpTo()
-	c.passShard(2, "b", "a")
-	c.passShard(3, "a", "b")
-	if got := a.positions.PersistedUpTo(); got != stuck {
+	before := a.positions.PersistedUpTo()
+	c.moveShard(2, "b", "a")
+	c.moveShard(3, "a", "b")
+	if got := a.positions.PersistedUpTo(); got != before {
 		t.Fatalf("the position went on to %d", got)
 	}
 	announced := a.announcement().Shards[0].LastPositions[1]
-	if announced <= stuck {
-		t.Fatalf("announced up to %d, the position is %d", announced, stuck)
+	if announced <= before {
+		t.Fatalf("announced up to %d, the position is %d", announced, before)
 	}
-	response := c.mustCall(ReadRequest{Shards: map[int]uint64{0: 3}, Batch: "one", By: byID, Indexed: true, Bound: map[int]token.Vector{0: {1: announced}}})
+	response := c.mustCall(ReadRequest{Shards: map[int]uint64{0: 3}, Batch: "one", By: accessByID, Indexed: true, Bound: map[int]token.Vector{0: {1: announced}}})
 	if got := response.(ReadResponse).Results; len(got) != 1 {
 		t.Fatalf("%d results are read", len(got))
 	}
 }
 
-// passShard has a store become the shard's primary under an epoch, with another one as its replica.
-func (c *cluster) passShard(epoch uint64, primary, replica string) {
+// moveShard has a store become the shard's primary under an epoch, with another one as its replica.
+func (c *cluster) moveShard(epoch uint64, primary, replica string) {
 	stores := map[string]state.Store{"a": {Peer: "a", Incarnation: 1}, "b": {Peer: "b", Incarnation: 1}}
 	for _, complete := range []bool{false, true} {
 		c.mapSeq++
--- a/internal/batchstore/retention.go
+++ b/internal/batchstore/retention.go
@@ -16,7 +16,7 @@
 		if group.Role != replication.Serving {
 			continue
 		}
-		entry := finishedBefore(s.shard(group.Unit).state, now-s.settings.RetainFinished)
+		entry := purgeBefore(s.shard(group.Unit).state, now-s.settings.RetainFinished)
 		if !entry.IsEmpty() {
 			s.appendEntry(group.Unit, entry, now)
 		}
@@ -24,11 +24,11 @@
 	s.deleteUnusedArchives()
 }
 
-// finishedBefore lists the finished batches that were submitted before a point in time, and the
+// purgeBefore lists the finished batches that were submitted before a point in time, and the
 // claims that began before it.
-func finishedBefore(state *shard.State, before clock.Micros) shard.Purge {
+func purgeBefore(state *shard.State, before clock.Micros) shard.Purge {
 	var entry shard.Purge
-	for _, id := range sortedBatches(state) {
+	for _, id := range sortedBatchIDs(state) {
 		batch := state.Batches[id]
 		if batch.State != shard.Open && batch.SubmittedAt < before {
 			entry.Batches = append(entry.Batches, id)
--- a/internal/batchstore/retention_test.go
+++ b/internal/batchstore/retention_test.go
@@ -9,7 +9,7 @@
 
 // Finished batches and claims are dropped once their retention has passed; open batches are
 // kept.
-func TestExpiredBatchesAndClaimsAreForgotten(t *testing.T) {
+func TestExpiredBatchesAndClaimsArePurged(t *testing.T) {
 	c := newCluster(t)
 	for _, s := range c.stores {
 		s.settings.RetainFinished = 90 * clock.Second
@@ -32,14 +32,14 @@
 	}
 }
 
-func TestRetentionEndsAfterItsTimeNotAtIt(t *testing.T) {
+func TestExpiryIsAfterTheRetentionLimit(t *testing.T) {
 	state := shard.New()
 	state.Batches["b"] = &shard.Batch{ID: "b", State: shard.Done, SubmittedAt: 10}
 	state.Claims["c"] = &shard.Claim{At: 10}
-	if entry := finishedBefore(state, 10); !entry.IsEmpty() {
+	if entry := purgeBefore(state, 10); !entry.IsEmpty() {
 		t.Fatalf("expired at the limit: %+v", entry)
 	}
-	if entry := finishedBefore(state, 11); len(entry.Batches) != 1 || len(entry.Claims) != 1 {
+	if entry := purgeBefore(state, 11); len(entry.Batches) != 1 || len(entry.Claims) != 1 {
 		t.Fatalf("expired after it: %+v", entry)
 	}
 }
--- a/internal/batchstore/status.go
+++ b/internal/batchstore/status.go
@@ -13,9 +13,9 @@
 		s.replyError(call, err)
 		return
 	}
-	batch, err := served.find(request.Batch, request.By)
-	if known := served.state.Batches[request.Batch]; request.Operator && known != nil {
-		batch, err = known, nil
+	batch, err := served.findBatch(request.Batch, request.By)
+	if existing := served.state.Batches[request.Batch]; request.Operator && existing != nil {
+		batch, err = existing, nil
 	}
 	if err != nil {
 		s.replyError(call, err)
--- a/internal/batchstore/status_test.go
+++ b/internal/batchstore/status_test.go
@@ -12,18 +12,18 @@
 func TestBatchWithoutAKeyIsFoundByItsID(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 1))
-	mine := forwardedBatch("mine", 1)
-	mine.Batch.Tenant = "c"
-	mine.Batch.Key = "k"
-	c.mustCall(mine)
+	keyed := forwardedBatch("mine", 1)
+	keyed.Batch.Tenant = "c"
+	keyed.Batch.Key = "k"
+	c.mustCall(keyed)
 	c.mustReject(errs.NotFound, BatchStatusRequest{Batch: "one"})
-	if status := c.mustCall(BatchStatusRequest{Batch: "one", By: byID}).(BatchStatus); status.Items != 1 {
+	if status := c.mustCall(BatchStatusRequest{Batch: "one", By: accessByID}).(BatchStatus); status.Items != 1 {
 		t.Fatalf("the status is %+v", status)
 	}
-	c.mustCall(ReadRequest{Shards: map[int]uint64{0: 1}, Batch: "one", By: byID})
-	c.mustReject(errs.NotFound, BatchStatusRequest{Batch: "mine", By: byID})
-	c.mustReject(errs.NotFound, EndRequest{Batch: "mine", By: byID, Timeout: clock.Second})
-	c.mustReject(errs.NotFound, ReadRequest{Shards: map[int]uint64{0: 1}, Batch: "mine", By: byID})
+	c.mustCall(ReadRequest{Shards: map[int]uint64{0: 1}, Batch: "one", By: accessByID})
+	c.mustReject(errs.NotFound, BatchStatusRequest{Batch: "mine", By: accessByID})
+	c.mustReject(errs.NotFound, EndRequest{Batch: "mine", By: accessByID, Timeout: clock.Second})
+	c.mustReject(errs.NotFound, ReadRequest{Shards: map[int]uint64{0: 1}, Batch: "mine", By: accessByID})
 	c.mustCall(BatchStatusRequest{Batch: "mine", By: Access{Tenant: "c"}})
 }
 
--- a/internal/batchstore/store.go
+++ b/internal/batchstore/store.go
@@ -15,7 +15,7 @@
 //     positionTracker).
 //   - An item's result is listed once (shard.ListResult).
 //   - Calls are served only as the primary under a valid lease (Store.requireServing), and
-//     reads only at the epoch that the reader knows (Store.requireServingAt).
+//     reads only at the epoch that the reader knows (Store.requireServingAtEpoch).
 //
 // A Store has no lock: one goroutine, the daemon's event loop, makes all calls.
 package batchstore
@@ -57,7 +57,7 @@
 	pendingCalls pendingCalls
 	submitted    byEntry[string] // IDs of batches whose items run once their entry is durable
 	// unconfirmedReleases are the weights that entries have released which are not durable.
-	unconfirmedReleases byEntry[released]
+	unconfirmedReleases byEntry[releasedWeight]
 	pendingResults      []pendingResult // they wait for a position, or for their group to serve
 	positions           positionTracker
 	announcer           announcer
@@ -74,9 +74,9 @@
 type localShard struct {
 	index int
 	state *shard.State
-	// formerOwnPosition is this writer's last position in the shard when this store began to serve it:
+	// ownPositionAtTakeover is this writer's last position in the shard when this store began to serve it:
 	// of an earlier ownership. Its results are durable, however far the persisted-up-to position is.
-	formerOwnPosition int64
+	ownPositionAtTakeover int64
 }
 
 // New makes a store from the records that were read back from its disk. Whether one could
@@ -88,7 +88,7 @@
 		shards:              map[string]*localShard{},
 		pendingCalls:        newPendingCalls(),
 		submitted:           byEntry[string]{},
-		unconfirmedReleases: byEntry[released]{},
+		unconfirmedReleases: byEntry[releasedWeight]{},
 		archiver:            newArchiver(archive),
 		disk:                newDiskMonitor(settings.DiskTimeout, settings.DiskProbation),
 	}
--- a/internal/batchstore/submit.go
+++ b/internal/batchstore/submit.go
@@ -19,10 +19,10 @@
 		Items: len(request.Batch.Items),
 		Store: s.self.ID,
 	}
-	if known := served.state.Batches[request.Batch.ID]; known != nil {
+	if existing := served.state.Batches[request.Batch.ID]; existing != nil {
 		// Another tenant's batch is neither changed nor told of, but that its ID is taken.
-		if !request.By.finds(known) || known.Hash != request.Batch.Hash {
-			s.replyError(call, errBatchKeyReused(known.ID))
+		if !request.By.allows(existing) || existing.Hash != request.Batch.Hash {
+			s.replyError(call, errBatchKeyReused(existing.ID))
 			return
 		}
 		response.Repeated = true
--- a/internal/batchstore/submit_test.go
+++ b/internal/batchstore/submit_test.go
@@ -21,7 +21,7 @@
 	if len(c.tasks) != 0 {
 		t.Fatalf("before it is durable there are the tasks %v", c.tasks)
 	}
-	c.release()
+	c.executeDelayed()
 	if got, ok := c.replies[first].Body.(SubmitResponse); !ok || got.Repeated {
 		t.Fatalf("durable: %+v", c.replies[first])
 	}
--- a/internal/batchstore/tick.go
+++ b/internal/batchstore/tick.go
@@ -6,15 +6,15 @@
 type schedule struct {
 	heartbeat clock.Micros
 	resume    clock.Micros
-	forget    clock.Micros
+	retention clock.Micros
 }
 
 const (
 	// resumeInterval is the interval at which items without a result are repeated and
 	// finished batches archived.
 	resumeInterval = 2 * clock.Second
-	// forgetInterval is the interval at which what has passed its retention is dropped.
-	forgetInterval = 10 * clock.Second
+	// retentionInterval is the interval at which what has passed its retention is dropped.
+	retentionInterval = 10 * clock.Second
 )
 
 // Tick lets the store do what is due.
@@ -35,8 +35,8 @@
 		s.resumeItems()
 		s.archiveFinished()
 	}
-	if now >= s.due.forget {
-		s.due.forget = now + forgetInterval
+	if now >= s.due.retention {
+		s.due.retention = now + retentionInterval
 		s.applyRetention(now)
 	}
 }
--- a/internal/batchstore/writer_identity.go
+++ b/internal/batchstore/writer_identity.go
@@ -57,7 +57,7 @@
 	s.identity = writerIdentity{Fleet: registered.Fleet, Writer: registered.Writer}
 	s.groups.Persist([]machine.Record{s.identity.record()}, nil)
 	s.reservePositions()
-	s.announcer.requestForShards()
+	s.announcer.requestShardAnnouncement()
 }
 
 // handleRegistrationRejected ends the daemon, whose data folder must not be used.
--- a/internal/batchstore/writer_identity_test.go
+++ b/internal/batchstore/writer_identity_test.go
@@ -9,7 +9,7 @@
 )
 
 // The first registration stays: neither the same fleet's cores nor another's change it.
-func TestRegistrationIsKept(t *testing.T) {
+func TestFirstRegistrationIsKept(t *testing.T) {
 	s := newStore(Self{ID: "s", Incarnation: 1})
 	for _, registered := range []registration.Registered{{Fleet: "f"}, {Fleet: "f", Writer: 3}, {Fleet: "f", Writer: 4}, {Fleet: "other", Writer: 5}} {
 		s.Do(Message{From: "c", Body: registered}, 1000)
@@ -24,7 +24,7 @@
 }
 
 // Only a rejection of this very incarnation ends the daemon.
-func TestRejectedRegistrationEndsTheDaemon(t *testing.T) {
+func TestRejectedRegistrationHaltsTheDaemon(t *testing.T) {
 	for name, test := range map[string]struct {
 		rejected registration.Rejected
 		ends     bool
--- a/internal/daemon/roles/store_metrics.go
+++ b/internal/daemon/roles/store_metrics.go
@@ -35,7 +35,7 @@
 			unknownOutcomes:  store.Batches.UnknownOutcomes,
 			takeovers:        store.Batches.Takeovers,
 
-			finishedInMemory:  store.Batches.FinishedInMemory(),
+			finishedInMemory:  store.Batches.FinishedBytesInMemory(),
 			snapshotsInMemory: store.Batches.Groups().SnapshotBytes(),
 		}
 		s.underReplicated, s.oldestUnannounced = store.Batches.UnderReplicated(now)
