--- a/internal/batchstore/access.go
+++ b/internal/batchstore/access.go
@@ -2,18 +2,19 @@
 
 import "tuliprudder/internal/batchstore/shard"
 
-// Access says whose batches a call finds. It is sent between daemons: the names of its fields never
-// change.
+// Access determines which batches a call may access. It is sent between daemons, so the names of its
+// fields must not change.
 type Access struct {
-	// Tenant is the one that the caller's API key names; "" for none.
+	// Tenant is the tenant of the caller's API key; "" if there is none.
 	Tenant string
-	// WithoutTenant finds batches that belong to no tenant, too, by their ID alone.
+	// WithoutTenant also allows batches that belong to no tenant, by their ID alone.
 	WithoutTenant bool
-	// AnyTenant finds every batch of opaque requests by its ID alone: callers are not known by keys.
+	// AnyTenant allows every batch of opaque requests by its ID alone. It is set where callers are
+	// not identified by API keys.
 	AnyTenant bool
 }
 
-// allows tells whether a call may use a batch, or learn that it is there.
+// allows reports whether a call may use a batch, or learn that it exists.
 func (a Access) allows(batch *shard.Batch) bool {
 	switch {
 	case batch.HasNoTenant():
@@ -24,7 +25,7 @@
 	return batch.Tenant == a.Tenant
 }
 
-// findBatch returns a batch if the call may use it.
+// findBatch returns a batch if the call may use it, and otherwise a NotFound error.
 func (sh servedShard) findBatch(id string, by Access) (*shard.Batch, error) {
 	batch := sh.state.Batches[id]
 	if batch == nil || !by.allows(batch) {
--- a/internal/batchstore/access_test.go
+++ b/internal/batchstore/access_test.go
@@ -8,7 +8,7 @@
 	"tuliprudder/internal/errs"
 )
 
-// tenantBatch is a batch of opaque requests that a tenant submits.
+// tenantBatch returns the request of a tenant that submits a batch of opaque requests.
 func tenantBatch(tenant, id string, items int) SubmitRequest {
 	request := forwardedBatch(id, items)
 	request.Batch.Tenant, request.Batch.Key = tenant, id
@@ -16,7 +16,7 @@
 	return request
 }
 
-// Which batches a call finds, by its access.
+// The access of a call determines which batches it may use.
 func TestAccessAllowsBatchesByTenant(t *testing.T) {
 	batches := map[string]*shard.Batch{
 		"of t":               {ID: "id", Key: "id", Tenant: "t", Route: "r"},
@@ -42,14 +42,14 @@
 		}
 		for name, batch := range batches {
 			if test.by.allows(batch) != want[name] {
-				t.Errorf("%+v: finds the batch %s: %v", test.by, name, !want[name])
+				t.Errorf("access %+v allows the batch %s: %v", test.by, name, !want[name])
 			}
 		}
 	}
 }
 
-// A call of another tenant, or of a caller without one, read, ended and took bodies of a batch by its ID
-// alone. (Issue 40.)
+// Guards against issue 40: a caller of another tenant, or without a tenant, could read and end a batch, and
+// read the bodies of its items, by the batch's ID alone.
 func TestAnotherTenantsBatchIsNotFound(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(tenantBatch("t", "one", 2))
@@ -67,20 +67,20 @@
 	own := Access{Tenant: "t", WithoutTenant: true}
 	for _, task := range c.tasks {
 		if item, ok := task.(RunItem); ok && item.Tenant != "t" {
-			t.Errorf("an item runs as %+v", item)
+			t.Errorf("an item of tenant t runs as %+v", item)
 		}
 	}
 	if status := c.mustCall(BatchStatusRequest{Batch: "one", By: own}).(BatchStatus); status.State != string(shard.Open) || status.Tenant != "t" {
-		t.Errorf("the status is %+v", status)
+		t.Errorf("the status for the batch's own tenant is %+v", status)
 	}
 	if body := c.mustCall(ItemBodyRequest{Batch: "one", Item: "i0", By: own}).(ItemBodyResponse); string(body.Body) != "body 0" {
-		t.Errorf("the body is %q", body.Body)
+		t.Errorf("the body for the batch's own tenant is %q", body.Body)
 	}
 	c.mustCall(EndRequest{Batch: "one", By: own, Timeout: clock.Second})
 }
 
-// An ID that another tenant's batch has is taken, whatever comes under it; nothing of that batch changes.
-// One of no tenant is recognised by every tenant.
+// A submission under the ID of another tenant's batch is rejected, whatever its content, and that batch is
+// not changed. A batch without a tenant is acknowledged again to every tenant.
 func TestBatchIDOfAnotherTenantIsRejected(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(tenantBatch("t", "one", 2))
@@ -90,18 +90,18 @@
 	withoutTenant.By = Access{WithoutTenant: true}
 	c.mustReject(errs.Conflict, withoutTenant)
 	if again := c.mustCall(tenantBatch("t", "one", 2)).(SubmitResponse); !again.Repeated {
-		t.Errorf("the tenant's own is answered %+v", again)
+		t.Errorf("the tenant's own resubmission is answered %+v", again)
 	}
 	if batch := c.stores["a"].shard(Unit(0)).state.Batches["one"]; batch.Tenant != "t" || len(batch.Items) != 2 {
-		t.Errorf("the batch is %+v", batch)
+		t.Errorf("the first tenant's batch was changed: %+v", batch)
 	}
 	c.mustCall(forwardedBatch("shared", 1))
 	if again := c.mustCall(tenantBatch("t", "shared", 1)).(SubmitResponse); !again.Repeated {
-		t.Errorf("a batch of no tenant is answered %+v", again)
+		t.Errorf("the resubmission of a batch without a tenant is answered %+v", again)
 	}
 }
 
-// A batch that was stored before there were tenants has none, and every tenant finds it.
+// A batch that was stored by a release without tenants has no tenant, and every tenant may use it.
 func TestBatchesOfAnEarlierReleaseHaveNoTenant(t *testing.T) {
 	state, err := shard.Restore([][]byte{[]byte(`{"bundle":{"id":"one","customer":"r","key":"","hash":"h","route":"r","items":[{"id":"x","request":{"target":"/","host":"h","tokens":7}}],"state":"open","enrolled":1,"changed":0,"rows":null}}`)})
 	if err != nil {
@@ -109,6 +109,6 @@
 	}
 	batch := state.Batches["one"]
 	if !batch.HasNoTenant() || batch.TenantName() != "" || batch.Account() != (shard.AccountName{Route: "r"}) || !(Access{Tenant: "t", WithoutTenant: true}).allows(batch) {
-		t.Errorf("tenant %q, account %+v", batch.TenantName(), batch.Account())
+		t.Errorf("a batch without a tenant has the tenant %q and the account %+v, or is not allowed", batch.TenantName(), batch.Account())
 	}
 }
--- a/internal/batchstore/announce.go
+++ b/internal/batchstore/announce.go
@@ -11,8 +11,8 @@
 	"tuliprudder/internal/replication"
 )
 
-// announcer tells when the next announcement is due: at once after a change of the shards that
-// this store serves, and after a change of its position not more often than the settings allow.
+// announcer schedules announcements. A change of the shards that this store serves is announced after
+// minAnnounceInterval at the latest; a change of its position no more often than the settings allow.
 type announcer struct {
 	positionChanged bool // since the last announcement
 	shardsChanged   bool
@@ -20,17 +20,18 @@
 	lastAt          clock.Micros
 }
 
-// minAnnounceInterval is the shortest time between two announcements, whatever changed.
+// minAnnounceInterval is the minimum interval between announcements once shards have changed, unless
+// the settings allow an even shorter one.
 const minAnnounceInterval = 15 * clock.Millisecond
 
-// requestPositionAnnouncement makes an announcement of a new position due.
+// requestPositionAnnouncement requests an announcement because the position has changed.
 func (a *announcer) requestPositionAnnouncement() { a.positionChanged = true }
 
-// requestShardAnnouncement makes an announcement of the shards served here due: readers don't find these
-// until then.
+// requestShardAnnouncement requests an announcement because the shards served by this store have changed.
+// Readers can't locate these shards until it is published.
 func (a *announcer) requestShardAnnouncement() { a.shardsChanged = true }
 
-// beginIfDue begins an announcement if one is due, and tells whether it is.
+// beginIfDue starts an announcement if one is due, and reports whether it did.
 func (a *announcer) beginIfDue(now, positionInterval clock.Micros) bool {
 	interval := positionInterval
 	if a.shardsChanged {
@@ -46,8 +47,8 @@
 	return true
 }
 
-// announce publishes to the reading daemons, when it is due, this writer's persisted-up-to
-// position and the shards that it serves (docs/DESIGN.md §6.5).
+// announce publishes this writer's persisted-up-to position and the shards that it serves to the
+// reading daemons, if an announcement is due (docs/DESIGN.md §6.5).
 func (s *Store) announce(now clock.Micros) {
 	if s.identity.Writer == 0 || !s.announcer.beginIfDue(now, s.settings.AnnounceEvery) {
 		return
--- a/internal/batchstore/announce_test.go
+++ b/internal/batchstore/announce_test.go
@@ -9,7 +9,7 @@
 	"tuliprudder/internal/machine"
 )
 
-// announcementUpdate is the update with the announcement of a writer that owns a shard.
+// announcementUpdate returns the update with the announcement of a writer that owns a shard.
 func announcementUpdate(writer, shardIndex int, epoch uint64) UpdateReceived {
 	value, _ := json.Marshal(token.Announcement{Writer: writer, Shards: []token.OwnedShard{{Shard: shardIndex, Epoch: epoch}}})
 	return UpdateReceived{Update: machine.Update{Key: token.Key(writer), Value: value}}
@@ -19,26 +19,26 @@
 	const interval = 150 * clock.Millisecond
 	var a announcer
 	if a.beginIfDue(0, interval) {
-		t.Fatal("announced without a request")
+		t.Fatal("announced without a change")
 	}
 	a.requestPositionAnnouncement()
 	a.requestPositionAnnouncement()
 	if !a.beginIfDue(clock.Second, interval) || a.seq != 1 {
-		t.Fatal("not announced on request")
+		t.Fatal("a change was not announced")
 	}
 	if a.beginIfDue(clock.Second+interval, interval) {
-		t.Fatal("announced again without a request")
+		t.Fatal("announced again without another change")
 	}
 	a.requestPositionAnnouncement()
 	if a.beginIfDue(clock.Second+interval-1, interval) {
-		t.Fatal("announced again too early")
+		t.Fatal("announced again before the interval had passed")
 	}
 	if !a.beginIfDue(clock.Second+interval, interval) || a.seq != 2 {
-		t.Fatal("not announced again in time")
+		t.Fatal("not announced again once the interval had passed")
 	}
 }
 
-// Readers learn soon of shards that move, however seldom positions are announced.
+// Changed shards are announced within minAnnounceInterval, even if the interval for positions is longer.
 func TestShardsAreAnnouncedSoonerThanPositions(t *testing.T) {
 	const interval = clock.Second
 	var a announcer
@@ -46,14 +46,14 @@
 	a.beginIfDue(clock.Second, interval)
 	a.requestShardAnnouncement()
 	if a.beginIfDue(clock.Second+minAnnounceInterval-1, interval) {
-		t.Fatal("announced again too early")
+		t.Fatal("announced again before minAnnounceInterval had passed")
 	}
 	if !a.beginIfDue(clock.Second+minAnnounceInterval, interval) {
-		t.Fatal("not announced soon")
+		t.Fatal("changed shards were not announced after minAnnounceInterval")
 	}
 	a.requestPositionAnnouncement()
 	if a.beginIfDue(clock.Second+2*minAnnounceInterval, interval) {
-		t.Fatal("a position is announced as soon as shards are")
+		t.Fatal("a changed position was announced after minAnnounceInterval already")
 	}
 }
 
--- a/internal/batchstore/archive.go
+++ b/internal/batchstore/archive.go
@@ -10,36 +10,36 @@
 	"tuliprudder/internal/replication"
 )
 
-// The archive bounds a store's memory by its open work (docs/DESIGN.md §6.7): the items and
-// results of finished batches are written to files of their own, leave memory, and are read
-// back when somebody asks for them.
+// The archive keeps a store's memory proportional to its unfinished work (docs/DESIGN.md §6.7). The
+// items and results of finished batches are written to archive files and removed from memory. They
+// are read back on demand.
 
-// Archive reads the archive files on this daemon's disk; the machine.Archive and
-// machine.DeleteArchive effects write and delete them.
+// Archive reads the archive files on this daemon's disk. The effects machine.Archive and
+// machine.DeleteArchive write and delete them.
 type Archive interface {
-	// Get returns the body of the record of a unit, here a batch's ID.
+	// Get returns the body of a unit's record. The unit is a batch ID here.
 	Get(file uint64, unit string) ([]byte, error)
-	// Files are the numbers of the files that there are.
+	// Files returns the numbers of the existing files.
 	Files() []uint64
-	// LastFile is the highest number ever used.
+	// LastFile returns the highest file number ever used.
 	LastFile() uint64
 }
 
 const (
-	// archiveFileSize is about how many bytes of batches one file holds.
+	// archiveFileSize is the approximate size of a file, in bytes of encoded batches.
 	archiveFileSize = 256 << 10
-	// archiveBatchLimit is how many batches one file holds at most.
+	// archiveBatchLimit is the maximum number of batches in a file.
 	archiveBatchLimit = 256
-	// maxArchiveFiles is how many files are written at one pass at most (archiveFinished): twice
-	// what a disk of 4 MB a second takes between two passes.
+	// maxArchiveFiles is the maximum number of files written in one pass of archiveFinished: twice
+	// what a disk that writes 4 MB/s can take between two passes.
 	maxArchiveFiles = 64
 )
 
-// archiver keeps account of the archive files.
+// archiver tracks the archive files.
 type archiver struct {
 	archive  Archive
 	lastFile uint64
-	files    map[uint64]bool // files on the disk that may have to be deleted some time
+	files    map[uint64]bool // files on disk that may have to be deleted later
 }
 
 func newArchiver(archive Archive) archiver {
@@ -50,19 +50,19 @@
 	return a
 }
 
-// allocateFile is the number of a new file.
+// allocateFile returns the number for a new file.
 func (a *archiver) allocateFile() uint64 {
 	a.lastFile++
-	a.files[a.lastFile] = true // to be deleted if no batch comes to refer to it
+	a.files[a.lastFile] = true // deleted if no batch ever refers to it
 	return a.lastFile
 }
 
-// readEncoded reads an archived batch back as the file has it.
+// readEncoded reads an archived batch in its encoded form.
 func (a *archiver) readEncoded(batch *shard.Batch) ([]byte, error) {
 	return a.archive.Get(batch.Archived.File, batch.ID)
 }
 
-// read reads an archived batch back.
+// read reads and decodes an archived batch.
 func (a *archiver) read(batch *shard.Batch) (*shard.Batch, error) {
 	data, err := a.readEncoded(batch)
 	if err != nil {
@@ -71,7 +71,8 @@
 	return shard.DecodeArchived(data)
 }
 
-// takeUnused returns the files that are not in use, and does not return them again.
+// takeUnused returns the files that are not in use and stops tracking them, so that it returns each
+// file only once.
 func (a *archiver) takeUnused(used map[uint64]bool) []uint64 {
 	var unused []uint64
 	for _, file := range slices.Sorted(maps.Keys(a.files)) {
@@ -84,8 +85,8 @@
 	return unused
 }
 
-// archiveFinished writes the finished batches of shards whose entries are all durable into
-// files, as many as there are, up to a bound.
+// archiveFinished writes the finished batches of the shards whose entries are all durable to archive
+// files, at most maxArchiveFiles of them.
 func (s *Store) archiveFinished() {
 	var batches []*shard.Batch
 	for _, group := range s.groups.All() {
@@ -96,14 +97,14 @@
 	s.archiveBatches(batches, maxArchiveFiles)
 }
 
-// archiveInstalled writes all finished batches of a state that came from another store.
+// archiveInstalled archives all finished batches of a state that was received from another store.
 func (s *Store) archiveInstalled(state *shard.State) {
 	batches := archivableBatches(state)
 	s.archiveBatches(batches, len(batches))
 }
 
-// archivableBatches are the finished batches of a shard that are neither in a file nor on the
-// way there.
+// archivableBatches returns the finished batches of a shard that are neither archived nor being
+// archived, in the order of their IDs.
 func archivableBatches(state *shard.State) []*shard.Batch {
 	var batches []*shard.Batch
 	for _, id := range sortedBatchIDs(state) {
@@ -114,7 +115,7 @@
 	return batches
 }
 
-// archiveBatches writes batches into at most maxFiles files.
+// archiveBatches writes batches to at most maxFiles archive files.
 func (s *Store) archiveBatches(batches []*shard.Batch, maxFiles int) {
 	for range maxFiles {
 		if len(batches) == 0 {
@@ -124,9 +125,9 @@
 	}
 }
 
-// writeArchiveFile writes the first batches into a file and gives how many. They leave memory only
-// once it is durable; the entries that made them stay on disk until a compaction refers to the
-// file.
+// writeArchiveFile writes the first of the given batches to one file and returns how many it wrote.
+// They are removed from memory only once the file is durable. The entries that created them stay on
+// disk until a compaction writes records that refer to the file.
 func (s *Store) writeArchiveFile(batches []*shard.Batch) (count int) {
 	file := s.archiver.allocateFile()
 	var records []machine.Record
@@ -147,8 +148,8 @@
 	return count
 }
 
-// allEntriesDurable tells whether every entry that this member has is durable: on all members at the
-// primary, on its own disk at a replica.
+// allEntriesDurable reports whether every entry of this member is durable: on all members if it is
+// the primary, on its own disk if it is a replica.
 func allEntriesDurable(group *replication.Group) bool {
 	switch group.Role {
 	case replication.Serving:
@@ -159,7 +160,8 @@
 	return false
 }
 
-// readArchived reads an archived batch back.
+// readArchived reads an archived batch. If that fails, it reports the error and returns the batch
+// without its archived content.
 func (s *Store) readArchived(batch *shard.Batch) *shard.Batch {
 	complete, err := s.archiver.read(batch)
 	if err != nil {
@@ -169,7 +171,7 @@
 	return complete
 }
 
-// readArchivedEncoded reads an archived batch back as the archive has it.
+// readArchivedEncoded reads an archived batch in its encoded form.
 func (s *Store) readArchivedEncoded(batch *shard.Batch) []byte {
 	data, err := s.archiver.readEncoded(batch)
 	if err != nil {
@@ -178,8 +180,8 @@
 	return data
 }
 
-// reportArchiveReadError tells of an archived batch that can't be read: the daemon ends, so that another
-// member of the group serves the shard.
+// reportArchiveReadError reports an archived batch that can't be read. The daemon then shuts down, so
+// that another member of the group serves the shard.
 func (s *Store) reportArchiveReadError(err error) {
 	s.BadRecord = err
 	if s.OnDamage != nil {
@@ -187,8 +189,8 @@
 	}
 }
 
-// deleteUnusedArchives deletes the archive files that no batch refers to any more. It waits
-// while a file is being written: no batch refers to that one yet.
+// deleteUnusedArchives deletes the archive files that no batch refers to any more. It does nothing
+// while a file is being written, because no batch refers to that file yet.
 func (s *Store) deleteUnusedArchives() {
 	used := map[uint64]bool{}
 	for _, local := range s.shards {
@@ -206,8 +208,8 @@
 	}
 }
 
-// FinishedBytesInMemory is how many bytes of outputs of finished batches are in memory because they
-// are not in the archive yet.
+// FinishedBytesInMemory returns the size of the outputs of finished batches that are still in memory
+// because they are not archived yet.
 func (s *Store) FinishedBytesInMemory() int64 {
 	size := int64(0)
 	for _, local := range s.shards {
--- a/internal/batchstore/by_entry.go
+++ b/internal/batchstore/by_entry.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// byEntry holds a value for some entries of the replication groups, by unit and sequence
-// number: what happens once an entry is durable.
+// byEntry maps entries of the replication groups, by unit and sequence number, to the values that are
+// needed once the entry is durable.
 type byEntry[V any] map[string]map[uint64]V
 
 // put sets the value of an entry.
--- a/internal/batchstore/call.go
+++ b/internal/batchstore/call.go
@@ -6,14 +6,14 @@
 	"tuliprudder/internal/replication"
 )
 
-// Call is a request of another daemon; the reply carries its number. Each type of request
-// has its handler in a file of its own.
+// Call is a request from another daemon. The reply carries its number. The handlers of the request
+// types are in separate files.
 type Call struct {
 	Number uint64
 	Body   any // one of the requests in messages.go
 }
 
-// Apply serves the request. It replies now, or once what it wrote is durable.
+// Apply serves the request. It replies immediately, or once the entries that it wrote are durable.
 func (c Call) Apply(s *Store, now clock.Micros) {
 	if s.rejectsWhileUnwritable(c) {
 		return
@@ -48,8 +48,8 @@
 	s.Emit(machine.Reply{Call: call, Err: err})
 }
 
-// replyOnceDurable replies once every entry of the shard so far is durable; now if they all
-// are. At the deadline the outcome is unknown to the caller.
+// replyOnceDurable replies once every entry appended to the shard so far is durable, which may be
+// immediately. If the call's deadline passes first, it is answered with an unknown outcome.
 func (s *Store) replyOnceDurable(served servedShard, call pendingCall) {
 	if served.group.Unconfirmed() == 0 {
 		s.reply(call.number, call.response)
@@ -58,21 +58,21 @@
 	s.pendingCalls.add(served.group.Unit, served.group.Seq, call)
 }
 
-// replyUnknownOutcome replies to a call whose entry may or may not become durable.
+// replyUnknownOutcome answers a call whose entry may or may not become durable.
 func (s *Store) replyUnknownOutcome(call pendingCall, reason string) {
 	s.UnknownOutcomes++
 	s.replyError(call.number, errUnknownOutcome(reason))
 }
 
-// servedShard is a shard for which this store may answer.
+// servedShard is a shard that this store may serve: requireServing has checked its role and lease.
 type servedShard struct {
 	*localShard
 	group *replication.Group
 }
 
-// requireServing returns a shard of which this store is the primary under a valid lease.
-// Without one another store may be the primary already: this one would deny batches that
-// its successor has accepted (docs/DESIGN.md §6.8).
+// requireServing returns a shard of which this store is the primary under a valid lease. Without
+// a valid lease another store may already be the primary, and this one would report batches that its
+// successor has accepted as not found (docs/DESIGN.md §6.8).
 func (s *Store) requireServing(shardIndex int, now clock.Micros) (servedShard, error) {
 	unit := Unit(shardIndex)
 	group := s.groups.Group(unit)
@@ -85,8 +85,8 @@
 	return servedShard{localShard: s.shard(unit), group: group}, nil
 }
 
-// requireServingAtEpoch is requireServing at a reader's epoch. A reader at another epoch knows other
-// ends of former writers' results, and would miss some.
+// requireServingAtEpoch is requireServing with a check of the reader's epoch. A reader at another epoch
+// has different last positions of former writers and would miss some of their results.
 func (s *Store) requireServingAtEpoch(shardIndex int, epoch uint64, now clock.Micros) (servedShard, error) {
 	served, err := s.requireServing(shardIndex, now)
 	if err == nil && served.group.Epoch != epoch {
--- a/internal/batchstore/claim.go
+++ b/internal/batchstore/claim.go
@@ -5,8 +5,8 @@
 	"tuliprudder/internal/clock"
 )
 
-// beginClaim claims an idempotency key for a one-shot request, or replies with the claim of
-// an earlier one. A voided claim's request never ran, so its key is free.
+// beginClaim claims an idempotency key for a one-shot request, or replies with the existing claim of
+// an earlier request. The request of a voided claim never ran, so its key may be claimed again.
 func (s *Store) beginClaim(call uint64, request ClaimRequest, now clock.Micros) {
 	served, err := s.requireServing(request.Shard, now)
 	if err != nil {
--- a/internal/batchstore/cluster_map.go
+++ b/internal/batchstore/cluster_map.go
@@ -11,19 +11,19 @@
 	"tuliprudder/internal/replication"
 )
 
-// This file follows the cluster map: which shards this store is the primary of, and which
-// it replicates (docs/DESIGN.md §6.1, §6.6).
+// This file applies the cluster map, which assigns the shards that this store is the primary or a
+// replica of (docs/DESIGN.md §6.1, §6.6).
 
-// ClusterMap is the map of stores and shards as this store knows it.
+// ClusterMap returns the latest map of stores and shards that this store has received.
 func (s *Store) ClusterMap() state.Map { return s.clusterMap }
 
-// HasClusterMap tells whether the store has received a map since its start.
+// HasClusterMap reports whether the store has received a map since its start.
 func (s *Store) HasClusterMap() bool { return s.clusterMap.Seq > 0 }
 
-// UpdateReceived is an update from gossip.
+// UpdateReceived delivers an update from gossip.
 type UpdateReceived struct{ Update machine.Update }
 
-// Apply takes a new map, and other writers' announcements.
+// Apply handles a cluster map or another writer's announcement.
 func (u UpdateReceived) Apply(s *Store, now clock.Micros) {
 	switch {
 	case u.Update.Key == state.MapKey:
@@ -33,7 +33,7 @@
 	}
 }
 
-// handleMap takes a map that is newer than the last, of this store's fleet.
+// handleMap applies a map of this store's fleet if it is newer than the previous one.
 func (s *Store) handleMap(value []byte, now clock.Micros) {
 	var received state.Map
 	if json.Unmarshal(value, &received) != nil || received.Seq <= s.clusterMap.Seq {
@@ -50,13 +50,14 @@
 	}
 }
 
-// member is this store as a member of replication groups.
+// member identifies this store as a member of replication groups.
 func (s *Store) member() replication.Member {
 	return replication.Member{ID: s.self.ID, Incarnation: s.self.Incarnation}
 }
 
-// handleAnnouncement finishes positions of shards that moved to the writer: by its epoch it
-// has decided which of their results are part of the shard.
+// handleAnnouncement finishes the orphaned positions of shards that have moved to the announcing
+// writer. A writer that serves a shard under a later epoch has decided which of their results are
+// part of the shard.
 func (s *Store) handleAnnouncement(value []byte) {
 	if !s.positions.hasOrphans() {
 		return
@@ -70,9 +71,9 @@
 	}
 }
 
-// voidLeasesOfEndedIncarnations voids the leases that this store granted to incarnations that have ended:
-// a store that restarted has another incarnation, and the one before starts nothing any
-// more (docs/DESIGN.md §4.4).
+// voidLeasesOfEndedIncarnations voids the leases that this store granted to incarnations that have
+// ended. A store that restarted has a new incarnation, and the former one can no longer start any work
+// (docs/DESIGN.md §4.4).
 func (s *Store) voidLeasesOfEndedIncarnations(previous state.Map) {
 	for shardIndex, assignment := range previous.Shards {
 		group := s.groups.Group(Unit(shardIndex))
@@ -86,24 +87,24 @@
 	}
 }
 
-// transition is what a store does about a shard when it learns its assignment.
+// transition is the action that a store takes for a shard when it receives the shard's assignment.
 type transition int
 
 const (
-	// ignoreAssignment: it is older than what this store follows, or assigns nobody.
+	// ignoreAssignment: the assignment is empty, or older than the epoch that this store follows.
 	ignoreAssignment transition = iota
-	// continueEpoch: the epoch is the same; its group may have become complete.
+	// continueEpoch: the epoch is unchanged, but the group may have been recorded as complete.
 	continueEpoch
 	becomePrimary
 	becomeReplica
-	// releaseShard ends any role, but keeps the data: it may be needed to recover the shard.
+	// releaseShard ends any role but keeps the data, which may be needed to recover the shard.
 	releaseShard
-	// dropShard also deletes the data: a complete group elsewhere has it.
+	// dropShard also deletes the data, because another, complete group has it.
 	dropShard
 )
 
-// transitionFor decides what a member does about an assignment, by the epoch of the shard
-// that it follows so far.
+// transitionFor returns the transition of a member that receives an assignment and follows
+// currentEpoch of the shard.
 func transitionFor(self replication.Member, assignment replication.Assignment, currentEpoch uint64) transition {
 	switch {
 	case assignment.IsZero() || assignment.Epoch < currentEpoch:
@@ -120,7 +121,7 @@
 	return releaseShard
 }
 
-// reconcile makes this store follow the assignment of a shard.
+// reconcile brings this store's role in a shard in line with the shard's assignment.
 func (s *Store) reconcile(shardIndex int, assignment replication.Assignment, now clock.Micros) {
 	group := s.groups.Group(Unit(shardIndex))
 	switch transitionFor(s.member(), assignment, group.Epoch) {
@@ -139,8 +140,8 @@
 	}
 }
 
-// handleSameEpoch begins to serve once the cores have recorded the group as complete, or drops
-// the data if the complete group does not include this store.
+// handleSameEpoch starts serving once the cores have recorded the group as complete, or drops the data
+// if this store need not keep it for the complete group.
 func (s *Store) handleSameEpoch(group *replication.Group, assignment replication.Assignment, now clock.Micros) {
 	if !assignment.Complete {
 		return
@@ -154,8 +155,8 @@
 	}
 }
 
-// takeOver makes this store the shard's primary. It serves once every member has the state
-// and the cores have recorded that (handleSameEpoch).
+// takeOver makes this store the shard's primary. It starts serving once every member has the state and
+// the cores have recorded the group as complete (handleSameEpoch).
 func (s *Store) takeOver(group *replication.Group, assignment replication.Assignment, now clock.Micros) {
 	s.Takeovers++
 	s.Emit(machine.LogEvent{Event: ShardOwned{
@@ -168,7 +169,7 @@
 	s.announcer.requestShardAnnouncement()
 }
 
-// peerAddresses are the addresses of some members of a group.
+// peerAddresses returns the addresses of the given members of a group.
 func (s *Store) peerAddresses(members []replication.Member) []string {
 	var peers []string
 	for _, member := range members {
@@ -177,8 +178,8 @@
 	return peers
 }
 
-// startServing begins to list results and run items. Its positions lie above all that the
-// shard has, so that each ownership span lies above the one before.
+// startServing starts running the shard's items and listing their results. New positions are higher than
+// all positions in the shard, so that each ownership span is above the previous one.
 func (s *Store) startServing(group *replication.Group, now clock.Micros) {
 	local := s.shard(group.Unit)
 	local.ownPositionAtTakeover = local.state.LastPositions[s.identity.Writer]
--- a/internal/batchstore/cluster_map_test.go
+++ b/internal/batchstore/cluster_map_test.go
@@ -9,8 +9,8 @@
 	"tuliprudder/internal/replication"
 )
 
-// A replica that takes over from a store that restarted need not wait for the lease of the
-// incarnation that has ended; from one that may only be partitioned it does.
+// A replica that takes over from a store that has restarted need not wait for the lease of the former
+// incarnation to expire. If the store may only be partitioned, the replica has to wait.
 func TestALeaseEndsWithTheIncarnationItWasGrantedTo(t *testing.T) {
 	for name, test := range map[string]struct {
 		incarnation uint64
@@ -35,7 +35,7 @@
 				}
 			}
 			if copying != test.free {
-				t.Fatalf("the snapshot is being sent: %v", copying)
+				t.Fatalf("the new primary sends its snapshot: %v", copying)
 			}
 		})
 	}
@@ -70,13 +70,13 @@
 		"others, complete, member of the complete group before": {trustedBefore, 4, dropShard},
 	} {
 		if got := transitionFor(self, test.assignment, test.current); got != test.want {
-			t.Errorf("%s: transition %d, not %d", name, got, test.want)
+			t.Errorf("%s: transition %d, want %d", name, got, test.want)
 		}
 	}
 }
 
-// Positions whose results were not durable when the shard moved stay unfinished until its
-// new owner announces itself.
+// Positions whose results were not durable when the shard moved stay unfinished until the new owner
+// announces the shard under its epoch.
 func TestOrphanedPositionsWaitForTheNewOwner(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 2))
@@ -92,7 +92,7 @@
 		Trusted:  []string{"a", "b"},
 	}))
 	if got := a.positions.PersistedUpTo(); got != before || a.positions.Unfinished() != 1 {
-		t.Fatalf("up to %d, not %d", got, before)
+		t.Fatalf("persisted up to %d, want %d, with one unfinished position", got, before)
 	}
 	for _, announced := range []struct {
 		epoch uint64
@@ -100,7 +100,7 @@
 	}{{1, before}, {2, before + 1}} {
 		c.do("a", announcementUpdate(2, 0, announced.epoch))
 		if got := a.positions.PersistedUpTo(); got != announced.upTo {
-			t.Fatalf("epoch %d was announced: up to %d, not %d", announced.epoch, got, announced.upTo)
+			t.Fatalf("after the announcement of epoch %d: persisted up to %d, want %d", announced.epoch, got, announced.upTo)
 		}
 	}
 }
--- a/internal/batchstore/core_messages.go
+++ b/internal/batchstore/core_messages.go
@@ -5,13 +5,13 @@
 	"tuliprudder/internal/controlplane/registration"
 )
 
-// Message is a message of a core, or of another member of a replication group.
+// Message is a message from a core or from another member of a replication group.
 type Message struct {
 	From string // address
 	Body any
 }
 
-// Apply passes the message to the replication groups, or handles a core's.
+// Apply passes the message to the replication groups, or handles it here if it is from a core.
 func (m Message) Apply(s *Store, now clock.Micros) {
 	if s.ignoresWhileUnwritable(m.Body) || s.groups.HandleMessage(m.From, m.Body, now) {
 		return
--- a/internal/batchstore/disk.go
+++ b/internal/batchstore/disk.go
@@ -6,16 +6,16 @@
 	"tuliprudder/internal/replication"
 )
 
-// This file is what a store does while its disk takes no writes, or takes them slowly
-// (docs/DESIGN.md §6.7): its shards move to other stores, it accepts nothing new, and what it
-// has written already waits for the disk.
+// This file handles a disk that is not writable or is slow (docs/DESIGN.md §6.7). The store's shards
+// move to other stores. While the disk is not writable the store also rejects new writes; writes that
+// are already issued wait for the disk.
 
-// diskMonitor tells from the writes whether the disk is stalled.
+// diskMonitor detects a stalled disk from the duration of its writes.
 type diskMonitor struct {
-	timeout   clock.Micros // a write that takes longer means a stalled disk
-	probation clock.Micros // how long the disk has to keep up before it no longer counts as stalled
+	timeout   clock.Micros // a write that takes longer marks the disk as stalled
+	probation clock.Micros // how long the disk has to keep up before it is no longer considered stalled
 	state     machine.DiskState
-	inFlight  map[uint64]clock.Micros // when each write that is not durable began, by its token
+	inFlight  map[uint64]clock.Micros // start of each write that is not durable yet, by token
 	stalledAt clock.Micros            // when the disk was last found stalled; 0: never
 }
 
@@ -34,14 +34,14 @@
 
 func (d *diskMonitor) writeCompleted(writeToken uint64) { delete(d.inFlight, writeToken) }
 
-// setState tells whether the disk began or ceased to take writes.
+// setState records the state of the disk and reports whether it became writable or unwritable.
 func (d *diskMonitor) setState(state machine.DiskState) (changed bool) {
 	changed = state.Writable != d.state.Writable
 	d.state = state
 	return changed
 }
 
-// oldestWrite is the age of the oldest write that is not durable; 0 without one.
+// oldestWrite returns the age of the oldest write that is not durable yet, or 0 if there is none.
 func (d *diskMonitor) oldestWrite(now clock.Micros) clock.Micros {
 	oldest := clock.Micros(0)
 	for _, since := range d.inFlight {
@@ -50,8 +50,8 @@
 	return oldest
 }
 
-// checkStalled tells whether the disk takes no writes or takes them too slowly, or did so
-// less than the probation ago.
+// checkStalled reports whether the disk is unwritable or too slow, or was so less than the probation
+// ago.
 func (d *diskMonitor) checkStalled(now clock.Micros) bool {
 	if !d.state.Writable || d.oldestWrite(now) > d.timeout {
 		d.stalledAt = now
@@ -59,23 +59,24 @@
 	return d.stalledAt > 0 && now-d.stalledAt < d.probation
 }
 
-// OldestWrite is the age of the oldest write that is not durable, in microseconds.
+// OldestWrite returns the age, in microseconds, of the oldest write that is not durable yet, or 0 if
+// there is none.
 func (s *Store) OldestWrite(now clock.Micros) clock.Micros { return s.disk.oldestWrite(now) }
 
-// Persisted tells that the records of a Persist or Archive effect are durable.
+// Persisted reports that the records of a Persist or Archive effect are durable.
 type Persisted struct{ Token uint64 }
 
-// Apply continues what waited for the write.
+// Apply continues the work that waited for the write.
 func (p Persisted) Apply(s *Store, now clock.Micros) {
 	s.disk.writeCompleted(p.Token)
 	s.groups.Persisted(p.Token, now)
 	s.listPendingResults(now)
 }
 
-// DiskStateChanged tells whether the disk takes writes.
+// DiskStateChanged reports whether the disk is writable.
 type DiskStateChanged struct{ State machine.DiskState }
 
-// Apply tells the cores at once.
+// Apply notifies the cores immediately if the disk became writable or unwritable.
 func (d DiskStateChanged) Apply(s *Store, now clock.Micros) {
 	if !s.disk.setState(d.State) {
 		return
@@ -88,16 +89,16 @@
 	s.sendHeartbeats(now)
 }
 
-// CompactAgain asks for another compaction: the last one could not be written.
+// CompactAgain requests another compaction because the last one could not be written.
 type CompactAgain struct{}
 
-// Apply has the compaction follow with the effects of this step.
+// Apply makes a compaction due, so that it is among the effects of the current command.
 func (CompactAgain) Apply(s *Store, _ clock.Micros) {
 	s.recordsSinceCompaction = s.settings.CompactAfter
 }
 
-// ignoresWhileUnwritable tells whether a message is ignored because the disk takes no
-// writes: it could only wait in memory, unacknowledged, and its sender repeats it.
+// ignoresWhileUnwritable reports whether a message is ignored because the disk is not writable. It
+// could only wait in memory, unacknowledged, and its sender retransmits it.
 func (s *Store) ignoresWhileUnwritable(message any) bool {
 	if s.disk.state.Writable {
 		return false
@@ -109,8 +110,8 @@
 	return false
 }
 
-// rejectsWhileUnwritable rejects a call that would have to write while the disk takes no
-// writes. Nothing of it was written.
+// rejectsWhileUnwritable rejects a call that requires a write while the disk is not writable, and
+// reports whether it did. Nothing of a rejected call is written.
 func (s *Store) rejectsWhileUnwritable(call Call) bool {
 	if s.disk.state.Writable {
 		return false
--- a/internal/batchstore/disk_test.go
+++ b/internal/batchstore/disk_test.go
@@ -23,21 +23,21 @@
 		stalled bool
 	}{{1000 + timeout, false}, {1000 + timeout + 1, true}} {
 		if got := d.checkStalled(step.now); got != step.stalled {
-			t.Fatalf("at %d: stalled %v", step.now, got)
+			t.Fatalf("at %d the disk is stalled: %v", step.now, got)
 		}
 	}
 	d.writeCompleted(1)
 	d.writeCompleted(2)
 	if got := d.oldestWrite(1011); got != 0 {
-		t.Fatalf("without writes the oldest is %d old", got)
+		t.Fatalf("the age of the oldest write is %d without any writes", got)
 	}
 	if !d.checkStalled(1011+probation-1) || d.checkStalled(1011+probation) {
-		t.Fatal("the probation does not end in time")
+		t.Fatal("the disk is not stalled for exactly the probation")
 	}
 }
 
-// A store whose disk is full tells the cores at once that its shards should move, and takes
-// shards again once the disk has kept up for the probation.
+// A store whose disk is full immediately reports itself as stalled to the cores, so that its shards move.
+// It is no longer stalled once the disk has kept up for the probation.
 func TestFullDiskIsReportedImmediately(t *testing.T) {
 	s := newStore(Self{ID: "s", Zone: "z", Peer: "p", Incarnation: 1})
 	s.Do(CorePeers{Peers: []string{"c"}}, clock.Second)
@@ -45,20 +45,20 @@
 		t.Helper()
 		heartbeat := lastHeartbeat(effects)
 		if heartbeat == nil || heartbeat.Stalled != stalled {
-			t.Fatalf("%s the heartbeat is %+v", when, heartbeat)
+			t.Fatalf("%s: the heartbeat is %+v", when, heartbeat)
 		}
 	}
 	now := clock.Micros(2 * clock.Second)
-	expect("at once", s.Do(diskFull, now), true)
+	expect("when the disk becomes full", s.Do(diskFull, now), true)
 	now += 60 * clock.Second
 	expect("a minute later", s.Do(Tick{}, now), true)
-	expect("as soon as the disk is writable", s.Do(diskWritable, now), true)
+	expect("when the disk becomes writable", s.Do(diskWritable, now), true)
 	now += Defaults().DiskProbation + 1
 	expect("after the probation", s.Do(Tick{}, now), false)
 }
 
-// What would have to be written is rejected at once, and what is durable is still read;
-// once the disk is writable the same request is accepted.
+// While the disk is full, calls that require a write are rejected immediately and durable data can still be
+// read. Once the disk is writable, the same calls are accepted.
 func TestFullDiskRejectsWritesAndServesReads(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 1))
@@ -67,7 +67,7 @@
 		c.mustReject(errs.NotReady, request)
 	}
 	if c.stores["a"].shard(Unit(0)).state.Batches["two"] != nil {
-		t.Fatal("a batch that was rejected is there")
+		t.Fatal("the rejected batch is in the state")
 	}
 	if status := c.mustCall(BatchStatusRequest{Batch: "one", By: accessByID}).(BatchStatus); status.Items != 1 {
 		t.Fatalf("the status is %+v", status)
@@ -76,27 +76,27 @@
 	c.mustCall(forwardedBatch("two", 1))
 }
 
-// A replica whose disk is full takes no entry and acknowledges none: it would only wait in
-// memory. The primary repeats it, and it is taken once the disk is writable.
+// A replica whose disk is full neither applies nor acknowledges entries, because they could only wait in
+// memory. The primary retransmits them, and they are applied once the disk is writable.
 func TestReplicaWithFullDiskIgnoresEntries(t *testing.T) {
 	c := newCluster(t)
 	replica := c.stores["b"].groups.Group(Unit(0))
 	before := replica.Seq
 	c.do("b", diskFull)
 	if response, err := c.call(forwardedBatch("one", 1)); response != nil || err != nil {
-		t.Fatalf("replied %v %v while one member has it", response, err)
+		t.Fatalf("replied %v %v while only the primary has the entry", response, err)
 	}
 	if replica.Seq != before {
-		t.Fatal("the entry was taken")
+		t.Fatal("the replica applied the entry")
 	}
 	c.do("b", diskWritable)
 	c.advance(clock.Second)
 	if c.replies[c.lastCall].Body == nil || replica.Seq == before {
-		t.Fatalf("once the disk is writable: %+v", c.replies[c.lastCall])
+		t.Fatalf("after the disk became writable, the reply is %+v", c.replies[c.lastCall])
 	}
 }
 
-// A snapshot is not taken either.
+// A store whose disk is full ignores snapshots: it neither writes nor acknowledges them.
 func TestFullDiskIgnoresSnapshots(t *testing.T) {
 	s := newStore(Self{ID: "s", Zone: "z", Peer: "p", Incarnation: 1})
 	s.Do(diskFull, clock.Second)
@@ -104,12 +104,12 @@
 	for _, effect := range s.Do(Message{From: "o", Body: chunk}, 2*clock.Second) {
 		switch effect.(type) {
 		case machine.Persist, machine.Send:
-			t.Fatalf("it has the effect %T", effect)
+			t.Fatalf("the snapshot has the effect %T", effect)
 		}
 	}
 }
 
-// A compaction that could not be written is made anew when the event loop asks for it.
+// A compaction that could not be written is repeated when the event loop requests it.
 func TestFailedCompactionIsRetried(t *testing.T) {
 	c := newCluster(t)
 	compactions := 0
@@ -119,6 +119,6 @@
 		}
 	}
 	if compactions != 1 {
-		t.Fatalf("%d compactions", compactions)
+		t.Fatalf("%d compactions, want 1", compactions)
 	}
 }
--- a/internal/batchstore/end_batch.go
+++ b/internal/batchstore/end_batch.go
@@ -6,8 +6,8 @@
 	"tuliprudder/internal/machine"
 )
 
-// endBatch ends a batch and drops its unfinished items. Ending is durable before it is
-// answered; a batch that is not open stays as it is.
+// endBatch ends a batch and cancels its unfinished items. It replies once the end of the batch is
+// durable. A batch that is not open is left unchanged.
 func (s *Store) endBatch(call uint64, request EndRequest, now clock.Micros) {
 	served, err := s.requireServing(request.Shard, now)
 	if err != nil {
--- a/internal/batchstore/events.go
+++ b/internal/batchstore/events.go
@@ -5,9 +5,9 @@
 	"tuliprudder/internal/machine"
 )
 
-// The log events of a store.
+// These are the log events of a store.
 type (
-	// ShardOwned tells that this store became the primary of a shard.
+	// ShardOwned reports that this store became the primary of a shard.
 	ShardOwned struct {
 		machine.Info
 		Shard      int      `json:"shard"`
@@ -15,7 +15,7 @@
 		Replicas   []string `json:"replicas"`
 		FormerRole string   `json:"former_role"`
 	}
-	// ShardServing tells that every member of a shard's group has the state, and that this
+	// ShardServing reports that every member of a shard's group has the state and that this
 	// store serves the shard.
 	ShardServing struct {
 		machine.Info
@@ -23,26 +23,27 @@
 		Epoch         uint64 `json:"epoch"`
 		FirstPosition int64  `json:"first_position"`
 	}
-	// ShardTransferred tells that another store owns a shard that this one owned.
+	// ShardTransferred reports that this store lost its role as the primary of a shard under an epoch.
+	// Usually another store owns the shard now.
 	ShardTransferred struct {
 		machine.Info
 		Shard               int `json:"shard"`
 		UnfinishedPositions int `json:"unfinished_positions"`
 	}
-	// ForeignCoreIgnored tells that a core of another fleet tried to register this store.
+	// ForeignCoreIgnored reports that a core of another fleet tried to register this store.
 	ForeignCoreIgnored struct {
 		machine.Warning
 		Peer   string `json:"peer"`
 		Fleet  string `json:"fleet"`
 		Remedy string `json:"remedy"`
 	}
-	// DiskWritable tells that the disk takes writes again; the store gets shards again after
-	// the probation.
+	// DiskWritable reports that the disk is writable again. The store is assigned shards again
+	// after the probation.
 	DiskWritable struct {
 		machine.Info
 		ResumesAfterUS clock.Micros `json:"resumes_after_us"`
 	}
-	// DiskUnwritable tells that the disk takes no writes; the store's shards move to other
+	// DiskUnwritable reports that the disk is not writable. The store's shards move to other
 	// stores.
 	DiskUnwritable struct {
 		machine.Warning
--- a/internal/batchstore/fixture_test.go
+++ b/internal/batchstore/fixture_test.go
@@ -15,7 +15,7 @@
 	"tuliprudder/internal/replication"
 )
 
-// memoryArchive is an archive in memory.
+// memoryArchive implements Archive in memory.
 type memoryArchive struct {
 	files map[uint64][]machine.Record
 	reads int // of records
@@ -38,26 +38,26 @@
 func (a *memoryArchive) Files() []uint64  { return nil }
 func (a *memoryArchive) LastFile() uint64 { return 0 }
 
-// newStore makes a store with an empty disk and an empty archive.
+// newStore creates a store with an empty disk and an empty archive.
 func newStore(self Self) *Store { return New(self, Defaults(), nil, newMemoryArchive()) }
 
-// cluster is two stores that replicate the one shard there is: "a" is its primary, "b" its
-// replica. Writes are durable and messages arrive at once, unless a's are delayed.
+// cluster consists of two stores that replicate a single shard: "a" is the primary, "b" the replica.
+// Writes become durable and messages arrive immediately, unless those of "a" are delayed.
 type cluster struct {
 	t              *testing.T
 	now            clock.Micros
 	stores         map[string]*Store
 	archives       map[string]*memoryArchive
-	delayed        bool     // the writes and messages of "a" wait
-	delayedEffects []func() // these
+	delayed        bool     // hold back the writes and messages of "a"
+	delayedEffects []func() // the effects held back
 	replies        map[uint64]machine.Reply
 	tasks          []any              // of the Execute effects
 	announced      token.Announcement // the last one of "a"
 	lastCall       uint64
 	mapSeq         uint64         // of the latest map
-	unreachable    string         // messages to this store are lost
+	unreachable    string         // messages to this store are dropped
 	persistedBytes map[string]int // in bodies of records, by store
-	recordBytes    map[string]int // the same since its last compaction
+	recordBytes    map[string]int // the same, since the store's last compaction
 	compactions    map[string]int // by store
 }
 
@@ -94,7 +94,7 @@
 	return c
 }
 
-// mapUpdate is the update with a map of one shard.
+// mapUpdate returns the update with a map of one shard.
 func mapUpdate(seq uint64, stores map[string]state.Store, assignment replication.Assignment) UpdateReceived {
 	value, _ := json.Marshal(state.Map{Fleet: "f", Seq: seq, Stores: stores, Shards: []replication.Assignment{assignment}})
 	return UpdateReceived{Update: machine.Update{Key: state.MapKey, Seq: seq, Value: value}}
@@ -145,7 +145,7 @@
 	}
 }
 
-// executeDelayed executes what was delayed, in order.
+// executeDelayed stops the delay and executes the delayed effects in order.
 func (c *cluster) executeDelayed() {
 	c.delayed = false
 	for _, execute := range c.delayedEffects {
@@ -154,7 +154,7 @@
 	c.delayedEffects = nil
 }
 
-// advance lets time pass in steps of 50 ms.
+// advance advances the time in steps of 50 ms, with a tick of both stores at each step.
 func (c *cluster) advance(span clock.Micros) {
 	for end := c.now + span; c.now < end; c.now += 50 * clock.Millisecond {
 		c.do("a", Tick{})
@@ -162,7 +162,7 @@
 	}
 }
 
-// call calls the store "a"; both results are nil while it has not replied.
+// call sends a request to the store "a". Both results are nil if it has not replied yet.
 func (c *cluster) call(request any) (any, error) {
 	c.lastCall++
 	c.do("a", Call{Number: c.lastCall, Body: request})
@@ -174,7 +174,7 @@
 	c.t.Helper()
 	response, err := c.call(request)
 	if err != nil || response == nil {
-		c.t.Fatalf("%T: %v %v", request, response, err)
+		c.t.Fatalf("%T: response %v, error %v", request, response, err)
 	}
 	return response
 }
@@ -182,14 +182,15 @@
 func (c *cluster) mustReject(kind errs.Kind, request any) {
 	c.t.Helper()
 	if response, err := c.call(request); !errs.Is(err, kind) {
-		c.t.Fatalf("%T %+v: %v %v, not %s", request, request, response, err, kind)
+		c.t.Fatalf("%T %+v: response %v, error %v, want an error of kind %s", request, request, response, err, kind)
 	}
 }
 
-// accessByID is the access of callers that are not known by keys.
+// accessByID is the access of callers that are not identified by API keys.
 var accessByID = Access{AnyTenant: true}
 
-// forwardedBatch submits a batch of requests that are forwarded, without a tenant. The items i0, i1, … have 10, 11, … tokens.
+// forwardedBatch returns a request that submits a batch of forwarded items without a tenant. The items
+// i0, i1, … have 10, 11, … tokens.
 func forwardedBatch(id string, items int) SubmitRequest {
 	batch := shard.Batch{ID: id, Tenant: "route", Hash: "h", Route: "route"}
 	for i := range items {
@@ -204,7 +205,7 @@
 	return SubmitRequest{Batch: batch, By: accessByID, Timeout: clock.Second}
 }
 
-// finished is the successful outcome of an item's run.
+// finished returns the successful outcome of an item.
 func finished(batch string, item int) ItemFinished {
 	return ItemFinished{Batch: batch, Item: item, Status: shard.StatusOK, Output: "12345"}
 }
--- a/internal/batchstore/golden_test.go
+++ b/internal/batchstore/golden_test.go
@@ -6,7 +6,7 @@
 	"tuliprudder/test/goldenjson"
 )
 
-// What a store keeps of itself is written as the earlier build wrote it.
+// The stored writer identity has the JSON form that earlier releases wrote.
 func TestGoldenJSON(t *testing.T) {
 	if err := goldenjson.Check("testdata/golden/writer.json", &writerIdentity{}); err != nil {
 		t.Error(err)
--- a/internal/batchstore/heartbeat.go
+++ b/internal/batchstore/heartbeat.go
@@ -7,8 +7,8 @@
 	"tuliprudder/internal/replication"
 )
 
-// sendHeartbeats sends a heartbeat to each core. The first one registers the store; those
-// that follow tell the primary core what it needs to assign shards (docs/DESIGN.md §4.4).
+// sendHeartbeats sends a heartbeat to each core. The first one registers the store; later ones give the
+// primary core the information that it needs to assign shards (docs/DESIGN.md §4.4).
 func (s *Store) sendHeartbeats(now clock.Micros) {
 	s.due.heartbeat = now + s.settings.HeartbeatEvery
 	if len(s.cores) == 0 {
@@ -48,7 +48,7 @@
 	return heartbeat
 }
 
-// OwnedShards is the number of shards of which this store is the primary.
+// OwnedShards returns the number of shards of which this store is the primary.
 func (s *Store) OwnedShards() int {
 	count := 0
 	for _, group := range s.groups.All() {
@@ -59,9 +59,9 @@
 	return count
 }
 
-// UnderReplicated measures how far results are from being durable on all members: the
-// number of shards of which this store is the primary and which don't serve yet, and how
-// long the oldest entry has waited to be durable, in microseconds.
+// UnderReplicated returns the number of shards of which this store is the primary but which it does not
+// serve yet, and how long the oldest unconfirmed entry has been waiting to become durable on all
+// members, in microseconds.
 func (s *Store) UnderReplicated(now clock.Micros) (shards int64, oldest clock.Micros) {
 	for _, group := range s.groups.All() {
 		if group.IsPrimary() && group.Role != replication.Serving {
@@ -72,11 +72,11 @@
 	return shards, oldest
 }
 
-// Drain begins the graceful shutdown: the store accepts no batches any more, and the cores
-// move its shards to other stores.
+// Drain starts the graceful shutdown: the store accepts no new batches, and the cores move its shards
+// to other stores.
 type Drain struct{}
 
-// Apply tells the cores at once.
+// Apply notifies the cores immediately.
 func (Drain) Apply(s *Store, now clock.Micros) {
 	s.draining = true
 	s.sendHeartbeats(now)
--- a/internal/batchstore/heartbeat_test.go
+++ b/internal/batchstore/heartbeat_test.go
@@ -8,7 +8,7 @@
 	"tuliprudder/internal/machine"
 )
 
-// lastHeartbeat is the last heartbeat among some effects; nil without one.
+// lastHeartbeat returns the last heartbeat in a list of effects, or nil if there is none.
 func lastHeartbeat(effects []machine.Effect) *registration.Heartbeat {
 	var last *registration.Heartbeat
 	for _, effect := range effects {
@@ -30,17 +30,17 @@
 	}
 }
 
-// A shard is reported as busy while it has an open batch.
+// A heartbeat lists a shard as busy while the shard has an open batch.
 func TestHeartbeatListsBusyShards(t *testing.T) {
 	c := newCluster(t)
 	busy := func() int { return len(c.stores["a"].heartbeat(c.now).Busy) }
 	c.mustCall(forwardedBatch("one", 1))
 	if got := busy(); got != 1 {
-		t.Fatalf("%d shards are busy with an open batch", got)
+		t.Fatalf("%d shards are busy while the batch is open, want 1", got)
 	}
 	c.mustCall(EndRequest{Batch: "one", By: accessByID, Timeout: clock.Second})
 	if got := busy(); got != 0 {
-		t.Fatalf("%d shards are busy once it has ended", got)
+		t.Fatalf("%d shards are busy after the batch has ended, want 0", got)
 	}
 }
 
--- a/internal/batchstore/item_body.go
+++ b/internal/batchstore/item_body.go
@@ -2,8 +2,8 @@
 
 import "tuliprudder/internal/clock"
 
-// replyItemBody replies with the body of a forwarded item that may still run. Once the item
-// has its result, or its batch has ended, there is nothing left to run.
+// replyItemBody replies with the body of a forwarded item that may still run. An item that has its
+// result, or whose batch has ended, does not run again and is reported as not found.
 func (s *Store) replyItemBody(call uint64, request ItemBodyRequest, now clock.Micros) {
 	served, err := s.requireServing(request.Shard, now)
 	if err != nil {
--- a/internal/batchstore/item_body_test.go
+++ b/internal/batchstore/item_body_test.go
@@ -8,8 +8,8 @@
 	"tuliprudder/internal/errs"
 )
 
-// A forwarded item is run complete; its body is released once it has its result or its
-// batch has ended, its weight stays, and an attempt under way keeps the body.
+// The task of a forwarded item has the complete request. The stored body is released once the item has its
+// result or its batch has ended; the weight is kept, and an attempt in progress keeps its body.
 func TestItemBodiesAreReleasedWhenNoLongerNeeded(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 2))
@@ -24,7 +24,7 @@
 		t.Fatalf("the task is %+v", first)
 	}
 	if got := c.mustCall(ItemBodyRequest{Batch: "one", Item: "i0", By: accessByID}).(ItemBodyResponse); string(got.Body) != "body 0" {
-		t.Fatalf("the body is %q", got.Body)
+		t.Fatalf("the body of the first item is %q", got.Body)
 	}
 	c.do("a", ItemFinished{Batch: "one", Item: 0, Status: shard.StatusOK, Output: "x"})
 	c.mustCall(EndRequest{Batch: "two", By: accessByID, Timeout: clock.Second})
@@ -32,25 +32,25 @@
 		for _, id := range []string{"one", "two"} {
 			request := s.shard(Unit(0)).state.Batches[id].Items[0].Request
 			if len(request.Body)+len(request.Header) > 0 || request.Tokens != 10 {
-				t.Fatalf("%s at %s keeps %+v", id, s.self.ID, request)
+				t.Fatalf("the first item of %s on store %s has the request %+v", id, s.self.ID, request)
 			}
 		}
 	}
 	if string(first.Request.Body) != "body 0" {
-		t.Fatal("an attempt under way lost its body")
+		t.Fatal("an attempt in progress lost its body")
 	}
 	for _, request := range []ItemBodyRequest{{Batch: "one", Item: "i0", By: accessByID}, {Batch: "two", Item: "i0", By: accessByID}, {Batch: "one", Item: "i9", By: accessByID}, {Batch: "three", Item: "i0", By: accessByID}} {
 		c.mustReject(errs.NotFound, request)
 	}
 	if got := c.mustCall(ItemBodyRequest{Batch: "one", Item: "i1", By: accessByID}).(ItemBodyResponse); string(got.Body) != "body 1" {
-		t.Fatalf("the body is %q", got.Body)
+		t.Fatalf("the body of the second item is %q", got.Body)
 	}
 	if again := c.mustCall(forwardedBatch("one", 2)).(SubmitResponse); !again.Repeated || again.Items != 2 {
-		t.Fatalf("submitted again: %+v", again)
+		t.Fatalf("the resubmission is answered %+v", again)
 	}
 }
 
-// Without a valid lease a store does not deny an item: its successor may have it.
+// A store without a valid lease does not report an item as not found, because its successor may have it.
 func TestItemIsReportedMissingOnlyUnderLease(t *testing.T) {
 	c := newCluster(t)
 	c.mustReject(errs.NotFound, ItemBodyRequest{Batch: "one", Item: "i0", By: accessByID})
--- a/internal/batchstore/items.go
+++ b/internal/batchstore/items.go
@@ -10,8 +10,8 @@
 	"tuliprudder/internal/replication"
 )
 
-// RunItem is the task of running one item on a server. It is repeated until the item has
-// its result; whoever runs items ignores those that it has already.
+// RunItem is the task of running one item on a server. It is emitted repeatedly until the item has its
+// result, so the executor must ignore items that it already has.
 type RunItem struct {
 	Shard                int
 	Epoch                uint64
@@ -21,21 +21,20 @@
 	Route                string
 	ItemID               string
 	Input                string
-	Request              *shard.Request // forwarded unchanged; nil where there is an input
+	Request              *shard.Request // forwarded unchanged; nil if the item has an input
 	SubmittedAt          clock.Micros
-	ConfigurationVersion uint64 // in force when the batch was submitted
-	FailedAttempts       int    // attempts that servers failed, under earlier owners of the shard too
+	ConfigurationVersion uint64 // the version in effect when the batch was submitted
+	FailedAttempts       int    // attempts that failed at a server, including those under earlier owners of the shard
 }
 
-// CancelItems is the task of dropping all items of a batch, or of a shard, that have not
-// finished.
+// CancelItems is the task of cancelling all unfinished items of a batch or of a shard.
 type CancelItems struct {
 	Batch string
-	Shard int // -1 where a batch is meant
+	Shard int // -1 to cancel the items of Batch
 }
 
-// MayStart tells, right before an item starts on a server, whether this store may start it:
-// it is the shard's primary under a valid lease, and the item still needs a result.
+// MayStart reports whether this store may start an item on a server: it is the shard's primary under a
+// valid lease, and the item still needs a result. It is checked right before the item starts.
 func (s *Store) MayStart(shardIndex int, batchID string, item int, now clock.Micros) bool {
 	unit := Unit(shardIndex)
 	group := s.groups.Group(unit)
@@ -46,7 +45,7 @@
 	return batch != nil && batch.State == shard.Open && !batch.HasResult(item)
 }
 
-// startItems has the items of an open batch run that have no result.
+// startItems emits a RunItem task for each item of an open batch that has no result.
 func (s *Store) startItems(unit, batchID string) {
 	local := s.shard(unit)
 	batch := local.state.Batches[batchID]
@@ -75,15 +74,15 @@
 	}
 }
 
-// startShardItems does the same for all batches of a shard.
+// startShardItems calls startItems for all batches of a shard.
 func (s *Store) startShardItems(unit string) {
 	for _, id := range sortedBatchIDs(s.shard(unit).state) {
 		s.startItems(unit, id)
 	}
 }
 
-// resumeItems repeats the items that have no result: some were dropped while the lease was
-// not valid or a queue was full.
+// resumeItems emits the tasks of the items without a result again, because some may have been dropped
+// while the lease was not valid or a queue was full.
 func (s *Store) resumeItems() {
 	for _, group := range s.groups.All() {
 		if group.Role == replication.Serving && group.Unconfirmed() == 0 {
@@ -92,5 +91,5 @@
 	}
 }
 
-// sortedBatchIDs are the IDs of a shard's batches, in an order that depends on them only.
+// sortedBatchIDs returns the IDs of a shard's batches in a deterministic order.
 func sortedBatchIDs(state *shard.State) []string { return slices.Sorted(maps.Keys(state.Batches)) }
--- a/internal/batchstore/items_test.go
+++ b/internal/batchstore/items_test.go
@@ -6,7 +6,7 @@
 	"tuliprudder/internal/clock"
 )
 
-// An item may start only at the primary, under a valid lease, and while it needs a result.
+// An item may start only on the primary, under a valid lease, and while it needs a result.
 func TestItemMayStart(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 2))
@@ -28,12 +28,12 @@
 		"the store is the replica": {"b", "one", 1, c.now, false},
 	} {
 		if got := c.stores[test.store].MayStart(0, test.batch, test.item, test.now); got != test.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: MayStart returned %v", name, got)
 		}
 	}
 }
 
-// Items without a result are repeated from time to time: their run may have been dropped.
+// The tasks of items without a result are emitted again periodically, because they may have been dropped.
 func TestUnfinishedItemsAreExecutedAgain(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 2))
@@ -41,7 +41,7 @@
 	c.tasks = nil
 	c.advance(resumeInterval)
 	if len(c.tasks) != 1 {
-		t.Fatalf("the tasks are %v", c.tasks)
+		t.Fatalf("the tasks are %v, want one", c.tasks)
 	}
 	if item, ok := c.tasks[0].(RunItem); !ok || item.ItemID != "i1" || item.Epoch != 1 {
 		t.Fatalf("the task is %+v", c.tasks[0])
--- a/internal/batchstore/memory_test.go
+++ b/internal/batchstore/memory_test.go
@@ -12,14 +12,14 @@
 	"tuliprudder/internal/replication"
 )
 
-// These tests hold that a store's memory, and what its next start reads, are bounded by its open
-// work, however many batches have finished (docs/DESIGN.md §6.7).
+// These tests check that a store's memory, and the size of the records that its next start reads, depend
+// on its unfinished work and not on the number of finished batches (docs/DESIGN.md §6.7).
 
-// outputSize is the size of one output in these tests, in bytes: far above what a batch takes
-// beside its outputs.
+// outputSize is the size of an item's output in these tests, in bytes. It is far larger than the rest of
+// a batch.
 const outputSize = 64 << 10
 
-// finishBatches has batches of one item each submitted and finished at "a".
+// finishBatches submits batches of one item each to "a" and finishes them.
 func (c *cluster) finishBatches(count int) {
 	c.t.Helper()
 	for i := range count {
@@ -29,7 +29,7 @@
 	}
 }
 
-// outputOf is the output of the item of a batch.
+// outputOf returns the output of the item of a batch.
 func outputOf(batch string) string { return strings.Repeat(batch+" ", outputSize/(len(batch)+1)) }
 
 // assign makes "a" the primary of the shard under an epoch, with one replica.
@@ -50,14 +50,15 @@
 	}
 }
 
-// addStore adds an empty store.
+// addStore adds an empty, registered store.
 func (c *cluster) addStore(id string, writer int) {
 	c.archives[id] = newMemoryArchive()
 	c.stores[id] = New(Self{ID: id, Zone: id, Peer: id, Incarnation: 1}, Defaults(), nil, c.archives[id])
 	c.do(id, Message{Body: registration.Registered{Fleet: "f", Writer: writer}})
 }
 
-// Finished batches leave memory as fast as they finish, at the primary and at its replica.
+// Finished batches are archived and removed from memory as fast as they finish, on the primary and on its
+// replica.
 func TestFinishedBatchesAreMovedOutOfMemory(t *testing.T) {
 	c := newCluster(t)
 	const batches = 100
@@ -65,13 +66,13 @@
 	c.advance(3 * resumeInterval)
 	for id, store := range c.stores {
 		if left := store.FinishedBytesInMemory(); left > 0 {
-			t.Errorf("%s has %d KB of the outputs of %d finished batches in memory, after %d s", id, left>>10, batches, 3*resumeInterval/clock.Second)
+			t.Errorf("store %s still has %d KiB of the outputs of %d finished batches in memory after %d s", id, left>>10, batches, 3*resumeInterval/clock.Second)
 		}
 	}
 }
 
-// A store that is filled with another one's shard has the finished batches in its archive, not
-// in its memory, and not in the records that its next start reads.
+// A store that receives a shard as a snapshot has its finished batches in the archive, not in memory and
+// not in the records that its next start reads.
 func TestInstalledSnapshotArchivesFinishedBatches(t *testing.T) {
 	c := newCluster(t)
 	const batches = 60
@@ -84,31 +85,31 @@
 	c.advance(clock.Second)
 	filled := c.stores["c"]
 	if got := filled.Groups().Group(Unit(0)).Role; got != replication.Replicating {
-		t.Fatalf("the store is not filled: it is %v", got)
+		t.Fatalf("the store has the role %v, want replicating", got)
 	}
 	if left := filled.FinishedBytesInMemory(); left > 0 {
-		t.Errorf("%d KB of outputs are in memory", left>>10)
+		t.Errorf("%d KiB of outputs are in memory", left>>10)
 	}
 	if got := c.persistedBytes["c"]; got > batches*outputSize/10 {
-		t.Errorf("the records that the next start reads have %d KB, of %d KB of outputs", got>>10, batches*outputSize>>10)
+		t.Errorf("the records that the next start reads have %d KiB, with %d KiB of outputs in all", got>>10, batches*outputSize>>10)
 	}
 	known := filled.shard(Unit(0)).state.Batches
 	if len(known) != batches {
-		t.Fatalf("it has %d batches, not %d", len(known), batches)
+		t.Fatalf("the store has %d batches, want %d", len(known), batches)
 	}
 	for id, batch := range known {
 		if batch.Archived == nil {
-			t.Fatalf("%s is not in the archive", id)
+			t.Fatalf("%s is not archived", id)
 		}
 		results := filled.readArchived(batch).Results
 		if len(results) != 1 || results[0].Output != outputOf(id) {
-			t.Fatalf("%s is read back with %d results", id, len(results))
+			t.Fatalf("%s was read from the archive with %d results, or another output", id, len(results))
 		}
 	}
 }
 
-// What a snapshot has of the archive is read as it is sent: a primary whose replica has the same
-// state reads nothing, and one whose replica does not answer no more than it may send.
+// The archived part of a snapshot is read only as it is sent. A primary whose replica has the same state
+// reads nothing; one whose replica does not answer reads no more than it may send unacknowledged.
 func TestSnapshotReadsArchiveOnlyWhenSent(t *testing.T) {
 	c := newCluster(t)
 	c.finishBatches(60)
@@ -117,7 +118,7 @@
 	c.assign(2, "b", false)
 	c.advance(clock.Second)
 	if got := c.archives["a"].reads; got > 0 {
-		t.Errorf("%d batches were read back for a replica that has them", got)
+		t.Errorf("%d archived batches were read for a replica that has them", got)
 	}
 	c.addStore("c", 3)
 	c.unreachable = "c"
@@ -125,12 +126,12 @@
 	c.advance(clock.Second)
 	const chunk = 256 << 10
 	if got, held := c.archives["a"].reads, c.stores["a"].Groups().SnapshotBytes(); got > 2*chunk/outputSize || held > chunk {
-		t.Errorf("for a replica that does not answer %d batches were read back, and %d KB are kept in memory", got, held>>10)
+		t.Errorf("for a replica that does not answer, %d archived batches were read and %d KiB are kept in memory", got, held>>10)
 	}
 }
 
-// A store whose records are few and large makes a snapshot of them in time: the next start has them
-// all in memory.
+// A compaction is due by the size of the records even if they are few: the next start reads all records
+// since the last compaction into memory.
 func TestLargeRecordsTriggerCompaction(t *testing.T) {
 	c := newCluster(t)
 	store := c.stores["a"]
@@ -141,10 +142,10 @@
 		request.Batch.Items[0].Request.Body = make([]byte, bodySize)
 		c.mustCall(request)
 		if got := c.recordBytes["a"]; got > bound+2*bodySize {
-			t.Fatalf("%d MB of records lie behind the last snapshot, after %d batches", got>>20, i+1)
+			t.Fatalf("%d MiB of records since the last compaction, after %d batches", got>>20, i+1)
 		}
 	}
 	if c.compactions["a"] == 0 {
-		t.Error("there was no snapshot")
+		t.Error("there was no compaction")
 	}
 }
--- a/internal/batchstore/messages.go
+++ b/internal/batchstore/messages.go
@@ -7,39 +7,39 @@
 	"tuliprudder/internal/transport"
 )
 
-// The requests of reading daemons to a store, and its responses. They are sent as gob: the
-// names of types and fields never change; neither do the JSON keys. A Timeout is in
-// microseconds; when it has passed, the store answers that the outcome is unknown, before
-// its caller gives up.
+// These are the requests of reading daemons to a store, and its responses. They are sent as gob, so
+// the names of types and fields must not change; neither must the JSON keys. A Timeout is in
+// microseconds. When it expires, the store replies that the outcome is unknown, before the caller
+// itself times out.
 type (
 	// SubmitRequest submits a batch.
 	SubmitRequest struct {
 		Shard   int
 		Batch   shard.Batch
-		By      Access // by which the caller recognises a batch that it has submitted before
+		By      Access // determines whether the caller may see an existing batch of the same ID
 		Timeout clock.Micros
 	}
-	// SubmitResponse acknowledges a batch, once it is durable on every member of its
-	// shard's group.
+	// SubmitResponse acknowledges a batch once it is durable on every member of its shard's
+	// group.
 	SubmitResponse struct {
 		Batch    string
 		Items    int
-		Repeated bool // the shard had the batch already
+		Repeated bool // the shard already had the batch
 		Store    string
 	}
-	// EndRequest ends a batch; the response is its BatchStatus.
+	// EndRequest ends a batch. The response is a BatchStatus.
 	EndRequest struct {
 		Shard   int
 		Batch   string
 		By      Access
 		Timeout clock.Micros
 	}
-	// BatchStatusRequest asks for the status of a batch.
+	// BatchStatusRequest requests the status of a batch.
 	BatchStatusRequest struct {
 		Shard    int
 		Batch    string
 		By       Access
-		Operator bool // the batch may be any tenant's; the response has its results
+		Operator bool // allows batches of any tenant, and adds the results to the response
 	}
 	// BatchStatus is the status of a batch.
 	BatchStatus struct {
@@ -47,28 +47,28 @@
 		Route       string         `json:"route"`
 		State       string         `json:"state"` // a shard.BatchState
 		Items       int            `json:"items"`
-		Finished    int            `json:"listed"` // items that have their result
+		Finished    int            `json:"listed"` // items that have a result
 		Store       string         `json:"keeper"`
 		Writer      int            `json:"writer"`
 		Shard       int            `json:"slot"`
 		Epoch       uint64         `json:"epoch"`
 		Replicas    []string       `json:"replicas"`    // addresses of the group's other members
-		SubmittedAt clock.Micros   `json:"enrolled_us"` // a point in time
+		SubmittedAt clock.Micros   `json:"enrolled_us"` // a point in time, in microseconds
 		Tenant      string         `json:"customer"`
-		Results     []shard.Result `json:"rows"` // for operators, without their outputs
+		Results     []shard.Result `json:"rows"` // for operators only, without the outputs
 	}
-	// ReadRequest reads results after a vector of positions, up to another one: of one
-	// batch, or of all batches of a tenant in the given shards.
+	// ReadRequest reads the results of one batch, or of all batches of a tenant in the given
+	// shards, that lie after one vector of positions and within another.
 	ReadRequest struct {
-		Shards map[int]uint64 // the epoch of each shard that is read
+		Shards map[int]uint64 // the reader's epoch of each shard to read
 		Batch  string         // "" for all batches
 		By     Access
 		After  token.Vector
-		Bound  map[int]token.Vector // by shard: the last positions that may be read
-		Limit  int                  // of results; 0 is no limit
-		// Indexed reads the list of one batch from the index From on instead, as far as
-		// every result before may be read. Outputs have at most MaxBytes bytes together (0
-		// is no limit), unless the first result alone has more.
+		Bound  map[int]token.Vector // by shard: the highest positions that may be read
+		Limit  int                  // maximum number of results; 0 for no limit
+		// Indexed instead reads the result list of one batch, from the index From up to the
+		// first result that may not be read yet. The outputs total at most MaxBytes bytes (0
+		// for no limit), unless the first result alone exceeds that.
 		Indexed  bool
 		From     int
 		MaxBytes int
@@ -76,21 +76,21 @@
 	// ReadResponse is a page of results.
 	ReadResponse struct {
 		Results []shard.Result
-		State   string // of the batch, as far as the reader may read it
+		State   string // of the batch; open until the reader may read all its results
 		Items   int    // of the batch
-		More    bool   // the page was cut at a limit
-		Index   int    // of the first result in the batch's list; of an indexed read only
-		// Writer and PersistedUpTo tell the reader this store's position, like an announcement.
+		More    bool   // the page was truncated at a limit
+		Index   int    // in the batch's list, of the first result; for indexed reads only
+		// Writer and PersistedUpTo give the reader this store's position, as an announcement does.
 		Writer        int
 		PersistedUpTo int64
 	}
-	// ItemBodyRequest asks for the body of a forwarded item that has no result yet.
+	// ItemBodyRequest requests the body of a forwarded item that has no result yet.
 	ItemBodyRequest struct {
 		Shard       int
 		Batch, Item string // IDs
 		By          Access
 	}
-	// ItemBodyResponse is that body.
+	// ItemBodyResponse returns the body of an item.
 	ItemBodyResponse struct{ Body []byte }
 	// ClaimRequest claims an idempotency key for a one-shot request.
 	ClaimRequest struct {
@@ -98,8 +98,8 @@
 		Claim   shard.Claim
 		Timeout clock.Micros
 	}
-	// ClaimResponse is the claim on the key: the requester's own, or that of an earlier
-	// request.
+	// ClaimResponse returns the claim on the key: the requester's own, in which case Yours is set,
+	// or that of an earlier request.
 	ClaimResponse struct {
 		Yours bool
 		Claim shard.Claim
@@ -114,7 +114,7 @@
 	}
 	// CompleteClaimResponse acknowledges that the outcome is durable. Done is not used.
 	CompleteClaimResponse struct{ Done bool }
-	// StatusRequest asks for the status of the store. Brief is not used.
+	// StatusRequest requests the status of the store. Brief is not used.
 	StatusRequest struct{ Brief bool }
 	// StatusResponse is the status of the store.
 	StatusResponse struct {
@@ -127,15 +127,15 @@
 		Unfinished    int           `json:"unfinished"` // positions
 		Shards        []ShardStatus `json:"slots"`
 	}
-	// ShardStatus is the status of one shard of it.
+	// ShardStatus is the status of one shard of the store.
 	ShardStatus struct {
 		Shard   int    `json:"slot"`
 		Role    string `json:"role"`
 		Epoch   uint64 `json:"epoch"`
 		Seq     uint64 `json:"seq"`  // of the last entry
-		Open    int    `json:"open"` // entries that are not durable on every member
+		Open    int    `json:"open"` // entries that are not yet durable on every member
 		Batches int    `json:"bundles"`
-		Peer    string `json:"peer"` // address of the primary, at the primary of the first replica
+		Peer    string `json:"peer"` // address of the primary; on the primary, of the first replica
 	}
 )
 
--- a/internal/batchstore/pending_calls.go
+++ b/internal/batchstore/pending_calls.go
@@ -7,19 +7,20 @@
 	"tuliprudder/internal/clock"
 )
 
-// pendingCall is a call that is answered once an entry is durable.
+// pendingCall is a call whose reply waits until an entry is durable.
 type pendingCall struct {
 	number   uint64
-	deadline clock.Micros // the outcome is unknown to the caller from here on
+	deadline clock.Micros // when the call is answered with an unknown outcome
 	response Response
 }
 
-// pendingCalls are the calls that wait for their entries, in the order in which they came.
+// pendingCalls are the calls that wait for entries to become durable. The calls of an entry are in the
+// order in which they were added.
 type pendingCalls struct{ byEntry byEntry[[]pendingCall] }
 
 func newPendingCalls() pendingCalls { return pendingCalls{byEntry: byEntry[[]pendingCall]{}} }
 
-// add makes a call wait for an entry.
+// add registers a call that waits for an entry.
 func (p pendingCalls) add(unit string, seq uint64, call pendingCall) {
 	p.byEntry.put(unit, seq, append(p.byEntry[unit][seq], call))
 }
@@ -35,8 +36,7 @@
 	return slices.Concat(p.byEntry.takeUnit(unit)...)
 }
 
-// takeOverdue removes and returns the calls whose deadline has passed, in the order of
-// units and entries.
+// takeOverdue removes and returns the calls whose deadline has passed, ordered by unit and entry.
 func (p pendingCalls) takeOverdue(now clock.Micros) []pendingCall {
 	var overdue []pendingCall
 	for _, unit := range slices.Sorted(maps.Keys(p.byEntry)) {
--- a/internal/batchstore/pending_calls_test.go
+++ b/internal/batchstore/pending_calls_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// callNumbers are the callNumbers of some calls.
+// callNumbers returns the numbers of the given calls.
 func callNumbers(calls []pendingCall) []uint64 {
 	var out []uint64
 	for _, call := range calls {
@@ -26,20 +26,20 @@
 func TestPendingCallsOfAnEntryAreTakenOnce(t *testing.T) {
 	p := testPendingCalls()
 	if got := callNumbers(p.takeDurable("u", 7)); !slices.Equal(got, []uint64{2, 3}) {
-		t.Fatalf("taken: %v", got)
+		t.Fatalf("took the calls %v, want 2 and 3", got)
 	}
 	if got := p.takeDurable("u", 7); len(got) != 0 {
-		t.Fatalf("taken again: %v", got)
+		t.Fatalf("took the calls %v again", got)
 	}
 }
 
 func TestPendingCallsOfAUnitAreInTheOrderOfEntries(t *testing.T) {
 	p := testPendingCalls()
 	if got := callNumbers(p.takeUnit("u")); !slices.Equal(got, []uint64{2, 3, 1}) {
-		t.Fatalf("taken: %v", got)
+		t.Fatalf("took the calls %v, want 2, 3 and 1", got)
 	}
 	if got := callNumbers(p.takeUnit("t")); !slices.Equal(got, []uint64{4}) {
-		t.Fatalf("taken of the other unit: %v", got)
+		t.Fatalf("took the calls %v from the other unit, want 4", got)
 	}
 }
 
@@ -50,7 +50,7 @@
 		want []uint64
 	}{{29, nil}, {30, []uint64{4, 2}}, {49, []uint64{3}}, {50, []uint64{1}}, {90, nil}} {
 		if got := callNumbers(p.takeOverdue(step.now)); !slices.Equal(got, step.want) {
-			t.Fatalf("at %d: %v expired, not %v", step.now, got, step.want)
+			t.Fatalf("at %d the calls %v expired, want %v", step.now, got, step.want)
 		}
 	}
 }
--- a/internal/batchstore/pending_weights.go
+++ b/internal/batchstore/pending_weights.go
@@ -6,19 +6,19 @@
 	"tuliprudder/internal/replication"
 )
 
-// This file counts, for the quotas, what waits in the shards that this store serves
-// (docs/DESIGN.md §11.3, §12.5). An item counts at its shard's primary from its batch's entry on
-// until its result, or the batch's end, is durable: so a successor, which may lack entries that
-// were not confirmed, never finds more than this store has counted.
+// This file computes, for the quotas, the weight of the pending items in the shards that this store
+// serves (docs/DESIGN.md §11.3, §12.5). An item counts at its shard's primary from when its batch's
+// entry is appended until its result, or the end of its batch, is durable. A successor may lack entries
+// that were not confirmed, so it never finds a higher weight than this store has reported.
 
-// releasedWeight is weight that counts until the entry that releasedWeight it is durable.
+// releasedWeight is weight that still counts as pending until the entry that released it is durable.
 type releasedWeight struct {
 	account shard.AccountName
 	weight  int
 }
 
-// ServingEpoch is the epoch under which this store serves a shard now; false where it doesn't, or
-// has no lease: then another store may serve it.
+// ServingEpoch returns the epoch under which this store serves a shard. It returns false if the store
+// does not serve the shard or has no valid lease, in which case another store may serve it.
 func (s *Store) ServingEpoch(shardIndex int, now clock.Micros) (epoch uint64, ok bool) {
 	served, err := s.requireServing(shardIndex, now)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return served.group.Epoch, true
 }
 
-// PendingWeight is the weight of an account's items that wait or run in a shard.
+// PendingWeight returns the total weight of an account's items that wait or run in a shard.
 func (s *Store) PendingWeight(shardIndex int, account shard.AccountName) int {
 	unit := Unit(shardIndex)
 	sum := s.shard(unit).state.PendingWeight(account)
@@ -39,8 +39,8 @@
 	return sum
 }
 
-// PendingWeights are the weights of the items that wait or run in the shards that this store
-// serves, by account.
+// PendingWeights returns, by account, the total weight of the items that wait or run in the shards
+// that this store serves under a valid lease.
 func (s *Store) PendingWeights(now clock.Micros) map[shard.AccountName]int {
 	sum := map[shard.AccountName]int{}
 	for _, group := range s.groups.All() {
@@ -62,7 +62,7 @@
 	return sum
 }
 
-// weightReleasedBy is the weight that an entry is about to release in a shard.
+// weightReleasedBy returns the weight that an entry will release when it is applied to a shard.
 func weightReleasedBy(entry shard.Entry, state *shard.State) releasedWeight {
 	switch e := entry.(type) {
 	case shard.ListResult:
--- a/internal/batchstore/pending_weights_test.go
+++ b/internal/batchstore/pending_weights_test.go
@@ -9,7 +9,8 @@
 	"tuliprudder/internal/replication"
 )
 
-// completeGroupUpdate is a map of two stores whose complete group has the given primary and replica.
+// completeGroupUpdate returns the update with a map of two stores whose complete group has the given primary
+// and replica.
 func completeGroupUpdate(seq, epoch uint64, primary, replica string) UpdateReceived {
 	stores := map[string]state.Store{"a": {Peer: "a", Incarnation: 1}, "b": {Peer: "b", Incarnation: 1}}
 	return mapUpdate(seq, stores, replication.Assignment{
@@ -24,7 +25,8 @@
 // routeAccount is the account of forwarded batches without a tenant.
 var routeAccount = shard.AccountName{Route: "route"}
 
-// pendingWeight is what a store reports of the shard; serving is false where it must report nothing.
+// pendingWeight returns the weight that a store reports for the shard; serving is false if it must not report
+// any.
 func (c *cluster) pendingWeight(id string) (weight int, serving bool) {
 	if _, serving = c.stores[id].ServingEpoch(0, c.now); !serving {
 		return 0, false
@@ -35,28 +37,28 @@
 func (c *cluster) expectPending(id string, want int) {
 	c.t.Helper()
 	if got, serving := c.pendingWeight(id); !serving || got != want {
-		c.t.Fatalf("%s counts %d, serving %v; not %d", id, got, serving, want)
+		c.t.Fatalf("store %s reports the pending weight %d, serving %v; want %d", id, got, serving, want)
 	}
 }
 
-// expectPendingOf checks what the store "a" counts in an account.
+// expectPendingOf checks the pending weight of an account on the store "a".
 func (c *cluster) expectPendingOf(account shard.AccountName, want int) {
 	c.t.Helper()
 	if got := c.stores["a"].PendingWeight(0, account); got != want {
-		c.t.Fatalf("%d count in %s, not %d", got, account, want)
+		c.t.Fatalf("the pending weight is %d in account %s, want %d", got, account, want)
 	}
 	if got := c.stores["a"].PendingWeights(c.now)[account]; got != want {
-		c.t.Fatalf("%d count in %s in all shards, not %d", got, account, want)
+		c.t.Fatalf("the pending weight over all shards is %d in account %s, want %d", got, account, want)
 	}
 }
 
-// Items count from their batch's entry on until their results are durable, whatever attempts there
-// are: a forwarded one by its tokens, one with an input as one.
+// Items count as pending from when their batch's entry is appended until their results are durable,
+// regardless of attempts. A forwarded item weighs its number of tokens, an item with an input weighs 1.
 func TestPendingWeightIncludesItemsUntilResultsAreDurable(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 3)) // 10, 11 and 12 tokens
 	c.expectPending("a", 33)
-	chatAccount := shard.AccountName{Tenant: "route"} // named like the route
+	chatAccount := shard.AccountName{Tenant: "route"} // the tenant has the same name as the route
 	chat := SubmitRequest{Batch: shard.Batch{ID: "chat", Tenant: "route", Key: "k", Items: []shard.Item{{ID: "x", Input: "in"}, {ID: "y", Input: "in"}}}, Timeout: clock.Second}
 	c.mustCall(chat)
 	c.expectPendingOf(chatAccount, 2)
@@ -76,8 +78,8 @@
 	c.expectPendingOf(chatAccount, 1)
 }
 
-// The batches of each tenant of a route count in an account of its own, those without a tenant in the
-// route's.
+// The batches of each tenant of a route count in a separate account, and those without a tenant in the
+// account of the route.
 func TestEachTenantOfARouteHasAnAccount(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("shared", 1))
@@ -92,35 +94,36 @@
 	}
 }
 
-// A shard counts at the store that serves it and nowhere else: not at its replica, not at a store
-// that restarted, whatever that one read back, and not at one that has lost it. (Ghent's scale-1,
-// seed 117614157011, and issue 29: what two stores counted for safety was spent.)
+// A shard's pending weight is reported only by the store that serves the shard: not by its replica, not by
+// a restarted store, whatever it has read from disk, and not by a store that has lost the shard. Guards
+// against issue 29 (Ghent's scale-1, seed 117614157011): two stores counted the same items as a
+// precaution, and the weight counted twice used up the quota.
 func TestPendingWeightIsReportedOnlyByTheServingStore(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 3))
 	c.expectPending("a", 33)
 	if _, serving := c.pendingWeight("b"); serving {
-		t.Error("the replica reports the shard")
+		t.Error("the replica reports a pending weight")
 	}
 	records := append(c.stores["a"].ownRecords(), c.stores["a"].groups.CompactedRecords()...)
 	restarted := New(Self{ID: "a", Zone: "a", Peer: "a", Incarnation: 2}, Defaults(), records, newMemoryArchive())
 	restarted.Do(completeGroupUpdate(9, 1, "a", "b"), c.now)
 	if _, serving := restarted.ServingEpoch(0, c.now); serving || restarted.PendingWeights(c.now)[routeAccount] != 0 {
-		t.Error("a store that restarted reports a shard that it doesn't serve yet")
+		t.Error("a restarted store reports a shard that it does not serve yet")
 	}
 	empty := New(Self{ID: "a", Zone: "a", Peer: "a", Incarnation: 2}, Defaults(), nil, newMemoryArchive())
 	empty.Do(completeGroupUpdate(9, 1, "a", "b"), c.now)
 	if _, serving := empty.ServingEpoch(0, c.now); serving {
-		t.Error("a store that lost its disk reports a shard whose batches it doesn't know")
+		t.Error("a store that lost its disk reports a shard whose batches it does not have")
 	}
 	primary := c.stores["a"]
 	primary.Do(completeGroupUpdate(10, 2, "b", "a"), c.now)
 	if _, serving := primary.ServingEpoch(0, c.now); serving || primary.PendingWeights(c.now)[routeAccount] != 0 {
-		t.Error("a store that lost the shard reports it")
+		t.Error("a store that lost the shard still reports it")
 	}
 }
 
-// A successor reports all that was accepted once it serves the shard, and not before.
+// A successor reports the weight of all accepted items once it serves the shard, and not before.
 func TestSuccessorReportsPendingWeightOnceServing(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 3))
@@ -128,27 +131,27 @@
 		c.do(id, completeGroupUpdate(10, 2, "b", "a"))
 	}
 	if _, serving := c.pendingWeight("b"); serving {
-		t.Error("it reports before every member has the state")
+		t.Error("the successor reports the shard before every member has the state")
 	}
 	c.advance(3 * clock.Second)
 	c.do("b", completeGroupUpdate(11, 2, "b", "a"))
 	c.advance(clock.Second)
 	c.expectPending("b", 33)
 	if epoch, _ := c.stores["b"].ServingEpoch(0, c.now); epoch != 2 {
-		t.Errorf("it serves under epoch %d", epoch)
+		t.Errorf("the successor serves under epoch %d, want 2", epoch)
 	}
 	if _, serving := c.pendingWeight("a"); serving {
-		t.Error("the former primary reports too")
+		t.Error("the former primary still reports the shard")
 	}
 }
 
-// A store whose lease has ended reports nothing: its successor may have admitted more.
+// A store whose lease has ended reports no pending weight, because its successor may have accepted more items.
 func TestStoreWithoutLeaseReportsNoPendingWeight(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 3))
 	c.unreachable = "b"
 	c.advance(2 * clock.Second)
 	if _, serving := c.pendingWeight("a"); serving || c.stores["a"].PendingWeights(c.now)[routeAccount] != 0 {
-		t.Error("it reports without a lease")
+		t.Error("the store reports a pending weight without a valid lease")
 	}
 }
--- a/internal/batchstore/position_tracker_test.go
+++ b/internal/batchstore/position_tracker_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// newTestTracker is a tracker with some positions from 1 on reserved.
+// newTestTracker returns a tracker with a reservation of positions from 1 on.
 func newTestTracker(t *testing.T) *positionTracker {
 	t.Helper()
 	p := newPositionTracker(0)
@@ -31,10 +31,10 @@
 	p := newTestTracker(t)
 	assignNext(t, p, Unit(0), 4)
 	if p.finishEntry(Unit(0), 3) || p.finishEntry(Unit(1), 4) || p.PersistedUpTo() != 0 {
-		t.Fatalf("other entries finished it: up to %d", p.PersistedUpTo())
+		t.Fatalf("other entries finished the position: persisted up to %d", p.PersistedUpTo())
 	}
 	if !p.finishEntry(Unit(0), 4) || p.PersistedUpTo() != 1 {
-		t.Fatalf("its entry did not finish it: up to %d", p.PersistedUpTo())
+		t.Fatalf("the entry did not finish its position: persisted up to %d", p.PersistedUpTo())
 	}
 }
 
@@ -44,19 +44,19 @@
 	assignNext(t, p, Unit(3), 1)
 	assignNext(t, p, Unit(2), 5)
 	if got := p.orphan(Unit(2), 7); got != 2 {
-		t.Fatalf("%d positions are orphaned, not 2", got)
+		t.Fatalf("%d positions are orphaned, want 2", got)
 	}
 	if p.finishEntry(Unit(2), 4) {
-		t.Fatal("an orphan was finished by its entry")
+		t.Fatal("an orphaned position was finished by its entry")
 	}
 	if p.finishOrphans(2, 7) || p.finishOrphans(3, 8) || p.PersistedUpTo() != 0 {
-		t.Fatalf("finished under the same epoch or by another shard: up to %d", p.PersistedUpTo())
+		t.Fatalf("orphaned positions were finished under the same epoch or by another shard: persisted up to %d", p.PersistedUpTo())
 	}
 	if !p.finishOrphans(2, 8) || p.hasOrphans() || p.PersistedUpTo() != 1 {
-		t.Fatalf("not finished under a higher epoch: up to %d", p.PersistedUpTo())
+		t.Fatalf("orphaned positions were not finished under a higher epoch: persisted up to %d", p.PersistedUpTo())
 	}
 	if !p.finishEntry(Unit(3), 1) || p.PersistedUpTo() != 3 {
-		t.Fatalf("all are finished: up to %d, not 3", p.PersistedUpTo())
+		t.Fatalf("all positions are finished: persisted up to %d, want 3", p.PersistedUpTo())
 	}
 }
 
@@ -65,6 +65,6 @@
 	assignNext(t, p, Unit(2), 4)
 	p.finishEntry(Unit(2), 4)
 	if got := p.orphan(Unit(2), 7); got != 0 || p.hasOrphans() {
-		t.Fatalf("%d positions are orphaned", got)
+		t.Fatalf("%d positions are orphaned, want none", got)
 	}
 }
--- a/internal/batchstore/read.go
+++ b/internal/batchstore/read.go
@@ -10,8 +10,9 @@
 	"tuliprudder/internal/clock"
 )
 
-// readResults replies with results of one batch, or of all batches of a tenant in some
-// shards: those after a vector of positions, or those from an index of the batch's list on.
+// readResults replies with the results of one batch, or of all batches of a tenant in the given shards:
+// those after a vector of positions or, for an indexed read, those from an index of the batch's result
+// list on.
 func (s *Store) readResults(call uint64, request ReadRequest, now clock.Micros) {
 	s.Reads++
 	response := ReadResponse{Writer: s.identity.Writer, PersistedUpTo: s.positions.PersistedUpTo()}
@@ -31,8 +32,7 @@
 	s.reply(call, response)
 }
 
-// sortAndLimit puts the results into the order of their positions and cuts the page at the
-// limit; 0 is no limit.
+// sortAndLimit sorts the results by position and truncates the page to the limit; 0 means no limit.
 func (r *ReadResponse) sortAndLimit(limit int) {
 	slices.SortStableFunc(r.Results, func(a, b shard.Result) int { return cmp.Compare(a.Position, b.Position) })
 	if limit > 0 && len(r.Results) > limit {
@@ -41,11 +41,11 @@
 	}
 }
 
-// readBound is up to which positions a reader may read a shard.
+// readBound limits the positions up to which a reader may read a shard.
 type readBound struct {
-	announced     token.Vector // by writer, as the reader has received them
+	announced     token.Vector // last positions by writer, as received by the reader
 	writer        int          // this store
-	persistedUpTo int64        // of this store in this shard
+	persistedUpTo int64        // last durable position of this store in the shard
 }
 
 func (s *Store) readBoundFor(request ReadRequest, shardIndex int) readBound {
@@ -56,8 +56,8 @@
 	}
 }
 
-// allows tells whether the reader may have a result: it never reads past the last position
-// that it has received of a writer, nor past what is durable here.
+// allows reports whether the reader may receive a result. A reader never receives a result past the last
+// position that it has received from the result's writer, nor one that is not durable on this store.
 func (b readBound) allows(result shard.Result) bool {
 	if result.Writer == b.writer && result.Position > b.persistedUpTo {
 		return false
@@ -65,9 +65,9 @@
 	return result.Position <= b.announced[result.Writer]
 }
 
-// allowsAll tells whether the reader may have all results of a batch.
+// allowsAll reports whether the reader may receive all results of a batch.
 func (b readBound) allowsAll(batch *shard.Batch) bool {
-	if batch.Archived != nil { // so all of them are durable
+	if batch.Archived != nil { // all results of an archived batch are durable
 		for writer, last := range batch.Archived.LastPositions {
 			if last > b.announced[writer] {
 				return false
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// readBatch adds the results and the state of one batch. To a reader that may not have all
-// results yet, the batch is open.
+// readBatch adds the results and the state of one batch to the response. The batch is reported as open
+// if the reader may not receive all its results yet.
 func (s *Store) readBatch(served servedShard, request ReadRequest, bound readBound, response *ReadResponse) error {
 	batch, err := served.findBatch(request.Batch, request.By)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// readAfter adds a batch's results after a vector of positions.
+// readAfter adds the results of a batch after a vector of positions to the response.
 func (s *Store) readAfter(batch *shard.Batch, after token.Vector, bound readBound, response *ReadResponse) {
 	for _, result := range s.resultsAfter(batch, after) {
 		if result.Position > after[result.Writer] && bound.allows(result) {
@@ -121,8 +121,8 @@
 	}
 }
 
-// resultsAfter are a batch's results, if any may lie after a vector of positions: the
-// archive is read only then.
+// resultsAfter returns all results of a batch, or none if the batch is archived and no result lies
+// after a vector of positions. The archive is read only if needed.
 func (s *Store) resultsAfter(batch *shard.Batch, after token.Vector) []shard.Result {
 	if batch.Archived == nil {
 		return batch.Results
@@ -135,9 +135,9 @@
 	return nil
 }
 
-// readFromIndex adds a batch's results from an index of its list on. A result keeps its
-// index for good, so the page ends at the first result that the reader may not have yet
-// (docs/DESIGN.md §12.5).
+// readFromIndex adds the results of a batch from an index of its result list on to the response. The
+// index of a result never changes, so the page ends at the first result that the reader may not receive
+// yet (docs/DESIGN.md §12.5).
 func (s *Store) readFromIndex(batch *shard.Batch, request ReadRequest, bound readBound, response *ReadResponse) {
 	from := max(0, request.From)
 	response.Index = from
@@ -165,8 +165,8 @@
 	}
 }
 
-// isFull tells whether a page of a number of results has no room for one that makes its
-// outputs a number of bytes. The first result always has room.
+// isFull reports whether a page that has the given number of results can't take another one that brings
+// its outputs to the given number of bytes. The byte limit does not apply to the first result.
 func (r ReadRequest) isFull(results, bytes int) bool {
 	if r.Limit > 0 && results >= r.Limit {
 		return true
--- a/internal/batchstore/read_test.go
+++ b/internal/batchstore/read_test.go
@@ -9,8 +9,8 @@
 	"tuliprudder/internal/errs"
 )
 
-// readIndexed reads the batch "one" by index, up to what was announced, and checks where
-// the page begins. change, if not nil, changes the request.
+// readIndexed reads the batch "one" by index, up to the announced position, and checks the index at which
+// the page starts. change, if not nil, modifies the request.
 func (c *cluster) readIndexed(from int, change func(*ReadRequest)) ReadResponse {
 	c.t.Helper()
 	request := ReadRequest{
@@ -26,12 +26,12 @@
 	}
 	response := c.mustCall(request).(ReadResponse)
 	if response.Index != from {
-		c.t.Fatalf("read from %d, the page begins at %d", from, response.Index)
+		c.t.Fatalf("a read from index %d returned a page that starts at %d", from, response.Index)
 	}
 	return response
 }
 
-// itemIDs are the IDs of a page's items, each followed by a space.
+// itemIDs returns the item IDs of a page, each followed by a space.
 func (r ReadResponse) itemIDs() (out string) {
 	for _, result := range r.Results {
 		out += result.ItemID + " "
@@ -39,8 +39,8 @@
 	return out
 }
 
-// A list is read by index: in the order of its results, cut by count and by bytes, never
-// past what the reader has received or what is durable, and the same from the archive.
+// An indexed read returns results in list order, limited by count and bytes, never past the positions that
+// the reader has received or that are durable. An archived batch gives the same pages.
 func TestReadByIndex(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 4))
@@ -52,52 +52,52 @@
 		t.Fatalf("%+v", got)
 	}
 	if got := c.readIndexed(1, func(r *ReadRequest) { r.Limit = 1 }); got.itemIDs() != "i0 " || !got.More {
-		t.Fatalf("one result: %+v", got)
+		t.Fatalf("with a limit of 1 result: %+v", got)
 	}
 	if got := c.readIndexed(0, func(r *ReadRequest) { r.MaxBytes = 11 }); got.itemIDs() != "i2 i0 " || !got.More {
-		t.Fatalf("11 bytes: %+v", got)
+		t.Fatalf("with a limit of 11 bytes: %+v", got)
 	}
 	if got := c.readIndexed(1, func(r *ReadRequest) { r.MaxBytes = 1 }); got.itemIDs() != "i0 " || !got.More {
-		t.Fatalf("at least one result: %+v", got)
+		t.Fatalf("with a limit below the size of the first result: %+v", got)
 	}
 	if got := c.readIndexed(3, nil); got.itemIDs() != "" || got.More || got.State != string(shard.Open) {
-		t.Fatalf("at the end: %+v", got)
+		t.Fatalf("at the end of the list: %+v", got)
 	}
 	// The reader has received the writer's positions only up to the second result.
 	received := c.announced.PersistedUpTo - 1
 	behind := func(r *ReadRequest) { r.Bound[0] = token.Vector{1: received} }
 	if got := c.readIndexed(0, behind); got.itemIDs() != "i2 i0 " || got.More {
-		t.Fatalf("past the bound: %+v", got)
+		t.Fatalf("from the start, with a reader that is behind: %+v", got)
 	}
 	if got := c.readIndexed(2, behind); got.itemIDs() != "" {
-		t.Fatalf("past the bound: %+v", got)
+		t.Fatalf("past the positions that the reader has received: %+v", got)
 	}
 	// The last result is not durable yet, whatever the reader claims to have received.
 	ahead := func(r *ReadRequest) { r.Bound[0] = token.Vector{1: 1 << 40} }
 	c.delayed = true
 	c.do("a", ItemFinished{Batch: "one", Item: 1, Status: shard.StatusFailed, Output: "no"})
 	if got := c.readIndexed(2, ahead); got.itemIDs() != "i3 " || got.State != string(shard.Open) {
-		t.Fatalf("past what is durable: %+v", got)
+		t.Fatalf("past the durable results: %+v", got)
 	}
 	c.executeDelayed()
-	// Finished and archived: the list is the same, and its end is told at once.
+	// The list of the finished and archived batch is the same, and its end is reported immediately.
 	c.advance(3 * clock.Second)
 	if c.stores["a"].BatchesArchived != 1 {
 		t.Fatal("the batch was not archived")
 	}
 	if got := c.readIndexed(1, behind); got.itemIDs() != "i0 " || got.State != string(shard.Open) || got.Items != 4 {
-		t.Fatalf("from the archive past the bound: %+v", got)
+		t.Fatalf("from the archive, with a reader that is behind: %+v", got)
 	}
 	got := c.readIndexed(1, nil)
 	if got.itemIDs() != "i0 i3 i1 " || got.State != string(shard.Done) || got.Items != 4 || got.Results[2].Status != shard.StatusFailed {
 		t.Fatalf("from the archive: %+v", got)
 	}
 	if got := c.readIndexed(4, nil); got.itemIDs() != "" || got.State != string(shard.Done) || got.Items != 4 {
-		t.Fatalf("at the archive's end: %+v", got)
+		t.Fatalf("from the archive, at the end of the list: %+v", got)
 	}
 }
 
-// A reader of another epoch is rejected: it would miss results of former writers.
+// A read at another epoch is rejected, because the reader would miss results of former writers.
 func TestReadAtAnotherEpochIsRejected(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 1))
@@ -107,8 +107,8 @@
 	c.mustCall(ReadRequest{Shards: map[int]uint64{0: 1}, Batch: "one", By: accessByID})
 }
 
-// The feed of all of a tenant's batches is in the order of positions, after the reader's
-// vector and cut at the limit.
+// A read of all batches of a tenant returns the results after the reader's vector in the order of their
+// positions, truncated to the limit.
 func TestTenantReadIsInPositionOrder(t *testing.T) {
 	c := newCluster(t)
 	for _, id := range []string{"one", "two"} {
--- a/internal/batchstore/results.go
+++ b/internal/batchstore/results.go
@@ -14,10 +14,10 @@
 	Item   int    // index in the batch
 	Status string // shard.StatusOK or shard.StatusFailed
 	Output string
-	Server string // "" where none ran it
+	Server string // "" if no server ran the item
 }
 
-// Apply lists the result, or keeps it until that is possible.
+// Apply lists the result, or keeps it until it can be listed.
 func (r ItemFinished) Apply(s *Store, now clock.Micros) {
 	result := shard.Result{
 		Batch:  r.Batch,
@@ -37,8 +37,8 @@
 	Item  int // index in the batch
 }
 
-// Apply records the failure with the item, for the shard's next owner. Where this store doesn't serve
-// the shard, the failure is lost: nobody starts the item here again.
+// Apply records the failure in the shard's state, so that the next owner knows of it. If this store does
+// not serve the shard, the failure is dropped, because the item is not started from here again.
 func (f AttemptFailed) Apply(s *Store, now clock.Micros) {
 	unit := Unit(f.Shard)
 	batch := s.shard(unit).state.Batches[f.Batch]
@@ -54,8 +54,8 @@
 	result shard.Result
 }
 
-// listPendingResults lists results as far as their groups serve and positions are reserved;
-// the others wait.
+// listPendingResults lists the pending results whose groups serve, as far as positions are reserved. The
+// others stay pending.
 func (s *Store) listPendingResults(now clock.Micros) {
 	if len(s.pendingResults) == 0 {
 		return
@@ -70,9 +70,9 @@
 	s.reservePositions()
 }
 
-// listResult gives a result the next position and appends its entry. It returns false if
-// the result has to wait. A result that this store can't list any more is dropped:
-// another store runs the item, or the item needs none.
+// listResult allocates the next position for a result and appends its entry. It returns false if the
+// result has to wait. A result that this store can no longer list is dropped and counts as handled:
+// another store runs the item, or the item needs no result.
 func (s *Store) listResult(pending pendingResult, now clock.Micros) (handled bool) {
 	unit := Unit(pending.shard)
 	group := s.groups.Group(unit)
@@ -102,8 +102,8 @@
 	return true
 }
 
-// reservePositions writes the next reservation when it is due. Without a writer ID there is
-// no sequence of positions yet.
+// reservePositions writes the next reservation of positions if it is due. A store that has no writer ID
+// yet has no positions to reserve.
 func (s *Store) reservePositions() {
 	if s.identity.Writer == 0 {
 		return
@@ -118,8 +118,8 @@
 	})
 }
 
-// finishOrphans finishes positions of a shard that moved, now that an owner of the epoch
-// serves it.
+// finishOrphans finishes the orphaned positions of a shard that has moved, because an owner serves it
+// under the given epoch.
 func (s *Store) finishOrphans(shardIndex int, ownerEpoch uint64) {
 	if s.positions.finishOrphans(shardIndex, ownerEpoch) {
 		s.announcer.requestPositionAnnouncement()
--- a/internal/batchstore/results_test.go
+++ b/internal/batchstore/results_test.go
@@ -11,7 +11,7 @@
 	"tuliprudder/internal/replication"
 )
 
-// The persisted-up-to position passes a result only once it is durable on both members.
+// The persisted-up-to position advances past a result only once the result is durable on both members.
 func TestPersistedUpToCoversDurableResultsOnly(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 2))
@@ -22,16 +22,16 @@
 	c.do("a", finished("one", 1))
 	c.advance(100 * clock.Millisecond)
 	if got := c.stores["a"].positions.PersistedUpTo(); got != before {
-		t.Fatalf("up to %d, not %d", got, before)
+		t.Fatalf("persisted up to %d, want %d", got, before)
 	}
 	c.executeDelayed()
 	c.advance(100 * clock.Millisecond)
 	if c.announced.PersistedUpTo != before+1 {
-		t.Fatalf("announced up to %d, not %d", c.announced.PersistedUpTo, before+1)
+		t.Fatalf("announced persisted up to %d, want %d", c.announced.PersistedUpTo, before+1)
 	}
 }
 
-// A second result of an item, and one of an unknown batch, use no position.
+// A second result of an item, and a result of an unknown batch or item, are dropped and use no position.
 func TestDuplicateAndUnknownResultsAreDropped(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 2))
@@ -41,11 +41,11 @@
 		c.do("a", result)
 	}
 	if got := c.stores["a"].positions.Next(); got != next || len(c.stores["a"].pendingResults) != 0 {
-		t.Fatalf("the next position is %d, not %d; %v wait", got, next, c.stores["a"].pendingResults)
+		t.Fatalf("the next position is %d, want %d; the pending results are %v", got, next, c.stores["a"].pendingResults)
 	}
 }
 
-// Results wait while no durable reservation covers their positions.
+// Results stay pending until a durable reservation covers their positions.
 func TestResultsWaitForAReservation(t *testing.T) {
 	c := newCluster(t)
 	const items = positions.ReservationSize + 1
@@ -55,15 +55,15 @@
 		c.do("a", finished("one", item))
 	}
 	if got := len(c.stores["a"].pendingResults); got != 1 {
-		t.Fatalf("%d results wait, not 1", got)
+		t.Fatalf("%d results are pending, want 1", got)
 	}
 	c.executeDelayed()
 	if got := len(c.stores["a"].pendingResults); got != 0 {
-		t.Fatalf("%d results still wait", got)
+		t.Fatalf("%d results are still pending", got)
 	}
 }
 
-// The attempts of an item that servers failed are counted with the item: the shard's next owner has
+// The failed attempts of an item are counted in the shard's state, so that the next owner of the shard has
 // the count.
 func TestFailedAttemptsPassToTheNextOwner(t *testing.T) {
 	c := newCluster(t)
@@ -72,7 +72,7 @@
 		c.do("a", AttemptFailed{Batch: "one", Item: item})
 	}
 	c.do("a", AttemptFailed{Batch: "unknown"})
-	c.do("b", AttemptFailed{Batch: "one"}) // it doesn't serve the shard
+	c.do("b", AttemptFailed{Batch: "one"}) // "b" does not serve the shard
 	c.tasks = nil
 	c.moveShard(2, "b", "a")
 	counts := map[string]int{}
@@ -82,12 +82,13 @@
 		}
 	}
 	if want := map[string]int{"i0": 1, "i1": 2}; !maps.Equal(counts, want) {
-		t.Fatalf("failed attempts at the new owner: %v, not %v", counts, want)
+		t.Fatalf("failed attempts at the new owner: %v, want %v", counts, want)
 	}
 }
 
-// A shard goes to another store and comes back while a position of its first owner is unfinished: what was
-// listed there before is announced and read, as it was under the owner in between.
+// A shard moves to another store and back while a position of its first owner, in another shard, stays
+// unfinished. The results that the first owner listed earlier are still announced and readable, as they
+// were under the owner in between.
 func TestResultsOfAnEarlierOwnershipAreReadable(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 2))
@@ -99,19 +100,19 @@
 	c.moveShard(2, "b", "a")
 	c.moveShard(3, "a", "b")
 	if got := a.positions.PersistedUpTo(); got != before {
-		t.Fatalf("the position went on to %d", got)
+		t.Fatalf("the persisted-up-to position advanced to %d", got)
 	}
 	announced := a.announcement().Shards[0].LastPositions[1]
 	if announced <= before {
-		t.Fatalf("announced up to %d, the position is %d", announced, before)
+		t.Fatalf("announced last position %d, want one above the persisted-up-to position %d", announced, before)
 	}
 	response := c.mustCall(ReadRequest{Shards: map[int]uint64{0: 3}, Batch: "one", By: accessByID, Indexed: true, Bound: map[int]token.Vector{0: {1: announced}}})
 	if got := response.(ReadResponse).Results; len(got) != 1 {
-		t.Fatalf("%d results are read", len(got))
+		t.Fatalf("read %d results, want 1", len(got))
 	}
 }
 
-// moveShard has a store become the shard's primary under an epoch, with another one as its replica.
+// moveShard makes a store the shard's primary under an epoch, with another store as its replica.
 func (c *cluster) moveShard(epoch uint64, primary, replica string) {
 	stores := map[string]state.Store{"a": {Peer: "a", Incarnation: 1}, "b": {Peer: "b", Incarnation: 1}}
 	for _, complete := range []bool{false, true} {
--- a/internal/batchstore/retention.go
+++ b/internal/batchstore/retention.go
@@ -9,8 +9,8 @@
 	"tuliprudder/internal/replication"
 )
 
-// applyRetention drops finished batches and claims whose retention has passed, in the shards
-// that this store serves, and then the archive files that nothing refers to any more.
+// applyRetention purges the finished batches and the claims whose retention has expired from the shards
+// that this store serves. It then deletes the archive files that no batch refers to any more.
 func (s *Store) applyRetention(now clock.Micros) {
 	for _, group := range s.groups.All() {
 		if group.Role != replication.Serving {
@@ -24,8 +24,8 @@
 	s.deleteUnusedArchives()
 }
 
-// purgeBefore lists the finished batches that were submitted before a point in time, and the
-// claims that began before it.
+// purgeBefore returns the entry that purges the finished batches that were submitted, and the claims that
+// were made, before a point in time.
 func purgeBefore(state *shard.State, before clock.Micros) shard.Purge {
 	var entry shard.Purge
 	for _, id := range sortedBatchIDs(state) {
--- a/internal/batchstore/retention_test.go
+++ b/internal/batchstore/retention_test.go
@@ -7,8 +7,7 @@
 	"tuliprudder/internal/clock"
 )
 
-// Finished batches and claims are dropped once their retention has passed; open batches are
-// kept.
+// Finished batches and claims are purged once their retention has expired. Open batches are kept.
 func TestExpiredBatchesAndClaimsArePurged(t *testing.T) {
 	c := newCluster(t)
 	for _, s := range c.stores {
@@ -21,13 +20,13 @@
 	c.advance(60 * clock.Second)
 	state := c.stores["a"].shard(Unit(0)).state
 	if len(state.Batches) != 2 || len(state.Claims) != 1 {
-		t.Fatalf("before their retention has passed there are %v and %v", state.Batches, state.Claims)
+		t.Fatalf("before the retention expired the batches are %v and the claims %v", state.Batches, state.Claims)
 	}
 	c.advance(100 * clock.Second)
 	for id, s := range c.stores {
 		state := s.shard(Unit(0)).state
 		if len(state.Batches) != 1 || state.Batches["open"] == nil || len(state.Claims) != 0 {
-			t.Fatalf("afterwards %s has %v and %v", id, state.Batches, state.Claims)
+			t.Fatalf("after the retention expired store %s has the batches %v and the claims %v", id, state.Batches, state.Claims)
 		}
 	}
 }
@@ -37,9 +36,9 @@
 	state.Batches["b"] = &shard.Batch{ID: "b", State: shard.Done, SubmittedAt: 10}
 	state.Claims["c"] = &shard.Claim{At: 10}
 	if entry := purgeBefore(state, 10); !entry.IsEmpty() {
-		t.Fatalf("expired at the limit: %+v", entry)
+		t.Fatalf("purged exactly at the retention limit: %+v", entry)
 	}
 	if entry := purgeBefore(state, 11); len(entry.Batches) != 1 || len(entry.Claims) != 1 {
-		t.Fatalf("expired after it: %+v", entry)
+		t.Fatalf("purged after the retention limit: %+v, want the batch and the claim", entry)
 	}
 }
--- a/internal/batchstore/settings.go
+++ b/internal/batchstore/settings.go
@@ -2,33 +2,33 @@
 
 import "tuliprudder/internal/clock"
 
-// Settings of a store; Defaults has the values that docs/SETTINGS.md gives.
+// Settings are the settings of a store. Defaults returns the values documented in docs/SETTINGS.md.
 type Settings struct {
-	// MaxItems is the limit of items without a result over all shards that the store owns;
+	// MaxItems is the maximum number of items without a result in all shards that the store owns;
 	// default 50 000.
 	MaxItems int
-	// CompactAfter is the number of records between two compactions; default 2000.
+	// CompactAfter is the number of writes after which a compaction is due; default 2000.
 	CompactAfter int
-	// CompactAfterBytes is the size of the records between two compactions at which the next one
-	// comes, however few there are: the next start reads them all; default 16 MiB.
+	// CompactAfterBytes is the total size of the records since the last compaction at which the next
+	// one is due, however few they are, because the next start reads them all; default 16 MiB.
 	CompactAfterBytes int
-	// RetainFinished is how long, in microseconds from its submission, a finished batch or
-	// a claim is kept; default 48 h.
+	// RetainFinished is the retention of finished batches and claims, in microseconds from the
+	// submission of the batch or the start of the claim; default 48 h.
 	RetainFinished clock.Micros
 	// HeartbeatEvery is the interval of the heartbeats to the cores; default 300 ms.
 	HeartbeatEvery clock.Micros
-	// AnnounceEvery is the shortest time between two announcements of this store's position to the
-	// readers; default 15 ms. Shards that it begins or ceases to serve are announced within 15 ms.
+	// AnnounceEvery is the minimum interval between announcements of this store's position to the
+	// readers; default 15 ms. Shards that the store starts or stops serving are announced within 15 ms.
 	AnnounceEvery clock.Micros
-	// DiskTimeout is how long a write may take before the disk counts as stalled; default
+	// DiskTimeout is how long a write may take before the disk is considered stalled; default
 	// 1.5 s.
 	DiskTimeout clock.Micros
-	// DiskProbation is how long a stalled disk has to keep up before the store takes
-	// shards again; default 5 s.
+	// DiskProbation is how long a stalled disk has to keep up before the store accepts shards
+	// again; default 5 s.
 	DiskProbation clock.Micros
 }
 
-// Defaults are the default settings.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
 		MaxItems:          50_000,
@@ -47,5 +47,5 @@
 	ID, Zone    string
 	Peer        string // its address among the daemons
 	Incarnation uint64
-	Name        string // the operator's name of the machine; "" where there is none
+	Name        string // the operator's name for the machine; "" if there is none
 }
--- a/internal/batchstore/status.go
+++ b/internal/batchstore/status.go
@@ -5,8 +5,8 @@
 	"tuliprudder/internal/clock"
 )
 
-// replyBatchStatus replies with the status of a batch; operators see any tenant's, with its
-// results.
+// replyBatchStatus replies with the status of a batch. Operators may see batches of any tenant, and
+// receive the results without their outputs.
 func (s *Store) replyBatchStatus(call uint64, request BatchStatusRequest, now clock.Micros) {
 	served, err := s.requireServing(request.Shard, now)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return out
 }
 
-// status is the store's status, for operators.
+// status returns the store's status, for operators.
 func (s *Store) status() StatusResponse {
 	response := StatusResponse{
 		Store:         s.self.ID,
--- a/internal/batchstore/status_test.go
+++ b/internal/batchstore/status_test.go
@@ -7,8 +7,8 @@
 	"tuliprudder/internal/errs"
 )
 
-// A batch without an idempotency key is found by its ID alone; one with a key stays its
-// tenant's own.
+// A batch without an idempotency key may be used by its ID alone. A batch with a key is visible only to its
+// tenant.
 func TestBatchWithoutAKeyIsFoundByItsID(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 1))
@@ -27,7 +27,7 @@
 	c.mustCall(BatchStatusRequest{Batch: "mine", By: Access{Tenant: "c"}})
 }
 
-// An operator sees any tenant's batch, with its results but not their outputs.
+// An operator sees the batches of any tenant, with their results but without the outputs.
 func TestOperatorSeesResultsWithoutOutputs(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 2))
--- a/internal/batchstore/store.go
+++ b/internal/batchstore/store.go
@@ -1,23 +1,24 @@
-// Package batchstore is the state machine of a store daemon (docs/DESIGN.md §6). A store
+// Package batchstore implements the state machine of a store daemon (docs/DESIGN.md §6). A store
 // is the primary or a replica of the replication groups of some shards. As a primary it
-// accepts batches, has their items run, gives each result a position, and serves reads;
-// it announces its persisted-up-to position to the reading daemons itself.
+// accepts batches, emits tasks that run their items, assigns a position to each result, and serves
+// reads. It announces its persisted-up-to position to the reading daemons.
 //
-// Inputs are commands (Call, Message, Persisted, UpdateReceived, Tick, …), each with the
-// time; outputs are effects (machine.Effect), in an order that depends on the inputs only.
-// The machine does no I/O and reads no clock.
+// Its inputs are commands (Call, Message, Persisted, UpdateReceived, Tick, …), each with the
+// current time. Its outputs are effects (machine.Effect), in an order that depends only on the
+// inputs. The state machine writes no files, uses no network and reads no clock; it reads only the
+// archive files (Archive).
 //
-// Invariants, and where they are kept:
+// Invariants, and where they are enforced:
 //   - A batch is acknowledged, and its items run, only once its entry is durable on every
 //     member of the shard's group (Store.submit, Store.Confirmed).
-//   - A result gets its position when its entry is appended (Store.listResult), and the
-//     persisted-up-to position passes it once that entry is durable (Store.Confirmed,
-//     positionTracker).
-//   - An item's result is listed once (shard.ListResult).
-//   - Calls are served only as the primary under a valid lease (Store.requireServing), and
-//     reads only at the epoch that the reader knows (Store.requireServingAtEpoch).
+//   - A result is assigned its position when its entry is appended (Store.listResult), and the
+//     persisted-up-to position advances past it only once that entry is durable
+//     (Store.Confirmed, positionTracker).
+//   - An item has at most one result in the list (shard.ListResult).
+//   - Calls are served only by the primary under a valid lease (Store.requireServing), and
+//     reads only at the reader's epoch (Store.requireServingAtEpoch).
 //
-// A Store has no lock: one goroutine, the daemon's event loop, makes all calls.
+// A Store is not safe for concurrent use: all calls are made by one goroutine, the daemon's event loop.
 package batchstore
 
 import (
@@ -38,8 +39,8 @@
 	Counters
 	// InjectedFaults are set by tests only.
 	InjectedFaults InjectedFaults
-	// BadRecord is the error of the last record that could not be read, from the disk, a
-	// peer or the archive; nil without one.
+	// BadRecord is the error of the last record from the disk, a peer or the archive that could
+	// not be read; nil if there is none.
 	BadRecord error
 	// OnDamage, if set, is called with the error when an archived batch can't be read.
 	OnDamage func(error)
@@ -55,17 +56,17 @@
 	draining   bool
 
 	pendingCalls pendingCalls
-	submitted    byEntry[string] // IDs of batches whose items run once their entry is durable
-	// unconfirmedReleases are the weights that entries have released which are not durable.
+	submitted    byEntry[string] // IDs of batches whose items start once their entry is durable
+	// unconfirmedReleases has the weights released by entries that are not durable yet.
 	unconfirmedReleases byEntry[releasedWeight]
-	pendingResults      []pendingResult // they wait for a position, or for their group to serve
+	pendingResults      []pendingResult // waiting for a position, or for their group to serve
 	positions           positionTracker
 	announcer           announcer
 
 	archiver archiver
 	disk     diskMonitor
-	// recordsSinceCompaction counts the Persist effects since the last Compact effect, and
-	// bytesSinceCompaction the bodies of their records.
+	// recordsSinceCompaction is the number of Persist effects since the last Compact effect, and
+	// bytesSinceCompaction the total size of the bodies of their records.
 	recordsSinceCompaction, bytesSinceCompaction int
 	due                                          schedule
 }
@@ -74,13 +75,14 @@
 type localShard struct {
 	index int
 	state *shard.State
-	// ownPositionAtTakeover is this writer's last position in the shard when this store began to serve it:
-	// of an earlier ownership. Its results are durable, however far the persisted-up-to position is.
+	// ownPositionAtTakeover is this writer's last position in the shard from an earlier ownership, taken
+	// when this store started to serve the shard; 0 if there is none. Results up to it are durable even
+	// if the persisted-up-to position is lower.
 	ownPositionAtTakeover int64
 }
 
-// New makes a store from the records that were read back from its disk. Whether one could
-// not be read is told by BadRecord.
+// New creates a store from the records that were read from its disk. BadRecord is set if one of them
+// could not be decoded.
 func New(self Self, settings Settings, records []machine.Record, archive Archive) *Store {
 	s := &Store{
 		settings:            settings,
@@ -98,7 +100,7 @@
 	return s
 }
 
-// replay applies the records and returns up to where positions are reserved.
+// replay applies the records and returns the highest reserved position.
 func (s *Store) replay(records []machine.Record) (reservedUpTo int64) {
 	for _, record := range records {
 		switch {
@@ -116,7 +118,7 @@
 // Command is an input of the store.
 type Command = machine.Command[*Store]
 
-// Do applies a command and returns the effects.
+// Do applies a command and returns its effects.
 func (s *Store) Do(command Command, now clock.Micros) []machine.Effect {
 	command.Apply(s, now)
 	s.compactIfDue()
@@ -130,7 +132,8 @@
 	return effects
 }
 
-// compactIfDue has a snapshot of all shards replace the records on the disk.
+// compactIfDue emits, if a compaction is due, the effect that replaces the records on disk by a snapshot
+// of all shards.
 func (s *Store) compactIfDue() {
 	isDue := s.recordsSinceCompaction >= s.settings.CompactAfter || s.bytesSinceCompaction >= s.settings.CompactAfterBytes
 	if !isDue {
@@ -148,16 +151,16 @@
 	}
 }
 
-// ownRecords are the compacted records of the store itself, which belong to no shard.
+// ownRecords returns the compacted records of the store itself, which belong to no shard.
 func (s *Store) ownRecords() []machine.Record {
 	reservedUpTo := max(s.positions.Next()-1, s.positions.ReservedUpTo())
 	return []machine.Record{s.identity.record(), reservationRecord(reservedUpTo)}
 }
 
-// Groups is the replication groups of this store, for tests and operators.
+// Groups returns the replication groups of this store, for tests and operators.
 func (s *Store) Groups() *replication.Groups { return s.groups }
 
-// Unit is the name of a shard's replication group.
+// Unit returns the unit of a shard, which names its replication group.
 func Unit(shardIndex int) string { return fmt.Sprintf(unitShard+"%03d", shardIndex) }
 
 func shardOfUnit(unit string) int {
@@ -165,7 +168,7 @@
 	return index
 }
 
-// shard is this daemon's state of the shard of a unit; it is empty when new.
+// shard returns this daemon's state of the shard of a unit. It is created empty if it does not exist.
 func (s *Store) shard(unit string) *localShard {
 	local := s.shards[unit]
 	if local == nil {
--- a/internal/batchstore/submit.go
+++ b/internal/batchstore/submit.go
@@ -5,9 +5,9 @@
 	"tuliprudder/internal/clock"
 )
 
-// submit accepts a batch. The batch is durable, its items run and its caller is answered
-// once the entry is confirmed (Store.Confirmed). A batch that the shard has already is
-// acknowledged again.
+// submit accepts a batch. Once its entry is confirmed, the batch is durable, its items start and the
+// caller receives the reply (Store.Confirmed). A batch that the shard already has is acknowledged
+// again.
 func (s *Store) submit(call uint64, request SubmitRequest, now clock.Micros) {
 	served, err := s.requireServing(request.Shard, now)
 	if err != nil {
@@ -20,7 +20,7 @@
 		Store: s.self.ID,
 	}
 	if existing := served.state.Batches[request.Batch.ID]; existing != nil {
-		// Another tenant's batch is neither changed nor told of, but that its ID is taken.
+		// Another tenant's batch is not changed, and the error reveals only that its ID is in use.
 		if !request.By.allows(existing) || existing.Hash != request.Batch.Hash {
 			s.replyError(call, errBatchKeyReused(existing.ID))
 			return
@@ -42,7 +42,8 @@
 	s.replyOnceDurable(served, pendingCall{number: call, deadline: now + request.Timeout, response: response})
 }
 
-// appendBatch appends the entry of a new batch.
+// appendBatch appends the entry of a new batch and registers the batch to be started once the entry is
+// durable.
 func (s *Store) appendBatch(served servedShard, batch shard.Batch, now clock.Micros) {
 	batch.State = shard.Open
 	batch.SubmittedAt = now
@@ -52,7 +53,7 @@
 	s.BatchesSubmitted++
 }
 
-// checkAdmission tells why a new batch with a number of items is rejected; nil if it isn't.
+// checkAdmission returns an error if a new batch with the given number of items has to be rejected.
 func (s *Store) checkAdmission(items int) error {
 	if s.draining {
 		return errDraining(s.self.ID)
@@ -63,8 +64,8 @@
 	return nil
 }
 
-// unfinishedItems is the number of items without a result in the shards of which this store
-// is the primary.
+// unfinishedItems returns the number of items without a result in the open batches of the shards of
+// which this store is the primary.
 func (s *Store) unfinishedItems() int {
 	count := 0
 	for _, group := range s.groups.All() {
@@ -80,7 +81,7 @@
 	return count
 }
 
-// HasBatch tells whether a batch is in this store's state of a shard, durable or not.
+// HasBatch reports whether this store's state of a shard contains a batch, durable or not.
 func (s *Store) HasBatch(shardIndex int, batchID string) bool {
 	local := s.shards[Unit(shardIndex)]
 	return local != nil && local.state.Batches[batchID] != nil
--- a/internal/batchstore/submit_test.go
+++ b/internal/batchstore/submit_test.go
@@ -7,29 +7,29 @@
 	"tuliprudder/internal/errs"
 )
 
-// A batch is acknowledged and run only once it is durable on both members.
+// A batch is acknowledged, and its items started, only once it is durable on both members.
 func TestBatchIsAcknowledgedOnceItIsDurable(t *testing.T) {
 	c := newCluster(t)
 	c.delayed = true
 	if response, err := c.call(forwardedBatch("one", 1)); response != nil || err != nil {
-		t.Fatalf("not durable: %v %v", response, err)
+		t.Fatalf("replied before the batch was durable: %v %v", response, err)
 	}
 	first := c.lastCall
 	if response, err := c.call(forwardedBatch("one", 1)); response != nil || err != nil {
-		t.Fatalf("repeated and not durable: %v %v", response, err)
+		t.Fatalf("replied to the repeated call before the batch was durable: %v %v", response, err)
 	}
 	if len(c.tasks) != 0 {
-		t.Fatalf("before it is durable there are the tasks %v", c.tasks)
+		t.Fatalf("tasks before the batch is durable: %v", c.tasks)
 	}
 	c.executeDelayed()
 	if got, ok := c.replies[first].Body.(SubmitResponse); !ok || got.Repeated {
-		t.Fatalf("durable: %+v", c.replies[first])
+		t.Fatalf("once the batch is durable, the reply is %+v", c.replies[first])
 	}
 	if got, ok := c.replies[c.lastCall].Body.(SubmitResponse); !ok || !got.Repeated {
-		t.Fatalf("repeated and durable: %+v", c.replies[c.lastCall])
+		t.Fatalf("once the batch is durable, the reply to the repeated call is %+v", c.replies[c.lastCall])
 	}
 	if len(c.tasks) != 1 {
-		t.Fatalf("the tasks are %v", c.tasks)
+		t.Fatalf("the tasks are %v, want one", c.tasks)
 	}
 }
 
@@ -37,14 +37,14 @@
 	c := newCluster(t)
 	c.delayed = true
 	if response, err := c.call(forwardedBatch("one", 1)); response != nil || err != nil {
-		t.Fatalf("not durable: %v %v", response, err)
+		t.Fatalf("replied before the batch was durable: %v %v", response, err)
 	}
 	c.advance(clock.Second + 100*clock.Millisecond)
 	if err := c.replies[c.lastCall].Err; !errs.Is(err, errs.OutcomeUnknown) {
-		t.Fatalf("at the deadline: %v", err)
+		t.Fatalf("the error at the deadline is %v", err)
 	}
 	if got := c.stores["a"].UnknownOutcomes; got != 1 {
-		t.Fatalf("%d unknown outcomes were counted", got)
+		t.Fatalf("%d unknown outcomes were counted, want 1", got)
 	}
 }
 
--- a/internal/batchstore/tick.go
+++ b/internal/batchstore/tick.go
@@ -2,7 +2,7 @@
 
 import "tuliprudder/internal/clock"
 
-// schedule has the times from which on the periodic tasks are due again.
+// schedule has the times at which the periodic tasks are next due.
 type schedule struct {
 	heartbeat clock.Micros
 	resume    clock.Micros
@@ -10,17 +10,17 @@
 }
 
 const (
-	// resumeInterval is the interval at which items without a result are repeated and
-	// finished batches archived.
+	// resumeInterval is the interval at which the tasks of items without a result are emitted
+	// again and finished batches are archived.
 	resumeInterval = 2 * clock.Second
-	// retentionInterval is the interval at which what has passed its retention is dropped.
+	// retentionInterval is the interval at which expired batches and claims are purged.
 	retentionInterval = 10 * clock.Second
 )
 
-// Tick lets the store do what is due.
+// Tick triggers the periodic tasks that are due.
 type Tick struct{}
 
-// Apply does what is due.
+// Apply runs the tasks that are due.
 func (Tick) Apply(s *Store, now clock.Micros) {
 	s.groups.Tick(now)
 	for _, call := range s.pendingCalls.takeOverdue(now) {
--- a/internal/batchstore/writer_identity.go
+++ b/internal/batchstore/writer_identity.go
@@ -9,21 +9,21 @@
 	"tuliprudder/internal/machine"
 )
 
-// writerIdentity is what the primary core gave this store when it registered: the fleet it
-// belongs to, and the ID under which it writes results. Both are durable and never change.
+// writerIdentity is the identity that the primary core assigned to this store at its registration: the
+// fleet that it belongs to and the ID under which it writes results. Both are durable and never change.
 type writerIdentity struct {
 	Fleet  string `json:"fleet"`
 	Writer int    `json:"writer"` // 0 before the store is registered
 }
 
-// record is the durable form of the identity.
+// record returns the record that makes the identity durable.
 func (w writerIdentity) record() machine.Record {
 	body, _ := json.Marshal(w)
 	return machine.Record{Unit: unitSelf, Kind: kindWriter, Body: body}
 }
 
-// replay takes the identity from a record; one that can't be read leaves it as it is,
-// and the store registers again.
+// replay restores the identity from a record. If the record can't be decoded, the identity is left
+// unchanged and the store registers again.
 func (w *writerIdentity) replay(record machine.Record) {
 	var stored writerIdentity
 	if json.Unmarshal(record.Body, &stored) == nil {
@@ -31,14 +31,14 @@
 	}
 }
 
-// Writer is the store's writer ID; 0 before it is registered.
+// Writer returns the store's writer ID, or 0 before the store is registered.
 func (s *Store) Writer() int { return s.identity.Writer }
 
-// Fleet is the fleet that the store belongs to; "" before it is registered.
+// Fleet returns the fleet that the store belongs to, or "" before the store is registered.
 func (s *Store) Fleet() string { return s.identity.Fleet }
 
-// handleRegistered takes the writer ID. A core of another fleet is ignored: the store would
-// mix the data of two fleets.
+// handleRegistered stores the identity assigned by the first registration. A core of another fleet is
+// ignored, because the store would otherwise mix the data of two fleets.
 func (s *Store) handleRegistered(from string, registered registration.Registered) {
 	if registered.Writer <= 0 {
 		return
@@ -60,18 +60,18 @@
 	s.announcer.requestShardAnnouncement()
 }
 
-// handleRegistrationRejected ends the daemon, whose data folder must not be used.
+// handleRegistrationRejected halts the daemon, because its data folder must not be used.
 func (s *Store) handleRegistrationRejected(rejected registration.Rejected) {
 	if rejected.ID != s.self.ID || rejected.Incarnation != s.self.Incarnation {
 		return
 	}
 	s.Emit(machine.Halt{Err: errs.New(errs.WrongFolder,
-		"start with an empty data folder, which the other members of the shards' groups fill, or correct -seeds",
-		"this data folder does not belong here: %s", rejected.Reason)})
+		"start with an empty data folder, which the other members of the replication groups fill, or correct -seeds",
+		"the core rejected this data folder: %s", rejected.Reason)})
 }
 
-// CorePeers tells the store the cores' addresses.
+// CorePeers sets the addresses of the cores.
 type CorePeers struct{ Peers []string }
 
-// Apply sends the heartbeats there from now on.
+// Apply sends all further heartbeats to these addresses.
 func (c CorePeers) Apply(s *Store, _ clock.Micros) { s.cores = c.Peers }
--- a/internal/batchstore/writer_identity_test.go
+++ b/internal/batchstore/writer_identity_test.go
@@ -8,7 +8,8 @@
 	"tuliprudder/internal/machine"
 )
 
-// The first registration stays: neither the same fleet's cores nor another's change it.
+// The first registration is kept: later ones do not change it, whether their core is of the same fleet or of
+// another one.
 func TestFirstRegistrationIsKept(t *testing.T) {
 	s := newStore(Self{ID: "s", Incarnation: 1})
 	for _, registered := range []registration.Registered{{Fleet: "f"}, {Fleet: "f", Writer: 3}, {Fleet: "f", Writer: 4}, {Fleet: "other", Writer: 5}} {
@@ -23,7 +24,7 @@
 	}
 }
 
-// Only a rejection of this very incarnation ends the daemon.
+// Only a rejection of the store's own current incarnation halts the daemon.
 func TestRejectedRegistrationHaltsTheDaemon(t *testing.T) {
 	for name, test := range map[string]struct {
 		rejected registration.Rejected
@@ -41,7 +42,7 @@
 			}
 		}
 		if ended != test.ends {
-			t.Errorf("%s: ended %v", name, ended)
+			t.Errorf("%s: halted: %v", name, ended)
 		}
 	}
 }
