--- a/internal/batchstore/announce.go
+++ b/internal/batchstore/announce.go
@@ -12,7 +12,7 @@
 )
 
 // announcer schedules announcements. A change of the shards that this store serves is announced after
-// minAnnounceInterval at the latest; a change of its position no more often than the settings allow.
+// shardAnnounceInterval at the latest; a change of its position no more often than the settings allow.
 type announcer struct {
 	positionChanged bool // since the last announcement
 	shardsChanged   bool
@@ -20,9 +20,9 @@
 	lastAt          clock.Micros
 }
 
-// minAnnounceInterval is the minimum interval between announcements once shards have changed, unless
+// shardAnnounceInterval is the minimum interval between announcements once shards have changed, unless
 // the settings allow an even shorter one.
-const minAnnounceInterval = 15 * clock.Millisecond
+const shardAnnounceInterval = 15 * clock.Millisecond
 
 // requestPositionAnnouncement requests an announcement because the position has changed.
 func (a *announcer) requestPositionAnnouncement() { a.positionChanged = true }
@@ -35,7 +35,7 @@
 func (a *announcer) beginIfDue(now, positionInterval clock.Micros) bool {
 	interval := positionInterval
 	if a.shardsChanged {
-		interval = min(interval, minAnnounceInterval)
+		interval = min(interval, shardAnnounceInterval)
 	}
 	isFirst := a.seq == 0
 	if !a.positionChanged && !a.shardsChanged || !isFirst && now < a.lastAt+interval {
--- a/internal/batchstore/announce_test.go
+++ b/internal/batchstore/announce_test.go
@@ -38,22 +38,22 @@
 	}
 }
 
-// Changed shards are announced within minAnnounceInterval, even if the interval for positions is longer.
+// Changed shards are announced within shardAnnounceInterval, even if the interval for positions is longer.
 func TestShardsAreAnnouncedSoonerThanPositions(t *testing.T) {
 	const interval = clock.Second
 	var a announcer
 	a.requestPositionAnnouncement()
 	a.beginIfDue(clock.Second, interval)
 	a.requestShardAnnouncement()
-	if a.beginIfDue(clock.Second+minAnnounceInterval-1, interval) {
-		t.Fatal("announced again before minAnnounceInterval had passed")
+	if a.beginIfDue(clock.Second+shardAnnounceInterval-1, interval) {
+		t.Fatal("announced again before shardAnnounceInterval had passed")
 	}
-	if !a.beginIfDue(clock.Second+minAnnounceInterval, interval) {
-		t.Fatal("changed shards were not announced after minAnnounceInterval")
+	if !a.beginIfDue(clock.Second+shardAnnounceInterval, interval) {
+		t.Fatal("changed shards were not announced after shardAnnounceInterval")
 	}
 	a.requestPositionAnnouncement()
-	if a.beginIfDue(clock.Second+2*minAnnounceInterval, interval) {
-		t.Fatal("a changed position was announced after minAnnounceInterval already")
+	if a.beginIfDue(clock.Second+2*shardAnnounceInterval, interval) {
+		t.Fatal("a changed position was announced after shardAnnounceInterval already")
 	}
 }
 
