--- a/internal/daemon/machines/scheduling.go
+++ b/internal/daemon/machines/scheduling.go
@@ -58,9 +58,9 @@
 }
 
 // connectionShares are the live members that share the model servers' connections.
-func (s *Scheduling) connectionShares() (shares connections.Shares) {
+func (s *Scheduling) connectionShares() (shares connections.DaemonCounts) {
 	for _, member := range s.members {
-		shares.Count(member.Kind)
+		shares.Add(member.Kind)
 	}
 	return shares
 }
--- a/internal/daemon/machines/store.go
+++ b/internal/daemon/machines/store.go
@@ -76,7 +76,7 @@
 	case batchstore.RunItem:
 		s.Runner.Submit(t, now)
 	case batchstore.CancelItems:
-		s.Runner.Revoke(t, now)
+		s.Runner.Cancel(t, now)
 	}
 }
 
--- a/internal/daemon/roles/connections.go
+++ b/internal/daemon/roles/connections.go
@@ -45,7 +45,7 @@
 			continue
 		}
 		if limit := snapshot.limits[server.Name]; limit > 0 {
-			c.Client.SetMaxConnections(server.Address, snapshot.shares.Of(snapshot.kind, limit, server.Slots))
+			c.Client.SetMaxConnections(server.Address, snapshot.shares.LimitFor(snapshot.kind, limit, server.Slots))
 		}
 	}
 }
@@ -63,7 +63,7 @@
 	servers []endpoints.Server
 	limits  map[string]int64 // of connections to a server, by its name; 0: none
 	kind    string           // of this daemon; "" while it does not know itself
-	shares  connections.Shares
+	shares  connections.DaemonCounts
 }
 
 func (c *ConnectionLimiter) snapshot() connectionSnapshot {
@@ -80,7 +80,7 @@
 		}
 	})
 	for _, member := range members {
-		snapshot.shares.Count(member.Kind)
+		snapshot.shares.Add(member.Kind)
 		if member.ID == c.Daemon.Identity.ID {
 			snapshot.kind = member.Kind
 		}
--- a/internal/dataplane/connections/shares.go
+++ b/internal/dataplane/connections/shares.go
@@ -10,11 +10,11 @@
 // requests that end while the next ones begin.
 const extraConnections = 4
 
-// Shares are the daemons that share a server's connections.
-type Shares struct{ Edges, Stores int }
+// DaemonCounts are the daemons that share a server's connections.
+type DaemonCounts struct{ Edges, Stores int }
 
-// Count counts one member.
-func (s *Shares) Count(kind string) {
+// Add counts one member.
+func (s *DaemonCounts) Add(kind string) {
 	switch kind {
 	case membership.Edge:
 		s.Edges++
@@ -23,15 +23,15 @@
 	}
 }
 
-// Of is the share of one daemon of a kind in the connections that a server with some slots takes:
+// LimitFor is the share of one daemon of a kind in the connections that a server with some slots takes:
 // at least one. A store may have as many as the server has slots and a few more, but the stores
 // together no more than half; the edges share the rest.
-func (s Shares) Of(kind string, total int64, slots int) int {
+func (s DaemonCounts) LimitFor(kind string, total int64, slots int) int {
 	stores, edges := max(1, s.Stores), max(1, s.Edges)
 	half, afterEdges := int(total)/2/stores, (int(total)-s.Edges)/stores
-	ofStore := max(1, min(slots+extraConnections, half, afterEdges))
+	perStore := max(1, min(slots+extraConnections, half, afterEdges))
 	if kind == membership.Store {
-		return ofStore
+		return perStore
 	}
-	return max(1, (int(total)-ofStore*s.Stores)/edges)
+	return max(1, (int(total)-perStore*s.Stores)/edges)
 }
--- a/internal/dataplane/decisionlog/decisionlog_test.go
+++ b/internal/dataplane/decisionlog/decisionlog_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestTheOldestEntryIsForgotten(t *testing.T) {
+func TestOldestEntryIsEvicted(t *testing.T) {
 	l := New(2)
 	for _, id := range []string{"a", "b", "a", "c"} {
 		l.Begin(Entry{RequestID: id, Route: "r"})
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestAnEntryGathersItsAttempts(t *testing.T) {
+func TestEntryRecordsAttemptsAndOutcome(t *testing.T) {
 	l := New(2)
 	l.Begin(Entry{RequestID: "a", Tenant: "t"})
 	for i := range maxAttempts + 3 {
--- a/internal/dataplane/execution/cancellation.go
+++ b/internal/dataplane/execution/cancellation.go
@@ -5,32 +5,32 @@
 	"tuliprudder/internal/clock"
 )
 
-// Revoke drops the items of a batch or of a shard, wherever they are: this store reports no result
+// Cancel drops the items of a batch or of a shard, wherever they are: this store reports no result
 // for them. An attempt in flight is cancelled.
-func (r *Runner) Revoke(revoked batchstore.CancelItems, now clock.Micros) {
-	if r.InjectedFaults.IgnoreRevoke {
+func (r *Runner) Cancel(cancelled batchstore.CancelItems, now clock.Micros) {
+	if r.InjectedFaults.IgnoreCancel {
 		return
 	}
 	for _, name := range sortedNames(r.deferred) {
-		if r.deferred[name].isRevokedBy(revoked) {
+		if r.deferred[name].isCancelledBy(cancelled) {
 			r.takeDeferred(name)
 		}
 	}
 	for _, name := range sortedNames(r.jobs) {
-		if j := r.jobs[name]; j.isRevokedBy(revoked) {
-			r.drop(j, now)
+		if j := r.jobs[name]; j.isCancelledBy(cancelled) {
+			r.cancelJob(j, now)
 		}
 	}
 }
 
-func (j *job) isRevokedBy(revoked batchstore.CancelItems) bool {
-	ofShard := revoked.Shard >= 0 && j.item.Shard == revoked.Shard
-	ofBatch := revoked.Batch != "" && j.item.Batch == revoked.Batch
+func (j *job) isCancelledBy(cancelled batchstore.CancelItems) bool {
+	ofShard := cancelled.Shard >= 0 && j.item.Shard == cancelled.Shard
+	ofBatch := cancelled.Batch != "" && j.item.Batch == cancelled.Batch
 	return ofShard || ofBatch
 }
 
-// drop forgets a job that is queued or on a server.
-func (r *Runner) drop(j *job, now clock.Micros) {
+// cancelJob forgets a job that is queued or on a server.
+func (r *Runner) cancelJob(j *job, now clock.Micros) {
 	delete(r.jobs, j.name)
 	if j.assignment != nil {
 		r.execute(CancelAttempt{AttemptID: j.attemptID})
--- a/internal/dataplane/execution/deferral_test.go
+++ b/internal/dataplane/execution/deferral_test.go
@@ -9,8 +9,8 @@
 )
 
 // An item that is deferred and submitted again keeps its attempts and events.
-func TestADeferredItemKeepsWhatItHas(t *testing.T) {
-	b := newBench(t, "s")
+func TestDeferredItemKeepsAttemptsAndEvents(t *testing.T) {
+	b := newHarness(t, "s")
 	mayRun := true
 	b.mayRun = func(int, string, int, clock.Micros) bool { return mayRun }
 	b.submitItem(0, 1)
@@ -24,15 +24,15 @@
 	if attempt := b.finishNext(AttemptResult{ServerFailed: true}); attempt.ForwardedItem.LastEventID != 1 {
 		t.Fatalf("it is resumed after %d", attempt.ForwardedItem.LastEventID)
 	}
-	b.expectNone()
+	b.expectNoResult()
 	b.finishNext(AttemptResult{ServerFailed: true, Reason: "500"})
-	b.expectOnly(shard.StatusFailed, "its attempts have failed: 500")
+	b.expectOnlyResult(shard.StatusFailed, "its attempts have failed: 500")
 }
 
 // An item that found no fresh lease when the store began to serve its shard starts as soon as there
 // is one; the store does not have to submit it again.
-func TestADeferredItemStartsOnceItMay(t *testing.T) {
-	b := newBench(t, "s")
+func TestDeferredItemStartsOnceLeaseIsHeld(t *testing.T) {
+	b := newHarness(t, "s")
 	lease := false
 	b.Runner = New(Defaults(), b.machineCalls, b.scheduler, func(int, string, int, clock.Micros) bool { return lease }, func(batchstore.Command, clock.Micros) {})
 	b.submitItem(0, 1)
--- a/internal/dataplane/execution/harness_test.go
+++ b/internal/dataplane/execution/harness_test.go
@@ -13,8 +13,8 @@
 	"tuliprudder/internal/machine"
 )
 
-// bench is a runner whose event loop and store are the test.
-type bench struct {
+// harness is a runner whose event loop and store are the test.
+type harness struct {
 	*Runner
 	t            *testing.T
 	scheduler    *scheduler.Scheduler
@@ -26,8 +26,8 @@
 
 const hour = 3600 * clock.Second
 
-func newBench(t *testing.T, servers ...string) *bench {
-	b := &bench{t: t, machineCalls: machine.NewCalls(), scheduler: scheduler.New(scheduler.Defaults(), 1), now: hour}
+func newHarness(t *testing.T, servers ...string) *harness {
+	b := &harness{t: t, machineCalls: machine.NewCalls(), scheduler: scheduler.New(scheduler.Defaults(), 1), now: hour}
 	b.Runner = New(Defaults(), b.machineCalls, b.scheduler, func(int, string, int, clock.Micros) bool { return true },
 		func(report batchstore.Command, _ clock.Micros) {
 			switch report := report.(type) {
@@ -46,23 +46,23 @@
 
 // setConfiguration puts a configuration in force with a route that forwards batches and one that
 // does not.
-func (b *bench) setConfiguration(version uint64, forward config.Forward) {
+func (b *harness) setConfiguration(version uint64, forward config.Forward) {
 	configuration := &config.Configuration{Version: version, ScorerWeights: map[string]float64{"spread": 1}, Pools: []config.Pool{{Name: "p"}},
 		Routes: []config.Route{{Name: "r", Kind: config.Batch, Forward: &forward}, {Name: "chat", Kind: config.Batch}}}
 	configuration.Index()
 	b.scheduler.SetConfiguration(configuration, b.now)
 }
 
-func (b *bench) submitItem(item int, tokens int64) { b.submitFailedItem(item, tokens, 0) }
+func (b *harness) submitItem(item int, tokens int64) { b.submitFailedItem(item, tokens, 0) }
 
 // submitFailedItem submits an item of which attempts have failed under earlier owners of its shard.
-func (b *bench) submitFailedItem(item int, tokens int64, failedAttempts int) {
+func (b *harness) submitFailedItem(item int, tokens int64, failedAttempts int) {
 	b.Submit(batchstore.RunItem{Batch: "b", Item: item, ItemID: fmt.Sprint("i", item), Tenant: "r", Route: "r", SubmittedAt: hour, ConfigurationVersion: 1,
 		Request: &shard.Request{Target: "/x", Body: []byte(fmt.Sprint("body ", item)), Tokens: tokens}, FailedAttempts: failedAttempts}, b.now)
 }
 
 // startedAttempts are the attempts that start now.
-func (b *bench) startedAttempts() []Attempt {
+func (b *harness) startedAttempts() []Attempt {
 	b.scheduler.AdvanceFreshness(b.now)
 	b.scheduler.MatchUntilStable(b.now)
 	var out []Attempt
@@ -77,7 +77,7 @@
 }
 
 // nextAttempt waits until the servers are considered again, for the one attempt there is.
-func (b *bench) nextAttempt() Attempt {
+func (b *harness) nextAttempt() Attempt {
 	b.t.Helper()
 	b.now += 5 * clock.Second
 	attempts := b.startedAttempts()
@@ -88,7 +88,7 @@
 }
 
 // finishNext reports the result of the one attempt there is.
-func (b *bench) finishNext(result AttemptResult) Attempt {
+func (b *harness) finishNext(result AttemptResult) Attempt {
 	b.t.Helper()
 	attempt := b.nextAttempt()
 	result.AttemptID = attempt.ID
@@ -96,14 +96,14 @@
 	return attempt
 }
 
-func (b *bench) expectOnly(status, output string) {
+func (b *harness) expectOnlyResult(status, output string) {
 	b.t.Helper()
 	if len(b.results) != 1 || b.results[0].Status != status || b.results[0].Output != output || b.Pending() != 0 {
 		b.t.Fatalf("results %+v, %d pending; want %s %q", b.results, b.Pending(), status, output)
 	}
 }
 
-func (b *bench) expectNone() {
+func (b *harness) expectNoResult() {
 	b.t.Helper()
 	if len(b.results) > 0 {
 		b.t.Fatalf("results %+v", b.results)
--- a/internal/dataplane/execution/results_test.go
+++ b/internal/dataplane/execution/results_test.go
@@ -10,8 +10,8 @@
 
 // An opaque item is resumed after the last event that came, on whichever server, and its result
 // has the events of all attempts.
-func TestAnOpaqueItemGoesOnAfterItsLastEvent(t *testing.T) {
-	b := newBench(t, "s")
+func TestOpaqueItemResumesAfterLastEvent(t *testing.T) {
+	b := newHarness(t, "s")
 	b.submitItem(7, 1)
 	first := b.finishNext(AttemptResult{Outcome: modelclient.Interrupted, Events: []string{"e1", "e2"}, LastEventID: 2})
 	if f := first.ForwardedItem; f == nil || f.Batch != "b" || f.ItemID != "i7" || f.Instance != "s" || f.LastEventID != 0 || string(f.Request.Body) != "body 7" || first.Request.Address != "s:1" {
@@ -23,17 +23,17 @@
 	// Events without IDs can't be resumed after: they come again, and are not kept.
 	b.finishNext(AttemptResult{Outcome: modelclient.Interrupted, Events: []string{"no id"}})
 	b.finishNext(AttemptResult{ServerFailed: true, Events: []string{"e3"}, LastEventID: 3})
-	b.expectNone()
+	b.expectNoResult()
 	if last := b.finishNext(AttemptResult{Outcome: modelclient.Complete, Events: []string{"e4", "end"}, LastEventID: 4}); last.ForwardedItem.LastEventID != 3 {
 		t.Fatalf("it is resumed after %d", last.ForwardedItem.LastEventID)
 	}
-	b.expectOnly(shard.StatusOK, "e1\ne2\ne3\ne4\nend")
+	b.expectOnlyResult(shard.StatusOK, "e1\ne2\ne3\ne4\nend")
 }
 
 // The events kept between attempts are bounded: beyond that the item starts from its beginning,
 // and does not fail.
-func TestEventsBetweenAttemptsAreBounded(t *testing.T) {
-	b := newBench(t, "s")
+func TestEventsKeptBetweenAttemptsAreBounded(t *testing.T) {
+	b := newHarness(t, "s")
 	b.settings.MaxOutputBytes = 5
 	b.submitItem(0, 1)
 	b.finishNext(AttemptResult{Outcome: modelclient.Interrupted, Events: []string{"abc"}, LastEventID: 1})
@@ -41,73 +41,73 @@
 	if attempt := b.finishNext(AttemptResult{Outcome: modelclient.Complete, Events: []string{"abc", "def", "g"}, LastEventID: 3}); attempt.ForwardedItem.LastEventID != 0 {
 		t.Fatalf("it is resumed after %d", attempt.ForwardedItem.LastEventID)
 	}
-	b.expectOnly(shard.StatusOK, "abc\ndef\ng")
+	b.expectOnlyResult(shard.StatusOK, "abc\ndef\ng")
 }
 
 // Only failed attempts count, and only as many as the route allows.
-func TestOnlyFailedAttemptsCount(t *testing.T) {
-	b := newBench(t, "s")
+func TestOnlyServerFailuresCountAsAttempts(t *testing.T) {
+	b := newHarness(t, "s")
 	b.submitItem(0, 1)
 	for i := 0; i < 3*Defaults().MaxAttempts; i++ {
 		b.finishNext(AttemptResult{Outcome: []modelclient.Outcome{modelclient.NotStarted, modelclient.Interrupted}[i%2], Reason: "broken off"})
 	}
 	b.finishNext(AttemptResult{ServerFailed: true, Reason: "500"})
 	b.finishNext(AttemptResult{ServerFailed: true, Reason: "500"})
-	b.expectNone()
+	b.expectNoResult()
 	b.finishNext(AttemptResult{ServerFailed: true, Reason: "500"})
-	b.expectOnly(shard.StatusFailed, "its attempts have failed: 500")
+	b.expectOnlyResult(shard.StatusFailed, "its attempts have failed: 500")
 }
 
 // Attempts that failed under an earlier owner of the shard count, and each one that fails here is
 // reported for the next owner.
-func TestFailedAttemptsCountOverTakeovers(t *testing.T) {
-	b := newBench(t, "s")
+func TestFailedAttemptsCountAcrossTakeovers(t *testing.T) {
+	b := newHarness(t, "s")
 	b.submitFailedItem(0, 1, 2)
 	b.finishNext(AttemptResult{Outcome: modelclient.Interrupted, Reason: "broken off"})
 	if len(b.failures) != 0 {
 		t.Fatalf("failures %+v", b.failures)
 	}
 	b.finishNext(AttemptResult{ServerFailed: true, Reason: "500"})
-	b.expectOnly(shard.StatusFailed, "its attempts have failed: 500")
+	b.expectOnlyResult(shard.StatusFailed, "its attempts have failed: 500")
 	if len(b.failures) != 1 || b.failures[0] != (batchstore.AttemptFailed{Batch: "b"}) {
 		t.Fatalf("failures %+v", b.failures)
 	}
 }
 
 // An item that has used up its attempts before its shard changed its owner runs no more.
-func TestAnItemWithoutAttemptsLeftIsNotRunAgain(t *testing.T) {
-	b := newBench(t, "s")
+func TestItemWithoutAttemptsLeftFailsAfterTakeover(t *testing.T) {
+	b := newHarness(t, "s")
 	b.submitFailedItem(0, 1, 3)
 	if attempts := b.startedAttempts(); len(attempts) != 0 {
 		t.Fatalf("%d attempts", len(attempts))
 	}
-	b.expectOnly(shard.StatusFailed, "its attempts have failed: under an earlier owner")
+	b.expectOnlyResult(shard.StatusFailed, "its attempts have failed: under an earlier owner")
 }
 
 // What a server rejects fails at once.
-func TestARejectedItemFinishesAtOnce(t *testing.T) {
-	b := newBench(t, "s")
+func TestRejectedItemFailsImmediately(t *testing.T) {
+	b := newHarness(t, "s")
 	b.submitItem(0, 1)
 	b.finishNext(AttemptResult{Outcome: modelclient.Rejected, Reason: "422"})
-	b.expectOnly(shard.StatusFailed, "the server rejected it: 422")
+	b.expectOnlyResult(shard.StatusFailed, "the server rejected it: 422")
 }
 
 // A failed attempt is followed by one on another server where there is one.
-func TestAFailedAttemptIsFollowedByOneElsewhere(t *testing.T) {
-	b := newBench(t, "s1", "s2")
+func TestFailedAttemptIsRetriedOnAnotherServer(t *testing.T) {
+	b := newHarness(t, "s1", "s2")
 	b.submitItem(0, 1)
 	first := b.finishNext(AttemptResult{ServerFailed: true})
 	if second := b.finishNext(AttemptResult{ServerFailed: true}); second.ForwardedItem.Instance == first.ForwardedItem.Instance {
 		t.Fatalf("both went to %s", first.ForwardedItem.Instance)
 	}
 	b.finishNext(AttemptResult{Outcome: modelclient.Complete, Events: []string{"x"}, LastEventID: 1})
-	b.expectOnly(shard.StatusOK, "x")
+	b.expectOnlyResult(shard.StatusOK, "x")
 }
 
 // An item that wants other weights than its server has waits for a server of those; the server that
 // answered so isn't left alone, and other items start there at once.
-func TestAnItemWaitsForItsWeights(t *testing.T) {
-	b := newBench(t, "s")
+func TestItemWaitsForServerWithRequiredWeights(t *testing.T) {
+	b := newHarness(t, "s")
 	b.WantedWeightsHeader = "X-Wanted"
 	item := batchstore.RunItem{Batch: "b", Tenant: "r", Route: "r", SubmittedAt: hour, ConfigurationVersion: 1,
 		Request: &shard.Request{Header: map[string]string{"x-wanted": "2"}, Tokens: 1}}
--- a/internal/dataplane/execution/retention.go
+++ b/internal/dataplane/execution/retention.go
@@ -44,25 +44,25 @@
 		return
 	}
 	r.nextRetentionCheck = now + retentionCheckInterval
-	for _, one := range r.expiredItems(configuration, now) {
-		if r.takeDeferred(one.job.name) == nil {
-			r.scheduler.Cancel(one.job.schedulerRequest)
+	for _, item := range r.unrunnableItems(configuration, now) {
+		if r.takeDeferred(item.job.name) == nil {
+			r.scheduler.Cancel(item.job.schedulerRequest)
 		}
-		r.failItem(one.job, one.reason, "", now)
+		r.failItem(item.job, item.reason, "", now)
 	}
 }
 
-// expiredItem is an item that can't run any more.
-type expiredItem struct {
+// unrunnableItem is an item that can't run any more.
+type unrunnableItem struct {
 	job    *job
 	reason string
 }
 
-// expiredItems lists the opaque items that wait and can't run any more, in the order of their names.
-func (r *Runner) expiredItems(configuration *config.Configuration, now clock.Micros) []expiredItem {
+// unrunnableItems lists the opaque items that wait and can't run any more, in the order of their names.
+func (r *Runner) unrunnableItems(configuration *config.Configuration, now clock.Micros) []unrunnableItem {
 	waiting := maps.Clone(r.jobs)
 	maps.Copy(waiting, r.deferred)
-	var expired []expiredItem
+	var unrunnable []unrunnableItem
 	for _, name := range sortedNames(waiting) {
 		j := waiting[name]
 		if j.assignment != nil || !j.isOpaque() || configuration.Version < j.item.ConfigurationVersion {
@@ -70,8 +70,8 @@
 		}
 		route, _ := configuration.Route(j.item.Route)
 		if reason := j.failureReason(route, now); reason != "" {
-			expired = append(expired, expiredItem{job: j, reason: reason})
+			unrunnable = append(unrunnable, unrunnableItem{job: j, reason: reason})
 		}
 	}
-	return expired
+	return unrunnable
 }
--- a/internal/dataplane/execution/retention_test.go
+++ b/internal/dataplane/execution/retention_test.go
@@ -11,64 +11,64 @@
 
 // An item that exceeds its route's retention fails wherever it waits, but not while a server has
 // it; another configuration may change the retention.
-func TestAnItemThatIsTooOldFinishesFailed(t *testing.T) {
-	cases := map[string]func(*bench){
-		"in the queue": func(*bench) {},
-		"deferred":     func(b *bench) { b.scheduler.Close(b.now) },
-		"in the queue under a newer configuration": func(b *bench) {
+func TestItemPastRetentionFails(t *testing.T) {
+	cases := map[string]func(*harness){
+		"in the queue": func(*harness) {},
+		"deferred":     func(b *harness) { b.scheduler.Close(b.now) },
+		"in the queue under a newer configuration": func(b *harness) {
 			b.setConfiguration(2, config.Forward{ItemRetention: 24 * hour})
 		},
 	}
 	for name, prepare := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
+			b := newHarness(t)
 			if b.submitItem(0, 9); b.Pending() != 1 {
 				t.Fatal("it is not pending")
 			}
 			prepare(b)
 			b.now += 24 * hour
 			b.Tick(b.now)
-			b.expectNone()
+			b.expectNoResult()
 			b.now += clock.Second
 			b.Tick(b.now)
-			b.expectOnly(shard.StatusFailed, outputRetentionExceeded)
+			b.expectOnlyResult(shard.StatusFailed, outputRetentionExceeded)
 			if got := b.Pending(); got != 0 {
 				t.Fatalf("%d items still wait", got)
 			}
 		})
 	}
 	t.Run("on a server", func(t *testing.T) {
-		b := newBench(t, "s")
+		b := newHarness(t, "s")
 		b.submitItem(0, 9)
 		attempt := b.nextAttempt()
 		b.now += 25 * hour
 		b.Tick(b.now)
-		b.expectNone()
+		b.expectNoResult()
 		b.HandleAttemptResult(AttemptResult{AttemptID: attempt.ID, Outcome: modelclient.NotStarted}, b.now)
-		b.expectOnly(shard.StatusFailed, outputRetentionExceeded)
+		b.expectOnlyResult(shard.StatusFailed, outputRetentionExceeded)
 	})
 	t.Run("kept without limit", func(t *testing.T) {
-		b := newBench(t)
+		b := newHarness(t)
 		b.submitItem(0, 9)
 		b.setConfiguration(2, config.Forward{})
 		b.now += 1000 * hour
 		b.Tick(b.now)
-		b.expectNone()
+		b.expectNoResult()
 	})
 }
 
 // An item whose route is removed, or does not forward any more, fails.
-func TestAnItemWithoutItsRouteFinishesFailed(t *testing.T) {
+func TestItemFailsWhenRouteIsRemoved(t *testing.T) {
 	for name, routes := range map[string][]config.Route{"removed": nil, "another": {{Name: "r", Kind: config.Batch}}} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
+			b := newHarness(t)
 			b.submitItem(0, 9)
 			configuration := &config.Configuration{Version: 2, Routes: routes}
 			configuration.Index()
 			b.scheduler.SetConfiguration(configuration, b.now)
 			b.now += 2 * clock.Second
 			b.Tick(b.now)
-			b.expectOnly(shard.StatusFailed, outputRouteRemoved)
+			b.expectOnlyResult(shard.StatusFailed, outputRouteRemoved)
 		})
 	}
 }
--- a/internal/dataplane/execution/runner.go
+++ b/internal/dataplane/execution/runner.go
@@ -48,7 +48,7 @@
 // InjectedFaults are set by tests only, to show that their checks find such faults.
 type InjectedFaults struct {
 	SkipLeaseCheck bool // attempts start without a lease
-	IgnoreRevoke   bool // revoked items run on
+	IgnoreCancel   bool // revoked items run on
 }
 
 // decisionLogSize is how many items the decision log holds.
--- a/internal/dataplane/execution/runner_test.go
+++ b/internal/dataplane/execution/runner_test.go
@@ -10,8 +10,8 @@
 )
 
 // Items do not wait behind one that can't start, and start in the order of their submission.
-func TestItemsDoNotWaitBehindOneThatCantStart(t *testing.T) {
-	b := newBench(t, "s1", "s2")
+func TestBlockedItemDoesNotDelayOthers(t *testing.T) {
+	b := newHarness(t, "s1", "s2")
 	b.submitItem(0, 1)
 	first := b.nextAttempt()
 	b.HandleAttemptResult(AttemptResult{AttemptID: first.ID, ServerFailed: true}, b.now) // waits for the other server now
@@ -31,8 +31,8 @@
 
 // A store's items keep to its share of a server: the lowest level's limit, shared by the live
 // stores.
-func TestAStoresItemsKeepToTheirShare(t *testing.T) {
-	b := newBench(t, "s") // with 4 slots, of which the lowest level may fill 0.7
+func TestStoreItemsStayWithinServerShare(t *testing.T) {
+	b := newHarness(t, "s") // with 4 slots, of which the lowest level may fill 0.7
 	ranked := &config.Configuration{Version: 2, Classes: []config.PriorityClass{{Name: "low", Priority: 1}, {Name: "high", Priority: 2}}, ScorerWeights: map[string]float64{"spread": 1}, Pools: []config.Pool{{Name: "p"}},
 		Routes: []config.Route{{Name: "r", Kind: config.Batch, Forward: &config.Forward{}}}}
 	ranked.Index()
@@ -55,8 +55,8 @@
 
 // A queued item runs by the route of the configuration in force, not by that under which it was
 // queued.
-func TestAnAttemptUsesTheCurrentConfiguration(t *testing.T) {
-	b := newBench(t, "s")
+func TestAttemptUsesCurrentConfiguration(t *testing.T) {
+	b := newHarness(t, "s")
 	b.Submit(batchstore.RunItem{Batch: "c", Tenant: "c", Route: "chat", Input: "x", ConfigurationVersion: 1}, b.now)
 	configuration := &config.Configuration{Version: 2, ScorerWeights: map[string]float64{"spread": 1}, Pools: []config.Pool{{Name: "p"}}, Routes: []config.Route{{Name: "chat", Kind: config.Batch, Model: "new"}}}
 	configuration.Index()
--- a/internal/dataplane/execution/tenants_test.go
+++ b/internal/dataplane/execution/tenants_test.go
@@ -9,8 +9,8 @@
 	"tuliprudder/internal/dataplane/modelclient"
 )
 
-// submitOf submits an item of a tenant; "" for none.
-func (b *bench) submitOf(tenant string) {
+// submitForTenant submits an item of a tenant; "" for none.
+func (b *harness) submitForTenant(tenant string) {
 	b.Submit(batchstore.RunItem{Batch: "b", ItemID: "i", Tenant: tenant, Route: "r", SubmittedAt: hour, ConfigurationVersion: 1,
 		Request: &shard.Request{Target: "/x", Tokens: 1}}, b.now)
 }
@@ -18,7 +18,7 @@
 // Each attempt tells the tenant that the batch belongs to, also where that one has been removed, or the
 // configuration knows tenants no more; what the item itself says of one goes along only where nobody is known
 // by a key.
-func TestAttemptsTellTheBatchsTenant(t *testing.T) {
+func TestAttemptCarriesTenantOfBatch(t *testing.T) {
 	for name, c := range map[string]struct {
 		authentication, tenant string
 		isAuthenticated        bool
@@ -30,9 +30,9 @@
 		"of a tenant, and there are none now": {config.AuthenticationNone, "t", true},
 		"of none, and there are none":         {config.AuthenticationNone, "", false},
 	} {
-		b := newBench(t, "s")
+		b := newHarness(t, "s")
 		b.setConfiguration(2, config.Forward{MaxAttempts: 3, ItemRetention: 24 * hour, Authentication: c.authentication})
-		b.submitOf(c.tenant)
+		b.submitForTenant(c.tenant)
 		for range 2 {
 			item := b.finishNext(AttemptResult{Outcome: modelclient.Interrupted, Reason: "cut"}).ForwardedItem
 			if item.Tenant != c.tenant || item.IsAuthenticated != c.isAuthenticated {
@@ -43,19 +43,19 @@
 }
 
 // Keys and tenants come and go while a batch runs: its items run on. One whose route is removed fails, as ever.
-func TestAnItemRunsOnWithoutItsTenant(t *testing.T) {
-	b := newBench(t, "s")
+func TestItemContinuesAfterTenantIsRemoved(t *testing.T) {
+	b := newHarness(t, "s")
 	withTenant := *b.scheduler.Configuration()
 	withTenant.Version, withTenant.Tenants = 2, []config.Tenant{{Name: "t", Keys: []config.KeyDigest{config.DigestKey("k")}}}
 	withTenant.Index()
 	b.scheduler.SetConfiguration(&withTenant, b.now)
-	b.submitOf("t")
+	b.submitForTenant("t")
 	b.finishNext(AttemptResult{Outcome: modelclient.Interrupted, Reason: "cut"})
 	without := withTenant
 	without.Version, without.Tenants = 3, nil
 	without.Index()
 	b.scheduler.SetConfiguration(&without, b.now)
-	b.expectNone()
+	b.expectNoResult()
 	b.finishNext(AttemptResult{Outcome: modelclient.Complete, Events: []string{"x"}, LastEventID: 1})
-	b.expectOnly(shard.StatusOK, "x")
+	b.expectOnlyResult(shard.StatusOK, "x")
 }
--- a/internal/dataplane/requests/attempts.go
+++ b/internal/dataplane/requests/attempts.go
@@ -48,7 +48,7 @@
 	if m.InjectedFaults.RestartResumedStream {
 		r.partialOutput = ""
 	}
-	m.decide(r.call, Attempt{
+	m.replyDecision(r.call, Attempt{
 		RouteKind: r.route.Kind,
 		Deadline:  r.deadline,
 		Request: modelclient.Request{
@@ -70,14 +70,14 @@
 	if r := m.inFlight[started.RequestID]; r != nil {
 		r.releaseQuota(now)
 	}
-	m.acknowledge(call)
+	m.replyEmpty(call)
 }
 
 // handleAttemptResult records an attempt and decides what follows.
 func (m *Machine) handleAttemptResult(call uint64, result AttemptResult, now clock.Micros) {
 	r := m.inFlight[result.RequestID]
 	if r == nil || r.assignment == nil {
-		m.fail(call, errs.New(errs.OutcomeUnknown, "send the request again", "no attempt of request %q is in flight here", result.RequestID))
+		m.replyError(call, errs.New(errs.OutcomeUnknown, "send the request again", "no attempt of request %q is in flight here", result.RequestID))
 		return
 	}
 	assignment := r.assignment
@@ -126,7 +126,7 @@
 
 // completeRequest finishes a request with its response; a claimed key stores the response first.
 func (m *Machine) completeRequest(r *activeRequest, output, server string, now clock.Micros) {
-	response := Response{RequestID: r.ID, Status: answerOK, Output: output, Server: server}
+	response := Response{RequestID: r.ID, Status: responseStatusOK, Output: output, Server: server}
 	if !r.keyClaimed {
 		m.finishWithResponse(r, response, now)
 		return
--- a/internal/dataplane/requests/attempts_test.go
+++ b/internal/dataplane/requests/attempts_test.go
@@ -13,19 +13,19 @@
 	"tuliprudder/internal/machine"
 )
 
-// liveBench is a Machine with two servers and a live request, past its admission.
-type liveBench struct {
+// liveHarness is a Machine with two servers and a live request, past its admission.
+type liveHarness struct {
 	*Machine
 	t   *testing.T
 	now clock.Micros
 }
 
-func newLiveBench(t *testing.T, kind string) *liveBench {
+func newLiveHarness(t *testing.T, kind string) *liveHarness {
 	t.Helper()
 	settings := scheduler.Defaults()
 	settings.MaxStaleness = scheduler.UnlimitedStaleness
 	calls := machine.NewCalls()
-	b := &liveBench{t: t, now: clock.Second}
+	b := &liveHarness{t: t, now: clock.Second}
 	b.Machine = New(Defaults(), calls, scheduler.New(settings, 1), nil, nil, decisionlog.New(1))
 	configuration := &config.Configuration{
 		Version:       1,
@@ -55,7 +55,7 @@
 }
 
 // decision is the reply to the current call: an Attempt, a Response, or the kind of an error.
-func (b *liveBench) decision() any {
+func (b *liveHarness) decision() any {
 	b.t.Helper()
 	b.scheduler.MatchUntilStable(b.now)
 	var replies []machine.Reply
@@ -75,7 +75,7 @@
 
 // What follows an attempt depends on the kind of the route, on the outcome, and on whether output
 // has reached the caller. The table is written by hand, not computed by the rules it checks.
-func TestWhatFollowsAnAttempt(t *testing.T) {
+func TestRetryDecisionByOutcomeAndRouteKind(t *testing.T) {
 	const (
 		oneShot, stream, resumable = config.OneShot, config.Stream, config.Resumable
 		retried                    = errs.Kind("") // another attempt, at the other server
@@ -97,7 +97,7 @@
 	} {
 		for _, kind := range c.kinds {
 			t.Run(name+"/"+kind, func(t *testing.T) {
-				b := newLiveBench(t, kind)
+				b := newLiveHarness(t, kind)
 				first, ok := b.decision().(Attempt)
 				if !ok {
 					t.Fatal("the request is not attempted")
@@ -126,12 +126,12 @@
 }
 
 // A complete output is the caller's response, whatever the kind of the route.
-func TestACompleteAttemptIsTheResponse(t *testing.T) {
+func TestCompleteAttemptBecomesResponse(t *testing.T) {
 	for _, kind := range []string{config.OneShot, config.Stream, config.Resumable} {
-		b := newLiveBench(t, kind)
+		b := newLiveHarness(t, kind)
 		attempt := b.decision().(Attempt)
 		b.Call(2, AttemptResult{RequestID: "o", Outcome: modelclient.Complete, Output: "y"}, b.now)
-		want := Response{RequestID: "o", Status: answerOK, Output: "y", Server: attempt.Request.Address[:2]}
+		want := Response{RequestID: "o", Status: responseStatusOK, Output: "y", Server: attempt.Request.Address[:2]}
 		if got := b.decision(); got != want || b.InFlight() != 0 {
 			t.Errorf("%s: %+v, not %+v; %d in flight", kind, got, want, b.InFlight())
 		}
@@ -140,7 +140,7 @@
 
 // Once an attempt may have run, running out of attempts leaves the outcome unknown; before, the
 // request is rejected.
-func TestNoAttemptsLeft(t *testing.T) {
+func TestErrorAfterLastAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
 		first modelclient.Outcome
 		want  errs.Kind
@@ -149,7 +149,7 @@
 		"the first one may have run": {modelclient.Interrupted, errs.OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newLiveBench(t, config.Stream)
+			b := newLiveHarness(t, config.Stream)
 			b.settings.MaxAttempts = 2
 			b.decision()
 			b.Call(2, AttemptResult{RequestID: "o", Outcome: c.first}, b.now)
@@ -164,8 +164,8 @@
 
 // A queued request whose caller disconnects is rejected; one on a server goes on until its
 // result.
-func TestDisconnect(t *testing.T) {
-	b := newLiveBench(t, config.OneShot)
+func TestDisconnectedRequestIsNotRetried(t *testing.T) {
+	b := newLiveHarness(t, config.OneShot)
 	b.decision()
 	b.Call(2, CallerDisconnected{RequestID: "o"}, b.now)
 	if got := b.decision(); got != nil || b.InFlight() != 1 {
--- a/internal/dataplane/requests/batch_tenants_test.go
+++ b/internal/dataplane/requests/batch_tenants_test.go
@@ -13,7 +13,7 @@
 
 // useTenants puts a configuration in force whose route "r" for batches has an authentication, beside a live
 // one that requires a key; the tenant t has the keys k1 and k2, u has k3.
-func (b *bench) useTenants(version uint64, authentication string) {
+func (b *harness) useTenants(version uint64, authentication string) {
 	configuration := &config.Configuration{Version: version,
 		Tenants: []config.Tenant{
 			{Name: "t", Keys: []config.KeyDigest{config.DigestKey("k1"), config.DigestKey("k2")}},
@@ -58,7 +58,7 @@
 }
 
 // Calls on batches went without a key, and found a batch by its ID alone. (Issue 40.)
-func TestCallsOnBatchesGoByTheirKey(t *testing.T) {
+func TestBatchCallsAreAuthorizedByAPIKey(t *testing.T) {
 	withoutTenant := batchstore.Access{WithoutTenant: true}
 	ofT, ofU := batchstore.Access{Tenant: "t", WithoutTenant: true}, batchstore.Access{Tenant: "u", WithoutTenant: true}
 	for authentication, byKey := range map[string]map[string]*batchstore.Access{
@@ -67,7 +67,7 @@
 	} {
 		for key, want := range byKey {
 			for _, call := range batchCalls(key) {
-				b := newBench(t)
+				b := newHarness(t)
 				b.useTenants(4, authentication)
 				request, response := b.submit(call)
 				switch {
@@ -86,18 +86,18 @@
 }
 
 // Without a configuration nobody can tell whose a key is.
-func TestCallsOnBatchesWithoutAConfiguration(t *testing.T) {
+func TestBatchCallsWithoutConfigurationAreNotReady(t *testing.T) {
 	for _, call := range append(batchCalls("k1"), ResubmitForwardedBatchRequest{APIKey: "k1", ID: "one", Items: forwardedItems("x")}) {
-		b := newBench(t)
+		b := newHarness(t)
 		b.scheduler = scheduler.New(scheduler.Defaults(), 1)
 		b.expectRejected(errs.NotReady, call)
 	}
 }
 
 // A batch belongs to the tenant whose key it came with, and to none without one.
-func TestABatchBelongsToTheTenantOfItsKey(t *testing.T) {
+func TestBatchBelongsToTenantOfAPIKey(t *testing.T) {
 	for key, want := range map[string]string{"k1": "t", "k2": "t", "k3": "u", "": ""} {
-		b := newBench(t)
+		b := newHarness(t)
 		b.useTenants(4, config.AuthenticationOptional)
 		request, _ := b.submit(SubmitForwardedBatchRequest{APIKey: key, Route: "r", ID: "one", Items: forwardedItems("x")})
 		if batch := request.Body.(batchstore.SubmitRequest).Batch; batch.TenantName() != want || batch.Tenant == "" {
@@ -107,8 +107,8 @@
 }
 
 // A key that was removed is refused from the next call on, and another one of the tenant finds its batches.
-func TestARemovedKeyFindsNothing(t *testing.T) {
-	b := newBench(t)
+func TestRemovedAPIKeyIsRejected(t *testing.T) {
+	b := newHarness(t)
 	b.useTenants(4, config.AuthenticationRequired)
 	before, _ := b.submit(SubmitForwardedBatchRequest{APIKey: "k1", Route: "r", ID: "one", Items: forwardedItems("x")})
 	without := *b.scheduler.Configuration()
@@ -127,8 +127,8 @@
 
 // A batch that comes again without a route is its tenant's alone; with no known key there is no route, and
 // nothing else is said.
-func TestABatchWithoutARouteIsItsTenants(t *testing.T) {
-	b := newBench(t)
+func TestResubmittedBatchIsLimitedToItsTenant(t *testing.T) {
+	b := newHarness(t)
 	b.useTenants(4, config.AuthenticationRequired)
 	items := forwardedItems("x")
 	for _, key := range []string{"", "wrong"} {
@@ -146,8 +146,8 @@
 }
 
 // Keys mean nothing on a route for batches without authentication, also beside others that have one.
-func TestKeysMeanNothingOnARouteWithoutAuthentication(t *testing.T) {
-	b := newBench(t)
+func TestAPIKeyIgnoredOnRouteWithoutAuthentication(t *testing.T) {
+	b := newHarness(t)
 	b.useTenants(4, config.AuthenticationNone)
 	for _, key := range []string{"", "wrong", "k1"} {
 		request, response := b.submit(SubmitForwardedBatchRequest{APIKey: key, Route: "r", ID: "one", Items: forwardedItems("x")})
--- a/internal/dataplane/requests/batches.go
+++ b/internal/dataplane/requests/batches.go
@@ -15,7 +15,7 @@
 func (m *Machine) submitBatch(call uint64, request SubmitBatchRequest, now clock.Micros) {
 	batch, err := m.newBatch(request)
 	if err != nil {
-		m.fail(call, err)
+		m.replyError(call, err)
 		return
 	}
 	m.submit(call, batch, batchstore.Access{Tenant: batch.Tenant}, 0, now)
@@ -53,33 +53,33 @@
 
 // submitForwardedBatch submits a batch of opaque requests, as submitBatch does one of inputs.
 func (m *Machine) submitForwardedBatch(call uint64, request SubmitForwardedBatchRequest, now clock.Micros) {
-	batch, by, err := m.newForwardedBatch(request)
+	batch, access, err := m.newForwardedBatch(request)
 	if err != nil {
-		m.fail(call, err)
+		m.replyError(call, err)
 		return
 	}
-	m.submit(call, batch, by, request.Deadline, now)
+	m.submit(call, batch, access, request.Deadline, now)
 }
 
 // newForwardedBatch checks a batch of opaque requests, first its route and then its caller's key.
-func (m *Machine) newForwardedBatch(request SubmitForwardedBatchRequest) (batch shard.Batch, by batchstore.Access, err error) {
+func (m *Machine) newForwardedBatch(request SubmitForwardedBatchRequest) (batch shard.Batch, access batchstore.Access, err error) {
 	configuration, err := m.currentConfiguration()
 	if err != nil {
-		return batch, by, err
+		return batch, access, err
 	}
 	route, _ := configuration.Route(request.Route)
 	if route == nil || route.Forward == nil || route.Kind != config.Batch {
-		return batch, by, errs.New(errs.UnknownRoute, "name a route of the configuration in force that forwards batches", "the configuration forwards no batches by a route %q", request.Route)
+		return batch, access, errs.New(errs.UnknownRoute, "name a route of the configuration in force that forwards batches", "the configuration forwards no batches by a route %q", request.Route)
 	}
 	tenant, err := configuration.Authenticate(route.Forward, request.APIKey)
 	if err != nil {
-		return batch, by, err
+		return batch, access, err
 	}
 	if err := checkBatchID(request.ID); err != nil {
-		return batch, by, err
+		return batch, access, err
 	}
 	if err := validateItems(request.Items, int(route.MaxItems), true); err != nil {
-		return batch, by, err
+		return batch, access, err
 	}
 	batch = forwardedBatch(request.ID, route.Name, tenant, configuration, request.Items)
 	return batch, batchAccess(configuration, tenant), nil
@@ -107,11 +107,11 @@
 }
 
 // submit has a batch accepted by the deadline; 0: the usual time.
-func (m *Machine) submit(call uint64, batch shard.Batch, by batchstore.Access, deadline, now clock.Micros) {
+func (m *Machine) submit(call uint64, batch shard.Batch, access batchstore.Access, deadline, now clock.Micros) {
 	m.commit(&commitCall{
 		id: batch.ID,
 		newRequest: func(shardIndex int, timeout clock.Micros) any {
-			return batchstore.SubmitRequest{Shard: shardIndex, Timeout: timeout, Batch: batch, By: by}
+			return batchstore.SubmitRequest{Shard: shardIndex, Timeout: timeout, Batch: batch, By: access}
 		},
 		deadline: deadline,
 		callback: m.relayReply(call),
@@ -122,46 +122,46 @@
 func (m *Machine) batchStatus(call uint64, request BatchStatusRequest, now clock.Micros) {
 	c, err := m.authenticate(request.APIKey)
 	if err != nil {
-		m.fail(call, err)
+		m.replyError(call, err)
 		return
 	}
-	by := batchstore.Access{Tenant: c.tenant.Name}
+	access := batchstore.Access{Tenant: c.tenant.Name}
 	if request.Cancel {
-		m.cancelBatch(call, request.Batch, by, 0, now)
+		m.cancelBatch(call, request.Batch, access, 0, now)
 		return
 	}
-	m.readStatus(request.Batch, by, now, m.relayReply(call))
+	m.readStatus(request.Batch, access, now, m.relayReply(call))
 }
 
 // forwardedBatchStatus reads the status of a batch of opaque requests, or cancels it.
 func (m *Machine) forwardedBatchStatus(call uint64, request ForwardedBatchStatusRequest, now clock.Micros) {
-	by, err := m.authorizeBatchCall(request.APIKey)
+	access, err := m.authorizeBatchCall(request.APIKey)
 	if err != nil {
-		m.fail(call, err)
+		m.replyError(call, err)
 		return
 	}
 	if request.Cancel {
-		m.cancelBatch(call, request.Batch, by, request.Deadline, now)
+		m.cancelBatch(call, request.Batch, access, request.Deadline, now)
 		return
 	}
-	m.readStatus(request.Batch, by, now, m.relayStatus(call))
+	m.readStatus(request.Batch, access, now, m.relayStatus(call))
 }
 
 // cancelBatch ends a batch by the deadline; 0: the usual time.
-func (m *Machine) cancelBatch(call uint64, batch string, by batchstore.Access, deadline, now clock.Micros) {
+func (m *Machine) cancelBatch(call uint64, batch string, access batchstore.Access, deadline, now clock.Micros) {
 	m.commit(&commitCall{
 		id: batch,
 		newRequest: func(shardIndex int, timeout clock.Micros) any {
-			return batchstore.EndRequest{Shard: shardIndex, Batch: batch, By: by, Timeout: timeout}
+			return batchstore.EndRequest{Shard: shardIndex, Batch: batch, By: access, Timeout: timeout}
 		},
 		deadline: deadline,
 		callback: m.relayReply(call),
 	}, now)
 }
 
-func (m *Machine) readStatus(batch string, by batchstore.Access, now clock.Micros, callback machine.Callback) {
+func (m *Machine) readStatus(batch string, access batchstore.Access, now clock.Micros, callback machine.Callback) {
 	newRequest := func(shardIndex int) any {
-		return batchstore.BatchStatusRequest{Shard: shardIndex, Batch: batch, By: by}
+		return batchstore.BatchStatusRequest{Shard: shardIndex, Batch: batch, By: access}
 	}
 	m.callStore(batch, newRequest, statusTimeout, now, callback)
 }
@@ -170,7 +170,7 @@
 func (m *Machine) readPage(call uint64, request PageRequest, now clock.Micros) {
 	c, err := m.authenticate(request.APIKey)
 	if err != nil {
-		m.fail(call, err)
+		m.replyError(call, err)
 		return
 	}
 	m.read(call, request.Read, batchstore.Access{Tenant: c.tenant.Name}, now)
@@ -180,35 +180,35 @@
 // feed over many.
 func (m *Machine) readForwardedPage(call uint64, request ForwardedPageRequest, now clock.Micros) {
 	if err := checkBatchID(request.Read.BatchID); err != nil {
-		m.fail(call, err)
+		m.replyError(call, err)
 		return
 	}
 	if request.Read.FromIndex < 0 {
-		m.fail(call, errs.New(errs.BadInput, "count from 0", "there is no result %d", request.Read.FromIndex))
+		m.replyError(call, errs.New(errs.BadInput, "count from 0", "there is no result %d", request.Read.FromIndex))
 		return
 	}
-	by, err := m.authorizeBatchCall(request.APIKey)
+	access, err := m.authorizeBatchCall(request.APIKey)
 	if err != nil {
-		m.fail(call, err)
+		m.replyError(call, err)
 		return
 	}
-	m.read(call, request.Read, by, now)
+	m.read(call, request.Read, access, now)
 }
 
-func (m *Machine) read(call uint64, request reader.Request, by batchstore.Access, now clock.Micros) {
-	request.By = by
+func (m *Machine) read(call uint64, request reader.Request, access batchstore.Access, now clock.Micros) {
+	request.By = access
 	m.reader.Start(request, now, func(page reader.Page, err error, _ clock.Micros) { m.relay(call, page, err) })
 }
 
 // readItemBody reads the body of an item without a result, in a batch of opaque requests.
 func (m *Machine) readItemBody(call uint64, request ItemBodyRequest, now clock.Micros) {
-	by, err := m.authorizeBatchCall(request.APIKey)
+	access, err := m.authorizeBatchCall(request.APIKey)
 	if err != nil {
-		m.fail(call, err)
+		m.replyError(call, err)
 		return
 	}
 	newRequest := func(shardIndex int) any {
-		return batchstore.ItemBodyRequest{Shard: shardIndex, Batch: request.Batch, Item: request.Item, By: by}
+		return batchstore.ItemBodyRequest{Shard: shardIndex, Batch: request.Batch, Item: request.Item, By: access}
 	}
 	m.callStore(request.Batch, newRequest, statusTimeout, now, m.relayStatus(call))
 }
--- a/internal/dataplane/requests/batches_test.go
+++ b/internal/dataplane/requests/batches_test.go
@@ -13,8 +13,8 @@
 
 // A batch of opaque requests is submitted under its own ID for its route, and another body under
 // the same ID has another hash.
-func TestAForwardedBatchIsSubmittedForItsRoute(t *testing.T) {
-	b := newBench(t)
+func TestForwardedBatchIsSubmittedForItsRoute(t *testing.T) {
+	b := newHarness(t)
 	hashes := map[string]bool{}
 	for _, bodies := range [][]string{{"x", "y"}, {"x", "y"}, {"x", "z"}} {
 		request, _ := b.submit(SubmitForwardedBatchRequest{Route: "r", ID: "mine", Items: forwardedItems(bodies...)})
@@ -42,8 +42,8 @@
 }
 
 // A caller with an API key can't forward opaque requests: neither by a route nor by an item.
-func TestCallersWithKeysForwardNothing(t *testing.T) {
-	b := newBench(t)
+func TestTenantCallersCannotForwardRequests(t *testing.T) {
+	b := newHarness(t)
 	b.expectRejected(errs.UnknownRoute, SubmitBatchRequest{APIKey: "k", Route: "r", IdempotencyKey: "1", Items: []shard.Item{{Input: "x"}}})
 	b.expectRejected(errs.UnknownRoute, LiveRequest{APIKey: "k", Route: "live", Input: "x"})
 	b.expectRejected(errs.BadInput, SubmitBatchRequest{APIKey: "k", Route: "chat", IdempotencyKey: "1", Items: forwardedItems("x")})
@@ -58,11 +58,11 @@
 
 // Without an API key a batch's status, its cancellation, its results and its items' bodies are
 // requested by its ID. A read that no store answers says nothing about the batch.
-func TestABatchWithoutAKeyIsAskedForByItsName(t *testing.T) {
-	b := newBench(t)
+func TestForwardedBatchIsAddressedByID(t *testing.T) {
+	b := newHarness(t)
 	timeoutErr := errs.New(errs.OutcomeUnknown, "ask again", "no answer in time")
 	notFoundErr := errs.New(errs.NotFound, "check the name", "no such batch")
-	for _, one := range []struct {
+	for _, test := range []struct {
 		body      any
 		matches   func(any) bool
 		onTimeout errs.Kind
@@ -85,20 +85,20 @@
 		}, errs.NotReady},
 	} {
 		for _, err := range []error{timeoutErr, notFoundErr} {
-			request, response := b.submit(one.body)
-			if request == nil || !one.matches(request.Body) {
-				t.Fatalf("%T: requested %+v, replied %+v", one.body, request, response)
+			request, response := b.submit(test.body)
+			if request == nil || !test.matches(request.Body) {
+				t.Fatalf("%T: requested %+v, replied %+v", test.body, request, response)
 			}
 			for request != nil { // what changes a batch is sent again after a time-out
 				b.machineCalls.ReplyReceived(request.Token, nil, err, b.now)
 				request, response = b.effects()
 			}
-			wanted := one.onTimeout
+			wanted := test.onTimeout
 			if err == notFoundErr {
 				wanted = errs.NotFound
 			}
 			if response == nil || !errs.Is(response.Err, wanted) {
-				t.Fatalf("%T: replied %+v, not %s", one.body, response, wanted)
+				t.Fatalf("%T: replied %+v, not %s", test.body, response, wanted)
 			}
 		}
 	}
@@ -108,8 +108,8 @@
 
 // While no configuration is known, a batch is neither accepted nor denied: its caller is told to come
 // back. (A 404 would deny it.)
-func TestWithoutAConfigurationNoBatchIsDenied(t *testing.T) {
-	b := newBench(t)
+func TestMissingConfigurationIsNotReadyRatherThanUnknownRoute(t *testing.T) {
+	b := newHarness(t)
 	b.Machine = New(Defaults(), b.machineCalls, scheduler.New(scheduler.Defaults(), 1), nil, reader.New(b.machineCalls), decisionlog.New(1))
 	b.expectRejected(errs.NotReady, SubmitForwardedBatchRequest{Route: "r", ID: "mine", Items: forwardedItems("x")})
 	b.expectRejected(errs.NotReady, ResubmitForwardedBatchRequest{ID: "mine", Items: forwardedItems("x")})
--- a/internal/dataplane/requests/commit_calls_test.go
+++ b/internal/dataplane/requests/commit_calls_test.go
@@ -18,7 +18,7 @@
 }
 
 // timeOut lets a request's time pass without a response, and returns what follows.
-func (b *bench) timeOut(request *machine.Request) (*machine.Request, *machine.Reply) {
+func (b *harness) timeOut(request *machine.Request) (*machine.Request, *machine.Reply) {
 	b.now += request.Timeout
 	b.machineCalls.ReplyReceived(request.Token, nil, errs.New(errs.OutcomeUnknown, "", "no answer in time"), b.now)
 	return b.effects()
@@ -26,9 +26,9 @@
 
 // Where stores never answer, the caller has its answer at its deadline, or after the usual time; until then
 // the request goes to the shard's owner again, who may have changed.
-func TestACommitEndsAtItsDeadline(t *testing.T) {
+func TestCommitEndsAtDeadline(t *testing.T) {
 	for _, span := range []clock.Micros{300 * clock.Millisecond, 1500 * clock.Millisecond, 4 * clock.Second, 20 * clock.Second} {
-		b := newBench(t)
+		b := newHarness(t)
 		for name, body := range commitRequests(b.now + span) {
 			deadline := b.now + min(span, b.commitCallTimeout())
 			request, response := b.submit(body)
@@ -49,8 +49,8 @@
 }
 
 // A store gives up before the edge does: its answer says more than a time-out.
-func TestAStoreGivesUpBeforeTheEdge(t *testing.T) {
-	b := newBench(t)
+func TestStoreTimesOutBeforeEdge(t *testing.T) {
+	b := newHarness(t)
 	for name, body := range commitRequests(b.now + 2*clock.Second) {
 		request, _ := b.submit(body)
 		timeout := clock.Micros(0)
@@ -68,10 +68,10 @@
 
 // Once an attempt may have been committed, a rejection by another store is no assurance any more; an
 // acknowledgement is.
-func TestARejectionAfterAnUnknownOutcomeAssuresNothing(t *testing.T) {
+func TestRejectionAfterUnknownOutcomeStaysUnknown(t *testing.T) {
 	for _, kind := range []errs.Kind{errs.NotReady, errs.OverQuota, errs.UnknownRoute, errs.NotFound, errs.Busy} {
 		for name, body := range commitRequests(5 * clock.Second) {
-			b := newBench(t)
+			b := newHarness(t)
 			first, _ := b.submit(body)
 			second, _ := b.timeOut(first)
 			if second == nil {
--- a/internal/dataplane/requests/harness_test.go
+++ b/internal/dataplane/requests/harness_test.go
@@ -18,16 +18,16 @@
 	"tuliprudder/internal/replication"
 )
 
-// bench is a Machine with one shard, whose store is the test.
-type bench struct {
+// harness is a Machine with one shard, whose store is the test.
+type harness struct {
 	*Machine
 	t            *testing.T
 	machineCalls *machine.Calls
 	now          clock.Micros
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{t: t, machineCalls: machine.NewCalls(), now: clock.Second}
+func newHarness(t *testing.T) *harness {
+	b := &harness{t: t, machineCalls: machine.NewCalls(), now: clock.Second}
 	sched, r := scheduler.New(scheduler.Defaults(), 1), reader.New(b.machineCalls)
 	configuration := &config.Configuration{Version: 3, Classes: []config.PriorityClass{{Name: "a", Priority: 1, Quota: 9}}, Tenants: []config.Tenant{{Name: "c", Keys: []config.KeyDigest{config.DigestKey("k")}, Class: "a"}},
 		Routes: []config.Route{{Name: "r", Kind: config.Batch, Forward: &config.Forward{}}, {Name: "live", Kind: config.OneShot, Forward: &config.Forward{}},
@@ -46,7 +46,7 @@
 var anyTenant = batchstore.Access{AnyTenant: true}
 
 // submit passes a message to the machine; it returns the request to the store, or the reply.
-func (b *bench) submit(body any) (*machine.Request, *machine.Reply) {
+func (b *harness) submit(body any) (*machine.Request, *machine.Reply) {
 	b.t.Helper()
 	if !b.Call(1, body, b.now) {
 		b.t.Fatalf("%T is not handled", body)
@@ -54,7 +54,7 @@
 	return b.effects()
 }
 
-func (b *bench) effects() (request *machine.Request, response *machine.Reply) {
+func (b *harness) effects() (request *machine.Request, response *machine.Reply) {
 	for _, effect := range b.machineCalls.Drain() {
 		switch e := effect.(type) {
 		case machine.Request:
@@ -66,7 +66,7 @@
 	return request, response
 }
 
-func (b *bench) expectRejected(kind errs.Kind, body any) {
+func (b *harness) expectRejected(kind errs.Kind, body any) {
 	b.t.Helper()
 	if request, response := b.submit(body); request != nil || response == nil || !errs.Is(response.Err, kind) {
 		b.t.Fatalf("%T: requested %+v, replied %+v, not %s", body, request, response, kind)
--- a/internal/dataplane/requests/live.go
+++ b/internal/dataplane/requests/live.go
@@ -36,7 +36,7 @@
 func (m *Machine) admitRequest(call uint64, request LiveRequest, now clock.Micros) {
 	r := &activeRequest{LiveRequest: request, call: call, receivedAt: now, avoidedServers: map[string]int{}}
 	if err := m.validate(r, now); err != nil {
-		m.fail(call, err)
+		m.replyError(call, err)
 		return
 	}
 	m.inFlight[r.ID] = r
@@ -106,14 +106,14 @@
 // finishWithResponse gives the caller of a request its response.
 func (m *Machine) finishWithResponse(r *activeRequest, response Response, now clock.Micros) {
 	m.release(r, now)
-	m.decide(r.call, response)
+	m.replyDecision(r.call, response)
 }
 
 // finishWithError gives the caller of a request an error as its final answer.
 func (m *Machine) finishWithError(r *activeRequest, err error, now clock.Micros) {
 	m.release(r, now)
 	m.decisions.RecordOutcome(r.ID, err.Error())
-	m.fail(r.call, err)
+	m.replyError(r.call, err)
 }
 
 // release ends what a request holds here.
@@ -159,7 +159,7 @@
 			m.failRequest(r, disconnectedError(), now)
 		}
 	}
-	m.acknowledge(call)
+	m.replyEmpty(call)
 }
 
 func disconnectedError() error {
--- a/internal/dataplane/requests/machine.go
+++ b/internal/dataplane/requests/machine.go
@@ -122,18 +122,18 @@
 	return true
 }
 
-// decide replies with what the gateway has to do next about a live request.
-func (m *Machine) decide(call uint64, decision Decision) {
+// replyDecision replies with what the gateway has to do next about a live request.
+func (m *Machine) replyDecision(call uint64, decision Decision) {
 	m.calls.Emit(machine.Reply{Call: call, Body: decision})
 }
 
-// fail replies with an error, the caller's final answer.
-func (m *Machine) fail(call uint64, err error) {
+// replyError replies with an error, the caller's final answer.
+func (m *Machine) replyError(call uint64, err error) {
 	m.calls.Emit(machine.Reply{Call: call, Err: err})
 }
 
-// acknowledge replies to a report that nothing follows from.
-func (m *Machine) acknowledge(call uint64) {
+// replyEmpty replies to a report that nothing follows from.
+func (m *Machine) replyEmpty(call uint64) {
 	m.calls.Emit(machine.Reply{Call: call})
 }
 
--- a/internal/dataplane/requests/resubmission.go
+++ b/internal/dataplane/requests/resubmission.go
@@ -14,48 +14,48 @@
 // difference when this edge started, and an edge remembers no routes.
 func (m *Machine) resubmitBatch(call uint64, request ResubmitForwardedBatchRequest, now clock.Micros) {
 	if err := checkBatchID(request.ID); err != nil {
-		m.fail(call, err)
+		m.replyError(call, err)
 		return
 	}
 	if err := validateItems(request.Items, len(request.Items), true); err != nil {
-		m.fail(call, err)
+		m.replyError(call, err)
 		return
 	}
-	by, err := m.authorizeBatchCall(request.APIKey)
+	access, err := m.authorizeBatchCall(request.APIKey)
 	if errs.Is(err, errs.Unauthorised) {
-		err = errNoRouteNorBatch(request.ID) // the route comes first, whoever calls
+		err = unknownRouteAndBatchError(request.ID) // the route comes first, whoever calls
 	}
 	if err != nil {
-		m.fail(call, err)
+		m.replyError(call, err)
 		return
 	}
-	m.readStatus(request.ID, by, now, func(body any, err error, now clock.Micros) {
+	m.readStatus(request.ID, access, now, func(body any, err error, now clock.Micros) {
 		status, isStatus := body.(batchstore.BatchStatus)
 		switch {
 		case errs.Is(err, errs.NotFound):
-			m.fail(call, errNoRouteNorBatch(request.ID))
+			m.replyError(call, unknownRouteAndBatchError(request.ID))
 		case err != nil:
 			m.relayStatus(call)(body, err, now)
 		case !isStatus:
-			m.fail(call, unexpectedReplyError(body))
+			m.replyError(call, unexpectedReplyError(body))
 		default:
-			m.submitKnown(call, status.Route, by, request, now)
+			m.submitAcceptedBatch(call, status.Route, access, request, now)
 		}
 	})
 }
 
-// submitKnown submits a batch that its shard has: the store compares the content with what it
+// submitAcceptedBatch submits a batch that its shard has: the store compares the content with what it
 // accepted. If the batch has been forgotten meanwhile, the store finds no such route either.
-func (m *Machine) submitKnown(call uint64, routeName string, by batchstore.Access, request ResubmitForwardedBatchRequest, now clock.Micros) {
+func (m *Machine) submitAcceptedBatch(call uint64, routeName string, access batchstore.Access, request ResubmitForwardedBatchRequest, now clock.Micros) {
 	configuration, err := m.currentConfiguration()
 	if err != nil {
-		m.fail(call, err)
+		m.replyError(call, err)
 		return
 	}
-	m.submit(call, forwardedBatch(request.ID, routeName, by.Tenant, configuration, request.Items), by, request.Deadline, now)
+	m.submit(call, forwardedBatch(request.ID, routeName, access.Tenant, configuration, request.Items), access, request.Deadline, now)
 }
 
-func errNoRouteNorBatch(batch string) error {
+func unknownRouteAndBatchError(batch string) error {
 	return errs.New(errs.UnknownRoute, "correct host and path, or have the operators add a route", "no route for batch %q, and no such batch", batch)
 }
 
--- a/internal/dataplane/requests/resubmission_test.go
+++ b/internal/dataplane/requests/resubmission_test.go
@@ -9,8 +9,8 @@
 
 // A batch without a route is submitted again if its shard has it, under the route that the shard
 // names and with the content that came; this edge needs to know nothing of either.
-func TestABatchWithoutARouteIsSubmittedIfItsShardHasIt(t *testing.T) {
-	b := newBench(t)
+func TestBatchOfRemovedRouteIsResubmittedIfAccepted(t *testing.T) {
+	b := newHarness(t)
 	first, _ := b.submit(SubmitForwardedBatchRequest{Route: "r", ID: "mine", Items: forwardedItems("x", "y")})
 	accepted := first.Body.(batchstore.SubmitRequest).Batch
 	query, response := b.submit(ResubmitForwardedBatchRequest{ID: "mine", Items: forwardedItems("x", "y")})
@@ -36,15 +36,15 @@
 
 // A batch without a route that its shard doesn't have is rejected for good; while the shard can't
 // tell, the caller is told to come back.
-func TestABatchWithoutARouteThatIsNotKnown(t *testing.T) {
+func TestUnknownBatchWithoutRouteIsRejected(t *testing.T) {
 	for kind, want := range map[errs.Kind]errs.Kind{errs.NotFound: errs.UnknownRoute, errs.NotReady: errs.NotReady, errs.OutcomeUnknown: errs.NotReady} {
-		b := newBench(t)
+		b := newHarness(t)
 		query, _ := b.submit(ResubmitForwardedBatchRequest{ID: "mine", Items: forwardedItems("x")})
 		b.machineCalls.ReplyReceived(query.Token, nil, errs.New(kind, "", "%s", kind), b.now)
 		if request, response := b.effects(); request != nil || response == nil || !errs.Is(response.Err, want) {
 			t.Errorf("%s: requested %+v, replied %+v", kind, request, response)
 		}
 	}
-	b := newBench(t)
+	b := newHarness(t)
 	b.expectRejected(errs.BadInput, ResubmitForwardedBatchRequest{Items: forwardedItems("x")})
 }
--- a/internal/dataplane/requests/stored_names.go
+++ b/internal/dataplane/requests/stored_names.go
@@ -1,5 +1,5 @@
 package requests
 
-// answerOK is the status of a complete response. It is on disk, in the claim of a one-shot
+// responseStatusOK is the status of a complete response. It is on disk, in the claim of a one-shot
 // request, and callers read it; this spelling never changes.
-const answerOK = "ok"
+const responseStatusOK = "ok"
--- a/internal/dataplane/retryafter/retryafter_test.go
+++ b/internal/dataplane/retryafter/retryafter_test.go
@@ -6,7 +6,7 @@
 	"tuliprudder/internal/clock"
 )
 
-func TestEstimateFollowsTheRateOfDepartures(t *testing.T) {
+func TestEstimateFollowsDepartureRate(t *testing.T) {
 	for name, c := range map[string]struct {
 		interval   clock.Micros
 		departures int
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestOldDeparturesAreForgotten(t *testing.T) {
+func TestOldDeparturesAreDropped(t *testing.T) {
 	e := Estimator{MaxSamples: 3}
 	for _, at := range []clock.Micros{1, 2, 10 * clock.Second, 11 * clock.Second, 12 * clock.Second} {
 		e.Record(at)
--- a/internal/dataplane/scheduler/batch_allotment.go
+++ b/internal/dataplane/scheduler/batch_allotment.go
@@ -22,7 +22,7 @@
 	ItemTokens int
 	// Connections are the daemons that share the servers' connections: a daemon runs no more items on a
 	// server than it has connections there. The zero value is no limit.
-	Connections connections.Shares
+	Connections connections.DaemonCounts
 }
 
 // of are the places in the allotment.
@@ -43,7 +43,7 @@
 	elsewhere  map[string]int // items of other daemons that run there, as far as known
 	itemTokens int            // of an item, on average; 0: unknown
 	// connections are the daemons that share the servers' connections.
-	connections connections.Shares
+	connections connections.DaemonCounts
 	// itemDuration is the moving average of how long a batch item runs.
 	itemDuration clock.Micros
 }
@@ -66,10 +66,10 @@
 // connectionLimit is how many connections to a known server a store may have.
 func (sc *Scheduler) connectionLimit(server endpoints.Server) int {
 	total := sc.servers[server.Name].maxConnections
-	if total == 0 || sc.batch.connections == (connections.Shares{}) || sc.Disables(mechanism.BatchConnections) {
+	if total == 0 || sc.batch.connections == (connections.DaemonCounts{}) || sc.Disables(mechanism.BatchConnections) {
 		return math.MaxInt
 	}
-	return sc.batch.connections.Of(membership.Store, total, server.Slots)
+	return sc.batch.connections.LimitFor(membership.Store, total, server.Slots)
 }
 
 func (sc *Scheduler) ownPlaces(allotment BatchAllotment) []string {
--- a/internal/dataplane/scheduler/batch_allotment_test.go
+++ b/internal/dataplane/scheduler/batch_allotment_test.go
@@ -90,10 +90,10 @@
 
 // newConnectionLimitedScheduler is a fleet of 5 zones with 10 servers, each of 16 slots, that take 79
 // connections each; 49 edges and 9 stores share them, so that a store has 3 connections to a server.
-func newConnectionLimitedScheduler() (*Scheduler, connections.Shares) {
+func newConnectionLimitedScheduler() (*Scheduler, connections.DaemonCounts) {
 	sc := newFleetScheduler(5, 10, 16)
 	sc.SetConfiguration(&config.Configuration{Version: 1, Pools: []config.Pool{{Name: "p", Servers: config.Selector{}, MaxConnections: 79}}}, 1)
-	return sc, connections.Shares{Edges: 49, Stores: 9}
+	return sc, connections.DaemonCounts{Edges: 49, Stores: 9}
 }
 
 // A store with a third of all items had all places of a third of the servers and the connections for a
--- a/test/servingsim/store.go
+++ b/test/servingsim/store.go
@@ -115,9 +115,9 @@
 }
 
 // connectionShares are the daemons that share the servers' connections.
-func (s *store) connectionShares() (shares connections.Shares) {
+func (s *store) connectionShares() (shares connections.DaemonCounts) {
 	for _, member := range s.members {
-		shares.Count(member.Kind)
+		shares.Add(member.Kind)
 	}
 	return shares
 }
@@ -128,7 +128,7 @@
 	if deployment.MaxConnections == 0 {
 		return math.MaxInt
 	}
-	return s.connectionShares().Of(membership.Store, deployment.MaxConnections, deployment.Engine.Slots)
+	return s.connectionShares().LimitFor(membership.Store, deployment.MaxConnections, deployment.Engine.Slots)
 }
 
 // submit takes a batch.
--- a/test/simulator/injected_bugs_test.go
+++ b/test/simulator/injected_bugs_test.go
@@ -60,7 +60,7 @@
 		"waiting requests go by an old configuration":  {onScheduling(func(n *Node) { n.scheduling().Scheduler.InjectedFaults.KeepOldConfiguration = true }), "", 8, 2 * ms, 27, []Guarantee{configurationInForce}},
 		"gossip without a majority makes states fresh": {func(n *Node) { n.gossip.InjectedFaults.SkipVoterMajority = true }, "mark a server in each part", 4, 2 * ms, 1, []Guarantee{drainingRespected, configurationInForce}},
 		"items start without a lease": {onStore(func(n *Node) {
-			n.scheduled.Runner.InjectedFaults.SkipLeaseCheck, n.scheduled.Runner.InjectedFaults.IgnoreRevoke = true, true
+			n.scheduled.Runner.InjectedFaults.SkipLeaseCheck, n.scheduled.Runner.InjectedFaults.IgnoreCancel = true, true
 		}), "a batch ends", 5, 2 * ms, 7, []Guarantee{endedBatchStops}},
 		"everything is admitted":        {onScheduling(func(n *Node) { n.scheduling().Quota.InjectedFaults.AdmitEverything = true }), "a burst of batches comes", 4, 2 * ms, 1, []Guarantee{withinQuota}},
 		"a waiting reader is not woken": {onEdge(func(n *Node) { n.edge.Reader.InjectedFaults.SkipWakeups = true }), "a burst of requests comes", 10, 2 * ms, 38, []Guarantee{resultsTimely}},
