--- a/internal/dataplane/connections/shares.go
+++ b/internal/dataplane/connections/shares.go
@@ -1,19 +1,20 @@
-// Package connections says which part of the connections that a model server accepts is whose
-// (docs/DESIGN.md section 12.3). Daemons that know the same members agree without a message.
+// Package connections divides the connections that a model server accepts among the daemons
+// (docs/DESIGN.md section 12.3). Daemons that know the same members compute the same limits
+// without exchanging messages.
 //
-// Everything here is a function of its arguments.
+// All functions depend on their arguments only.
 package connections
 
 import "tuliprudder/internal/membership"
 
-// extraConnections is how many connections more than a server's slots a store may have: for
-// requests that end while the next ones begin.
+// extraConnections is the number of connections that a store may have beyond a server's slots,
+// for requests that start while previous ones are ending.
 const extraConnections = 4
 
-// DaemonCounts are the daemons that share a server's connections.
+// DaemonCounts counts the daemons that share a server's connections.
 type DaemonCounts struct{ Edges, Stores int }
 
-// Add counts one member.
+// Add adds a member of the given kind. Kinds other than edge and store are ignored.
 func (s *DaemonCounts) Add(kind string) {
 	switch kind {
 	case membership.Edge:
@@ -23,9 +24,10 @@
 	}
 }
 
-// LimitFor is the share of one daemon of a kind in the connections that a server with some slots takes:
-// at least one. A store may have as many as the server has slots and a few more, but the stores
-// together no more than half; the edges share the rest.
+// LimitFor returns the number of connections that a daemon of the given kind may open to a server
+// that accepts total connections and has the given slots. It is at least one. A store may have
+// extraConnections more than the server has slots, but all stores together at most half of the
+// total; the edges share the rest.
 func (s DaemonCounts) LimitFor(kind string, total int64, slots int) int {
 	stores, edges := max(1, s.Stores), max(1, s.Edges)
 	half, afterEdges := int(total)/2/stores, (int(total)-s.Edges)/stores
--- a/internal/dataplane/connections/shares_test.go
+++ b/internal/dataplane/connections/shares_test.go
@@ -7,8 +7,8 @@
 	"tuliprudder/internal/membership"
 )
 
-// All daemons' shares together keep to what a server takes, unless there are more
-// daemons than connections.
+// The limits of all daemons together do not exceed the connections that a server accepts,
+// unless there are more daemons than connections.
 func TestLimitsFitWithinServerTotal(t *testing.T) {
 	for _, test := range []struct {
 		total  int64
@@ -26,7 +26,7 @@
 			edge := test.shares.LimitFor(membership.Edge, test.total, test.slots)
 			store := test.shares.LimitFor(membership.Store, test.total, test.slots)
 			if sum := edge*test.shares.Edges + store*test.shares.Stores; int64(sum) > test.total || edge < 1 || store < 1 {
-				t.Errorf("%d for each edge and %d for each store make %d", edge, store, sum)
+				t.Errorf("%d for each edge and %d for each store add up to %d, or a limit is below 1", edge, store, sum)
 			}
 		})
 	}
--- a/internal/dataplane/decisionlog/decisionlog.go
+++ b/internal/dataplane/decisionlog/decisionlog.go
@@ -1,9 +1,9 @@
-// Package decisionlog remembers what a daemon decided about its latest requests, so that
-// operators can have any of them explained (docs/DESIGN.md section 10.3).
+// Package decisionlog records a daemon's decisions about its latest requests, so that
+// operators can look up how a request was handled (docs/DESIGN.md section 10.3).
 //
-// A Log keeps a bounded number of entries and forgets the oldest. It is safe for
-// concurrent use: the daemon's state machine writes it, the operators' API reads it. What
-// it returns are copies.
+// A Log keeps a bounded number of entries and evicts the oldest. It is safe for
+// concurrent use: the daemon's state machine writes it and the operators' API reads it. It
+// returns copies of its entries.
 package decisionlog
 
 import (
@@ -15,20 +15,20 @@
 	"tuliprudder/internal/dataplane/scoring"
 )
 
-// maxAttempts is how many attempts of one request are kept; later ones are left out.
+// maxAttempts is the maximum number of attempts kept per request; later ones are not recorded.
 const maxAttempts = 16
 
 // Attempt is one assignment of a request to a server.
 type Attempt struct {
 	Server    string          `json:"server"`
-	Scores    []scoring.Score `json:"marks"` // why this server was chosen
+	Scores    []scoring.Score `json:"marks"` // scores by which this server was chosen
 	StartedAt clock.Micros    `json:"at_us"`
 	Duration  clock.Micros    `json:"took_us"`
 	Outcome   string          `json:"outcome"`
 	Error     string          `json:"error,omitempty"`
 }
 
-// Entry is what happened to one request.
+// Entry records how a request was handled.
 type Entry struct {
 	RequestID  string       `json:"order"`
 	Tenant     string       `json:"customer"`
@@ -36,11 +36,11 @@
 	Priority   int64        `json:"rank"`
 	ReceivedAt clock.Micros `json:"arrived_us"`
 	Attempts   []Attempt    `json:"tries"`
-	Outcome    string       `json:"end,omitempty"` // "" while it is under way
+	Outcome    string       `json:"end,omitempty"` // "" while the request is in progress
 }
 
-// latency is the time from the request's arrival to the end of its last attempt. There
-// must be an attempt.
+// latency returns the time from the request's arrival to the end of its last attempt. The
+// entry must have an attempt.
 func (e Entry) latency() clock.Micros {
 	last := e.Attempts[len(e.Attempts)-1]
 	return last.StartedAt + last.Duration - e.ReceivedAt
@@ -54,18 +54,18 @@
 // Log keeps the latest entries.
 type Log struct {
 	mu      sync.Mutex        // guards all fields below
-	entries map[string]*Entry // by request id
-	ring    []string          // their ids; "" where none was yet
-	next    int               // index in ring that the next entry takes over
+	entries map[string]*Entry // by request ID
+	ring    []string          // request IDs; "" in unused places
+	next    int               // index in ring of the next entry to replace
 }
 
-// New makes a log of so many entries, at least one.
+// New returns a log that keeps up to size entries, but at least one.
 func New(size int) *Log {
 	return &Log{entries: map[string]*Entry{}, ring: make([]string, max(1, size))}
 }
 
-// Begin adds a request's entry in place of the oldest one. A request that has an entry
-// goes on with that.
+// Begin adds an entry for a request and evicts the oldest one if the log is full. It does
+// nothing if the request already has an entry.
 func (l *Log) Begin(e Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,7 +80,7 @@
 	l.entries[e.RequestID] = &e
 }
 
-// RecordAttempt adds an attempt to a request's entry, if that is still kept.
+// RecordAttempt adds an attempt to a request's entry, if it has not been evicted.
 func (l *Log) RecordAttempt(requestID string, attempt Attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,7 +89,7 @@
 	}
 }
 
-// RecordOutcome notes how a request ended, if its entry is still kept.
+// RecordOutcome records the outcome of a request, if its entry has not been evicted.
 func (l *Log) RecordOutcome(requestID, outcome string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// Find finds a request's entry; false where it is not kept.
+// Find returns a request's entry; false if there is none.
 func (l *Log) Find(requestID string) (Entry, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,8 +109,8 @@
 	return e.clone(), true
 }
 
-// Slowest lists at most so many entries, those with the longest latency first. Requests
-// without an attempt are left out.
+// Slowest returns at most count entries, in order of decreasing latency. Requests without
+// an attempt are omitted.
 func (l *Log) Slowest(count int) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/dataplane/decisionlog/decisionlog_test.go
+++ b/internal/dataplane/decisionlog/decisionlog_test.go
@@ -12,7 +12,7 @@
 	}
 	for id, want := range map[string]bool{"a": false, "b": true, "c": true} {
 		if _, ok := l.Find(id); ok != want {
-			t.Errorf("%s is kept: %v", id, ok)
+			t.Errorf("entry %s found: %v", id, ok)
 		}
 	}
 }
@@ -32,7 +32,7 @@
 	}
 	got.Attempts[0].Server = "changed"
 	if again, _ := l.Find("a"); again.Attempts[0].Server != "s0" {
-		t.Error("what Find returned shares memory with the log")
+		t.Error("the entry returned by Find shares memory with the log")
 	}
 }
 
@@ -50,7 +50,7 @@
 			ids = append(ids, e.RequestID)
 		}
 		if fmt.Sprint(ids) != want {
-			t.Errorf("the slowest %d are %v, not %s", count, ids, want)
+			t.Errorf("the slowest %d entries are %v, want %s", count, ids, want)
 		}
 	}
 }
--- a/internal/dataplane/execution/cancellation.go
+++ b/internal/dataplane/execution/cancellation.go
@@ -5,8 +5,8 @@
 	"tuliprudder/internal/clock"
 )
 
-// Cancel drops the items of a batch or of a shard, wherever they are: this store reports no result
-// for them. An attempt in flight is cancelled.
+// Cancel removes the items of a batch or of a shard, whether they are queued, deferred or on a
+// server; this store reports no result for them. Attempts in flight are cancelled.
 func (r *Runner) Cancel(cancelled batchstore.CancelItems, now clock.Micros) {
 	if r.InjectedFaults.IgnoreCancel {
 		return
@@ -29,7 +29,7 @@
 	return ofShard || ofBatch
 }
 
-// cancelJob forgets a job that is queued or on a server.
+// cancelJob removes a job that is queued or on a server and cancels its attempt, if any.
 func (r *Runner) cancelJob(j *job, now clock.Micros) {
 	delete(r.jobs, j.name)
 	if j.assignment != nil {
--- a/internal/dataplane/execution/deferral.go
+++ b/internal/dataplane/execution/deferral.go
@@ -8,11 +8,11 @@
 	"tuliprudder/internal/config"
 )
 
-// retryInterval is the time between two retries of the deferred items.
+// retryInterval is the minimum time between two retries of the deferred items.
 const retryInterval = 50 * clock.Millisecond
 
-// deferJob keeps an item that can be neither queued nor started just now: the store submits it
-// again, or Tick does.
+// deferJob sets aside an item that can currently be neither queued nor started. The store or Tick
+// submits it again.
 func (r *Runner) deferJob(j *job) {
 	r.remove(j)
 	if r.deferred[j.name] == nil {
@@ -20,7 +20,7 @@
 	}
 }
 
-// takeDeferred removes an item from the deferred ones and returns it; nil if it is not deferred.
+// takeDeferred removes a deferred item and returns it, or nil if the item is not deferred.
 func (r *Runner) takeDeferred(name string) *job {
 	j := r.deferred[name]
 	if j == nil {
@@ -30,8 +30,8 @@
 	return j
 }
 
-// retryDeferred submits the deferred items that may start now: a shard's items are submitted when
-// the store begins to serve it, a moment before it has the lease.
+// retryDeferred submits the deferred items that may start now. The store submits a shard's items
+// when it begins to serve the shard, shortly before it holds the lease, so they are deferred at first.
 func (r *Runner) retryDeferred(configuration *config.Configuration, now clock.Micros) {
 	if now < r.lastRetry+retryInterval || len(r.deferred) == 0 {
 		return
@@ -48,5 +48,5 @@
 	}
 }
 
-// sortedNames orders jobs, so that the same inputs have the same effects.
+// sortedNames returns the names of jobs in order, so that equal inputs produce equal effects.
 func sortedNames(jobs map[string]*job) []string { return slices.Sorted(maps.Keys(jobs)) }
--- a/internal/dataplane/execution/harness_test.go
+++ b/internal/dataplane/execution/harness_test.go
@@ -13,7 +13,7 @@
 	"tuliprudder/internal/machine"
 )
 
-// harness is a runner whose event loop and store are the test.
+// harness is a Runner for which the test acts as the event loop and the store.
 type harness struct {
 	*Runner
 	t            *testing.T
@@ -44,8 +44,8 @@
 	return b
 }
 
-// setConfiguration puts a configuration in force with a route that forwards batches and one that
-// does not.
+// setConfiguration applies a configuration that has a route forwarding batches ("r") and a batch
+// route that does not forward ("chat").
 func (b *harness) setConfiguration(version uint64, forward config.Forward) {
 	configuration := &config.Configuration{Version: version, ScorerWeights: map[string]float64{"spread": 1}, Pools: []config.Pool{{Name: "p"}},
 		Routes: []config.Route{{Name: "r", Kind: config.Batch, Forward: &forward}, {Name: "chat", Kind: config.Batch}}}
@@ -55,13 +55,13 @@
 
 func (b *harness) submitItem(item int, tokens int64) { b.submitFailedItem(item, tokens, 0) }
 
-// submitFailedItem submits an item of which attempts have failed under earlier owners of its shard.
+// submitFailedItem submits an item with attempts that failed under previous owners of its shard.
 func (b *harness) submitFailedItem(item int, tokens int64, failedAttempts int) {
 	b.Submit(batchstore.RunItem{Batch: "b", Item: item, ItemID: fmt.Sprint("i", item), Tenant: "r", Route: "r", SubmittedAt: hour, ConfigurationVersion: 1,
 		Request: &shard.Request{Target: "/x", Body: []byte(fmt.Sprint("body ", item)), Tokens: tokens}, FailedAttempts: failedAttempts}, b.now)
 }
 
-// startedAttempts are the attempts that start now.
+// startedAttempts runs the scheduler and returns the attempts that it starts.
 func (b *harness) startedAttempts() []Attempt {
 	b.scheduler.AdvanceFreshness(b.now)
 	b.scheduler.MatchUntilStable(b.now)
@@ -76,18 +76,19 @@
 	return out
 }
 
-// nextAttempt waits until the servers are considered again, for the one attempt there is.
+// nextAttempt advances the time by 5 s, so that the scheduler considers the servers again, and
+// returns the only attempt that starts.
 func (b *harness) nextAttempt() Attempt {
 	b.t.Helper()
 	b.now += 5 * clock.Second
 	attempts := b.startedAttempts()
 	if len(attempts) != 1 {
-		b.t.Fatalf("%d attempts, not one: %+v", len(attempts), attempts)
+		b.t.Fatalf("started %d attempts, want 1: %+v", len(attempts), attempts)
 	}
 	return attempts[0]
 }
 
-// finishNext reports the result of the one attempt there is.
+// finishNext reports a result for the only attempt that starts next.
 func (b *harness) finishNext(result AttemptResult) Attempt {
 	b.t.Helper()
 	attempt := b.nextAttempt()
@@ -99,13 +100,13 @@
 func (b *harness) expectOnlyResult(status, output string) {
 	b.t.Helper()
 	if len(b.results) != 1 || b.results[0].Status != status || b.results[0].Output != output || b.Pending() != 0 {
-		b.t.Fatalf("results %+v, %d pending; want %s %q", b.results, b.Pending(), status, output)
+		b.t.Fatalf("results %+v with %d items pending, want %s %q and none pending", b.results, b.Pending(), status, output)
 	}
 }
 
 func (b *harness) expectNoResult() {
 	b.t.Helper()
 	if len(b.results) > 0 {
-		b.t.Fatalf("results %+v", b.results)
+		b.t.Fatalf("results %+v, want none", b.results)
 	}
 }
--- a/internal/dataplane/execution/results.go
+++ b/internal/dataplane/execution/results.go
@@ -13,27 +13,27 @@
 	"tuliprudder/internal/machine"
 )
 
-// maxAvoidedServers is how many servers a chat item avoids at once; past that it may return to
-// any of them, rather than wait for a server that there may not be.
+// maxAvoidedServers is the maximum number of servers that a chat item avoids at once. Beyond that
+// all of them become eligible again, as there may be no further server to wait for.
 const maxAvoidedServers = 2
 
-// HandleAttemptStarted handles the report that a server has begun an item.
+// HandleAttemptStarted processes the report that a server has begun to process an item.
 func (r *Runner) HandleAttemptStarted(started AttemptStarted, now clock.Micros) {
 	j := r.attempts[started.AttemptID]
 	if j == nil {
-		return // revoked
+		return // cancelled
 	}
 	r.scheduler.ObserveLoad(j.assignment.Server.Name, started.Load, now)
 	r.scheduler.ObserveWeights(j.assignment.Server.Name, started.WeightVersion, now)
 	j.assignment.PrefillDone(now)
 }
 
-// HandleAttemptResult handles the report of an attempt's end: the item gets its result, or waits
+// HandleAttemptResult processes the outcome of an attempt: the item gets its result or is queued
 // for another attempt.
 func (r *Runner) HandleAttemptResult(result AttemptResult, now clock.Micros) {
 	j := r.attempts[result.AttemptID]
 	if j == nil {
-		return // revoked
+		return // cancelled
 	}
 	delete(r.attempts, result.AttemptID)
 	assignment := j.assignment
@@ -67,8 +67,8 @@
 	})
 }
 
-// handleChatResult decides what follows an attempt of a chat item. Attempts that did not start
-// don't count; an interrupted item runs again from its beginning.
+// handleChatResult finishes a chat item or queues it again after an attempt. Attempts that did not
+// start do not count towards the limit; an interrupted item is run again from the beginning.
 func (r *Runner) handleChatResult(j *job, assignment *scheduler.Assignment, result AttemptResult, now clock.Micros) {
 	server := assignment.Server.Name
 	switch result.Outcome {
@@ -94,9 +94,9 @@
 	r.schedule(j, now)
 }
 
-// handleOpaqueResult decides what follows an attempt of an opaque item. It fails only when a server
-// rejects it, when as many attempts have failed as its route allows, when it exceeds the route's
-// retention, or when its route is removed; after anything else it waits again.
+// handleOpaqueResult finishes an opaque item or queues it again after an attempt. An item fails only
+// if a server rejects it, its failed attempts reach the route's limit, it exceeds the route's
+// retention, or its route is removed; in all other cases it is queued again.
 func (r *Runner) handleOpaqueResult(j *job, assignment *scheduler.Assignment, result AttemptResult, now clock.Micros) {
 	server := assignment.Server.Name
 	switch {
@@ -119,7 +119,7 @@
 		r.failItem(j, outputRejected+result.Reason, server, now)
 		return
 	case result.WrongWeights && result.WeightVersion != 0:
-		assignment.Abandon(now) // it serves items for the weights that it has, and this one elsewhere
+		assignment.Abandon(now) // the server stays available to items for its weights; this item needs another server
 	case result.Outcome == modelclient.NotStarted:
 		assignment.Rejected(now)
 	default:
@@ -129,8 +129,8 @@
 	r.schedule(j, now)
 }
 
-// hasNoAttemptsLeft tells whether as many attempts of an opaque item have failed as its route
-// allows; 0 is no limit.
+// hasNoAttemptsLeft reports whether the failed attempts of an opaque item have reached its route's
+// limit; a limit of 0 means unlimited.
 func (j *job) hasNoAttemptsLeft(route *config.Route) bool {
 	if !j.isOpaque() || !j.isAcceptedBy(route) {
 		return false
@@ -143,8 +143,9 @@
 	r.finishItem(j, batchstore.ItemFinished{Status: shard.StatusOK, Output: output, Server: server}, now)
 }
 
-// keepEvents keeps the events of an incomplete attempt, so that the next one resumes after them.
-// Without a new event ID it can't be resumed there: those events come again.
+// keepEvents stores the events of an incomplete attempt, so that the next one resumes after them.
+// Events without a new event ID are not stored: the item can't be resumed after them, and the server
+// sends them again.
 func (r *Runner) keepEvents(j *job, result AttemptResult) {
 	if result.LastEventID <= j.lastEventID {
 		return
--- a/internal/dataplane/execution/retention.go
+++ b/internal/dataplane/execution/retention.go
@@ -7,11 +7,11 @@
 	"tuliprudder/internal/config"
 )
 
-// retentionCheckInterval is the time between two searches for items that exceed their route's
-// retention.
+// retentionCheckInterval is the time between two searches for items that can no longer run, such
+// as those that exceed their route's retention.
 const retentionCheckInterval = clock.Second
 
-// failureReason is why an item can't run any more, as the output of its result; "" if it can.
+// failureReason returns why an item can no longer run, as the output of its result; "" if it can.
 func (j *job) failureReason(route *config.Route, now clock.Micros) string {
 	switch {
 	case !j.isAcceptedBy(route):
@@ -24,7 +24,7 @@
 	return ""
 }
 
-// exceedsRetention tells whether an opaque item has waited for longer than its route keeps it.
+// exceedsRetention reports whether an opaque item is older than its route's retention.
 func (j *job) exceedsRetention(route *config.Route, now clock.Micros) bool {
 	if !j.isOpaque() || route.Forward.ItemRetention <= 0 {
 		return false
@@ -32,8 +32,8 @@
 	return now > j.item.SubmittedAt+route.Forward.ItemRetention
 }
 
-// Tick submits deferred items that may start now, and fails opaque items that exceed their route's
-// retention or have no route any more. Items on a server are left to it.
+// Tick submits deferred items that may start now, and fails waiting opaque items that can no longer
+// run, for example because they exceed their route's retention. Items on a server are not affected.
 func (r *Runner) Tick(now clock.Micros) {
 	configuration := r.scheduler.Configuration()
 	if configuration == nil {
@@ -52,13 +52,13 @@
 	}
 }
 
-// unrunnableItem is an item that can't run any more.
+// unrunnableItem is an item that can no longer run.
 type unrunnableItem struct {
 	job    *job
 	reason string
 }
 
-// unrunnableItems lists the opaque items that wait and can't run any more, in the order of their names.
+// unrunnableItems returns the waiting opaque items that can no longer run, in the order of their names.
 func (r *Runner) unrunnableItems(configuration *config.Configuration, now clock.Micros) []unrunnableItem {
 	waiting := maps.Clone(r.jobs)
 	maps.Copy(waiting, r.deferred)
--- a/internal/dataplane/execution/retention_test.go
+++ b/internal/dataplane/execution/retention_test.go
@@ -9,8 +9,8 @@
 	"tuliprudder/internal/dataplane/modelclient"
 )
 
-// An item that exceeds its route's retention fails wherever it waits, but not while a server has
-// it; another configuration may change the retention.
+// An item that exceeds its route's retention fails while it is queued or deferred, but not while it is
+// on a server. A new configuration may change the retention.
 func TestItemPastRetentionFails(t *testing.T) {
 	cases := map[string]func(*harness){
 		"in the queue": func(*harness) {},
@@ -23,7 +23,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := newHarness(t)
 			if b.submitItem(0, 9); b.Pending() != 1 {
-				t.Fatal("it is not pending")
+				t.Fatal("the submitted item is not pending")
 			}
 			prepare(b)
 			b.now += 24 * hour
@@ -33,7 +33,7 @@
 			b.Tick(b.now)
 			b.expectOnlyResult(shard.StatusFailed, outputRetentionExceeded)
 			if got := b.Pending(); got != 0 {
-				t.Fatalf("%d items still wait", got)
+				t.Fatalf("%d items are still pending", got)
 			}
 		})
 	}
@@ -57,7 +57,7 @@
 	})
 }
 
-// An item whose route is removed, or does not forward any more, fails.
+// An item fails if its route is removed or no longer forwards.
 func TestItemFailsWhenRouteIsRemoved(t *testing.T) {
 	for name, routes := range map[string][]config.Route{"removed": nil, "another": {{Name: "r", Kind: config.Batch}}} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/dataplane/execution/runner.go
+++ b/internal/dataplane/execution/runner.go
@@ -1,21 +1,21 @@
-// Package execution runs a store's batch items on servers (DESIGN §6.3, §7, §12.5). Each item
-// waits in the scheduler's queue by its tenant's priority, and an attempt starts only while the
+// Package execution runs a store's batch items on servers (DESIGN §6.3, §7, §12.5). Items wait in
+// the scheduler's queue, ordered by their tenant's priority, and an attempt starts only while the
 // store holds a fresh lease on the item's shard.
 //
 // There are two kinds of items: chat items, whose input the store turns into a completion
 // request, and opaque items (batchstore.RunItem.Request set), which are forwarded unchanged and
 // resumed after their last event.
 //
-// Inputs are the store's RunItem (Submit) and CancelItems (Revoke), the event loop's reports
+// Inputs are the store's RunItem (Submit) and CancelItems (Cancel), the event loop's reports
 // (HandleAttemptStarted, HandleAttemptResult) and the time (Tick). Outputs are Tasks for the event
 // loop, and one batchstore.ItemFinished for each item.
 //
 // Two invariants hold:
-//   - An item is in at most one of: queued, on a server, deferred.
-//   - No attempt starts without MayRun, asked right before.
+//   - An item is in at most one of these states: queued, on a server, deferred.
+//   - No attempt starts unless MayRun, called immediately before, allows it.
 //
-// The package is a part of the store's state machine: it opens no socket and reads no clock.
-// Nothing here is safe for concurrent use: the daemon's event loop is the one caller.
+// The package is part of the store's state machine: it opens no sockets and reads no clock.
+// Nothing here is safe for concurrent use: the daemon's event loop is the only caller.
 package execution
 
 import (
@@ -33,40 +33,40 @@
 	"tuliprudder/internal/machine"
 )
 
-// Settings bound the attempts of an item; Defaults has the usual values.
+// Settings holds the limits on the attempts of an item; see Defaults.
 type Settings struct {
-	MaxAttempts    int          // failed attempts of a chat item; default 8
+	MaxAttempts    int          // maximum number of failed attempts of a chat item; default 8
 	IdleTimeout    clock.Micros // longest wait for a server's next chunk; default 4 s
-	MaxOutputBytes int          // largest output of an item; default 1 MiB
+	MaxOutputBytes int          // maximum size of an item's output; default 1 MiB
 }
 
-// Defaults are the values used where nothing is set.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{MaxAttempts: 8, IdleTimeout: 4 * clock.Second, MaxOutputBytes: 1 << 20}
 }
 
-// InjectedFaults are set by tests only, to show that their checks find such faults.
+// InjectedFaults are set by tests only, to verify that their checks detect these faults.
 type InjectedFaults struct {
-	SkipLeaseCheck bool // attempts start without a lease
-	IgnoreCancel   bool // revoked items run on
+	SkipLeaseCheck bool // start attempts without a lease
+	IgnoreCancel   bool // keep running cancelled items
 }
 
-// decisionLogSize is how many items the decision log holds.
+// decisionLogSize is the maximum number of items in the decision log.
 const decisionLogSize = 8192
 
-// MayRun tells whether this store may start an attempt of an item now: it holds a fresh lease on
-// the item's shard, and the item needs a result.
+// MayRun reports whether this store may start an attempt of an item now, which requires that it holds
+// a fresh lease on the item's shard and that the item has no result yet.
 type MayRun func(shardIndex int, batch string, item int, now clock.Micros) bool
 
-// Report takes an item's result, or a failed attempt of an opaque item, for the store's shards:
-// batchstore.ItemFinished, batchstore.AttemptFailed.
+// Report passes an item's result (batchstore.ItemFinished) or a failed attempt of an opaque item
+// (batchstore.AttemptFailed) to the store's shards.
 type Report func(report batchstore.Command, now clock.Micros)
 
-// Runner holds a store's items that have no result yet.
+// Runner runs the items of a store that have no result yet.
 type Runner struct {
 	Decisions *decisionlog.Log
-	// WantedWeightsHeader is the name of the header by which an opaque item names the version of the
-	// weights that it has to be run with; "": there is none. It is set before the first item.
+	// WantedWeightsHeader is the name of the header in which an opaque item states the version of the
+	// weights that it requires; "" if there is no such header. It must be set before the first item.
 	WantedWeightsHeader string
 	InjectedFaults      InjectedFaults
 
@@ -78,34 +78,34 @@
 
 	jobs     map[string]*job // by name: queued, or on a server
 	attempts map[uint64]*job // by attempt: on a server
-	deferred map[string]*job // by name: can be neither queued nor started just now
+	deferred map[string]*job // by name: can currently be neither queued nor started
 
 	lastRetry          clock.Micros // of deferred items
 	nextRetentionCheck clock.Micros
 }
 
-// job is one item without a result.
+// job is an item that has no result yet.
 type job struct {
 	name             string
 	item             batchstore.RunItem
-	weight           int // what the item counts for in its tenant's quota
+	weight           int // what the item counts towards its tenant's quota
 	schedulerRequest *scheduler.Request
 	assignment       *scheduler.Assignment // the server of the current attempt; nil between attempts
 	attemptID        uint64
 	progress
 }
 
-// progress is what an item keeps from one attempt to the next.
+// progress is the state that an item keeps from one attempt to the next.
 type progress struct {
 	avoidedServers map[string]int
 	failedAttempts int
-	events         []string // of an opaque item: their data, over all attempts
-	eventBytes     int      // of the events
-	lastEventID    int      // of the events; 0 for none
+	events         []string // data of an opaque item's events, over all attempts
+	eventBytes     int      // total size of events
+	lastEventID    int      // ID of the last of events; 0 for none
 }
 
-// New makes a runner; report is called once for each item that gets a result, and for each failed
-// attempt of an opaque one.
+// New returns a Runner that calls report once for each item that gets a result, and once for each
+// failed attempt of an opaque item.
 func New(settings Settings, calls *machine.Calls, sched *scheduler.Scheduler, mayRun MayRun, report Report) *Runner {
 	return &Runner{
 		Decisions: decisionlog.New(decisionLogSize),
@@ -120,10 +120,10 @@
 	}
 }
 
-// Pending is how many items wait or run.
+// Pending returns the number of items that are waiting or running.
 func (r *Runner) Pending() int { return len(r.jobs) + len(r.deferred) }
 
-// PendingWeight is the weight of the items that wait or run.
+// PendingWeight returns the total weight of the items that are waiting or running.
 func (r *Runner) PendingWeight() int {
 	sum := 0
 	for _, jobs := range []map[string]*job{r.jobs, r.deferred} {
@@ -134,8 +134,8 @@
 	return sum
 }
 
-// Submit queues one of the store's items; one that waits or runs already is left as it is. An
-// opaque item that was deferred keeps its progress.
+// Submit queues an item of the store. It does nothing if the item is already queued or on a server.
+// An opaque item that was deferred keeps its progress.
 func (r *Runner) Submit(item batchstore.RunItem, now clock.Micros) {
 	name := item.Batch + "/" + strconv.Itoa(item.Item)
 	if r.jobs[name] != nil {
@@ -157,16 +157,16 @@
 	r.schedule(j, now)
 }
 
-// isOpaque tells whether the item is forwarded unchanged.
+// isOpaque reports whether the item is forwarded unchanged.
 func (j *job) isOpaque() bool { return j.item.Request != nil }
 
-// isAcceptedBy tells whether a route still takes such items.
+// isAcceptedBy reports whether a route still accepts items of the job's kind.
 func (j *job) isAcceptedBy(route *config.Route) bool {
 	return route != nil && (route.Forward != nil) == j.isOpaque()
 }
 
-// schedule queues an item for a server. An item whose route was removed fails: otherwise its batch
-// would stay open for ever.
+// schedule queues an item for a server. An item that can no longer run, for example because its route
+// was removed, fails, as its batch would otherwise never end.
 func (r *Runner) schedule(j *job, now clock.Micros) {
 	configuration := r.scheduler.Configuration()
 	if configuration == nil || configuration.Version < j.item.ConfigurationVersion {
@@ -190,8 +190,9 @@
 	}
 }
 
-// priorityOf is the priority of the tenant's class; where an opaque item's tenant has none, or the item no
-// tenant, that of its route. The scheduler has opaque items wait behind all other requests, whatever it is.
+// priorityOf returns the priority of the tenant's class. For an opaque item without a tenant, or whose
+// tenant has no class, it returns the priority of its route. Whatever their priority, the scheduler
+// queues opaque items behind all other requests.
 func priorityOf(j *job, route *config.Route, configuration *config.Configuration) int64 {
 	const lowest = 1
 	if j.isOpaque() {
@@ -203,7 +204,7 @@
 	return lowest
 }
 
-// dueAt is when an item's result is due; 0: at no time.
+// dueAt returns when an item's result is due; 0 if it has no due time.
 func (j *job) dueAt(route *config.Route) clock.Micros {
 	if route.Forward == nil || route.Forward.CompletionWindow == 0 {
 		return 0
@@ -238,7 +239,7 @@
 	}
 }
 
-// wantedWeights is the version of the weights that an item has to be run with; 0 for any.
+// wantedWeights returns the version of the weights that an item requires; 0 for any.
 func (r *Runner) wantedWeights(j *job) int64 {
 	if !j.isOpaque() || r.WantedWeightsHeader == "" {
 		return 0
@@ -252,8 +253,8 @@
 	return 0
 }
 
-// startAttempt has the event loop run an item on the server that the scheduler assigned. The route
-// is that of the configuration in force, not of the one under which the item was queued.
+// startAttempt asks the event loop to run an item on the server that the scheduler assigned. It uses
+// the route of the current configuration, not of the one under which the item was queued.
 func (r *Runner) startAttempt(j *job, assignment *scheduler.Assignment, now clock.Micros) {
 	route := j.schedulerRequest.Route
 	if !j.isAcceptedBy(route) {
@@ -281,7 +282,7 @@
 	})
 }
 
-// forwardedItem is the opaque item of a job on its server; nil for a chat item.
+// forwardedItem returns the opaque item to forward to the assigned server; nil for a chat item.
 func (j *job) forwardedItem(route *config.Route) *ForwardedItem {
 	if !j.isOpaque() {
 		return nil
@@ -292,7 +293,8 @@
 		ItemID:      j.item.ItemID,
 		Instance:    j.assignment.Server.Name,
 		LastEventID: j.lastEventID,
-		// A configuration that asks for no keys any more says nothing of what came before it.
+		// An item with a tenant was submitted with a key, even if the current configuration no longer
+		// requires keys.
 		IsAuthenticated: j.item.Tenant != "" || route.Forward.IsAuthenticated(),
 		Tenant:          j.item.Tenant,
 	}
@@ -300,14 +302,14 @@
 
 func (r *Runner) execute(task Task) { r.calls.Emit(machine.Execute{Task: task}) }
 
-// remove forgets a job that is queued or on a server.
+// remove removes a job from those that are queued or on a server.
 func (r *Runner) remove(j *job) {
 	if r.jobs[j.name] == j {
 		delete(r.jobs, j.name)
 	}
 }
 
-// failItem gives an item the result that it failed; server is "" if none had it.
+// failItem finishes an item with a failure; server is "" if the item was not on a server.
 func (r *Runner) failItem(j *job, output, server string, now clock.Micros) {
 	r.finishItem(j, batchstore.ItemFinished{Status: shard.StatusFailed, Output: output, Server: server}, now)
 }
--- a/internal/dataplane/execution/runner_test.go
+++ b/internal/dataplane/execution/runner_test.go
@@ -9,30 +9,30 @@
 	"tuliprudder/internal/dataplane/endpoints"
 )
 
-// Items do not wait behind one that can't start, and start in the order of their submission.
+// Items do not wait behind an item that can't start, and they start in the order of submission.
 func TestBlockedItemDoesNotDelayOthers(t *testing.T) {
 	b := newHarness(t, "s1", "s2")
 	b.submitItem(0, 1)
 	first := b.nextAttempt()
-	b.HandleAttemptResult(AttemptResult{AttemptID: first.ID, ServerFailed: true}, b.now) // waits for the other server now
+	b.HandleAttemptResult(AttemptResult{AttemptID: first.ID, ServerFailed: true}, b.now) // now waits for the other server
 	other := map[string]string{"s1": "s2", "s2": "s1"}[first.ForwardedItem.Instance]
 	b.scheduler.SetLoad(other, 1, endpoints.Load{Running: 40, Healthy: true, ReadAt: b.now})
 	b.submitItem(1, 1)
 	b.submitItem(2, 1)
 	second := b.nextAttempt()
 	if second.ForwardedItem.ItemID != "i1" {
-		t.Fatalf("started %v", second.ForwardedItem.ItemID)
+		t.Fatalf("started item %v, want i1", second.ForwardedItem.ItemID)
 	}
 	b.HandleAttemptStarted(AttemptStarted{AttemptID: second.ID}, b.now) // one prefill at a time
 	if third := b.nextAttempt(); third.ForwardedItem.ItemID != "i2" {
-		t.Fatalf("started %v", third.ForwardedItem.ItemID)
+		t.Fatalf("started item %v, want i2", third.ForwardedItem.ItemID)
 	}
 }
 
-// A store's items keep to its share of a server: the lowest level's limit, shared by the live
-// stores.
+// A store's items stay within its share of a server's slots: the limit of the lowest priority level,
+// divided among the live stores.
 func TestStoreItemsStayWithinServerShare(t *testing.T) {
-	b := newHarness(t, "s") // with 4 slots, of which the lowest level may fill 0.7
+	b := newHarness(t, "s") // 4 slots, of which the lowest priority level may use the fraction 0.7
 	ranked := &config.Configuration{Version: 2, Classes: []config.PriorityClass{{Name: "low", Priority: 1}, {Name: "high", Priority: 2}}, ScorerWeights: map[string]float64{"spread": 1}, Pools: []config.Pool{{Name: "p"}},
 		Routes: []config.Route{{Name: "r", Kind: config.Batch, Forward: &config.Forward{}}}}
 	ranked.Index()
@@ -49,11 +49,11 @@
 		}
 	}
 	if started != 3 { // 0.7 of 4, rounded
-		t.Fatalf("%d items run on a server of 4 slots, not 3", started)
+		t.Fatalf("%d items run on a server of 4 slots, want 3", started)
 	}
 }
 
-// A queued item runs by the route of the configuration in force, not by that under which it was
+// An attempt uses the route of the current configuration, not of the one under which the item was
 // queued.
 func TestAttemptUsesCurrentConfiguration(t *testing.T) {
 	b := newHarness(t, "s")
--- a/internal/dataplane/execution/tenants_test.go
+++ b/internal/dataplane/execution/tenants_test.go
@@ -9,15 +9,15 @@
 	"tuliprudder/internal/dataplane/modelclient"
 )
 
-// submitForTenant submits an item of a tenant; "" for none.
+// submitForTenant submits an opaque item of a tenant; "" for none.
 func (b *harness) submitForTenant(tenant string) {
 	b.Submit(batchstore.RunItem{Batch: "b", ItemID: "i", Tenant: tenant, Route: "r", SubmittedAt: hour, ConfigurationVersion: 1,
 		Request: &shard.Request{Target: "/x", Tokens: 1}}, b.now)
 }
 
-// Each attempt tells the tenant that the batch belongs to, also where that one has been removed, or the
-// configuration knows tenants no more; what the item itself says of one goes along only where nobody is known
-// by a key.
+// Each attempt names the tenant that the batch belongs to, even if the tenant has been removed or the
+// configuration no longer has tenants. A tenant named by the item itself is forwarded only if callers are
+// not identified by keys.
 func TestAttemptCarriesTenantOfBatch(t *testing.T) {
 	for name, c := range map[string]struct {
 		authentication, tenant string
@@ -36,13 +36,14 @@
 		for range 2 {
 			item := b.finishNext(AttemptResult{Outcome: modelclient.Interrupted, Reason: "cut"}).ForwardedItem
 			if item.Tenant != c.tenant || item.IsAuthenticated != c.isAuthenticated {
-				t.Errorf("%s: tenant %q, authenticated %v", name, item.Tenant, item.IsAuthenticated)
+				t.Errorf("%s: attempt has tenant %q, authenticated %v", name, item.Tenant, item.IsAuthenticated)
 			}
 		}
 	}
 }
 
-// Keys and tenants come and go while a batch runs: its items run on. One whose route is removed fails, as ever.
+// Items continue to run when keys and tenants are added or removed during their batch. Only removing
+// the route makes them fail.
 func TestItemContinuesAfterTenantIsRemoved(t *testing.T) {
 	b := newHarness(t, "s")
 	withTenant := *b.scheduler.Configuration()
--- a/internal/dataplane/requests/attempts.go
+++ b/internal/dataplane/requests/attempts.go
@@ -10,12 +10,12 @@
 	"tuliprudder/internal/errs"
 )
 
-// maxAvoidedServers is how many servers a request avoids at once; past that it may return to
-// any of them, rather than wait for a server that there may not be.
+// maxAvoidedServers is the maximum number of servers that a request avoids at once. Beyond that all
+// of them become eligible again, as there may be no further server to wait for.
 const maxAvoidedServers = 2
 
-// scheduleAttempt queues a request for a server; lastErr is why the attempt before failed, nil
-// for the first one. Retries are also limited by the daemon's retry budget.
+// scheduleAttempt queues a request for a server. lastErr is the cause of the previous attempt's
+// failure, nil for the first attempt. Retries are also limited by the daemon's retry budget.
 func (m *Machine) scheduleAttempt(r *activeRequest, lastErr error, now clock.Micros) {
 	if r.disconnected {
 		m.failRequest(r, disconnectedError(), now)
@@ -42,7 +42,7 @@
 	}
 }
 
-// startAttempt has the gateway run the request on the server that the scheduler assigned.
+// startAttempt tells the gateway to run the request on the server that the scheduler assigned.
 func (m *Machine) startAttempt(r *activeRequest, assignment *scheduler.Assignment) {
 	r.assignment = assignment
 	if m.InjectedFaults.RestartResumedStream {
@@ -65,7 +65,7 @@
 	})
 }
 
-// handleAttemptStarted releases the quota: it counts requests that wait.
+// handleAttemptStarted releases the request's quota, which counts only waiting requests.
 func (m *Machine) handleAttemptStarted(call uint64, started AttemptStarted, now clock.Micros) {
 	if r := m.inFlight[started.RequestID]; r != nil {
 		r.releaseQuota(now)
@@ -73,7 +73,7 @@
 	m.replyEmpty(call)
 }
 
-// handleAttemptResult records an attempt and decides what follows.
+// handleAttemptResult records the outcome of an attempt, then finishes or retries the request.
 func (m *Machine) handleAttemptResult(call uint64, result AttemptResult, now clock.Micros) {
 	r := m.inFlight[result.RequestID]
 	if r == nil || r.assignment == nil {
@@ -113,39 +113,40 @@
 		m.failRequest(r, errs.New(errs.BadInput, "correct the input for this route's model", "%s", result.Reason), now)
 	case mustNotRunTwice:
 		assignment.Release(0, false, now)
-		m.finishWithError(r, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "find out by other means whether it ran before sending it again", "the request started on a server and its response is incomplete: %s", result.Reason), now)
+		m.finishWithError(r, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "check by other means whether the request ran before sending it again", "the request started on a server and its response is incomplete: %s", result.Reason), now)
 	case cannotContinue:
 		assignment.Release(0, result.ContextDone, now)
-		m.finishWithError(r, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "send the request again; this stream is not resumed", "the stream was interrupted: %s", result.Reason), now)
+		m.finishWithError(r, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "send the request again; this stream can't be resumed", "the stream was interrupted: %s", result.Reason), now)
 	default:
-		// Nothing has reached the caller yet, or the stream may be resumed.
+		// The caller has received no output yet, or the stream is resumable.
 		assignment.Release(0, false, now)
 		m.retryInterrupted(r, assignment.Server.Name, result.Reason, now)
 	}
 }
 
-// completeRequest finishes a request with its response; a claimed key stores the response first.
+// completeRequest finishes a request with its response. If the request has a claimed key, the response
+// is stored with the claim first.
 func (m *Machine) completeRequest(r *activeRequest, output, server string, now clock.Micros) {
 	response := Response{RequestID: r.ID, Status: responseStatusOK, Output: output, Server: server}
 	if !r.keyClaimed {
 		m.finishWithResponse(r, response, now)
 		return
 	}
-	// The response is complete and given in any case: without its stored copy, a repeated key
-	// is answered errs.OutcomeUnknown.
+	// The caller gets the complete response even if storing it fails; requests that repeat the key
+	// then get errs.OutcomeUnknown.
 	m.completeClaim(r, shard.Answered, &response, now, func(_ error, now clock.Micros) { m.finishWithResponse(r, response, now) })
 }
 
-// retryElsewhere retries a request that a server did not start.
+// retryElsewhere retries a request on another server, after a server did not start it.
 func (m *Machine) retryElsewhere(r *activeRequest, server, reason string, now clock.Micros) {
 	r.avoidedServers[server] = scheduler.MaxFailuresPerServer
 	if len(r.avoidedServers) > maxAvoidedServers {
 		clear(r.avoidedServers)
 	}
-	m.scheduleAttempt(r, errs.NewWithRetry(errs.Busy, m.scheduler.RetryAfter(now), "retry after the given time", "no server accepted the request: %s", reason), now)
+	m.scheduleAttempt(r, errs.NewWithRetry(errs.Busy, m.scheduler.RetryAfter(now), "retry after the indicated time", "no server accepted the request: %s", reason), now)
 }
 
-// retryInterrupted retries a request that may have run in part.
+// retryInterrupted retries a request that may have run partially.
 func (m *Machine) retryInterrupted(r *activeRequest, server, reason string, now clock.Micros) {
 	r.mayHaveRun = true
 	r.avoidedServers[server]++
--- a/internal/dataplane/requests/attempts_test.go
+++ b/internal/dataplane/requests/attempts_test.go
@@ -13,7 +13,7 @@
 	"tuliprudder/internal/machine"
 )
 
-// liveHarness is a Machine with two servers and a live request, past its admission.
+// liveHarness is a Machine with two servers and an admitted live request.
 type liveHarness struct {
 	*Machine
 	t   *testing.T
@@ -54,7 +54,7 @@
 	return b
 }
 
-// decision is the reply to the current call: an Attempt, a Response, or the kind of an error.
+// decision returns the reply to the current call: an Attempt, a Response, or the kind of an error.
 func (b *liveHarness) decision() any {
 	b.t.Helper()
 	b.scheduler.MatchUntilStable(b.now)
@@ -65,7 +65,7 @@
 		}
 	}
 	if len(replies) != 1 {
-		b.t.Fatalf("%d replies, not one: %+v", len(replies), replies)
+		b.t.Fatalf("%d replies, want 1: %+v", len(replies), replies)
 	}
 	if err := replies[0].Err; err != nil {
 		return errs.Of(err).Kind
@@ -73,12 +73,13 @@
 	return replies[0].Body
 }
 
-// What follows an attempt depends on the kind of the route, on the outcome, and on whether output
-// has reached the caller. The table is written by hand, not computed by the rules it checks.
+// What happens after an attempt depends on the kind of the route, the outcome, and whether the caller
+// has received output. The expected results are written out by hand, so that they are independent of
+// the code under test.
 func TestRetryDecisionByOutcomeAndRouteKind(t *testing.T) {
 	const (
 		oneShot, stream, resumable = config.OneShot, config.Stream, config.Resumable
-		retried                    = errs.Kind("") // another attempt, at the other server
+		retried                    = errs.Kind("") // another attempt, on the other server
 	)
 	everyKind := []string{oneShot, stream, resumable}
 	for name, c := range map[string]struct {
@@ -100,7 +101,7 @@
 				b := newLiveHarness(t, kind)
 				first, ok := b.decision().(Attempt)
 				if !ok {
-					t.Fatal("the request is not attempted")
+					t.Fatal("no attempt was started")
 				}
 				result := c.result
 				result.RequestID = "o"
@@ -108,24 +109,24 @@
 				got := b.decision()
 				if c.want != retried {
 					if got != c.want || b.InFlight() != 0 {
-						t.Errorf("%+v follows, not %s; %d in flight", got, c.want, b.InFlight())
+						t.Errorf("the decision is %+v, want %s; %d requests in flight, want 0", got, c.want, b.InFlight())
 					}
 					return
 				}
 				second, ok := got.(Attempt)
 				if !ok || second.Request.PartialOutput != c.result.Output || second.Deadline != first.Deadline {
-					t.Fatalf("%+v follows", got)
+					t.Fatalf("the decision is %+v, want an attempt with the same deadline and the output so far", got)
 				}
 				excluded := c.result.Outcome == modelclient.NotStarted
 				if excluded && second.Request.Address == first.Request.Address {
-					t.Errorf("both attempts are on %s", first.Request.Address)
+					t.Errorf("both attempts use %s, which did not start the request", first.Request.Address)
 				}
 			})
 		}
 	}
 }
 
-// A complete output is the caller's response, whatever the kind of the route.
+// The output of a complete attempt is the caller's response, for routes of every kind.
 func TestCompleteAttemptBecomesResponse(t *testing.T) {
 	for _, kind := range []string{config.OneShot, config.Stream, config.Resumable} {
 		b := newLiveHarness(t, kind)
@@ -133,12 +134,12 @@
 		b.Call(2, AttemptResult{RequestID: "o", Outcome: modelclient.Complete, Output: "y"}, b.now)
 		want := Response{RequestID: "o", Status: responseStatusOK, Output: "y", Server: attempt.Request.Address[:2]}
 		if got := b.decision(); got != want || b.InFlight() != 0 {
-			t.Errorf("%s: %+v, not %+v; %d in flight", kind, got, want, b.InFlight())
+			t.Errorf("%s: the decision is %+v, want %+v; %d requests in flight, want 0", kind, got, want, b.InFlight())
 		}
 	}
 }
 
-// Once an attempt may have run, running out of attempts leaves the outcome unknown; before, the
+// When the attempts are used up, the outcome is unknown if one of them may have run; otherwise the
 // request is rejected.
 func TestErrorAfterLastAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -156,23 +157,23 @@
 			b.decision()
 			b.Call(3, AttemptResult{RequestID: "o", Outcome: modelclient.NotStarted}, b.now)
 			if got := b.decision(); got != c.want {
-				t.Errorf("%+v, not %s", got, c.want)
+				t.Errorf("the decision is %+v, want %s", got, c.want)
 			}
 		})
 	}
 }
 
-// A queued request whose caller disconnects is rejected; one on a server goes on until its
-// result.
+// A request whose caller disconnects while it is on a server continues until that attempt's result
+// and is then rejected instead of retried.
 func TestDisconnectedRequestIsNotRetried(t *testing.T) {
 	b := newLiveHarness(t, config.OneShot)
 	b.decision()
 	b.Call(2, CallerDisconnected{RequestID: "o"}, b.now)
 	if got := b.decision(); got != nil || b.InFlight() != 1 {
-		t.Fatalf("on a server: %+v, %d in flight", got, b.InFlight())
+		t.Fatalf("disconnected while on a server: reply %+v, %d requests in flight, want 1", got, b.InFlight())
 	}
 	b.Call(3, AttemptResult{RequestID: "o", Outcome: modelclient.NotStarted}, b.now)
 	if got := b.decision(); got != errs.Rejected {
-		t.Fatalf("an attempt after the caller disconnected: %+v", got)
+		t.Fatalf("after the caller disconnected, the decision is %+v, want a rejection", got)
 	}
 }
--- a/internal/dataplane/requests/authorization.go
+++ b/internal/dataplane/requests/authorization.go
@@ -7,14 +7,14 @@
 	"tuliprudder/internal/errs"
 )
 
-// caller is an authenticated caller, with the configuration that says what it may do.
+// caller is an authenticated caller, with the configuration that determines its permissions.
 type caller struct {
 	configuration *config.Configuration
 	tenant        *config.Tenant
 	class         *config.PriorityClass
 }
 
-// currentConfiguration is the configuration in force; errs.NotReady before the first one.
+// currentConfiguration returns the current configuration, or errs.NotReady before the first one arrives.
 func (m *Machine) currentConfiguration() (*config.Configuration, error) {
 	configuration := m.scheduler.Configuration()
 	if configuration == nil {
@@ -23,7 +23,7 @@
 	return configuration, nil
 }
 
-// authenticate finds the tenant that an API key belongs to.
+// authenticate returns the caller whose tenant an API key belongs to.
 func (m *Machine) authenticate(apiKey string) (caller, error) {
 	configuration, err := m.currentConfiguration()
 	if err != nil {
@@ -34,30 +34,31 @@
 	}
 	tenant := configuration.TenantByKey(apiKey)
 	if tenant == nil {
-		return caller{}, errs.New(errs.Unauthorised, "check the key, or have the operators add the tenant to the configuration", "no tenant has this API key")
+		return caller{}, errs.New(errs.Unauthorised, "check the key, or ask the operators to add the tenant to the configuration", "no tenant has this API key")
 	}
 	class := configuration.ClassOfTenant(tenant.Name)
 	if class == nil {
-		return caller{}, errs.New(errs.Unauthorised, "have the operators give the tenant a priority class", "the tenant has no priority class, so only forwarding routes are open to it")
+		return caller{}, errs.New(errs.Unauthorised, "ask the operators to assign the tenant a priority class", "the tenant has no priority class, so it may use forwarding routes only")
 	}
 	return caller{configuration: configuration, tenant: tenant, class: class}, nil
 }
 
-// authorizeRoute finds a route and checks that the caller's priority class may use it, for a
+// authorizeRoute returns a route after checking that the caller's priority class may use it for a
 // batch or for a live request.
 func (c caller) authorizeRoute(name string, batch bool) (*config.Route, error) {
 	route, ok := c.configuration.Route(name)
 	if !ok || route.Forward != nil || !route.Classes.Matches(c.class.Labels) {
-		return nil, errs.New(errs.UnknownRoute, "name a route that the configuration opens to the tenant's priority class", "no route %q for this tenant", name)
+		return nil, errs.New(errs.UnknownRoute, "use a route that the configuration allows for the tenant's priority class", "no route %q for this tenant", name)
 	}
 	if batch != (route.Kind == config.Batch) {
-		return nil, errs.New(errs.BadInput, "send batches to /bundles of routes of kind bundle, live requests to /orders of the others", "route %q is of kind %s", name, route.Kind)
+		return nil, errs.New(errs.BadInput, "send batches to /bundles on routes of kind bundle, and live requests to /orders on other routes", "route %q is of kind %s", name, route.Kind)
 	}
 	return route, nil
 }
 
-// batchAccess says which batches of opaque requests a caller may use: its tenant's ("" for none) and
-// those of no tenant. Where callers aren't known by keys, it may use all whose ID it knows.
+// batchAccess returns which batches of opaque requests a caller may use: those of its tenant ("" for
+// none) and those without a tenant. Where callers are not identified by keys, a caller may use every
+// batch whose ID it knows.
 func batchAccess(configuration *config.Configuration, tenant string) batchstore.Access {
 	if configuration.BatchAuthentication() == config.AuthenticationNone {
 		return batchstore.Access{AnyTenant: true}
@@ -65,8 +66,8 @@
 	return batchstore.Access{Tenant: tenant, WithoutTenant: true}
 }
 
-// authorizeBatchCall is the batchAccess of a caller by the key that it sends, and by the configuration
-// in force.
+// authorizeBatchCall returns the batchAccess of the caller with the given key under the current
+// configuration.
 func (m *Machine) authorizeBatchCall(apiKey string) (batchstore.Access, error) {
 	configuration, err := m.currentConfiguration()
 	if err != nil {
@@ -79,6 +80,6 @@
 	return batchAccess(configuration, tenant), nil
 }
 
-// maxIdempotencyKeyBytes bounds a caller's idempotency key, and the ID that a caller gives to a
-// batch of opaque requests.
+// maxIdempotencyKeyBytes is the maximum length of an idempotency key, and of the ID that a caller
+// assigns to a batch of opaque requests.
 const maxIdempotencyKeyBytes = 256
--- a/internal/dataplane/requests/batch_tenants_test.go
+++ b/internal/dataplane/requests/batch_tenants_test.go
@@ -11,8 +11,8 @@
 	"tuliprudder/internal/errs"
 )
 
-// useTenants puts a configuration in force whose route "r" for batches has an authentication, beside a live
-// one that requires a key; the tenant t has the keys k1 and k2, u has k3.
+// useTenants applies a configuration with a batch route "r" that uses the given authentication and a live
+// route that requires a key. Tenant t has the keys k1 and k2, tenant u has k3.
 func (b *harness) useTenants(version uint64, authentication string) {
 	configuration := &config.Configuration{Version: version,
 		Tenants: []config.Tenant{
@@ -27,7 +27,7 @@
 	b.scheduler.SetConfiguration(configuration, b.now)
 }
 
-// batchCalls are all calls on a batch of opaque requests, with a key.
+// batchCalls returns one call of each kind on a batch of opaque requests, with the given key.
 func batchCalls(key string) []any {
 	return []any{
 		SubmitForwardedBatchRequest{APIKey: key, Route: "r", ID: "one", Items: forwardedItems("x")},
@@ -38,7 +38,7 @@
 	}
 }
 
-// accessOf is by what right a request to a store finds a batch.
+// accessOf returns the access rights with which a request to a store looks up a batch.
 func accessOf(t *testing.T, body any) batchstore.Access {
 	t.Helper()
 	switch request := body.(type) {
@@ -53,11 +53,12 @@
 	case batchstore.ItemBodyRequest:
 		return request.By
 	}
-	t.Fatalf("a store is asked %T", body)
+	t.Fatalf("unexpected request to a store: %T", body)
 	return batchstore.Access{}
 }
 
-// Calls on batches went without a key, and found a batch by its ID alone. (Issue 40.)
+// Guards against calls that reach a batch without a key: batches used to be found by their ID alone
+// (issue 40).
 func TestBatchCallsAreAuthorizedByAPIKey(t *testing.T) {
 	withoutTenant := batchstore.Access{WithoutTenant: true}
 	ofT, ofU := batchstore.Access{Tenant: "t", WithoutTenant: true}, batchstore.Access{Tenant: "u", WithoutTenant: true}
@@ -85,7 +86,8 @@
 	}
 }
 
-// Without a configuration nobody can tell whose a key is.
+// Without a configuration, a key can't be assigned to a tenant, so all calls on batches are rejected
+// as not ready.
 func TestBatchCallsWithoutConfigurationAreNotReady(t *testing.T) {
 	for _, call := range append(batchCalls("k1"), ResubmitForwardedBatchRequest{APIKey: "k1", ID: "one", Items: forwardedItems("x")}) {
 		b := newHarness(t)
@@ -94,7 +96,7 @@
 	}
 }
 
-// A batch belongs to the tenant whose key it came with, and to none without one.
+// A batch belongs to the tenant whose key it was submitted with, and to no tenant without a key.
 func TestBatchBelongsToTenantOfAPIKey(t *testing.T) {
 	for key, want := range map[string]string{"k1": "t", "k2": "t", "k3": "u", "": ""} {
 		b := newHarness(t)
@@ -106,7 +108,7 @@
 	}
 }
 
-// A key that was removed is refused from the next call on, and another one of the tenant finds its batches.
+// A removed key is rejected from the next call on; another key of the same tenant still finds its batches.
 func TestRemovedAPIKeyIsRejected(t *testing.T) {
 	b := newHarness(t)
 	b.useTenants(4, config.AuthenticationRequired)
@@ -121,12 +123,12 @@
 	again, _ := b.submit(SubmitForwardedBatchRequest{APIKey: "k2", Route: "r", ID: "one", Items: forwardedItems("x")})
 	first, second := before.Body.(batchstore.SubmitRequest), again.Body.(batchstore.SubmitRequest)
 	if first.By != second.By || first.Batch.Hash != second.Batch.Hash || second.Batch.Tenant != "t" {
-		t.Errorf("first %+v, again %+v", first, second)
+		t.Errorf("first submission %+v, repeated submission %+v", first, second)
 	}
 }
 
-// A batch that comes again without a route is its tenant's alone; with no known key there is no route, and
-// nothing else is said.
+// A resubmitted batch whose route was removed is accessible to its own tenant only. Without a valid key the
+// error is that the route is unknown, which reveals nothing about the batch.
 func TestResubmittedBatchIsLimitedToItsTenant(t *testing.T) {
 	b := newHarness(t)
 	b.useTenants(4, config.AuthenticationRequired)
@@ -136,7 +138,7 @@
 	}
 	query, _ := b.submit(ResubmitForwardedBatchRequest{APIKey: "k1", ID: "one", Items: items})
 	if by := accessOf(t, query.Body); by != (batchstore.Access{Tenant: "t", WithoutTenant: true}) {
-		t.Errorf("asked by %+v", by)
+		t.Errorf("status requested with access %+v", by)
 	}
 	b.machineCalls.ReplyReceived(query.Token, batchstore.BatchStatus{Batch: "one", Route: "gone"}, nil, b.now+clock.Millisecond)
 	again, _ := b.effects()
@@ -145,7 +147,7 @@
 	}
 }
 
-// Keys mean nothing on a route for batches without authentication, also beside others that have one.
+// A batch route without authentication ignores keys, even if other routes require them.
 func TestAPIKeyIgnoredOnRouteWithoutAuthentication(t *testing.T) {
 	b := newHarness(t)
 	b.useTenants(4, config.AuthenticationNone)
--- a/internal/dataplane/requests/batches.go
+++ b/internal/dataplane/requests/batches.go
@@ -10,8 +10,8 @@
 	"tuliprudder/internal/machine"
 )
 
-// submitBatch submits a tenant's batch; the store acknowledges it once all of it is durable on
-// two disks.
+// submitBatch submits a tenant's batch. The store acknowledges it once all of it is durable on two
+// disks.
 func (m *Machine) submitBatch(call uint64, request SubmitBatchRequest, now clock.Micros) {
 	batch, err := m.newBatch(request)
 	if err != nil {
@@ -21,7 +21,7 @@
 	m.submit(call, batch, batchstore.Access{Tenant: batch.Tenant}, 0, now)
 }
 
-// newBatch checks a tenant's batch and names it by its idempotency key.
+// newBatch validates a tenant's batch and derives its ID from its idempotency key.
 func (m *Machine) newBatch(request SubmitBatchRequest) (shard.Batch, error) {
 	c, err := m.authenticate(request.APIKey)
 	if err != nil {
@@ -38,7 +38,7 @@
 		return shard.Batch{}, err
 	}
 	if int64(len(request.Items)) > c.class.Quota {
-		return shard.Batch{}, errs.New(errs.OverQuota, "send a smaller batch, or have the quota raised", "%d items are more than the complete quota of %d", len(request.Items), c.class.Quota)
+		return shard.Batch{}, errs.New(errs.OverQuota, "send a smaller batch, or ask the operators to raise the quota", "%d items exceed the total quota of %d", len(request.Items), c.class.Quota)
 	}
 	return shard.Batch{
 		ID:                   shard.BatchID(c.tenant.Name, request.IdempotencyKey),
@@ -51,7 +51,7 @@
 	}, nil
 }
 
-// submitForwardedBatch submits a batch of opaque requests, as submitBatch does one of inputs.
+// submitForwardedBatch submits a batch of opaque requests; submitBatch is for batches of inputs.
 func (m *Machine) submitForwardedBatch(call uint64, request SubmitForwardedBatchRequest, now clock.Micros) {
 	batch, access, err := m.newForwardedBatch(request)
 	if err != nil {
@@ -61,7 +61,7 @@
 	m.submit(call, batch, access, request.Deadline, now)
 }
 
-// newForwardedBatch checks a batch of opaque requests, first its route and then its caller's key.
+// newForwardedBatch validates a batch of opaque requests. It checks the route before the caller's key.
 func (m *Machine) newForwardedBatch(request SubmitForwardedBatchRequest) (batch shard.Batch, access batchstore.Access, err error) {
 	configuration, err := m.currentConfiguration()
 	if err != nil {
@@ -69,7 +69,7 @@
 	}
 	route, _ := configuration.Route(request.Route)
 	if route == nil || route.Forward == nil || route.Kind != config.Batch {
-		return batch, access, errs.New(errs.UnknownRoute, "name a route of the configuration in force that forwards batches", "the configuration forwards no batches by a route %q", request.Route)
+		return batch, access, errs.New(errs.UnknownRoute, "use a route of the current configuration that forwards batches", "the configuration has no route %q that forwards batches", request.Route)
 	}
 	tenant, err := configuration.Authenticate(route.Forward, request.APIKey)
 	if err != nil {
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// hashItems is the hash by which a store tells a repeated batch from another one with the same
-// ID. It is stored: what goes into it never changes.
+// hashItems returns the hash by which a store distinguishes a repeated batch from a different one with
+// the same ID. The hash is stored, so its inputs must not change.
 func hashItems(route string, items []shard.Item) string {
 	parts := []string{route}
 	for _, item := range items {
@@ -106,7 +106,7 @@
 	return shard.Hash(parts...)
 }
 
-// submit has a batch accepted by the deadline; 0: the usual time.
+// submit sends a batch to its store for acceptance by the deadline; 0 means the default timeout.
 func (m *Machine) submit(call uint64, batch shard.Batch, access batchstore.Access, deadline, now clock.Micros) {
 	m.commit(&commitCall{
 		id: batch.ID,
@@ -118,7 +118,7 @@
 	}, now)
 }
 
-// batchStatus reads the status of a tenant's batch, or cancels it.
+// batchStatus reads the status of a tenant's batch or cancels the batch.
 func (m *Machine) batchStatus(call uint64, request BatchStatusRequest, now clock.Micros) {
 	c, err := m.authenticate(request.APIKey)
 	if err != nil {
@@ -133,7 +133,7 @@
 	m.readStatus(request.Batch, access, now, m.relayReply(call))
 }
 
-// forwardedBatchStatus reads the status of a batch of opaque requests, or cancels it.
+// forwardedBatchStatus reads the status of a batch of opaque requests or cancels the batch.
 func (m *Machine) forwardedBatchStatus(call uint64, request ForwardedBatchStatusRequest, now clock.Micros) {
 	access, err := m.authorizeBatchCall(request.APIKey)
 	if err != nil {
@@ -147,7 +147,7 @@
 	m.readStatus(request.Batch, access, now, m.relayStatus(call))
 }
 
-// cancelBatch ends a batch by the deadline; 0: the usual time.
+// cancelBatch ends a batch by the deadline; 0 means the default timeout.
 func (m *Machine) cancelBatch(call uint64, batch string, access batchstore.Access, deadline, now clock.Micros) {
 	m.commit(&commitCall{
 		id: batch,
@@ -166,7 +166,7 @@
 	m.callStore(batch, newRequest, statusTimeout, now, callback)
 }
 
-// readPage reads results of one batch of a tenant, or of all.
+// readPage reads results of one batch of a tenant, or of all its batches.
 func (m *Machine) readPage(call uint64, request PageRequest, now clock.Micros) {
 	c, err := m.authenticate(request.APIKey)
 	if err != nil {
@@ -176,8 +176,8 @@
 	m.read(call, request.Read, batchstore.Access{Tenant: c.tenant.Name}, now)
 }
 
-// readForwardedPage reads results of one batch of opaque requests: without a tenant there is no
-// feed over many.
+// readForwardedPage reads results of one batch of opaque requests. A feed over several batches is only
+// available per tenant, so the batch's ID is required.
 func (m *Machine) readForwardedPage(call uint64, request ForwardedPageRequest, now clock.Micros) {
 	if err := checkBatchID(request.Read.BatchID); err != nil {
 		m.replyError(call, err)
@@ -200,7 +200,7 @@
 	m.reader.Start(request, now, func(page reader.Page, err error, _ clock.Micros) { m.relay(call, page, err) })
 }
 
-// readItemBody reads the body of an item without a result, in a batch of opaque requests.
+// readItemBody reads the body of an item that has no result yet, in a batch of opaque requests.
 func (m *Machine) readItemBody(call uint64, request ItemBodyRequest, now clock.Micros) {
 	access, err := m.authorizeBatchCall(request.APIKey)
 	if err != nil {
--- a/internal/dataplane/requests/batches_test.go
+++ b/internal/dataplane/requests/batches_test.go
@@ -11,8 +11,8 @@
 	"tuliprudder/internal/errs"
 )
 
-// A batch of opaque requests is submitted under its own ID for its route, and another body under
-// the same ID has another hash.
+// A batch of opaque requests is submitted under its own ID for its route, and a different body under
+// the same ID has a different hash.
 func TestForwardedBatchIsSubmittedForItsRoute(t *testing.T) {
 	b := newHarness(t)
 	hashes := map[string]bool{}
@@ -32,7 +32,7 @@
 		}
 	}
 	if len(hashes) != 2 {
-		t.Fatalf("%d hashes of two batches", len(hashes))
+		t.Fatalf("two different batches have %d hashes, want 2", len(hashes))
 	}
 	b.expectRejected(errs.UnknownRoute, SubmitForwardedBatchRequest{Route: "none", ID: "mine", Items: forwardedItems("x")})
 	b.expectRejected(errs.UnknownRoute, SubmitForwardedBatchRequest{Route: "chat", ID: "mine", Items: forwardedItems("x")})
@@ -41,7 +41,8 @@
 	b.expectRejected(errs.BadInput, SubmitForwardedBatchRequest{Route: "r", ID: "mine", Items: []shard.Item{{Input: "x"}}})
 }
 
-// A caller with an API key can't forward opaque requests: neither by a route nor by an item.
+// A tenant's batch or live request, sent with an API key, can't forward opaque requests, neither by
+// its route nor by an item.
 func TestTenantCallersCannotForwardRequests(t *testing.T) {
 	b := newHarness(t)
 	b.expectRejected(errs.UnknownRoute, SubmitBatchRequest{APIKey: "k", Route: "r", IdempotencyKey: "1", Items: []shard.Item{{Input: "x"}}})
@@ -52,12 +53,12 @@
 	}
 	request, _ := b.submit(PageRequest{APIKey: "k", Read: reader.Request{BatchID: "one", By: batchstore.Access{AnyTenant: true}}})
 	if read := request.Body.(batchstore.ReadRequest); read.By != (batchstore.Access{Tenant: "c"}) {
-		t.Fatalf("a caller with a key reads as %+v", read)
+		t.Fatalf("read with access %+v, want that of tenant c", read)
 	}
 }
 
-// Without an API key a batch's status, its cancellation, its results and its items' bodies are
-// requested by its ID. A read that no store answers says nothing about the batch.
+// Without an API key, a batch's status, cancellation, results and item bodies are requested by its ID.
+// If no store answers a read, the error is errs.NotReady, which makes no statement about the batch.
 func TestForwardedBatchIsAddressedByID(t *testing.T) {
 	b := newHarness(t)
 	timeoutErr := errs.New(errs.OutcomeUnknown, "ask again", "no answer in time")
@@ -89,7 +90,7 @@
 			if request == nil || !test.matches(request.Body) {
 				t.Fatalf("%T: requested %+v, replied %+v", test.body, request, response)
 			}
-			for request != nil { // what changes a batch is sent again after a time-out
+			for request != nil { // a request that changes a batch is sent again after a timeout
 				b.machineCalls.ReplyReceived(request.Token, nil, err, b.now)
 				request, response = b.effects()
 			}
@@ -98,7 +99,7 @@
 				wanted = errs.NotFound
 			}
 			if response == nil || !errs.Is(response.Err, wanted) {
-				t.Fatalf("%T: replied %+v, not %s", test.body, response, wanted)
+				t.Fatalf("%T: replied %+v, want %s", test.body, response, wanted)
 			}
 		}
 	}
@@ -106,8 +107,8 @@
 	b.expectRejected(errs.BadInput, ForwardedPageRequest{Read: reader.Request{BatchID: "one", ByIndex: true, FromIndex: -1}})
 }
 
-// While no configuration is known, a batch is neither accepted nor denied: its caller is told to come
-// back. (A 404 would deny it.)
+// While no configuration is known, the caller of a batch is told to retry. The batch must not be
+// reported as unknown (status 404).
 func TestMissingConfigurationIsNotReadyRatherThanUnknownRoute(t *testing.T) {
 	b := newHarness(t)
 	b.Machine = New(Defaults(), b.machineCalls, scheduler.New(scheduler.Defaults(), 1), nil, reader.New(b.machineCalls), decisionlog.New(1))
--- a/internal/dataplane/requests/claims.go
+++ b/internal/dataplane/requests/claims.go
@@ -9,8 +9,8 @@
 	"tuliprudder/internal/errs"
 )
 
-// claimIdempotencyKey claims the key of a one-shot request before its first attempt: a
-// repeated key gets the first request's response.
+// claimIdempotencyKey claims the key of a one-shot request before its first attempt, so that
+// requests repeating the key get the first request's response.
 func (m *Machine) claimIdempotencyKey(r *activeRequest, now clock.Micros) {
 	claim := shard.Claim{
 		Tenant:    r.tenant.Name,
@@ -38,11 +38,11 @@
 	m.callStore(shard.ClaimID(claim.Tenant, claim.Key), newRequest, m.commitCallTimeout(), now, callback)
 }
 
-// replayResponse finishes a request whose key an earlier request has claimed, with that
-// request's response if there is one.
+// replayResponse finishes a request whose key was claimed by an earlier request. It replies with
+// that request's response if there is one.
 func (m *Machine) replayResponse(r *activeRequest, first shard.Claim, now clock.Micros) {
 	if first.State != shard.Answered {
-		m.finishWithError(r, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "retry with the same key for the first request's response", "the key's first request (%s) is in flight, or was interrupted", first.RequestID), now)
+		m.finishWithError(r, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "retry with the same key to get the first request's response", "the key's first request (%s) is in flight, or was interrupted", first.RequestID), now)
 		return
 	}
 	var response Response
@@ -54,11 +54,11 @@
 	m.finishWithResponse(r, response, now)
 }
 
-// completeClaim stores how a request with a claimed key ended, for requests that repeat the
-// key; response is nil for one that did not run.
+// completeClaim stores the outcome of a request with a claimed key, for requests that repeat the
+// key. response is nil if the request did not run.
 func (m *Machine) completeClaim(r *activeRequest, state string, response *Response, now clock.Micros, callback func(error, clock.Micros)) {
 	id := shard.ClaimID(r.tenant.Name, r.IdempotencyKey)
-	data, _ := json.Marshal(response) // a struct of texts: it can't fail
+	data, _ := json.Marshal(response) // can't fail for a struct of strings
 	newRequest := func(shardIndex int) any {
 		return batchstore.CompleteClaimRequest{Shard: shardIndex, ID: id, State: state, Response: data, Timeout: m.settings.CommitTimeout}
 	}
--- a/internal/dataplane/requests/commit_calls.go
+++ b/internal/dataplane/requests/commit_calls.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// commitAttemptTimeout is how long one store may take for an idempotent request that it has to
-	// commit, before the request goes to the owner of the shard anew, who may be another store by then.
+	// commitAttemptTimeout is the time allowed for one store to commit an idempotent request. After it
+	// the request is sent again to the shard's owner, which may be another store by then.
 	commitAttemptTimeout = clock.Second
-	// maxCommitAttempts bounds how often that happens.
+	// maxCommitAttempts is the maximum number of attempts, including the first.
 	maxCommitAttempts = 4
 )
 
 // commitCall is an idempotent request that a store has to commit: the submission or the end of a
-// batch. Where its caller has a deadline, it is sent again until then as long as its outcome is
-// unknown. Otherwise it is sent once: callers with an API key are told whether the shard had the batch
-// already, and after a second attempt nobody can tell.
+// batch. If it has a deadline, it is sent again until then as long as its outcome is unknown.
+// Otherwise it is sent once, because the response to callers with an API key states whether the shard
+// already had the batch, which can't be determined after a second attempt.
 type commitCall struct {
 	id         string // of the batch
 	newRequest func(shardIndex int, timeout clock.Micros) any
@@ -25,13 +25,13 @@
 	callback   machine.Callback
 
 	attempts, maxAttempts int
-	// mayBeCommitted: an attempt may have been committed. From then on no rejection is passed on, as
-	// it would assure the caller of the opposite.
+	// mayBeCommitted is set once an attempt may have been committed. Rejections are then no longer
+	// passed on, as they would tell the caller that nothing was committed.
 	mayBeCommitted bool
 }
 
-// commit sends a request to the owner of its batch's shard; the callback is called once, at the
-// deadline at the latest, and never later than the usual time from now; a deadline of 0 is that.
+// commit sends a request to the owner of its batch's shard. The callback is called once, no later than
+// the deadline and no later than commitCallTimeout from now; a deadline of 0 means the latter.
 func (m *Machine) commit(c *commitCall, now clock.Micros) {
 	latest := now + m.commitCallTimeout()
 	c.maxAttempts = maxCommitAttempts
@@ -44,7 +44,7 @@
 	m.sendCommit(c, now)
 }
 
-// sendCommit makes an attempt.
+// sendCommit makes one attempt and repeats it while the outcome is unknown.
 func (m *Machine) sendCommit(c *commitCall, now clock.Micros) {
 	remaining := c.deadline - now
 	if remaining <= 0 {
@@ -68,14 +68,14 @@
 	})
 }
 
-// storeTimeout is after how much of a call's time the store answers that the outcome is unknown: its
-// answer has to get here.
+// storeTimeout returns the time after which the store replies that the outcome is unknown. It is
+// shorter than the call's timeout, so that the reply arrives in time.
 func storeTimeout(callTimeout clock.Micros) clock.Micros { return callTimeout * 3 / 4 }
 
-// finish passes the outcome on.
+// finish passes the outcome to the callback.
 func (c *commitCall) finish(body any, err error, now clock.Micros) {
 	if err != nil && c.mayBeCommitted && !errs.Is(err, errs.OutcomeUnknown) {
-		err = errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "send it again as it was", "a store may have accepted it, and another one rejected it: %v", err)
+		err = errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "send the request again unchanged", "one store may have accepted the request, but another rejected it: %v", err)
 	}
 	c.callback(body, err, now)
 }
--- a/internal/dataplane/requests/commit_calls_test.go
+++ b/internal/dataplane/requests/commit_calls_test.go
@@ -9,7 +9,7 @@
 	"tuliprudder/internal/machine"
 )
 
-// commitRequests are a submission and an end of a batch with a deadline.
+// commitRequests returns a submission and a cancellation of a batch with the given deadline.
 func commitRequests(deadline clock.Micros) map[string]any {
 	return map[string]any{
 		"submission": SubmitForwardedBatchRequest{Route: "r", ID: "mine", Items: forwardedItems("x"), Deadline: deadline},
@@ -17,15 +17,15 @@
 	}
 }
 
-// timeOut lets a request's time pass without a response, and returns what follows.
+// timeOut lets a request time out and returns the resulting request or reply.
 func (b *harness) timeOut(request *machine.Request) (*machine.Request, *machine.Reply) {
 	b.now += request.Timeout
 	b.machineCalls.ReplyReceived(request.Token, nil, errs.New(errs.OutcomeUnknown, "", "no answer in time"), b.now)
 	return b.effects()
 }
 
-// Where stores never answer, the caller has its answer at its deadline, or after the usual time; until then
-// the request goes to the shard's owner again, who may have changed.
+// If stores never answer, the caller gets its answer at its deadline or after the default timeout, whichever
+// is earlier. Until then the request is sent again to the shard's owner, which may have changed.
 func TestCommitEndsAtDeadline(t *testing.T) {
 	for _, span := range []clock.Micros{300 * clock.Millisecond, 1500 * clock.Millisecond, 4 * clock.Second, 20 * clock.Second} {
 		b := newHarness(t)
@@ -36,19 +36,19 @@
 			for request != nil {
 				sent++
 				if request.Timeout <= 0 || b.now+request.Timeout > deadline {
-					t.Fatalf("%s, %d: attempt %d may take %d", name, span, sent, request.Timeout)
+					t.Fatalf("%s with deadline in %d us: attempt %d has a timeout of %d us", name, span, sent, request.Timeout)
 				}
 				request, response = b.timeOut(request)
 			}
 			if response == nil || !errs.Is(response.Err, errs.OutcomeUnknown) || b.now != deadline || sent > maxCommitAttempts {
-				t.Errorf("%s, %d: after %d attempts, %d before the deadline: %+v", name, span, sent, deadline-b.now, response)
+				t.Errorf("%s with deadline in %d us: after %d attempts, %d us before the deadline, replied %+v", name, span, sent, deadline-b.now, response)
 			}
-			b.now = deadline - min(span, b.commitCallTimeout()) // the other request has the same time
+			b.now = deadline - min(span, b.commitCallTimeout()) // the other request starts at the same time
 		}
 	}
 }
 
-// A store gives up before the edge does: its answer says more than a time-out.
+// A store times out before the edge does, because its answer is more informative than a timeout.
 func TestStoreTimesOutBeforeEdge(t *testing.T) {
 	b := newHarness(t)
 	for name, body := range commitRequests(b.now + 2*clock.Second) {
@@ -61,13 +61,13 @@
 			timeout = r.Timeout
 		}
 		if timeout <= 0 || timeout >= request.Timeout {
-			t.Errorf("%s: the store has %d, the edge waits for %d", name, timeout, request.Timeout)
+			t.Errorf("%s: the store's timeout is %d us, not below the edge's of %d us", name, timeout, request.Timeout)
 		}
 	}
 }
 
-// Once an attempt may have been committed, a rejection by another store is no assurance any more; an
-// acknowledgement is.
+// Once an attempt may have been committed, a rejection by another store no longer proves that nothing was
+// committed, so the outcome stays unknown. An acknowledgement is still conclusive.
 func TestRejectionAfterUnknownOutcomeStaysUnknown(t *testing.T) {
 	for _, kind := range []errs.Kind{errs.NotReady, errs.OverQuota, errs.UnknownRoute, errs.NotFound, errs.Busy} {
 		for name, body := range commitRequests(5 * clock.Second) {
@@ -75,22 +75,22 @@
 			first, _ := b.submit(body)
 			second, _ := b.timeOut(first)
 			if second == nil {
-				t.Fatalf("%s is not sent again", name)
+				t.Fatalf("%s is not sent again after a timeout", name)
 			}
 			b.machineCalls.ReplyReceived(second.Token, nil, errs.New(kind, "", "rejected"), b.now)
 			if _, response := b.effects(); response == nil || !errs.Is(response.Err, errs.OutcomeUnknown) {
-				t.Errorf("%s, %s: replied %+v", name, kind, response)
+				t.Errorf("%s, %s after an unknown outcome: replied %+v", name, kind, response)
 			}
 			first, _ = b.submit(body)
 			b.machineCalls.ReplyReceived(first.Token, nil, errs.New(kind, "", "rejected"), b.now)
 			if _, response := b.effects(); response == nil || !errs.Is(response.Err, kind) {
-				t.Errorf("%s, %s at once: replied %+v", name, kind, response)
+				t.Errorf("%s, %s to the first attempt: replied %+v", name, kind, response)
 			}
 			first, _ = b.submit(body)
 			second, _ = b.timeOut(first)
 			b.machineCalls.ReplyReceived(second.Token, batchstore.SubmitResponse{Batch: "mine"}, nil, b.now)
 			if _, response := b.effects(); response == nil || response.Err != nil {
-				t.Errorf("%s, acknowledged: replied %+v", name, response)
+				t.Errorf("%s, acknowledged after an unknown outcome: replied %+v", name, response)
 			}
 		}
 	}
--- a/internal/dataplane/requests/harness_test.go
+++ b/internal/dataplane/requests/harness_test.go
@@ -18,7 +18,7 @@
 	"tuliprudder/internal/replication"
 )
 
-// harness is a Machine with one shard, whose store is the test.
+// harness is a Machine with one shard, for which the test acts as the store.
 type harness struct {
 	*Machine
 	t            *testing.T
@@ -42,14 +42,14 @@
 	return b
 }
 
-// anyTenant is the access of callers that aren't known by keys.
+// anyTenant is the access of callers that are not identified by keys.
 var anyTenant = batchstore.Access{AnyTenant: true}
 
-// submit passes a message to the machine; it returns the request to the store, or the reply.
+// submit passes a message to the machine and returns the request to the store or the reply.
 func (b *harness) submit(body any) (*machine.Request, *machine.Reply) {
 	b.t.Helper()
 	if !b.Call(1, body, b.now) {
-		b.t.Fatalf("%T is not handled", body)
+		b.t.Fatalf("message %T is not handled", body)
 	}
 	return b.effects()
 }
@@ -69,7 +69,7 @@
 func (b *harness) expectRejected(kind errs.Kind, body any) {
 	b.t.Helper()
 	if request, response := b.submit(body); request != nil || response == nil || !errs.Is(response.Err, kind) {
-		b.t.Fatalf("%T: requested %+v, replied %+v, not %s", body, request, response, kind)
+		b.t.Fatalf("%T: requested %+v, replied %+v, want only error %s", body, request, response, kind)
 	}
 }
 
--- a/internal/dataplane/requests/live.go
+++ b/internal/dataplane/requests/live.go
@@ -19,16 +19,16 @@
 	configurationVersion uint64
 	receivedAt           clock.Micros
 	deadline             clock.Micros
-	call                 uint64 // the call that the next decision answers
+	call                 uint64 // the call that the next reply answers
 	schedulerRequest     *scheduler.Request
 	assignment           *scheduler.Assignment // the server of the current attempt; nil between attempts
 	releaseQuota         quota.Release
 	avoidedServers       map[string]int
 	attempts             int
-	mayHaveRun           bool // an attempt may have run, at least in part
-	disconnected         bool // the caller has left
+	mayHaveRun           bool // an attempt may have run, at least partially
+	disconnected         bool // the caller has disconnected
 	keyClaimed           bool
-	partialOutput        string // of all attempts so far
+	partialOutput        string // output of all attempts so far
 }
 
 // admitRequest validates a live request, reserves its quota, claims its idempotency key and
@@ -56,7 +56,7 @@
 	})
 }
 
-// validate authorizes a live request, checks its input, and fills in what the route says.
+// validate authorizes a live request, checks its input, and sets the fields that depend on the route.
 func (m *Machine) validate(r *activeRequest, now clock.Micros) error {
 	c, err := m.authenticate(r.APIKey)
 	if err != nil {
@@ -70,7 +70,7 @@
 		return err
 	}
 	if !m.scheduler.IsFresh(now) {
-		return errs.NewWithRetry(errs.NotReady, clock.Second, "use another daemon, or retry", "this daemon's updates are stale; it refreshes them first")
+		return errs.NewWithRetry(errs.NotReady, clock.Second, "use another daemon, or retry", "this daemon's state is stale; it must be refreshed first")
 	}
 	r.tenant = c.tenant
 	r.class = c.class
@@ -86,37 +86,37 @@
 	return nil
 }
 
-// validate checks the caller's input against the route's bounds.
+// validate checks the caller's input against the route's limits.
 func (request LiveRequest) validate(route *config.Route) error {
 	switch {
 	case request.Input == "":
 		return errs.New(errs.BadInput, "give the request an input", "input is empty")
 	case request.MaxTokens < 0 || request.MaxTokens > route.MaxTokens:
-		return errs.New(errs.BadInput, "leave max_tokens out, or keep to the route's bound", "max_tokens %d is not within 1 to %d", request.MaxTokens, route.MaxTokens)
+		return errs.New(errs.BadInput, "omit max_tokens, or stay within the route's limit", "max_tokens %d is not between 1 and %d", request.MaxTokens, route.MaxTokens)
 	case request.TimeoutUS < 0:
 		return errs.NewWithRetry(errs.DeadlineExceeded, clock.Second, "give a positive expiry_us, in microseconds from now", "the deadline passed before the request arrived")
 	case len(request.IdempotencyKey) > maxIdempotencyKeyBytes:
 		return errs.New(errs.BadInput, "use a key of at most 256 bytes", "the idempotency key is %d bytes long", len(request.IdempotencyKey))
 	case request.IdempotencyKey != "" && route.Kind != config.OneShot:
-		return errs.New(errs.BadInput, "leave the key out: only one-shot requests and batches take one", "route %q is of kind %s", route.Name, route.Kind)
+		return errs.New(errs.BadInput, "omit the idempotency key: only one-shot requests and batches accept one", "route %q is of kind %s", route.Name, route.Kind)
 	}
 	return nil
 }
 
-// finishWithResponse gives the caller of a request its response.
+// finishWithResponse finishes a request with a response to its caller.
 func (m *Machine) finishWithResponse(r *activeRequest, response Response, now clock.Micros) {
 	m.release(r, now)
 	m.replyDecision(r.call, response)
 }
 
-// finishWithError gives the caller of a request an error as its final answer.
+// finishWithError finishes a request with an error to its caller.
 func (m *Machine) finishWithError(r *activeRequest, err error, now clock.Micros) {
 	m.release(r, now)
 	m.decisions.RecordOutcome(r.ID, err.Error())
 	m.replyError(r.call, err)
 }
 
-// release ends what a request holds here.
+// release removes a request from those in flight and releases its quota.
 func (m *Machine) release(r *activeRequest, now clock.Micros) {
 	delete(m.inFlight, r.ID)
 	if r.releaseQuota != nil {
@@ -124,8 +124,8 @@
 	}
 }
 
-// rejectRequest fails a request that has not run and never will. A claimed key is voided
-// durably first; where that can't be confirmed, the outcome is unknown.
+// rejectRequest fails a request that has not run and never will. A claimed key is first durably
+// voided; if that can't be confirmed, the outcome is unknown.
 func (m *Machine) rejectRequest(r *activeRequest, cause error, now clock.Micros) {
 	if !r.keyClaimed {
 		m.finishWithError(r, cause, now)
@@ -139,18 +139,18 @@
 	})
 }
 
-// failRequest fails a request that no server completed. It is rejected only if no attempt of
-// it may have run.
+// failRequest fails a request that no server completed. The request is rejected only if none of its
+// attempts may have run; otherwise its outcome is unknown.
 func (m *Machine) failRequest(r *activeRequest, cause error, now clock.Micros) {
 	if r.mayHaveRun && !m.InjectedFaults.RejectAfterRun {
-		m.finishWithError(r, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "send the request again; this stream is not resumed", "an attempt of the request may have run in part: %v", cause), now)
+		m.finishWithError(r, errs.NewWithRetry(errs.OutcomeUnknown, clock.Second, "send the request again; this stream can't be resumed", "an attempt of the request may have run partially: %v", cause), now)
 		return
 	}
 	m.rejectRequest(r, cause, now)
 }
 
-// handleDisconnect takes the request of a caller that has left out of the queue. An attempt in
-// flight is ended by the gateway, whose result follows.
+// handleDisconnect removes a disconnected caller's request from the queue. An attempt in flight is
+// ended by the gateway, which then reports its result.
 func (m *Machine) handleDisconnect(call uint64, disconnected CallerDisconnected, now clock.Micros) {
 	if r := m.inFlight[disconnected.RequestID]; r != nil {
 		r.disconnected = true
--- a/internal/dataplane/requests/machine.go
+++ b/internal/dataplane/requests/machine.go
@@ -1,19 +1,19 @@
-// Package requests decides what becomes of callers' live requests and batches at an edge
-// (DESIGN §7): who calls, what the configuration opens to them, the quota, the claim of an
-// idempotency key, the queue, the attempts on servers, and what the caller may be assured of.
+// Package requests handles callers' live requests and batches at an edge (DESIGN §7): authentication,
+// authorization, quotas, claims of idempotency keys, queueing, attempts on servers, and the
+// guarantees that a reply gives to the caller.
 //
 // Inputs are the messages of messages.go, each answered by one machine.Reply. A live request is
-// a dialogue: the gateway sends an Input and carries out the Decision, until that is a Response
-// or an error. Batches and their results belong to the stores; this package authorizes the
-// caller, checks the input, and relays to the shard's owner.
+// a dialogue: the gateway sends an Input and executes the Decision, until it gets a Response or an
+// error. Batches and their results are kept by the stores; this package authorizes the caller,
+// validates the input, and relays the request to the shard's owner.
 //
 // Two invariants hold for every live request:
 //   - A one-shot request that may have run is never run again.
-//   - An error other than errs.OutcomeUnknown assures the caller that nothing ran and nothing
-//     will: a claimed idempotency key is voided durably before.
+//   - An error other than errs.OutcomeUnknown guarantees to the caller that nothing ran and nothing
+//     will: a claimed idempotency key is durably voided before the reply.
 //
-// The package is a part of the edge's state machine: it opens no socket and reads no clock.
-// Nothing here is safe for concurrent use: the daemon's event loop is the one caller.
+// The package is part of the edge's state machine: it opens no sockets and reads no clock.
+// Nothing here is safe for concurrent use: the daemon's event loop is the only caller.
 package requests
 
 import (
@@ -25,28 +25,28 @@
 	"tuliprudder/internal/machine"
 )
 
-// Settings bound the attempts and waits; Defaults has the usual values.
+// Settings holds the limits on attempts and waiting times; see Defaults.
 type Settings struct {
-	MaxAttempts   int          // attempts of a live request; default 4
+	MaxAttempts   int          // maximum number of attempts of a live request; default 4
 	IdleTimeout   clock.Micros // longest wait for a server's next chunk; default 5 s
-	CommitTimeout clock.Micros // after which a store's missing acknowledgement leaves the outcome unknown; default 3 s
+	CommitTimeout clock.Micros // time without a store's acknowledgement after which the outcome is unknown; default 3 s
 }
 
-// Defaults are the values used where nothing is set.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{MaxAttempts: 4, IdleTimeout: 5 * clock.Second, CommitTimeout: 3 * clock.Second}
 }
 
-// InjectedFaults are set by tests only, to show that their checks find such faults.
+// InjectedFaults are set by tests only, to verify that their checks detect these faults.
 type InjectedFaults struct {
-	RetryUnsafely        bool // a one-shot request of unknown outcome is run again elsewhere
-	RejectAfterRun       bool // a request that may have run is rejected
-	RestartResumedStream bool // a resumed stream starts from its beginning
-	AcceptInterrupted    bool // an interrupted response is taken for a complete one
-	SkipIdempotencyClaim bool // an idempotency key is not claimed before the first attempt
+	RetryUnsafely        bool // run a one-shot request of unknown outcome again on another server
+	RejectAfterRun       bool // reject a request that may have run
+	RestartResumedStream bool // start a resumed stream from the beginning
+	AcceptInterrupted    bool // treat an interrupted response as complete
+	SkipIdempotencyClaim bool // do not claim an idempotency key before the first attempt
 }
 
-// Machine holds the live requests in flight.
+// Machine handles callers' requests and holds the live requests in flight.
 type Machine struct {
 	settings  Settings
 	calls     *machine.Calls
@@ -59,7 +59,7 @@
 	InjectedFaults InjectedFaults
 }
 
-// New makes the part of an edge's machine that serves callers' requests.
+// New returns a Machine without requests.
 func New(settings Settings, calls *machine.Calls, sched *scheduler.Scheduler, quotas *quota.Quota, r *reader.Reader, decisions *decisionlog.Log) *Machine {
 	return &Machine{
 		settings:  settings,
@@ -72,15 +72,15 @@
 	}
 }
 
-// InFlight is how many live requests are in flight.
+// InFlight returns the number of live requests in flight.
 func (m *Machine) InFlight() int { return len(m.inFlight) }
 
-// Call handles a message of the gateway's; false if the message is not for this package.
+// Call handles a message from the gateway. It returns false if the message is not for this package.
 func (m *Machine) Call(call uint64, body any, now clock.Micros) bool {
 	return m.callLive(call, body, now) || m.callBatch(call, body, now)
 }
 
-// callLive handles a message about a live request; false for any other.
+// callLive handles a message about a live request. It returns false for any other message.
 func (m *Machine) callLive(call uint64, body any, now clock.Micros) bool {
 	switch message := body.(type) {
 	case LiveRequest:
@@ -97,7 +97,7 @@
 	return true
 }
 
-// callBatch handles a call about a batch or an item; false for any other.
+// callBatch handles a message about a batch or an item. It returns false for any other message.
 func (m *Machine) callBatch(call uint64, body any, now clock.Micros) bool {
 	switch message := body.(type) {
 	case SubmitBatchRequest:
@@ -122,22 +122,22 @@
 	return true
 }
 
-// replyDecision replies with what the gateway has to do next about a live request.
+// replyDecision replies with the next step that the gateway has to take for a live request.
 func (m *Machine) replyDecision(call uint64, decision Decision) {
 	m.calls.Emit(machine.Reply{Call: call, Body: decision})
 }
 
-// replyError replies with an error, the caller's final answer.
+// replyError replies with an error, which is the final reply to the caller.
 func (m *Machine) replyError(call uint64, err error) {
 	m.calls.Emit(machine.Reply{Call: call, Err: err})
 }
 
-// replyEmpty replies to a report that nothing follows from.
+// replyEmpty replies to a report that requires no further step.
 func (m *Machine) replyEmpty(call uint64) {
 	m.calls.Emit(machine.Reply{Call: call})
 }
 
-// relay replies with what a store or the reader answered.
+// relay replies with the response of a store or of the reader.
 func (m *Machine) relay(call uint64, body any, err error) {
 	m.calls.Emit(machine.Reply{Call: call, Body: body, Err: err})
 }
--- a/internal/dataplane/requests/resubmission.go
+++ b/internal/dataplane/requests/resubmission.go
@@ -8,10 +8,11 @@
 	"tuliprudder/internal/errs"
 )
 
-// resubmitBatch submits a batch of opaque requests once more whose route this edge doesn't know: its
-// caller may have missed the acknowledgement, and the route has been removed since. What the cluster
-// has accepted is known from the batch's shard alone, which has the route's name too; so it makes no
-// difference when this edge started, and an edge remembers no routes.
+// resubmitBatch handles the submission of a batch of opaque requests whose route this edge does not
+// know: its caller may have missed the acknowledgement of an earlier submission, and the route was
+// removed since. The batch's shard alone determines whether the batch was accepted, and stores the
+// name of its route, so edges keep no removed routes and the reply does not depend on when this edge
+// started.
 func (m *Machine) resubmitBatch(call uint64, request ResubmitForwardedBatchRequest, now clock.Micros) {
 	if err := checkBatchID(request.ID); err != nil {
 		m.replyError(call, err)
@@ -23,7 +24,7 @@
 	}
 	access, err := m.authorizeBatchCall(request.APIKey)
 	if errs.Is(err, errs.Unauthorised) {
-		err = unknownRouteAndBatchError(request.ID) // the route comes first, whoever calls
+		err = unknownRouteAndBatchError(request.ID) // the route is checked before the key
 	}
 	if err != nil {
 		m.replyError(call, err)
@@ -44,8 +45,9 @@
 	})
 }
 
-// submitAcceptedBatch submits a batch that its shard has: the store compares the content with what it
-// accepted. If the batch has been forgotten meanwhile, the store finds no such route either.
+// submitAcceptedBatch submits a batch that its shard already has: the store compares the content with
+// that of the accepted batch. If the batch has been removed in the meantime, the store does not find
+// its route either and rejects it.
 func (m *Machine) submitAcceptedBatch(call uint64, routeName string, access batchstore.Access, request ResubmitForwardedBatchRequest, now clock.Micros) {
 	configuration, err := m.currentConfiguration()
 	if err != nil {
@@ -56,11 +58,11 @@
 }
 
 func unknownRouteAndBatchError(batch string) error {
-	return errs.New(errs.UnknownRoute, "correct host and path, or have the operators add a route", "no route for batch %q, and no such batch", batch)
+	return errs.New(errs.UnknownRoute, "correct the host and path, or ask the operators to add a route", "there is no route for batch %q and no batch with this ID", batch)
 }
 
-// forwardedBatch is a batch of opaque requests. Where it belongs to no tenant, its route stands in the
-// tenant's place.
+// forwardedBatch returns a batch of opaque requests. If the batch belongs to no tenant, its Tenant field
+// holds the name of its route and its Key is empty.
 func forwardedBatch(id, routeName, tenant string, configuration *config.Configuration, items []shard.Item) shard.Batch {
 	key := id
 	if tenant == "" {
--- a/internal/dataplane/requests/stored_names.go
+++ b/internal/dataplane/requests/stored_names.go
@@ -1,5 +1,5 @@
 package requests
 
-// responseStatusOK is the status of a complete response. It is on disk, in the claim of a one-shot
-// request, and callers read it; this spelling never changes.
+// responseStatusOK is the status of a complete response. It is stored in the claims of one-shot
+// requests and sent to callers, so its spelling must not change.
 const responseStatusOK = "ok"
--- a/internal/dataplane/retryafter/retryafter.go
+++ b/internal/dataplane/retryafter/retryafter.go
@@ -1,18 +1,18 @@
-// Package retryafter estimates when a rejected caller should come back, from the
-// rate at which work has lately left a queue (docs/DESIGN.md section 11.3).
+// Package retryafter estimates when a rejected caller should retry, from the rate at
+// which work has recently left a queue (docs/DESIGN.md section 11.3).
 //
-// An Estimator takes the times at which work left and returns a span. It reads no
-// clock and is not safe for concurrent use: the state machine that owns it calls it.
+// An Estimator records the times at which work left and returns a duration. It reads no
+// clock and is not safe for concurrent use: only the state machine that owns it calls it.
 package retryafter
 
 import "tuliprudder/internal/clock"
 
-// Bounds of an estimate. A caller that comes back sooner only finds the same queue;
-// one that waits longer misses capacity that was freed meanwhile.
+// Bounds of an estimate. A caller that retries sooner only finds the same queue;
+// one that waits longer misses capacity freed in the meantime.
 const (
 	minEstimate     = clock.Second / 2
 	maxEstimate     = 30 * clock.Second
-	defaultEstimate = 2 * clock.Second // while too few departures are known
+	defaultEstimate = 2 * clock.Second // with fewer than minSamples departures
 )
 
 const (
@@ -20,15 +20,16 @@
 	minSamples        = 2
 )
 
-// Estimator estimates from the latest departures. The zero value is ready for use.
+// Estimator estimates the waiting time from the latest departures. The zero value is
+// ready to use.
 type Estimator struct {
-	// MaxSamples is how many of the latest departures count; 0 means 32.
+	// MaxSamples is the number of latest departures used; 0 means 32.
 	MaxSamples int
 
 	departures []clock.Micros // oldest first
 }
 
-// Record takes the time at which one unit of work left.
+// Record records that one unit of work left the queue.
 func (e *Estimator) Record(now clock.Micros) {
 	e.departures = append(e.departures, now)
 	if len(e.departures) > e.maxSamples() {
@@ -36,8 +37,8 @@
 	}
 }
 
-// Estimate is the time until so many units will have left, if they go on leaving at
-// the present rate. It lies between half a second and 30 seconds.
+// Estimate returns the time until count units will have left at the current rate. It
+// is between half a second and 30 seconds.
 func (e *Estimator) Estimate(count int, now clock.Micros) clock.Micros {
 	if len(e.departures) < minSamples {
 		return defaultEstimate
--- a/internal/dataplane/retryafter/retryafter_test.go
+++ b/internal/dataplane/retryafter/retryafter_test.go
@@ -31,7 +31,7 @@
 				now += c.interval
 			}
 			if got := e.Estimate(c.count, now); got != c.want {
-				t.Errorf("come back after %d us, not %d", got, c.want)
+				t.Errorf("estimate is %d us, want %d", got, c.want)
 			}
 		})
 	}
@@ -43,6 +43,6 @@
 		e.Record(at)
 	}
 	if got := e.Estimate(1, 13*clock.Second); got != clock.Second {
-		t.Errorf("come back after %d us, not 1 s", got)
+		t.Errorf("estimate is %d us, want 1 s", got)
 	}
 }
