--- a/internal/dataplane/quota/account.go
+++ b/internal/dataplane/quota/account.go
@@ -49,11 +49,11 @@
 	// InjectedFaults are set by tests only.
 	InjectedFaults InjectedFaults
 
-	leases       map[Queue]lease
-	unreported   map[Queue]bool // queues on which there is no report yet
-	lastUsedAt   clock.Micros
-	isOverQuota  bool        // more than the quota was in use at the latest grant
-	usageRequest *usageQuery // under way; nil: none is
+	leases      map[Queue]lease
+	unreported  map[Queue]bool // queues on which there is no report yet
+	lastUsedAt  clock.Micros
+	isOverQuota bool        // more than the quota was in use at the latest grant
+	usageQuery  *usageQuery // under way; nil: none is
 }
 
 // OpenAccount begins an account. It grants nothing until there is a report on each of these queues.
@@ -77,8 +77,8 @@
 func (a *Account) Record(report Report, now clock.Micros) bool {
 	known, exists := a.leases[report.Queue]
 	isNewer := !exists || report.isNewerThan(known.epoch, known.sequence)
-	isForThis := !a.unreported[report.Queue] || report.Account == a.ID
-	if !(isNewer && isForThis) && !a.InjectedFaults.AcceptOldReports {
+	isForThisAccount := !a.unreported[report.Queue] || report.Account == a.ID
+	if !(isNewer && isForThisAccount) && !a.InjectedFaults.AcceptStaleReports {
 		return false
 	}
 	delete(a.unreported, report.Queue)
@@ -99,7 +99,7 @@
 	a.lastUsedAt = now
 	l := a.leases[report.Queue]
 	isLatest := l.epoch == report.Epoch && l.sequence == report.Sequence
-	if !isLatest && !a.InjectedFaults.AcceptOldReports {
+	if !isLatest && !a.InjectedFaults.AcceptStaleReports {
 		return 0, false
 	}
 	available := max(0, int(quota)-a.leasedToOthers(report.Queue, now))
@@ -134,8 +134,8 @@
 	return !queue.isShard() && now >= l.reportedAt+LeaseDuration+LeaseGrace
 }
 
-// forgetEnded forgets the leases that have expired.
-func (a *Account) forgetEnded(now clock.Micros) {
+// removeEnded forgets the leases that have expired.
+func (a *Account) removeEnded(now clock.Micros) {
 	maps.DeleteFunc(a.leases, func(queue Queue, l lease) bool { return a.hasEnded(queue, l, now) })
 }
 
@@ -146,7 +146,7 @@
 		return true
 	}
 	for queue := range a.unreported {
-		if timeout, ends := a.reportTimeout(queue); !ends || now-a.ID.OpenedAt <= timeout {
+		if timeout, isLimited := a.reportTimeout(queue); !isLimited || now-a.ID.OpenedAt <= timeout {
 			return false
 		}
 	}
@@ -155,7 +155,7 @@
 
 // reportTimeout is how long the account waits for the first report on a queue; false where it waits
 // for as long as it takes.
-func (a *Account) reportTimeout(queue Queue) (timeout clock.Micros, ends bool) {
+func (a *Account) reportTimeout(queue Queue) (timeout clock.Micros, isLimited bool) {
 	switch {
 	case !queue.isShard():
 		return LeaseDuration + LeaseGrace, true
@@ -165,22 +165,22 @@
 	return lostShardLiveTimeout, true
 }
 
-// Forget drops a queue whose work is lost for good.
-func (a *Account) Forget(queue Queue) {
+// RemoveQueue drops a queue whose work is lost for good.
+func (a *Account) RemoveQueue(queue Queue) {
 	delete(a.unreported, queue)
 	delete(a.leases, queue)
 }
 
-// Outdated lists the queues to be asked before a request is answered: while the account is not
+// QueuesToQuery lists the queues to be asked before a request is answered: while the account is not
 // ready, those without a report; where the request doesn't fit into the quota, the shards whose
 // reports are old.
-func (a *Account) Outdated(request LeaseRequest, quota int64, now clock.Micros) []Queue {
+func (a *Account) QueuesToQuery(request LeaseRequest, quota int64, now clock.Micros) []Queue {
 	switch {
 	case a.unreported[request.Report.Queue]:
 		return a.Unreported()
 	case request.Report.Account != a.ID:
 		// The client, or another owner, may know more than this account.
-		return a.queuesBut(request.Report.Queue)
+		return a.queuesExcept(request.Report.Queue)
 	case request.Wanted <= request.Report.InUse:
 		return nil
 	case !a.IsReady(now):
@@ -190,8 +190,8 @@
 	}
 	var out []Queue
 	for queue, l := range a.leases {
-		isOld := now-l.reportedAt > maxReportAge
-		if queue != request.Report.Queue && queue.isShard() && l.granted > 0 && isOld {
+		isStale := now-l.reportedAt > maxReportAge
+		if queue != request.Report.Queue && queue.isShard() && l.granted > 0 && isStale {
 			out = append(out, queue)
 		}
 	}
@@ -199,8 +199,8 @@
 	return out
 }
 
-// queuesBut lists all queues but one.
-func (a *Account) queuesBut(queue Queue) []Queue {
+// queuesExcept lists all queues but one.
+func (a *Account) queuesExcept(queue Queue) []Queue {
 	out := a.Unreported()
 	for other := range a.leases {
 		if other != queue {
@@ -231,7 +231,7 @@
 
 // IsIdle tells whether there was no request for a while.
 func (a *Account) IsIdle(now clock.Micros) bool {
-	return a.usageRequest == nil && now-a.lastUsedAt > accountIdleTimeout
+	return a.usageQuery == nil && now-a.lastUsedAt > accountIdleTimeout
 }
 
 // sortQueues puts queues into an order that doesn't differ between runs: effects are emitted in
--- a/internal/dataplane/quota/account_test.go
+++ b/internal/dataplane/quota/account_test.go
@@ -53,7 +53,7 @@
 // request reports and asks for more; the response may be lost.
 func (f *simulation) request(id string, wanted int, lossRate int) {
 	s := f.shares[id]
-	s.GiveBack(wanted)
+	s.ShrinkTo(wanted)
 	report := f.report(id)
 	f.account.Record(report, f.now)
 	granted, _ := f.account.Grant(report, max(wanted, report.InUse), testQuota, f.now)
@@ -84,7 +84,7 @@
 	case action == 9:
 		f.renew(id)
 	case action == 10:
-		f.askUnreported()
+		f.queryUnreported()
 	default:
 		if f.rng.Intn(25) == 0 {
 			f.failOver()
@@ -115,21 +115,21 @@
 
 func (f *simulation) renew(id string) { f.request(id, f.shares[id].InUse, 0) }
 
-// askUnreported has the owner ask some of the daemons that have not reported.
-func (f *simulation) askUnreported() {
+// queryUnreported has the owner ask some of the daemons that have not reported.
+func (f *simulation) queryUnreported() {
 	for _, queue := range f.account.Unreported() {
 		if f.rng.Intn(3) > 0 {
 			continue
 		}
 		s := f.shares[queue.Daemon]
-		s.GiveBack(s.InUse)
+		s.ShrinkTo(s.InUse)
 		f.account.Record(f.report(queue.Daemon), f.now)
 	}
 }
 
 // While twelve daemons admit as much as they can and owners die, the queued work never
 // exceeds the quota by more than a tenth, and is not kept far below it either.
-func TestDaemonsStayWithinTheQuota(t *testing.T) {
+func TestDaemonsStayNearQuota(t *testing.T) {
 	for seed := int64(1); seed <= 200; seed++ {
 		f := newSimulation(seed, false)
 		for i := 0; i < 4000; i++ {
@@ -145,7 +145,7 @@
 }
 
 // The same check finds a new owner that grants before it knows what is in use.
-func TestANewOwnerThatDoesNotAskIsCaught(t *testing.T) {
+func TestSimulationDetectsSkippedRebuild(t *testing.T) {
 	for seed := int64(1); seed <= 50; seed++ {
 		f := newSimulation(seed, true)
 		for i := 0; i < 4000; i++ {
@@ -159,7 +159,7 @@
 
 // A report is taken once, in the order in which the daemon made it, and the first one on a queue
 // only if it was made for this account.
-func TestReportsAreTakenInTheirOrder(t *testing.T) {
+func TestRecordIgnoresStaleReports(t *testing.T) {
 	now := clock.Second
 	a := OpenAccount(AccountID{Epoch: 4, OpenedAt: now}, true, []Queue{shardQueue(0), shardQueue(1)})
 	report := func(epoch, sequence uint64, inUse int, account AccountID) Report {
@@ -181,7 +181,7 @@
 
 // What is wanted is granted as far as the other queues leave room; an answer to a report that is not
 // the latest is refused. What is in use counts, but is no grant while the account isn't ready.
-func TestGrantsLeaveWhatOthersHave(t *testing.T) {
+func TestGrantIsLimitedByOtherLeases(t *testing.T) {
 	now := clock.Second
 	a := OpenAccount(AccountID{Epoch: 1, OpenedAt: now}, true, []Queue{shardQueue(0), shardQueue(1)})
 	other := Report{Queue: shardQueue(1), Epoch: 1, Sequence: 1, Account: a.ID, InUse: 60}
@@ -208,7 +208,7 @@
 
 // Where more than the quota is in use, all of it counts, and no queue may admit until what it has is
 // within what the others leave.
-func TestMoreThanTheQuotaInUseIsNoGrant(t *testing.T) {
+func TestUsageAboveQuotaLimitsGrants(t *testing.T) {
 	now := clock.Second
 	a := OpenAccount(AccountID{Epoch: 1, OpenedAt: now}, true, nil)
 	shard := Report{Queue: shardQueue(0), Epoch: 1, Sequence: 1, InUse: 70}
@@ -228,7 +228,7 @@
 
 // A daemon's lease ends by itself; a shard's counts until its next report, for its batches wait
 // whether it is served or not.
-func TestAShardsLeaseNeverExpires(t *testing.T) {
+func TestShardLeaseNeverExpires(t *testing.T) {
 	now := clock.Second
 	a := OpenAccount(AccountID{Epoch: 1, OpenedAt: now}, true, nil)
 	a.Record(Report{Queue: shardQueue(0), Epoch: 1, Sequence: 1, InUse: 40}, now)
@@ -249,7 +249,7 @@
 // An account that was opened waits for each queue: for a shard that nobody serves as long as it takes,
 // or, where there are live requests, until a lost store's shards have passed on; for an edge until any
 // lease of it has expired.
-func TestAnAccountWaitsForEveryQueue(t *testing.T) {
+func TestAccountWaitsForEveryQueue(t *testing.T) {
 	now := clock.Second
 	for _, test := range []struct {
 		batchesOnly bool
@@ -276,7 +276,7 @@
 }
 
 // Accounts are ordered by when they were opened, and no two daemons open the same.
-func TestNoTwoAccountsAreAlike(t *testing.T) {
+func TestAccountIDsAreOrdered(t *testing.T) {
 	ids := []AccountID{{1, 5, "a"}, {1, 5, "b"}, {1, 6, "a"}, {2, 1, "a"}}
 	for i, id := range ids {
 		for j, other := range ids {
--- a/internal/dataplane/quota/client.go
+++ b/internal/dataplane/quota/client.go
@@ -36,10 +36,10 @@
 	return c
 }
 
-// follows takes an owner's account into account from now on; false where a later one is known.
-func (q *Quota) follows(name shard.AccountName, account AccountID) bool {
+// acceptAccount takes an owner's account into account from now on; false where a later one is known.
+func (q *Quota) acceptAccount(name shard.AccountName, account AccountID) bool {
 	c := q.client(name)
-	if account.compare(c.account) < 0 && !q.InjectedFaults.FollowAnyAccount {
+	if account.compare(c.account) < 0 && !q.InjectedFaults.AcceptOlderAccounts {
 		return false
 	}
 	c.account = account
@@ -56,8 +56,8 @@
 	return c.live.requesting || len(c.live.waiters) > 0 || c.live.share.InUse > 0 || c.live.share.Granted > 0
 }
 
-// forgetUnusedClients forgets clients that nobody has used for a while.
-func (q *Quota) forgetUnusedClients(now clock.Micros) {
+// removeUnusedClients forgets clients that nobody has used for a while.
+func (q *Quota) removeUnusedClients(now clock.Micros) {
 	for name, c := range q.clients {
 		if c.isBusy() || c.lastUsedAt == 0 {
 			c.lastUsedAt = now
@@ -68,8 +68,8 @@
 	}
 }
 
-// rejectsEarly tells why a reservation is rejected without a lease request; nil: it isn't.
-func (q *Quota) rejectsEarly(failedAt clock.Micros, waiters int, now clock.Micros) error {
+// earlyRejection tells why a reservation is rejected without a lease request; nil: it isn't.
+func (q *Quota) earlyRejection(failedAt clock.Micros, waiters int, now clock.Micros) error {
 	var err error
 	switch {
 	case now-failedAt < failureBackoff:
@@ -98,13 +98,13 @@
 // sendLeaseRequest sends a lease request to the account's owner, which may be this daemon.
 func (q *Quota) sendLeaseRequest(request LeaseRequest, now clock.Micros, callback func(LeaseResponse, error, clock.Micros)) {
 	receive := func(response LeaseResponse, err error, now clock.Micros) {
-		if err == nil && !q.follows(request.Name, response.Account) {
+		if err == nil && !q.acceptAccount(request.Name, response.Account) {
 			response.Superseded = true
 		}
 		callback(response, err, now)
 	}
 	owner := q.OwnerOf(request.Name)
-	peer := q.peerOf(owner)
+	peer := q.peerAddress(owner)
 	switch {
 	case owner == q.self:
 		q.handleLeaseRequest(request, now, receive)
@@ -118,7 +118,7 @@
 	}
 }
 
-func errExceedsQuota(quota AccountQuota, count int) error {
+func errLargerThanQuota(quota AccountQuota, count int) error {
 	return errs.New(errs.OverQuota, "send a smaller batch, or buy a larger quota", "%d at once is more than the whole quota of %d", count, quota.Limit)
 }
 
--- a/internal/dataplane/quota/client_test.go
+++ b/internal/dataplane/quota/client_test.go
@@ -12,8 +12,8 @@
 	"tuliprudder/internal/replication"
 )
 
-// clientsBatches is the account of batches in these tests.
-var clientsBatches = shard.AccountName{Tenant: "c", Route: "r"}
+// clientBatchAccount is the account of batches in these tests.
+var clientBatchAccount = shard.AccountName{Tenant: "c", Route: "r"}
 
 // clientFixture is an edge's quota, or a store's that serves shard 0. Accounts are owned by other
 // daemons, which are the test.
@@ -49,8 +49,8 @@
 	return out
 }
 
-// sent is the lease request that was sent; its token is 0 where there was none.
-func (f *clientFixture) sent() (uint64, LeaseRequest) {
+// takeLeaseRequest is the lease request that was takeLeaseRequest; its token is 0 where there was none.
+func (f *clientFixture) takeLeaseRequest() (uint64, LeaseRequest) {
 	for _, effect := range f.calls.Drain() {
 		if request, ok := effect.(machine.Request); ok {
 			return request.Token, request.Body.(LeaseRequest)
@@ -59,15 +59,15 @@
 	return 0, LeaseRequest{}
 }
 
-func TestOneLeaseRequestServesAllThatWait(t *testing.T) {
+func TestWaitingReservationsShareLeaseRequest(t *testing.T) {
 	f := newClientFixture(t)
 	first := f.reserve(10)
-	token, request := f.sent()
+	token, request := f.takeLeaseRequest()
 	if request.Report.InUse != 0 || request.Wanted != 10 || request.Report.Queue != daemonQueue("client") || request.Quota != 100 {
 		t.Fatalf("requested %+v", request)
 	}
 	second, third := f.reserve(5), f.reserve(20)
-	if token, _ := f.sent(); token != 0 {
+	if token, _ := f.takeLeaseRequest(); token != 0 {
 		t.Fatal("a second request was sent beside the first")
 	}
 	f.calls.ReplyReceived(token, LeaseResponse{Account: AccountID{Epoch: 1}, Granted: 16, Ready: true}, nil, f.now)
@@ -77,7 +77,7 @@
 	if third.done {
 		t.Errorf("what came later must wait for a request of its own: %+v", third)
 	}
-	token, request = f.sent()
+	token, request = f.takeLeaseRequest()
 	// 15 are in use; one more may still be admitted.
 	if request.Report.InUse != 16 || request.Wanted != 35 || request.Report.Account.Epoch != 1 {
 		t.Errorf("then requested %+v", request)
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestReservationsThatCannotBeAdmitted(t *testing.T) {
+func TestReservationErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		count    int
 		response any
@@ -108,7 +108,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newClientFixture(t)
 			got := f.reserve(c.count)
-			if token, _ := f.sent(); token != 0 {
+			if token, _ := f.takeLeaseRequest(); token != 0 {
 				f.calls.ReplyReceived(token, c.response, c.err, f.now)
 			}
 			if !errs.Is(got.err, c.want) || got.release != nil {
@@ -119,10 +119,10 @@
 }
 
 // After a failed lease request callers are rejected at once, for a short while.
-func TestAFailedLeaseRequestIsNotRepeatedAtOnce(t *testing.T) {
+func TestReservationsFailFastAfterFailedLeaseRequest(t *testing.T) {
 	f := newClientFixture(t)
 	f.reserve(1)
-	token, _ := f.sent()
+	token, _ := f.takeLeaseRequest()
 	f.calls.ReplyReceived(token, nil, errs.New(errs.NotReady, "retry", "timed out"), f.now)
 	f.now += failureBackoff - 1
 	if got := f.reserve(1); !errs.Is(got.err, errs.NotReady) {
@@ -135,13 +135,13 @@
 }
 
 // A renewal reports what is in use and gives the rest back; when nothing is left it ends.
-func TestRenewalsGiveUnusedQuotaBack(t *testing.T) {
+func TestRenewalReturnsUnusedQuota(t *testing.T) {
 	f := newClientFixture(t)
 	got := f.reserve(10)
-	token, _ := f.sent()
+	token, _ := f.takeLeaseRequest()
 	f.calls.ReplyReceived(token, LeaseResponse{Account: AccountID{Epoch: 1}, Granted: 40, Ready: true}, nil, f.now)
 	f.Tick(f.now)
-	token, request := f.sent()
+	token, request := f.takeLeaseRequest()
 	if request.Report.InUse != 10 || request.Wanted != 10 {
 		t.Fatalf("renewed with %+v", request)
 	}
@@ -149,30 +149,30 @@
 	got.release(f.now)
 	f.now += renewalInterval
 	f.Tick(f.now)
-	token, request = f.sent()
+	token, request = f.takeLeaseRequest()
 	if request.Report.InUse != 0 || request.Wanted != 0 {
 		t.Fatalf("then renewed with %+v", request)
 	}
 	f.calls.ReplyReceived(token, LeaseResponse{Account: AccountID{Epoch: 1}, Granted: 0, Ready: true}, nil, f.now)
 	f.now += renewalInterval
 	f.Tick(f.now)
-	if token, request := f.sent(); token != 0 {
+	if token, request := f.takeLeaseRequest(); token != 0 {
 		t.Errorf("renewed %+v with nothing in use", request)
 	}
 }
 
 // A response answers the latest report only: after an owner's question the requests that wait are
 // asked for again, and what was granted before is not used.
-func TestAGrantForAnOlderReportIsNotUsed(t *testing.T) {
+func TestGrantForOlderReportIsDiscarded(t *testing.T) {
 	f := newClientFixture(t)
 	got := f.reserve(10)
-	token, first := f.sent()
-	f.report(UsageRequest{Name: shard.AccountName{Tenant: "c"}, Account: AccountID{Epoch: 2}}, f.now)
+	token, first := f.takeLeaseRequest()
+	f.answerUsageRequest(UsageRequest{Name: shard.AccountName{Tenant: "c"}, Account: AccountID{Epoch: 2}}, f.now)
 	f.calls.ReplyReceived(token, LeaseResponse{Account: AccountID{Epoch: 1}, Granted: 40, Ready: true}, nil, f.now)
-	if got.done || f.live(shard.AccountName{Tenant: "c"}).share.Granted != 0 {
-		t.Fatalf("%+v with a share of %+v", got, f.live(shard.AccountName{Tenant: "c"}).share)
+	if got.done || f.liveClient(shard.AccountName{Tenant: "c"}).share.Granted != 0 {
+		t.Fatalf("%+v with a share of %+v", got, f.liveClient(shard.AccountName{Tenant: "c"}).share)
 	}
-	token, second := f.sent()
+	token, second := f.takeLeaseRequest()
 	if second.Report.Sequence <= first.Report.Sequence+1 || second.Wanted != 10 {
 		t.Fatalf("then requested %+v", second)
 	}
@@ -182,26 +182,26 @@
 	}
 }
 
-// oneShard is a store that serves shard 0.
-type oneShard struct {
+// fakeShards is a store that serves shard 0.
+type fakeShards struct {
 	epoch   uint64 // 0: it doesn't serve it
 	pending int
 }
 
-func (s *oneShard) ServingEpoch(int, clock.Micros) (uint64, bool) { return s.epoch, s.epoch > 0 }
-func (s *oneShard) PendingWeight(int, shard.AccountName) int      { return s.pending }
-func (s *oneShard) PendingWeights(clock.Micros) map[shard.AccountName]int {
-	return map[shard.AccountName]int{clientsBatches: s.pending}
+func (s *fakeShards) ServingEpoch(int, clock.Micros) (uint64, bool) { return s.epoch, s.epoch > 0 }
+func (s *fakeShards) PendingWeight(int, shard.AccountName) int      { return s.pending }
+func (s *fakeShards) PendingWeights(clock.Micros) map[shard.AccountName]int {
+	return map[shard.AccountName]int{clientBatchAccount: s.pending}
 }
 
 // shardFixture is a clientFixture of a store with batches.
 type shardFixture struct {
 	*clientFixture
-	shard *oneShard
+	shard *fakeShards
 }
 
 func newShardFixture(t *testing.T) *shardFixture {
-	f := &shardFixture{newClientFixture(t), &oneShard{epoch: 3, pending: 20}}
+	f := &shardFixture{newClientFixture(t), &fakeShards{epoch: 3, pending: 20}}
 	f.Shards = f.shard
 	return f
 }
@@ -209,7 +209,7 @@
 // submit reserves for a batch, which waits in the shard once it is admitted.
 func (f *shardFixture) submit(weight int) *reservation {
 	out := &reservation{}
-	quota := AccountQuota{Account: clientsBatches, Limit: 100, ConfigurationVersion: 1}
+	quota := AccountQuota{Account: clientBatchAccount, Limit: 100, ConfigurationVersion: 1}
 	f.ReserveInShard(quota, 0, weight, f.now, func(err error, _ clock.Micros) {
 		if err == nil {
 			f.shard.pending += weight
@@ -219,22 +219,22 @@
 	return out
 }
 
-func TestBatchesAreAdmittedAsFarAsTheGrantGoes(t *testing.T) {
+func TestBatchesAreAdmittedUpToGrant(t *testing.T) {
 	f := newShardFixture(t)
 	first, second := f.submit(30), f.submit(50)
-	token, request := f.sent()
+	token, request := f.takeLeaseRequest()
 	want := Report{Queue: shardQueue(0), Epoch: 3, Sequence: request.Report.Sequence, InUse: 20}
-	if request.Report != want || request.Wanted != 50 || request.Name != clientsBatches {
+	if request.Report != want || request.Wanted != 50 || request.Name != clientBatchAccount {
 		t.Fatalf("requested %+v", request)
 	}
-	if token, _ := f.sent(); token != 0 {
+	if token, _ := f.takeLeaseRequest(); token != 0 {
 		t.Fatal("a second request was sent beside the first")
 	}
 	f.calls.ReplyReceived(token, LeaseResponse{Granted: 50, Ready: true}, nil, f.now)
 	if !first.done || first.err != nil || second.done {
 		t.Fatalf("%+v %+v", first, second)
 	}
-	token, request = f.sent()
+	token, request = f.takeLeaseRequest()
 	if request.Report.InUse != 50 || request.Wanted != 100 {
 		t.Fatalf("then requested %+v", request)
 	}
@@ -249,7 +249,7 @@
 	}
 }
 
-func TestBatchesThatCannotBeAdmitted(t *testing.T) {
+func TestBatchReservationErrors(t *testing.T) {
 	for name, c := range map[string]struct {
 		weight   int
 		during   func(f *shardFixture)
@@ -268,7 +268,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newShardFixture(t)
 			got := f.submit(c.weight)
-			token, _ := f.sent()
+			token, _ := f.takeLeaseRequest()
 			if c.during != nil {
 				c.during(f)
 			}
@@ -283,13 +283,13 @@
 }
 
 // A batch whose report was superseded is asked for again, and rejected when that goes on.
-func TestABatchIsAskedForAgainAFewTimes(t *testing.T) {
+func TestSupersededBatchRequestsAreRetriedUpToLimit(t *testing.T) {
 	f := newShardFixture(t)
 	got := f.submit(10)
 	requests := 0
-	for token, _ := f.sent(); token != 0; token, _ = f.sent() {
+	for token, _ := f.takeLeaseRequest(); token != 0; token, _ = f.takeLeaseRequest() {
 		requests++
-		f.report(UsageRequest{Name: clientsBatches, Shards: []int{0}}, f.now)
+		f.answerUsageRequest(UsageRequest{Name: clientBatchAccount, Shards: []int{0}}, f.now)
 		f.calls.ReplyReceived(token, LeaseResponse{Granted: 90, Ready: true}, nil, f.now)
 	}
 	if requests != maxLeaseRequests || !errs.Is(got.err, errs.NotReady) || f.shard.pending != 20 {
--- a/internal/dataplane/quota/fleet_test.go
+++ b/internal/dataplane/quota/fleet_test.go
@@ -44,25 +44,25 @@
 
 // testShard is one shard: who serves it, and what waits in it.
 type testShard struct {
-	epoch    uint64
-	primary  string                          // "" while nobody serves it
-	holder   string                          // who served it last: its work is there
-	testWork                                 // of mixedAccount or batchAccount
-	others   map[shard.AccountName]*testWork // of the other accounts
+	epoch       uint64
+	primary     string                          // "" while nobody serves it
+	lastPrimary string                          // who served it last: its work is there
+	testWork                                    // of mixedAccount or batchAccount
+	otherWork   map[shard.AccountName]*testWork // of the other accounts
 }
 
-// of is what waits of an account.
-func (s *testShard) of(name shard.AccountName) *testWork {
+// workOf is what waits workOf an account.
+func (s *testShard) workOf(name shard.AccountName) *testWork {
 	if name == mixedAccount || name == batchAccount {
 		return &s.testWork
 	}
-	if s.others == nil {
-		s.others = map[shard.AccountName]*testWork{}
+	if s.otherWork == nil {
+		s.otherWork = map[shard.AccountName]*testWork{}
 	}
-	if s.others[name] == nil {
-		s.others[name] = &testWork{}
+	if s.otherWork[name] == nil {
+		s.otherWork[name] = &testWork{}
 	}
-	return s.others[name]
+	return s.otherWork[name]
 }
 
 // testStore is one store's view of the shards.
@@ -79,7 +79,7 @@
 
 // PendingWeight is what a successor may find.
 func (s testStore) PendingWeight(shardIndex int, account shard.AccountName) int {
-	work := s.fleet.shards[shardIndex].of(account)
+	work := s.fleet.shards[shardIndex].workOf(account)
 	return work.pending + work.unconfirmed
 }
 
@@ -114,17 +114,17 @@
 	ids     []string
 	daemons map[string]*daemon
 	faults  InjectedFaults
-	// unknown are the members that a daemon has not heard of; others are known to all.
-	unknown map[string][]string
-	evicted []string // stores whose disks are lost for good, by the control state
+	// unknownMembers are the members that a daemon has not heard of; others are known to all.
+	unknownMembers map[string][]string
+	evicted        []string // stores whose disks are lost for good, by the control state
 	// route, where it is set, has messages arrive later or never; then onRequest is called with
 	// each request that is sent.
 	route     func(from, to string, arrive func())
 	onRequest func(sent sentRequest)
 
-	messages []func()               // on their way
-	asked    map[uint64]sentRequest // that await their reply, by the number of the call
-	lastCall uint64
+	messages    []func()               // on their way
+	outstanding map[uint64]sentRequest // that await their reply, by the number of the call
+	lastCall    uint64
 }
 
 // sentRequest is a request of a daemon, and the boots of both ends when it was sent.
@@ -136,7 +136,7 @@
 
 // newFleet makes a fleet whose stores serve the shards in turn.
 func newFleet(edges, stores, shards int) *fleet {
-	f := &fleet{now: 10 * clock.Second, daemons: map[string]*daemon{}, asked: map[uint64]sentRequest{}}
+	f := &fleet{now: 10 * clock.Second, daemons: map[string]*daemon{}, outstanding: map[uint64]sentRequest{}}
 	for i := range shards {
 		f.shards = append(f.shards, &testShard{epoch: 1, primary: storeID(i % stores)})
 	}
@@ -189,7 +189,7 @@
 		if id[0] == 's' {
 			kind = membership.Store
 		}
-		if !slices.Contains(f.unknown[daemonID], id) {
+		if !slices.Contains(f.unknownMembers[daemonID], id) {
 			out = append(out, membership.Member{ID: id, Kind: kind, Peer: id})
 		}
 	}
@@ -204,9 +204,9 @@
 	}
 	for _, shard := range f.shards {
 		if shard.primary != "" {
-			shard.holder = shard.primary
+			shard.lastPrimary = shard.primary
 		}
-		m.Shards = append(m.Shards, replication.Assignment{Epoch: shard.epoch, Primary: replication.Member{ID: shard.holder}})
+		m.Shards = append(m.Shards, replication.Assignment{Epoch: shard.epoch, Primary: replication.Member{ID: shard.lastPrimary}})
 	}
 	f.maps = append(f.maps, m)
 }
@@ -244,12 +244,12 @@
 		for _, effect := range f.daemons[id].calls.Drain() {
 			switch e := effect.(type) {
 			case machine.Reply:
-				sent := f.asked[e.Call]
-				delete(f.asked, e.Call)
-				f.post(id, sent.from, func() { f.receiveReply(sent, e.Body, e.Err) })
+				sent := f.outstanding[e.Call]
+				delete(f.outstanding, e.Call)
+				f.enqueue(id, sent.from, func() { f.receiveReply(sent, e.Body, e.Err) })
 			case machine.Request:
 				sent := sentRequest{id, f.daemons[id].boots, e}
-				f.post(id, e.To, func() { f.receiveRequest(sent) })
+				f.enqueue(id, e.To, func() { f.receiveRequest(sent) })
 				if f.onRequest != nil {
 					f.onRequest(sent)
 				}
@@ -258,7 +258,7 @@
 	}
 }
 
-func (f *fleet) post(from, to string, arrive func()) {
+func (f *fleet) enqueue(from, to string, arrive func()) {
 	if f.route != nil {
 		f.route(from, to, arrive)
 		return
@@ -268,7 +268,7 @@
 
 func (f *fleet) receiveRequest(sent sentRequest) {
 	f.lastCall++
-	f.asked[f.lastCall] = sent
+	f.outstanding[f.lastCall] = sent
 	f.daemons[sent.To].Call(f.lastCall, sent.Body, f.now)
 }
 
@@ -279,9 +279,9 @@
 	}
 }
 
-// sendLate has the messages that were sent arrive later, by calling arrive; the requests among them
+// sendDelayed has the messages that were sent arrive later, by calling arrive; the requests among them
 // time out at once.
-func (f *fleet) sendLate() (arrive func()) {
+func (f *fleet) sendDelayed() (arrive func()) {
 	var late []func()
 	f.route = func(_, _ string, arrive func()) { late = append(late, arrive) }
 	var requests []sentRequest
@@ -306,7 +306,7 @@
 	}
 	f.daemons[shard.primary].ReserveInShard(quota, shardIndex, weight, f.now, func(err error, _ clock.Micros) {
 		if err == nil {
-			shard.of(quota.Account).pending += weight
+			shard.workOf(quota.Account).pending += weight
 		}
 		callback(err)
 	})
@@ -330,7 +330,7 @@
 func (f *fleet) pendingOf(name shard.AccountName) int {
 	sum := 0
 	for _, shard := range f.shards {
-		sum += shard.of(name).pending
+		sum += shard.workOf(name).pending
 	}
 	return sum
 }
--- a/internal/dataplane/quota/granted_once_test.go
+++ b/internal/dataplane/quota/granted_once_test.go
@@ -6,18 +6,18 @@
 	"tuliprudder/internal/clock"
 )
 
-// TestTheQuotaIsGrantedOnce brings about the ways in which it was not (docs/incidents/issue-29.md).
-func TestTheQuotaIsGrantedOnce(t *testing.T) {
-	t.Run("what was counted twice", countedTwice)
-	t.Run("by two owners", twoOwners)
-	t.Run("by two edges", twoEdges)
-	t.Run("what a renewal gives back", givenBack)
-	t.Run("by an owner that takes a late report", lateReport)
+// TestQuotaIsNotGrantedTwice brings about the ways in which it was not (docs/incidents/issue-29.md).
+func TestQuotaIsNotGrantedTwice(t *testing.T) {
+	t.Run("what was counted twice", testShardsMove)
+	t.Run("by two owners", testTwoStoresOwnAccount)
+	t.Run("by two edges", testTwoEdgesOwnAccount)
+	t.Run("what a renewal gives back", testReservationDuringRenewal)
+	t.Run("by an owner that takes a late report", testDelayedReport)
 }
 
 // Shards pass on while 90 of 100 wait in them, and the stores that had them and those that have them
 // now report. Nothing of that becomes room at either. (Hypothesis A.)
-func countedTwice(t *testing.T) {
+func testShardsMove(t *testing.T) {
 	f := newFleet(1, 2, 2)
 	waiting := f.submitAll(45, 0, 1)
 	if waiting != 90 {
@@ -40,7 +40,7 @@
 }
 
 // Two stores know different maps, by which different stores own the account. (Hypothesis B.)
-func twoOwners(t *testing.T) {
+func testTwoStoresOwnAccount(t *testing.T) {
 	f := newFleet(1, 3, 6)
 	home := homeShard(batchAccount, f.maps[0])
 	former := f.owner()
@@ -67,9 +67,9 @@
 
 // Two stores know different edges, which both open an account for batches and live requests. The
 // stores follow the later one. (Hypothesis B.)
-func twoEdges(t *testing.T) {
+func testTwoEdgesOwnAccount(t *testing.T) {
 	f := newFleet(2, 2, 2)
-	f.unknown = map[string][]string{"store-1": {"edge-1"}, "store-2": {"edge-2"}}
+	f.unknownMembers = map[string][]string{"store-1": {"edge-1"}, "store-2": {"edge-2"}}
 	submit := func(weight int) {
 		for shardIndex := range f.shards {
 			f.submit(shardIndex, weight, accountQuota(true), func(error) {})
@@ -83,7 +83,7 @@
 	if waiting := f.pending(); waiting > testQuota {
 		t.Fatalf("%d wait; the quota is %d", waiting, testQuota)
 	}
-	f.unknown = nil
+	f.unknownMembers = nil
 	for range 3 {
 		submit(testQuota)
 	}
@@ -94,7 +94,7 @@
 
 // A renewal gives back what is not in use. Until the response arrives nothing of that is admitted,
 // for the owner may have granted it to another. (Hypothesis C.)
-func givenBack(t *testing.T) {
+func testReservationDuringRenewal(t *testing.T) {
 	f := newFleet(2, 1, 1)
 	var releases []Release
 	live := 0
@@ -126,12 +126,12 @@
 
 // A request that its client has given up reaches the next owner of the account before that one has
 // asked: it says less than was granted since. (The model of this package found it.)
-func lateReport(t *testing.T) {
+func testDelayedReport(t *testing.T) {
 	f := newFleet(1, 2, 2)
 	home := homeShard(batchAccount, f.maps[0])
 	other := 1 - home
 	f.submit(other, 5, accountQuota(false), func(error) {})
-	arrive := f.sendLate()
+	arrive := f.sendDelayed()
 	f.now += failureBackoff
 	if admitted := f.submitAll(90, other); admitted != 90 {
 		t.Fatalf("%d were admitted", admitted)
--- a/internal/dataplane/quota/live_client.go
+++ b/internal/dataplane/quota/live_client.go
@@ -19,21 +19,21 @@
 type liveClient struct {
 	share      Share
 	quota      *AccountQuota // of the latest reservation; nil: there is nothing to renew
-	waiters    []*waiter     // reservations that wait for a lease request, the oldest first
+	waiters    []*liveWaiter // reservations that wait for a lease request, the oldest first
 	requesting bool          // a lease request is under way
 	failedAt   clock.Micros  // when one failed last
 	sequence   uint64        // of the latest report
 }
 
-// waiter is a reservation that waits for a larger lease.
-type waiter struct {
+// liveWaiter is a reservation that waits for a larger lease.
+type liveWaiter struct {
 	quota    AccountQuota
 	count    int
 	requests int // how many lease requests have included it
 	callback func(release Release, err error, now clock.Micros)
 }
 
-func (q *Quota) live(name shard.AccountName) *liveClient { return &q.client(name).live }
+func (q *Quota) liveClient(name shard.AccountName) *liveClient { return &q.client(name).live }
 
 // Reserve reserves the given weight of an account's quota for live work that waits here. The
 // callback is called once, at once or when the account's owner has answered: with the means to
@@ -41,20 +41,20 @@
 // kind is errs.OverQuota, or errs.NotReady while the account can't be used.
 func (q *Quota) Reserve(quota AccountQuota, count int, now clock.Micros, callback func(Release, error, clock.Micros)) {
 	if int64(count) > quota.Limit {
-		callback(nil, errExceedsQuota(quota, count), now)
+		callback(nil, errLargerThanQuota(quota, count), now)
 		return
 	}
-	c := q.live(quota.Account)
+	c := q.liveClient(quota.Account)
 	if q.InjectedFaults.AdmitEverything || c.share.HasCapacity(count, now) {
 		callback(c.reserve(count), nil, now)
 		return
 	}
-	if err := q.rejectsEarly(c.failedAt, len(c.waiters), now); err != nil {
+	if err := q.earlyRejection(c.failedAt, len(c.waiters), now); err != nil {
 		callback(nil, err, now)
 		return
 	}
-	c.waiters = append(c.waiters, &waiter{quota: quota, count: count, callback: callback})
-	q.requestLease(quota.Account, now)
+	c.waiters = append(c.waiters, &liveWaiter{quota: quota, count: count, callback: callback})
+	q.requestLiveLease(quota.Account, now)
 }
 
 // reserve takes a weight into use and returns the means to return it.
@@ -70,10 +70,10 @@
 	}
 }
 
-// requestLease asks the owner for all that wait. There is one request at a time for
+// requestLiveLease asks the owner for all that wait. There is one request at a time for
 // each account; those that come meanwhile may fit into its response.
-func (q *Quota) requestLease(name shard.AccountName, now clock.Micros) {
-	c := q.live(name)
+func (q *Quota) requestLiveLease(name shard.AccountName, now clock.Micros) {
+	c := q.liveClient(name)
 	if c.requesting || len(c.waiters) == 0 {
 		return
 	}
@@ -93,9 +93,9 @@
 // sendLiveRequest asks the owner for a lease of a size, and applies the response. What exceeds
 // that size is given up first: the owner may grant it to others before the response arrives.
 func (q *Quota) sendLiveRequest(quota AccountQuota, wanted int, sent clock.Micros, callback func(LeaseResponse, error, clock.Micros)) {
-	c := q.live(quota.Account)
+	c := q.liveClient(quota.Account)
 	if !q.InjectedFaults.UseReturnedLease {
-		c.share.GiveBack(wanted)
+		c.share.ShrinkTo(wanted)
 	}
 	report := q.reportLive(quota.Account, sent)
 	request := newLeaseRequest(quota, report)
@@ -115,7 +115,7 @@
 
 // reportLive reports on this daemon's own queue. What may still be admitted counts as in use.
 func (q *Quota) reportLive(name shard.AccountName, now clock.Micros) Report {
-	c := q.live(name)
+	c := q.liveClient(name)
 	if q.startedAt == 0 {
 		q.startedAt = now
 	}
@@ -137,13 +137,13 @@
 // admitWaiters admits the reservations that fit after a lease request, and rejects the
 // others that it was for.
 func (q *Quota) admitWaiters(name shard.AccountName, response LeaseResponse, err error, now clock.Micros) {
-	c := q.live(name)
+	c := q.liveClient(name)
 	if err != nil {
 		c.failedAt = now
 	}
 	waiters := c.waiters
 	c.waiters = nil // callbacks may reserve again
-	var remaining []*waiter
+	var remaining []*liveWaiter
 	for _, w := range waiters {
 		switch {
 		case err == nil && c.share.HasCapacity(w.count, now):
@@ -156,17 +156,17 @@
 		}
 	}
 	c.waiters = append(remaining, c.waiters...)
-	q.requestLease(name, now)
+	q.requestLiveLease(name, now)
 }
 
 // mayRetry tells whether a reservation waits for another lease request: the last one was not
 // for it, or this daemon's report was superseded while it was under way.
-func (w *waiter) mayRetry(response LeaseResponse) bool {
+func (w *liveWaiter) mayRetry(response LeaseResponse) bool {
 	return w.requests == 0 || response.Superseded && w.requests < maxLeaseRequests
 }
 
 // rejection is why a reservation isn't admitted after a lease request.
-func (c *liveClient) rejection(w *waiter, response LeaseResponse, err error, now clock.Micros) error {
+func (c *liveClient) rejection(w *liveWaiter, response LeaseResponse, err error, now clock.Micros) error {
 	switch {
 	case err != nil, response.Superseded:
 		return errOwnerUnreachable()
@@ -188,7 +188,7 @@
 }
 
 func (q *Quota) renewLease(name shard.AccountName, now clock.Micros) {
-	c := q.live(name)
+	c := q.liveClient(name)
 	quota := *c.quota
 	if c.share.InUse == 0 {
 		c.quota = nil // this report is the last one
@@ -199,6 +199,6 @@
 			q.admitWaiters(name, response, err, now)
 			return
 		}
-		q.requestLease(name, now)
+		q.requestLiveLease(name, now)
 	})
 }
--- a/internal/dataplane/quota/model_test.go
+++ b/internal/dataplane/quota/model_test.go
@@ -15,18 +15,18 @@
 // admitted is compared with the quota at every step.
 type model struct {
 	*fleet
-	rng    *rand.Rand
-	events []event // to come
-	mixed  bool    // with live requests
-	live   []*liveRequest
-	cut    map[string]bool // daemons whose messages are all lost
-	deaf   map[link]bool   // messages from one daemon to another that are lost: a cut in one direction
-	frozen map[string]bool // daemons that do nothing; what is sent to them arrives when they go on
-	calm   bool            // messages arrive soon, nothing fails
+	rng          *rand.Rand
+	events       []event // to come
+	mixed        bool    // with live requests
+	live         []*liveRequest
+	partitioned  map[string]bool // daemons whose messages are all lost
+	blockedLinks map[link]bool   // messages from one daemon to another that are lost: a cut in one direction
+	paused       map[string]bool // daemons that do nothing; what is sent to them arrives when they go on
+	faultFree    bool            // messages arrive soon, nothing fails
 	// tenants have batches on one route beside those without a tenant, each with a quota of its own.
 	tenants []shard.AccountName
 
-	longAbsences bool // some shards are served by nobody for minutes
+	longOutages bool // some shards are served by nobody for minutes
 
 	liftsLimit bool   // the limit is lifted now and then; version counts the configurations
 	unlimited  bool   // it is lifted now
@@ -34,8 +34,8 @@
 	version    uint64 // of the configuration in force
 	// limitedSince is the version since which there has been a limit; claimsLimit has stores name the first
 	// one instead.
-	limitedSince uint64
-	claimsLimit  bool
+	limitedSince      uint64
+	claimsOldestLimit bool
 
 	// How bad it is, drawn anew for each seed.
 	lossRate, slowRate, lateMapRate float64
@@ -43,7 +43,7 @@
 
 	admitted, rejected int // batches
 	admittedBy         map[shard.AccountName]int
-	most               int // that waited at any step
+	maxWaiting         int // that waited at any step
 	excess             string
 	log                []string
 }
@@ -52,8 +52,8 @@
 type link struct{ from, to string }
 
 type event struct {
-	at clock.Micros
-	do func()
+	at  clock.Micros
+	run func()
 }
 
 // liveRequest is a live request that was admitted and not released.
@@ -77,7 +77,7 @@
 // newModelOf is a model of a fleet.
 func newModelOf(f *fleet, seed int64, mixed bool, faults InjectedFaults) *model {
 	m := &model{fleet: f, rng: rand.New(rand.NewSource(seed)), mixed: mixed, version: 1, limitedSince: 1, limit: testQuota,
-		admittedBy: map[shard.AccountName]int{}, cut: map[string]bool{}, deaf: map[link]bool{}, frozen: map[string]bool{}}
+		admittedBy: map[shard.AccountName]int{}, partitioned: map[string]bool{}, blockedLinks: map[link]bool{}, paused: map[string]bool{}}
 	m.faults = faults
 	m.lossRate = m.rng.Float64() * 0.1
 	m.slowRate = m.rng.Float64() * 0.4
@@ -98,23 +98,23 @@
 	m.events = append(m.events, event{m.now + delay, do})
 }
 
-// upTo draws a duration.
-func (m *model) upTo(limit clock.Micros) clock.Micros {
+// randomDelay draws a duration.
+func (m *model) randomDelay(limit clock.Micros) clock.Micros {
 	return clock.Micros(m.rng.Int63n(int64(limit)))
 }
 
 // transmit is the network: most messages take milliseconds, some take seconds or are lost.
 func (m *model) transmit(from, to string, arrive func()) {
-	delay := 1 + m.upTo(10*clock.Millisecond)
+	delay := 1 + m.randomDelay(10*clock.Millisecond)
 	draw := m.rng.Float64()
 	switch {
-	case m.calm:
+	case m.faultFree:
 	case draw < m.lossRate:
 		return
 	case draw < m.lossRate+m.slowRate/2:
-		delay = m.upTo(300 * clock.Millisecond)
+		delay = m.randomDelay(300 * clock.Millisecond)
 	case draw < m.lossRate+m.slowRate:
-		delay = m.upTo(4 * clock.Second)
+		delay = m.randomDelay(4 * clock.Second)
 	}
 	m.after(delay, func() { m.arrive(from, to, arrive) })
 }
@@ -122,8 +122,8 @@
 // arrive has a message arrive, or be lost, or wait until its receiver goes on.
 func (m *model) arrive(from, to string, arrive func()) {
 	switch {
-	case m.cut[from] || m.cut[to] || m.deaf[link{from, to}]:
-	case m.frozen[to]:
+	case m.partitioned[from] || m.partitioned[to] || m.blockedLinks[link{from, to}]:
+	case m.paused[to]:
 		m.after(modelStep, func() { m.arrive(from, to, arrive) })
 	default:
 		arrive()
@@ -134,30 +134,30 @@
 func (m *model) step() {
 	m.now += modelStep
 	for _, id := range m.ids {
-		if !m.frozen[id] {
+		if !m.paused[id] {
 			m.daemons[id].Tick(m.now)
 		}
 	}
-	m.settle()
-	for due := m.takeDue(); due != nil; due = m.takeDue() {
+	m.sendAndCheck()
+	for due := m.nextDueEvent(); due != nil; due = m.nextDueEvent() {
 		due()
-		m.settle()
+		m.sendAndCheck()
 	}
 }
 
-// takeDue takes the first event that is due; nil without one.
-func (m *model) takeDue() func() {
+// nextDueEvent takes the first event that is due; nil without one.
+func (m *model) nextDueEvent() func() {
 	for i, e := range m.events {
 		if e.at <= m.now {
 			m.events = slices.Delete(m.events, i, i+1)
-			return e.do
+			return e.run
 		}
 	}
 	return nil
 }
 
-// settle sends what daemons have sent, and checks the quota.
-func (m *model) settle() {
+// sendAndCheck sends what daemons have sent, and checks the quota.
+func (m *model) sendAndCheck() {
 	m.send()
 	m.check()
 }
@@ -167,11 +167,11 @@
 func (m *model) check() {
 	waiting := m.pending()
 	for _, r := range m.live {
-		if m.now < r.daemon.live(mixedAccount).share.ExpiresAt {
+		if m.now < r.daemon.liveClient(mixedAccount).share.ExpiresAt {
 			waiting += r.weight
 		}
 	}
-	m.most = max(m.most, waiting)
+	m.maxWaiting = max(m.maxWaiting, waiting)
 	m.checkWaiting("in all", waiting)
 	for _, tenant := range m.tenants {
 		m.checkWaiting(tenant.String(), m.pendingOf(tenant))
@@ -202,7 +202,7 @@
 	quota.ConfigurationVersion = m.version
 	quota.Limit = int64(m.limit)
 	quota.LimitedSince = m.limitedSince
-	if m.claimsLimit {
+	if m.claimsOldestLimit {
 		quota.LimitedSince = 1
 	}
 	return quota
@@ -220,14 +220,14 @@
 	m.unlimited = true
 	m.version++
 	m.logf("there is no limit, by configuration %d", m.version)
-	m.after(6*clock.Second+m.upTo(4*clock.Second), func() {
+	m.after(6*clock.Second+m.randomDelay(4*clock.Second), func() {
 		m.unlimited = false
 		m.version++
 		m.limitedSince = m.version
 		m.limit = testQuota/2 + m.rng.Intn(testQuota)
 		m.logf("the limit is %d, by configuration %d; %d wait", m.limit, m.version, m.pending())
 		for _, id := range m.storeIDs() {
-			m.after(m.upTo(3*clock.Second), func() { m.reportPending(id) })
+			m.after(m.randomDelay(3*clock.Second), func() { m.reportPending(id) })
 		}
 	})
 }
@@ -254,20 +254,20 @@
 	m.log = append(m.log, fmt.Sprintf("%7d ms  ", m.now/clock.Millisecond)+fmt.Sprintf(format, args...))
 }
 
-// act lets something happen: most often a batch or a live request, now and then a fault.
-func (m *model) act() {
+// randomAction lets something happen: most often a batch or a live request, now and then a fault.
+func (m *model) randomAction() {
 	switch action := m.rng.Intn(10); {
 	case action < 4:
 		m.submitBatch()
 	case action < 6:
 		m.finishItems()
 	case action < 8 && m.mixed:
-		m.sendLive()
+		m.reserveLive()
 	case m.mixed:
-		m.endLive()
+		m.releaseLive()
 	}
-	if !m.calm && m.rng.Intn(m.actionsPerFault) == 0 {
-		m.fail()
+	if !m.faultFree && m.rng.Intn(m.actionsPerFault) == 0 {
+		m.injectFault()
 	}
 	if m.liftsLimit && !m.unlimited && m.rng.Intn(actionsPerLift) == 0 {
 		m.liftLimit()
@@ -277,8 +277,8 @@
 	}
 }
 
-// fail lets a fault happen.
-func (m *model) fail() {
+// injectFault lets a fault happen.
+func (m *model) injectFault() {
 	switch kind := m.rng.Intn(20); {
 	case kind < 5:
 		m.moveShard(homeShard(batchAccount, m.maps[0]))
@@ -287,7 +287,7 @@
 	case kind < 16:
 		m.restart(m.ids[m.rng.Intn(len(m.ids))])
 	case kind < 19:
-		m.cutOff(m.ids[m.rng.Intn(len(m.ids))])
+		m.partitionDaemon(m.ids[m.rng.Intn(len(m.ids))])
 	default:
 		m.restartAll()
 	}
@@ -301,7 +301,7 @@
 		return
 	}
 	quota := m.quota()
-	quota.Account = m.anyAccount(quota.Account)
+	quota.Account = m.randomAccount(quota.Account)
 	m.submit(shardIndex, weight, quota, func(err error) {
 		if err != nil {
 			m.rejected++
@@ -314,8 +314,8 @@
 	})
 }
 
-// anyAccount draws one of the accounts.
-func (m *model) anyAccount(first shard.AccountName) shard.AccountName {
+// randomAccount draws one of the accounts.
+func (m *model) randomAccount(first shard.AccountName) shard.AccountName {
 	if len(m.tenants) == 0 {
 		return first
 	}
@@ -328,7 +328,7 @@
 // finishItems has a part of what waits in a shard get results, which are durable a little later.
 func (m *model) finishItems() {
 	shard := m.shards[m.rng.Intn(modelShards)]
-	work := shard.of(m.anyAccount(batchAccount))
+	work := shard.workOf(m.randomAccount(batchAccount))
 	if shard.primary == "" || work.pending == 0 {
 		return
 	}
@@ -336,14 +336,14 @@
 	epoch := shard.epoch
 	work.pending -= count
 	work.unconfirmed += count
-	m.after(m.upTo(300*clock.Millisecond), func() {
+	m.after(m.randomDelay(300*clock.Millisecond), func() {
 		if shard.epoch == epoch {
 			work.unconfirmed -= count
 		}
 	})
 }
 
-func (m *model) sendLive() {
+func (m *model) reserveLive() {
 	edges := m.edgeIDs()
 	d := m.daemons[edges[m.rng.Intn(len(edges))]]
 	weight := 1 + m.rng.Intn(6)
@@ -354,7 +354,7 @@
 	})
 }
 
-func (m *model) endLive() {
+func (m *model) releaseLive() {
 	if len(m.live) == 0 {
 		return
 	}
@@ -374,15 +374,15 @@
 	shard.epoch++
 	epoch := shard.epoch
 	for _, account := range append([]accountName{batchAccount}, m.tenants...) {
-		work := shard.of(account)
+		work := shard.workOf(account)
 		work.pending += m.rng.Intn(work.unconfirmed + 1)
 		work.unconfirmed = 0
 	}
-	absence := m.upTo(clock.Second)
-	if m.longAbsences && m.rng.Intn(4) == 0 {
-		absence = 10*clock.Second + m.upTo(300*clock.Second)
+	outage := m.randomDelay(clock.Second)
+	if m.longOutages && m.rng.Intn(4) == 0 {
+		outage = 10*clock.Second + m.randomDelay(300*clock.Second)
 	}
-	m.after(absence, func() {
+	m.after(outage, func() {
 		if shard.epoch != epoch {
 			return
 		}
@@ -394,7 +394,7 @@
 			if m.rng.Float64() < m.lateMapRate {
 				limit = 8 * clock.Second
 			}
-			m.after(m.upTo(limit), func() { m.receiveMap(id) })
+			m.after(m.randomDelay(limit), func() { m.receiveMap(id) })
 		}
 	})
 }
@@ -423,12 +423,12 @@
 	}
 }
 
-// cutOff cuts a daemon off for a while. Its shards pass on, or it keeps them.
-func (m *model) cutOff(id string) {
-	m.cut[id] = true
+// partitionDaemon cuts a daemon off for a while. Its shards pass on, or it keeps them.
+func (m *model) partitionDaemon(id string) {
+	m.partitioned[id] = true
 	m.logf("%s is cut off", id)
-	m.after(m.upTo(5*clock.Second), func() {
-		delete(m.cut, id)
+	m.after(m.randomDelay(5*clock.Second), func() {
+		delete(m.partitioned, id)
 		m.logf("%s is back", id)
 	})
 	if m.rng.Intn(2) == 0 {
@@ -436,7 +436,7 @@
 	}
 	for shardIndex, shard := range m.shards {
 		if shard.primary == id {
-			m.after(m.upTo(2*clock.Second), func() {
+			m.after(m.randomDelay(2*clock.Second), func() {
 				if shard.primary == id {
 					m.moveShard(shardIndex)
 				}
@@ -445,30 +445,30 @@
 	}
 }
 
-// loseSightOfAnEdge has a daemon's directory lack another edge for a while.
-func (m *model) loseSightOfAnEdge() {
+// hideEdge has a daemon's directory lack another edge for a while.
+func (m *model) hideEdge() {
 	id := m.ids[m.rng.Intn(len(m.ids))]
 	edges := m.edgeIDs()
 	edge := edges[m.rng.Intn(len(edges))]
 	if edge == id {
 		return
 	}
-	m.unknown[id] = []string{edge}
+	m.unknownMembers[id] = []string{edge}
 	m.logf("%s does not know %s", id, edge)
-	m.after(m.upTo(5*clock.Second), func() { delete(m.unknown, id) })
+	m.after(m.randomDelay(5*clock.Second), func() { delete(m.unknownMembers, id) })
 }
 
 // run runs the model for some steps.
 func (m *model) run(steps int) {
 	for range steps {
-		m.act()
-		m.settle()
+		m.randomAction()
+		m.sendAndCheck()
 		m.step()
 	}
 }
 
-// tail is the end of the log.
-func (m *model) tail(lines int) string {
+// logTail is the end of the log.
+func (m *model) logTail(lines int) string {
 	out := ""
 	for _, line := range m.log[max(0, len(m.log)-lines):] {
 		out += "\n" + line
@@ -476,10 +476,10 @@
 	return out
 }
 
-// TestTheSumStaysAnUpperBound searches many seeds for a step at which more is admitted than the
+// TestAdmittedWorkStaysWithinQuota searches many seeds for a step at which more is admitted than the
 // quota, with batches alone and with live requests beside them. All daemons know the same members
 // here: where edges disagree on who owns an account with live requests, the bound is not exact.
-func TestTheSumStaysAnUpperBound(t *testing.T) {
+func TestAdmittedWorkStaysWithinQuota(t *testing.T) {
 	t.Parallel()
 	const (
 		seeds = 150
@@ -491,7 +491,7 @@
 			m := newModel(seed, mixed, InjectedFaults{})
 			m.run(steps)
 			if m.excess != "" {
-				t.Fatalf("mixed %v, seed %d: %s%s", mixed, seed, m.excess, m.tail(60))
+				t.Fatalf("mixed %v, seed %d: %s%s", mixed, seed, m.excess, m.logTail(60))
 			}
 			admitted += m.admitted
 			rejected += m.rejected
@@ -502,7 +502,7 @@
 
 // Several tenants press against their quotas on one route: each is bounded by itself, and each is
 // admitted as much as the others.
-func TestEachTenantOfARouteIsBoundedByItself(t *testing.T) {
+func TestTenantsOnRouteAreBoundedSeparately(t *testing.T) {
 	t.Parallel()
 	const (
 		seeds = 60
@@ -514,7 +514,7 @@
 		m.tenants = []shard.AccountName{{Tenant: "a", Route: "t"}, {Tenant: "b", Route: "t"}, {Tenant: "c", Route: "t"}}
 		m.run(steps)
 		if m.excess != "" {
-			t.Fatalf("seed %d: %s%s", seed, m.excess, m.tail(60))
+			t.Fatalf("seed %d: %s%s", seed, m.excess, m.logTail(60))
 		}
 		for account, weight := range m.admittedBy {
 			admitted[account] += weight
@@ -530,7 +530,7 @@
 
 // A shard that nobody serves for minutes, as in a long partition, counts all the while and when it is
 // back: no time that an account waits for it ends.
-func TestTheSumStaysAnUpperBoundOverLongAbsences(t *testing.T) {
+func TestQuotaHoldsDuringLongShardOutages(t *testing.T) {
 	t.Parallel()
 	const (
 		seeds = 60
@@ -539,10 +539,10 @@
 	admitted := 0
 	for seed := int64(1); seed <= seeds; seed++ {
 		m := newModel(seed, false, InjectedFaults{})
-		m.longAbsences = true
+		m.longOutages = true
 		m.run(steps)
 		if m.excess != "" {
-			t.Fatalf("seed %d: %s%s", seed, m.excess, m.tail(60))
+			t.Fatalf("seed %d: %s%s", seed, m.excess, m.logTail(60))
 		}
 		admitted += m.admitted
 	}
@@ -551,28 +551,28 @@
 	}
 }
 
-// freeze has a daemon do nothing for a while.
-func (m *model) freeze() {
+// pauseDaemon has a daemon do nothing for a while.
+func (m *model) pauseDaemon() {
 	id := m.ids[m.rng.Intn(len(m.ids))]
-	m.frozen[id] = true
+	m.paused[id] = true
 	m.logf("%s freezes", id)
-	m.after(m.upTo(20*clock.Second), func() { delete(m.frozen, id) })
+	m.after(m.randomDelay(20*clock.Second), func() { delete(m.paused, id) })
 }
 
-// deafen has the messages from one daemon to another be lost for a while; the receiver doesn't know
+// blockLink has the messages from one daemon to another be lost for a while; the receiver doesn't know
 // the sender then.
-func (m *model) deafen() {
+func (m *model) blockLink() {
 	from, to := m.ids[m.rng.Intn(len(m.ids))], m.ids[m.rng.Intn(len(m.ids))]
 	if from == to {
 		return
 	}
-	m.deaf[link{from, to}] = true
-	known := m.unknown[to]
-	m.unknown[to] = append(slices.Clone(known), from)
+	m.blockedLinks[link{from, to}] = true
+	known := m.unknownMembers[to]
+	m.unknownMembers[to] = append(slices.Clone(known), from)
 	m.logf("%s does not hear %s", to, from)
-	m.after(m.upTo(20*clock.Second), func() {
-		delete(m.deaf, link{from, to})
-		m.unknown[to] = slices.DeleteFunc(m.unknown[to], func(id string) bool { return id == from })
+	m.after(m.randomDelay(20*clock.Second), func() {
+		delete(m.blockedLinks, link{from, to})
+		m.unknownMembers[to] = slices.DeleteFunc(m.unknownMembers[to], func(id string) bool { return id == from })
 	})
 }
 
@@ -586,24 +586,24 @@
 		most, exceeded := 0, 0
 		for seed := int64(1); seed <= int64(shape.seeds); seed++ {
 			m := newModelOf(newFleet(shape.edges, 4, modelShards), seed, true, InjectedFaults{})
-			m.unknown = map[string][]string{}
+			m.unknownMembers = map[string][]string{}
 			for range shape.steps {
 				m.run(1)
 				switch m.rng.Intn(150) {
 				case 0:
-					m.loseSightOfAnEdge()
+					m.hideEdge()
 				case 1, 2, 3:
-					m.deafen()
+					m.blockLink()
 				case 4:
-					m.freeze()
+					m.pauseDaemon()
 				}
 			}
-			most = max(most, m.most)
-			if m.most > testQuota {
+			most = max(most, m.maxWaiting)
+			if m.maxWaiting > testQuota {
 				exceeded++
 			}
-			if m.most > testQuota+maxExcess {
-				t.Fatalf("%d edges, seed %d: %d wait%s", shape.edges, seed, m.most, m.tail(60))
+			if m.maxWaiting > testQuota+maxExcess {
+				t.Fatalf("%d edges, seed %d: %d wait%s", shape.edges, seed, m.maxWaiting, m.logTail(60))
 			}
 		}
 		t.Logf("%d edges: %d of %d seeds admitted more than %d; %d at most", shape.edges, exceeded, shape.seeds, testQuota, most)
@@ -613,7 +613,7 @@
 // Where edges disagree on who owns an account with live requests, the bound is exact to a tenth.
 // (Of 1,500 seeds three admitted too much, 6 of 100 at most. With cuts in one direction and frozen
 // daemons beside it, it is not: TestWorstExcessOfLiveAccounts.)
-func TestDirectoriesThatDifferExceedTheQuotaByATenthAtMost(t *testing.T) {
+func TestExcessIsBoundedWhileDirectoriesDiffer(t *testing.T) {
 	t.Parallel()
 	const (
 		seeds               = 100
@@ -622,21 +622,21 @@
 	)
 	for seed := int64(1); seed <= seeds; seed++ {
 		m := newModel(seed, true, InjectedFaults{})
-		m.unknown = map[string][]string{}
+		m.unknownMembers = map[string][]string{}
 		for range steps {
 			m.run(1)
 			if m.rng.Intn(stepsBetweenChanges) == 0 {
-				m.loseSightOfAnEdge()
+				m.hideEdge()
 			}
 		}
-		if m.most > testQuota+testQuota/10 {
-			t.Fatalf("seed %d: %d wait%s", seed, m.most, m.tail(60))
+		if m.maxWaiting > testQuota+testQuota/10 {
+			t.Fatalf("seed %d: %d wait%s", seed, m.maxWaiting, m.logTail(60))
 		}
 	}
 }
 
 // What was accepted while a configuration set no limit counts as soon as one sets it again.
-func TestNothingIsAdmittedBeyondALimitThatReturns(t *testing.T) {
+func TestNoAdmissionAboveReinstatedLimit(t *testing.T) {
 	t.Parallel()
 	const (
 		seeds = 150
@@ -647,17 +647,17 @@
 		m.liftsLimit = true
 		m.run(steps)
 		if m.excess != "" {
-			t.Fatalf("seed %d: %s%s", seed, m.excess, m.tail(60))
+			t.Fatalf("seed %d: %s%s", seed, m.excess, m.logTail(60))
 		}
 	}
 }
 
 // The model finds that a store takes a limit for an old one that has been lifted meanwhile.
-func TestALimitThatWasLiftedIsNoOldOne(t *testing.T) {
+func TestModelDetectsWrongLimitedSince(t *testing.T) {
 	t.Parallel()
 	for seed := int64(1); seed <= 200; seed++ {
 		m := newModel(seed, false, InjectedFaults{})
-		m.liftsLimit, m.claimsLimit = true, true
+		m.liftsLimit, m.claimsOldestLimit = true, true
 		for m.excess == "" && m.now < 60*clock.Second {
 			m.run(1)
 		}
@@ -671,12 +671,12 @@
 
 // Once nothing fails any more, the quota can be used up again: what is counted too much does not
 // stay.
-func TestTheQuotaIsFreeAgainAfterFaults(t *testing.T) {
+func TestQuotaIsUsableAfterFaults(t *testing.T) {
 	t.Parallel()
 	for seed := int64(1); seed <= 50; seed++ {
 		m := newModel(seed, false, InjectedFaults{})
 		m.run(600)
-		m.calm = true
+		m.faultFree = true
 		for range 500 { // 10 s: every map has arrived
 			m.step()
 		}
@@ -698,22 +698,22 @@
 			m.step()
 		}
 		if admitted != modelShards {
-			t.Errorf("seed %d: %d of %d batches were admitted, %d wait%s", seed, admitted, modelShards, m.pending(), m.tail(30))
+			t.Errorf("seed %d: %d of %d batches were admitted, %d wait%s", seed, admitted, modelShards, m.pending(), m.logTail(30))
 		}
 	}
 }
 
 // The search finds each safeguard that is left out.
-func TestTheModelFindsWhatIsLeftOut(t *testing.T) {
+func TestModelDetectsEachInjectedFault(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
 		mixed  bool
 		faults InjectedFaults
 	}{
 		"a new owner grants before it has all reports":         {false, InjectedFaults{SkipRebuild: true}},
-		"a daemon grants from an account it does not own":      {false, InjectedFaults{SkipOwnership: true, FollowAnyAccount: true}},
-		"reports are taken in the order of their arrival":      {false, InjectedFaults{AcceptOldReports: true}},
-		"a grant is used though another report has been made":  {false, InjectedFaults{UseOldGrants: true}},
+		"a daemon grants from an account it does not own":      {false, InjectedFaults{SkipOwnershipCheck: true, AcceptOlderAccounts: true}},
+		"reports are taken in the order of their arrival":      {false, InjectedFaults{AcceptStaleReports: true}},
+		"a grant is used though another report has been made":  {false, InjectedFaults{UseStaleGrants: true}},
 		"live requests spend what their edge has offered back": {true, InjectedFaults{UseReturnedLease: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/dataplane/quota/owner.go
+++ b/internal/dataplane/quota/owner.go
@@ -54,7 +54,7 @@
 
 // owns tells whether this daemon owns an account now.
 func (q *Quota) owns(name shard.AccountName, a *Account, now clock.Micros) bool {
-	if q.InjectedFaults.SkipOwnership {
+	if q.InjectedFaults.SkipOwnershipCheck {
 		return true
 	}
 	if !a.batchesOnly {
@@ -67,12 +67,12 @@
 // handleLeaseRequest answers a client: at once, or when reports that are missing or old have been
 // asked for.
 func (q *Quota) handleLeaseRequest(request LeaseRequest, now clock.Micros, respond func(LeaseResponse, error, clock.Micros)) {
-	a := q.accountOf(request, now)
+	a := q.findOrOpenAccount(request, now)
 	if a == nil {
 		respond(LeaseResponse{}, errNotOwner(q.self, request.Name), now)
 		return
 	}
-	q.forgetLostShards(a)
+	q.removeLostShards(a)
 	limit := q.latestQuota(request).Limit
 	if !a.Record(request.Report, now) && !a.unreported[request.Report.Queue] {
 		respond(LeaseResponse{Account: a.ID, Superseded: true}, nil, now)
@@ -82,16 +82,16 @@
 		response, err := q.grant(a, request, now)
 		respond(response, err, now)
 	}
-	if outdated := a.Outdated(request, limit, now); len(outdated) > 0 {
-		q.requestUsage(request.Name, a, outdated, now, finish)
+	if outdated := a.QueuesToQuery(request, limit, now); len(outdated) > 0 {
+		q.queryUsage(request.Name, a, outdated, now, finish)
 		return
 	}
 	finish(now)
 }
 
-// accountOf is the account that a request is for; nil where this daemon can't own it. It is opened
+// findOrOpenAccount is the account that a request is for; nil where this daemon can't own it. It is opened
 // where this daemon has none, or one that has been succeeded.
-func (q *Quota) accountOf(request LeaseRequest, now clock.Micros) *Account {
+func (q *Quota) findOrOpenAccount(request LeaseRequest, now clock.Micros) *Account {
 	if len(q.shardMap().Shards) == 0 {
 		return nil // it can't tell who else may have work
 	}
@@ -101,14 +101,14 @@
 		switch {
 		case ok:
 			epoch = serving
-		case q.InjectedFaults.SkipOwnership:
+		case q.InjectedFaults.SkipOwnershipCheck:
 			return q.accounts[request.Name]
 		default:
 			return nil
 		}
 	}
 	if a := q.accounts[request.Name]; a != nil {
-		if !a.isSucceeded(request, epoch) && !q.mayHaveHadNoLimit(request) {
+		if !a.isSuperseded(request, epoch) && !q.mayHaveBeenUnlimited(request) {
 			return a
 		}
 		if !request.Name.BatchesOnly() {
@@ -124,13 +124,13 @@
 	return a
 }
 
-// forgetLostShards has an account count the shards no more that are lost for good: their work will
+// removeLostShards has an account count the shards no more that are lost for good: their work will
 // never run, and an account would wait for ever for a report on them.
-func (q *Quota) forgetLostShards(a *Account) {
+func (q *Quota) removeLostShards(a *Account) {
 	m := q.shardMap()
 	for shardIndex, assignment := range m.Shards {
 		if isLost(assignment, m) {
-			a.Forget(shardQueue(shardIndex))
+			a.RemoveQueue(shardQueue(shardIndex))
 		}
 	}
 }
@@ -150,9 +150,9 @@
 	return true
 }
 
-// isSucceeded tells whether a request is for a later account than this one; epoch is that under
+// isSuperseded tells whether a request is for a later account than this one; epoch is that under
 // which one would be opened now.
-func (a *Account) isSucceeded(request LeaseRequest, epoch uint64) bool {
+func (a *Account) isSuperseded(request LeaseRequest, epoch uint64) bool {
 	if a.batchesOnly {
 		return a.ID.Epoch != epoch
 	}
@@ -195,10 +195,10 @@
 	return latest
 }
 
-// mayHaveHadNoLimit tells whether there may have been no limit, or another account, since this
+// mayHaveBeenUnlimited tells whether there may have been no limit, or another account, since this
 // owner's latest quota: an owner hears nothing of such a configuration, and what was accepted
 // under it is in no report.
-func (q *Quota) mayHaveHadNoLimit(request LeaseRequest) bool {
+func (q *Quota) mayHaveBeenUnlimited(request LeaseRequest) bool {
 	latest, isKnown := q.quotas[request.Name]
 	wasLimited := request.LimitedSince > 0 && request.LimitedSince <= latest.ConfigurationVersion
 	return isKnown && request.ConfigurationVersion > latest.ConfigurationVersion+1 && !wasLimited
@@ -214,12 +214,12 @@
 	if !ok {
 		return LeaseResponse{Account: a.ID, Superseded: true}, nil
 	}
-	q.logExcess(a, latest, now)
+	q.logQuotaExceeded(a, latest, now)
 	return LeaseResponse{Account: a.ID, Granted: granted, Ready: a.IsReady(now)}, nil
 }
 
-// logExcess logs, once until it ends, that more than the quota is in use.
-func (q *Quota) logExcess(a *Account, latest AccountQuota, now clock.Micros) {
+// logQuotaExceeded logs, once until it ends, that more than the quota is in use.
+func (q *Quota) logQuotaExceeded(a *Account, latest AccountQuota, now clock.Micros) {
 	inUse := 0
 	for _, count := range a.Leases(now) {
 		inUse += count
@@ -244,13 +244,13 @@
 func (q *Quota) leasesByDaemon(a *Account, now clock.Micros) map[string]int {
 	out := map[string]int{}
 	for queue, count := range a.Leases(now) {
-		out[q.daemonOf(queue)] += count
+		out[q.servingDaemon(queue)] += count
 	}
 	return out
 }
 
-// daemonOf is the id of the daemon that serves a queue, by this daemon's map.
-func (q *Quota) daemonOf(queue Queue) string {
+// servingDaemon is the id of the daemon that serves a queue, by this daemon's map.
+func (q *Quota) servingDaemon(queue Queue) string {
 	if !queue.isShard() {
 		return queue.Daemon
 	}
@@ -261,10 +261,10 @@
 	return m.Shards[queue.Shard].Primary.ID
 }
 
-// forgetIdleAccounts forgets accounts that nobody has used for a while.
-func (q *Quota) forgetIdleAccounts(now clock.Micros) {
+// removeIdleAccounts forgets accounts that nobody has used for a while.
+func (q *Quota) removeIdleAccounts(now clock.Micros) {
 	for name, a := range q.accounts {
-		a.forgetEnded(now)
+		a.removeEnded(now)
 		if a.IsIdle(now) {
 			delete(q.accounts, name)
 			delete(q.quotas, name)
--- a/internal/dataplane/quota/owner_test.go
+++ b/internal/dataplane/quota/owner_test.go
@@ -10,7 +10,7 @@
 // An owner that has just taken over asks the primary of every shard before it grants, and grants
 // nothing while one of them doesn't answer. (Vietnam's trouble-3: after all processes were killed
 // an owner knew too few stores.)
-func TestAnOwnerWaitsForEveryShard(t *testing.T) {
+func TestNewOwnerWaitsForEveryShard(t *testing.T) {
 	f := newFleet(1, 3, 3)
 	home := homeShard(batchAccount, f.maps[0])
 	f.submitAll(30, 0, 1, 2)
@@ -36,7 +36,7 @@
 }
 
 // A daemon that doesn't serve the account's shard grants nothing, whatever it has counted before.
-func TestADaemonThatIsNotTheOwnerGrantsNothing(t *testing.T) {
+func TestOnlyOwnerGrants(t *testing.T) {
 	f := newFleet(1, 2, 2)
 	former := f.owner()
 	request := LeaseRequest{Name: batchAccount, Report: Report{Queue: shardQueue(1), Epoch: 1, Sequence: 1}, Wanted: 10, Quota: testQuota}
@@ -60,7 +60,7 @@
 
 // A batch that doesn't fit by old reports is judged by new ones: the stores don't report by
 // themselves when items get their results.
-func TestOldReportsAreAskedForAgain(t *testing.T) {
+func TestStaleReportsAreRefreshed(t *testing.T) {
 	f := newFleet(1, 2, 2)
 	f.submitAll(50, 0, 1)
 	f.shards[0].pending = 10
@@ -74,7 +74,7 @@
 }
 
 // What was accepted while the tenant had no limit, without a grant, counts once it has one.
-func TestWhatWasAcceptedWithoutALimitCounts(t *testing.T) {
+func TestWorkAcceptedWithoutLimitCounts(t *testing.T) {
 	f := newFleet(1, 3, 3)
 	f.submitAll(1, 0, 1, 2) // under the first configuration; the account is ready
 	f.now += 10 * clock.Second
@@ -96,7 +96,7 @@
 
 // While more waits than a lowered limit allows, nothing is admitted in place of what gets results
 // while the lease request is under way.
-func TestALoweredLimitAdmitsNothingInPlaceOfWhatEnds(t *testing.T) {
+func TestNoAdmissionWhileAboveLoweredLimit(t *testing.T) {
 	f := newFleet(1, 3, 3)
 	f.submitAll(30, 0, 1, 2)
 	var outcome error
@@ -111,7 +111,7 @@
 }
 
 // The quota of the newest configuration counts, whoever names it.
-func TestTheNewestQuotaCounts(t *testing.T) {
+func TestQuotaOfNewestConfigurationApplies(t *testing.T) {
 	f := newFleet(1, 2, 2)
 	submit := func(shardIndex, weight int, limit int64, version uint64) (outcome error) {
 		quota := AccountQuota{Account: batchAccount, Limit: limit, ConfigurationVersion: version}
@@ -132,17 +132,17 @@
 
 // A live tenant's new account goes before all that its owner had, also where the request's client has
 // not heard of the latest: others have, and would refuse a lower one.
-func TestANewAccountGoesBeforeTheOneItReplaces(t *testing.T) {
+func TestReplacementAccountHasHigherEpoch(t *testing.T) {
 	f := newFleet(1, 2, 2)
 	owner := f.daemons["edge-1"]
 	request := LeaseRequest{Name: mixedAccount, Report: Report{Queue: shardQueue(1), Epoch: 1, Sequence: 1}, Wanted: 10, Quota: testQuota, ConfigurationVersion: 1}
 	request.Report.Account.Epoch = 5
-	former := owner.accountOf(request, f.now)
+	former := owner.findOrOpenAccount(request, f.now)
 	owner.latestQuota(request)
 	request.Report.Account.Epoch = 1
 	request.ConfigurationVersion = 3 // the second may have set no limit
 	f.now++
-	replacement := owner.accountOf(request, f.now)
+	replacement := owner.findOrOpenAccount(request, f.now)
 	if replacement == former || replacement.ID.Epoch <= former.ID.Epoch {
 		t.Errorf("account %+v replaces %+v", replacement.ID, former.ID)
 	}
--- a/internal/dataplane/quota/pending_reports.go
+++ b/internal/dataplane/quota/pending_reports.go
@@ -23,7 +23,7 @@
 // has acknowledged that.
 func (q *Quota) ReportPending(quotas []AccountQuota, now clock.Micros) {
 	for _, quota := range quotas {
-		q.unreported[quota.Account] = quota
+		q.unacknowledged[quota.Account] = quota
 	}
 	q.reportPending(now)
 }
@@ -31,12 +31,12 @@
 // reportPending sends the reports that no owner has acknowledged.
 func (q *Quota) reportPending(now clock.Micros) {
 	byOwner := map[string][]pendingReports{}
-	for _, name := range sortedAccounts(q.unreported) {
-		reports, isComplete := q.pendingReportsOf(q.unreported[name], now)
+	for _, name := range sortedAccounts(q.unacknowledged) {
+		reports, isComplete := q.pendingReportsOf(q.unacknowledged[name], now)
 		switch {
 		case !isComplete:
 		case len(reports.requests) == 0:
-			delete(q.unreported, name)
+			delete(q.unacknowledged, name)
 		default:
 			owner := q.OwnerOf(name)
 			byOwner[owner] = append(byOwner[owner], reports)
@@ -97,15 +97,15 @@
 	acknowledge := func(response PendingReportsResponse) {
 		for _, reports := range message {
 			name := reports.quota.Account
-			if !slices.Contains(response.Refused, name) && q.unreported[name] == reports.quota {
-				delete(q.unreported, name)
+			if !slices.Contains(response.Refused, name) && q.unacknowledged[name] == reports.quota {
+				delete(q.unacknowledged, name)
 			}
 		}
 	}
-	peer := q.peerOf(owner)
+	peer := q.peerAddress(owner)
 	switch {
 	case owner == q.self:
-		acknowledge(q.takePendingReports(body, now))
+		acknowledge(q.recordPendingReports(body, now))
 	case peer != "":
 		q.calls.Request(peer, body, leaseRequestTimeout, func(body any, err error, _ clock.Micros) {
 			if response, ok := body.(PendingReportsResponse); ok && err == nil {
@@ -115,36 +115,36 @@
 	}
 }
 
-// takePendingReports is the owner's side: it records the reports.
-func (q *Quota) takePendingReports(message PendingReports, now clock.Micros) PendingReportsResponse {
+// recordPendingReports is the owner's side: it records the reports.
+func (q *Quota) recordPendingReports(message PendingReports, now clock.Micros) PendingReportsResponse {
 	var response PendingReportsResponse
 	for _, request := range message.Requests {
-		if !q.takePendingReport(request, now) {
+		if !q.recordPendingReport(request, now) {
 			response.Refused = append(response.Refused, request.Name)
 		}
 	}
 	return response
 }
 
-// takePendingReport records one report; false where this daemon doesn't own the account. One that is not
+// recordPendingReport records one report; false where this daemon doesn't own the account. One that is not
 // open stays closed, and one that has to be opened anew asks nobody before the next lease request.
-func (q *Quota) takePendingReport(request LeaseRequest, now clock.Micros) bool {
+func (q *Quota) recordPendingReport(request LeaseRequest, now clock.Micros) bool {
 	if request.Name.BatchesOnly() && q.accounts[request.Name] == nil {
 		_, ok := q.homeEpoch(request.Name, now)
 		return ok
 	}
-	a := q.accountOf(request, now)
+	a := q.findOrOpenAccount(request, now)
 	if a == nil {
 		return false
 	}
 	latest := q.latestQuota(request)
 	if a.Record(request.Report, now) {
-		q.logExcess(a, latest, now)
+		q.logQuotaExceeded(a, latest, now)
 	}
 	return true
 }
 
-// replyPendingReports answers another daemon's reports.
-func (q *Quota) replyPendingReports(number uint64, message PendingReports, now clock.Micros) {
-	q.calls.Emit(machine.Reply{Call: number, Body: q.takePendingReports(message, now)})
+// handlePendingReports answers another daemon's reports.
+func (q *Quota) handlePendingReports(number uint64, message PendingReports, now clock.Micros) {
+	q.calls.Emit(machine.Reply{Call: number, Body: q.recordPendingReports(message, now)})
 }
--- a/internal/dataplane/quota/pending_reports_test.go
+++ b/internal/dataplane/quota/pending_reports_test.go
@@ -11,7 +11,7 @@
 
 // A store that received the configuration with the limit late tells the owner what it accepted without
 // one: it counts, though the store submits nothing more.
-func TestWhatALateStoreAcceptedCounts(t *testing.T) {
+func TestWorkAcceptedBeforeLateConfigurationCounts(t *testing.T) {
 	f := newFleet(1, 2, 2)
 	f.submitAll(1, 0, 1) // the account is open, and both shards have reported
 	late := f.daemons[f.shards[1].primary]
@@ -27,7 +27,7 @@
 }
 
 // The report is repeated until an owner has taken it, and then no more.
-func TestPendingReportsAreRepeatedUntilTheyArrive(t *testing.T) {
+func TestPendingReportsAreRetriedUntilAcknowledged(t *testing.T) {
 	f := newFleet(1, 2, 2)
 	f.submitAll(1, 0, 1)
 	shardIndex := 1 - homeShard(batchAccount, f.maps[0]) // of the store that doesn't own the account
@@ -37,14 +37,14 @@
 	f.onRequest = func(sent sentRequest) { f.receiveReply(sent, nil, errOwnerUnreachable()) }
 	late.ReportPending([]AccountQuota{accountQuota(false)}, f.now)
 	f.send()
-	if len(late.unreported) != 1 {
+	if len(late.unacknowledged) != 1 {
 		t.Fatal("a report that did not arrive is forgotten")
 	}
 	f.route, f.onRequest = nil, nil
 	f.now += renewalInterval
 	late.Tick(f.now)
 	f.deliver()
-	if len(late.unreported) != 0 {
+	if len(late.unacknowledged) != 0 {
 		t.Fatal("a report that arrived is kept")
 	}
 	if admitted := f.submitAll(50, 0); admitted != 0 {
@@ -54,7 +54,7 @@
 
 // An account of batches waits for a shard that nobody serves, however long that takes, and admits
 // nothing meanwhile; one of which the control state knows no copy any more doesn't count.
-func TestOnlyAShardThatIsLostForGoodCountsNoMore(t *testing.T) {
+func TestUnservedShardCountsUntilLost(t *testing.T) {
 	f := newFleet(1, 3, 3)
 	home := homeShard(batchAccount, f.maps[0])
 	away, other := (home+1)%3, (home+2)%3
@@ -68,7 +68,7 @@
 			t.Fatalf("%d are admitted beside a shard that is away with 60 of %d", admitted, testQuota)
 		}
 	}
-	f.evicted = []string{f.shards[away].holder}
+	f.evicted = []string{f.shards[away].lastPrimary}
 	f.publishMap()
 	f.receiveMap(f.ids...)
 	f.now += 60 * clock.Second
--- a/internal/dataplane/quota/quota.go
+++ b/internal/dataplane/quota/quota.go
@@ -13,14 +13,14 @@
 type InjectedFaults struct {
 	// SkipRebuild has a new owner grant before it knows what is in use.
 	SkipRebuild bool
-	// SkipOwnership has a daemon grant from an account that it doesn't own any more.
-	SkipOwnership bool
-	// FollowAnyAccount has a client follow an account though it knows a later one.
-	FollowAnyAccount bool
-	// AcceptOldReports has an owner take reports in the order in which they arrive.
-	AcceptOldReports bool
-	// UseOldGrants has a client use a grant though it has made another report since.
-	UseOldGrants bool
+	// SkipOwnershipCheck has a daemon grant from an account that it doesn't own any more.
+	SkipOwnershipCheck bool
+	// AcceptOlderAccounts has a client follow an account though it knows a later one.
+	AcceptOlderAccounts bool
+	// AcceptStaleReports has an owner take reports in the order in which they arrive.
+	AcceptStaleReports bool
+	// UseStaleGrants has a client use a grant though it has made another report since.
+	UseStaleGrants bool
 	// UseReturnedLease has a client admit from what it has offered to give back.
 	UseReturnedLease bool
 	// AdmitEverything has a client admit work without a lease.
@@ -59,9 +59,9 @@
 	shardMap    func() state.Map           // the cluster map as this daemon knows it
 	nextRenewal clock.Micros
 
-	// unreported are the accounts whose owners are to be told of the batches that wait here: they may
+	// unacknowledged are the accounts whose owners are to be told of the batches that wait here: they may
 	// have been accepted without a grant.
-	unreported map[shard.AccountName]AccountQuota
+	unacknowledged map[shard.AccountName]AccountQuota
 
 	clients      map[shard.AccountName]*client
 	lastSequence uint64       // of this daemon's reports
@@ -75,14 +75,14 @@
 // while it knows none: then it knows no owner of any account.
 func New(self string, calls *machine.Calls, members func() []membership.Member, shardMap func() state.Map) *Quota {
 	return &Quota{
-		self:       self,
-		calls:      calls,
-		members:    members,
-		shardMap:   shardMap,
-		unreported: map[shard.AccountName]AccountQuota{},
-		clients:    map[shard.AccountName]*client{},
-		accounts:   map[shard.AccountName]*Account{},
-		quotas:     map[shard.AccountName]AccountQuota{},
+		self:           self,
+		calls:          calls,
+		members:        members,
+		shardMap:       shardMap,
+		unacknowledged: map[shard.AccountName]AccountQuota{},
+		clients:        map[shard.AccountName]*client{},
+		accounts:       map[shard.AccountName]*Account{},
+		quotas:         map[shard.AccountName]AccountQuota{},
 	}
 }
 
@@ -99,9 +99,9 @@
 			q.calls.Emit(machine.Reply{Call: number, Body: response})
 		})
 	case PendingReports:
-		q.replyPendingReports(number, request, now)
+		q.handlePendingReports(number, request, now)
 	case UsageRequest:
-		q.calls.Emit(machine.Reply{Call: number, Body: q.report(request, now)})
+		q.calls.Emit(machine.Reply{Call: number, Body: q.answerUsageRequest(request, now)})
 	default:
 		return false
 	}
@@ -116,6 +116,6 @@
 	q.nextRenewal = now + renewalInterval
 	q.renewLeases(now)
 	q.reportPending(now)
-	q.forgetIdleAccounts(now)
-	q.forgetUnusedClients(now)
+	q.removeIdleAccounts(now)
+	q.removeUnusedClients(now)
 }
--- a/internal/dataplane/quota/shard_client.go
+++ b/internal/dataplane/quota/shard_client.go
@@ -47,15 +47,15 @@
 // can't be used.
 func (q *Quota) ReserveInShard(quota AccountQuota, shardIndex, weight int, now clock.Micros, callback func(err error, now clock.Micros)) {
 	if int64(weight) > quota.Limit {
-		callback(errExceedsQuota(quota, weight), now)
+		callback(errLargerThanQuota(quota, weight), now)
 		return
 	}
 	if q.InjectedFaults.AdmitEverything {
 		callback(nil, now)
 		return
 	}
-	c := q.client(quota.Account).shard(shardIndex)
-	if err := q.rejectsEarly(c.failedAt, len(c.waiters), now); err != nil {
+	c := q.client(quota.Account).shardClient(shardIndex)
+	if err := q.earlyRejection(c.failedAt, len(c.waiters), now); err != nil {
 		callback(err, now)
 		return
 	}
@@ -63,8 +63,8 @@
 	q.requestShardLease(quota.Account, shardIndex, now)
 }
 
-// shard is the account's part of a shard.
-func (c *client) shard(shardIndex int) *shardClient {
+// shardClient is the account's part of a shardClient.
+func (c *client) shardClient(shardIndex int) *shardClient {
 	if c.shards == nil {
 		c.shards = map[int]*shardClient{}
 	}
@@ -102,7 +102,7 @@
 // requestShardLease asks the owner for all batches that wait. There is one request at a time for
 // each shard.
 func (q *Quota) requestShardLease(name shard.AccountName, shardIndex int, now clock.Micros) {
-	c := q.client(name).shard(shardIndex)
+	c := q.client(name).shardClient(shardIndex)
 	if c.requesting || len(c.waiters) == 0 {
 		return
 	}
@@ -138,7 +138,7 @@
 // handleShardLease admits the batches that fit after a lease request, and rejects the others that
 // it was for.
 func (q *Quota) handleShardLease(c *shardClient, request LeaseRequest, response LeaseResponse, now clock.Micros) {
-	isLatest := c.sequence == request.Report.Sequence || q.InjectedFaults.UseOldGrants
+	isLatest := c.sequence == request.Report.Sequence || q.InjectedFaults.UseStaleGrants
 	isSuperseded := response.Superseded || !isLatest
 	for _, w := range c.takeWaiters() {
 		switch {
@@ -148,7 +148,7 @@
 			q.rejectBatches([]*batchWaiter{w}, errOwnerUnreachable(), now)
 		case !q.isServingAt(request.Report, now):
 			q.rejectBatches([]*batchWaiter{w}, errNotServing(q.self, request.Report.Queue.Shard), now)
-		case q.fitsInto(response.Granted, w, request):
+		case q.fitsGrant(response.Granted, w, request):
 			q.client(request.Name).admissions.Record(now)
 			w.callback(nil, now)
 		default:
@@ -163,8 +163,8 @@
 	return isServing && epoch == report.Epoch
 }
 
-// fitsInto tells whether a batch fits into a grant beside what is pending in its shard now.
-func (q *Quota) fitsInto(granted int, w *batchWaiter, request LeaseRequest) bool {
+// fitsGrant tells whether a batch fits into a grant beside what is pending in its shard now.
+func (q *Quota) fitsGrant(granted int, w *batchWaiter, request LeaseRequest) bool {
 	return q.Shards.PendingWeight(request.Report.Queue.Shard, request.Name)+w.weight <= granted
 }
 
--- a/internal/dataplane/quota/share.go
+++ b/internal/dataplane/quota/share.go
@@ -37,8 +37,8 @@
 	s.releases.Record(now)
 }
 
-// GiveBack gives up what was granted beyond a size.
-func (s *Share) GiveBack(size int) { s.Granted = min(s.Granted, size) }
+// ShrinkTo gives up what was granted beyond a size.
+func (s *Share) ShrinkTo(size int) { s.Granted = min(s.Granted, size) }
 
 // ApplyGrant takes an owner's response to a request that was sent at a time.
 func (s *Share) ApplyGrant(granted int, sent clock.Micros) {
--- a/internal/dataplane/quota/share_test.go
+++ b/internal/dataplane/quota/share_test.go
@@ -3,18 +3,18 @@
 import "testing"
 
 // What is given back is not admitted any more; what is in use stays in use, also beyond the lease.
-func TestAShareGivesBackWhatIsNotInUse(t *testing.T) {
+func TestShrinkToKeepsWorkInUse(t *testing.T) {
 	s := &Share{}
 	s.ApplyGrant(10, 1000)
 	s.Reserve(4)
 	if !s.HasCapacity(6, 1001) || s.committed(1001) != 10 {
 		t.Fatalf("with a lease of 10: %+v", s)
 	}
-	s.GiveBack(5)
+	s.ShrinkTo(5)
 	if s.HasCapacity(2, 1001) || !s.HasCapacity(1, 1001) || s.committed(1001) != 5 {
 		t.Fatalf("with 5 of it: %+v", s)
 	}
-	s.GiveBack(0)
+	s.ShrinkTo(0)
 	if s.HasCapacity(1, 1001) || s.committed(1001) != 4 {
 		t.Fatalf("with nothing of it: %+v", s)
 	}
--- a/internal/dataplane/quota/snapshot.go
+++ b/internal/dataplane/quota/snapshot.go
@@ -88,7 +88,7 @@
 func (q *Quota) unreportedDaemons(a *Account) []string {
 	daemons := map[string]bool{}
 	for _, queue := range a.Unreported() {
-		daemons[q.daemonOf(queue)] = true
+		daemons[q.servingDaemon(queue)] = true
 	}
 	return sortedKeys(daemons)
 }
--- a/internal/dataplane/quota/snapshot_test.go
+++ b/internal/dataplane/quota/snapshot_test.go
@@ -8,7 +8,7 @@
 )
 
 // Operators read this form; its keys never change.
-func TestSnapshotKeepsItsForm(t *testing.T) {
+func TestSnapshotJSONFormat(t *testing.T) {
 	f := newFleet(1, 1, 1)
 	quota := AccountQuota{Account: mixedAccount, Limit: 256, ConfigurationVersion: 1}
 	f.daemons["edge-1"].Reserve(quota, 3, f.now, func(Release, error, clock.Micros) {})
--- a/internal/dataplane/quota/tenants_test.go
+++ b/internal/dataplane/quota/tenants_test.go
@@ -8,8 +8,8 @@
 	"tuliprudder/internal/clock"
 )
 
-// tenantsOnARoute names the accounts of some tenants on the route "r".
-func tenantsOnARoute(count int) []shard.AccountName {
+// tenantAccounts names the accounts of some tenants on the route "r".
+func tenantAccounts(count int) []shard.AccountName {
 	var out []shard.AccountName
 	for i := range count {
 		out = append(out, shard.AccountName{Tenant: fmt.Sprint("tenant-", i), Route: "r"})
@@ -32,9 +32,9 @@
 }
 
 // One tenant's batches refused another's on the same route while both shared its quota. (Issue 40.)
-func TestOneTenantTakesNoRoomOfAnother(t *testing.T) {
+func TestTenantsOnRouteHaveSeparateQuotas(t *testing.T) {
 	f := newFleet(1, 3, 6)
-	tenants := tenantsOnARoute(2)
+	tenants := tenantAccounts(2)
 	for _, tenant := range tenants {
 		if err := f.submitFor(tenant, 1, testQuota-10); err != nil {
 			t.Fatalf("%s: %v", tenant, err)
@@ -51,9 +51,9 @@
 }
 
 // Accounts that nobody uses cost no messages, however many there are.
-func TestAccountsThatNobodyUsesCostNoMessages(t *testing.T) {
+func TestIdleAccountsSendNoMessages(t *testing.T) {
 	f := newFleet(3, 9, 64)
-	for i, tenant := range tenantsOnARoute(70) {
+	for i, tenant := range tenantAccounts(70) {
 		if err := f.submitFor(tenant, i%64, 1); err != nil {
 			t.Fatal(err)
 		}
@@ -73,10 +73,10 @@
 
 // A store asked all others before each batch that came more than half a second after the one before, as
 // it had forgotten its account.
-func TestABatchCostsOneRequestWhileItsAccountIsOpen(t *testing.T) {
+func TestBatchSendsOneRequestWhileAccountIsOpen(t *testing.T) {
 	f := newFleet(1, 9, 64)
 	f.now = 3600 * clock.Second
-	tenant := tenantsOnARoute(1)[0]
+	tenant := tenantAccounts(1)[0]
 	for shardIndex := range 9 {
 		if err := f.submitFor(tenant, shardIndex, 1); err != nil {
 			t.Fatal(err)
@@ -100,9 +100,9 @@
 
 // An account was opened anew, and every store asked, with the first batch after each change of
 // configuration: operators' numbers leave some out.
-func TestAnAccountStaysOpenOverConfigurations(t *testing.T) {
+func TestAccountStaysOpenAcrossConfigurations(t *testing.T) {
 	f := newFleet(1, 9, 64)
-	tenant := tenantsOnARoute(1)[0]
+	tenant := tenantAccounts(1)[0]
 	submit := func(version, limitedSince uint64) {
 		quota := quotaOf(tenant)
 		quota.ConfigurationVersion, quota.LimitedSince = version, limitedSince
@@ -130,13 +130,13 @@
 }
 
 // A store that has to report on many accounts sends each owner one message, and opens no account.
-func TestReportsForOneOwnerShareAMessage(t *testing.T) {
+func TestPendingReportsAreGroupedByOwner(t *testing.T) {
 	const stores, shards = 9, 64
 	f := newFleet(1, stores, shards)
 	var quotas []AccountQuota
-	for _, tenant := range tenantsOnARoute(70) {
+	for _, tenant := range tenantAccounts(70) {
 		for shardIndex := range shards {
-			f.shards[shardIndex].of(tenant).pending = 1
+			f.shards[shardIndex].workOf(tenant).pending = 1
 		}
 		quotas = append(quotas, quotaOf(tenant))
 	}
@@ -147,8 +147,8 @@
 	if counts["quota.PendingReports"] > stores-1 || counts["quota.LeaseRequest"]+counts["quota.UsageRequest"] > 0 {
 		t.Errorf("%v", counts)
 	}
-	if len(reporting.unreported) > 0 {
-		t.Errorf("%d accounts are not acknowledged", len(reporting.unreported))
+	if len(reporting.unacknowledged) > 0 {
+		t.Errorf("%d accounts are not acknowledged", len(reporting.unacknowledged))
 	}
 	// What was reported counts once the account is opened.
 	if err := f.submitFor(quotas[0].Account, 0, testQuota-shards+1); err == nil {
@@ -160,7 +160,7 @@
 }
 
 // The reports of an account are in one message, and no message has more than its bound.
-func TestMessagesOfReportsAreBounded(t *testing.T) {
+func TestPendingReportMessageSizeIsBounded(t *testing.T) {
 	var all []pendingReports
 	for range 20 {
 		all = append(all, pendingReports{requests: make([]LeaseRequest, 60)})
--- a/internal/dataplane/quota/usage.go
+++ b/internal/dataplane/quota/usage.go
@@ -18,12 +18,12 @@
 	callbacks   []func(now clock.Micros) // called once all have come or timed out
 }
 
-// requestUsage asks for reports on some queues of an account, and calls back when all daemons have
+// queryUsage asks for reports on some queues of an account, and calls back when all daemons have
 // answered or timed out. There is one set of questions at a time for each account; requests that come
 // meanwhile wait for it.
-func (q *Quota) requestUsage(name shard.AccountName, a *Account, queues []Queue, now clock.Micros, callback func(now clock.Micros)) {
-	if a.usageRequest != nil {
-		a.usageRequest.callbacks = append(a.usageRequest.callbacks, callback)
+func (q *Quota) queryUsage(name shard.AccountName, a *Account, queues []Queue, now clock.Micros, callback func(now clock.Micros)) {
+	if a.usageQuery != nil {
+		a.usageQuery.callbacks = append(a.usageQuery.callbacks, callback)
 		return
 	}
 	requests := q.usageRequests(name, a, queues)
@@ -32,11 +32,11 @@
 		callback(now)
 		return
 	}
-	a.usageRequest = query
+	a.usageQuery = query
 	for _, daemonID := range sortedKeys(requests) {
 		q.sendUsageRequest(daemonID, *requests[daemonID], now, func(response UsageResponse, now clock.Micros) {
 			q.handleUsageResponse(name, a, response, now)
-			a.finishResponse(query, now)
+			a.countResponse(query, now)
 		})
 	}
 }
@@ -45,10 +45,10 @@
 // stands for one that did not come.
 func (q *Quota) sendUsageRequest(daemonID string, request UsageRequest, now clock.Micros, callback func(UsageResponse, clock.Micros)) {
 	if daemonID == q.self {
-		callback(q.report(request, now), now)
+		callback(q.answerUsageRequest(request, now), now)
 		return
 	}
-	q.calls.Request(q.peerOf(daemonID), request, usageRequestTimeout, func(body any, _ error, now clock.Micros) {
+	q.calls.Request(q.peerAddress(daemonID), request, usageRequestTimeout, func(body any, _ error, now clock.Micros) {
 		response, _ := body.(UsageResponse)
 		callback(response, now)
 	})
@@ -59,8 +59,8 @@
 func (q *Quota) usageRequests(name shard.AccountName, a *Account, queues []Queue) map[string]*UsageRequest {
 	out := map[string]*UsageRequest{}
 	for _, queue := range queues {
-		daemonID := q.daemonOf(queue)
-		if daemonID != q.self && q.peerOf(daemonID) == "" {
+		daemonID := q.servingDaemon(queue)
+		if daemonID != q.self && q.peerAddress(daemonID) == "" {
 			continue
 		}
 		if out[daemonID] == nil {
@@ -73,8 +73,8 @@
 	return out
 }
 
-// peerOf is the address of a store or an edge; "" where this daemon doesn't know it.
-func (q *Quota) peerOf(daemonID string) string {
+// peerAddress is the address of a store or an edge; "" where this daemon doesn't know it.
+func (q *Quota) peerAddress(daemonID string) string {
 	m := q.shardMap()
 	if store, ok := m.Stores[daemonID]; ok {
 		return store.Peer
@@ -91,7 +91,7 @@
 // next request opens another, above that.
 func (q *Quota) handleUsageResponse(name shard.AccountName, a *Account, response UsageResponse, now clock.Micros) {
 	if response.Account.compare(a.ID) > 0 {
-		q.follows(name, response.Account)
+		q.acceptAccount(name, response.Account)
 		if q.accounts[name] == a {
 			delete(q.accounts, name)
 		}
@@ -102,22 +102,22 @@
 	}
 }
 
-// finishResponse counts a response or time-out, and ends the set with the last.
-func (a *Account) finishResponse(query *usageQuery, now clock.Micros) {
+// countResponse counts a response or time-out, and ends the set with the last.
+func (a *Account) countResponse(query *usageQuery, now clock.Micros) {
 	query.outstanding--
 	if query.outstanding > 0 {
 		return
 	}
-	a.usageRequest = nil
+	a.usageQuery = nil
 	for _, callback := range query.callbacks {
 		callback(now)
 	}
 }
 
-// report answers an owner's question. From here on this daemon admits nothing more until it has a
-// grant for a later report.
-func (q *Quota) report(request UsageRequest, now clock.Micros) UsageResponse {
-	if !q.follows(request.Name, request.Account) {
+// answerUsageRequest answers an owner's question. From here on this daemon admits nothing more until it has a
+// grant for a later answerUsageRequest.
+func (q *Quota) answerUsageRequest(request UsageRequest, now clock.Micros) UsageResponse {
+	if !q.acceptAccount(request.Name, request.Account) {
 		return UsageResponse{Account: q.client(request.Name).account}
 	}
 	if len(request.Shards) == 0 {
@@ -134,7 +134,7 @@
 
 // reportOwnQueue reports what live requests have in use here, and gives the rest of the lease up.
 func (q *Quota) reportOwnQueue(name shard.AccountName, now clock.Micros) Report {
-	c := q.live(name)
-	c.share.GiveBack(c.share.InUse)
+	c := q.liveClient(name)
+	c.share.ShrinkTo(c.share.InUse)
 	return q.reportLive(name, now)
 }
