--- a/internal/daemon/machines/reports_test.go
+++ b/internal/daemon/machines/reports_test.go
@@ -42,7 +42,7 @@
 
 func TestAnEdgeReportsWhatBegan(t *testing.T) {
 	e := reportingEdge(5 * clock.Second)
-	e.Proxy.RequestBegan("t", testTime)
+	e.Proxy.OnExecutionStarted("t", testTime)
 	sent := reportsIn(e.Tick(testTime))
 	report, ok := sent["request core"]
 	if len(sent) != 1 || !ok || report.Incarnation != 7 || report.Daemon != "edge" || report.Usage[0].Counts["t"] != 1 {
@@ -56,7 +56,7 @@
 // An edge that ends tells all cores with a vote.
 func TestReportsAreFlushed(t *testing.T) {
 	e := reportingEdge(5 * clock.Second)
-	e.Proxy.RequestBegan("t", testTime)
+	e.Proxy.OnExecutionStarted("t", testTime)
 	effects := e.Call(9, FlushReports{}, testTime)
 	sent := reportsIn(effects)
 	if len(sent) != 3 || len(sent["send other"].Usage) != 1 || len(sent["request core"].Usage) != 1 {
@@ -75,7 +75,7 @@
 // Where the platform asks for no reports of use, nothing is sent.
 func TestAnEdgeWithoutTheActReportsNothing(t *testing.T) {
 	e := reportingEdge(0)
-	e.Proxy.RequestBegan("t", testTime)
+	e.Proxy.OnExecutionStarted("t", testTime)
 	for now := testTime; now < testTime+10*clock.Second; now += 100 * clock.Millisecond {
 		if sent := reportsIn(e.Tick(now)); len(sent) > 0 {
 			t.Fatalf("sent %+v", sent)
--- a/internal/daemon/machines/store.go
+++ b/internal/daemon/machines/store.go
@@ -170,7 +170,7 @@
 
 // shareCapacity tells the other stores what this one has to run, and goes by what they told.
 func (s *Store) shareCapacity(now clock.Micros) {
-	own := batchshare.Own{
+	own := batchshare.LocalDemand{
 		Items:   s.Runner.Pending(),
 		Overdue: s.Scheduler.OverdueBatchItems(),
 		Tokens:  s.Runner.PendingWeight(),
@@ -180,7 +180,7 @@
 	allotment := s.demands.Allotment(own, s.members, now)
 	allotment.Connections = s.connectionShares()
 	s.Scheduler.SetBatchAllotment(allotment)
-	s.Scheduler.SetOtherBatchItems(s.demands.RunningElsewhere(s.Scheduler.ServerNames()))
+	s.Scheduler.SetOtherBatchItems(s.demands.RunningForOtherStores(s.Scheduler.ServerNames()))
 }
 
 // Tick runs the duties that are due.
--- a/internal/dataplane/batchshare/tracker.go
+++ b/internal/dataplane/batchshare/tracker.go
@@ -25,12 +25,12 @@
 	maxInterval    = clock.Second            // the same when nothing did
 	demandTTL      = 3 * clock.Second        // after which a store's last announcement no longer counts
 	maxServerItems = 255                     // on one server, in a message
-	// itemsPerOverdue is how many overdue items count as much as one that can be ready in time.
-	itemsPerOverdue = 8
+	// overdueDivisor is how many overdue items count as much as one that can be ready in time.
+	overdueDivisor = 8
 )
 
-// Own is what this store has to run.
-type Own struct {
+// LocalDemand is what this store has to run.
+type LocalDemand struct {
 	Items   int            // without a result
 	Overdue int            // of these, queued ones that can't be ready in time
 	Tokens  int            // of the items, prompts and outputs together
@@ -40,33 +40,35 @@
 // Tracker holds the latest demand of each other store.
 type Tracker struct {
 	self       string
-	others     map[string]demand
+	others     map[string]receivedDemand
 	lastSent   Demand
 	lastSentAt clock.Micros
 }
 
-// demand is what is known of another store.
-type demand struct {
+// receivedDemand is what is known of another store.
+type receivedDemand struct {
 	Demand
 	receivedAt clock.Micros
 }
 
 // NewTracker makes the tracker of the store with the id self.
-func NewTracker(self string) *Tracker { return &Tracker{self: self, others: map[string]demand{}} }
+func NewTracker(self string) *Tracker {
+	return &Tracker{self: self, others: map[string]receivedDemand{}}
+}
 
 // Receive takes another store's demand.
 func (t *Tracker) Receive(message Demand, now clock.Micros) {
-	t.others[message.ID] = demand{Demand: message, receivedAt: now}
+	t.others[message.ID] = receivedDemand{Demand: message, receivedAt: now}
 }
 
-// forgetOld drops the demands that no longer count.
-func (t *Tracker) forgetOld(now clock.Micros) {
-	maps.DeleteFunc(t.others, func(_ string, other demand) bool { return now-other.receivedAt > demandTTL })
+// removeExpired drops the demands that no longer count.
+func (t *Tracker) removeExpired(now clock.Micros) {
+	maps.DeleteFunc(t.others, func(_ string, other receivedDemand) bool { return now-other.receivedAt > demandTTL })
 }
 
-// otherStores are the live stores among the members, but this one, in the order of their
+// otherLiveStores are the live stores among the members, but this one, in the order of their
 // identities.
-func (t *Tracker) otherStores(members map[string]membership.Member) []membership.Member {
+func (t *Tracker) otherLiveStores(members map[string]membership.Member) []membership.Member {
 	var out []membership.Member
 	for _, id := range slices.Sorted(maps.Keys(members)) {
 		member := members[id]
@@ -81,32 +83,32 @@
 // know of the same demands have parts that don't overlap, in the order of their zones. A live store
 // that was not heard counts as if its demand were this one's: after a start several have much to run
 // and know nothing of each other.
-func (t *Tracker) Allotment(own Own, members map[string]membership.Member, now clock.Micros) scheduler.BatchAllotment {
-	t.forgetOld(now)
-	size := max(1, partOf(own.Items, own.Overdue))
-	before, total := 0, size
+func (t *Tracker) Allotment(own LocalDemand, members map[string]membership.Member, now clock.Micros) scheduler.BatchAllotment {
+	t.removeExpired(now)
+	size := max(1, demandSize(own.Items, own.Overdue))
+	offset, total := 0, size
 	self := members[t.self]
-	for _, member := range t.otherStores(members) {
-		part := size
+	for _, member := range t.otherLiveStores(members) {
+		otherSize := size
 		if other, known := t.others[member.ID]; known {
-			part = partOf(other.Items, other.Overdue)
+			otherSize = demandSize(other.Items, other.Overdue)
 		}
-		total += part
+		total += otherSize
 		if cmp.Or(cmp.Compare(member.Zone, self.Zone), cmp.Compare(member.ID, t.self)) < 0 {
-			before += part
+			offset += otherSize
 		}
 	}
-	return scheduler.BatchAllotment{Offset: before, Size: size, Total: total, ItemTokens: t.meanItemTokens(own)}
+	return scheduler.BatchAllotment{Offset: offset, Size: size, Total: total, ItemTokens: t.averageItemTokens(own)}
 }
 
-// partOf is the part of the places that a store's items ask for: overdue ones run only now and then.
-func partOf(items, overdue int) int {
-	return items - overdue + (overdue+itemsPerOverdue-1)/itemsPerOverdue
+// demandSize is the part of the places that a store's items ask for: overdue ones run only now and then.
+func demandSize(items, overdue int) int {
+	return items - overdue + (overdue+overdueDivisor-1)/overdueDivisor
 }
 
-// meanItemTokens is how many tokens an item has on average, over what all stores have to run; 0
+// averageItemTokens is how many tokens an item has on average, over what all stores have to run; 0
 // where nothing is known of any.
-func (t *Tracker) meanItemTokens(own Own) int {
+func (t *Tracker) averageItemTokens(own LocalDemand) int {
 	items, tokens := own.Items, own.Tokens
 	for _, other := range t.others {
 		items += other.Items
@@ -115,8 +117,8 @@
 	return tokens / max(1, items)
 }
 
-// RunningElsewhere counts the other stores' items on each of these servers.
-func (t *Tracker) RunningElsewhere(servers []string) map[string]int {
+// RunningForOtherStores counts the other stores' items on each of these servers.
+func (t *Tracker) RunningForOtherStores(servers []string) map[string]int {
 	byHash := map[uint32]int{}
 	for _, other := range t.others {
 		for _, running := range other.Running {
@@ -133,7 +135,7 @@
 }
 
 // Announce tells the other stores this one's demand, when it changed or is due.
-func (t *Tracker) Announce(own Own, members map[string]membership.Member, emit func(machine.Effect), now clock.Micros) {
+func (t *Tracker) Announce(own LocalDemand, members map[string]membership.Member, emit func(machine.Effect), now clock.Micros) {
 	message := t.demandOf(own)
 	interval := minInterval
 	if message.Items == t.lastSent.Items && message.Overdue == t.lastSent.Overdue && slices.Equal(message.Running, t.lastSent.Running) {
@@ -143,12 +145,12 @@
 		return
 	}
 	t.lastSent, t.lastSentAt = message, now
-	for _, member := range t.otherStores(members) {
+	for _, member := range t.otherLiveStores(members) {
 		emit(machine.Send{To: member.Peer, Body: message})
 	}
 }
 
-func (t *Tracker) demandOf(own Own) Demand {
+func (t *Tracker) demandOf(own LocalDemand) Demand {
 	message := Demand{ID: t.self, Items: own.Items, Overdue: own.Overdue, Tokens: own.Tokens}
 	for _, name := range slices.Sorted(maps.Keys(own.Running)) {
 		message.Running = append(message.Running, ServerItems{Server: endpoints.NameHash(name), Items: uint8(min(maxServerItems, own.Running[name]))})
--- a/internal/dataplane/batchshare/tracker_test.go
+++ b/internal/dataplane/batchshare/tracker_test.go
@@ -23,43 +23,43 @@
 		"a": testStore("a", "z2"), "b": testStore("b", "z1"), "c": testStore("c", "z3"), "d": testStore("d", "z2"),
 		"e": {ID: "e", Kind: membership.Edge, Zone: "z1"}, "f": {ID: "f", Kind: membership.Store, Zone: "z1", Status: membership.Dead},
 	}
-	d := NewTracker("a")
-	if got := d.Allotment(Own{}, nil, 1); got != (scheduler.BatchAllotment{Size: 1, Total: 1}) {
+	tracker := NewTracker("a")
+	if got := tracker.Allotment(LocalDemand{}, nil, 1); got != (scheduler.BatchAllotment{Size: 1, Total: 1}) {
 		t.Fatalf("alone: %+v", got)
 	}
-	if got := d.Allotment(Own{Items: 40, Tokens: 400}, members, 1); got != (scheduler.BatchAllotment{Offset: 40, Size: 40, Total: 160, ItemTokens: 10}) {
+	if got := tracker.Allotment(LocalDemand{Items: 40, Tokens: 400}, members, 1); got != (scheduler.BatchAllotment{Offset: 40, Size: 40, Total: 160, ItemTokens: 10}) {
 		t.Fatalf("nothing was heard: %+v", got)
 	}
-	d.Receive(Demand{ID: "b", Items: 60, Tokens: 600}, 1)
-	d.Receive(Demand{ID: "c", Items: 90, Tokens: 1700}, 1)
-	d.Receive(Demand{ID: "d", Items: 10, Tokens: 100}, 1)
-	if got := d.Allotment(Own{Items: 40, Tokens: 400}, members, 2); got != (scheduler.BatchAllotment{Offset: 60, Size: 40, Total: 200, ItemTokens: 14}) {
+	tracker.Receive(Demand{ID: "b", Items: 60, Tokens: 600}, 1)
+	tracker.Receive(Demand{ID: "c", Items: 90, Tokens: 1700}, 1)
+	tracker.Receive(Demand{ID: "d", Items: 10, Tokens: 100}, 1)
+	if got := tracker.Allotment(LocalDemand{Items: 40, Tokens: 400}, members, 2); got != (scheduler.BatchAllotment{Offset: 60, Size: 40, Total: 200, ItemTokens: 14}) {
 		t.Fatalf("40 of 200, behind the 60 of an earlier zone: %+v", got)
 	}
-	d.Receive(Demand{ID: "b", Items: 0}, 3)
-	if got := d.Allotment(Own{Items: 40, Tokens: 400}, members, 4); got != (scheduler.BatchAllotment{Offset: 0, Size: 40, Total: 140, ItemTokens: 15}) {
+	tracker.Receive(Demand{ID: "b", Items: 0}, 3)
+	if got := tracker.Allotment(LocalDemand{Items: 40, Tokens: 400}, members, 4); got != (scheduler.BatchAllotment{Offset: 0, Size: 40, Total: 140, ItemTokens: 15}) {
 		t.Fatalf("40 of 140: %+v", got)
 	}
-	if got := d.Allotment(Own{Items: 40, Tokens: 400}, members, 4+demandTTL); got != (scheduler.BatchAllotment{Offset: 40, Size: 40, Total: 160, ItemTokens: 10}) {
+	if got := tracker.Allotment(LocalDemand{Items: 40, Tokens: 400}, members, 4+demandTTL); got != (scheduler.BatchAllotment{Offset: 40, Size: 40, Total: 160, ItemTokens: 10}) {
 		t.Fatalf("nothing was heard for long: %+v", got)
 	}
 }
 
 // What other stores run is known by the server, and forgotten with their demands.
-func TestItemsOfOtherStoresAreCounted(t *testing.T) {
-	d := NewTracker("a")
-	d.Receive(Demand{ID: "b", Items: 9, Running: []ServerItems{{endpoints.NameHash("s1"), 2}, {endpoints.NameHash("s2"), 1}}}, 1)
-	d.Receive(Demand{ID: "c", Items: 9, Running: []ServerItems{{endpoints.NameHash("s1"), 3}, {endpoints.NameHash("unknown here"), 1}}}, 1)
+func TestRunningItemsOfOtherStoresAreCounted(t *testing.T) {
+	tracker := NewTracker("a")
+	tracker.Receive(Demand{ID: "b", Items: 9, Running: []ServerItems{{endpoints.NameHash("s1"), 2}, {endpoints.NameHash("s2"), 1}}}, 1)
+	tracker.Receive(Demand{ID: "c", Items: 9, Running: []ServerItems{{endpoints.NameHash("s1"), 3}, {endpoints.NameHash("unknown here"), 1}}}, 1)
 	servers := []string{"s1", "s2", "s3"}
-	if got := d.RunningElsewhere(servers); !maps.Equal(got, map[string]int{"s1": 5, "s2": 1}) {
+	if got := tracker.RunningForOtherStores(servers); !maps.Equal(got, map[string]int{"s1": 5, "s2": 1}) {
 		t.Errorf("counted are %v", got)
 	}
-	d.Receive(Demand{ID: "c", Items: 9}, 2)
-	if got := d.RunningElsewhere(servers); !maps.Equal(got, map[string]int{"s1": 2, "s2": 1}) {
+	tracker.Receive(Demand{ID: "c", Items: 9}, 2)
+	if got := tracker.RunningForOtherStores(servers); !maps.Equal(got, map[string]int{"s1": 2, "s2": 1}) {
 		t.Errorf("counted are %v", got)
 	}
-	d.forgetOld(3 + demandTTL)
-	if got := d.RunningElsewhere(servers); len(got) > 0 {
+	tracker.removeExpired(3 + demandTTL)
+	if got := tracker.RunningForOtherStores(servers); len(got) > 0 {
 		t.Errorf("counted are %v", got)
 	}
 }
@@ -73,7 +73,7 @@
 		"c": {ID: "c", Kind: membership.Edge, Peer: "pc"},
 		"d": {ID: "d", Kind: membership.Store, Peer: "pd", Status: membership.Dead},
 	}
-	d := NewTracker("a")
+	tracker := NewTracker("a")
 	start := 10 * clock.Second
 	for _, test := range []struct {
 		name      string
@@ -91,7 +91,7 @@
 		{"no change for long", 6, map[string]int{"s": 1}, start + 3*minInterval + maxInterval, true},
 	} {
 		var sentTo []string
-		d.Announce(Own{Items: test.own, Tokens: 100 * test.own, Running: test.running}, members, func(e machine.Effect) { sentTo = append(sentTo, e.(machine.Send).To) }, test.at)
+		tracker.Announce(LocalDemand{Items: test.own, Tokens: 100 * test.own, Running: test.running}, members, func(e machine.Effect) { sentTo = append(sentTo, e.(machine.Send).To) }, test.at)
 		if test.announced && !slices.Equal(sentTo, []string{"pb"}) || !test.announced && len(sentTo) > 0 {
 			t.Errorf("%s: sent to %q", test.name, sentTo)
 		}
--- a/internal/dataplane/endpoints/decode_test.go
+++ b/internal/dataplane/endpoints/decode_test.go
@@ -7,7 +7,7 @@
 	"tuliprudder/internal/machine"
 )
 
-func TestServersAreDecodedFromTheirUpdates(t *testing.T) {
+func TestDecodeServers(t *testing.T) {
 	server := Server{Name: "a", Address: "127.0.0.1:9", Labels: map[string]string{"l": "v"}, Slots: 2, Draining: true}
 	updates := []machine.Update{
 		{Key: ServerKey("unreadable"), Value: []byte(`{"name":5}`)},
--- a/internal/dataplane/endpoints/endpoints_test.go
+++ b/internal/dataplane/endpoints/endpoints_test.go
@@ -9,7 +9,7 @@
 )
 
 // An update is above the one that it replaces, also where this daemon's clock is behind.
-func TestServerUpdateIsAboveTheKnownOne(t *testing.T) {
+func TestServerUpdateSupersedesKnownUpdate(t *testing.T) {
 	server := Server{Name: "s", Address: "s:1", Labels: map[string]string{"fleet": "main"}, Slots: 4, Draining: true}
 	for known, want := range map[uint64]uint64{0: 100, 99: 100, 100: 101, 500: 501} {
 		got := ServerUpdate(server, machine.Update{Key: "server/s", Seq: known}, clock.Micros(100))
--- a/internal/dataplane/endpoints/rendezvous_test.go
+++ b/internal/dataplane/endpoints/rendezvous_test.go
@@ -7,7 +7,7 @@
 	"tuliprudder/internal/membership"
 )
 
-func edges(count int) []membership.Member {
+func newEdges(count int) []membership.Member {
 	var out []membership.Member
 	for i := range count {
 		out = append(out, membership.Member{ID: fmt.Sprintf("edge-%d", i), Kind: membership.Edge, Status: membership.Alive})
@@ -16,16 +16,16 @@
 }
 
 // Daemons of different releases must agree on the owner.
-func TestRendezvousOwnersStayTheSame(t *testing.T) {
+func TestRendezvousOwnersAreStableAcrossReleases(t *testing.T) {
 	for role, want := range map[string]string{"account/a": "edge-0", "account/b": "edge-1", "load/s": "edge-4"} {
-		if got := RendezvousOwner(role, edges(5), membership.Edge); got != want {
+		if got := RendezvousOwner(role, newEdges(5), membership.Edge); got != want {
 			t.Errorf("%s: %q, not %q", role, got, want)
 		}
 	}
 }
 
-func TestRendezvousOwnerIsLive(t *testing.T) {
-	members := edges(3)
+func TestRendezvousOwnerIsAliveAndNotDraining(t *testing.T) {
+	members := newEdges(3)
 	members = append(members, membership.Member{ID: "store", Kind: membership.Store, Status: membership.Alive})
 	for range 3 {
 		owner := RendezvousOwner("role", members, membership.Edge)
@@ -54,7 +54,7 @@
 
 // A daemon that leaves moves only its own roles.
 func TestRendezvousMovesFewRoles(t *testing.T) {
-	all := edges(5)
+	all := newEdges(5)
 	moved := 0
 	for i := range 1000 {
 		role := fmt.Sprint("load/server-", i)
@@ -74,9 +74,9 @@
 
 // Ids that differ in more than their last letters have even numbers of roles; see
 // rendezvousWeight for the others.
-func TestRendezvousSpreadsRoles(t *testing.T) {
+func TestRendezvousDistributesRolesEvenly(t *testing.T) {
 	const daemons, roles = 5, 1000
-	members := edges(daemons)
+	members := newEdges(daemons)
 	for i := range members {
 		members[i].ID += ".1764662400"
 	}
--- a/internal/dataplane/endpoints/reported_load_test.go
+++ b/internal/dataplane/endpoints/reported_load_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestReportedLoads(t *testing.T) {
+func TestParseReportedLoad(t *testing.T) {
 	for text, want := range map[string]*ReportedLoad{
 		"3,1,9":            {3, 1, 9},
 		" 3, 1 ,9 ":        {3, 1, 9},
--- a/internal/dataplane/gateway/begin_test.go
+++ b/internal/dataplane/gateway/begin_test.go
@@ -52,7 +52,7 @@
 		cluster := newConfiguredCluster(t, authenticatedConfiguration, c.handlers...)
 		var list []string
 		cluster.loop.apply(func(clock.Micros) []machine.Effect {
-			cluster.loop.edge.Proxy.RequestBegan = func(tenant string, _ clock.Micros) { list = append(list, tenant) }
+			cluster.loop.edge.Proxy.OnExecutionStarted = func(tenant string, _ clock.Micros) { list = append(list, tenant) }
 			return nil
 		})
 		header := []string{headerNames.Authorization, "Token k1"}
--- a/internal/dataplane/gateway/pause_test.go
+++ b/internal/dataplane/gateway/pause_test.go
@@ -12,7 +12,7 @@
 	for _, at := range []clock.Micros{1000, 1300, 1350, 2350, 2360} {
 		p.observePause(at)
 	}
-	if got := p.result(0, ""); got.LongestPause != 1000 {
-		t.Errorf("the longest pause is %d", got.LongestPause)
+	if got := p.result(0, ""); got.LongestEventGap != 1000 {
+		t.Errorf("the longest pause is %d", got.LongestEventGap)
 	}
 }
--- a/internal/dataplane/gateway/proxied_request.go
+++ b/internal/dataplane/gateway/proxied_request.go
@@ -89,12 +89,12 @@
 	}
 	if err := p.forwardResponse(response); err != nil {
 		result := p.result(proxy.Interrupted, err.Error())
-		result.HasBegun = showsBegin(response)
+		result.ExecutionStarted = showsBegin(response)
 		result.ContextDone = ctx.Err() != nil
 		return result
 	}
 	result := p.result(proxy.Complete, "")
-	result.HasBegun = showsBegin(response)
+	result.ExecutionStarted = showsBegin(response)
 	result.WeightVersion = response.WeightVersion
 	return result
 }
@@ -111,7 +111,7 @@
 		RequestID:       p.requestID,
 		Outcome:         outcome,
 		ResponseStarted: p.responseStarted,
-		LongestPause:    p.longestPause,
+		LongestEventGap: p.longestPause,
 		Reason:          reason,
 	}
 }
--- a/internal/dataplane/observations/observations.go
+++ b/internal/dataplane/observations/observations.go
@@ -51,7 +51,7 @@
 	self      string
 	scheduler *scheduler.Scheduler
 	nextSend  clock.Micros
-	firstPeer int // where the next message's peers begin, in a zone with more than maxPeers
+	nextPeer  int // where the next message's peers begin, in a zone with more than maxPeers
 }
 
 // New makes the exchange of the daemon with the id self.
@@ -93,9 +93,9 @@
 	}
 	var out []string
 	for i := range maxPeers {
-		out = append(out, all[(x.firstPeer+i)%len(all)])
+		out = append(out, all[(x.nextPeer+i)%len(all)])
 	}
-	x.firstPeer = (x.firstPeer + maxPeers) % len(all)
+	x.nextPeer = (x.nextPeer + maxPeers) % len(all)
 	return out
 }
 
--- a/internal/dataplane/observations/observations_test.go
+++ b/internal/dataplane/observations/observations_test.go
@@ -13,19 +13,19 @@
 
 const start = 100 * clock.Second
 
-func member(id, kind, zone string) membership.Member {
+func newMember(id, kind, zone string) membership.Member {
 	return membership.Member{ID: id, Kind: kind, Zone: zone, Peer: "p" + id}
 }
 
-func newScheduler() *scheduler.Scheduler {
-	sc := scheduler.New(scheduler.Defaults(), 1)
-	sc.SetServer(endpoints.Server{Name: "s1", Slots: 9})
-	sc.SetServer(endpoints.Server{Name: "s2", Slots: 9})
-	return sc
+func newTestScheduler() *scheduler.Scheduler {
+	testScheduler := scheduler.New(scheduler.Defaults(), 1)
+	testScheduler.SetServer(endpoints.Server{Name: "s1", Slots: 9})
+	testScheduler.SetServer(endpoints.Server{Name: "s2", Slots: 9})
+	return testScheduler
 }
 
-// sent are the messages of a tick, by the address.
-func sent(x *Exchange, members map[string]membership.Member, now clock.Micros) map[string]Reports {
+// tickReports are the messages of a tick, by the address.
+func tickReports(x *Exchange, members map[string]membership.Member, now clock.Micros) map[string]Reports {
 	out := map[string]Reports{}
 	x.Tick(members, func(effect machine.Effect) {
 		send := effect.(machine.Send)
@@ -35,22 +35,22 @@
 }
 
 // What a daemon saw goes to the edges and stores of its zone, once, and arrives as it was.
-func TestObservationsGoToTheZone(t *testing.T) {
+func TestObservationsAreSentWithinZone(t *testing.T) {
 	members := map[string]membership.Member{
-		"a": member("a", membership.Edge, "z1"), "b": member("b", membership.Edge, "z1"), "c": member("c", membership.Store, "z1"),
-		"d": member("d", membership.Core, "z1"), "e": member("e", membership.Edge, "z2"),
+		"a": newMember("a", membership.Edge, "z1"), "b": newMember("b", membership.Edge, "z1"), "c": newMember("c", membership.Store, "z1"),
+		"d": newMember("d", membership.Core, "z1"), "e": newMember("e", membership.Edge, "z2"),
 		"f": {ID: "f", Kind: membership.Edge, Zone: "z1", Peer: "pf", Status: membership.Dead},
 	}
-	here := newScheduler()
-	x := New("a", here)
-	if got := sent(x, members, start); len(got) > 0 {
+	senderScheduler := newTestScheduler()
+	x := New("a", senderScheduler)
+	if got := tickReports(x, members, start); len(got) > 0 {
 		t.Fatalf("sent without an observation: %+v", got)
 	}
-	here.ObserveLoad("s1", &endpoints.ReportedLoad{Running: 300, Waiting: 7, Slots: 9}, start)
-	if got := sent(x, members, start+interval/2); len(got) > 0 {
+	senderScheduler.ObserveLoad("s1", &endpoints.ReportedLoad{Running: 300, Waiting: 7, Slots: 9}, start)
+	if got := tickReports(x, members, start+interval/2); len(got) > 0 {
 		t.Fatalf("sent too soon: %+v", got)
 	}
-	got := sent(x, members, start+interval)
+	got := tickReports(x, members, start+interval)
 	if len(got) != 2 || len(got["pb"].Servers) != 1 || len(got["pc"].Servers) != 1 {
 		t.Fatalf("sent are %+v", got)
 	}
@@ -58,7 +58,7 @@
 	if got["pb"].Servers[0] != want {
 		t.Errorf("sent is %+v", got["pb"].Servers[0])
 	}
-	if again := sent(x, members, start+2*interval); len(again) > 0 {
+	if again := tickReports(x, members, start+2*interval); len(again) > 0 {
 		t.Errorf("sent again: %+v", again)
 	}
 }
@@ -73,27 +73,27 @@
 	if got := (Report{Server: endpoints.NameHash("s2"), Failed: 1}).observation("s2", start); got.Load != nil {
 		t.Errorf("a load was received: %+v", got.Load)
 	}
-	there := newScheduler()
-	New("b", there).Receive(Reports{Servers: []Report{report, {Server: 12345, Failed: 9}}}, start)
-	if got := there.TakeObservations(); len(got) > 0 {
+	receiverScheduler := newTestScheduler()
+	New("b", receiverScheduler).Receive(Reports{Servers: []Report{report, {Server: 12345, Failed: 9}}}, start)
+	if got := receiverScheduler.TakeObservations(); len(got) > 0 {
 		t.Errorf("what was received is sent on: %+v", got)
 	}
 }
 
 // In a large zone each message goes to some of the daemons, and to all of them in turn.
-func TestInALargeZoneMessagesGoInTurn(t *testing.T) {
+func TestPeersRotateInLargeZone(t *testing.T) {
 	members := map[string]membership.Member{}
 	for i := range 60 {
 		id := fmt.Sprintf("e%02d", i)
-		members[id] = member(id, membership.Edge, "z")
+		members[id] = newMember(id, membership.Edge, "z")
 	}
-	here := newScheduler()
-	x := New("e00", here)
+	senderScheduler := newTestScheduler()
+	x := New("e00", senderScheduler)
 	reached := map[string]bool{}
 	for i := range (len(members) + maxPeers - 1) / maxPeers {
 		now := start + clock.Micros(i)*interval
-		here.ObserveLoad("s1", &endpoints.ReportedLoad{Slots: 9}, now)
-		got := sent(x, members, now)
+		senderScheduler.ObserveLoad("s1", &endpoints.ReportedLoad{Slots: 9}, now)
+		got := tickReports(x, members, now)
 		if len(got) != maxPeers {
 			t.Errorf("sent to %d", len(got))
 		}
--- a/internal/dataplane/proxy/attempts.go
+++ b/internal/dataplane/proxy/attempts.go
@@ -97,15 +97,15 @@
 		Address:  assignment.Server.Address,
 		Server:   assignment.Server.Name,
 		Route:    r.route,
-		Identity: r.identityNow(),
+		Identity: r.currentIdentity(),
 		Deadline: r.deadline,
 		IsLast:   !r.hasAttemptsLeft(),
 	})
 }
 
-// identityNow is what the server of an attempt is told. The tenant is that by which the request was let in;
+// currentIdentity is what the server of an attempt is told. The tenant is that by which the request was let in;
 // where a newer configuration has begun to tell callers apart by keys, a key isn't passed on any more.
-func (r *activeRequest) identityNow() Identity {
+func (r *activeRequest) currentIdentity() Identity {
 	identity := r.identity
 	identity.IsAuthenticated = identity.IsAuthenticated || r.schedulerRequest.Route.Forward.IsAuthenticated()
 	return identity
@@ -118,36 +118,36 @@
 
 func (p *Proxy) handleAttemptStarted(call uint64, started AttemptStarted, now clock.Micros) {
 	if r := p.inFlight[started.RequestID]; r != nil && r.assignment != nil {
-		r.setStarted(now)
+		r.recordResponseStart(now)
 		p.scheduler.ObserveLoad(r.assignment.Server.Name, started.Load, now)
 		p.scheduler.ObserveWeights(r.assignment.Server.Name, started.WeightVersion, now)
 		r.assignment.PrefillDone(now)
-		p.setBegun(r, now)
+		p.recordExecutionStart(r, now)
 	}
 	p.acknowledge(call)
 }
 
-// setBegun records that a server has begun to run a request; a further attempt of it doesn't count.
-func (p *Proxy) setBegun(r *activeRequest, now clock.Micros) {
-	if r.hasBegun || p.RequestBegan == nil {
+// recordExecutionStart records that a server has begun to run a request; a further attempt of it doesn't count.
+func (p *Proxy) recordExecutionStart(r *activeRequest, now clock.Micros) {
+	if r.executionStarted || p.OnExecutionStarted == nil {
 		return
 	}
-	r.hasBegun = true
-	p.RequestBegan(r.identity.Tenant, now)
+	r.executionStarted = true
+	p.OnExecutionStarted(r.identity.Tenant, now)
 }
 
-// setStarted records that the response has begun; only the first time counts.
-func (r *activeRequest) setStarted(now clock.Micros) {
-	if r.startedAt == 0 {
-		r.startedAt = now
+// recordResponseStart records that the response has begun; only the first time counts.
+func (r *activeRequest) recordResponseStart(now clock.Micros) {
+	if r.responseStartedAt == 0 {
+		r.responseStartedAt = now
 	}
 }
 
 // isLate tells whether a complete response came later than its route's targets.
 func (r *activeRequest) isLate(result AttemptResult) bool {
 	targets := r.route.Forward
-	isSlowToStart := targets.LatencyTarget > 0 && r.startedAt-r.receivedAt > targets.LatencyTarget
-	return isSlowToStart || targets.MaxEventGap > 0 && result.LongestPause > targets.MaxEventGap
+	isSlowToStart := targets.LatencyTarget > 0 && r.responseStartedAt-r.receivedAt > targets.LatencyTarget
+	return isSlowToStart || targets.MaxEventGap > 0 && result.LongestEventGap > targets.MaxEventGap
 }
 
 // handleAttemptResult frees the server of an attempt and decides what follows.
@@ -161,8 +161,8 @@
 	r.call = call
 	r.assignment = nil
 	r.schedulerRequest = nil
-	if result.HasBegun {
-		p.setBegun(r, now)
+	if result.ExecutionStarted {
+		p.recordExecutionStart(r, now)
 	}
 	p.scheduler.ObserveLoad(assignment.Server.Name, result.Load, now)
 	p.scheduler.ObserveWeights(assignment.Server.Name, result.WeightVersion, now)
@@ -170,7 +170,7 @@
 	switch result.Outcome {
 	case Complete:
 		p.Forwarded++
-		r.setStarted(now)
+		r.recordResponseStart(now)
 		if r.isLate(result) {
 			assignment.CountLate()
 		}
@@ -197,7 +197,7 @@
 		assignment.Rejected(now)
 	case result.Outcome == Failed:
 		assignment.ServerFailed(now)
-	case result.concernsServer():
+	case result.countsAgainstServer():
 		assignment.Release(0, false, now)
 	default:
 		assignment.Abandon(now)
--- a/internal/dataplane/proxy/attempts_test.go
+++ b/internal/dataplane/proxy/attempts_test.go
@@ -15,7 +15,7 @@
 // What may follow an attempt depends on the kind of the route, on the attempt's outcome, and
 // on how many attempts are left. The table is written by hand, not computed by the rules that
 // it checks.
-func TestWhatFollowsAnAttempt(t *testing.T) {
+func TestDecisionAfterAttempt(t *testing.T) {
 	const (
 		one, rep, str, res = config.OneShot, config.Repeatable, config.Stream, config.Resumable
 		last               = 1 // no further server is allowed
@@ -54,7 +54,7 @@
 	} {
 		for _, kind := range c.kinds {
 			name := fmt.Sprintf("%s, outcome %d, response started %v, %d attempts", kind, c.outcome, c.responseStarted, c.attempts)
-			b := newBench(t, []string{"a", "a", "a"}, newRoute(kind, c.attempts))
+			b := newTestBench(t, []string{"a", "a", "a"}, newRoute(kind, c.attempts))
 			first := b.attempt(b.submit("o", kind))
 			if first.IsLast != (c.attempts == last) || first.Route.Kind != kind || first.Address != "at-"+first.Server || first.Deadline != b.now+5*clock.Second {
 				t.Errorf("%s: first sent as %+v", name, first)
@@ -76,10 +76,10 @@
 
 // After the caller has disconnected, or its deadline has passed, no attempt follows; the
 // request is rejected only where nothing can have run.
-func TestNoAttemptAfterTheCallerLeft(t *testing.T) {
+func TestNoAttemptAfterCallerDisconnects(t *testing.T) {
 	for _, kind := range []string{config.OneShot, config.Repeatable, config.Stream, config.Resumable} {
 		for outcome, want := range map[Outcome]string{NotSent: "rejected", NotRun: "rejected", Failed: "unknown", Interrupted: "unknown"} {
-			b := newBench(t, []string{"a", "a"}, newRoute(kind, 5))
+			b := newTestBench(t, []string{"a", "a"}, newRoute(kind, 5))
 			b.submit("o", kind)
 			if got := b.outcomeOf(b.send(AttemptResult{RequestID: "o", Outcome: outcome, ContextDone: true})); got != want {
 				t.Errorf("%s, outcome %d: %s, not %s", kind, outcome, got, want)
@@ -91,11 +91,11 @@
 
 // Once an attempt may have run, no later one that certainly did not turns the outcome into a
 // rejection: not the server's statement, not a failed connection, not a full queue.
-func TestAPossibleRunIsNeverForgotten(t *testing.T) {
+func TestPossibleRunIsNeverReportedAsRejection(t *testing.T) {
 	for _, kind := range []string{config.Repeatable, config.Resumable} {
 		for _, first := range []Outcome{Failed, Interrupted} {
 			for _, second := range []Outcome{NotRun, NotSent, Failed, Interrupted} {
-				b := newBench(t, []string{"a", "a"}, newRoute(kind, 2))
+				b := newTestBench(t, []string{"a", "a"}, newRoute(kind, 2))
 				b.submit("o", kind)
 				b.send(AttemptResult{RequestID: "o", Outcome: first})
 				call := b.send(AttemptResult{RequestID: "o", Outcome: second})
@@ -105,7 +105,7 @@
 				}
 				b.checkIdle(kind)
 			}
-			b := newBench(t, []string{"a"}, newRoute(kind, 3))
+			b := newTestBench(t, []string{"a"}, newRoute(kind, 3))
 			b.submit("o", kind)
 			call := b.send(AttemptResult{RequestID: "o", Outcome: first})
 			b.advance(clock.Second)
@@ -118,9 +118,9 @@
 
 // A route's attempts are the servers that a request is sent to; one that nothing reached
 // does not count.
-func TestAttemptsAreCounted(t *testing.T) {
+func TestMaxAttemptsCountsOnlySentAttempts(t *testing.T) {
 	for _, attempts := range []int64{0, 1, 2, 3} {
-		b := newBench(t, []string{"a", "a", "a", "a", "a"}, newRoute(config.OneShot, attempts))
+		b := newTestBench(t, []string{"a", "a", "a", "a", "a"}, newRoute(config.OneShot, attempts))
 		b.submit("o", config.OneShot)
 		call := b.send(AttemptResult{RequestID: "o", Outcome: NotSent})
 		sent, servers := int64(0), map[string]bool{}
@@ -143,30 +143,30 @@
 
 // Servers to which no connection is free here are passed over, however many there are: that
 // costs no time, and a further one may have a free slot.
-func TestServersWithoutAFreeConnectionArePassedOver(t *testing.T) {
-	const full = 2 * maxUnsentAttempts
-	b := newBench(t, slices.Repeat([]string{"a"}, full+1), newRoute(config.OneShot, 1))
+func TestServersWithoutFreeConnectionAreSkipped(t *testing.T) {
+	const serversWithoutConnection = 2 * maxUnsentAttempts
+	b := newTestBench(t, slices.Repeat([]string{"a"}, serversWithoutConnection+1), newRoute(config.OneShot, 1))
 	call := b.submit("o", config.OneShot)
-	for i := range full {
+	for i := range serversWithoutConnection {
 		if b.outcomeOf(call) != "attempt" {
 			t.Fatalf("after %d servers: %s", i, b.outcomeOf(call))
 		}
 		call = b.send(AttemptResult{RequestID: "o", Outcome: NotSent, LocalFailure: true})
 	}
 	if b.outcomeOf(call) != "attempt" {
-		t.Fatalf("after %d servers: %s, though one is left", full, b.outcomeOf(call))
+		t.Fatalf("after %d servers: %s, though one is left", serversWithoutConnection, b.outcomeOf(call))
 	}
 	b.send(AttemptResult{RequestID: "o", Outcome: Complete, ResponseStarted: true})
 	b.checkIdle("served")
 	// Where each of very many has none free, there is an end.
-	b = newBench(t, slices.Repeat([]string{"a"}, maxLocalFailures+5), newRoute(config.OneShot, 1))
+	b = newTestBench(t, slices.Repeat([]string{"a"}, maxLocalFailures+5), newRoute(config.OneShot, 1))
 	call = b.submit("o", config.OneShot)
-	looked := 0
-	for ; b.outcomeOf(call) == "attempt"; looked++ {
+	attempted := 0
+	for ; b.outcomeOf(call) == "attempt"; attempted++ {
 		call = b.send(AttemptResult{RequestID: "o", Outcome: NotSent, LocalFailure: true})
 	}
-	if looked != maxLocalFailures+1 || b.outcomeOf(call) != "rejected" {
-		t.Errorf("after %d servers: %s", looked, b.outcomeOf(call))
+	if attempted != maxLocalFailures+1 || b.outcomeOf(call) != "rejected" {
+		t.Errorf("after %d servers: %s", attempted, b.outcomeOf(call))
 	}
 }
 
@@ -184,7 +184,7 @@
 	} {
 		r := newRoute(config.OneShot, 2)
 		r.Forward.LatencyTarget, r.Timeout = c.latencyTarget, c.deadline
-		b := newBench(t, nil, r)
+		b := newTestBench(t, nil, r)
 		call := b.send(Request{ID: "o", Host: config.OneShot, Path: "/x/y", CallerTimeout: c.wait})
 		b.advance(c.want - 1)
 		if got := b.outcomeOf(call); got != "waits" {
@@ -199,8 +199,8 @@
 }
 
 // With the mechanism off, a request is queued until its deadline.
-func TestQueueTimeLimitCanBeSwitchedOff(t *testing.T) {
-	b := newBench(t, nil, newRoute(config.OneShot, 2))
+func TestQueueTimeLimitCanBeDisabled(t *testing.T) {
+	b := newTestBench(t, nil, newRoute(config.OneShot, 2))
 	disabled, _ := mechanism.Parse(string(mechanism.QueueTimeLimit))
 	b.scheduler.AdjustSettings(func(settings *scheduler.Settings) { settings.Disabled = disabled })
 	call := b.send(Request{ID: "o", Host: config.OneShot, Path: "/x/y", CallerTimeout: clock.Second})
@@ -215,8 +215,8 @@
 }
 
 // A queued request is sent as soon as a server is known, with its deadline unchanged.
-func TestANewServerServesTheQueue(t *testing.T) {
-	b := newBench(t, nil, newRoute(config.OneShot, 2))
+func TestNewServerReceivesQueuedRequest(t *testing.T) {
+	b := newTestBench(t, nil, newRoute(config.OneShot, 2))
 	call := b.send(Request{ID: "o", Host: config.OneShot, Path: "/x/y", CallerTimeout: clock.Second})
 	deadline := b.now + clock.Second
 	b.advance(50 * millisecond)
@@ -228,9 +228,9 @@
 }
 
 // Once its deadline has passed, no attempt of a request follows.
-func TestNoAttemptAfterTheDeadline(t *testing.T) {
+func TestNoAttemptAfterDeadline(t *testing.T) {
 	for outcome, want := range map[Outcome]string{NotRun: "rejected", NotSent: "rejected", Interrupted: "unknown"} {
-		b := newBench(t, []string{"a", "a"}, newRoute(config.Repeatable, 5))
+		b := newTestBench(t, []string{"a", "a"}, newRoute(config.Repeatable, 5))
 		b.submit("o", config.Repeatable)
 		b.now += 5 * clock.Second
 		if got := b.outcomeOf(b.send(AttemptResult{RequestID: "o", Outcome: outcome})); got != want {
@@ -240,22 +240,22 @@
 }
 
 // A split route's requests are distributed by the weights; pools of weight 0 get none.
-func TestSplitShares(t *testing.T) {
+func TestSplitFollowsWeights(t *testing.T) {
 	r := newRoute(config.OneShot, 1)
-	weighted := func(pool string, share int64) config.WeightedPools {
-		return config.WeightedPools{Pools: config.Selector{"u": {pool}}, Weight: share}
+	weightedPool := func(pool string, weight int64) config.WeightedPools {
+		return config.WeightedPools{Pools: config.Selector{"u": {pool}}, Weight: weight}
 	}
 	for name, c := range map[string]struct {
 		split           []config.WeightedPools
 		atLeast, atMost int // of 2000 that go to b
 	}{
-		"nine to one": {[]config.WeightedPools{weighted("a", 90_000), weighted("b", 10_000)}, 140, 260},
-		"halves":      {[]config.WeightedPools{weighted("a", 1), weighted("b", 1)}, 900, 1100},
-		"all to b":    {[]config.WeightedPools{weighted("a", 0), weighted("b", 7)}, 2000, 2000},
-		"none to b":   {[]config.WeightedPools{weighted("a", 7), weighted("b", 0)}, 0, 0},
+		"nine to one": {[]config.WeightedPools{weightedPool("a", 90_000), weightedPool("b", 10_000)}, 140, 260},
+		"halves":      {[]config.WeightedPools{weightedPool("a", 1), weightedPool("b", 1)}, 900, 1100},
+		"all to b":    {[]config.WeightedPools{weightedPool("a", 0), weightedPool("b", 7)}, 2000, 2000},
+		"none to b":   {[]config.WeightedPools{weightedPool("a", 7), weightedPool("b", 0)}, 0, 0},
 	} {
 		r.Forward.Split = c.split
-		b := newBench(t, []string{"a", "b"}, r)
+		b := newTestBench(t, []string{"a", "b"}, r)
 		for i := range 2000 {
 			requestID := fmt.Sprint(i)
 			b.submit(requestID, config.OneShot)
@@ -275,10 +275,10 @@
 
 // The higher priority is served first when servers are scarce; a result of a request that
 // is not in flight is answered with an error.
-func TestPriorityAndUnknownRequests(t *testing.T) {
+func TestPriorityAndUnknownRequestIDs(t *testing.T) {
 	low, high := newRoute(config.OneShot, 1), newRoute(config.Repeatable, 1)
 	low.Forward.Priority, high.Forward.Priority = 1, 9
-	b := newBench(t, nil, low, high)
+	b := newTestBench(t, nil, low, high)
 	first, second := b.submit("low", config.OneShot), b.submit("high", config.Repeatable)
 	b.addServer("only", "a", 1)
 	b.collectReplies()
@@ -303,7 +303,7 @@
 func countSecondRuns(t *testing.T, injected bool) (runs int) {
 	for _, kind := range []string{config.OneShot, config.Stream} {
 		for _, outcome := range []Outcome{Failed, Interrupted} {
-			b := newBench(t, []string{"a", "a"}, newRoute(kind, 2))
+			b := newTestBench(t, []string{"a", "a"}, newRoute(kind, 2))
 			b.InjectedFaults.RetryUnsafely = injected
 			b.submit("o", kind)
 			if b.outcomeOf(b.send(AttemptResult{RequestID: "o", Outcome: outcome})) == "attempt" {
@@ -315,7 +315,7 @@
 }
 
 // The check on second runs detects the injected one.
-func TestAnInjectedSecondRunIsCaught(t *testing.T) {
+func TestInjectedSecondRunIsDetected(t *testing.T) {
 	if runs := countSecondRuns(t, false); runs != 0 {
 		t.Errorf("%d requests that may have run were attempted again", runs)
 	}
@@ -325,8 +325,8 @@
 }
 
 // A configuration without the route ends its queued requests.
-func TestARemovedRouteEndsItsRequests(t *testing.T) {
-	b := newBench(t, nil, newRoute(config.OneShot, 2))
+func TestRemovedRouteFailsQueuedRequests(t *testing.T) {
+	b := newTestBench(t, nil, newRoute(config.OneShot, 2))
 	call := b.submit("o", config.OneShot)
 	other := newRoute(config.Stream, 1)
 	configuration := &config.Configuration{Version: 2, Routes: []config.Route{other}}
--- a/internal/dataplane/proxy/authentication_test.go
+++ b/internal/dataplane/proxy/authentication_test.go
@@ -8,9 +8,9 @@
 	"tuliprudder/internal/errs"
 )
 
-// useTenants puts a configuration in force whose routes have an authentication, with tenants a (keys a1 and a2,
+// applyTenantConfiguration puts a configuration in force whose routes have an authentication, with tenants a (keys a1 and a2,
 // priority 3), b (key b1, priority 9) and c (key c1, without a class).
-func (b *bench) useTenants(version uint64, authentication string, routes ...config.Route) {
+func (b *testBench) applyTenantConfiguration(version uint64, authentication string, routes ...config.Route) {
 	configuration := &config.Configuration{Version: version, ScorerWeights: map[string]float64{"fullness": 1},
 		Pools:   []config.Pool{{Name: "a", Labels: config.Labels{"u": "a"}, Servers: config.Selector{"pool": {"a"}}}},
 		Classes: []config.PriorityClass{{Name: "low", Priority: 3}, {Name: "high", Priority: 9}},
@@ -29,7 +29,7 @@
 	b.scheduler.SetConfiguration(configuration, b.now)
 }
 
-func (b *bench) submitWithKey(requestID, kind, key string) uint64 {
+func (b *testBench) submitWithKey(requestID, kind, key string) uint64 {
 	return b.send(Request{ID: requestID, Host: kind, Path: "/x/y", APIKey: key})
 }
 
@@ -44,11 +44,11 @@
 	} {
 		for key, want := range byKey {
 			for _, kind := range kinds {
-				b := newBench(t, []string{"a"})
+				b := newTestBench(t, []string{"a"})
 				if got := b.outcomeOf(b.submitWithKey("o", kind, key)); got != "rejected" {
 					t.Errorf("%s, key %q, without a configuration: %s", kind, key, got)
 				}
-				b.useTenants(1, authentication, newRoute(kind, 1))
+				b.applyTenantConfiguration(1, authentication, newRoute(kind, 1))
 				if got := b.outcomeOf(b.submitWithKey("o", kind, key)); got != want {
 					t.Errorf("%s with authentication %s, key %q: %s, not %s", kind, authentication, key, got, want)
 				}
@@ -59,8 +59,8 @@
 					t.Errorf("without a route, key %q: %s", key, got)
 				}
 			}
-			b := newBench(t, []string{"a"})
-			b.useTenants(1, authentication, newRoute(config.Batch, 1))
+			b := newTestBench(t, []string{"a"})
+			b.applyTenantConfiguration(1, authentication, newRoute(config.Batch, 1))
 			batchWant := want
 			if want == "attempt" {
 				batchWant = "proxy.BatchSubmission"
@@ -73,10 +73,10 @@
 }
 
 // Each attempt tells the tenant of the request's key, whichever of its keys that is.
-func TestAttemptsTellTheTenant(t *testing.T) {
+func TestAttemptsCarryTenant(t *testing.T) {
 	for key, want := range map[string]Identity{"a1": {true, "a"}, "a2": {true, "a"}, "b1": {true, "b"}, "c1": {true, "c"}} {
-		b := newBench(t, []string{"a", "a"})
-		b.useTenants(1, config.AuthenticationRequired, newRoute(config.Repeatable, 2))
+		b := newTestBench(t, []string{"a", "a"})
+		b.applyTenantConfiguration(1, config.AuthenticationRequired, newRoute(config.Repeatable, 2))
 		if got := b.attempt(b.submitWithKey("o", config.Repeatable, key)).Identity; got != want {
 			t.Errorf("key %s: %+v", key, got)
 		}
@@ -89,7 +89,7 @@
 
 // A request that was let in keeps its tenant, whatever the configurations are that come meanwhile; once one of
 // them tells callers apart by keys, a key is passed on no more.
-func TestConfigurationsBetweenAttempts(t *testing.T) {
+func TestConfigurationChangeBetweenAttempts(t *testing.T) {
 	for name, c := range map[string]struct {
 		before, after string
 		want          Identity
@@ -98,10 +98,10 @@
 		"keys are asked for no more": {config.AuthenticationRequired, config.AuthenticationNone, Identity{IsAuthenticated: true, Tenant: "a"}},
 		"nothing changes":            {config.AuthenticationRequired, config.AuthenticationRequired, Identity{IsAuthenticated: true, Tenant: "a"}},
 	} {
-		b := newBench(t, []string{"a", "a"})
-		b.useTenants(1, c.before, newRoute(config.Repeatable, 2))
+		b := newTestBench(t, []string{"a", "a"})
+		b.applyTenantConfiguration(1, c.before, newRoute(config.Repeatable, 2))
 		b.attempt(b.submitWithKey("o", config.Repeatable, "a1"))
-		b.useTenants(2, c.after, newRoute(config.Repeatable, 2))
+		b.applyTenantConfiguration(2, c.after, newRoute(config.Repeatable, 2))
 		if got := b.attempt(b.send(AttemptResult{RequestID: "o", Outcome: Interrupted})).Identity; got != c.want {
 			t.Errorf("%s: %+v", name, got)
 		}
@@ -109,7 +109,7 @@
 }
 
 // A tenant's priority goes before its route's; one without a priority goes by the route's.
-func TestATenantsPriorityGoesBeforeTheRoutes(t *testing.T) {
+func TestTenantPriorityOverridesRoutePriority(t *testing.T) {
 	for name, c := range map[string]struct {
 		later, earlier string // their keys
 		laterGoesFirst bool
@@ -119,9 +119,9 @@
 		"the route's, between them":        {"c1", "a1", true},
 		"the route's, below a high tenant": {"c1", "b1", false},
 	} {
-		b := newBench(t, nil)
+		b := newTestBench(t, nil)
 		b.scheduler.AdjustSettings(func(settings *scheduler.Settings) { settings.MaxUtilizationLimit = 1 })
-		b.useTenants(1, config.AuthenticationRequired, newRoute(config.OneShot, 1), newRoute(config.Stream, 1)) // of priority 5
+		b.applyTenantConfiguration(1, config.AuthenticationRequired, newRoute(config.OneShot, 1), newRoute(config.Stream, 1)) // of priority 5
 		earlier, later := b.submitWithKey("earlier", config.OneShot, c.earlier), b.submitWithKey("later", config.Stream, c.later)
 		b.addServer("only", "a", 1)
 		b.collectReplies()
@@ -132,14 +132,14 @@
 }
 
 // A request that waits goes by its tenant's priority in the newest configuration.
-func TestAWaitingRequestGetsItsTenantsNewPriority(t *testing.T) {
-	b := newBench(t, nil)
+func TestQueuedRequestGetsNewPriority(t *testing.T) {
+	b := newTestBench(t, nil)
 	route, other := newRoute(config.OneShot, 1), newRoute(config.Stream, 1)
-	b.useTenants(1, config.AuthenticationNone, route, other)
+	b.applyTenantConfiguration(1, config.AuthenticationNone, route, other)
 	first, second := b.submitWithKey("first", config.OneShot, ""), b.submitWithKey("second", config.Stream, "")
 	raised := newRoute(config.Stream, 1)
 	raised.Forward.Priority = 7
-	b.useTenants(2, config.AuthenticationNone, route, raised)
+	b.applyTenantConfiguration(2, config.AuthenticationNone, route, raised)
 	b.addServer("only", "a", 1)
 	b.collectReplies()
 	if b.outcomeOf(first) != "waits" || b.outcomeOf(second) != "attempt" {
--- a/internal/dataplane/proxy/begin_test.go
+++ b/internal/dataplane/proxy/execution_start_test.go
@@ -9,16 +9,16 @@
 	"tuliprudder/internal/config"
 )
 
-// countBegins has the bench list the requests that began, by tenant and time.
-func (b *bench) countBegins() *[]string {
+// recordExecutionStarts has the bench list the requests that began, by tenant and time.
+func (b *testBench) recordExecutionStarts() *[]string {
 	var list []string
-	b.RequestBegan = func(tenant string, now clock.Micros) { list = append(list, fmt.Sprint(tenant, "@", now/clock.Second)) }
+	b.OnExecutionStarted = func(tenant string, now clock.Micros) { list = append(list, fmt.Sprint(tenant, "@", now/clock.Second)) }
 	return &list
 }
 
 // A request counts once, when the first server begins it, however many attempts it takes.
-func TestABeginIsCountedOnce(t *testing.T) {
-	begun := AttemptResult{RequestID: "o", Outcome: Complete, HasBegun: true}
+func TestExecutionStartIsReportedOnce(t *testing.T) {
+	begun := AttemptResult{RequestID: "o", Outcome: Complete, ExecutionStarted: true}
 	interrupted := AttemptResult{RequestID: "o", Outcome: Interrupted, ResponseStarted: true}
 	started := AttemptStarted{RequestID: "o"}
 	for name, c := range map[string]struct {
@@ -31,11 +31,11 @@
 		"a stream of which no event came":     {[]any{AttemptResult{RequestID: "o", Outcome: Complete}}, nil},
 		"a rejection, and another server":     {[]any{AttemptResult{RequestID: "o", Outcome: NotRun}, started, AttemptResult{RequestID: "o", Outcome: Complete}}, []string{"a@11"}},
 		"a failure":                           {[]any{AttemptResult{RequestID: "o", Outcome: Failed}, AttemptResult{RequestID: "o", Outcome: Failed}}, nil},
-		"a response that is cut, and another": {[]any{AttemptResult{RequestID: "o", Outcome: Interrupted, HasBegun: true}, begun}, []string{"a@10"}},
+		"a response that is cut, and another": {[]any{AttemptResult{RequestID: "o", Outcome: Interrupted, ExecutionStarted: true}, begun}, []string{"a@10"}},
 	} {
-		b := newBench(t, []string{"a", "a"})
-		b.useTenants(1, config.AuthenticationRequired, newRoute(config.Resumable, 2))
-		list := b.countBegins()
+		b := newTestBench(t, []string{"a", "a"})
+		b.applyTenantConfiguration(1, config.AuthenticationRequired, newRoute(config.Resumable, 2))
+		list := b.recordExecutionStarts()
 		b.submitWithKey("o", config.Resumable, "a1")
 		for _, step := range c.steps {
 			b.send(step)
@@ -51,10 +51,10 @@
 }
 
 // Nothing of a request without a key is known of its tenant.
-func TestBeginsWithoutATenant(t *testing.T) {
-	b := newBench(t, []string{"a"})
-	b.useTenants(1, config.AuthenticationOptional, newRoute(config.Stream, 1))
-	list := b.countBegins()
+func TestExecutionStartWithoutTenant(t *testing.T) {
+	b := newTestBench(t, []string{"a"})
+	b.applyTenantConfiguration(1, config.AuthenticationOptional, newRoute(config.Stream, 1))
+	list := b.recordExecutionStarts()
 	for requestID, key := range map[string]string{"o": "", "p": "b1"} {
 		b.submitWithKey(requestID, config.Stream, key)
 		b.send(AttemptStarted{RequestID: requestID})
--- a/internal/dataplane/proxy/fairness_test.go
+++ b/internal/dataplane/proxy/fairness_test.go
@@ -16,7 +16,7 @@
 
 // contention is a load of more requests than the servers have slots for.
 type contention struct {
-	*bench
+	*testBench
 	random  *rand.Rand
 	waiting map[uint64]contentionRequest
 	running map[string]clock.Micros // by request: when it ends
@@ -81,19 +81,19 @@
 
 // With 1.5 times as many requests as there are slots for, no kind of request, size or session
 // is starved, nor a route that was added later.
-func TestNobodyIsStarvedUnderContention(t *testing.T) {
+func TestNoCategoryIsStarvedUnderContention(t *testing.T) {
 	kinds := []string{config.OneShot, config.Repeatable, config.Stream, config.Resumable}
 	var routes []config.Route
 	for _, kind := range kinds {
 		routes = append(routes, newRoute(kind, 2))
 	}
-	c := &contention{bench: newBench(t, []string{"a", "a"}, routes...), random: rand.New(rand.NewSource(3)),
+	c := &contention{testBench: newTestBench(t, []string{"a", "a"}, routes...), random: rand.New(rand.NewSource(3)),
 		waiting: map[uint64]contentionRequest{}, running: map[string]clock.Micros{}, ratios: map[string]*serviceRatio{}}
 	const (
 		span  = 5 * millisecond
 		steps = 6000
 	)
-	hosts := kinds
+	routeHosts := kinds
 	for step := range steps {
 		if step == steps/3 {
 			later := newRoute(config.Repeatable, 2)
@@ -101,10 +101,10 @@
 			configuration := &config.Configuration{Version: 2, ScorerWeights: c.scheduler.Configuration().ScorerWeights, Pools: c.scheduler.Configuration().Pools, Routes: append(append([]config.Route(nil), routes...), later)}
 			configuration.Index()
 			c.scheduler.SetConfiguration(configuration, c.now)
-			hosts = append(append([]string(nil), kinds...), "later")
+			routeHosts = append(append([]string(nil), kinds...), "later")
 		}
 		if c.random.Intn(100) < 90 {
-			c.submitTo(hosts[c.random.Intn(len(hosts))])
+			c.submitTo(routeHosts[c.random.Intn(len(routeHosts))])
 		}
 		c.step(span)
 	}
@@ -113,13 +113,13 @@
 	if all > 0.9 || all < 0.4 {
 		t.Fatalf("%.2f of the requests are served: there is no contention", all)
 	}
-	for category, one := range c.ratios {
+	for category, ratio := range c.ratios {
 		minRatio := 0.8 * all
 		if len(category) > 7 && category[:7] == "session" {
 			minRatio = 0.5 * all // few requests each
 		}
-		if one.ratio() < minRatio {
-			t.Errorf("%s: %d of %d served, of all %.2f", category, one.served, one.requested, all)
+		if ratio.ratio() < minRatio {
+			t.Errorf("%s: %d of %d served, of all %.2f", category, ratio.served, ratio.requested, all)
 		}
 	}
 }
@@ -169,7 +169,7 @@
 		"every other one is first": func(i int) string { return []string{"high", "low"}[i%2] },
 	} {
 		route := newRoute(config.Stream, 2)
-		c := &contention{bench: newBench(t, []string{"a", "a"}), random: rand.New(rand.NewSource(5)),
+		c := &contention{testBench: newTestBench(t, []string{"a", "a"}), random: rand.New(rand.NewSource(5)),
 			waiting: map[uint64]contentionRequest{}, running: map[string]clock.Micros{}, ratios: map[string]*serviceRatio{}}
 		c.scheduler.SetConfiguration(tenantsConfiguration(route, classOf), c.now)
 		for range 6000 {
@@ -183,13 +183,13 @@
 		if all > 0.95 || all < 0.4 {
 			t.Fatalf("%s: %.2f of the requests are served: there is no contention", name, all)
 		}
-		for category, one := range c.ratios {
-			least := 0.25 * all
+		for category, ratio := range c.ratios {
+			minRatio := 0.25 * all
 			if name == "one priority" {
-				least = 0.75 * all
+				minRatio = 0.75 * all
 			}
-			if one.ratio() < least {
-				t.Errorf("%s: %s: %d of %d served, of all %.2f", name, category, one.served, one.requested, all)
+			if ratio.ratio() < minRatio {
+				t.Errorf("%s: %s: %d of %d served, of all %.2f", name, category, ratio.served, ratio.requested, all)
 			}
 		}
 	}
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -14,8 +14,8 @@
 
 const millisecond = clock.Millisecond
 
-// bench is a proxy with a scheduler and servers, in virtual time.
-type bench struct {
+// testBench is a proxy with a scheduler and servers, in virtual time.
+type testBench struct {
 	*Proxy
 	t            *testing.T
 	scheduler    *scheduler.Scheduler
@@ -25,13 +25,13 @@
 	replies      map[uint64]machine.Reply
 }
 
-// newBench has one server for each given pool, a or b; it has a configuration only if
+// newTestBench has one server for each given pool, a or b; it has a configuration only if
 // routes are given.
-func newBench(t *testing.T, servers []string, routes ...config.Route) *bench {
+func newTestBench(t *testing.T, servers []string, routes ...config.Route) *testBench {
 	t.Helper()
 	settings := scheduler.Defaults()
 	settings.MaxStaleness = scheduler.UnlimitedStaleness
-	b := &bench{t: t, scheduler: scheduler.New(settings, 7), machineCalls: machine.NewCalls(), now: 10 * clock.Second, replies: map[uint64]machine.Reply{}}
+	b := &testBench{t: t, scheduler: scheduler.New(settings, 7), machineCalls: machine.NewCalls(), now: 10 * clock.Second, replies: map[uint64]machine.Reply{}}
 	b.Proxy = New(Defaults(), b.machineCalls, b.scheduler, 7)
 	if len(routes) > 0 {
 		configuration := &config.Configuration{Version: 1, ScorerWeights: map[string]float64{"fullness": 1, "spread": 1}, Routes: routes}
@@ -47,7 +47,7 @@
 	return b
 }
 
-func (b *bench) addServer(name, pool string, slots int) {
+func (b *testBench) addServer(name, pool string, slots int) {
 	b.scheduler.SetServer(endpoints.Server{Name: name, Address: "at-" + name, Slots: slots, Labels: map[string]string{"pool": pool}})
 }
 
@@ -58,7 +58,7 @@
 }
 
 // send passes a message to the proxy and matches the queue, as the edge's machine does.
-func (b *bench) send(body any) uint64 {
+func (b *testBench) send(body any) uint64 {
 	b.lastCall++
 	if !b.Call(b.lastCall, body, b.now) {
 		b.t.Fatalf("the proxy does not handle %T", body)
@@ -67,32 +67,32 @@
 	return b.lastCall
 }
 
-func (b *bench) collectReplies() {
+func (b *testBench) collectReplies() {
 	b.scheduler.MatchUntilStable(b.now)
 	for _, effect := range b.machineCalls.Drain() {
 		response, ok := effect.(machine.Reply)
 		if !ok {
 			b.t.Fatalf("the proxy emitted %T", effect)
 		}
-		if _, twice := b.replies[response.Call]; twice {
+		if _, duplicate := b.replies[response.Call]; duplicate {
 			b.t.Fatalf("the call %d is answered twice", response.Call)
 		}
 		b.replies[response.Call] = response
 	}
 }
 
-func (b *bench) advance(span clock.Micros) {
+func (b *testBench) advance(span clock.Micros) {
 	b.now += span
 	b.scheduler.Match(b.now)
 	b.collectReplies()
 }
 
-func (b *bench) submit(requestID, kind string) uint64 {
+func (b *testBench) submit(requestID, kind string) uint64 {
 	return b.send(Request{ID: requestID, Host: kind, Path: "/x/y"})
 }
 
 // attempt is the attempt that the reply to a call decides on.
-func (b *bench) attempt(call uint64) Attempt {
+func (b *testBench) attempt(call uint64) Attempt {
 	b.t.Helper()
 	attempt, ok := b.replies[call].Body.(Attempt)
 	if !ok {
@@ -102,7 +102,7 @@
 }
 
 // outcomeOf sums up the reply to a call: an attempt, the final answer, or none yet.
-func (b *bench) outcomeOf(call uint64) string {
+func (b *testBench) outcomeOf(call uint64) string {
 	response, received := b.replies[call]
 	typedErr := (*errs.Error)(nil)
 	if response.Err != nil {
@@ -122,7 +122,7 @@
 }
 
 // checkIdle checks that nothing is in flight and no server assigned.
-func (b *bench) checkIdle(name string) {
+func (b *testBench) checkIdle(name string) {
 	b.t.Helper()
 	if b.InFlight() != 0 || b.scheduler.QueueLength() != 0 {
 		b.t.Errorf("%s: %d requests are in flight, %d queued", name, b.InFlight(), b.scheduler.QueueLength())
--- a/internal/dataplane/proxy/lateness_test.go
+++ b/internal/dataplane/proxy/late_responses_test.go
@@ -6,11 +6,11 @@
 	"tuliprudder/internal/config"
 )
 
-// newScaledBench is a bench whose servers are scaled; its route is to begin within 300 ms and to pause for
+// newScaledTestBench is a bench whose servers are scaled; its route is to begin within 300 ms and to pause for
 // 150 ms at most.
-func newScaledBench(t *testing.T) *bench {
+func newScaledTestBench(t *testing.T) *testBench {
 	t.Helper()
-	b := newBench(t, []string{"a"}, newRoute(config.Stream, 1))
+	b := newTestBench(t, []string{"a"}, newRoute(config.Stream, 1))
 	route := newRoute(config.Stream, 1)
 	route.Forward.MaxEventGap = 150 * millisecond
 	c := &config.Configuration{
@@ -23,7 +23,7 @@
 }
 
 // A response is late by its route's targets: that of its first event, and that of the pauses within it.
-func TestWhichResponsesAreLate(t *testing.T) {
+func TestLateResponses(t *testing.T) {
 	for name, c := range map[string]struct {
 		firstEventMS, endMS, pauseMS int64 // after the request; 0: no event is reported
 		outcome                      Outcome
@@ -38,7 +38,7 @@
 		"its server doesn't run it":    {endMS: 400, outcome: NotRun},
 		"it begins late and is paused": {firstEventMS: 400, endMS: 900, pauseMS: 400, outcome: Complete, want: 1},
 	} {
-		b := newScaledBench(t)
+		b := newScaledTestBench(t)
 		b.attempt(b.submit("r", config.Stream))
 		start := b.now
 		if c.firstEventMS > 0 {
@@ -46,7 +46,7 @@
 			b.send(AttemptStarted{RequestID: "r"})
 		}
 		b.advance(start + c.endMS*millisecond - b.now)
-		b.send(AttemptResult{RequestID: "r", Outcome: c.outcome, LongestPause: c.pauseMS * millisecond})
+		b.send(AttemptResult{RequestID: "r", Outcome: c.outcome, LongestEventGap: c.pauseMS * millisecond})
 		loads := b.scheduler.TakeLoads(b.now)
 		if len(loads) != 1 || loads[0].Started != 1 || loads[0].Late != c.want {
 			t.Errorf("%s: the load is %+v", name, loads)
--- a/internal/dataplane/proxy/messages.go
+++ b/internal/dataplane/proxy/messages.go
@@ -60,11 +60,11 @@
 	Outcome   Outcome
 	// ResponseStarted: a part of the response has reached the caller.
 	ResponseStarted bool
-	// HasBegun: the server began to run it, of which no AttemptStarted told: its response is a success
+	// ExecutionStarted: the server began to run it, of which no AttemptStarted told: its response is a success
 	// and no event stream.
-	HasBegun bool
-	// LongestPause is the longest time between two events of the response, over all attempts.
-	LongestPause clock.Micros
+	ExecutionStarted bool
+	// LongestEventGap is the longest time between two events of the response, over all attempts.
+	LongestEventGap clock.Micros
 	// ContextDone: the caller disconnected, or the deadline passed.
 	ContextDone bool
 	// LocalFailure: the cause is in this daemon and says nothing about the server.
@@ -99,9 +99,9 @@
 	Invalid
 )
 
-// concernsServer tells whether a result that is neither a response nor a rejection by the
+// countsAgainstServer tells whether a result that is neither a response nor a rejection by the
 // server counts as a failure of the server.
-func (result AttemptResult) concernsServer() bool {
+func (result AttemptResult) countsAgainstServer() bool {
 	switch result.Outcome {
 	case Invalid:
 		return false
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -67,9 +67,9 @@
 	UnknownOutcomes int64 // failed, and possibly run
 	Retries         int64 // attempts after a request's first
 
-	// RequestBegan, where set, is told once of each request that begins to run at a server; tenant is ""
+	// OnExecutionStarted, where set, is told once of each request that begins to run at a server; tenant is ""
 	// where it has none.
-	RequestBegan func(tenant string, now clock.Micros)
+	OnExecutionStarted func(tenant string, now clock.Micros)
 
 	InjectedFaults InjectedFaults
 }
@@ -77,21 +77,21 @@
 // activeRequest is a request in flight.
 type activeRequest struct {
 	Request
-	route            *config.Route
-	identity         Identity
-	priority         int64
-	receivedAt       clock.Micros
-	startedAt        clock.Micros // when its response began; 0: it hasn't
-	deadline         clock.Micros
-	call             uint64 // the call that the next decision answers
-	schedulerRequest *scheduler.Request
-	assignment       *scheduler.Assignment // the server of the current attempt; nil between attempts
-	avoidedServers   map[string]int
-	attempts         int64 // attempts that reached a server
-	unsentAttempts   int   // attempts whose server accepted no connection
-	localFailures    int   // attempts for which no connection to the server was free here
-	mayHaveRun       bool  // an attempt may have run, at least in part
-	hasBegun         bool  // a server has begun to run it
+	route             *config.Route
+	identity          Identity
+	priority          int64
+	receivedAt        clock.Micros
+	responseStartedAt clock.Micros // when its response began; 0: it hasn't
+	deadline          clock.Micros
+	call              uint64 // the call that the next decision answers
+	schedulerRequest  *scheduler.Request
+	assignment        *scheduler.Assignment // the server of the current attempt; nil between attempts
+	avoidedServers    map[string]int
+	attempts          int64 // attempts that reached a server
+	unsentAttempts    int   // attempts whose server accepted no connection
+	localFailures     int   // attempts for which no connection to the server was free here
+	mayHaveRun        bool  // an attempt may have run, at least in part
+	executionStarted  bool  // a server has begun to run it
 }
 
 // New makes the proxy of an edge's machine; the seed makes its random choices repeatable.
--- a/internal/dataplane/proxy/route_stops_forwarding_test.go
+++ b/internal/dataplane/proxy/route_stops_forwarding_test.go
@@ -8,10 +8,10 @@
 )
 
 // An edge crashed, or sent it all the same, where a route stopped forwarding while a request of it waited.
-func TestARequestIsDroppedWhoseRouteForwardsNoMore(t *testing.T) {
+func TestQueuedRequestFailsWhenRouteStopsForwarding(t *testing.T) {
 	for _, authentication := range []string{config.AuthenticationNone, config.AuthenticationRequired} {
-		b := newBench(t, nil)
-		b.useTenants(1, authentication, newRoute(config.OneShot, 1))
+		b := newTestBench(t, nil)
+		b.applyTenantConfiguration(1, authentication, newRoute(config.OneShot, 1))
 		waiting := b.submitWithKey("o", config.OneShot, "a1")
 		configuration := *b.scheduler.Configuration()
 		configuration.Version = 2
--- a/internal/dataplane/scheduler/choose.go
+++ b/internal/dataplane/scheduler/choose.go
@@ -94,7 +94,7 @@
 		Slots:            server.server.Slots,
 		OwnRequests:      server.ownRequests,
 		OtherRequests:    server.otherRequests,
-		Waiting:          server.expectedWaiting(s.now),
+		WaitingRequests:  server.expectedWaiting(s.now),
 		UtilizationLimit: s.utilizationLimit,
 		Draining:         server.server.Draining && !sc.InjectedFaults.IgnoreStaleness,
 		Healthy:          server.isHealthy(),
--- a/internal/dataplane/scoring/candidate.go
+++ b/internal/dataplane/scoring/candidate.go
@@ -11,8 +11,8 @@
 	Slots         int
 	OwnRequests   int // on the server now
 	OtherRequests int // of other daemons, at its latest load report
-	// Waiting is how many requests wait there, as far as the server told of late.
-	Waiting float64
+	// WaitingRequests is how many requests wait there, as far as the server told of late.
+	WaitingRequests float64
 	// FailureRate is the share of the requests that it failed lately, 0 to 1.
 	FailureRate float64
 	// SameZone says that it is in this daemon's zone.
--- a/internal/dataplane/scoring/scorers.go
+++ b/internal/dataplane/scoring/scorers.go
@@ -12,11 +12,11 @@
 	maxPrefilling = 1
 	// prefillScaleTokens is how many tokens still to be prefilled halve the score.
 	prefillScaleTokens = 2000
-	// maxUnresponsive is how long a server may show no progress before requests go
+	// maxUnresponsiveTime is how long a server may show no progress before requests go
 	// elsewhere.
-	maxUnresponsive = 350 * clock.Millisecond
-	// unknownSpeed is the speed score of a server whose latency is unknown.
-	unknownSpeed = 0.5
+	maxUnresponsiveTime = 350 * clock.Millisecond
+	// defaultSpeedScore is the speed score of a server whose latency is unknown.
+	defaultSpeedScore = 0.5
 )
 
 // Draining excludes a server that is draining.
@@ -100,7 +100,7 @@
 // Speed scores a server by how close its latency comes to that of the fastest.
 func Speed(_ Requirements, c Candidate) (float64, string) {
 	if c.Latency <= 0 || c.FastestLatency <= 0 {
-		return unknownSpeed, ""
+		return defaultSpeedScore, ""
 	}
 	return min(1, float64(c.FastestLatency)/float64(c.Latency)), ""
 }
@@ -116,7 +116,7 @@
 
 // Responsiveness scores a server that has shown progress lately.
 func Responsiveness(_ Requirements, c Candidate) (float64, string) {
-	if c.UnresponsiveFor > maxUnresponsive {
+	if c.UnresponsiveFor > maxUnresponsiveTime {
 		return 0, ""
 	}
 	return 1, ""
@@ -135,7 +135,7 @@
 
 // Queue scores a server by how few requests wait there, as it told of late. It doesn't count what
 // runs: daemons that hear of the same server with few requests at the same time would all choose it.
-func Queue(_ Requirements, c Candidate) (float64, string) { return 1 / (1 + c.Waiting), "" }
+func Queue(_ Requirements, c Candidate) (float64, string) { return 1 / (1 + c.WaitingRequests), "" }
 
 // Rotation scores a server by its position in this daemon's own rotation. Daemons begin
 // their rotations at different servers, so that those that don't know yet of each other's
--- a/internal/dataplane/scoring/scorers_test.go
+++ b/internal/dataplane/scoring/scorers_test.go
@@ -30,13 +30,13 @@
 
 // The more prompt tokens a server has to prefill, the lower its score; none is excluded.
 func TestPrefill(t *testing.T) {
-	before := 2.0
+	previous := 2.0
 	for _, tokens := range []int64{0, 1, 500, prefillScaleTokens, 10 * prefillScaleTokens, 1 << 40} {
 		score, reason := Prefill(Requirements{}, Candidate{PrefillTokens: tokens})
-		if reason != "" || score >= before || score < 0 || score > 1 {
-			t.Errorf("%d tokens: score %v after %v, excluded as %q", tokens, score, before, reason)
+		if reason != "" || score >= previous || score < 0 || score > 1 {
+			t.Errorf("%d tokens: score %v after %v, excluded as %q", tokens, score, previous, reason)
 		}
-		before = score
+		previous = score
 	}
 	if score, _ := Prefill(Requirements{}, Candidate{}); score != 1 {
 		t.Errorf("nothing to prefill: %v", score)
@@ -48,7 +48,7 @@
 
 // A server without progress for too long loses its score; it is not excluded.
 func TestResponsiveness(t *testing.T) {
-	for unresponsiveFor, want := range map[clock.Micros]float64{0: 1, maxUnresponsive: 1, maxUnresponsive + 1: 0, clock.Second: 0} {
+	for unresponsiveFor, want := range map[clock.Micros]float64{0: 1, maxUnresponsiveTime: 1, maxUnresponsiveTime + 1: 0, clock.Second: 0} {
 		if score, reason := Responsiveness(Requirements{}, Candidate{UnresponsiveFor: unresponsiveFor}); score != want || reason != "" {
 			t.Errorf("unresponsive for %d us: score %v, excluded as %q", unresponsiveFor, score, reason)
 		}
@@ -106,13 +106,13 @@
 
 // The more requests wait on a server, the lower its score; none is excluded.
 func TestQueue(t *testing.T) {
-	before := 2.0
+	previous := 2.0
 	for _, waiting := range []float64{0, 0.5, 1, 8, 1000} {
-		score, reason := Queue(Requirements{}, Candidate{Waiting: waiting})
-		if reason != "" || score >= before || score <= 0 || score > 1 {
-			t.Errorf("%v wait: score %v after %v, excluded as %q", waiting, score, before, reason)
+		score, reason := Queue(Requirements{}, Candidate{WaitingRequests: waiting})
+		if reason != "" || score >= previous || score <= 0 || score > 1 {
+			t.Errorf("%v wait: score %v after %v, excluded as %q", waiting, score, previous, reason)
 		}
-		before = score
+		previous = score
 	}
 }
 
--- a/internal/dataplane/serverpoll/serverpoll.go
+++ b/internal/dataplane/serverpoll/serverpoll.go
@@ -98,7 +98,7 @@
 // HandleResult publishes what a poll found.
 func (p *Poller) HandleResult(result PollResult, _ clock.Micros) {
 	delete(p.inFlight, result.Name)
-	p.nextPolls[result.Name] = result.StartedAt + p.intervalAfter(result)
+	p.nextPolls[result.Name] = result.StartedAt + p.nextInterval(result)
 	epoch, seq := p.nextVersion(result.Name)
 	value, _ := json.Marshal(endpoints.Load{ // numbers, booleans and strings: it can't fail
 		Running: result.Running,
@@ -110,9 +110,9 @@
 	p.calls.Emit(machine.Publish{Update: machine.Update{Key: endpoints.LoadKey(result.Name), Epoch: epoch, Seq: seq, Value: value}})
 }
 
-// intervalAfter is the time from one poll of a server to the next. Half a scan is taken
+// nextInterval is the time from one poll of a server to the next. Half a scan is taken
 // off, so that the scan nearest to it finds the server due.
-func (p *Poller) intervalAfter(result PollResult) clock.Micros {
+func (p *Poller) nextInterval(result PollResult) clock.Micros {
 	interval := p.interval
 	if p.isBusy(result) {
 		interval /= busyPollFactor
--- a/internal/dataplane/serverpoll/serverpoll_test.go
+++ b/internal/dataplane/serverpoll/serverpoll_test.go
@@ -16,31 +16,31 @@
 // fixture is the only edge, with one server of four slots.
 type fixture struct {
 	*Poller
-	calls   *machine.Calls
-	servers *scheduler.Scheduler
-	members []membership.Member
-	now     clock.Micros
+	calls     *machine.Calls
+	scheduler *scheduler.Scheduler
+	members   []membership.Member
+	now       clock.Micros
 }
 
 func newFixture(interval clock.Micros) *fixture {
 	f := &fixture{
-		calls:   machine.NewCalls(),
-		servers: scheduler.New(scheduler.Defaults(), 1),
-		members: []membership.Member{{ID: "self", Kind: membership.Edge, Status: membership.Alive}},
-		now:     10 * clock.Second,
+		calls:     machine.NewCalls(),
+		scheduler: scheduler.New(scheduler.Defaults(), 1),
+		members:   []membership.Member{{ID: "self", Kind: membership.Edge, Status: membership.Alive}},
+		now:       10 * clock.Second,
 	}
-	f.servers.SetServer(endpoints.Server{Name: "s", Address: "s:1", Slots: 4})
-	f.Poller = New("self", interval, f.calls, f.servers, func() []membership.Member { return f.members })
+	f.scheduler.SetServer(endpoints.Server{Name: "s", Address: "s:1", Slots: 4})
+	f.Poller = New("self", interval, f.calls, f.scheduler, func() []membership.Member { return f.members })
 	return f
 }
 
-// polls are the tasks that a tick emits.
-func (f *fixture) polls() []PollTask {
+// pollTasks are the tasks that a tick emits.
+func (f *fixture) pollTasks() []PollTask {
 	f.Tick(f.now)
 	var out []PollTask
 	for _, effect := range f.calls.Drain() {
-		if work, ok := effect.(machine.Execute); ok {
-			out = append(out, work.Task.(PollTask))
+		if execute, ok := effect.(machine.Execute); ok {
+			out = append(out, execute.Task.(PollTask))
 		}
 	}
 	return out
@@ -62,7 +62,7 @@
 	return machine.Update{}
 }
 
-func TestABusyServerIsPolledMoreOften(t *testing.T) {
+func TestBusyServerIsPolledMoreOften(t *testing.T) {
 	for name, c := range map[string]struct {
 		result   PollResult
 		interval clock.Micros
@@ -73,16 +73,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(testInterval)
-			if got := f.polls(); len(got) != 1 || got[0] != (PollTask{Name: "s", Address: "s:1"}) {
+			if got := f.pollTasks(); len(got) != 1 || got[0] != (PollTask{Name: "s", Address: "s:1"}) {
 				t.Fatalf("polls %+v", got)
 			}
 			f.now += testInterval
-			if got := f.polls(); len(got) != 0 {
+			if got := f.pollTasks(); len(got) != 0 {
 				t.Fatalf("polls %+v while one is under way", got)
 			}
 			f.finish(t, c.result)
 			started, scan := f.now, testInterval/busyPollFactor
-			for len(f.polls()) == 0 {
+			for len(f.pollTasks()) == 0 {
 				f.now += scan
 			}
 			if got := f.now - started; got != c.interval {
@@ -95,14 +95,14 @@
 func TestServersThatAreNotPolled(t *testing.T) {
 	for name, change := range map[string]func(*fixture){
 		"no polls":               func(f *fixture) { f.interval = 0 },
-		"removed":                func(f *fixture) { f.servers.SetServer(endpoints.Server{Name: "s", Removed: true}) },
+		"removed":                func(f *fixture) { f.scheduler.SetServer(endpoints.Server{Name: "s", Removed: true}) },
 		"this edge is draining":  func(f *fixture) { f.members[0].Draining = true },
 		"another edge's servers": func(f *fixture) { f.members[0].ID = "other" },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(testInterval)
 			change(f)
-			if got := f.polls(); len(got) != 0 {
+			if got := f.pollTasks(); len(got) != 0 {
 				t.Errorf("polls %+v", got)
 			}
 		})
@@ -110,7 +110,7 @@
 }
 
 // The sequence rises with each load; the epoch rises where another daemon read the last.
-func TestALoadsVersion(t *testing.T) {
+func TestLoadVersion(t *testing.T) {
 	f := newFixture(testInterval)
 	requireVersion := func(when string, update machine.Update, epoch, seq uint64) {
 		t.Helper()
--- a/test/servingsim/edge.go
+++ b/test/servingsim/edge.go
@@ -101,7 +101,7 @@
 	j.onEvent = func() { w.after(delay, func() { r.event(w.now) }) }
 	j.onEnd = func(outcome jobOutcome, load serverLoad) {
 		w.after(delay, func() {
-			result := proxy.AttemptResult{RequestID: id, Outcome: outcomes[outcome], Load: w.reported(load), LongestPause: r.longestGap}
+			result := proxy.AttemptResult{RequestID: id, Outcome: outcomes[outcome], Load: w.reported(load), LongestEventGap: r.longestGap}
 			if outcome == jobDone {
 				result.Load = nil
 			}
--- a/test/servingsim/store.go
+++ b/test/servingsim/store.go
@@ -86,12 +86,12 @@
 	now := s.world.now
 	if now >= s.nextShare {
 		s.nextShare = now + shareInterval
-		own := batchshare.Own{Items: s.runner.Pending(), Overdue: s.scheduler.OverdueBatchItems(), Tokens: s.runner.PendingWeight(), Running: s.scheduler.RunningBatchItems()}
+		own := batchshare.LocalDemand{Items: s.runner.Pending(), Overdue: s.scheduler.OverdueBatchItems(), Tokens: s.runner.PendingWeight(), Running: s.scheduler.RunningBatchItems()}
 		s.tracker.Announce(own, s.members, s.calls.Emit, now)
 		allotment := s.tracker.Allotment(own, s.members, now)
 		allotment.Connections = s.connectionShares()
 		s.scheduler.SetBatchAllotment(allotment)
-		s.scheduler.SetOtherBatchItems(s.tracker.RunningElsewhere(s.scheduler.ServerNames()))
+		s.scheduler.SetOtherBatchItems(s.tracker.RunningForOtherStores(s.scheduler.ServerNames()))
 	}
 	s.runner.Tick(now)
 	s.exchange.Tick(s.members, s.calls.Emit, now)
--- a/test/simulator/usage.go
+++ b/test/simulator/usage.go
@@ -25,8 +25,8 @@
 // turn: the routes of the simulated configuration ask for no key.
 func (u *usageReference) observe(n *Node) {
 	next := 0
-	count := n.edge.Proxy.RequestBegan
-	n.edge.Proxy.RequestBegan = func(_ string, now clock.Micros) {
+	count := n.edge.Proxy.OnExecutionStarted
+	n.edge.Proxy.OnExecutionStarted = func(_ string, now clock.Micros) {
 		next++
 		tenant := fmt.Sprint("tenant-", next%3)
 		window := uint64(now / actInterval)
