--- a/internal/dataplane/proxy/admission.go
+++ b/internal/dataplane/proxy/admission.go
@@ -6,13 +6,13 @@
 	"tuliprudder/internal/errs"
 )
 
-// IsIdempotent tells whether the requests of a route may run more than once.
+// IsIdempotent reports whether requests of a route may be executed more than once.
 func IsIdempotent(route *config.Route) bool {
 	return route.Kind == config.Repeatable || route.Kind == config.Resumable
 }
 
-// handleRequest finds the route and the tenant of a request and schedules its first attempt. Without a
-// configuration the daemon can't tell whether a route or a key exists: it says that it is not ready.
+// handleRequest matches the route, authenticates the tenant and schedules the first attempt. Without a
+// configuration the daemon cannot tell whether a route or a key exists, so it replies NotReady.
 func (p *Proxy) handleRequest(call uint64, request Request, now clock.Micros) {
 	configuration := p.scheduler.Configuration()
 	if configuration == nil {
@@ -48,8 +48,8 @@
 	p.scheduleAttempt(r, nil, now)
 }
 
-// deadline is when a request's time is over: the route's time-out or the caller's, whichever
-// is shorter, counted from the arrival of its head.
+// deadline returns when a request times out: after the route's or the caller's timeout, whichever
+// is shorter, counted from the arrival of the request's head.
 func deadline(request Request, route *config.Route, now clock.Micros) clock.Micros {
 	timeout := route.Timeout
 	if request.CallerTimeout > 0 {
@@ -58,7 +58,7 @@
 	return receivedAt(request, now) + timeout
 }
 
-// receivedAt is when the head of a request arrived.
+// receivedAt returns when the head of a request arrived.
 func receivedAt(request Request, now clock.Micros) clock.Micros {
 	if request.ReceivedAt > 0 {
 		return min(request.ReceivedAt, now)
--- a/internal/dataplane/proxy/admission_test.go
+++ b/internal/dataplane/proxy/admission_test.go
@@ -8,29 +8,29 @@
 	"tuliprudder/internal/errs"
 )
 
-// The time of a request starts when its head arrives, not once its body is there.
+// The timeout of a request counts from the arrival of its head, not from that of its complete body.
 func TestDeadlineCountsFromRequestHead(t *testing.T) {
 	for name, c := range map[string]struct{ wait, want clock.Micros }{
-		"the route's time":  {0, 5 * clock.Second},
-		"the caller's time": {2 * clock.Second, 2 * clock.Second},
+		"route timeout":  {0, 5 * clock.Second},
+		"caller timeout": {2 * clock.Second, 2 * clock.Second},
 	} {
 		b := newTestBench(t, []string{"a"}, newRoute(config.OneShot, 1))
 		received := b.now - 700*millisecond
 		attempt := b.attempt(b.send(Request{ID: "o", Host: config.OneShot, Path: "/x/y", ReceivedAt: received, CallerTimeout: c.wait}))
 		if attempt.Deadline != received+c.want {
-			t.Errorf("%s: its deadline is %d, not %d", name, attempt.Deadline, received+c.want)
+			t.Errorf("%s: got deadline %d, want %d", name, attempt.Deadline, received+c.want)
 		}
 	}
 	b := newTestBench(t, []string{"a"}, newRoute(config.OneShot, 1))
 	call := b.send(Request{ID: "o", Host: config.OneShot, Path: "/x/y", ReceivedAt: b.now - 6*clock.Second})
 	if got := b.outcomeOf(call); got != "rejected" {
-		t.Errorf("a body that took longer than the route's time-out: %s", got)
+		t.Errorf("body that took longer than the route's timeout: %s", got)
 	}
 	b.checkIdle("late")
 }
 
-// A daemon without a configuration rejects for the time being; one with a configuration rejects
-// what that has no route for, and decides on submission where the route is one of batches.
+// A daemon without a configuration rejects requests as retryable. With a configuration it rejects
+// requests that match no route, and decides on a batch submission where the route is a batch route.
 func TestRequestRouting(t *testing.T) {
 	b := newTestBench(t, []string{"a"})
 	if got := b.outcomeOf(b.submit("o", config.OneShot)); got != "rejected" {
@@ -45,13 +45,13 @@
 	}
 	call := b.submit("o", config.Batch)
 	if submission, ok := b.replies[call].Body.(BatchSubmission); !ok || submission.Route.Name != batchRoute.Name {
-		t.Errorf("a batch: %+v", b.replies[call])
+		t.Errorf("batch: %+v", b.replies[call])
 	}
 	b.checkIdle("routes")
 }
 
-// A forwarding route needs no tenant of its name: in a configuration of the product's own form
-// its callers carry no key.
+// A forwarding route does not need a tenant of the same name: in a configuration in the product's own
+// format its callers send no API key.
 func TestForwardingRouteNeedsNoTenant(t *testing.T) {
 	b := newTestBench(t, []string{"a"})
 	configuration, err := config.Parse([]byte(`{"classes":[{"name":"c","rank":5,"allowance":1}],"pools":[{"name":"a","labels":{"u":"a"},"servers":{"pool":"a"}}],
@@ -62,6 +62,6 @@
 	configuration.Version = 1
 	b.scheduler.SetConfiguration(configuration, b.now)
 	if attempt := b.attempt(b.submit("o", "h.example")); attempt.Server != "a0" {
-		t.Errorf("sent as %+v", attempt)
+		t.Errorf("got attempt %+v", attempt)
 	}
 }
--- a/internal/dataplane/proxy/attempts.go
+++ b/internal/dataplane/proxy/attempts.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// maxUnsentAttempts is how many servers that accept no connection are passed over: each
-	// may cost the caller the time-out of a dial.
+	// maxUnsentAttempts limits how many servers that accept no connection are skipped, because
+	// each may delay the request by the dial timeout.
 	maxUnsentAttempts = 3
-	// maxLocalFailures is the same for servers to which no connection is free here, which
-	// cost no time.
+	// maxLocalFailures is the same limit for servers to which this daemon has no free connection;
+	// skipping these takes no time.
 	maxLocalFailures = 32
 )
 
-// scheduleAttempt queues a request for a server. lastErr is why the attempt before failed, nil
-// for the first one: if no server becomes free, the request fails with it.
+// scheduleAttempt queues a request for a server. lastErr is the error of the previous attempt, nil
+// for the first attempt: if no server becomes free, the request fails with lastErr.
 func (p *Proxy) scheduleAttempt(r *activeRequest, lastErr error, now clock.Micros) {
 	if now >= r.deadline {
 		p.failRequest(r, errs.NewWithRetry(errs.DeadlineExceeded, p.settings.MinRetryAfter, "retry with a later deadline", "the deadline of the request has passed"), now)
@@ -48,8 +48,8 @@
 	}
 }
 
-// queueDeadline is until when a request may wait for a server. One that has waited longer is
-// better rejected: its caller learns when to retry while there is still time for it.
+// queueDeadline returns until when a request may wait for a server. A request that waits longer is
+// rejected, so that its caller learns when to retry while there is still time for a retry.
 func (p *Proxy) queueDeadline(r *activeRequest, now clock.Micros) clock.Micros {
 	if p.scheduler.Disables(mechanism.QueueTimeLimit) {
 		return r.deadline
@@ -61,8 +61,8 @@
 	return min(limit, r.deadline)
 }
 
-// choosePools draws the pools that a request of a split route goes to, by their weights; nil
-// leaves them to the route.
+// choosePools selects the pools for a request of a split route at random, in proportion to their
+// weights; nil means that the route's own pools apply.
 func (p *Proxy) choosePools(route *config.Route) config.Selector {
 	total := int64(0)
 	for _, weighted := range route.Forward.Split {
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// sharedPrefix names the segment that most other requests share, the first: servers are
-// chosen by whose prefix cache may hold it.
+// sharedPrefix returns the ID of the first prompt segment, which is the one that most other requests
+// share. Servers whose prefix cache may contain it are preferred.
 func sharedPrefix(segments []PromptSegment) string {
 	if len(segments) == 0 {
 		return ""
@@ -89,7 +89,7 @@
 	return segments[0].ID
 }
 
-// startAttempt has the gateway send the request to the server that the scheduler assigned.
+// startAttempt tells the gateway to send the request to the server that the scheduler assigned.
 func (p *Proxy) startAttempt(r *activeRequest, assignment *scheduler.Assignment) {
 	r.assignment = assignment
 	r.attempts++
@@ -103,15 +103,16 @@
 	})
 }
 
-// currentIdentity is what the server of an attempt is told. The tenant is that by which the request was let in;
-// where a newer configuration has begun to tell callers apart by keys, a key isn't passed on any more.
+// currentIdentity returns the identity that is sent to the server of an attempt. The tenant is the one
+// that the request was admitted with. If a newer configuration has enabled authentication since then,
+// the API key is no longer forwarded.
 func (r *activeRequest) currentIdentity() Identity {
 	identity := r.identity
 	identity.IsAuthenticated = identity.IsAuthenticated || r.schedulerRequest.Route.Forward.IsAuthenticated()
 	return identity
 }
 
-// hasAttemptsLeft tells whether the route allows an attempt on a further server.
+// hasAttemptsLeft reports whether the route allows an attempt on another server.
 func (r *activeRequest) hasAttemptsLeft() bool {
 	return r.attempts < max(1, r.route.Forward.MaxAttempts)
 }
@@ -127,7 +128,7 @@
 	p.acknowledge(call)
 }
 
-// recordExecutionStart records that a server has begun to run a request; a further attempt of it doesn't count.
+// recordExecutionStart reports once per request that a server has started to run it; retries are not reported.
 func (p *Proxy) recordExecutionStart(r *activeRequest, now clock.Micros) {
 	if r.executionStarted || p.OnExecutionStarted == nil {
 		return
@@ -136,21 +137,21 @@
 	p.OnExecutionStarted(r.identity.Tenant, now)
 }
 
-// recordResponseStart records that the response has begun; only the first time counts.
+// recordResponseStart records when the response started; only the first call has an effect.
 func (r *activeRequest) recordResponseStart(now clock.Micros) {
 	if r.responseStartedAt == 0 {
 		r.responseStartedAt = now
 	}
 }
 
-// isLate tells whether a complete response came later than its route's targets.
+// isLate reports whether a complete response missed its route's latency target or event gap target.
 func (r *activeRequest) isLate(result AttemptResult) bool {
 	targets := r.route.Forward
 	isSlowToStart := targets.LatencyTarget > 0 && r.responseStartedAt-r.receivedAt > targets.LatencyTarget
 	return isSlowToStart || targets.MaxEventGap > 0 && result.LongestEventGap > targets.MaxEventGap
 }
 
-// handleAttemptResult frees the server of an attempt and decides what follows.
+// handleAttemptResult releases the server of an attempt and decides how the request continues.
 func (p *Proxy) handleAttemptResult(call uint64, result AttemptResult, now clock.Micros) {
 	r := p.inFlight[result.RequestID]
 	if r == nil || r.assignment == nil {
@@ -186,13 +187,13 @@
 	}
 }
 
-// releaseServer ends an assignment with what the result says about the server.
+// releaseServer ends an assignment and records what the result says about the server.
 func releaseServer(assignment *scheduler.Assignment, result AttemptResult, now clock.Micros) {
 	switch {
 	case result.Outcome == Complete:
 		assignment.Release(now-assignment.AssignedAt, true, now)
 	case result.WrongWeights:
-		assignment.Abandon(now) // it serves requests for the weights that it has
+		assignment.Abandon(now) // the server is healthy: it runs requests for the weights that it has loaded
 	case result.Outcome == NotRun:
 		assignment.Rejected(now)
 	case result.Outcome == Failed:
@@ -204,8 +205,8 @@
 	}
 }
 
-// recordFailure keeps what a failed attempt means for the request. An attempt that reached
-// no server is not counted as one.
+// recordFailure updates the request after a failed attempt. An attempt that reached no server does
+// not count towards the route's maximum.
 func (r *activeRequest) recordFailure(result AttemptResult) {
 	switch result.Outcome {
 	case NotSent:
@@ -230,7 +231,7 @@
 	p.scheduleAttempt(r, cause, now)
 }
 
-// mayRetry tells whether another attempt may follow a failed one.
+// mayRetry reports whether a failed attempt may be retried.
 func (p *Proxy) mayRetry(r *activeRequest, result AttemptResult) bool {
 	mayRunTwice := r.mayHaveRun && !IsIdempotent(r.route) && !p.InjectedFaults.RetryUnsafely
 	cannotContinue := result.ResponseStarted && r.route.Kind != config.Resumable
--- a/internal/dataplane/proxy/authentication_test.go
+++ b/internal/dataplane/proxy/authentication_test.go
@@ -8,8 +8,8 @@
 	"tuliprudder/internal/errs"
 )
 
-// applyTenantConfiguration puts a configuration in force whose routes have an authentication, with tenants a (keys a1 and a2,
-// priority 3), b (key b1, priority 9) and c (key c1, without a class).
+// applyTenantConfiguration applies a configuration whose routes have the given authentication, with tenants a
+// (keys a1 and a2, priority 3), b (key b1, priority 9) and c (key c1, without a class).
 func (b *testBench) applyTenantConfiguration(version uint64, authentication string, routes ...config.Route) {
 	configuration := &config.Configuration{Version: version, ScorerWeights: map[string]float64{"fullness": 1},
 		Pools:   []config.Pool{{Name: "a", Labels: config.Labels{"u": "a"}, Servers: config.Selector{"pool": {"a"}}}},
@@ -33,7 +33,7 @@
 	return b.send(Request{ID: requestID, Host: kind, Path: "/x/y", APIKey: key})
 }
 
-// What a request is answered goes by the configuration, the route and the key, in this order.
+// Admission checks the configuration, the route and the API key, in this order.
 func TestAdmissionByKey(t *testing.T) {
 	kinds := []string{config.OneShot, config.Repeatable, config.Stream, config.Resumable}
 	const unauthorised, unknownRoute = string(errs.Unauthorised), string(errs.UnknownRoute)
@@ -50,7 +50,7 @@
 				}
 				b.applyTenantConfiguration(1, authentication, newRoute(kind, 1))
 				if got := b.outcomeOf(b.submitWithKey("o", kind, key)); got != want {
-					t.Errorf("%s with authentication %s, key %q: %s, not %s", kind, authentication, key, got, want)
+					t.Errorf("%s with authentication %s, key %q: got %s, want %s", kind, authentication, key, got, want)
 				}
 				if counted := b.Unauthorised == 1; counted != (want == unauthorised) {
 					t.Errorf("%s with authentication %s, key %q: counted as unauthorised: %v", kind, authentication, key, counted)
@@ -66,13 +66,13 @@
 				batchWant = "proxy.BatchSubmission"
 			}
 			if got := b.outcomeOf(b.submitWithKey("o", config.Batch, key)); got != batchWant {
-				t.Errorf("a batch with authentication %s, key %q: %s, not %s", authentication, key, got, batchWant)
+				t.Errorf("batch with authentication %s, key %q: got %s, want %s", authentication, key, got, batchWant)
 			}
 		}
 	}
 }
 
-// Each attempt tells the tenant of the request's key, whichever of its keys that is.
+// Each attempt carries the tenant of the request's API key, whichever of the tenant's keys that is.
 func TestAttemptsCarryTenant(t *testing.T) {
 	for key, want := range map[string]Identity{"a1": {true, "a"}, "a2": {true, "a"}, "b1": {true, "b"}, "c1": {true, "c"}} {
 		b := newTestBench(t, []string{"a", "a"})
@@ -87,15 +87,15 @@
 	}
 }
 
-// A request that was let in keeps its tenant, whatever the configurations are that come meanwhile; once one of
-// them tells callers apart by keys, a key is passed on no more.
+// An admitted request keeps its tenant when the configuration changes between two attempts. If the new
+// configuration enables authentication, the API key is no longer forwarded.
 func TestConfigurationChangeBetweenAttempts(t *testing.T) {
 	for name, c := range map[string]struct {
 		before, after string
 		want          Identity
 	}{
-		"keys are asked for":         {config.AuthenticationNone, config.AuthenticationRequired, Identity{IsAuthenticated: true}},
-		"keys are asked for no more": {config.AuthenticationRequired, config.AuthenticationNone, Identity{IsAuthenticated: true, Tenant: "a"}},
+		"authentication is enabled":  {config.AuthenticationNone, config.AuthenticationRequired, Identity{IsAuthenticated: true}},
+		"authentication is disabled": {config.AuthenticationRequired, config.AuthenticationNone, Identity{IsAuthenticated: true, Tenant: "a"}},
 		"nothing changes":            {config.AuthenticationRequired, config.AuthenticationRequired, Identity{IsAuthenticated: true, Tenant: "a"}},
 	} {
 		b := newTestBench(t, []string{"a", "a"})
@@ -108,20 +108,20 @@
 	}
 }
 
-// A tenant's priority goes before its route's; one without a priority goes by the route's.
+// A tenant's priority overrides its route's; a tenant without a class has the route's priority.
 func TestTenantPriorityOverridesRoutePriority(t *testing.T) {
 	for name, c := range map[string]struct {
-		later, earlier string // their keys
+		later, earlier string // API keys
 		laterGoesFirst bool
 	}{
-		"a higher tenant":                  {"b1", "a1", true},
-		"a lower tenant":                   {"a1", "b1", false},
-		"the route's, between them":        {"c1", "a1", true},
-		"the route's, below a high tenant": {"c1", "b1", false},
+		"tenant of higher priority":        {"b1", "a1", true},
+		"tenant of lower priority":         {"a1", "b1", false},
+		"route's priority, above a tenant": {"c1", "a1", true},
+		"route's priority, below a tenant": {"c1", "b1", false},
 	} {
 		b := newTestBench(t, nil)
 		b.scheduler.AdjustSettings(func(settings *scheduler.Settings) { settings.MaxUtilizationLimit = 1 })
-		b.applyTenantConfiguration(1, config.AuthenticationRequired, newRoute(config.OneShot, 1), newRoute(config.Stream, 1)) // of priority 5
+		b.applyTenantConfiguration(1, config.AuthenticationRequired, newRoute(config.OneShot, 1), newRoute(config.Stream, 1)) // routes of priority 5
 		earlier, later := b.submitWithKey("earlier", config.OneShot, c.earlier), b.submitWithKey("later", config.Stream, c.later)
 		b.addServer("only", "a", 1)
 		b.collectReplies()
@@ -131,7 +131,7 @@
 	}
 }
 
-// A request that waits goes by its tenant's priority in the newest configuration.
+// A queued request takes its priority from the newest configuration.
 func TestQueuedRequestGetsNewPriority(t *testing.T) {
 	b := newTestBench(t, nil)
 	route, other := newRoute(config.OneShot, 1), newRoute(config.Stream, 1)
--- a/internal/dataplane/proxy/execution_start_test.go
+++ b/internal/dataplane/proxy/execution_start_test.go
@@ -9,14 +9,15 @@
 	"tuliprudder/internal/config"
 )
 
-// recordExecutionStarts has the bench list the requests that began, by tenant and time.
+// recordExecutionStarts returns the list to which each execution start is appended, as tenant@second.
 func (b *testBench) recordExecutionStarts() *[]string {
 	var list []string
 	b.OnExecutionStarted = func(tenant string, now clock.Micros) { list = append(list, fmt.Sprint(tenant, "@", now/clock.Second)) }
 	return &list
 }
 
-// A request counts once, when the first server begins it, however many attempts it takes.
+// The start of a request's execution is reported once, when the first server starts it, however many attempts
+// follow.
 func TestExecutionStartIsReportedOnce(t *testing.T) {
 	begun := AttemptResult{RequestID: "o", Outcome: Complete, ExecutionStarted: true}
 	interrupted := AttemptResult{RequestID: "o", Outcome: Interrupted, ResponseStarted: true}
@@ -25,13 +26,13 @@
 		steps []any
 		want  []string
 	}{
-		"a stream":                            {[]any{started, AttemptResult{RequestID: "o", Outcome: Complete}}, []string{"a@10"}},
-		"a response at once":                  {[]any{begun}, []string{"a@10"}},
-		"a stream that is resumed":            {[]any{started, interrupted, started, AttemptResult{RequestID: "o", Outcome: Complete}}, []string{"a@10"}},
-		"a stream of which no event came":     {[]any{AttemptResult{RequestID: "o", Outcome: Complete}}, nil},
-		"a rejection, and another server":     {[]any{AttemptResult{RequestID: "o", Outcome: NotRun}, started, AttemptResult{RequestID: "o", Outcome: Complete}}, []string{"a@11"}},
-		"a failure":                           {[]any{AttemptResult{RequestID: "o", Outcome: Failed}, AttemptResult{RequestID: "o", Outcome: Failed}}, nil},
-		"a response that is cut, and another": {[]any{AttemptResult{RequestID: "o", Outcome: Interrupted, ExecutionStarted: true}, begun}, []string{"a@10"}},
+		"event stream":                     {[]any{started, AttemptResult{RequestID: "o", Outcome: Complete}}, []string{"a@10"}},
+		"response in one piece":            {[]any{begun}, []string{"a@10"}},
+		"resumed stream":                   {[]any{started, interrupted, started, AttemptResult{RequestID: "o", Outcome: Complete}}, []string{"a@10"}},
+		"stream without an event":          {[]any{AttemptResult{RequestID: "o", Outcome: Complete}}, nil},
+		"rejection, then another server":   {[]any{AttemptResult{RequestID: "o", Outcome: NotRun}, started, AttemptResult{RequestID: "o", Outcome: Complete}}, []string{"a@11"}},
+		"two failures":                     {[]any{AttemptResult{RequestID: "o", Outcome: Failed}, AttemptResult{RequestID: "o", Outcome: Failed}}, nil},
+		"truncated response, then a retry": {[]any{AttemptResult{RequestID: "o", Outcome: Interrupted, ExecutionStarted: true}, begun}, []string{"a@10"}},
 	} {
 		b := newTestBench(t, []string{"a", "a"})
 		b.applyTenantConfiguration(1, config.AuthenticationRequired, newRoute(config.Resumable, 2))
@@ -44,13 +45,13 @@
 			}
 		}
 		if !slices.Equal(*list, c.want) {
-			t.Errorf("%s: counted %q, not %q", name, *list, c.want)
+			t.Errorf("%s: reported %q, want %q", name, *list, c.want)
 		}
 		b.checkIdle(name)
 	}
 }
 
-// Nothing of a request without a key is known of its tenant.
+// The execution start of a request without an API key is reported with an empty tenant.
 func TestExecutionStartWithoutTenant(t *testing.T) {
 	b := newTestBench(t, []string{"a"})
 	b.applyTenantConfiguration(1, config.AuthenticationOptional, newRoute(config.Stream, 1))
@@ -61,6 +62,6 @@
 	}
 	slices.Sort(*list)
 	if !slices.Equal(*list, []string{"@10", "b@10"}) {
-		t.Errorf("counted %q", *list)
+		t.Errorf("reported %q", *list)
 	}
 }
--- a/internal/dataplane/proxy/fairness_test.go
+++ b/internal/dataplane/proxy/fairness_test.go
@@ -14,12 +14,12 @@
 
 func (s serviceRatio) ratio() float64 { return float64(s.served) / float64(max(1, s.requested)) }
 
-// contention is a load of more requests than the servers have slots for.
+// contention generates more load than the servers have slots for.
 type contention struct {
 	*testBench
 	random  *rand.Rand
 	waiting map[uint64]contentionRequest
-	running map[string]clock.Micros // by request: when it ends
+	running map[string]clock.Micros // end time by request ID
 	ratios  map[string]*serviceRatio
 	next    int
 }
@@ -43,8 +43,8 @@
 	}
 }
 
-// submitTo sends a request to a route, in one of many sessions; a tenth of the requests are
-// ten times as large as the others.
+// submitTo sends a request to a route, as part of one of 60 sessions; a tenth of the requests are ten
+// times as large as the others.
 func (c *contention) submitTo(route string) {
 	c.next++
 	requestID, size, sizeCategory := fmt.Sprint(c.next), int64(200), "small"
@@ -58,7 +58,8 @@
 	c.waiting[call] = request
 }
 
-// step advances the time: what has run completes, and what was queued starts or is rejected.
+// step advances the time, completes the requests that have ended, and records which queued requests have
+// started or were rejected.
 func (c *contention) step(span clock.Micros) {
 	c.advance(span)
 	for requestID, end := range c.running {
@@ -79,8 +80,8 @@
 	}
 }
 
-// With 1.5 times as many requests as there are slots for, no kind of request, size or session
-// is starved, nor a route that was added later.
+// With 1.5 times as many requests as there are slots for, no route, request size or session is starved,
+// and neither is a route that is added later.
 func TestNoCategoryIsStarvedUnderContention(t *testing.T) {
 	kinds := []string{config.OneShot, config.Repeatable, config.Stream, config.Resumable}
 	var routes []config.Route
@@ -109,30 +110,30 @@
 		c.step(span)
 	}
 	all := c.ratios["all"].ratio()
-	t.Logf("served %.2f of all, %.2f of the large ones, %.2f on the later route", all, c.ratios["large"].ratio(), c.ratios["route later"].ratio())
+	t.Logf("served %.2f of all requests, %.2f of the large ones, %.2f on the route added later", all, c.ratios["large"].ratio(), c.ratios["route later"].ratio())
 	if all > 0.9 || all < 0.4 {
-		t.Fatalf("%.2f of the requests are served: there is no contention", all)
+		t.Fatalf("%.2f of the requests are served, which is outside the range for contention", all)
 	}
 	for category, ratio := range c.ratios {
 		minRatio := 0.8 * all
 		if len(category) > 7 && category[:7] == "session" {
-			minRatio = 0.5 * all // few requests each
+			minRatio = 0.5 * all // a session has few requests, so its ratio varies more
 		}
 		if ratio.ratio() < minRatio {
-			t.Errorf("%s: %d of %d served, of all %.2f", category, ratio.served, ratio.requested, all)
+			t.Errorf("%s: %d of %d served, overall ratio %.2f", category, ratio.served, ratio.requested, all)
 		}
 	}
 }
 
-// tenantLoad is a load by tenants: the first of them are large ones.
+// Tenants of the generated load; the first largeTenants of them send more requests than the others.
 const (
 	loadTenants  = 24
 	largeTenants = 3
-	largeWeight  = 10 // how many requests a large tenant sends for one of a small tenant
+	largeWeight  = 10 // requests of a large tenant for each request of a small one
 )
 
-// tenantsConfiguration has tenants t0, t1, … with the keys k0, k1, …; those whose number classOf gives a class
-// have that.
+// tenantsConfiguration returns a configuration with the tenants t0, t1, … and the API keys k0, k1, …. classOf
+// returns the class of each tenant, "" for none.
 func tenantsConfiguration(route config.Route, classOf func(i int) string) *config.Configuration {
 	forward := *route.Forward
 	forward.Authentication = config.AuthenticationRequired
@@ -147,7 +148,7 @@
 	return configuration
 }
 
-// submitAsTenant sends a request of one of the tenants.
+// submitAsTenant sends a request as a randomly chosen tenant; large tenants are chosen more often.
 func (c *contention) submitAsTenant(route config.Route, classOf func(i int) string) {
 	c.next++
 	tenant := largeTenants + c.random.Intn(loadTenants-largeTenants)
@@ -160,13 +161,13 @@
 	c.waiting[call] = request
 }
 
-// With more requests than there are slots for, tenants of one priority are served alike, however many
-// requests each sends; and those of a lower one are still served.
+// With more requests than there are slots for, tenants of equal priority are served at similar ratios however
+// many requests each sends, and tenants of lower priority are still served.
 func TestNoTenantIsStarvedUnderContention(t *testing.T) {
 	for name, classOf := range map[string]func(i int) string{
-		"one priority":             func(int) string { return "" },
-		"large tenants go first":   func(i int) string { return map[bool]string{true: "high", false: "low"}[i < largeTenants] },
-		"every other one is first": func(i int) string { return []string{"high", "low"}[i%2] },
+		"one priority":            func(int) string { return "" },
+		"large tenants are high":  func(i int) string { return map[bool]string{true: "high", false: "low"}[i < largeTenants] },
+		"every other one is high": func(i int) string { return []string{"high", "low"}[i%2] },
 	} {
 		route := newRoute(config.Stream, 2)
 		c := &contention{testBench: newTestBench(t, []string{"a", "a"}), random: rand.New(rand.NewSource(5)),
@@ -179,9 +180,9 @@
 			c.step(5 * millisecond)
 		}
 		all := c.ratios["all"].ratio()
-		t.Logf("%s: served %.2f of all; classes high %.2f, low %.2f", name, all, c.ratio("class high"), c.ratio("class low"))
+		t.Logf("%s: served %.2f of all requests; class high %.2f, class low %.2f", name, all, c.ratio("class high"), c.ratio("class low"))
 		if all > 0.95 || all < 0.4 {
-			t.Fatalf("%s: %.2f of the requests are served: there is no contention", name, all)
+			t.Fatalf("%s: %.2f of the requests are served, which is outside the range for contention", name, all)
 		}
 		for category, ratio := range c.ratios {
 			minRatio := 0.25 * all
@@ -189,7 +190,7 @@
 				minRatio = 0.75 * all
 			}
 			if ratio.ratio() < minRatio {
-				t.Errorf("%s: %s: %d of %d served, of all %.2f", name, category, ratio.served, ratio.requested, all)
+				t.Errorf("%s: %s: %d of %d served, overall ratio %.2f", name, category, ratio.served, ratio.requested, all)
 			}
 		}
 	}
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -14,7 +14,7 @@
 
 const millisecond = clock.Millisecond
 
-// testBench is a proxy with a scheduler and servers, in virtual time.
+// testBench runs a proxy with a scheduler and servers in virtual time.
 type testBench struct {
 	*Proxy
 	t            *testing.T
@@ -25,8 +25,8 @@
 	replies      map[uint64]machine.Reply
 }
 
-// newTestBench has one server for each given pool, a or b; it has a configuration only if
-// routes are given.
+// newTestBench makes a test bench with one server per element of servers, which names its pool, a or b.
+// It has a configuration only if routes are given.
 func newTestBench(t *testing.T, servers []string, routes ...config.Route) *testBench {
 	t.Helper()
 	settings := scheduler.Defaults()
@@ -51,13 +51,13 @@
 	b.scheduler.SetServer(endpoints.Server{Name: name, Address: "at-" + name, Slots: slots, Labels: map[string]string{"pool": pool}})
 }
 
-// newRoute is one of a kind; its host is its kind.
+// newRoute returns a route of a kind, whose host is the name of the kind.
 func newRoute(kind string, attempts int64) config.Route {
 	return config.Route{Name: "r-" + kind, Kind: kind, Pools: config.Selector{"u": {"a"}}, Timeout: 5 * clock.Second,
 		Forward: &config.Forward{Host: kind, PathPrefix: "/x/", MaxAttempts: attempts, LatencyTarget: 300 * millisecond, Priority: 5}}
 }
 
-// send passes a message to the proxy and matches the queue, as the edge's machine does.
+// send passes a message to the proxy and runs the scheduler's matching, as the edge's state machine does.
 func (b *testBench) send(body any) uint64 {
 	b.lastCall++
 	if !b.Call(b.lastCall, body, b.now) {
@@ -75,7 +75,7 @@
 			b.t.Fatalf("the proxy emitted %T", effect)
 		}
 		if _, duplicate := b.replies[response.Call]; duplicate {
-			b.t.Fatalf("the call %d is answered twice", response.Call)
+			b.t.Fatalf("call %d got two replies", response.Call)
 		}
 		b.replies[response.Call] = response
 	}
@@ -91,7 +91,7 @@
 	return b.send(Request{ID: requestID, Host: kind, Path: "/x/y"})
 }
 
-// attempt is the attempt that the reply to a call decides on.
+// attempt returns the attempt in the reply to a call.
 func (b *testBench) attempt(call uint64) Attempt {
 	b.t.Helper()
 	attempt, ok := b.replies[call].Body.(Attempt)
@@ -101,7 +101,7 @@
 	return attempt
 }
 
-// outcomeOf sums up the reply to a call: an attempt, the final answer, or none yet.
+// outcomeOf summarises the reply to a call: an attempt, the final reply, or "waits" where there is none yet.
 func (b *testBench) outcomeOf(call uint64) string {
 	response, received := b.replies[call]
 	typedErr := (*errs.Error)(nil)
@@ -121,7 +121,7 @@
 	return map[bool]string{true: "attempt", false: fmt.Sprintf("%T", response.Body)}[fmt.Sprintf("%T", response.Body) == "proxy.Attempt"]
 }
 
-// checkIdle checks that nothing is in flight and no server assigned.
+// checkIdle checks that no request is in flight or queued and that no server is assigned.
 func (b *testBench) checkIdle(name string) {
 	b.t.Helper()
 	if b.InFlight() != 0 || b.scheduler.QueueLength() != 0 {
@@ -130,7 +130,7 @@
 	views, _ := b.scheduler.Snapshot()
 	for _, view := range views {
 		if view.OwnRequests != 0 {
-			b.t.Errorf("%s: %s is assigned %d times", name, view.Name, view.OwnRequests)
+			b.t.Errorf("%s: server %s has %d assigned requests", name, view.Name, view.OwnRequests)
 		}
 	}
 }
--- a/internal/dataplane/proxy/late_responses_test.go
+++ b/internal/dataplane/proxy/late_responses_test.go
@@ -6,8 +6,8 @@
 	"tuliprudder/internal/config"
 )
 
-// newScaledTestBench is a bench whose servers are scaled; its route is to begin within 300 ms and to pause for
-// 150 ms at most.
+// newScaledTestBench makes a test bench with an autoscaled pool and a route with a latency target of 300 ms and
+// a maximum event gap of 150 ms.
 func newScaledTestBench(t *testing.T) *testBench {
 	t.Helper()
 	b := newTestBench(t, []string{"a"}, newRoute(config.Stream, 1))
@@ -22,21 +22,21 @@
 	return b
 }
 
-// A response is late by its route's targets: that of its first event, and that of the pauses within it.
+// A response is late if it misses its route's target for the first event or for the gap between events.
 func TestLateResponses(t *testing.T) {
 	for name, c := range map[string]struct {
-		firstEventMS, endMS, pauseMS int64 // after the request; 0: no event is reported
+		firstEventMS, endMS, pauseMS int64 // the first two count from the request; firstEventMS 0: no event is reported
 		outcome                      Outcome
 		want                         int64
 	}{
-		"in time":                      {firstEventMS: 250, endMS: 2000, pauseMS: 150, outcome: Complete},
-		"it begins late":               {firstEventMS: 301, endMS: 400, outcome: Complete, want: 1},
-		"it pauses for too long":       {firstEventMS: 100, endMS: 400, pauseMS: 151, outcome: Complete, want: 1},
-		"no stream, in time":           {endMS: 300, outcome: Complete},
-		"no stream, late":              {endMS: 301, outcome: Complete, want: 1},
-		"it breaks off":                {firstEventMS: 301, endMS: 400, pauseMS: 200, outcome: Interrupted},
-		"its server doesn't run it":    {endMS: 400, outcome: NotRun},
-		"it begins late and is paused": {firstEventMS: 400, endMS: 900, pauseMS: 400, outcome: Complete, want: 1},
+		"on time":                    {firstEventMS: 250, endMS: 2000, pauseMS: 150, outcome: Complete},
+		"late first event":           {firstEventMS: 301, endMS: 400, outcome: Complete, want: 1},
+		"gap too long":               {firstEventMS: 100, endMS: 400, pauseMS: 151, outcome: Complete, want: 1},
+		"no stream, on time":         {endMS: 300, outcome: Complete},
+		"no stream, late":            {endMS: 301, outcome: Complete, want: 1},
+		"response interrupted":       {firstEventMS: 301, endMS: 400, pauseMS: 200, outcome: Interrupted},
+		"not run by the server":      {endMS: 400, outcome: NotRun},
+		"late first event, long gap": {firstEventMS: 400, endMS: 900, pauseMS: 400, outcome: Complete, want: 1},
 	} {
 		b := newScaledTestBench(t)
 		b.attempt(b.submit("r", config.Stream))
@@ -49,7 +49,7 @@
 		b.send(AttemptResult{RequestID: "r", Outcome: c.outcome, LongestEventGap: c.pauseMS * millisecond})
 		loads := b.scheduler.TakeLoads(b.now)
 		if len(loads) != 1 || loads[0].Started != 1 || loads[0].Late != c.want {
-			t.Errorf("%s: the load is %+v", name, loads)
+			t.Errorf("%s: got loads %+v", name, loads)
 		}
 	}
 }
--- a/internal/dataplane/proxy/messages.go
+++ b/internal/dataplane/proxy/messages.go
@@ -6,8 +6,8 @@
 	"tuliprudder/internal/dataplane/endpoints"
 )
 
-// Input is what the gateway reports of a request and waits for the Decision on: a Request,
-// then the AttemptResult of each Attempt.
+// Input is a message of the gateway that is answered with a Decision: first a Request, then the
+// AttemptResult of each Attempt.
 type Input interface{ input() }
 
 func (Request) input()       {}
@@ -15,27 +15,27 @@
 
 // Request is a request that a caller sent.
 type Request struct {
-	// ID is the edge's own name for the request, unique among those in flight.
+	// ID identifies the request on this edge; it is unique among the requests in flight.
 	ID string
-	// Host and Path select the route. Host comes without a port, Path escaped.
+	// Host and Path select the route. Host has no port, Path is escaped.
 	Host, Path string
-	// APIKey is the tenant's API key that it carries; "" for none. It is never logged or listed.
+	// APIKey is the API key that the request carries; "" for none. It is never logged or listed.
 	APIKey string
-	// ReceivedAt is when its head arrived; 0 means now.
+	// ReceivedAt is when the head of the request arrived; 0 means now.
 	ReceivedAt clock.Micros
-	// CallerTimeout is how long the caller waits for the response; 0 if it did not say.
+	// CallerTimeout is how long the caller waits for the response; 0 if the caller did not set it.
 	CallerTimeout clock.Micros
-	// PromptSegments are the segments of its prompt, in order.
+	// PromptSegments are the segments of the prompt, in order.
 	PromptSegments []PromptSegment
-	// PromptTokens is how many tokens the server reads (prefill).
+	// PromptTokens is the number of prompt tokens that the server has to prefill.
 	PromptTokens int64
-	// MaxOutputTokens is how many tokens the server generates at most (decode). No decision
-	// depends on it yet.
+	// MaxOutputTokens is the maximum number of tokens that the server generates (decode). No
+	// decision depends on it yet.
 	MaxOutputTokens int64
-	// WantedWeights is the version of the weights that it has to be run with; 0 for any.
+	// WantedWeights is the version of the weights that the request requires; 0 for any.
 	WantedWeights int64
-	// ResumesStream: the caller resumes a stream that was interrupted. No decision depends
-	// on it yet.
+	// ResumesStream says that the caller resumes an interrupted stream. No decision depends on
+	// it yet.
 	ResumesStream bool
 }
 
@@ -45,12 +45,12 @@
 	Tokens int64
 }
 
-// AttemptStarted reports that the server of the current attempt has sent the first part of
-// its response: its prefill is done. The reply is empty.
+// AttemptStarted reports that the server of the current attempt has sent the first part of its
+// response, so that the prefill is complete. The reply is empty.
 type AttemptStarted struct {
 	RequestID string
-	Load      *endpoints.ReportedLoad // that the server told with the response's head; nil for none
-	// WeightVersion is the version of the server's weights, as the head told it; 0 for none.
+	Load      *endpoints.ReportedLoad // reported by the server in the response's head; nil for none
+	// WeightVersion is the version of the server's weights, as reported in the head; 0 for none.
 	WeightVersion int64
 }
 
@@ -58,48 +58,49 @@
 type AttemptResult struct {
 	RequestID string
 	Outcome   Outcome
-	// ResponseStarted: a part of the response has reached the caller.
+	// ResponseStarted says that a part of the response has reached the caller.
 	ResponseStarted bool
-	// ExecutionStarted: the server began to run it, of which no AttemptStarted told: its response is a success
-	// and no event stream.
+	// ExecutionStarted says that the server started to run the request and no AttemptStarted reported it,
+	// because the response is a success and not an event stream.
 	ExecutionStarted bool
 	// LongestEventGap is the longest time between two events of the response, over all attempts.
 	LongestEventGap clock.Micros
-	// ContextDone: the caller disconnected, or the deadline passed.
+	// ContextDone says that the caller disconnected or the deadline passed.
 	ContextDone bool
-	// LocalFailure: the cause is in this daemon and says nothing about the server.
+	// LocalFailure says that the cause is in this daemon and does not concern the server.
 	LocalFailure bool
-	// Reason is the cause, for people.
+	// Reason is the cause, for error messages.
 	Reason string
-	// Load is that of the server, as it told it with a response of which nothing was forwarded; nil
+	// Load is the load that the server reported with a response of which nothing was forwarded; nil
 	// for none.
 	Load *endpoints.ReportedLoad
-	// WeightVersion is the version of the server's weights, as it told it last; 0 for none.
+	// WeightVersion is the version of the server's weights, as it last reported it; 0 for none.
 	WeightVersion int64
-	// WrongWeights: with the outcome NotRun, the request wants other weights than the server has.
+	// WrongWeights says, with the outcome NotRun, that the request requires another version of the
+	// weights than the server has.
 	WrongWeights bool
 }
 
-// Outcome is what is certain about an attempt (docs/ANSWERS.md).
+// Outcome says how far an attempt is known to have got (docs/ANSWERS.md).
 type Outcome int
 
 // The outcomes.
 const (
-	// NotSent: no byte of the request reached a server.
+	// NotSent means that no byte of the request reached a server.
 	NotSent Outcome = iota
-	// NotRun: the server stated that it did not run the request.
+	// NotRun means that the server stated that it did not run the request.
 	NotRun
-	// Complete: the caller has the complete response.
+	// Complete means that the caller has the complete response.
 	Complete
-	// Failed: the server's response is a failure, of which nothing was forwarded.
+	// Failed means that the server's response is a failure, of which nothing was forwarded.
 	Failed
-	// Interrupted: the response is missing or incomplete; the request may have run.
+	// Interrupted means that the response is missing or incomplete; the request may have run.
 	Interrupted
-	// Invalid: the request can't be sent to any server.
+	// Invalid means that the request cannot be sent to any server.
 	Invalid
 )
 
-// countsAgainstServer tells whether a result that is neither a response nor a rejection by the
+// countsAgainstServer reports whether a result that is neither a response nor a rejection by the
 // server counts as a failure of the server.
 func (result AttemptResult) countsAgainstServer() bool {
 	switch result.Outcome {
@@ -111,40 +112,41 @@
 	return !result.ContextDone
 }
 
-// Decision is what the gateway has to do next about a request: an Attempt, a BatchSubmission
-// or nothing more (Done).
+// Decision is the gateway's next step for a request: an Attempt, a BatchSubmission, or none
+// (Done).
 type Decision interface{ decision() }
 
 func (Attempt) decision()         {}
 func (BatchSubmission) decision() {}
 func (Done) decision()            {}
 
-// Attempt decides that the request is sent to a server; the gateway reports the AttemptResult.
+// Attempt tells the gateway to send the request to a server and to report the AttemptResult.
 type Attempt struct {
-	Address, Server string // of the server: IP and port, and its name
+	Address, Server string // the server's IP and port, and its name
 	Route           *config.Route
 	Identity        Identity
 	Deadline        clock.Micros
-	// IsLast: no attempt on another server can follow, so that the server's own failure is
-	// forwarded to the caller.
+	// IsLast says that no attempt on another server can follow, so that the server's own failure
+	// response is forwarded to the caller.
 	IsLast bool
 }
 
-// Identity is what a server is told of who sent a request.
+// Identity describes to a server who sent a request.
 type Identity struct {
-	// IsAuthenticated: callers are known by their API keys. The server gets the name of the tenant, and
-	// neither the key nor what the caller itself says of its tenant. Otherwise it gets these headers as they came.
+	// IsAuthenticated says that callers are identified by their API keys. The server receives the tenant's
+	// name, and neither the key nor a tenant name set by the caller. Otherwise these headers are forwarded
+	// unchanged.
 	IsAuthenticated bool
 	// Tenant is the name of the tenant whose key the request carries; "" for none.
 	Tenant string
 }
 
-// BatchSubmission decides that the request's body is a batch to submit to the stores; the
-// request goes to no server.
+// BatchSubmission tells the gateway to submit the request's body as a batch to the stores; the
+// request is not sent to a server.
 type BatchSubmission struct {
 	Route    *config.Route
 	Deadline clock.Micros
 }
 
-// Done decides that the request is finished.
+// Done tells the gateway that the request is finished.
 type Done struct{}
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -1,23 +1,23 @@
-// Package proxy decides what becomes of each opaque request that an edge forwards (a reverse
-// proxy; DESIGN §12.1, §12.2): which route it matches, which server gets it, how often it is
-// attempted, and what its caller may be assured of when no attempt succeeds.
+// Package proxy makes the decisions of the edge's reverse proxy for opaque requests (DESIGN §12.1,
+// §12.2): which route a request matches, which server it is sent to, how often it is attempted, and
+// what guarantee its caller gets when no attempt succeeds.
 //
-// The way of a request, by its types:
+// A request passes through these types:
 //
 //	gateway.proxiedRequest -> Request -> Decision: Attempt | BatchSubmission | Done
 //	Attempt -> upstream.Request -> upstream.Response | upstream.Error -> AttemptResult -> Decision
 //
 // Inputs are Request and AttemptResult, each answered by one Decision or by an error that is
-// the caller's final answer; and AttemptStarted, which is only acknowledged. The package is a
+// the final answer to the caller; and AttemptStarted, which is only acknowledged. The package is a
 // part of the edge's state machine: it opens no socket and reads no clock. The gateway package
-// carries the decisions out.
+// carries out the decisions.
 //
 // Two invariants hold for every request:
-//   - Of a request that is not idempotent, no attempt follows one that may have run.
-//   - The caller is answered errs.NotReady or errs.DeadlineExceeded, which assure it that
-//     nothing ran, only if no attempt may have run; otherwise errs.ServerFault.
+//   - A request that is not idempotent is not retried after an attempt that may have run.
+//   - The caller gets errs.NotReady or errs.DeadlineExceeded, which guarantee that nothing ran,
+//     only if no attempt may have run; otherwise it gets errs.ServerFault.
 //
-// Nothing here is safe for concurrent use: the daemon's event loop is the one caller.
+// Nothing in this package is safe for concurrent use: only the daemon's event loop calls it.
 package proxy
 
 import (
@@ -30,23 +30,23 @@
 	"tuliprudder/internal/machine"
 )
 
-// Settings bound how long requests wait; Defaults has the usual values.
+// Settings limit how long requests wait; Defaults returns the default values.
 type Settings struct {
-	// QueueTimeDivisor: a request waits for a server for at most its route's latency target
-	// divided by this number. Default 5.
+	// QueueTimeDivisor limits the wait for a server to the route's latency target divided by this
+	// number. Default 5.
 	QueueTimeDivisor int64
-	// MaxQueueTime is the longest wait for a server, whatever the latency target. Default 200 ms.
+	// MaxQueueTime limits the wait for a server, whatever the latency target. Default 200 ms.
 	MaxQueueTime clock.Micros
 	// MinRetryAfter is the shortest time after which a rejected caller may retry. Default 30 ms.
 	MinRetryAfter clock.Micros
 }
 
-// Defaults are the values used where nothing is set.
+// Defaults returns the settings that apply where nothing is set.
 func Defaults() Settings {
 	return Settings{QueueTimeDivisor: 5, MaxQueueTime: 200 * clock.Millisecond, MinRetryAfter: 30 * clock.Millisecond}
 }
 
-// InjectedFaults are set by tests only, to show that their checks find such a fault.
+// InjectedFaults are set by tests only, to show that their checks detect such faults.
 type InjectedFaults struct {
 	// RetryUnsafely retries a request that may have run, whatever its route's kind.
 	RetryUnsafely bool
@@ -60,15 +60,15 @@
 	random    *rand.Rand
 	inFlight  map[string]*activeRequest // by request ID
 
-	// Counters of requests for the operators, since the start.
+	// Counters of requests since the daemon's start, exported as metrics.
 	Forwarded       int64 // a server's response reached the caller
 	Rejected        int64 // failed, and certainly not run
-	Unauthorised    int64 // without an API key that its route asks for, or with one that no tenant has
+	Unauthorised    int64 // without an API key that the route requires, or with a key of no tenant
 	UnknownOutcomes int64 // failed, and possibly run
-	Retries         int64 // attempts after a request's first
+	Retries         int64 // attempts after a request's first attempt
 
-	// OnExecutionStarted, where set, is told once of each request that begins to run at a server; tenant is ""
-	// where it has none.
+	// OnExecutionStarted, if set, is called once for each request that starts to run on a server; tenant is
+	// "" for a request without one.
 	OnExecutionStarted func(tenant string, now clock.Micros)
 
 	InjectedFaults InjectedFaults
@@ -81,7 +81,7 @@
 	identity          Identity
 	priority          int64
 	receivedAt        clock.Micros
-	responseStartedAt clock.Micros // when its response began; 0: it hasn't
+	responseStartedAt clock.Micros // when its response started; 0 if it has not
 	deadline          clock.Micros
 	call              uint64 // the call that the next decision answers
 	schedulerRequest  *scheduler.Request
@@ -94,7 +94,7 @@
 	executionStarted  bool  // a server has begun to run it
 }
 
-// New makes the proxy of an edge's machine; the seed makes its random choices repeatable.
+// New returns the proxy of an edge's state machine; the seed makes its random choices reproducible.
 func New(settings Settings, calls *machine.Calls, sched *scheduler.Scheduler, seed int64) *Proxy {
 	return &Proxy{
 		settings:  settings,
@@ -105,11 +105,11 @@
 	}
 }
 
-// InFlight is how many requests are in flight.
+// InFlight returns the number of requests in flight.
 func (p *Proxy) InFlight() int { return len(p.inFlight) }
 
-// Call handles a message of the gateway's; false if the message is not for this package. The
-// reply to the call is a Decision, or an error.
+// Call handles a message of the gateway and returns false if the message is not for this package.
+// The reply to the call is a Decision or an error; that to AttemptStarted is empty.
 func (p *Proxy) Call(call uint64, body any, now clock.Micros) bool {
 	switch message := body.(type) {
 	case Request:
@@ -124,23 +124,23 @@
 	return true
 }
 
-// decide replies with what the gateway has to do next.
+// decide replies with the gateway's next step.
 func (p *Proxy) decide(call uint64, decision Decision) {
 	p.calls.Emit(machine.Reply{Call: call, Body: decision})
 }
 
-// acknowledge replies to a report that nothing follows from.
+// acknowledge sends an empty reply to a report that needs no decision.
 func (p *Proxy) acknowledge(call uint64) {
 	p.calls.Emit(machine.Reply{Call: call})
 }
 
-// fail replies with an error, the caller's final answer.
+// fail replies with an error, which is the final answer to the caller.
 func (p *Proxy) fail(call uint64, err error) {
 	p.calls.Emit(machine.Reply{Call: call, Err: err})
 }
 
-// failRequest fails a request that no server answered. It is rejected, with the time after
-// which to retry, only if no attempt of it may have run.
+// failRequest fails a request that no server completed. The request is rejected with a retry delay
+// only if no attempt may have run.
 func (p *Proxy) failRequest(r *activeRequest, cause error, now clock.Micros) {
 	delete(p.inFlight, r.ID)
 	if r.mayHaveRun {
--- a/internal/dataplane/proxy/route_stops_forwarding_test.go
+++ b/internal/dataplane/proxy/route_stops_forwarding_test.go
@@ -7,7 +7,8 @@
 	"tuliprudder/internal/errs"
 )
 
-// An edge crashed, or sent it all the same, where a route stopped forwarding while a request of it waited.
+// Guards against two failures when a route stops forwarding while one of its requests is queued: the edge
+// crashed, or it sent the request all the same.
 func TestQueuedRequestFailsWhenRouteStopsForwarding(t *testing.T) {
 	for _, authentication := range []string{config.AuthenticationNone, config.AuthenticationRequired} {
 		b := newTestBench(t, nil)
