--- a/internal/dataplane/batchshare/messages.go
+++ b/internal/dataplane/batchshare/messages.go
@@ -2,18 +2,18 @@
 
 import "tuliprudder/internal/transport"
 
-// Demand is the message that tells how many items a store has to run, and where some run. Its type
-// and fields are on the wire.
+// Demand is the message that announces how many items a store has to run and on which servers its
+// running items are. The names of its type and fields are on the wire.
 type Demand struct {
-	ID      string // of the store
-	Items   int    // that have no result
-	Overdue int    // of these, queued ones that can't be ready in time
-	Tokens  int    // of the items, prompts and outputs together
+	ID      string // the store's ID
+	Items   int    // items without a result
+	Overdue int    // queued items among these that cannot complete in time
+	Tokens  int    // prompt and output tokens of all items
 	Running []ServerItems
 }
 
-// ServerItems is how many items of a store run on a server. The server's name is hashed: these
-// messages are frequent, and a wrong count does little.
+// ServerItems is the number of a store's items that run on a server. The server's name is hashed to
+// keep these frequent messages small; the wrong count after a hash collision does little harm.
 type ServerItems struct {
 	Server uint32
 	Items  uint8
--- a/internal/dataplane/batchshare/tracker.go
+++ b/internal/dataplane/batchshare/tracker.go
@@ -1,11 +1,11 @@
-// Package batchshare shares the model servers' places for batch items among the stores
-// (docs/DESIGN.md section 12.6): each store tells the others its demand and what it has running. By
-// the demands each takes the places that are its own (scheduler.BatchAllotment), and by what runs none
-// takes a place that another's item still has. An old or a lost message only makes the shares less
-// even, or a server fuller, for a moment.
+// Package batchshare divides the model servers' slots for batch items among the stores
+// (docs/DESIGN.md section 12.6). Each store announces its demand and its running items to the others.
+// From the demands, each store computes its own part of the slots (scheduler.BatchAllotment); from the
+// running items, it knows which of these slots another store's item still occupies. An outdated or lost
+// message only makes the shares less even, or a server fuller, for a moment.
 //
-// A Tracker is a part of the store's state machine: messages go out as effects, time comes in with
-// each call. It is not safe for concurrent use.
+// A Tracker is a part of the store's state machine: messages are emitted as effects, and the time is
+// an argument of each call. It is not safe for concurrent use.
 package batchshare
 
 import (
@@ -21,23 +21,23 @@
 )
 
 const (
-	minInterval    = 100 * clock.Millisecond // between two announcements when something changed
-	maxInterval    = clock.Second            // the same when nothing did
-	demandTTL      = 3 * clock.Second        // after which a store's last announcement no longer counts
-	maxServerItems = 255                     // on one server, in a message
-	// overdueDivisor is how many overdue items count as much as one that can be ready in time.
+	minInterval    = 100 * clock.Millisecond // between two announcements if the demand changed
+	maxInterval    = clock.Second            // between two announcements if it did not
+	demandTTL      = 3 * clock.Second        // how long a store's last announcement counts
+	maxServerItems = 255                     // maximum for one server in a message
+	// overdueDivisor is the number of overdue items that count as much as one that can complete in time.
 	overdueDivisor = 8
 )
 
-// LocalDemand is what this store has to run.
+// LocalDemand is the demand of this store.
 type LocalDemand struct {
-	Items   int            // without a result
-	Overdue int            // of these, queued ones that can't be ready in time
-	Tokens  int            // of the items, prompts and outputs together
-	Running map[string]int // items on servers, by the server's name
+	Items   int            // items without a result
+	Overdue int            // queued items among these that cannot complete in time
+	Tokens  int            // prompt and output tokens of all items
+	Running map[string]int // number of running items by server name
 }
 
-// Tracker holds the latest demand of each other store.
+// Tracker keeps the latest demand of each other store.
 type Tracker struct {
 	self       string
 	others     map[string]receivedDemand
@@ -45,29 +45,28 @@
 	lastSentAt clock.Micros
 }
 
-// receivedDemand is what is known of another store.
+// receivedDemand is the latest demand of another store.
 type receivedDemand struct {
 	Demand
 	receivedAt clock.Micros
 }
 
-// NewTracker makes the tracker of the store with the id self.
+// NewTracker returns the tracker of the store with the ID self.
 func NewTracker(self string) *Tracker {
 	return &Tracker{self: self, others: map[string]receivedDemand{}}
 }
 
-// Receive takes another store's demand.
+// Receive records another store's demand.
 func (t *Tracker) Receive(message Demand, now clock.Micros) {
 	t.others[message.ID] = receivedDemand{Demand: message, receivedAt: now}
 }
 
-// removeExpired drops the demands that no longer count.
+// removeExpired removes demands older than demandTTL.
 func (t *Tracker) removeExpired(now clock.Micros) {
 	maps.DeleteFunc(t.others, func(_ string, other receivedDemand) bool { return now-other.receivedAt > demandTTL })
 }
 
-// otherLiveStores are the live stores among the members, but this one, in the order of their
-// identities.
+// otherLiveStores returns the live stores among the members except this one, ordered by ID.
 func (t *Tracker) otherLiveStores(members map[string]membership.Member) []membership.Member {
 	var out []membership.Member
 	for _, id := range slices.Sorted(maps.Keys(members)) {
@@ -79,10 +78,10 @@
 	return out
 }
 
-// Allotment is this store's part of the capacity, by its own demand and the others'. Stores that
-// know of the same demands have parts that don't overlap, in the order of their zones. A live store
-// that was not heard counts as if its demand were this one's: after a start several have much to run
-// and know nothing of each other.
+// Allotment returns this store's part of the capacity, computed from its own demand and those of the
+// others. The parts are ordered by zone and ID, and do not overlap between stores that know the same
+// demands. A live store without a known demand counts with this store's demand, because several stores
+// may have much to run after a start while they know nothing of each other.
 func (t *Tracker) Allotment(own LocalDemand, members map[string]membership.Member, now clock.Micros) scheduler.BatchAllotment {
 	t.removeExpired(now)
 	size := max(1, demandSize(own.Items, own.Overdue))
@@ -101,13 +100,14 @@
 	return scheduler.BatchAllotment{Offset: offset, Size: size, Total: total, ItemTokens: t.averageItemTokens(own)}
 }
 
-// demandSize is the part of the places that a store's items ask for: overdue ones run only now and then.
+// demandSize returns the size of a store's part, in items. Overdue items count less, as they run only
+// now and then.
 func demandSize(items, overdue int) int {
 	return items - overdue + (overdue+overdueDivisor-1)/overdueDivisor
 }
 
-// averageItemTokens is how many tokens an item has on average, over what all stores have to run; 0
-// where nothing is known of any.
+// averageItemTokens returns the average number of tokens of an item over the demands of all stores; 0
+// if no items are known.
 func (t *Tracker) averageItemTokens(own LocalDemand) int {
 	items, tokens := own.Items, own.Tokens
 	for _, other := range t.others {
@@ -117,7 +117,7 @@
 	return tokens / max(1, items)
 }
 
-// RunningForOtherStores counts the other stores' items on each of these servers.
+// RunningForOtherStores returns the number of other stores' items that run on each of the servers.
 func (t *Tracker) RunningForOtherStores(servers []string) map[string]int {
 	byHash := map[uint32]int{}
 	for _, other := range t.others {
@@ -134,7 +134,8 @@
 	return out
 }
 
-// Announce tells the other stores this one's demand, when it changed or is due.
+// Announce sends this store's demand to the other stores: after minInterval if it changed, otherwise
+// after maxInterval.
 func (t *Tracker) Announce(own LocalDemand, members map[string]membership.Member, emit func(machine.Effect), now clock.Micros) {
 	message := t.demandOf(own)
 	interval := minInterval
--- a/internal/dataplane/batchshare/tracker_test.go
+++ b/internal/dataplane/batchshare/tracker_test.go
@@ -16,8 +16,8 @@
 	return membership.Member{ID: id, Kind: membership.Store, Zone: zone, Peer: "p" + id}
 }
 
-// The parts follow the demands, in the order of the stores' zones, and don't overlap. A live store
-// that is not heard counts as much as this one.
+// The parts are proportional to the demands, ordered by the stores' zones, and do not overlap. A live
+// store without a known demand counts as much as this one.
 func TestAllotmentsFollowDemands(t *testing.T) {
 	members := map[string]membership.Member{
 		"a": testStore("a", "z2"), "b": testStore("b", "z1"), "c": testStore("c", "z3"), "d": testStore("d", "z2"),
@@ -25,27 +25,27 @@
 	}
 	tracker := NewTracker("a")
 	if got := tracker.Allotment(LocalDemand{}, nil, 1); got != (scheduler.BatchAllotment{Size: 1, Total: 1}) {
-		t.Fatalf("alone: %+v", got)
+		t.Fatalf("no other store: %+v", got)
 	}
 	if got := tracker.Allotment(LocalDemand{Items: 40, Tokens: 400}, members, 1); got != (scheduler.BatchAllotment{Offset: 40, Size: 40, Total: 160, ItemTokens: 10}) {
-		t.Fatalf("nothing was heard: %+v", got)
+		t.Fatalf("no demand received: %+v", got)
 	}
 	tracker.Receive(Demand{ID: "b", Items: 60, Tokens: 600}, 1)
 	tracker.Receive(Demand{ID: "c", Items: 90, Tokens: 1700}, 1)
 	tracker.Receive(Demand{ID: "d", Items: 10, Tokens: 100}, 1)
 	if got := tracker.Allotment(LocalDemand{Items: 40, Tokens: 400}, members, 2); got != (scheduler.BatchAllotment{Offset: 60, Size: 40, Total: 200, ItemTokens: 14}) {
-		t.Fatalf("40 of 200, behind the 60 of an earlier zone: %+v", got)
+		t.Fatalf("want 40 of 200, after the 60 of an earlier zone: %+v", got)
 	}
 	tracker.Receive(Demand{ID: "b", Items: 0}, 3)
 	if got := tracker.Allotment(LocalDemand{Items: 40, Tokens: 400}, members, 4); got != (scheduler.BatchAllotment{Offset: 0, Size: 40, Total: 140, ItemTokens: 15}) {
-		t.Fatalf("40 of 140: %+v", got)
+		t.Fatalf("want 40 of 140: %+v", got)
 	}
 	if got := tracker.Allotment(LocalDemand{Items: 40, Tokens: 400}, members, 4+demandTTL); got != (scheduler.BatchAllotment{Offset: 40, Size: 40, Total: 160, ItemTokens: 10}) {
-		t.Fatalf("nothing was heard for long: %+v", got)
+		t.Fatalf("all received demands expired: %+v", got)
 	}
 }
 
-// What other stores run is known by the server, and forgotten with their demands.
+// Other stores' running items are counted by server, until their demands expire.
 func TestRunningItemsOfOtherStoresAreCounted(t *testing.T) {
 	tracker := NewTracker("a")
 	tracker.Receive(Demand{ID: "b", Items: 9, Running: []ServerItems{{endpoints.NameHash("s1"), 2}, {endpoints.NameHash("s2"), 1}}}, 1)
@@ -64,8 +64,8 @@
 	}
 }
 
-// A store announces its demand to the other stores alone, soon when it changed, and now and
-// then when it did not.
+// A store announces its demand to live stores only: after minInterval if it changed, otherwise after
+// maxInterval.
 func TestDemandsAreAnnouncedToStores(t *testing.T) {
 	members := map[string]membership.Member{
 		"a": {ID: "a", Kind: membership.Store, Peer: "pa"},
@@ -83,12 +83,12 @@
 		announced bool
 	}{
 		{"the first demand", 5, nil, start, true},
-		{"a change too soon", 6, nil, start + 1, false},
+		{"a change before minInterval", 6, nil, start + 1, false},
 		{"a change", 6, nil, start + minInterval, true},
 		{"no change", 6, nil, start + 2*minInterval, false},
 		{"another server", 6, map[string]int{"s": 1}, start + 3*minInterval, true},
 		{"no change again", 6, map[string]int{"s": 1}, start + 4*minInterval, false},
-		{"no change for long", 6, map[string]int{"s": 1}, start + 3*minInterval + maxInterval, true},
+		{"no change for maxInterval", 6, map[string]int{"s": 1}, start + 3*minInterval + maxInterval, true},
 	} {
 		var sentTo []string
 		tracker.Announce(LocalDemand{Items: test.own, Tokens: 100 * test.own, Running: test.running}, members, func(e machine.Effect) { sentTo = append(sentTo, e.(machine.Send).To) }, test.at)
--- a/internal/dataplane/endpoints/decode.go
+++ b/internal/dataplane/endpoints/decode.go
@@ -6,8 +6,8 @@
 	"tuliprudder/internal/machine"
 )
 
-// DecodeServers reads the servers from updates whose keys begin with ServerPrefix. One whose
-// value can't be read is left out: it is of a later release.
+// DecodeServers decodes the servers from updates whose keys begin with ServerPrefix. It skips updates
+// whose value cannot be decoded, because a later release may have written them.
 func DecodeServers(updates []machine.Update) []Server {
 	var servers []Server
 	for _, update := range updates {
--- a/internal/dataplane/endpoints/decode_test.go
+++ b/internal/dataplane/endpoints/decode_test.go
@@ -14,6 +14,6 @@
 		ServerUpdate(server, machine.Update{}, 1),
 	}
 	if got, want := DecodeServers(updates), []Server{server}; !reflect.DeepEqual(got, want) {
-		t.Errorf("decoded %+v, not %+v", got, want)
+		t.Errorf("decoded %+v, want %+v", got, want)
 	}
 }
--- a/internal/dataplane/endpoints/endpoints.go
+++ b/internal/dataplane/endpoints/endpoints.go
@@ -1,8 +1,8 @@
-// Package endpoints has the updates about model servers that daemons gossip: the list of
-// servers, and the load of each, which one daemon a server reads (docs/DESIGN.md sections
-// 7.2 and 8.3). It also has the rule that says which daemon that is.
+// Package endpoints defines the updates about model servers that daemons gossip: the list of
+// servers, and the load of each server, which is polled by one daemon (docs/DESIGN.md sections
+// 7.2 and 8.3). It also defines the rule by which that daemon is chosen.
 //
-// Everything here is a function of its arguments, and safe for concurrent use.
+// All functions depend only on their arguments and are safe for concurrent use.
 package endpoints
 
 import (
@@ -12,7 +12,7 @@
 	"tuliprudder/internal/machine"
 )
 
-// LabelZone is the label that names a server's zone.
+// LabelZone is the key of the label with a server's zone.
 const LabelZone = "zone"
 
 // Server is one entry of the list of servers.
@@ -20,7 +20,7 @@
 	Name     string            `json:"name"`
 	Address  string            `json:"address"` // host:port
 	Labels   map[string]string `json:"labels"`
-	Slots    int               `json:"slots"` // requests that it decodes at a time
+	Slots    int               `json:"slots"` // number of requests that it decodes at a time
 	Draining bool              `json:"leaving,omitempty"`
 	Removed  bool              `json:"gone,omitempty"`
 }
@@ -29,22 +29,22 @@
 type Load struct {
 	Running int          `json:"running"` // requests
 	Waiting int          `json:"waiting"` // requests
-	Healthy bool         `json:"sound"`   // the pages could be read and report health
+	Healthy bool         `json:"sound"`   // the pages could be read and report a healthy server
 	ReadAt  clock.Micros `json:"at"`
-	ReadBy  string       `json:"by"` // daemon id
+	ReadBy  string       `json:"by"` // daemon ID
 }
 
-// ServerKey is the key of updates of a server's entry.
+// ServerKey returns the key of the updates of a server's entry.
 func ServerKey(name string) string { return ServerPrefix + name }
 
-// LoadKey is the key of updates of a server's load.
+// LoadKey returns the key of the updates of a server's load.
 func LoadKey(name string) string { return LoadPrefix + name }
 
-// ServerUpdate is the update that puts a server's entry in force: it is above the known
-// update of the key, so the last one to change a server wins. A list that several
-// daemons read by themselves needs another order; package discovery has that.
+// ServerUpdate returns the update that publishes a server's entry. Its sequence number is above
+// that of the known update of the key, so the last daemon to change a server wins. A list that
+// several daemons read independently needs another order; package discovery has that.
 func ServerUpdate(server Server, known machine.Update, now clock.Micros) machine.Update {
-	value, _ := json.Marshal(server) // strings, numbers and booleans: it can't fail
+	value, _ := json.Marshal(server) // cannot fail: only strings, numbers and booleans
 	return machine.Update{
 		Key:   ServerKey(server.Name),
 		Seq:   max(uint64(now), known.Seq+1),
--- a/internal/dataplane/endpoints/endpoints_test.go
+++ b/internal/dataplane/endpoints/endpoints_test.go
@@ -8,7 +8,8 @@
 	"tuliprudder/internal/machine"
 )
 
-// An update is above the one that it replaces, also where this daemon's clock is behind.
+// The sequence number of an update is above that of the update it replaces, even if this daemon's clock is
+// behind.
 func TestServerUpdateSupersedesKnownUpdate(t *testing.T) {
 	server := Server{Name: "s", Address: "s:1", Labels: map[string]string{"fleet": "main"}, Slots: 4, Draining: true}
 	for known, want := range map[uint64]uint64{0: 100, 99: 100, 100: 101, 500: 501} {
@@ -18,7 +19,7 @@
 		}
 		var read Server
 		if err := json.Unmarshal(got.Value, &read); err != nil || read.Name != "s" || !read.Draining || read.Slots != 4 {
-			t.Errorf("%s reads as %+v, %v", got.Value, read, err)
+			t.Errorf("%s decodes to %+v, %v", got.Value, read, err)
 		}
 	}
 }
--- a/internal/dataplane/endpoints/rendezvous_test.go
+++ b/internal/dataplane/endpoints/rendezvous_test.go
@@ -15,11 +15,11 @@
 	return out
 }
 
-// Daemons of different releases must agree on the owner.
+// Daemons of different releases must agree on the owner, so the results must not change.
 func TestRendezvousOwnersAreStableAcrossReleases(t *testing.T) {
 	for role, want := range map[string]string{"account/a": "edge-0", "account/b": "edge-1", "load/s": "edge-4"} {
 		if got := RendezvousOwner(role, newEdges(5), membership.Edge); got != want {
-			t.Errorf("%s: %q, not %q", role, got, want)
+			t.Errorf("%s: got %q, want %q", role, got, want)
 		}
 	}
 }
@@ -30,13 +30,13 @@
 	for range 3 {
 		owner := RendezvousOwner("role", members, membership.Edge)
 		if owner == "" || owner == "store" {
-			t.Fatalf("owner %q with edges alive", owner)
+			t.Fatalf("got owner %q although edges are alive", owner)
 		}
 		for i := range members {
 			if members[i].ID != owner {
 				continue
 			}
-			// Each loses the role for another reason.
+			// Each owner loses the role for a different reason.
 			switch i {
 			case 0:
 				members[i].Status = membership.Dead
@@ -48,7 +48,7 @@
 		}
 	}
 	if owner := RendezvousOwner("role", members, membership.Edge); owner != "" {
-		t.Errorf("owner %q with no edge alive", owner)
+		t.Errorf("got owner %q although no edge is alive", owner)
 	}
 }
 
@@ -72,8 +72,8 @@
 	}
 }
 
-// Ids that differ in more than their last letters have even numbers of roles; see
-// rendezvousWeight for the others.
+// IDs that differ in more than their last characters get even numbers of roles; see
+// rendezvousWeight for other IDs.
 func TestRendezvousDistributesRolesEvenly(t *testing.T) {
 	const daemons, roles = 5, 1000
 	members := newEdges(daemons)
--- a/internal/dataplane/endpoints/reported_load.go
+++ b/internal/dataplane/endpoints/reported_load.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// ReportedLoad is what a server tells of its load with an answer.
+// ReportedLoad is the load that a server reports with a response.
 type ReportedLoad struct {
 	Running int // requests
 	Waiting int // requests
 	Slots   int
 }
 
-// ParseReportedLoad reads a load as servers write it: the requests running, the requests waiting and
-// the slots, joined by commas. It returns nil where that is not what the text is.
+// ParseReportedLoad parses a load as servers report it: the numbers of running requests, waiting
+// requests and slots, separated by commas. It returns nil if the text has another format.
 func ParseReportedLoad(text string) *ReportedLoad {
 	parts := strings.Split(text, ",")
 	var numbers [3]int
--- a/internal/dataplane/endpoints/reported_load_test.go
+++ b/internal/dataplane/endpoints/reported_load_test.go
@@ -17,7 +17,7 @@
 	} {
 		got := ParseReportedLoad(text)
 		if (got == nil) != (want == nil) || got != nil && *got != *want {
-			t.Errorf("%q is %v, not %v", text, got, want)
+			t.Errorf("%q: got %v, want %v", text, got, want)
 		}
 	}
 }
--- a/internal/dataplane/endpoints/stored_names.go
+++ b/internal/dataplane/endpoints/stored_names.go
@@ -1,7 +1,7 @@
 package endpoints
 
-// These begin the keys of updates about servers. They are gossiped, and the cores keep
-// those of ServerPrefix on disk; their spelling never changes.
+// Prefixes of the keys of updates about servers. The updates are gossiped, and the cores store
+// those under ServerPrefix on disk, so the spelling must not change.
 const (
 	ServerKind   = "server"         // first part of the key of a server's entry
 	ServerPrefix = ServerKind + "/" // followed by the server's name
--- a/internal/dataplane/mechanism/mechanism_test.go
+++ b/internal/dataplane/mechanism/mechanism_test.go
@@ -8,11 +8,11 @@
 func TestSetsAreParsed(t *testing.T) {
 	empty, err := Parse("")
 	if err != nil || empty.Has(BatchMemory) {
-		t.Fatalf("the empty set is %v, %v", empty, err)
+		t.Fatalf("empty set: got %v, %v", empty, err)
 	}
 	set, err := Parse("batch-memory, scorer-prefix")
 	if err != nil || !set.Has(BatchMemory) || !set.Has(Scorer("prefix")) || set.Has(RetryBudget) {
-		t.Fatalf("the set is %v, %v", set, err)
+		t.Fatalf("got set %v, %v", set, err)
 	}
 	for _, name := range All() {
 		if set, err := Parse(string(name)); err != nil || !set.Has(name) {
--- a/internal/dataplane/observations/observations.go
+++ b/internal/dataplane/observations/observations.go
@@ -1,11 +1,11 @@
-// Package observations shares what the daemons of a zone see of the model servers
-// (docs/DESIGN.md section 12.6): the load that a server tells with its answers, and how requests
-// end there. One daemon of many sees each server seldom; all of a zone together see it many times a
-// second. Nothing is asked of the servers for it.
+// Package observations exchanges what the daemons of a zone observe of the model servers
+// (docs/DESIGN.md section 12.6): the load that a server reports with its responses, and the outcomes of
+// requests. A single daemon of many uses each server seldom, but all daemons of a zone together use it
+// many times a second. The exchange sends no requests to the servers.
 //
-// An Exchange is a part of the state machine of an edge or a store: messages go out as effects, time
-// comes in with each call. It is not safe for concurrent use. A message that is lost, or late, makes a
-// daemon know less for a moment.
+// An Exchange is a part of the state machine of an edge or a store: messages are emitted as effects,
+// and the time is an argument of each call. It is not safe for concurrent use. After a lost or late
+// message a daemon only knows less for a moment.
 package observations
 
 import (
@@ -21,18 +21,18 @@
 	"tuliprudder/internal/transport"
 )
 
-// Reports is the message that tells what its sender saw of servers lately. Its type and fields are on
-// the wire.
+// Reports is the message with a daemon's latest observations of servers. The names of its type and
+// fields are on the wire.
 type Reports struct{ Servers []Report }
 
-// Report is what a daemon saw of one server since its last message. The server's name is hashed, as
-// these messages are frequent, and counts end at 255.
+// Report is what a daemon observed of one server since its last message. The server's name is hashed
+// to keep these frequent messages small, and counts are limited to 255.
 type Report struct {
 	Server            uint32
-	Running, Waiting  uint8  // requests, as the server told them
-	AgeMS             uint16 // of these, in milliseconds when the message was sent
-	Slots             uint8  // of the server; 0: it told no load
-	Succeeded, Failed uint8  // requests
+	Running, Waiting  uint8  // requests, as the server reported them
+	AgeMS             uint16 // age of Running and Waiting in milliseconds when the message was sent
+	Slots             uint8  // slots of the server; 0 if it reported no load
+	Succeeded, Failed uint8  // number of requests
 }
 
 func init() { transport.Register(Reports{}) }
@@ -40,7 +40,7 @@
 const (
 	// interval is the time between two messages.
 	interval = 500 * clock.Millisecond
-	// maxPeers is to how many daemons a message goes at most: in larger zones to some, in turn.
+	// maxPeers limits the daemons that a message is sent to. In larger zones the recipients rotate.
 	maxPeers = 4
 	maxCount = 255
 	maxAgeMS = 60_000
@@ -51,15 +51,15 @@
 	self      string
 	scheduler *scheduler.Scheduler
 	nextSend  clock.Micros
-	nextPeer  int // where the next message's peers begin, in a zone with more than maxPeers
+	nextPeer  int // index of the next message's first recipient, in a zone with more than maxPeers
 }
 
-// New makes the exchange of the daemon with the id self.
+// New returns the exchange of the daemon with the ID self.
 func New(self string, sched *scheduler.Scheduler) *Exchange {
 	return &Exchange{self: self, scheduler: sched}
 }
 
-// Tick sends what was seen since the last message, when it is due.
+// Tick sends the observations since the last message when the next message is due.
 func (x *Exchange) Tick(members map[string]membership.Member, emit func(machine.Effect), now clock.Micros) {
 	if now < x.nextSend || x.scheduler.Disables(mechanism.Observations) {
 		return
@@ -78,7 +78,8 @@
 	}
 }
 
-// peers are the addresses that a message goes to: those of the other edges and stores of the zone.
+// peers returns the addresses that a message is sent to: those of the other edges and stores of the zone, or
+// the next maxPeers of them.
 func (x *Exchange) peers(members map[string]membership.Member) []string {
 	var all []string
 	for _, id := range slices.Sorted(maps.Keys(members)) {
@@ -99,7 +100,7 @@
 	return out
 }
 
-// Receive takes another daemon's message.
+// Receive passes the observations in another daemon's message to the scheduler.
 func (x *Exchange) Receive(message Reports, now clock.Micros) {
 	names := map[uint32]string{}
 	for _, name := range x.scheduler.ServerNames() {
@@ -127,7 +128,7 @@
 	return report
 }
 
-// observation is a report as the scheduler takes it; the time on the way counts as none.
+// observation converts a report for the scheduler. The message's transmission time is neglected.
 func (r Report) observation(server string, now clock.Micros) scheduler.Observation {
 	out := scheduler.Observation{Server: server, Succeeded: int(r.Succeeded), Failed: int(r.Failed)}
 	if r.Slots > 0 {
--- a/internal/dataplane/observations/observations_test.go
+++ b/internal/dataplane/observations/observations_test.go
@@ -24,7 +24,7 @@
 	return testScheduler
 }
 
-// tickReports are the messages of a tick, by the address.
+// tickReports returns the messages that a tick sends, by address.
 func tickReports(x *Exchange, members map[string]membership.Member, now clock.Micros) map[string]Reports {
 	out := map[string]Reports{}
 	x.Tick(members, func(effect machine.Effect) {
@@ -34,7 +34,7 @@
 	return out
 }
 
-// What a daemon saw goes to the edges and stores of its zone, once, and arrives as it was.
+// A daemon's observations are sent once, unchanged, to the live edges and stores of its zone.
 func TestObservationsAreSentWithinZone(t *testing.T) {
 	members := map[string]membership.Member{
 		"a": newMember("a", membership.Edge, "z1"), "b": newMember("b", membership.Edge, "z1"), "c": newMember("c", membership.Store, "z1"),
@@ -52,35 +52,36 @@
 	}
 	got := tickReports(x, members, start+interval)
 	if len(got) != 2 || len(got["pb"].Servers) != 1 || len(got["pc"].Servers) != 1 {
-		t.Fatalf("sent are %+v", got)
+		t.Fatalf("got messages %+v", got)
 	}
 	want := Report{Server: endpoints.NameHash("s1"), Running: 255, Waiting: 7, Slots: 9, AgeMS: 500}
 	if got["pb"].Servers[0] != want {
-		t.Errorf("sent is %+v", got["pb"].Servers[0])
+		t.Errorf("got report %+v", got["pb"].Servers[0])
 	}
 	if again := tickReports(x, members, start+2*interval); len(again) > 0 {
 		t.Errorf("sent again: %+v", again)
 	}
 }
 
-// A report says of a server what its sender saw, and nothing where the receiver knows no such server.
+// A received report has the sender's observation. Reports about unknown servers are ignored, and received
+// observations are not sent to other daemons.
 func TestReportsAreReceived(t *testing.T) {
 	report := Report{Server: endpoints.NameHash("s2"), Running: 3, Waiting: 2, Slots: 9, AgeMS: 40, Succeeded: 5, Failed: 1}
 	got := report.observation("s2", start)
 	if got.Load == nil || *got.Load != (endpoints.ReportedLoad{Running: 3, Waiting: 2, Slots: 9}) || got.At != start-40*clock.Millisecond || got.Succeeded != 5 || got.Failed != 1 {
-		t.Errorf("received is %+v", got)
+		t.Errorf("got observation %+v", got)
 	}
 	if got := (Report{Server: endpoints.NameHash("s2"), Failed: 1}).observation("s2", start); got.Load != nil {
-		t.Errorf("a load was received: %+v", got.Load)
+		t.Errorf("got a load from a report without one: %+v", got.Load)
 	}
 	receiverScheduler := newTestScheduler()
 	New("b", receiverScheduler).Receive(Reports{Servers: []Report{report, {Server: 12345, Failed: 9}}}, start)
 	if got := receiverScheduler.TakeObservations(); len(got) > 0 {
-		t.Errorf("what was received is sent on: %+v", got)
+		t.Errorf("received observations are forwarded: %+v", got)
 	}
 }
 
-// In a large zone each message goes to some of the daemons, and to all of them in turn.
+// In a large zone each message is sent to maxPeers daemons, which rotate so that all are reached.
 func TestPeersRotateInLargeZone(t *testing.T) {
 	members := map[string]membership.Member{}
 	for i := range 60 {
@@ -95,13 +96,13 @@
 		senderScheduler.ObserveLoad("s1", &endpoints.ReportedLoad{Slots: 9}, now)
 		got := tickReports(x, members, now)
 		if len(got) != maxPeers {
-			t.Errorf("sent to %d", len(got))
+			t.Errorf("sent to %d daemons", len(got))
 		}
 		for peer := range got {
 			reached[peer] = true
 		}
 	}
 	if len(reached) != 59 {
-		t.Errorf("%d of 59 are reached", len(reached))
+		t.Errorf("%d of 59 daemons are reached", len(reached))
 	}
 }
--- a/internal/dataplane/scoring/scorers.go
+++ b/internal/dataplane/scoring/scorers.go
@@ -3,17 +3,17 @@
 import "tuliprudder/internal/clock"
 
 // Each scorer below returns a score from 0 to 1, or 0 and a reason to exclude the server.
-// Some only score, some only exclude.
+// Some scorers never exclude a server, and some do nothing else.
 
 const (
-	// maxPrefilling is how many items of one store a server may have in prefill at a
-	// time: engines prefill between the decoding steps of other requests, and delay
-	// those.
+	// maxPrefilling limits the items of one store that a server may have in prefill at a
+	// time: engines prefill between the decoding steps of other requests, which this
+	// delays.
 	maxPrefilling = 1
-	// prefillScaleTokens is how many tokens still to be prefilled halve the score.
+	// prefillScaleTokens is the number of tokens to prefill that halves the score.
 	prefillScaleTokens = 2000
-	// maxUnresponsiveTime is how long a server may show no progress before requests go
-	// elsewhere.
+	// maxUnresponsiveTime is how long a server may make no progress before other servers
+	// are preferred.
 	maxUnresponsiveTime = 350 * clock.Millisecond
 	// defaultSpeedScore is the speed score of a server whose latency is unknown.
 	defaultSpeedScore = 0.5
@@ -39,7 +39,7 @@
 	}
 }
 
-// Adapter excludes a server without the adapter that the route names.
+// Adapter excludes a server that does not have the adapter that the route requires.
 func Adapter(required Requirements, c Candidate) (float64, string) {
 	if required.Adapter != "" && c.Labels["adapter"] != required.Adapter {
 		return 0, "doesn't have the adapter " + required.Adapter
@@ -47,8 +47,8 @@
 	return 0, ""
 }
 
-// Weights excludes a server with other weights than the route names, or of another version than the
-// request wants.
+// Weights excludes a server that has other weights than the route requires, or another version of them than
+// the request requires.
 func Weights(required Requirements, c Candidate) (float64, string) {
 	if required.Weights != "" && c.Labels["weights"] != required.Weights {
 		return 0, "doesn't have the weights " + required.Weights
@@ -59,8 +59,8 @@
 	return 0, ""
 }
 
-// BatchShare excludes a server that has as many of this store's batch items as it may
-// have.
+// BatchShare excludes a server that already has its share of this store's batch items, or has one
+// of them in prefill.
 func BatchShare(_ Requirements, c Candidate) (float64, string) {
 	usage := c.BatchUsage
 	switch {
@@ -75,7 +75,8 @@
 	}
 }
 
-// Utilization scores free capacity, and excludes a server that is full for this priority.
+// Utilization scores the free capacity of a server, and excludes a server whose utilization has
+// reached the limit for the request's priority.
 func Utilization(_ Requirements, c Candidate) (float64, string) {
 	if c.Slots <= 0 {
 		return 0, "has no slots"
@@ -87,9 +88,9 @@
 	return max(0, 1-utilization), ""
 }
 
-// PrefixAffinity scores a server that ran the same prompt prefix last, as its KV cache
-// may still have it. The score falls with the server's utilization, so that affinity
-// doesn't overload it.
+// PrefixAffinity prefers the server that last ran a request with the same prompt prefix, because its
+// KV cache may still contain the prefix. The score falls with the server's utilization, so that
+// affinity does not overload the server.
 func PrefixAffinity(_ Requirements, c Candidate) (float64, string) {
 	if !c.HasPrefix || c.Slots <= 0 {
 		return 0, ""
@@ -97,7 +98,7 @@
 	return max(0, 1-c.utilization()), ""
 }
 
-// Speed scores a server by how close its latency comes to that of the fastest.
+// Speed scores a server by the ratio of the fastest server's latency to its own.
 func Speed(_ Requirements, c Candidate) (float64, string) {
 	if c.Latency <= 0 || c.FastestLatency <= 0 {
 		return defaultSpeedScore, ""
@@ -105,16 +106,16 @@
 	return min(1, float64(c.FastestLatency)/float64(c.Latency)), ""
 }
 
-// Spread scores a server with few own requests. Unlike load reports, their number is
-// never out of date.
+// Spread prefers a server with few own requests. Unlike load reports, their number is never out of
+// date.
 func Spread(_ Requirements, c Candidate) (float64, string) { return 1 / float64(1+c.OwnRequests), "" }
 
-// Prefill scores a server with few tokens still to be prefilled.
+// Prefill prefers a server with few tokens left to prefill.
 func Prefill(_ Requirements, c Candidate) (float64, string) {
 	return 1 / (1 + float64(c.PrefillTokens)/prefillScaleTokens), ""
 }
 
-// Responsiveness scores a server that has shown progress lately.
+// Responsiveness prefers a server that has made progress lately.
 func Responsiveness(_ Requirements, c Candidate) (float64, string) {
 	if c.UnresponsiveFor > maxUnresponsiveTime {
 		return 0, ""
@@ -122,10 +123,10 @@
 	return 1, ""
 }
 
-// Reliability scores a server that has failed few of its requests lately.
+// Reliability prefers a server on which few requests have failed lately.
 func Reliability(_ Requirements, c Candidate) (float64, string) { return 1 - c.FailureRate, "" }
 
-// Locality scores a server of this daemon's own zone.
+// Locality prefers a server in this daemon's own zone.
 func Locality(_ Requirements, c Candidate) (float64, string) {
 	if c.SameZone {
 		return 1, ""
@@ -133,11 +134,11 @@
 	return 0, ""
 }
 
-// Queue scores a server by how few requests wait there, as it told of late. It doesn't count what
-// runs: daemons that hear of the same server with few requests at the same time would all choose it.
+// Queue prefers a server with few waiting requests, as it reported lately. Running requests do not
+// count: daemons that learn at the same time of a server with few requests would all choose it.
 func Queue(_ Requirements, c Candidate) (float64, string) { return 1 / (1 + c.WaitingRequests), "" }
 
-// Rotation scores a server by its position in this daemon's own rotation. Daemons begin
-// their rotations at different servers, so that those that don't know yet of each other's
-// latest requests seldom choose the same one.
+// Rotation scores a server by its position in this daemon's own rotation. Daemons start their
+// rotations at different servers, so that daemons that do not know each other's latest requests yet
+// seldom choose the same server.
 func Rotation(_ Requirements, c Candidate) (float64, string) { return 1 - c.Rotation, "" }
--- a/internal/dataplane/scoring/scorers_test.go
+++ b/internal/dataplane/scoring/scorers_test.go
@@ -6,20 +6,20 @@
 	"tuliprudder/internal/clock"
 )
 
-// A store's items keep to the places that it has on a server, and one at a time is in prefill. Other
-// requests are not concerned.
+// A store's items stay within its slots on a server, and only one of them is in prefill at a time. The
+// limit does not apply to other requests.
 func TestBatchShare(t *testing.T) {
 	for name, c := range map[string]struct {
 		usage    *BatchUsage
 		excluded bool
 	}{
-		"no item":                     {nil, false},
-		"a place left":                {&BatchUsage{Limit: 12, Running: 11}, false},
-		"no place left":               {&BatchUsage{Limit: 12, Running: 12}, true},
-		"more than it has places for": {&BatchUsage{Limit: 4, Running: 9}, true},
-		"no place here":               {&BatchUsage{Limit: 0, Running: 0}, true},
-		"one in prefill":              {&BatchUsage{Limit: 12, Running: 1, Prefilling: 1}, true},
-		"none in prefill":             {&BatchUsage{Limit: 12, Running: 8, Prefilling: 0}, false},
+		"not a batch item":        {nil, false},
+		"one slot free":           {&BatchUsage{Limit: 12, Running: 11}, false},
+		"no slot free":            {&BatchUsage{Limit: 12, Running: 12}, true},
+		"more items than slots":   {&BatchUsage{Limit: 4, Running: 9}, true},
+		"no slots on this server": {&BatchUsage{Limit: 0, Running: 0}, true},
+		"one in prefill":          {&BatchUsage{Limit: 12, Running: 1, Prefilling: 1}, true},
+		"none in prefill":         {&BatchUsage{Limit: 12, Running: 8, Prefilling: 0}, false},
 	} {
 		score, reason := BatchShare(Requirements{}, Candidate{Slots: 16, BatchUsage: c.usage})
 		if score != 0 || (reason != "") != c.excluded {
@@ -28,7 +28,7 @@
 	}
 }
 
-// The more prompt tokens a server has to prefill, the lower its score; none is excluded.
+// The more prompt tokens a server has to prefill, the lower its score. No server is excluded.
 func TestPrefill(t *testing.T) {
 	previous := 2.0
 	for _, tokens := range []int64{0, 1, 500, prefillScaleTokens, 10 * prefillScaleTokens, 1 << 40} {
@@ -39,14 +39,14 @@
 		previous = score
 	}
 	if score, _ := Prefill(Requirements{}, Candidate{}); score != 1 {
-		t.Errorf("nothing to prefill: %v", score)
+		t.Errorf("nothing to prefill: score %v, want 1", score)
 	}
 	if score, _ := Prefill(Requirements{}, Candidate{PrefillTokens: prefillScaleTokens}); score != 0.5 {
-		t.Errorf("the scale: %v", score)
+		t.Errorf("prefillScaleTokens to prefill: score %v, want 0.5", score)
 	}
 }
 
-// A server without progress for too long loses its score; it is not excluded.
+// A server that has made no progress for too long scores 0; it is not excluded.
 func TestResponsiveness(t *testing.T) {
 	for unresponsiveFor, want := range map[clock.Micros]float64{0: 1, maxUnresponsiveTime: 1, maxUnresponsiveTime + 1: 0, clock.Second: 0} {
 		if score, reason := Responsiveness(Requirements{}, Candidate{UnresponsiveFor: unresponsiveFor}); score != want || reason != "" {
@@ -72,23 +72,23 @@
 		change   func(*Candidate)
 		excluded bool
 	}{
-		"active":                   {Draining, Requirements{}, func(*Candidate) {}, false},
-		"draining":                 {Draining, Requirements{}, func(c *Candidate) { c.Draining = true }, true},
-		"healthy":                  {Health, Requirements{}, func(*Candidate) {}, false},
-		"unhealthy":                {Health, Requirements{}, func(c *Candidate) { c.Healthy = false }, true},
-		"in backoff":               {Health, Requirements{}, func(c *Candidate) { c.BackoffUntil = 101 }, true},
-		"after its backoff":        {Health, Requirements{}, func(c *Candidate) { c.BackoffUntil = 100 }, false},
-		"the adapter":              {Adapter, Requirements{Adapter: "a"}, func(*Candidate) {}, false},
-		"another adapter":          {Adapter, Requirements{Adapter: "b"}, func(*Candidate) {}, true},
-		"the weights":              {Weights, Requirements{Weights: "w"}, func(*Candidate) {}, false},
-		"other weights":            {Weights, Requirements{Weights: "v"}, func(*Candidate) {}, true},
-		"no weights asked for":     {Weights, Requirements{}, func(*Candidate) {}, false},
-		"one slot is free":         {Utilization, Requirements{}, func(c *Candidate) { c.OwnRequests, c.OtherRequests = 1, 2 }, false},
-		"full":                     {Utilization, Requirements{}, func(c *Candidate) { c.OwnRequests, c.OtherRequests = 2, 2 }, true},
-		"no slots":                 {Utilization, Requirements{}, func(c *Candidate) { c.Slots = 0 }, true},
-		"affinity to a full one":   {PrefixAffinity, Requirements{}, func(c *Candidate) { c.HasPrefix, c.OwnRequests = true, 9 }, false},
-		"speed of an unknown one":  {Speed, Requirements{}, func(*Candidate) {}, false},
-		"spread over a loaded one": {Spread, Requirements{}, func(c *Candidate) { c.OwnRequests = 9 }, false},
+		"active":                    {Draining, Requirements{}, func(*Candidate) {}, false},
+		"draining":                  {Draining, Requirements{}, func(c *Candidate) { c.Draining = true }, true},
+		"healthy":                   {Health, Requirements{}, func(*Candidate) {}, false},
+		"unhealthy":                 {Health, Requirements{}, func(c *Candidate) { c.Healthy = false }, true},
+		"in backoff":                {Health, Requirements{}, func(c *Candidate) { c.BackoffUntil = 101 }, true},
+		"after its backoff":         {Health, Requirements{}, func(c *Candidate) { c.BackoffUntil = 100 }, false},
+		"the adapter":               {Adapter, Requirements{Adapter: "a"}, func(*Candidate) {}, false},
+		"another adapter":           {Adapter, Requirements{Adapter: "b"}, func(*Candidate) {}, true},
+		"the weights":               {Weights, Requirements{Weights: "w"}, func(*Candidate) {}, false},
+		"other weights":             {Weights, Requirements{Weights: "v"}, func(*Candidate) {}, true},
+		"no weights required":       {Weights, Requirements{}, func(*Candidate) {}, false},
+		"one slot is free":          {Utilization, Requirements{}, func(c *Candidate) { c.OwnRequests, c.OtherRequests = 1, 2 }, false},
+		"full":                      {Utilization, Requirements{}, func(c *Candidate) { c.OwnRequests, c.OtherRequests = 2, 2 }, true},
+		"no slots":                  {Utilization, Requirements{}, func(c *Candidate) { c.Slots = 0 }, true},
+		"affinity to a full server": {PrefixAffinity, Requirements{}, func(c *Candidate) { c.HasPrefix, c.OwnRequests = true, 9 }, false},
+		"unknown latency":           {Speed, Requirements{}, func(*Candidate) {}, false},
+		"spread to a loaded server": {Spread, Requirements{}, func(c *Candidate) { c.OwnRequests = 9 }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			candidate := usable
@@ -104,20 +104,20 @@
 	}
 }
 
-// The more requests wait on a server, the lower its score; none is excluded.
+// The more requests wait on a server, the lower its score. No server is excluded.
 func TestQueue(t *testing.T) {
 	previous := 2.0
 	for _, waiting := range []float64{0, 0.5, 1, 8, 1000} {
 		score, reason := Queue(Requirements{}, Candidate{WaitingRequests: waiting})
 		if reason != "" || score >= previous || score <= 0 || score > 1 {
-			t.Errorf("%v wait: score %v after %v, excluded as %q", waiting, score, previous, reason)
+			t.Errorf("%v waiting: score %v after %v, excluded as %q", waiting, score, previous, reason)
 		}
 		previous = score
 	}
 }
 
-// A server that fails is avoided as far as there are others, and never excluded: it may be the only
-// one, and its recovery has to be seen.
+// A failing server scores lower but is never excluded: it may be the only server, and its recovery must
+// be noticed.
 func TestReliability(t *testing.T) {
 	for rate, want := range map[float64]float64{0: 1, 0.25: 0.75, 1: 0} {
 		if score, reason := Reliability(Requirements{}, Candidate{FailureRate: rate}); reason != "" || score != want {
--- a/internal/dataplane/scoring/scoring.go
+++ b/internal/dataplane/scoring/scoring.go
@@ -1,24 +1,24 @@
-// Package scoring rates model servers for a request: each scorer looks at one property of
-// a server (Candidate) and returns a score or excludes the server; Sum adds the scores up,
+// Package scoring rates model servers for a request: each scorer evaluates one property of a
+// server (Candidate) and returns a score or excludes the server; Sum adds up the scores,
 // weighted by the configuration (docs/DESIGN.md sections 7.3 and 12.6).
 //
-// Everything here is a function of its arguments, and safe for concurrent use.
+// All functions depend only on their arguments and are safe for concurrent use.
 package scoring
 
 import "tuliprudder/internal/config"
 
-// Score is one scorer's result, for the operators.
+// Score is the result of one scorer, as operators see it.
 type Score struct {
 	Scorer          string  `json:"judge"`
 	Value           float64 `json:"mark"`          // weighted
-	ExclusionReason string  `json:"out,omitempty"` // "" where the server isn't excluded
+	ExclusionReason string  `json:"out,omitempty"` // "" if the server is not excluded
 }
 
 // Scorer returns a score from 0 to 1, or a reason to exclude the server.
 type Scorer func(required Requirements, c Candidate) (score float64, exclusionReason string)
 
-// Names of the scorers that only exclude, and so have no weight; the others' are in
-// package config. Operators see them, and their spelling never changes.
+// Names of the scorers that only exclude servers and therefore have no weight; the names of the
+// others are in package config. Operators see these names, so their spelling must not change.
 const (
 	nameDraining   = "leaving"
 	nameHealth     = "soundness"
@@ -27,7 +27,7 @@
 	nameBatchShare = "share"
 )
 
-// Scorers are the scorers by name. They are asked in this order up to the first that
+// Scorers are all scorers with their names. They are evaluated in this order, up to the first one that
 // excludes the server.
 var Scorers = []struct {
 	Name  string
@@ -50,8 +50,8 @@
 	{config.ScorerLocality, Locality},
 }
 
-// Sum adds the scorers' weighted scores up. It returns false where a scorer excludes the
-// server; the last score then says why.
+// Sum adds up the weighted scores of all scorers. It returns false if a scorer excludes the server;
+// the last score then has the reason.
 func Sum(weights map[string]float64, required Requirements, c Candidate) (float64, []Score, bool) {
 	sum := 0.0
 	scores := make([]Score, 0, len(Scorers))
--- a/internal/dataplane/serverpoll/serverpoll.go
+++ b/internal/dataplane/serverpoll/serverpoll.go
@@ -1,13 +1,13 @@
-// Package serverpoll reads the load and health of model servers, each server by one edge:
-// its rendezvous owner (docs/DESIGN.md section 7.2).
+// Package serverpoll polls the load and health of model servers. Each server is polled by one
+// edge, its rendezvous owner (docs/DESIGN.md section 7.2).
 //
 // Poller decides which servers are due and emits a PollTask for each; the event loop reads
 // the server's pages and returns a PollResult, which the poller publishes as an
-// endpoints.Load. A load is published under an epoch that rises when another edge takes a
-// server over, so that a late load of the former owner is ignored.
+// endpoints.Load. A load is published under an epoch that increases when another edge takes
+// over a server, so that a late load of the former owner is ignored.
 //
-// Poller is a part of an edge's state machine: time comes in with each call, effects go
-// out by machine.Calls. It is not safe for concurrent use.
+// Poller is a part of an edge's state machine: the time is an argument of each call, and
+// effects are emitted through machine.Calls. It is not safe for concurrent use.
 package serverpoll
 
 import (
@@ -21,14 +21,14 @@
 	"tuliprudder/internal/membership"
 )
 
-// busyPollFactor is how many times more often a busy server is polled: an old load of a
-// full server keeps requests queued that it could take.
+// busyPollFactor is how many times more often a busy server is polled: an outdated load of a
+// full server keeps requests queued that the server could already run.
 const busyPollFactor = 4
 
-// PollTask is work for the event loop: read a server's pages.
+// PollTask tells the event loop to read a server's health and metrics pages.
 type PollTask struct{ Name, Address string }
 
-// PollResult is what the pages said. Healthy is false where they could not be read.
+// PollResult is the content of the pages. Healthy is false if they could not be read.
 type PollResult struct {
 	PollTask
 	Running, Waiting int // requests
@@ -36,21 +36,21 @@
 	StartedAt        clock.Micros
 }
 
-// Poller polls the servers that this edge owns.
+// Poller polls the servers whose rendezvous owner is this edge.
 type Poller struct {
 	self          string
 	interval      clock.Micros
 	calls         *machine.Calls
-	scheduler     *scheduler.Scheduler // knows the servers
+	scheduler     *scheduler.Scheduler // has the list of servers
 	members       func() []membership.Member
-	nextPolls     map[string]clock.Micros   // when a server is due, by name
-	inFlight      map[string]bool           // a task is under way, by name
-	latestUpdates map[string]machine.Update // of a server's load, by its name
+	nextPolls     map[string]clock.Micros   // time of the next poll by server name
+	inFlight      map[string]bool           // servers with a task in flight, by name
+	latestUpdates map[string]machine.Update // latest load update by server name
 	nextScan      clock.Micros
 }
 
-// New makes an edge's poller. interval is the time between two polls of a server that
-// isn't busy; 0: nothing is polled.
+// New returns an edge's poller. interval is the time between two polls of a server that is
+// not busy; 0 disables polling.
 func New(self string, interval clock.Micros, calls *machine.Calls, sched *scheduler.Scheduler, members func() []membership.Member) *Poller {
 	return &Poller{
 		self:          self,
@@ -64,14 +64,14 @@
 	}
 }
 
-// Receive takes the updates of servers' loads, own ones as well. Others are ignored.
+// Receive records updates of servers' loads, including those of this edge. Other updates are ignored.
 func (p *Poller) Receive(update machine.Update) {
 	if name, ok := strings.CutPrefix(update.Key, endpoints.LoadPrefix); ok {
 		p.latestUpdates[name] = update
 	}
 }
 
-// Tick emits a PollTask for each own server that is due.
+// Tick emits a PollTask for each server that this edge owns and that is due.
 func (p *Poller) Tick(now clock.Micros) {
 	if now < p.nextScan || p.interval == 0 {
 		return
@@ -95,12 +95,12 @@
 	return endpoints.RendezvousOwner(endpoints.LoadKey(server), members, membership.Edge) == p.self
 }
 
-// HandleResult publishes what a poll found.
+// HandleResult publishes the result of a poll.
 func (p *Poller) HandleResult(result PollResult, _ clock.Micros) {
 	delete(p.inFlight, result.Name)
 	p.nextPolls[result.Name] = result.StartedAt + p.nextInterval(result)
 	epoch, seq := p.nextVersion(result.Name)
-	value, _ := json.Marshal(endpoints.Load{ // numbers, booleans and strings: it can't fail
+	value, _ := json.Marshal(endpoints.Load{ // cannot fail: only numbers, booleans and strings
 		Running: result.Running,
 		Waiting: result.Waiting,
 		Healthy: result.Healthy,
@@ -110,8 +110,8 @@
 	p.calls.Emit(machine.Publish{Update: machine.Update{Key: endpoints.LoadKey(result.Name), Epoch: epoch, Seq: seq, Value: value}})
 }
 
-// nextInterval is the time from one poll of a server to the next. Half a scan is taken
-// off, so that the scan nearest to it finds the server due.
+// nextInterval returns the time from one poll of a server to the next. Half a scan interval is
+// subtracted, so that the scan nearest to the intended time finds the server due.
 func (p *Poller) nextInterval(result PollResult) clock.Micros {
 	interval := p.interval
 	if p.isBusy(result) {
@@ -121,7 +121,7 @@
 	return interval - scanInterval/2
 }
 
-// isBusy tells whether a healthy server has requests for half of its slots or more.
+// isBusy reports whether a server is healthy and has requests for at least half of its slots.
 func (p *Poller) isBusy(result PollResult) bool {
 	for _, server := range p.scheduler.Servers() {
 		if server.Name == result.Name {
@@ -131,8 +131,8 @@
 	return false
 }
 
-// nextVersion is the epoch and sequence of a server's next load: the epoch rises by one
-// where another daemon read the latest one.
+// nextVersion returns the epoch and sequence number of a server's next load: the epoch increases
+// by one if another daemon published the latest load.
 func (p *Poller) nextVersion(server string) (epoch, seq uint64) {
 	latest, known := p.latestUpdates[server]
 	if !known {
--- a/internal/dataplane/serverpoll/serverpoll_test.go
+++ b/internal/dataplane/serverpoll/serverpoll_test.go
@@ -13,7 +13,7 @@
 
 const testInterval = 400 * clock.Millisecond
 
-// fixture is the only edge, with one server of four slots.
+// fixture has the poller of the only edge, and one server of four slots.
 type fixture struct {
 	*Poller
 	calls     *machine.Calls
@@ -34,7 +34,7 @@
 	return f
 }
 
-// pollTasks are the tasks that a tick emits.
+// pollTasks runs a tick and returns the tasks that it emits.
 func (f *fixture) pollTasks() []PollTask {
 	f.Tick(f.now)
 	var out []PollTask
@@ -46,7 +46,7 @@
 	return out
 }
 
-// finish reports a poll's result and returns the update that is published.
+// finish passes a poll's result to the poller and returns the update that it publishes.
 func (f *fixture) finish(t *testing.T, result PollResult) machine.Update {
 	t.Helper()
 	result.PollTask = PollTask{Name: "s", Address: "s:1"}
@@ -58,7 +58,7 @@
 			return publish.Update
 		}
 	}
-	t.Fatal("nothing was published")
+	t.Fatal("no update was published")
 	return machine.Update{}
 }
 
@@ -67,18 +67,18 @@
 		result   PollResult
 		interval clock.Micros
 	}{
-		"idle":          {PollResult{Healthy: true, Running: 1}, testInterval},
-		"half full":     {PollResult{Healthy: true, Running: 1, Waiting: 1}, testInterval / busyPollFactor},
-		"can't be read": {PollResult{Running: 4}, testInterval},
+		"idle":             {PollResult{Healthy: true, Running: 1}, testInterval},
+		"half full":        {PollResult{Healthy: true, Running: 1, Waiting: 1}, testInterval / busyPollFactor},
+		"pages unreadable": {PollResult{Running: 4}, testInterval},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(testInterval)
 			if got := f.pollTasks(); len(got) != 1 || got[0] != (PollTask{Name: "s", Address: "s:1"}) {
-				t.Fatalf("polls %+v", got)
+				t.Fatalf("got tasks %+v", got)
 			}
 			f.now += testInterval
 			if got := f.pollTasks(); len(got) != 0 {
-				t.Fatalf("polls %+v while one is under way", got)
+				t.Fatalf("got tasks %+v while a poll is in flight", got)
 			}
 			f.finish(t, c.result)
 			started, scan := f.now, testInterval/busyPollFactor
@@ -86,7 +86,7 @@
 				f.now += scan
 			}
 			if got := f.now - started; got != c.interval {
-				t.Errorf("polled again after %d us, not %d", got, c.interval)
+				t.Errorf("polled again after %d us, want %d", got, c.interval)
 			}
 		})
 	}
@@ -94,7 +94,7 @@
 
 func TestServersThatAreNotPolled(t *testing.T) {
 	for name, change := range map[string]func(*fixture){
-		"no polls":               func(f *fixture) { f.interval = 0 },
+		"polling disabled":       func(f *fixture) { f.interval = 0 },
 		"removed":                func(f *fixture) { f.scheduler.SetServer(endpoints.Server{Name: "s", Removed: true}) },
 		"this edge is draining":  func(f *fixture) { f.members[0].Draining = true },
 		"another edge's servers": func(f *fixture) { f.members[0].ID = "other" },
@@ -103,19 +103,19 @@
 			f := newFixture(testInterval)
 			change(f)
 			if got := f.pollTasks(); len(got) != 0 {
-				t.Errorf("polls %+v", got)
+				t.Errorf("got tasks %+v", got)
 			}
 		})
 	}
 }
 
-// The sequence rises with each load; the epoch rises where another daemon read the last.
+// The sequence number increases with each load; the epoch increases if another daemon published the last one.
 func TestLoadVersion(t *testing.T) {
 	f := newFixture(testInterval)
 	requireVersion := func(when string, update machine.Update, epoch, seq uint64) {
 		t.Helper()
 		if update.Epoch != epoch || update.Seq != seq || update.Key != endpoints.LoadKey("s") {
-			t.Errorf("%s: %+v, not epoch %d, sequence %d", when, update, epoch, seq)
+			t.Errorf("%s: got %+v, want epoch %d, sequence %d", when, update, epoch, seq)
 		}
 	}
 	result := PollResult{Healthy: true, Running: 3, Waiting: 1}
