--- a/internal/dataplane/batchshare/tracker.go
+++ b/internal/dataplane/batchshare/tracker.go
@@ -61,8 +61,8 @@
 	t.others[message.ID] = receivedDemand{Demand: message, receivedAt: now}
 }
 
-// removeExpired removes demands older than demandTTL.
-func (t *Tracker) removeExpired(now clock.Micros) {
+// removeStaleDemands removes demands older than demandTTL.
+func (t *Tracker) removeStaleDemands(now clock.Micros) {
 	maps.DeleteFunc(t.others, func(_ string, other receivedDemand) bool { return now-other.receivedAt > demandTTL })
 }
 
@@ -83,7 +83,7 @@
 // demands. A live store without a known demand counts with this store's demand, because several stores
 // may have much to run after a start while they know nothing of each other.
 func (t *Tracker) Allotment(own LocalDemand, members map[string]membership.Member, now clock.Micros) scheduler.BatchAllotment {
-	t.removeExpired(now)
+	t.removeStaleDemands(now)
 	size := max(1, demandSize(own.Items, own.Overdue))
 	offset, total := 0, size
 	self := members[t.self]
--- a/internal/dataplane/batchshare/tracker_test.go
+++ b/internal/dataplane/batchshare/tracker_test.go
@@ -58,7 +58,7 @@
 	if got := tracker.RunningForOtherStores(servers); !maps.Equal(got, map[string]int{"s1": 2, "s2": 1}) {
 		t.Errorf("counted are %v", got)
 	}
-	tracker.removeExpired(3 + demandTTL)
+	tracker.removeStaleDemands(3 + demandTTL)
 	if got := tracker.RunningForOtherStores(servers); len(got) > 0 {
 		t.Errorf("counted are %v", got)
 	}
