--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -5,16 +5,17 @@
 	"tuliprudder/internal/machine"
 )
 
-// BecomeReplica makes this member a replica of the primary at an address, under a new epoch. It
-// takes part once it has the primary's state on disk.
+// BecomeReplica makes this member a replica of the primary at the given address under a new epoch.
+// It accepts entries and grants leases once it has the primary's state on disk.
 func (gs *Groups) BecomeReplica(unit string, epoch uint64, primary string, now clock.Micros) {
 	g := gs.Group(unit)
 	g.asReplica.primary = primary
-	g.asReplica.earlyEntries = nil
-	gs.resign(g, epoch, ReceivingSnapshot, now)
+	g.asReplica.reorderBuffer = nil
+	gs.changeRole(g, epoch, ReceivingSnapshot, now)
 }
 
-// handleAppend applies an entry in its order. One that arrives early is buffered.
+// handleAppend applies an entry in order of sequence numbers. An entry that arrives out of order is
+// buffered.
 func (gs *Groups) handleAppend(from string, m Append) {
 	if gs.rejectStaleEpoch(from, m.Unit, m.Epoch) {
 		return
@@ -27,34 +28,34 @@
 		gs.acknowledge(g, from, false)
 		return
 	case m.Seq <= g.Seq:
-		return // applied, and being written to disk
+		return // already applied; its write to disk is in progress
 	case m.Seq != g.Seq+1:
-		g.asReplica.bufferEarly(m)
+		g.asReplica.addToReorderBuffer(m)
 		return
 	}
 	gs.applyEntry(g, from, m)
 	for {
-		next, ok := g.asReplica.earlyEntries[g.Seq+1]
+		next, ok := g.asReplica.reorderBuffer[g.Seq+1]
 		if !ok || next.Epoch != g.Epoch {
 			return
 		}
-		delete(g.asReplica.earlyEntries, next.Seq)
+		delete(g.asReplica.reorderBuffer, next.Seq)
 		gs.applyEntry(g, from, next)
 	}
 }
 
-// bufferEarly keeps an entry whose predecessors have not arrived. What exceeds the buffer is
-// dropped; the primary sends it again.
-func (r *replicaState) bufferEarly(m Append) {
-	if r.earlyEntries == nil {
-		r.earlyEntries = map[uint64]Append{}
+// addToReorderBuffer buffers an entry whose predecessors have not arrived. If the buffer is full, the
+// entry is dropped; the primary resends it.
+func (r *replicaState) addToReorderBuffer(m Append) {
+	if r.reorderBuffer == nil {
+		r.reorderBuffer = map[uint64]Append{}
 	}
-	if len(r.earlyEntries) < maxEarlyEntries {
-		r.earlyEntries[m.Seq] = m
+	if len(r.reorderBuffer) < maxReorderBuffer {
+		r.reorderBuffer[m.Seq] = m
 	}
 }
 
-// applyEntry applies the next entry, and acknowledges it once it is on disk.
+// applyEntry applies the next entry and acknowledges it once it is on disk.
 func (gs *Groups) applyEntry(g *Group, from string, m Append) {
 	g.Seq = m.Seq
 	gs.state.ApplyEntry(m.Unit, m.Entry)
@@ -67,7 +68,7 @@
 	})
 }
 
-// acknowledge tells the primary what this member has on disk.
+// acknowledge reports to the primary what this member has on disk.
 func (gs *Groups) acknowledge(g *Group, to string, snapshotInstalled bool) {
 	gs.effects.Emit(machine.Send{
 		To: to,
--- a/internal/replication/snapshot_sender_test.go
+++ b/internal/replication/snapshot_sender_test.go
@@ -9,20 +9,20 @@
 	"tuliprudder/internal/machine"
 )
 
-// A large state is sent in chunks, a few at a time, and each chunk may be dropped, duplicated or
-// delayed.
-func TestALargeCopyGoesInChunks(t *testing.T) {
+// A large state is sent in chunks, a few at a time, and arrives complete although a message is
+// dropped, duplicated or delayed.
+func TestLargeSnapshotIsSentInChunks(t *testing.T) {
 	const partCount = 20
 	large := strings.Repeat("x", 100<<10)
 	for number := 0; number <= 24; number += 3 {
-		for _, fate := range mutations {
-			t.Run(fmt.Sprintf("message %d %s", number, fate), func(t *testing.T) {
+		for _, fault := range messageFaults {
+			t.Run(fmt.Sprintf("message %d %s", number, fault), func(t *testing.T) {
 				c := newTestCluster("a", "b")
 				a, b := c.members["a"], c.members["b"]
 				for i := range partCount {
 					a.list = append(a.list, fmt.Sprint(i, large))
 				}
-				c.mutateMessage(number, fate)
+				c.injectFault(number, fault)
 				c.formGroup(t, 1, "a", "b")
 				if c.largestChunk > 300<<10 {
 					t.Fatalf("a chunk has %d bytes", c.largestChunk)
@@ -35,9 +35,9 @@
 	}
 }
 
-// The snapshots of many units share a budget: no more chunks are in flight than it allows, and
-// all get their turn.
-func TestCopiesShareABudget(t *testing.T) {
+// The snapshots of many units share a budget: no more chunks are in flight than it allows, and every
+// chunk is eventually sent.
+func TestSnapshotsShareChunkBudget(t *testing.T) {
 	const unitCount = 10
 	unit := func(i int) string { return fmt.Sprint("u", i) }
 	a := newTestMember()
@@ -75,7 +75,7 @@
 	for i := range unitCount {
 		for chunk, done := range a.groups.Group(unit(i)).asPrimary.replicas[0].transfer.acked {
 			if !done {
-				t.Fatalf("%s: chunk %d never had its turn (%d acknowledged)", unit(i), chunk, acked)
+				t.Fatalf("%s: chunk %d was never sent (%d chunks acknowledged)", unit(i), chunk, acked)
 			}
 		}
 	}
