--- a/internal/dataplane/batchshare/tracker.go
+++ b/internal/dataplane/batchshare/tracker.go
@@ -66,7 +66,8 @@
 	maps.DeleteFunc(t.others, func(_ string, other receivedDemand) bool { return now-other.receivedAt > demandTTL })
 }
 
-// otherLiveStores returns the live stores among the members except this one, ordered by ID.
+// otherLiveStores returns the live stores (alive or suspect) among the members except this one, ordered
+// by ID.
 func (t *Tracker) otherLiveStores(members map[string]membership.Member) []membership.Member {
 	var out []membership.Member
 	for _, id := range slices.Sorted(maps.Keys(members)) {
--- a/internal/dataplane/batchshare/tracker_test.go
+++ b/internal/dataplane/batchshare/tracker_test.go
@@ -52,15 +52,15 @@
 	tracker.Receive(Demand{ID: "c", Items: 9, Running: []ServerItems{{endpoints.NameHash("s1"), 3}, {endpoints.NameHash("unknown here"), 1}}}, 1)
 	servers := []string{"s1", "s2", "s3"}
 	if got := tracker.RunningForOtherStores(servers); !maps.Equal(got, map[string]int{"s1": 5, "s2": 1}) {
-		t.Errorf("counted are %v", got)
+		t.Errorf("got counts %v", got)
 	}
 	tracker.Receive(Demand{ID: "c", Items: 9}, 2)
 	if got := tracker.RunningForOtherStores(servers); !maps.Equal(got, map[string]int{"s1": 2, "s2": 1}) {
-		t.Errorf("counted are %v", got)
+		t.Errorf("got counts %v", got)
 	}
 	tracker.removeStaleDemands(3 + demandTTL)
 	if got := tracker.RunningForOtherStores(servers); len(got) > 0 {
-		t.Errorf("counted are %v", got)
+		t.Errorf("got counts %v", got)
 	}
 }
 
--- a/internal/dataplane/proxy/attempts.go
+++ b/internal/dataplane/proxy/attempts.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// queueDeadline returns until when a request may wait for a server. A request that waits longer is
+// queueDeadline returns the time until which a request may wait for a server. A request that waits longer is
 // rejected, so that its caller learns when to retry while there is still time for a retry.
 func (p *Proxy) queueDeadline(r *activeRequest, now clock.Micros) clock.Micros {
 	if p.scheduler.Disables(mechanism.QueueTimeLimit) {
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -89,9 +89,9 @@
 	avoidedServers    map[string]int
 	attempts          int64 // attempts that reached a server
 	unsentAttempts    int   // attempts whose server accepted no connection
-	localFailures     int   // attempts for which no connection to the server was free here
+	localFailures     int   // attempts for which this daemon had no free connection to the server
 	mayHaveRun        bool  // an attempt may have run, at least in part
-	executionStarted  bool  // a server has begun to run it
+	executionStarted  bool  // a server has started to run it
 }
 
 // New returns the proxy of an edge's state machine; the seed makes its random choices reproducible.
