--- a/internal/dataplane/endpoints/reported_load_test.go
+++ b/internal/dataplane/endpoints/reported_load_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestReportedLoads(t *testing.T) {
+func TestParseReportedLoad(t *testing.T) {
 	for text, want := range map[string]*ReportedLoad{
 		"3,1,9":            {3, 1, 9},
 		" 3, 1 ,9 ":        {3, 1, 9},
@@ -17,7 +17,7 @@
 	} {
 		got := ParseReportedLoad(text)
 		if (got == nil) != (want == nil) || got != nil && *got != *want {
-			t.Errorf("%q is %v, not %v", text, got, want)
+			t.Errorf("%q: got %v, want %v", text, got, want)
 		}
 	}
 }
