--- a/internal/dataplane/scheduler/batch_allotment_test.go
+++ b/internal/dataplane/scheduler/batch_allotment_test.go
@@ -90,10 +90,10 @@
 
 // newConnectionLimitedScheduler returns a scheduler with 5 zones of 10 servers. Each server has 16 slots
 // and accepts 79 connections; 49 edges and 9 stores share them, so that a store has 3 connections to a server.
-func newConnectionLimitedScheduler() (*Scheduler, connections.Shares) {
+func newConnectionLimitedScheduler() (*Scheduler, connections.DaemonCounts) {
 	sc := newFleetScheduler(5, 10, 16)
 	sc.SetConfiguration(&config.Configuration{Version: 1, Pools: []config.Pool{{Name: "p", Servers: config.Selector{}, MaxConnections: 79}}}, 1)
-	return sc, connections.Shares{Edges: 49, Stores: 9}
+	return sc, connections.DaemonCounts{Edges: 49, Stores: 9}
 }
 
 // A store's share must not have more batch slots on a server than the store has connections to it. Otherwise
