--- a/internal/batchstore/claim.go
+++ b/internal/batchstore/claim.go
@@ -5,8 +5,8 @@
 	"tuliprudder/internal/clock"
 )
 
-// beginClaim claims an idempotency key for a one-shot request, or replies with the claim of
-// an earlier one. A voided claim's request never ran, so its key is free.
+// beginClaim claims an idempotency key for a one-shot request, or replies with the existing claim of
+// an earlier request. The request of a voided claim never ran, so its key may be claimed again.
 func (s *Store) beginClaim(call uint64, request ClaimRequest, now clock.Micros) {
 	served, err := s.requireServing(request.Shard, now)
 	if err != nil {
@@ -14,13 +14,13 @@
 		return
 	}
 	id := shard.ClaimID(request.Claim.Tenant, request.Claim.Key)
-	if known := served.state.Claims[id]; known != nil && known.State != shard.Voided {
-		if known.Hash != request.Claim.Hash {
+	if existing := served.state.Claims[id]; existing != nil && existing.State != shard.Voided {
+		if existing.Hash != request.Claim.Hash {
 			s.replyError(call, errClaimKeyReused())
 			return
 		}
-		isRequesters := known.RequestID == request.Claim.RequestID
-		s.replyOnceDurable(served, pendingCall{number: call, deadline: now + request.Timeout, response: ClaimResponse{Yours: isRequesters, Claim: *known}})
+		ownedByRequester := existing.RequestID == request.Claim.RequestID
+		s.replyOnceDurable(served, pendingCall{number: call, deadline: now + request.Timeout, response: ClaimResponse{Yours: ownedByRequester, Claim: *existing}})
 		return
 	}
 	claim := request.Claim
