--- a/internal/batchstore/announce.go
+++ b/internal/batchstore/announce.go
@@ -11,8 +11,8 @@
 	"tuliprudder/internal/replication"
 )
 
-// announcer tells when the next announcement is due: at once after a change of the shards that
-// this store serves, and after a change of its position not more often than the settings allow.
+// announcer schedules announcements. A change of the shards that this store serves is announced after
+// shardAnnounceInterval at the latest; a change of its position no more often than the settings allow.
 type announcer struct {
 	positionChanged bool // since the last announcement
 	shardsChanged   bool
@@ -20,21 +20,22 @@
 	lastAt          clock.Micros
 }
 
-// minAnnounceInterval is the shortest time between two announcements, whatever changed.
-const minAnnounceInterval = 15 * clock.Millisecond
+// shardAnnounceInterval is the minimum interval between announcements once shards have changed, unless
+// the settings allow an even shorter one.
+const shardAnnounceInterval = 15 * clock.Millisecond
 
-// requestForPosition makes an announcement of a new position due.
-func (a *announcer) requestForPosition() { a.positionChanged = true }
+// requestPositionAnnouncement requests an announcement because the position has changed.
+func (a *announcer) requestPositionAnnouncement() { a.positionChanged = true }
 
-// requestForShards makes an announcement of the shards served here due: readers don't find these
-// until then.
-func (a *announcer) requestForShards() { a.shardsChanged = true }
+// requestShardAnnouncement requests an announcement because the shards served by this store have changed.
+// Readers can't locate these shards until it is published.
+func (a *announcer) requestShardAnnouncement() { a.shardsChanged = true }
 
-// begin begins an announcement if one is due, and tells whether it is.
-func (a *announcer) begin(now, positionInterval clock.Micros) bool {
+// beginIfDue starts an announcement if one is due, and reports whether it did.
+func (a *announcer) beginIfDue(now, positionInterval clock.Micros) bool {
 	interval := positionInterval
 	if a.shardsChanged {
-		interval = min(interval, minAnnounceInterval)
+		interval = min(interval, shardAnnounceInterval)
 	}
 	isFirst := a.seq == 0
 	if !a.positionChanged && !a.shardsChanged || !isFirst && now < a.lastAt+interval {
@@ -46,10 +47,10 @@
 	return true
 }
 
-// announce publishes to the reading daemons, when it is due, this writer's persisted-up-to
-// position and the shards that it serves (docs/DESIGN.md §6.5).
+// announce publishes this writer's persisted-up-to position and the shards that it serves to the
+// reading daemons, if an announcement is due (docs/DESIGN.md §6.5).
 func (s *Store) announce(now clock.Micros) {
-	if s.identity.Writer == 0 || !s.announcer.begin(now, s.settings.AnnounceEvery) {
+	if s.identity.Writer == 0 || !s.announcer.beginIfDue(now, s.settings.AnnounceEvery) {
 		return
 	}
 	value, _ := json.Marshal(s.announcement())
@@ -80,8 +81,8 @@
 	local := s.shard(group.Unit)
 	formerWriters := maps.Clone(local.state.LastPositions)
 	delete(formerWriters, s.identity.Writer)
-	if local.formerOwnPosition > 0 {
-		formerWriters[s.identity.Writer] = local.formerOwnPosition
+	if local.ownPositionAtTakeover > 0 {
+		formerWriters[s.identity.Writer] = local.ownPositionAtTakeover
 	}
 	return token.OwnedShard{
 		Shard:         local.index,
--- a/internal/batchstore/announce_test.go
+++ b/internal/batchstore/announce_test.go
@@ -9,51 +9,51 @@
 	"tuliprudder/internal/machine"
 )
 
-// announcementUpdate is the update with the announcement of a writer that owns a shard.
+// announcementUpdate returns the update with the announcement of a writer that owns a shard.
 func announcementUpdate(writer, shardIndex int, epoch uint64) UpdateReceived {
 	value, _ := json.Marshal(token.Announcement{Writer: writer, Shards: []token.OwnedShard{{Shard: shardIndex, Epoch: epoch}}})
 	return UpdateReceived{Update: machine.Update{Key: token.Key(writer), Value: value}}
 }
 
-func TestAnnouncementsAreMadeOnRequestAndNotTooOften(t *testing.T) {
+func TestAnnouncementsFollowChangesAndAreRateLimited(t *testing.T) {
 	const interval = 150 * clock.Millisecond
 	var a announcer
-	if a.begin(0, interval) {
-		t.Fatal("announced without a request")
+	if a.beginIfDue(0, interval) {
+		t.Fatal("announced without a change")
 	}
-	a.requestForPosition()
-	a.requestForPosition()
-	if !a.begin(clock.Second, interval) || a.seq != 1 {
-		t.Fatal("not announced on request")
+	a.requestPositionAnnouncement()
+	a.requestPositionAnnouncement()
+	if !a.beginIfDue(clock.Second, interval) || a.seq != 1 {
+		t.Fatal("a change was not announced")
 	}
-	if a.begin(clock.Second+interval, interval) {
-		t.Fatal("announced again without a request")
+	if a.beginIfDue(clock.Second+interval, interval) {
+		t.Fatal("announced again without another change")
 	}
-	a.requestForPosition()
-	if a.begin(clock.Second+interval-1, interval) {
-		t.Fatal("announced again too early")
+	a.requestPositionAnnouncement()
+	if a.beginIfDue(clock.Second+interval-1, interval) {
+		t.Fatal("announced again before the interval had passed")
 	}
-	if !a.begin(clock.Second+interval, interval) || a.seq != 2 {
-		t.Fatal("not announced again in time")
+	if !a.beginIfDue(clock.Second+interval, interval) || a.seq != 2 {
+		t.Fatal("not announced again once the interval had passed")
 	}
 }
 
-// Readers learn soon of shards that move, however seldom positions are announced.
+// Changed shards are announced within shardAnnounceInterval, even if the interval for positions is longer.
 func TestShardsAreAnnouncedSoonerThanPositions(t *testing.T) {
 	const interval = clock.Second
 	var a announcer
-	a.requestForPosition()
-	a.begin(clock.Second, interval)
-	a.requestForShards()
-	if a.begin(clock.Second+minAnnounceInterval-1, interval) {
-		t.Fatal("announced again too early")
+	a.requestPositionAnnouncement()
+	a.beginIfDue(clock.Second, interval)
+	a.requestShardAnnouncement()
+	if a.beginIfDue(clock.Second+shardAnnounceInterval-1, interval) {
+		t.Fatal("announced again before shardAnnounceInterval had passed")
 	}
-	if !a.begin(clock.Second+minAnnounceInterval, interval) {
-		t.Fatal("not announced soon")
+	if !a.beginIfDue(clock.Second+shardAnnounceInterval, interval) {
+		t.Fatal("changed shards were not announced after shardAnnounceInterval")
 	}
-	a.requestForPosition()
-	if a.begin(clock.Second+2*minAnnounceInterval, interval) {
-		t.Fatal("a position is announced as soon as shards are")
+	a.requestPositionAnnouncement()
+	if a.beginIfDue(clock.Second+2*shardAnnounceInterval, interval) {
+		t.Fatal("a changed position was announced after shardAnnounceInterval already")
 	}
 }
 
--- a/internal/dataplane/requests/attempts_test.go
+++ b/internal/dataplane/requests/attempts_test.go
@@ -13,19 +13,19 @@
 	"tuliprudder/internal/machine"
 )
 
-// liveBench is a Machine with two servers and a live request, past its admission.
-type liveBench struct {
+// liveHarness is a Machine with two servers and an admitted live request.
+type liveHarness struct {
 	*Machine
 	t   *testing.T
 	now clock.Micros
 }
 
-func newLiveBench(t *testing.T, kind string) *liveBench {
+func newLiveHarness(t *testing.T, kind string) *liveHarness {
 	t.Helper()
 	settings := scheduler.Defaults()
 	settings.MaxStaleness = scheduler.UnlimitedStaleness
 	calls := machine.NewCalls()
-	b := &liveBench{t: t, now: clock.Second}
+	b := &liveHarness{t: t, now: clock.Second}
 	b.Machine = New(Defaults(), calls, scheduler.New(settings, 1), nil, nil, decisionlog.New(1))
 	configuration := &config.Configuration{
 		Version:       1,
@@ -54,8 +54,8 @@
 	return b
 }
 
-// decision is the reply to the current call: an Attempt, a Response, or the kind of an error.
-func (b *liveBench) decision() any {
+// decision returns the reply to the current call: an Attempt, a Response, or the kind of an error.
+func (b *liveHarness) decision() any {
 	b.t.Helper()
 	b.scheduler.MatchUntilStable(b.now)
 	var replies []machine.Reply
@@ -65,7 +65,7 @@
 		}
 	}
 	if len(replies) != 1 {
-		b.t.Fatalf("%d replies, not one: %+v", len(replies), replies)
+		b.t.Fatalf("%d replies, want 1: %+v", len(replies), replies)
 	}
 	if err := replies[0].Err; err != nil {
 		return errs.Of(err).Kind
@@ -73,12 +73,13 @@
 	return replies[0].Body
 }
 
-// What follows an attempt depends on the kind of the route, on the outcome, and on whether output
-// has reached the caller. The table is written by hand, not computed by the rules it checks.
-func TestWhatFollowsAnAttempt(t *testing.T) {
+// What happens after an attempt depends on the kind of the route, the outcome, and whether the caller
+// has received output. The expected results are written out by hand, so that they are independent of
+// the code under test.
+func TestRetryDecisionByOutcomeAndRouteKind(t *testing.T) {
 	const (
 		oneShot, stream, resumable = config.OneShot, config.Stream, config.Resumable
-		retried                    = errs.Kind("") // another attempt, at the other server
+		retried                    = errs.Kind("") // another attempt, on the other server
 	)
 	everyKind := []string{oneShot, stream, resumable}
 	for name, c := range map[string]struct {
@@ -97,10 +98,10 @@
 	} {
 		for _, kind := range c.kinds {
 			t.Run(name+"/"+kind, func(t *testing.T) {
-				b := newLiveBench(t, kind)
+				b := newLiveHarness(t, kind)
 				first, ok := b.decision().(Attempt)
 				if !ok {
-					t.Fatal("the request is not attempted")
+					t.Fatal("no attempt was started")
 				}
 				result := c.result
 				result.RequestID = "o"
@@ -108,39 +109,39 @@
 				got := b.decision()
 				if c.want != retried {
 					if got != c.want || b.InFlight() != 0 {
-						t.Errorf("%+v follows, not %s; %d in flight", got, c.want, b.InFlight())
+						t.Errorf("the decision is %+v, want %s; %d requests in flight, want 0", got, c.want, b.InFlight())
 					}
 					return
 				}
 				second, ok := got.(Attempt)
 				if !ok || second.Request.PartialOutput != c.result.Output || second.Deadline != first.Deadline {
-					t.Fatalf("%+v follows", got)
+					t.Fatalf("the decision is %+v, want an attempt with the same deadline and the output so far", got)
 				}
 				excluded := c.result.Outcome == modelclient.NotStarted
 				if excluded && second.Request.Address == first.Request.Address {
-					t.Errorf("both attempts are on %s", first.Request.Address)
+					t.Errorf("both attempts use %s, which did not start the request", first.Request.Address)
 				}
 			})
 		}
 	}
 }
 
-// A complete output is the caller's response, whatever the kind of the route.
-func TestACompleteAttemptIsTheResponse(t *testing.T) {
+// The output of a complete attempt is the caller's response, for routes of every kind.
+func TestCompleteAttemptBecomesResponse(t *testing.T) {
 	for _, kind := range []string{config.OneShot, config.Stream, config.Resumable} {
-		b := newLiveBench(t, kind)
+		b := newLiveHarness(t, kind)
 		attempt := b.decision().(Attempt)
 		b.Call(2, AttemptResult{RequestID: "o", Outcome: modelclient.Complete, Output: "y"}, b.now)
-		want := Response{RequestID: "o", Status: answerOK, Output: "y", Server: attempt.Request.Address[:2]}
+		want := Response{RequestID: "o", Status: responseStatusOK, Output: "y", Server: attempt.Request.Address[:2]}
 		if got := b.decision(); got != want || b.InFlight() != 0 {
-			t.Errorf("%s: %+v, not %+v; %d in flight", kind, got, want, b.InFlight())
+			t.Errorf("%s: the decision is %+v, want %+v; %d requests in flight, want 0", kind, got, want, b.InFlight())
 		}
 	}
 }
 
-// Once an attempt may have run, running out of attempts leaves the outcome unknown; before, the
+// When the attempts are used up, the outcome is unknown if one of them may have run; otherwise the
 // request is rejected.
-func TestNoAttemptsLeft(t *testing.T) {
+func TestErrorAfterLastAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
 		first modelclient.Outcome
 		want  errs.Kind
@@ -149,30 +150,30 @@
 		"the first one may have run": {modelclient.Interrupted, errs.OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newLiveBench(t, config.Stream)
+			b := newLiveHarness(t, config.Stream)
 			b.settings.MaxAttempts = 2
 			b.decision()
 			b.Call(2, AttemptResult{RequestID: "o", Outcome: c.first}, b.now)
 			b.decision()
 			b.Call(3, AttemptResult{RequestID: "o", Outcome: modelclient.NotStarted}, b.now)
 			if got := b.decision(); got != c.want {
-				t.Errorf("%+v, not %s", got, c.want)
+				t.Errorf("the decision is %+v, want %s", got, c.want)
 			}
 		})
 	}
 }
 
-// A queued request whose caller disconnects is rejected; one on a server goes on until its
-// result.
-func TestDisconnect(t *testing.T) {
-	b := newLiveBench(t, config.OneShot)
+// A request whose caller disconnects while it is on a server continues until that attempt's result
+// and is then rejected instead of retried.
+func TestDisconnectedRequestIsNotRetried(t *testing.T) {
+	b := newLiveHarness(t, config.OneShot)
 	b.decision()
 	b.Call(2, CallerDisconnected{RequestID: "o"}, b.now)
 	if got := b.decision(); got != nil || b.InFlight() != 1 {
-		t.Fatalf("on a server: %+v, %d in flight", got, b.InFlight())
+		t.Fatalf("disconnected while on a server: reply %+v, %d requests in flight, want 1", got, b.InFlight())
 	}
 	b.Call(3, AttemptResult{RequestID: "o", Outcome: modelclient.NotStarted}, b.now)
 	if got := b.decision(); got != errs.Rejected {
-		t.Fatalf("an attempt after the caller disconnected: %+v", got)
+		t.Fatalf("after the caller disconnected, the decision is %+v, want a rejection", got)
 	}
 }
--- a/internal/dataplane/requests/resubmission.go
+++ b/internal/dataplane/requests/resubmission.go
@@ -8,59 +8,61 @@
 	"tuliprudder/internal/errs"
 )
 
-// resubmitBatch submits a batch of opaque requests once more whose route this edge doesn't know: its
-// caller may have missed the acknowledgement, and the route has been removed since. What the cluster
-// has accepted is known from the batch's shard alone, which has the route's name too; so it makes no
-// difference when this edge started, and an edge remembers no routes.
+// resubmitBatch handles the submission of a batch of opaque requests whose route this edge does not
+// know: its caller may have missed the acknowledgement of an earlier submission, and the route was
+// removed since. The batch's shard alone determines whether the batch was accepted, and stores the
+// name of its route, so edges keep no removed routes and the reply does not depend on when this edge
+// started.
 func (m *Machine) resubmitBatch(call uint64, request ResubmitForwardedBatchRequest, now clock.Micros) {
 	if err := checkBatchID(request.ID); err != nil {
-		m.fail(call, err)
+		m.replyError(call, err)
 		return
 	}
 	if err := validateItems(request.Items, len(request.Items), true); err != nil {
-		m.fail(call, err)
+		m.replyError(call, err)
 		return
 	}
-	by, err := m.authorizeBatchCall(request.APIKey)
+	access, err := m.authorizeBatchCall(request.APIKey)
 	if errs.Is(err, errs.Unauthorised) {
-		err = errNoRouteNorBatch(request.ID) // the route comes first, whoever calls
+		err = unknownRouteAndBatchError(request.ID) // the route is checked before the key
 	}
 	if err != nil {
-		m.fail(call, err)
+		m.replyError(call, err)
 		return
 	}
-	m.readStatus(request.ID, by, now, func(body any, err error, now clock.Micros) {
+	m.readStatus(request.ID, access, now, func(body any, err error, now clock.Micros) {
 		status, isStatus := body.(batchstore.BatchStatus)
 		switch {
 		case errs.Is(err, errs.NotFound):
-			m.fail(call, errNoRouteNorBatch(request.ID))
+			m.replyError(call, unknownRouteAndBatchError(request.ID))
 		case err != nil:
 			m.relayStatus(call)(body, err, now)
 		case !isStatus:
-			m.fail(call, unexpectedReplyError(body))
+			m.replyError(call, unexpectedReplyError(body))
 		default:
-			m.submitKnown(call, status.Route, by, request, now)
+			m.submitAcceptedBatch(call, status.Route, access, request, now)
 		}
 	})
 }
 
-// submitKnown submits a batch that its shard has: the store compares the content with what it
-// accepted. If the batch has been forgotten meanwhile, the store finds no such route either.
-func (m *Machine) submitKnown(call uint64, routeName string, by batchstore.Access, request ResubmitForwardedBatchRequest, now clock.Micros) {
+// submitAcceptedBatch submits a batch that its shard already has: the store compares the content with
+// that of the accepted batch. If the batch has been removed in the meantime, the store does not find
+// its route either and rejects it.
+func (m *Machine) submitAcceptedBatch(call uint64, routeName string, access batchstore.Access, request ResubmitForwardedBatchRequest, now clock.Micros) {
 	configuration, err := m.currentConfiguration()
 	if err != nil {
-		m.fail(call, err)
+		m.replyError(call, err)
 		return
 	}
-	m.submit(call, forwardedBatch(request.ID, routeName, by.Tenant, configuration, request.Items), by, request.Deadline, now)
+	m.submit(call, forwardedBatch(request.ID, routeName, access.Tenant, configuration, request.Items), access, request.Deadline, now)
 }
 
-func errNoRouteNorBatch(batch string) error {
-	return errs.New(errs.UnknownRoute, "correct host and path, or have the operators add a route", "no route for batch %q, and no such batch", batch)
+func unknownRouteAndBatchError(batch string) error {
+	return errs.New(errs.UnknownRoute, "correct the host and path, or ask the operators to add a route", "there is no route for batch %q and no batch with this ID", batch)
 }
 
-// forwardedBatch is a batch of opaque requests. Where it belongs to no tenant, its route stands in the
-// tenant's place.
+// forwardedBatch returns a batch of opaque requests. If the batch belongs to no tenant, its Tenant field
+// holds the name of its route and its Key is empty.
 func forwardedBatch(id, routeName, tenant string, configuration *config.Configuration, items []shard.Item) shard.Batch {
 	key := id
 	if tenant == "" {
