--- a/internal/daemon/effects/acts.go
+++ b/internal/daemon/effects/acts.go
@@ -29,7 +29,7 @@
 
 // perform performs an act until its deadline, and reports its result.
 func (e *ActExecutor) perform(task exclusive.Task) {
-	ctx, cancel := context.WithDeadline(context.Background(), e.timeOf(task.Deadline))
+	ctx, cancel := context.WithDeadline(context.Background(), e.systemTime(task.Deadline))
 	defer cancel()
 	result := exclusive.NoAnswer
 	if ctx.Err() == nil {
@@ -38,9 +38,9 @@
 	e.Notify(exclusive.Performed{ID: task.Permit.ID, Result: result})
 }
 
-// timeOf is the system's time at a time of the daemon's. The system's is read first: what passes between the
+// systemTime is the system's time at a time of the daemon's. The system's is read first: what passes between the
 // two, such as a freeze of the process, makes it earlier, never later.
-func (e *ActExecutor) timeOf(at clock.Micros) time.Time {
+func (e *ActExecutor) systemTime(at clock.Micros) time.Time {
 	before := time.Now()
 	return before.Add(clock.Duration(at - e.Now()))
 }
--- a/internal/daemon/effects/acts_test.go
+++ b/internal/daemon/effects/acts_test.go
@@ -39,14 +39,14 @@
 }
 
 // A process that is frozen right after it looked at the clock gave its act new time when it went on.
-func TestAFreezeAfterALookAtTheClockExtendsNoDeadline(t *testing.T) {
+func TestAFreezeAfterReadingTheClockExtendsNoDeadline(t *testing.T) {
 	now := 100 * clock.Second
-	var lookedAt, deadline time.Time
+	var clockReadAt, deadline time.Time
 	reports := make(chan any, 1)
 	executor := &ActExecutor{
 		Notify: func(report any) { reports <- report },
 		Now: func() clock.Micros {
-			lookedAt = time.Now()
+			clockReadAt = time.Now()
 			return now
 		},
 		Perform: func(ctx context.Context, _ exclusive.Permit) exclusive.Result {
@@ -56,7 +56,7 @@
 	}
 	executor.Execute(exclusive.Task{Deadline: now + clock.Second})
 	<-reports
-	if late := deadline.Sub(lookedAt.Add(time.Second)); late > 0 {
+	if late := deadline.Sub(clockReadAt.Add(time.Second)); late > 0 {
 		t.Fatalf("the deadline moves with what passes after the look at the clock, here by %v", late)
 	}
 }
--- a/internal/daemon/effects/executor.go
+++ b/internal/daemon/effects/executor.go
@@ -85,11 +85,11 @@
 		e.Notify(e.forward(ctx, attempt))
 		return
 	}
-	e.Notify(e.complete(ctx, attempt))
+	e.Notify(e.completePrompt(ctx, attempt))
 }
 
-// complete has a model server complete the prompt of an attempt.
-func (e *Executor) complete(ctx context.Context, attempt execution.Attempt) execution.AttemptResult {
+// completePrompt has a model server completePrompt the prompt of an attempt.
+func (e *Executor) completePrompt(ctx context.Context, attempt execution.Attempt) execution.AttemptResult {
 	var output strings.Builder
 	outcome, err := modelclient.StreamCompletion(ctx, attempt.Request, func(chunk string) error {
 		if output.Len()+len(chunk) > attempt.MaxOutputBytes {
--- a/internal/daemon/effects/forward.go
+++ b/internal/daemon/effects/forward.go
@@ -44,7 +44,7 @@
 	}
 	response, err := f.Client.Do(ctx, upstreamRequest(attempt))
 	if err != nil {
-		result.Reason = reasonOf(ctx, err)
+		result.Reason = failureReason(ctx, err)
 		if upstream.DeliveryOf(err) == upstream.NotWritten {
 			result.Outcome = modelclient.NotStarted
 		}
@@ -53,7 +53,7 @@
 	defer response.Close()
 	if response.Status == http.StatusOK && !response.NotRun {
 		if err := f.collectEvents(attempt, response, idle, &result); err != nil {
-			result.Reason = reasonOf(ctx, err)
+			result.Reason = failureReason(ctx, err)
 			return result
 		}
 		result.Outcome = modelclient.Complete
--- a/internal/daemon/effects/forward_tenant_test.go
+++ b/internal/daemon/effects/forward_tenant_test.go
@@ -11,8 +11,8 @@
 
 // Items reached their servers without a tenant, or with that which their own headers named, and so did a key
 // among those. (Issue 40.)
-func TestAnItemsServerGetsItsTenantAndNoKey(t *testing.T) {
-	own := map[string]string{"X-Model": "m", "authorization": "Token k", "x-TENANT": "forged"}
+func TestForwardedItemsCarryTheirTenantAndNoCredential(t *testing.T) {
+	itemHeaders := map[string]string{"X-Model": "m", "authorization": "Token k", "x-TENANT": "forged"}
 	for name, c := range map[string]struct {
 		isAuthenticated bool
 		tenant          string
@@ -29,7 +29,7 @@
 		})
 		forwarder, _ := newForwarder()
 		attempt := newAttempt(address, 0)
-		attempt.ForwardedItem.Request.Header = own
+		attempt.ForwardedItem.Request.Header = itemHeaders
 		attempt.ForwardedItem.IsAuthenticated, attempt.ForwardedItem.Tenant = c.isAuthenticated, c.tenant
 		if result := forwarder.Forward(context.Background(), attempt); result.Outcome != modelclient.Complete {
 			t.Errorf("%s: %+v", name, result)
--- a/internal/daemon/effects/forward_test.go
+++ b/internal/daemon/effects/forward_test.go
@@ -113,11 +113,11 @@
 func TestItemIsForwardedUnchanged(t *testing.T) {
 	for resume, want := range map[int]string{0: "", 4: "4"} {
 		f, _ := newForwarder()
-		var line, host, body string
+		var requestLine, host, body string
 		var header http.Header
 		address := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 			data, _ := io.ReadAll(r.Body)
-			line, host, body, header = r.Method+" "+r.RequestURI, r.Host, string(data), r.Header.Clone()
+			requestLine, host, body, header = r.Method+" "+r.RequestURI, r.Host, string(data), r.Header.Clone()
 			stream(eventStream(resume+1, resume+2), false)(w, r)
 		})
 		result := f.Forward(t.Context(), newAttempt(address, resume))
@@ -125,8 +125,8 @@
 		if !reflect.DeepEqual(result, wantResult) {
 			t.Errorf("resumed after %d: %+v", resume, result)
 		}
-		if line != "POST /lot/a%2Fb?c=1" || host != "lots.example" || body != "a\x00b" {
-			t.Errorf("the server got %q at %q with %q", line, host, body)
+		if requestLine != "POST /lot/a%2Fb?c=1" || host != "lots.example" || body != "a\x00b" {
+			t.Errorf("the server got %q at %q with %q", requestLine, host, body)
 		}
 		for name, value := range map[string]string{
 			"X-Model":                   "m",
@@ -158,7 +158,7 @@
 
 // The outcome of an attempt is complete only with every event and the end; failed and
 // rejected only where the server says so; not started only where that is certain.
-func TestOutcomes(t *testing.T) {
+func TestAttemptOutcomes(t *testing.T) {
 	for name, test := range map[string]struct {
 		response    http.HandlerFunc // nil: nothing listens
 		resumeAfter int
@@ -406,7 +406,7 @@
 
 // A server that falls silent, before its response or within it, has the item for as long as it may
 // be silent and no longer; what it sent before stays.
-func TestASilentServerDoesNotKeepAnItem(t *testing.T) {
+func TestAnIdleServerLosesItsItem(t *testing.T) {
 	for events, lastEvent := range map[int]int{0: 0, 2: 2} {
 		f, _ := newForwarder()
 		f.IdleTimeout = 50 * time.Millisecond
@@ -425,7 +425,7 @@
 }
 
 // A server that goes on sending is not silent, however long it takes altogether.
-func TestASlowServerIsNotSilent(t *testing.T) {
+func TestASlowServerIsNotIdle(t *testing.T) {
 	f, _ := newForwarder()
 	f.IdleTimeout = 300 * time.Millisecond
 	const events = 8
@@ -442,7 +442,7 @@
 
 // An item that wants other weights than its server has isn't started there, and the result tells the
 // version that the server has.
-func TestAnItemThatWantsOtherWeights(t *testing.T) {
+func TestAnItemIsNotStartedOnOtherWeights(t *testing.T) {
 	f, _ := newForwarder()
 	address := startServer(t, status(http.StatusMisdirectedRequest, testHeaderNames.WeightVersion, "7"))
 	attempt := newAttempt(address, 0)
--- a/internal/daemon/effects/idle_timeout.go
+++ b/internal/daemon/effects/idle_timeout.go
@@ -34,8 +34,8 @@
 // stop stops the timer.
 func (t idleTimer) stop() { t.timer.Stop() }
 
-// reasonOf is why an attempt failed with an error: that its server was silent, if it was.
-func reasonOf(ctx context.Context, err error) string {
+// failureReason is why an attempt failed with an error: that its server was silent, if it was.
+func failureReason(ctx context.Context, err error) string {
 	if errors.Is(context.Cause(ctx), errIdleTimeout) {
 		return errIdleTimeout.Error()
 	}
--- a/internal/daemon/eventloop/calls_test.go
+++ b/internal/daemon/eventloop/calls_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestACallWithoutAReplyEnds(t *testing.T) {
+func TestACallWithoutAReplyTimesOut(t *testing.T) {
 	loop, _ := startLoop(t, &callRecorder{received: make(chan machine.Reply, 1)})
 	if _, err := loop.CallLocalContext(t.Context(), "call", nil, time.Millisecond); !errors.Is(err, errNoReply) {
 		t.Errorf("the error is %v", err)
--- a/internal/daemon/eventloop/disk_queue.go
+++ b/internal/daemon/eventloop/disk_queue.go
@@ -49,9 +49,9 @@
 	if q.closed {
 		return false
 	}
-	one := queuedEffect{effect: effect, bytes: sizeOf(effect)}
-	q.queued = append(q.queued, one)
-	q.bytes += one.bytes
+	entry := queuedEffect{effect: effect, bytes: sizeOf(effect)}
+	q.queued = append(q.queued, entry)
+	q.bytes += entry.bytes
 	q.changed.Broadcast()
 	return true
 }
--- a/internal/daemon/eventloop/disk_queue_test.go
+++ b/internal/daemon/eventloop/disk_queue_test.go
@@ -9,7 +9,7 @@
 
 // The queue is bounded by count and by bytes: a put into a full one waits until the disk
 // writer has taken something, and nothing is lost or reordered.
-func TestTheDisksQueueIsBounded(t *testing.T) {
+func TestDiskQueueIsBounded(t *testing.T) {
 	for name, queue := range map[string]*diskQueue{
 		"by count": newDiskQueue(3, 1<<20),
 		"by bytes": newDiskQueue(1000, 3*2*recordOverhead),
@@ -53,7 +53,7 @@
 
 // One effect larger than the queue is still taken, and a put that waits ends when the queue
 // closes.
-func TestTheDisksQueueCloses(t *testing.T) {
+func TestDiskQueueCloses(t *testing.T) {
 	q := newDiskQueue(10, 1000)
 	large := machine.Compact{Records: []machine.Record{{Body: make([]byte, 5000)}}}
 	if !q.put(large) {
--- a/internal/daemon/eventloop/disk_writer.go
+++ b/internal/daemon/eventloop/disk_writer.go
@@ -77,7 +77,7 @@
 			group.add(persist)
 			continue
 		}
-		if !d.commit(&group) || !d.writeOne(effect) {
+		if !d.commit(&group) || !d.writeUngrouped(effect) {
 			return false
 		}
 	}
@@ -108,8 +108,8 @@
 	return true
 }
 
-// writeOne writes what is no part of a commit group.
-func (d *diskWriter) writeOne(effect machine.Effect) bool {
+// writeUngrouped writes what is no part of a commit group.
+func (d *diskWriter) writeUngrouped(effect machine.Effect) bool {
 	switch e := effect.(type) {
 	case machine.Compact:
 		d.compact(e.Records)
--- a/internal/daemon/eventloop/disk_writer_test.go
+++ b/internal/daemon/eventloop/disk_writer_test.go
@@ -156,7 +156,7 @@
 }
 
 // Another error of a write does not end the writer either, and has its own condition.
-func TestAFailingDiskIsNamed(t *testing.T) {
+func TestAWriteErrorMakesTheDiskFailing(t *testing.T) {
 	f := newDiskFixture()
 	f.disk.fail = func(string) error {
 		if len(f.pauses) == 0 {
--- a/internal/daemon/eventloop/identity.go
+++ b/internal/daemon/eventloop/identity.go
@@ -70,7 +70,7 @@
 func readIdentity(dataFolder, kind string) (Identity, error) {
 	data, err := os.ReadFile(filepath.Join(dataFolder, identityFile))
 	if os.IsNotExist(err) {
-		return firstIdentity(dataFolder, kind)
+		return createIdentity(dataFolder, kind)
 	}
 	if err != nil {
 		return Identity{}, errors.Wrap(err, "reading the identity")
@@ -85,9 +85,9 @@
 	return self, nil
 }
 
-// firstIdentity makes the identity of an empty folder. Records without an identity are
+// createIdentity makes the identity of an empty folder. Records without an identity are
 // somebody's, but nobody knows whose.
-func firstIdentity(dataFolder, kind string) (Identity, error) {
+func createIdentity(dataFolder, kind string) (Identity, error) {
 	records, err := filepath.Glob(filepath.Join(dataFolder, recordsFolder, "*.*"))
 	if err != nil {
 		return Identity{}, errors.Wrap(err, "looking for records")
--- a/internal/daemon/eventloop/identity_test.go
+++ b/internal/daemon/eventloop/identity_test.go
@@ -46,7 +46,7 @@
 }
 
 // A folder that is another's, damaged, or without an owner is never guessed at.
-func TestWrongFolders(t *testing.T) {
+func TestLoadIdentityRejectsWrongFolders(t *testing.T) {
 	folder := t.TempDir()
 	if _, err := LoadIdentity(folder, "refuge"); err != nil {
 		t.Fatal(err)
--- a/internal/daemon/eventloop/loop.go
+++ b/internal/daemon/eventloop/loop.go
@@ -203,8 +203,8 @@
 
 // enqueueMachineWait puts a step for the machine on its ring, and waits where the ring is
 // full: what it says must not be lost. It gives up once the daemon stops.
-func (l *Loop) enqueueMachineWait(one step) {
-	for !l.enqueueMachine(one) && !l.machineThread.steps.Closed() {
+func (l *Loop) enqueueMachineWait(s step) {
+	for !l.enqueueMachine(s) && !l.machineThread.steps.Closed() {
 		time.Sleep(fullRingDelay)
 	}
 }
@@ -213,4 +213,4 @@
 const fullRingDelay = time.Millisecond
 
 // enqueueMachine puts a step for the machine on its ring; false when the ring is full or closed.
-func (l *Loop) enqueueMachine(one step) bool { return l.machineThread.enqueue(one) }
+func (l *Loop) enqueueMachine(s step) bool { return l.machineThread.enqueue(s) }
--- a/internal/daemon/eventloop/thread.go
+++ b/internal/daemon/eventloop/thread.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	ringSize    = 65536
-	maxStepsRun = 256 // steps taken off the ring at once
+	ringSize        = 65536
+	maxStepsPerTake = 256 // steps taken off the ring at once
 )
 
 // step is one call of a state machine.
@@ -34,25 +34,25 @@
 // run runs steps until the ring is closed and empty. The effects of a step are executed
 // after the lock is released, and before the next step.
 func (t *thread) run(now func() clock.Micros, execute func([]machine.Effect)) {
-	for steps := t.steps.Take(maxStepsRun); steps != nil; steps = t.steps.Take(maxStepsRun) {
-		for _, one := range steps {
-			execute(t.runStep(one, now))
+	for steps := t.steps.Take(maxStepsPerTake); steps != nil; steps = t.steps.Take(maxStepsPerTake) {
+		for _, s := range steps {
+			execute(t.runStep(s, now))
 		}
 	}
 }
 
-func (t *thread) runStep(one step, now func() clock.Micros) []machine.Effect {
+func (t *thread) runStep(s step, now func() clock.Micros) []machine.Effect {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var effects []machine.Effect
 	if t.beforeStep != nil {
 		effects = t.beforeStep(now())
 	}
-	return append(effects, one(now())...)
+	return append(effects, s(now())...)
 }
 
 // enqueue puts a step on the ring; false when the ring is full or closed.
-func (t *thread) enqueue(one step) bool { return t.steps.Put(one) }
+func (t *thread) enqueue(s step) bool { return t.steps.Put(s) }
 
 // enqueueTick puts a tick on the ring unless one is still there: a thread that is behind
 // catches up with one.
--- a/internal/daemon/eventloop/thread_test.go
+++ b/internal/daemon/eventloop/thread_test.go
@@ -25,7 +25,7 @@
 	return func(clock.Micros) []machine.Effect { return []machine.Effect{machine.Send{Body: body}} }
 }
 
-func TestStepsRunInOrderAfterWhatGoesBefore(t *testing.T) {
+func TestStepsRunInOrderEachAfterBeforeStep(t *testing.T) {
 	thread := newThread()
 	thread.beforeStep = sendStep("before")
 	thread.enqueue(sendStep("first"))
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestATickThatFindsNoRoomIsNotPending(t *testing.T) {
+func TestADroppedTickIsNotPending(t *testing.T) {
 	thread := newThread()
 	thread.steps.Close()
 	thread.enqueueTick(noEffects)
--- a/internal/daemon/machines/core_performer_test.go
+++ b/internal/daemon/machines/core_performer_test.go
@@ -12,15 +12,15 @@
 	"tuliprudder/internal/machine"
 )
 
-const actingPrimary = "10.0.0.2:1"
+const testPrimaryAddress = "10.0.0.2:1"
 
-// actingCore is a core that knows the primary from gossip alone.
-func actingCore(t *testing.T) *Core {
+// newPerformingCore is a core that knows the primary from gossip alone.
+func newPerformingCore(t *testing.T) *Core {
 	t.Helper()
 	ref := election.CoreRef{ID: "core-1", Peer: "10.0.0.1:1", Zone: "zone-a"}
-	core := NewCore(controlplane.New(ref, 1, []string{actingPrimary}, controlplane.Defaults(), nil))
+	core := NewCore(controlplane.New(ref, 1, []string{testPrimaryAddress}, controlplane.Defaults(), nil))
 	core.EnablePerformer(exclusive.Holder{Name: "machine-1", Instance: "core-1/1"}, exclusive.PerformerDefaults())
-	value, err := json.Marshal(state.CoreUpdate{Epoch: 3, Primary: "core-2", Peer: actingPrimary})
+	value, err := json.Marshal(state.CoreUpdate{Epoch: 3, Primary: "core-2", Peer: testPrimaryAddress})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,10 +39,10 @@
 }
 
 func TestACorePerformsWhatThePrimaryPermits(t *testing.T) {
-	core := actingCore(t)
+	core := newPerformingCore(t)
 	now := 100 * clock.Second
 	request, isSent := permitRequest(core.Tick(now))
-	if !isSent || request.To != actingPrimary {
+	if !isSent || request.To != testPrimaryAddress {
 		t.Fatalf("the request is %+v", request)
 	}
 	id := exclusive.PermitID{Epoch: 3, Serial: 1}
@@ -59,8 +59,8 @@
 	}
 }
 
-func TestACoreThatDrainsLeavesItsActs(t *testing.T) {
-	core := actingCore(t)
+func TestADrainingCoreRequestsNoPermits(t *testing.T) {
+	core := newPerformingCore(t)
 	core.Call(7, controlplane.Drain{}, clock.Second)
 	if request, isSent := permitRequest(core.Tick(clock.Second)); !isSent || !request.Body.(exclusive.Request).ReportOnly {
 		t.Fatalf("the request is %+v", request)
@@ -68,7 +68,7 @@
 }
 
 func TestACoreWithoutActsRequestsNothing(t *testing.T) {
-	core := actingCore(t)
+	core := newPerformingCore(t)
 	core.acts = newCorePerformer()
 	if request, isSent := permitRequest(core.Tick(clock.Second)); isSent {
 		t.Fatalf("the request is %+v", request)
--- a/internal/daemon/machines/late_configuration_test.go
+++ b/internal/daemon/machines/late_configuration_test.go
@@ -31,9 +31,9 @@
 	return s.UpdateReceived(machine.Update{Key: state.ConfigurationKey, Seq: version, Value: value}, now)
 }
 
-// ownedElsewhere has "store" know a map in which "other" serves one shard more, and gives a tenant of
+// tenantOwnedElsewhere has "store" know a map in which "other" serves one shard more, and gives a tenant of
 // the route "r" whose account that shard's primary owns.
-func (p *replicaPair) ownedElsewhere(t *testing.T) (tenant string) {
+func (p *replicaPair) tenantOwnedElsewhere(t *testing.T) (tenant string) {
 	t.Helper()
 	var m state.Map
 	update := mapUpdate(9, true)
@@ -54,16 +54,16 @@
 	return ""
 }
 
-// submitOf has "store" accept a batch of a tenant, with one forwarded item.
-func (p *replicaPair) submitOf(tenant string, tokens int64) {
+// submitForTenant has "store" accept a batch of a tenant, with one forwarded item.
+func (p *replicaPair) submitForTenant(tenant string, tokens int64) {
 	p.do("store", batchstore.Call{Number: 1, Body: batchstore.SubmitRequest{
 		Timeout: clock.Second,
 		Batch:   shard.Batch{ID: "b", Tenant: tenant, Key: "b", Route: "r", Items: []shard.Item{forwardedItem(tokens)}},
 	}})
 }
 
-// reportedTo lists the reports on pending batches among some effects, by the daemon that gets them.
-func reportedTo(effects []machine.Effect) map[string][]quota.LeaseRequest {
+// pendingReports lists the reports on pending batches among some effects, by the daemon that gets them.
+func pendingReports(effects []machine.Effect) map[string][]quota.LeaseRequest {
 	out := map[string][]quota.LeaseRequest{}
 	for _, effect := range effects {
 		if request, ok := effect.(machine.Request); ok {
@@ -79,7 +79,7 @@
 func expectReport(t *testing.T, tenant string, effects []machine.Effect) {
 	t.Helper()
 	want := shard.AccountName{Tenant: tenant, Route: "r"}
-	got := reportedTo(effects)
+	got := pendingReports(effects)
 	if len(got) != 1 || len(got["other"]) != 1 || got["other"][0].Name != want || got["other"][0].Report.InUse != 70 || got["other"][0].Quota != 100 {
 		t.Errorf("reported %+v", got)
 	}
@@ -87,12 +87,12 @@
 
 // What a store accepted while its configuration set no limit is known to the account's owner as soon as
 // the store has one that does, without another submission.
-func TestWhatWasAcceptedWithoutALimitIsReported(t *testing.T) {
+func TestBatchesAcceptedWithoutALimitAreReported(t *testing.T) {
 	pair := newReplicaPair()
-	tenant := pair.ownedElsewhere(t)
+	tenant := pair.tenantOwnedElsewhere(t)
 	s := newTestStoreOf(pair.stores["store"], config.Forward{})
-	pair.submitOf(tenant, 70)
-	if effects := s.Tick(pair.now); len(reportedTo(effects)) != 0 {
+	pair.submitForTenant(tenant, 70)
+	if effects := s.Tick(pair.now); len(pendingReports(effects)) != 0 {
 		t.Fatalf("there is no limit, and %+v", effects)
 	}
 	expectReport(t, tenant, receiveLimit(s, 2, 100, pair.now))
@@ -100,10 +100,10 @@
 
 // A store that begins to serve a shard reports what it finds there: the shard's former primary may have
 // accepted it without a grant.
-func TestWhatIsFoundInAShardIsReported(t *testing.T) {
+func TestBatchesOfANewlyServedShardAreReported(t *testing.T) {
 	pair := newReplicaPair()
-	tenant := pair.ownedElsewhere(t)
-	pair.submitOf(tenant, 70)
+	tenant := pair.tenantOwnedElsewhere(t)
+	pair.submitForTenant(tenant, 70)
 	s := newTestStoreOf(pair.stores["store"], config.Forward{MaxQueuedTokens: 100})
 	s.Quota.Tick(pair.now) // reports are not repeated soon
 	expectReport(t, tenant, s.Tick(pair.now))
--- a/internal/daemon/machines/limits.go
+++ b/internal/daemon/machines/limits.go
@@ -28,8 +28,8 @@
 	h.since = since
 }
 
-// of is since when an account has had a limit.
-func (h *limitHistory) of(account shard.AccountName) uint64 {
+// limitedSince is since when an account has had a limit.
+func (h *limitHistory) limitedSince(account shard.AccountName) uint64 {
 	if account.BatchesOnly() {
 		account.Tenant = ""
 	}
--- a/internal/daemon/machines/limits_test.go
+++ b/internal/daemon/machines/limits_test.go
@@ -11,8 +11,8 @@
 	"tuliprudder/internal/machine"
 )
 
-// limitsOf is a configuration with a limit of the route "r", where it is above 0, and of the tenant "t".
-func limitsOf(version uint64, ofRoute int64, classes ...config.PriorityClass) *config.Configuration {
+// limitedConfiguration is a configuration with a limit of the route "r", where it is above 0, and of the tenant "t".
+func limitedConfiguration(version uint64, ofRoute int64, classes ...config.PriorityClass) *config.Configuration {
 	configuration := &config.Configuration{Version: version, Classes: classes, Tenants: []config.Tenant{{Name: "t", Class: "c"}},
 		Routes: []config.Route{{Name: "r", Kind: config.Batch, Forward: &config.Forward{MaxQueuedTokens: ofRoute}}}}
 	configuration.Index()
@@ -20,7 +20,7 @@
 }
 
 // An account has had a limit since the first of the configurations that follow one another and all have one.
-func TestSinceWhenAnAccountHasALimit(t *testing.T) {
+func TestLimitHistory(t *testing.T) {
 	class := config.PriorityClass{Name: "c", Quota: 5}
 	var history limitHistory
 	for _, step := range []struct {
@@ -28,13 +28,13 @@
 		base          uint64
 		route, tenant uint64
 	}{
-		{limitsOf(3, 10, class), 0, 3, 3},
-		{limitsOf(7, 20, class), 3, 3, 3},
-		{limitsOf(9, 0, class), 7, 0, 3},
-		{limitsOf(10, 10), 9, 10, 0},
-		{limitsOf(14, 10, class), 10, 10, 14},
-		{limitsOf(20, 10, class), 18, 20, 20}, // one was missed
-		{limitsOf(21, 10, class), 0, 21, 21},  // an earlier release wrote no base
+		{limitedConfiguration(3, 10, class), 0, 3, 3},
+		{limitedConfiguration(7, 20, class), 3, 3, 3},
+		{limitedConfiguration(9, 0, class), 7, 0, 3},
+		{limitedConfiguration(10, 10), 9, 10, 0},
+		{limitedConfiguration(14, 10, class), 10, 10, 14},
+		{limitedConfiguration(20, 10, class), 18, 20, 20}, // one was missed
+		{limitedConfiguration(21, 10, class), 0, 21, 21},  // an earlier release wrote no base
 	} {
 		history.add(step.configuration, step.base)
 		for account, want := range map[shard.AccountName]uint64{
@@ -43,7 +43,7 @@
 			{Tenant: "t"}:             step.tenant,
 			{Route: "other"}:          0,
 		} {
-			if got := history.of(account); got != want {
+			if got := history.limitedSince(account); got != want {
 				t.Errorf("version %d: %s since %d, not %d", step.configuration.Version, account, got, want)
 			}
 		}
@@ -51,9 +51,9 @@
 }
 
 // A store tells an owner since when it knows of the limit.
-func TestALeaseRequestTellsSinceWhenThereIsALimit(t *testing.T) {
+func TestALeaseRequestCarriesLimitedSince(t *testing.T) {
 	pair := newReplicaPair()
-	tenant := pair.ownedElsewhere(t)
+	tenant := pair.tenantOwnedElsewhere(t)
 	s := newTestStoreOf(pair.stores["store"], config.Forward{})
 	receiveLimitOn(s, 4, 1, 100, pair.now)
 	receiveLimitOn(s, 9, 4, 200, pair.now)
--- a/internal/daemon/machines/reports_test.go
+++ b/internal/daemon/machines/reports_test.go
@@ -40,7 +40,7 @@
 	return out
 }
 
-func TestAnEdgeReportsWhatBegan(t *testing.T) {
+func TestAnEdgeReportsStartedRequests(t *testing.T) {
 	e := reportingEdge(5 * clock.Second)
 	e.Proxy.OnExecutionStarted("t", testTime)
 	sent := reportsIn(e.Tick(testTime))
@@ -73,7 +73,7 @@
 }
 
 // Where the platform asks for no reports of use, nothing is sent.
-func TestAnEdgeWithoutTheActReportsNothing(t *testing.T) {
+func TestAnEdgeWithoutUsageReportingReportsNothing(t *testing.T) {
 	e := reportingEdge(0)
 	e.Proxy.OnExecutionStarted("t", testTime)
 	for now := testTime; now < testTime+10*clock.Second; now += 100 * clock.Millisecond {
--- a/internal/daemon/machines/restart_test.go
+++ b/internal/daemon/machines/restart_test.go
@@ -103,11 +103,11 @@
 	}
 }
 
-// usageOf asks a store for its reports, as the owner of the account of "r" does.
-func usageOf(t *testing.T, s *Store, now clock.Micros) []quota.Report {
+// requestUsage asks a store for its reports, as the owner of the account of "r" does.
+func requestUsage(t *testing.T, s *Store, now clock.Micros) []quota.Report {
 	t.Helper()
-	question := quota.UsageRequest{Name: shard.AccountName{Route: "r"}, Account: quota.AccountID{Epoch: 9}, Shards: []int{0}}
-	for _, effect := range s.Call(1, question, now) {
+	request := quota.UsageRequest{Name: shard.AccountName{Route: "r"}, Account: quota.AccountID{Epoch: 9}, Shards: []int{0}}
+	for _, effect := range s.Call(1, request, now) {
 		if reply, ok := effect.(machine.Reply); ok {
 			return reply.Body.(quota.UsageResponse).Reports
 		}
@@ -123,20 +123,20 @@
 	pair := newReplicaPair()
 	pair.submit(70)
 	s := newTestStoreOf(pair.stores["store"], config.Forward{MaxQueuedTokens: 1000})
-	if got := usageOf(t, s, pair.now); len(got) != 1 || got[0].InUse != 70 || got[0].Epoch != 1 {
+	if got := requestUsage(t, s, pair.now); len(got) != 1 || got[0].InUse != 70 || got[0].Epoch != 1 {
 		t.Fatalf("before the restart it reported %+v", got)
 	}
 	pair.restart(2)
 	s = newTestStoreOf(pair.stores["store"], config.Forward{MaxQueuedTokens: 1000})
-	if got := usageOf(t, s, pair.now); len(got) != 0 {
+	if got := requestUsage(t, s, pair.now); len(got) != 0 {
 		t.Fatalf("before it has a map it reported %+v", got)
 	}
 	pair.do("store", batchstore.UpdateReceived{Update: mapUpdate(3, true)})
-	if got := usageOf(t, s, pair.now); len(got) != 0 {
+	if got := requestUsage(t, s, pair.now); len(got) != 0 {
 		t.Fatalf("with the map from before its restart it reported %+v", got)
 	}
 	pair.assign(4, 2)
-	if got := usageOf(t, s, pair.now); len(got) != 1 || got[0].InUse != 70 || got[0].Epoch != 2 {
+	if got := requestUsage(t, s, pair.now); len(got) != 1 || got[0].InUse != 70 || got[0].Epoch != 2 {
 		t.Fatalf("once it serves the shard it reported %+v", got)
 	}
 }
@@ -148,7 +148,7 @@
 	if err := submitTo(s, pair.now, "r", forwardedItem(300), forwardedItem(40), forwardedItem(0)); err != nil {
 		t.Fatal(err)
 	}
-	got := usageOf(t, s, pair.now)
+	got := requestUsage(t, s, pair.now)
 	const tokens = 341 // an item without tokens counts as one
 	if len(got) != 1 || got[0].InUse != tokens {
 		t.Fatalf("it reported %+v", got)
--- a/internal/daemon/machines/store_test.go
+++ b/internal/daemon/machines/store_test.go
@@ -59,7 +59,7 @@
 	return shard.Item{Request: &shard.Request{Tokens: tokens}}
 }
 
-func TestWhichBatchesTheQuotaRejects(t *testing.T) {
+func TestQuotaRejectsBatches(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		limit     int64
@@ -84,7 +84,7 @@
 }
 
 // A batch of a shard that the store doesn't serve is the shard's to reject, and asks for no quota.
-func TestABatchOfAnotherStoresShardAsksForNoQuota(t *testing.T) {
+func TestABatchOfAnUnservedShardReservesNoQuota(t *testing.T) {
 	s := newTestStore(config.Forward{MaxQueuedTokens: 1000})
 	if err := submitTo(s, testTime, "r", forwardedItem(1)); !errs.Is(err, errs.NotReady) {
 		t.Errorf("%v", err)
--- a/internal/daemon/machines/submit.go
+++ b/internal/daemon/machines/submit.go
@@ -35,7 +35,7 @@
 			Account:              account,
 			Limit:                limit,
 			ConfigurationVersion: configuration.Version,
-			LimitedSince:         s.limits.of(account),
+			LimitedSince:         s.limits.limitedSince(account),
 		}
 		s.Quota.ReserveInShard(accountQuota, request.Shard, batchWeight(request.Batch), now, func(err error, now clock.Micros) {
 			if err != nil {
@@ -109,18 +109,18 @@
 }
 
 // reportPending tells the owners of accounts what waits here of some that have a limit.
-func (s *Store) reportPending(current *config.Configuration, now clock.Micros, isDue func(account shard.AccountName) bool) {
+func (s *Store) reportPending(current *config.Configuration, now clock.Micros, isIncluded func(account shard.AccountName) bool) {
 	var due []quota.AccountQuota
 	for account := range s.Batches.PendingWeights(now) {
 		limit := quotaLimit(current, account)
-		if limit <= unlimited || !isDue(account) {
+		if limit <= unlimited || !isIncluded(account) {
 			continue
 		}
 		due = append(due, quota.AccountQuota{
 			Account:              account,
 			Limit:                limit,
 			ConfigurationVersion: current.Version,
-			LimitedSince:         s.limits.of(account),
+			LimitedSince:         s.limits.limitedSince(account),
 		})
 	}
 	if len(due) > 0 {
