--- a/internal/daemon/eventloop/calls.go
+++ b/internal/daemon/eventloop/calls.go
@@ -13,19 +13,20 @@
 	"tuliprudder/internal/transport"
 )
 
-// localCallTimeout is how long a call of this daemon's own machine may take.
+// localCallTimeout bounds a call to this daemon's own state machine.
 const localCallTimeout = 30 * time.Second
 
-// errNoReply is the error of a call whose reply did not come in time; its outcome is unknown.
+// errNoReply is returned for a call that got no reply within its time limit; its outcome is
+// unknown.
 var errNoReply = errors.New("the machine sent no reply in time")
 
-// errRingFull is the error of a call that a full ring rejected.
+// errRingFull is returned for a call that was rejected because a ring is full.
 func errRingFull() error {
-	return errs.NewWithRetry(errs.Busy, clock.Second, "come back after the time given", "the daemon's queue of work is full")
+	return errs.NewWithRetry(errs.Busy, clock.Second, "retry after the given time", "the daemon's work queue is full")
 }
 
-// Deliver takes a one-way message off the transport (transport.Receiver). A message that
-// finds a full ring is dropped and counted.
+// Deliver enqueues a one-way message that the transport received (transport.Receiver). If the
+// ring is full, the message is dropped and counted.
 func (l *Loop) Deliver(message transport.Envelope) {
 	if gossip.IsMessage(message.Body) {
 		l.enqueueGossipMessage(message)
@@ -36,23 +37,23 @@
 	}
 }
 
-// HandleCall answers a request off the transport (transport.Receiver).
+// HandleCall answers a request that the transport received (transport.Receiver).
 func (l *Loop) HandleCall(message transport.Envelope) (any, error) {
 	return l.CallLocal(message.Body)
 }
 
-// CallLocal calls this daemon's own machine and waits for the reply, 30 s at the most.
+// CallLocal calls this daemon's own machine and waits at most 30 s for the reply.
 func (l *Loop) CallLocal(body any) (any, error) {
 	return l.CallLocalContext(context.Background(), body, nil, localCallTimeout)
 }
 
-// CallLocalContext calls this daemon's own machine on behalf of a caller who may leave
-// first. When ctx ends, the machine is notified with onCancel, and the reply is still waited
-// for, until the limit. The error is errs.Busy where the machine has no room for the call,
-// and one without a kind where no reply came in time.
+// CallLocalContext calls this daemon's own machine on behalf of a caller who may disconnect
+// before the reply. When ctx ends, the machine is notified with onCancel, and the call still
+// waits for the reply until limit. The error is errs.Busy if the machine's ring is full, and
+// an error without a kind if no reply came within limit.
 func (l *Loop) CallLocalContext(ctx context.Context, body, onCancel any, limit time.Duration) (any, error) {
 	if l.machine == nil {
-		return nil, errs.New(errs.BadInput, "send it to a daemon of the right role", "this daemon handles no request of the type %T", body)
+		return nil, errs.New(errs.BadInput, "send it to a daemon of the right role", "this daemon does not handle requests of type %T", body)
 	}
 	callNumber, reply := l.calls.open()
 	if !l.enqueueMachine(func(now clock.Micros) []machine.Effect { return l.machine.Call(callNumber, body, now) }) {
@@ -76,7 +77,7 @@
 	}
 }
 
-// Notify calls the machine with a report whose reply nobody waits for.
+// Notify calls the machine with a report and does not wait for the reply.
 func (l *Loop) Notify(body any) {
 	l.enqueueMachineWait(func(now clock.Micros) []machine.Effect {
 		return l.machine.Call(l.calls.openUnawaited(), body, now)
--- a/internal/daemon/eventloop/calls_test.go
+++ b/internal/daemon/eventloop/calls_test.go
@@ -15,10 +15,10 @@
 	"tuliprudder/internal/membership"
 )
 
-// callRecorder is a machine that keeps its calls open until the test replies.
+// callRecorder is a machine that leaves its calls unanswered until the test replies.
 type callRecorder struct {
 	recorder
-	received chan machine.Reply // the calls: number and body
+	received chan machine.Reply // number and body of each call
 }
 
 func (c *callRecorder) Call(number uint64, body any, _ clock.Micros) []machine.Effect {
@@ -26,7 +26,8 @@
 	return nil
 }
 
-// startLoop starts the event loop of a daemon that is alone, with a machine unless it is nil.
+// startLoop starts the event loop of a single daemon, with handler as its machine unless it
+// is nil.
 func startLoop(t *testing.T, handler Machine) (*Loop, *cleanup.Stack) {
 	t.Helper()
 	self := Identity{ID: "edge-1", Incarnation: 1}
@@ -49,7 +50,7 @@
 	}
 }
 
-// Who leaves is reported to the machine, whose reply is still waited for.
+// When a caller cancels, the machine is notified, and the call still waits for its reply.
 func TestACancelledCallIsReportedAndWaitedFor(t *testing.T) {
 	handler := &callRecorder{received: make(chan machine.Reply, 2)}
 	loop, _ := startLoop(t, handler)
@@ -62,7 +63,7 @@
 	call := <-handler.received
 	cancel()
 	if left := <-handler.received; left.Body != "left" || left.Call == call.Call {
-		t.Fatalf("the machine was told %+v", left)
+		t.Fatalf("the machine was notified with %+v", left)
 	}
 	loop.execute([]machine.Effect{machine.Reply{Call: call.Call, Body: "done"}})
 	if got := <-result; got != "done" {
--- a/internal/daemon/eventloop/disk_health.go
+++ b/internal/daemon/eventloop/disk_health.go
@@ -8,17 +8,17 @@
 	"tuliprudder/internal/storage"
 )
 
-// DiskCondition is how well a daemon's disk takes writes.
+// DiskCondition classifies how well a daemon's disk accepts writes.
 type DiskCondition int
 
-// The conditions. While a disk is healthy or slow the daemon has all its duties. The numbers
-// are those of the metric disk_condition and never change.
+// The conditions. A daemon whose disk is healthy or slow keeps all its duties. The values are
+// exported as the metric disk_condition and must not change.
 const (
 	DiskHealthy DiskCondition = iota
 	DiskSlow
-	DiskStalled // a write does not return
-	DiskFull    // a write fails for want of space
-	DiskFailing // a write fails for another reason
+	DiskStalled // a write has not returned
+	DiskFull    // a write failed for lack of space
+	DiskFailing // a write failed for another reason
 )
 
 var diskConditionNames = map[DiskCondition]string{
@@ -29,30 +29,30 @@
 	DiskFailing: "failing",
 }
 
-// String names the condition.
+// String returns the name of the condition.
 func (c DiskCondition) String() string { return diskConditionNames[c] }
 
-// IsWritable tells whether the disk takes writes.
+// IsWritable reports whether the disk accepts writes.
 func (c DiskCondition) IsWritable() bool { return c == DiskHealthy || c == DiskSlow }
 
 const (
-	slowWriteThreshold    = 250 * clock.Millisecond  // an attempt that takes longer makes a disk slow
-	slowRecoveryPeriod    = 5 * clock.Second         // this long after the last slow attempt it is healthy again
-	stalledWriteThreshold = 1500 * clock.Millisecond // an attempt in progress for longer makes it stalled
+	slowWriteThreshold    = 250 * clock.Millisecond  // an attempt that takes longer makes the disk slow
+	slowRecoveryPeriod    = 5 * clock.Second         // how long the disk counts as slow after the last slow attempt
+	stalledWriteThreshold = 1500 * clock.Millisecond // an attempt in progress for longer makes the disk stalled
 )
 
-// diskHealth derives the condition of the disk from how its writes go. The disk writer
-// reports each attempt; the goroutine of the ticks, and those who read metrics, look.
+// diskHealth derives the condition of the disk from the results and durations of its writes.
+// The disk writer reports each attempt; the tick goroutine and readers of metrics query it.
 type diskHealth struct {
 	mu               sync.Mutex   // guards all that follows
-	attemptStartedAt clock.Micros // when the attempt in progress began; 0: none is
-	lastErr          error        // of the last attempt; nil: it succeeded
+	attemptStartedAt clock.Micros // start of the attempt in progress; 0 if there is none
+	lastErr          error        // error of the last attempt; nil if it succeeded
 	slowUntil        clock.Micros
-	reported         DiskCondition // what checkChange gave last
+	reported         DiskCondition // the condition that checkChange last returned
 	failedAttempts   int64
 }
 
-// diskStatus is a disk's condition and, unless it is healthy, the reason for operators.
+// diskStatus is a disk's condition and, unless it is healthy, the reason as shown to operators.
 type diskStatus struct {
 	condition DiskCondition
 	reason    string
@@ -91,7 +91,7 @@
 	return DiskHealthy
 }
 
-// checkChange gives the status, and whether its condition changed since the last call.
+// checkChange returns the status, and whether its condition changed since the last call.
 func (h *diskHealth) checkChange(now clock.Micros) (status diskStatus, changed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -101,7 +101,7 @@
 	return status, changed
 }
 
-// current gives the status.
+// current returns the status.
 func (h *diskHealth) current(now clock.Micros) diskStatus {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -120,15 +120,15 @@
 	case DiskStalled:
 		return fmt.Sprintf("the disk is stalled: a write has not returned for over %.1f s", float64(stalledWriteThreshold)/float64(clock.Second))
 	case DiskFull:
-		return "the disk is full: free space, and the pending writes are written"
+		return "the disk is full: pending writes go on once space is freed"
 	case DiskFailing:
-		return fmt.Sprintf("the disk fails writes: %v", h.lastErr)
+		return fmt.Sprintf("disk writes fail: %v", h.lastErr)
 	}
 	return ""
 }
 
-// stats gives how long the attempt in progress has lasted so far, 0 where none is, and how
-// many attempts failed.
+// stats returns how long the attempt in progress has lasted so far (0 if there is none) and
+// how many attempts have failed.
 func (h *diskHealth) stats(now clock.Micros) (inProgress clock.Micros, failed int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/daemon/eventloop/disk_queue.go
+++ b/internal/daemon/eventloop/disk_queue.go
@@ -6,23 +6,23 @@
 	"tuliprudder/internal/machine"
 )
 
-// Limits of the queue of writes. One effect may exceed the limit of bytes: a snapshot of a
+// Limits of the write queue. A single effect may exceed the byte limit, since a snapshot of a
 // whole unit is as large as the unit.
 const (
 	maxQueuedEffects = 65536
 	maxQueuedBytes   = 32 << 20
-	recordOverhead   = 128 // bytes that a record takes beside its body, about
+	recordOverhead   = 128 // approximate bytes that a record takes in addition to its body
 )
 
 // diskQueue holds the writes that wait for the disk, in order. A put into a full queue
-// waits: a machine whose disk is that far behind stands still, like a process that is
-// frozen, rather than forget what it has decided or grow without bound.
+// blocks: a machine whose disk is that far behind stops, like a frozen process, rather than
+// drop decisions that it has made or use unbounded memory.
 type diskQueue struct {
 	maxEffects int
 	maxBytes   int
 
 	mu      sync.Mutex // guards all that follows
-	changed *sync.Cond // on mu: an effect was put or taken, or the queue was closed
+	changed *sync.Cond // uses mu; signals that an effect was put or taken, or that the queue was closed
 	queued  []queuedEffect
 	bytes   int
 	closed  bool
@@ -39,7 +39,8 @@
 	return q
 }
 
-// put waits for space in the queue; it returns false once the queue is closed.
+// put adds an effect and blocks while the queue is full; it returns false once the queue is
+// closed.
 func (q *diskQueue) put(effect machine.Effect) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -56,8 +57,8 @@
 	return true
 }
 
-// take waits for at least one effect and returns up to limit; nil once the queue is closed
-// and empty.
+// take waits for at least one effect and returns up to limit effects, or nil once the queue
+// is closed and empty.
 func (q *diskQueue) take(limit int) []machine.Effect {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -79,7 +80,7 @@
 	return out
 }
 
-// close lets the disk writer finish what is queued; nothing more is put.
+// close rejects further puts; the disk writer still finishes what is queued.
 func (q *diskQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -87,14 +88,14 @@
 	q.changed.Broadcast()
 }
 
-// load is how many effects are queued, and their bytes.
+// load returns the number of queued effects and their bytes.
 func (q *diskQueue) load() (effects, bytes int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.queued), q.bytes
 }
 
-// sizeOf is how many bytes an effect takes in the queue, about.
+// sizeOf returns the approximate number of bytes that an effect takes in the queue.
 func sizeOf(effect machine.Effect) int {
 	var records []machine.Record
 	switch e := effect.(type) {
--- a/internal/daemon/eventloop/disk_queue_test.go
+++ b/internal/daemon/eventloop/disk_queue_test.go
@@ -7,8 +7,8 @@
 	"tuliprudder/internal/machine"
 )
 
-// The queue is bounded by count and by bytes: a put into a full one waits until the disk
-// writer has taken something, and nothing is lost or reordered.
+// The queue is bounded by count and by bytes: a put into a full queue blocks until the disk
+// writer has taken an effect, and no effect is lost or reordered.
 func TestDiskQueueIsBounded(t *testing.T) {
 	for name, queue := range map[string]*diskQueue{
 		"by count": newDiskQueue(3, 1<<20),
@@ -18,8 +18,8 @@
 	}
 }
 
-// checkQueueOfThree puts 50 effects into a queue that has space for three, while it takes
-// them.
+// checkQueueOfThree concurrently puts 50 effects into a queue with space for three and takes
+// them out.
 func checkQueueOfThree(t *testing.T, queue *diskQueue) {
 	const effects, space = 50, 3
 	var put atomic.Int64
@@ -51,8 +51,8 @@
 	}
 }
 
-// One effect larger than the queue is still taken, and a put that waits ends when the queue
-// closes.
+// A single effect larger than the queue is still accepted, and a blocked put returns when the
+// queue is closed.
 func TestDiskQueueCloses(t *testing.T) {
 	q := newDiskQueue(10, 1000)
 	large := machine.Compact{Records: []machine.Record{{Body: make([]byte, 5000)}}}
@@ -63,9 +63,9 @@
 	go func() { waiting <- q.put(persistOf(1)) }()
 	q.close()
 	if <-waiting {
-		t.Fatal("a closed queue took one")
+		t.Fatal("a closed queue accepted an effect")
 	}
 	if len(q.take(10)) != 1 || q.take(10) != nil {
-		t.Fatal("what was queued at the end is not taken once")
+		t.Fatal("the effect that was queued at the close is not taken exactly once")
 	}
 }
--- a/internal/daemon/eventloop/disk_reports.go
+++ b/internal/daemon/eventloop/disk_reports.go
@@ -7,21 +7,21 @@
 	"tuliprudder/internal/machine"
 )
 
-// diskReport is what the disk writer has to tell the machine.
+// diskReport is what the disk writer reports to the machine.
 type diskReport struct {
-	persisted    []uint64           // tokens of writes that are durable, in order
-	state        *machine.DiskState // nil: it has not changed
+	persisted    []uint64           // tokens of the writes that became durable, in order
+	state        *machine.DiskState // nil if unchanged
 	compactAgain bool               // another snapshot is requested
 }
 
-// diskReports gathers the reports that the machine has not taken yet. The tokens are bounded
-// by what the queue of writes held.
+// diskReports collects the reports that the machine has not taken yet. The number of tokens
+// is bounded by the capacity of the write queue.
 type diskReports struct {
 	mu      sync.Mutex
 	pending diskReport // guarded by mu
 }
 
-// add joins a report to those pending; of two states of the disk the later one counts.
+// add merges a report into the pending one; a later disk state replaces an earlier one.
 func (r *diskReports) add(report diskReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -32,7 +32,7 @@
 	r.pending.compactAgain = r.pending.compactAgain || report.compactAgain
 }
 
-// take gives what is pending; after that nothing is.
+// take returns the pending report and clears it.
 func (r *diskReports) take() diskReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -41,14 +41,14 @@
 	return taken
 }
 
-// reportPersisted reports writes that are durable.
+// reportPersisted reports that writes have become durable.
 func (d *diskWriter) reportPersisted(tokens ...uint64) {
 	d.reports.add(diskReport{persisted: tokens})
 	d.wake()
 }
 
-// reportChanges looks for a change of the disk's condition, and for a snapshot that is due
-// again, and reports them to the machine.
+// reportChanges checks for a change of the disk's condition and for a snapshot that is due to
+// be requested again, and reports both to the machine.
 func (d *diskWriter) reportChanges(now clock.Micros) (status diskStatus, changed bool) {
 	status, changed = d.health.checkChange(now)
 	at := d.compactAgainAt.Load()
@@ -65,8 +65,8 @@
 	return status, changed
 }
 
-// deliverReports tells the machine what was reported; its goroutine calls this before each
-// step.
+// deliverReports passes the pending report to the machine. The machine's goroutine calls it
+// before each step.
 func (d *diskWriter) deliverReports(handler Machine, now clock.Micros) []machine.Effect {
 	reported := d.reports.take()
 	var out []machine.Effect
--- a/internal/daemon/eventloop/disk_writer.go
+++ b/internal/daemon/eventloop/disk_writer.go
@@ -11,56 +11,55 @@
 
 const (
 	maxGroupEffects = 1024 // effects in one commit group
-	// Between two attempts of a write that the disk failed.
+	// Delay between two attempts of a failed write.
 	initialRetryDelay = 20 * time.Millisecond
 	maxRetryDelay     = time.Second
-	// Until a snapshot that could not be written is requested again.
+	// Delay until a snapshot that could not be written is requested again.
 	initialCompactRetryDelay = 2 * clock.Second
 	maxCompactRetryDelay     = 60 * clock.Second
 )
 
-// recordStore is what the disk writer needs of the folder of records.
+// recordStore is the part of the records folder that the disk writer uses.
 type recordStore interface {
 	Write(records []machine.Record) error
 	Compact(records []machine.Record) error
 }
 
-// recordArchive is what the disk writer needs of the archive.
+// recordArchive is the part of the archive that the disk writer uses.
 type recordArchive interface {
 	Put(file uint64, records []machine.Record, counts *storage.Folder) error
 	Delete(files []uint64)
 }
 
-// diskWriter writes what the machine decided, in order. A write that the disk fails is
-// retried until it succeeds: the writes behind it wait, and nothing is acknowledged before
-// it is synced. No fault of the disk ends the daemon here.
+// diskWriter executes the machine's writes in order. A failed write is retried until it
+// succeeds: the writes behind it wait, and nothing is acknowledged before it is synced. A disk
+// error never ends the daemon here.
 //
-// One goroutine runs it (run); the machine's goroutine takes its reports
-// (deliverReports), and that of the ticks looks for changes (reportChanges).
+// One goroutine runs it (run); the machine's goroutine takes its reports (deliverReports), and
+// the tick goroutine checks for changes (reportChanges).
 type diskWriter struct {
 	queue   *diskQueue
 	health  diskHealth
 	folder  recordStore
 	archive recordArchive
-	counts  *storage.Folder // where the archive's syncs and bytes are counted
+	counts  *storage.Folder // counts the archive's syncs and bytes
 	now     func() clock.Micros
-	// pause waits between two attempts; false once the daemon stops.
+	// pause waits between two attempts; it returns false once the daemon is stopping.
 	pause func(delay time.Duration) bool
-	// wake has the machine's goroutine take the reports.
+	// wake makes the machine's goroutine take the reports.
 	wake    func()
 	reports diskReports
-	// failedCompactions counts the snapshots that could not be written since the last one
-	// that was.
+	// failedCompactions counts the failed snapshots since the last successful one.
 	failedCompactions atomic.Int64
-	// compactAgainAt is when the machine is asked for another snapshot; 0: it is not.
+	// compactAgainAt is when another snapshot is requested from the machine; 0 if none is due.
 	compactAgainAt atomic.Int64
-	// compactRetryDelay is how long the last request was put off; used by run alone.
+	// compactRetryDelay is the delay of the last such request; only run uses it.
 	compactRetryDelay clock.Micros
 }
 
 // run writes until the queue is closed and empty, or the daemon stops. The records that are
-// queued when it takes from the queue are one commit group: one file, one sync of it and one
-// of its folder.
+// queued when it takes from the queue form one commit group: one file, with one sync of the
+// file and one of its folder.
 func (d *diskWriter) run() {
 	for batch := d.queue.take(maxGroupEffects); batch != nil; batch = d.queue.take(maxGroupEffects) {
 		if !d.writeAll(batch) {
@@ -69,7 +68,8 @@
 	}
 }
 
-// writeAll writes a batch in order; false when the daemon stops before it is written.
+// writeAll writes a batch in order; it returns false if the daemon stops before all of it is
+// written.
 func (d *diskWriter) writeAll(batch []machine.Effect) bool {
 	var group commitGroup
 	for _, effect := range batch {
@@ -84,7 +84,7 @@
 	return d.commit(&group)
 }
 
-// commitGroup is the records that become durable together.
+// commitGroup is a set of records that become durable together.
 type commitGroup struct {
 	records []machine.Record
 	tokens  []uint64
@@ -108,7 +108,7 @@
 	return true
 }
 
-// writeUngrouped writes what is no part of a commit group.
+// writeUngrouped executes an effect that is not part of a commit group.
 func (d *diskWriter) writeUngrouped(effect machine.Effect) bool {
 	switch e := effect.(type) {
 	case machine.Compact:
@@ -124,8 +124,8 @@
 	return true
 }
 
-// writeWithRetry retries a write until it succeeds, with exponential backoff; false when the
-// daemon stops before.
+// writeWithRetry retries a write with exponential backoff until it succeeds; it returns false
+// if the daemon stops first.
 func (d *diskWriter) writeWithRetry(write func() error) bool {
 	for pause := initialRetryDelay; d.attemptWrite(write) != nil; pause = min(2*pause, maxRetryDelay) {
 		if !d.pause(pause) {
@@ -142,10 +142,10 @@
 	return err
 }
 
-// compact writes a snapshot once. It only saves space, and what it has is on disk already:
-// where there is no space for it, the machine is asked for a newer one later, and the
-// commit groups behind it go on. Its failure says nothing about the disk's health, which
-// small writes decide.
+// compact tries once to write a snapshot. A snapshot only saves space, and its contents are on
+// disk already: if it can't be written, a newer one is requested from the machine later, and
+// the commit groups behind it continue. Its failure does not count against the disk's health,
+// which is judged by small writes.
 func (d *diskWriter) compact(records []machine.Record) {
 	d.health.beginAttempt(d.now())
 	err := d.folder.Compact(records)
--- a/internal/daemon/eventloop/disk_writer_test.go
+++ b/internal/daemon/eventloop/disk_writer_test.go
@@ -13,7 +13,7 @@
 	"tuliprudder/internal/storage"
 )
 
-// scriptedDisk records its operations, and fails those that the test says.
+// scriptedDisk records its operations, and fails those for which fail returns an error.
 type scriptedDisk struct {
 	log  []string
 	fail func(operation string) error
@@ -48,7 +48,7 @@
 }
 func (s *scriptedDisk) Delete(files []uint64) { _ = s.perform(fmt.Sprint("delete ", files)) }
 
-// recorder is a machine that records the reports on its disk.
+// recorder is a machine that records the disk reports it gets.
 type recorder struct{ calls []string }
 
 func (r *recorder) Message(string, any, clock.Micros) []machine.Effect              { return nil }
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// diskFixture is a disk writer that the test runs, in virtual time.
+// diskFixture is a disk writer that the test drives in virtual time.
 type diskFixture struct {
 	*diskWriter
 	disk    *scriptedDisk
@@ -97,7 +97,7 @@
 	return f
 }
 
-// takeReports looks for changes, delivers the reports, and gives those that the machine got.
+// takeReports checks for changes, delivers the reports, and returns those that the machine got.
 func (f *diskFixture) takeReports() []string {
 	f.diskWriter.reportChanges(f.time)
 	f.machine.calls = nil
@@ -116,8 +116,8 @@
 	}
 }
 
-// A group that the disk fails is retried until it is written, and the writes behind it stay
-// behind it; nothing is acknowledged before, and the daemon goes on.
+// A commit group whose write fails is retried until it is written, and later writes stay
+// behind it; nothing is acknowledged before that, and the daemon keeps running.
 func TestAFailedGroupIsRetriedInOrder(t *testing.T) {
 	f := newDiskFixture()
 	hasSpace := false
@@ -137,7 +137,7 @@
 		case 9:
 			hasSpace = true
 		default:
-			f.requireEqual(t, f.takeReports()) // reported once
+			f.requireEqual(t, f.takeReports()) // the change is reported only once
 		}
 		return true
 	}
@@ -155,7 +155,8 @@
 	}
 }
 
-// Another error of a write does not end the writer either, and has its own condition.
+// A write error other than a full disk does not end the writer either, and has its own
+// condition.
 func TestAWriteErrorMakesTheDiskFailing(t *testing.T) {
 	f := newDiskFixture()
 	f.disk.fail = func(string) error {
@@ -176,7 +177,7 @@
 	f.requireEqual(t, f.takeReports(), "persisted 1")
 }
 
-// A daemon that stops does not wait for a full disk, and acknowledges nothing.
+// A daemon that stops does not wait for failing writes, and acknowledges none of them.
 func TestADaemonThatStopsDoesNotWaitForAFullDisk(t *testing.T) {
 	f := newDiskFixture()
 	f.disk.fail = func(string) error { return errors.New("no") }
@@ -190,8 +191,8 @@
 	}
 }
 
-// A snapshot that finds no space is given up, and the groups behind it go on; the machine is
-// asked for another one later, with exponential backoff.
+// A snapshot that finds no space is abandoned, and the commit groups behind it continue;
+// another one is requested from the machine later, with exponential backoff.
 func TestASnapshotWithoutSpaceIsRequestedLater(t *testing.T) {
 	f := newDiskFixture()
 	hasSpace := false
@@ -223,12 +224,12 @@
 	f.time += maxCompactRetryDelay
 	f.requireEqual(t, f.takeReports())
 	if len(f.pauses) != 0 || f.failedCompactions.Load() != 0 {
-		t.Fatal("a snapshot was waited for, or one that was written still counts as failed")
+		t.Fatal("the writer paused for a snapshot, or one that was written still counts as failed")
 	}
 }
 
 // A write that does not return makes the disk stalled while it lasts, and slow for a while
-// after; each change is reported once.
+// afterwards; each change is reported once.
 func TestAStalledAndASlowDisk(t *testing.T) {
 	f := newDiskFixture()
 	f.disk.fail = func(string) error {
@@ -240,7 +241,7 @@
 			t.Fatalf("it is %s", condition)
 		}
 		if wait, _ := f.health.stats(f.time); wait != stalledWriteThreshold+1 {
-			t.Fatalf("it waits %d", wait)
+			t.Fatalf("the write in progress has lasted %d", wait)
 		}
 		return nil
 	}
--- a/internal/daemon/eventloop/execute.go
+++ b/internal/daemon/eventloop/execute.go
@@ -13,8 +13,8 @@
 // haltExitCode is the exit status of a daemon whose machine halted it.
 const haltExitCode = 4
 
-// execute executes the effects of one step of a machine, in order. Only a full queue of the
-// disk makes it wait.
+// execute executes the effects of one step of a machine, in order. It blocks only while the
+// disk queue is full.
 //
 //revive:disable-next-line:cyclomatic one case for each type of effect
 func (l *Loop) execute(effects []machine.Effect) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// send sends a message; one without an address is for nobody.
+// send sends a message; one without an address is dropped.
 func (l *Loop) send(e machine.Send) {
 	if e.To != "" {
 		l.Transport.Send(e.To, e.Body)
@@ -67,26 +67,26 @@
 	}
 }
 
-// sendRequest calls another daemon for the machine and hands the machine the reply. It runs
-// in a goroutine of its own, which ends at the request's time-out at the latest; the
+// sendRequest calls another daemon for the machine and passes the reply to the machine. It
+// runs in a goroutine of its own, which ends at the request's timeout at the latest; the
 // transport ends it sooner when the daemon stops.
 func (l *Loop) sendRequest(e machine.Request) {
 	var body any
-	err := errs.New(errs.NotReady, "retry", "the address of the daemon that this request is for is not known")
+	err := errs.New(errs.NotReady, "retry", "the address of the daemon that the request is for is unknown")
 	if e.To != "" {
 		body, err = l.Transport.Call(e.To, e.Body, e.Timeout)
 	}
 	l.enqueueMachineWait(func(now clock.Micros) []machine.Effect { return l.machine.ReplyReceived(e.Token, body, err, now) })
 }
 
-// halt ends the process: to go on would break a guarantee.
+// halt exits the process, since continuing would break a guarantee.
 func (l *Loop) halt(e machine.Halt) {
 	logging.Write(l.Log, Halted{Reason: e.Err.Error()})
 	os.Stderr.WriteString(l.Identity.ID + ": " + e.Err.Error() + "\n")
 	l.exit(haltExitCode)
 }
 
-// runTask hands a task to the executor.
+// runTask passes a task to the executor, if one is set.
 func (l *Loop) runTask(e machine.Execute) {
 	if l.executeTask != nil {
 		l.executeTask(e.Task)
--- a/internal/daemon/eventloop/gossip_settings.go
+++ b/internal/daemon/eventloop/gossip_settings.go
@@ -5,8 +5,8 @@
 	"tuliprudder/internal/gossip"
 )
 
-// GossipSettings are the settings of every daemon's gossip node. The voters stand in the updates
-// that the primary core publishes (docs/DESIGN.md, section 3.4).
+// GossipSettings returns the settings of every daemon's gossip node. The voters are read from the
+// updates that the primary core publishes (docs/DESIGN.md, section 3.4).
 func GossipSettings() gossip.Settings {
 	settings := gossip.Defaults()
 	settings.Voters = gossip.VoterSource{
--- a/internal/daemon/eventloop/gossip_settings_test.go
+++ b/internal/daemon/eventloop/gossip_settings_test.go
@@ -7,7 +7,7 @@
 	"tuliprudder/internal/controlplane/state"
 )
 
-// The voters are read from the updates of the primary core: stores count two each, cores one.
+// The voters are read from the updates of the primary core: each store has weight 2, each core 1.
 func TestGossipSettingsReadTheVoters(t *testing.T) {
 	voters := GossipSettings().Voters
 	values := map[string][]byte{
@@ -20,7 +20,7 @@
 	}
 	for _, key := range voters.Keys {
 		if len(values[key]) == 0 {
-			t.Errorf("an update under %q is read that the primary core does not publish", key)
+			t.Errorf("the settings read key %q, which the primary core does not publish", key)
 		}
 		missing := maps.Clone(values)
 		delete(missing, key)
--- a/internal/daemon/eventloop/identity.go
+++ b/internal/daemon/eventloop/identity.go
@@ -15,41 +15,41 @@
 	"tuliprudder/internal/storage"
 )
 
-// Identity is who a daemon is. A daemon with a disk keeps it there, and each start is a new
-// incarnation; without a disk each start is a new identity. Its JSON is on disk; the keys
-// never change.
+// Identity identifies a daemon. A daemon with a disk stores it there, and each start begins a
+// new incarnation; without a disk each start has a new identity. It is stored as JSON; the
+// keys must not change.
 type Identity struct {
 	Kind        string `json:"kind"` // one of the kinds of package membership
 	ID          string `json:"id"`
 	Incarnation uint64 `json:"life"`
 }
 
-// randomIDBytes is how many random bytes an id has.
+// randomIDBytes is the number of random bytes in an id.
 const randomIDBytes = 6
 
-// newID makes the id of a new member. It begins with the member's role for those who read
-// it: nothing parses it, and ids of earlier releases, which begin with the kind's stored
-// name, stay valid beside it. Ids are compared only whole, and ordered only among members of
-// one kind, where any order that all daemons agree on will do.
+// newID makes the id of a new member. It begins with the member's role for human readers:
+// nothing parses it, and ids of earlier releases, which begin with the kind's stored name,
+// stay valid. Ids are compared only as a whole, and ordered only among members of one kind,
+// where any order that all daemons agree on is sufficient.
 func newID(kind string) string {
 	var random [randomIDBytes]byte
 	rand.Read(random[:])
 	return membership.Role(kind) + "-" + hex.EncodeToString(random[:])
 }
 
-// NewIdentity is the identity of a daemon without a disk. The time makes its incarnation
-// newer than those before.
+// NewIdentity makes the identity of a daemon without a disk. Its incarnation is the current
+// time, so that it is newer than earlier ones.
 func NewIdentity(kind string, now clock.Micros) Identity {
 	return Identity{Kind: kind, ID: newID(kind), Incarnation: uint64(now)}
 }
 
-// moveFolderRemedy is the remedy for a data folder that can't be used any more.
-const moveFolderRemedy = "move the whole data folder away and start empty; the other replicas copy its contents back"
+// moveFolderRemedy is the remedy for a data folder that can no longer be used.
+const moveFolderRemedy = "move the whole data folder away and start with an empty one; the data is copied from the other replicas"
 
 // LoadIdentity reads the identity from the data folder, or makes a new one in an empty
 // folder, and begins a new incarnation. The error is errs.WrongFolder for a folder of
-// another kind of daemon, errs.Corrupt for one that is damaged, and a storage.WriteError
-// where the disk takes no writes.
+// another kind of daemon, errs.Corrupt for a damaged folder, and a storage.WriteError if the
+// disk accepts no writes.
 func LoadIdentity(dataFolder, kind string) (Identity, error) {
 	if err := storage.MakeFolder(dataFolder); err != nil {
 		return Identity{}, err
@@ -66,7 +66,7 @@
 	return self, storage.WriteFileAtomically(filepath.Join(dataFolder, identityFile), data)
 }
 
-// readIdentity reads the identity as the last start left it, or makes a new one.
+// readIdentity reads the identity as stored by the last start, or makes a new one.
 func readIdentity(dataFolder, kind string) (Identity, error) {
 	data, err := os.ReadFile(filepath.Join(dataFolder, identityFile))
 	if os.IsNotExist(err) {
@@ -85,8 +85,8 @@
 	return self, nil
 }
 
-// createIdentity makes the identity of an empty folder. Records without an identity are
-// somebody's, but nobody knows whose.
+// createIdentity makes a new identity for an empty folder. A folder that has records but no
+// identity is rejected, since its records belong to an unknown daemon.
 func createIdentity(dataFolder, kind string) (Identity, error) {
 	records, err := filepath.Glob(filepath.Join(dataFolder, recordsFolder, "*.*"))
 	if err != nil {
--- a/internal/daemon/eventloop/identity_test.go
+++ b/internal/daemon/eventloop/identity_test.go
@@ -26,8 +26,7 @@
 	}
 }
 
-// New members are named after their role; the id of a folder that an earlier release wrote
-// stays as it is.
+// Ids of new members begin with their role; an id that an earlier release stored is kept.
 func TestIDsOfNewAndEarlierMembers(t *testing.T) {
 	for kind, role := range map[string]string{membership.Edge: "edge", membership.Store: "store", membership.Core: "core"} {
 		if id := NewIdentity(kind, 1).ID; !regexp.MustCompile("^" + role + "-[0-9a-f]{12}$").MatchString(id) {
@@ -45,7 +44,8 @@
 	}
 }
 
-// A folder that is another's, damaged, or without an owner is never guessed at.
+// A folder of another kind of daemon, a damaged one, and one with records but no identity are
+// rejected.
 func TestLoadIdentityRejectsWrongFolders(t *testing.T) {
 	folder := t.TempDir()
 	if _, err := LoadIdentity(folder, "refuge"); err != nil {
--- a/internal/daemon/eventloop/loop.go
+++ b/internal/daemon/eventloop/loop.go
@@ -1,11 +1,11 @@
 // Package eventloop runs a daemon's state machines (DESIGN §2): the gossip node and the
 // machine of the daemon's role. It owns the goroutines, the bounded rings, net/rpc and the
-// disk; it feeds the machines with messages, calls, replies and ticks, and executes the
-// effects that they return. It decides nothing.
+// disk; it feeds messages, calls, replies and ticks to the machines, and executes the effects
+// that they return. It makes no decisions of its own.
 //
 // Each machine has one goroutine (thread.go), so that a machine never runs two steps at
 // once; effects are executed by the goroutine of the machine that returned them
-// (execute.go), except writes, which the disk writer does in their order (disk_writer.go).
+// (execute.go), except writes, which the disk writer executes in order (disk_writer.go).
 package eventloop
 
 import (
@@ -32,26 +32,26 @@
 
 const (
 	tickInterval = 15 * time.Millisecond
-	// shutdownFlushTimeout is how long a daemon that stops waits for its disk.
+	// shutdownFlushTimeout is how long a stopping daemon waits for its disk.
 	shutdownFlushTimeout = 2 * time.Second
 )
 
-// Loop is the event loop of one daemon. The exported fields are set before Start; its
-// methods may be called by several goroutines.
+// Loop is the event loop of one daemon. The exported fields are set before Start. Its methods
+// may be called by several goroutines.
 type Loop struct {
 	Identity  Identity
 	Zone      string
-	Address   string // to listen on for the fleet's own traffic
+	Address   string // listen address for traffic between daemons
 	Clock     *clock.Clock
 	Log       zerolog.Logger
 	Transport *transport.Transport
-	Folder    *storage.Folder  // nil where the daemon has no disk
-	Archive   *storage.Archive // nil but at stores
+	Folder    *storage.Folder  // nil if the daemon has no disk
+	Archive   *storage.Archive // nil except at stores
 
 	gossip       *gossip.Node // guarded by gossipThread.mu
 	gossipThread *thread
 
-	machine       Machine // of the daemon's role; nil: none. Guarded by machineThread.mu
+	machine       Machine // of the daemon's role; nil if there is none. Guarded by machineThread.mu
 	machineThread *thread
 	disk          *diskWriter // nil without a machine
 	executeTask   func(task any)
@@ -61,8 +61,8 @@
 	exit     func(code int)
 }
 
-// New makes the event loop of a daemon. member is what the daemon tells the others of
-// itself, seeds are the addresses where it looks for them.
+// New makes the event loop of a daemon. member is the daemon's own entry that it announces to
+// the other members; seeds are the addresses through which it finds them.
 func New(member membership.Member, seeds []string, self Identity, log zerolog.Logger) *Loop {
 	gossipSeed := int64(self.Incarnation) ^ int64(len(self.ID)) ^ time.Now().UnixNano()
 	l := &Loop{
@@ -82,9 +82,9 @@
 	return l
 }
 
-// SetMachine gives the event loop the machine of the daemon's role, and the folder that its
-// records are written to; nil for a machine without a disk. It is called before Start, and
-// after Archive is set.
+// SetMachine sets the machine of the daemon's role and the folder that its records are written
+// to, which is nil for a machine without a disk. It is called before Start, and after Archive
+// is set.
 func (l *Loop) SetMachine(handler Machine, folder *storage.Folder) {
 	l.machine, l.Folder = handler, folder
 	l.disk = &diskWriter{
@@ -105,11 +105,11 @@
 // must not block.
 func (l *Loop) SetExecutor(execute func(task any)) { l.executeTask = execute }
 
-// Now is the daemon's time.
+// Now returns the daemon's time.
 func (l *Loop) Now() clock.Micros { return l.Clock.Now() }
 
-// Start listens for the fleet's own traffic and starts the goroutines. The clean-ups that it
-// pushes end them.
+// Start listens for traffic between daemons and starts the goroutines. The cleanups that it
+// pushes stop both.
 func (l *Loop) Start(_ *services.Registry, cleanups *cleanup.Stack) error {
 	stopListening, err := l.Transport.Listen(l.Address)
 	if err != nil {
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// stop ends the goroutines. A stalled disk is not waited for: nothing that it still holds
-// was acknowledged.
+// stop ends the goroutines. It waits for the disk only up to shutdownFlushTimeout: writes that
+// a stalled disk has not finished were not acknowledged.
 func (l *Loop) stop(threads *sync.WaitGroup, flushed <-chan struct{}) {
 	close(l.stopping)
 	l.gossipThread.steps.Close()
@@ -149,7 +149,7 @@
 	}
 }
 
-// pause waits on the disk writer's behalf; false once the daemon stops.
+// pause waits on behalf of the disk writer; it returns false once the daemon is stopping.
 func (l *Loop) pause(delay time.Duration) bool {
 	select {
 	case <-l.stopping:
@@ -159,13 +159,13 @@
 	}
 }
 
-// wakeMachine has the machine's goroutine run a step, and so take the disk's reports. Where
-// the ring is full it runs one anyway.
+// wakeMachine makes the machine's goroutine run a step, before which it takes the disk's
+// reports. If the ring is full, no step is added, since the goroutine has steps to run anyway.
 func (l *Loop) wakeMachine() {
 	l.enqueueMachine(func(clock.Micros) []machine.Effect { return nil })
 }
 
-// tickAll sends a tick to each machine.
+// tickAll enqueues a tick for each machine.
 func (l *Loop) tickAll() {
 	l.gossipThread.enqueueTick(func(now clock.Micros) []machine.Effect { return l.gossip.Do(gossip.Tick{}, now) })
 	if l.machine != nil {
@@ -181,8 +181,8 @@
 	}
 }
 
-// DiskFault tells why the disk takes no writes, so that this daemon has no duties; "" when
-// it does, and for a daemon without a disk.
+// DiskFault returns why the disk accepts no writes, in which case this daemon has no duties.
+// It returns "" if the disk accepts writes, and for a daemon without a disk.
 func (l *Loop) DiskFault() string {
 	if l.disk == nil {
 		return ""
@@ -201,8 +201,8 @@
 	f(l.Now())
 }
 
-// enqueueMachineWait puts a step for the machine on its ring, and waits where the ring is
-// full: what it says must not be lost. It gives up once the daemon stops.
+// enqueueMachineWait puts a step for the machine on its ring, and waits while the ring is
+// full, since the step must not be lost. It gives up once the daemon is stopping.
 func (l *Loop) enqueueMachineWait(s step) {
 	for !l.enqueueMachine(s) && !l.machineThread.steps.Closed() {
 		time.Sleep(fullRingDelay)
@@ -212,5 +212,6 @@
 // fullRingDelay is the time between two attempts to put a step on a full ring.
 const fullRingDelay = time.Millisecond
 
-// enqueueMachine puts a step for the machine on its ring; false when the ring is full or closed.
+// enqueueMachine puts a step for the machine on its ring; it returns false if the ring is full
+// or closed.
 func (l *Loop) enqueueMachine(s step) bool { return l.machineThread.enqueue(s) }
--- a/internal/daemon/eventloop/metrics.go
+++ b/internal/daemon/eventloop/metrics.go
@@ -7,7 +7,7 @@
 	"tuliprudder/internal/daemon/metrics"
 )
 
-// loopSample is the event loop's metrics at one moment.
+// loopSample holds the values of the event loop's metrics at one moment.
 type loopSample struct {
 	messagesSent, messageBatches, messagesLost, sentBytes        int64
 	gossipQueueRejections                                        int64
@@ -26,7 +26,7 @@
 func hasMachine(s loopSample) bool { return s.hasMachine }
 func hasDisk(s loopSample) bool    { return s.hasDisk }
 
-// Metrics are the event loop's metrics: transport, gossip, rings and disk.
+// Metrics returns the event loop's metrics: transport, gossip, rings and disk.
 func (l *Loop) Metrics() metrics.Source { return metrics.NewModule(loopMetrics, l.sample) }
 
 func (l *Loop) sample() loopSample {
--- a/internal/daemon/eventloop/pending_calls.go
+++ b/internal/daemon/eventloop/pending_calls.go
@@ -6,11 +6,11 @@
 	"tuliprudder/internal/machine"
 )
 
-// pendingCalls holds who waits for the reply to a call of a state machine.
+// pendingCalls maps the calls of a state machine to the callers that wait for their replies.
 type pendingCalls struct {
 	mu sync.Mutex
-	// lastNumber is the number of the latest call; numbers are not used twice. mu guards it
-	// and waiting.
+	// lastNumber is the number of the latest call; numbers are not reused. Guarded by mu, like
+	// waiting.
 	lastNumber uint64
 	waiting    map[uint64]chan machine.Reply // by call number
 }
@@ -19,8 +19,8 @@
 	return &pendingCalls{waiting: map[uint64]chan machine.Reply{}}
 }
 
-// open numbers a call and gives the channel on which its one reply comes. The caller takes
-// the reply, or abandons the call.
+// open assigns a number to a call and returns the channel on which its only reply arrives. The
+// caller must take the reply or abandon the call.
 func (p *pendingCalls) open() (number uint64, reply <-chan machine.Reply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -30,7 +30,7 @@
 	return p.lastNumber, waiting
 }
 
-// openUnawaited numbers a call whose reply nobody takes.
+// openUnawaited assigns a number to a call whose reply is dropped.
 func (p *pendingCalls) openUnawaited() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,15 +38,15 @@
 	return p.lastNumber
 }
 
-// abandon ends the wait for a reply; one that comes later is dropped.
+// abandon ends the wait for a reply; a reply that arrives later is dropped.
 func (p *pendingCalls) abandon(number uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.waiting, number)
 }
 
-// complete hands a reply to who waits for it. It does not block: the channel has room for
-// the one reply that it gets.
+// complete passes a reply to the caller that waits for it, if any. It does not block: the
+// channel has room for the one reply that it gets.
 func (p *pendingCalls) complete(reply machine.Reply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/daemon/eventloop/pending_calls_test.go
+++ b/internal/daemon/eventloop/pending_calls_test.go
@@ -30,7 +30,7 @@
 	calls.abandon(abandoned)
 	unawaited := calls.openUnawaited()
 	if unawaited == abandoned {
-		t.Fatal("a number was used twice")
+		t.Fatal("a call number was reused")
 	}
 	calls.complete(machine.Reply{Call: abandoned})
 	calls.complete(machine.Reply{Call: unawaited})
--- a/internal/daemon/eventloop/stored_names.go
+++ b/internal/daemon/eventloop/stored_names.go
@@ -1,6 +1,6 @@
 package eventloop
 
-// The names in a data folder. These spellings are on disk; they never change.
+// Names of files and folders in a data folder. They are stored on disk and must not change.
 const (
 	identityFile  = "identity.json"
 	recordsFolder = "records"
--- a/internal/daemon/eventloop/thread.go
+++ b/internal/daemon/eventloop/thread.go
@@ -11,22 +11,22 @@
 
 const (
 	ringSize        = 65536
-	maxStepsPerTake = 256 // steps taken off the ring at once
+	maxStepsPerTake = 256 // upper limit of steps taken off the ring at once
 )
 
-// step is one call of a state machine.
+// step is one call to a state machine.
 type step func(now clock.Micros) []machine.Effect
 
-// thread runs the steps of one state machine, one after the other, in the order in which
-// they were enqueued.
+// thread runs the steps of one state machine sequentially, in the order in which they were
+// enqueued. One goroutine calls run.
 type thread struct {
 	steps *ring.Ring[step]
-	// mu guards the state machine: it is held during each step, and by those who read the
-	// machine from outside.
+	// mu guards the state machine: it is held during each step, and by other goroutines while
+	// they read the machine.
 	mu sync.Mutex
-	// beforeStep, when set, runs ahead of each step.
+	// beforeStep, if set, runs before each step.
 	beforeStep  step
-	tickPending atomic.Bool // a tick is on the ring and was not run yet
+	tickPending atomic.Bool // a tick is on the ring and has not run yet
 }
 
 func newThread() *thread { return &thread{steps: ring.New[step](ringSize)} }
@@ -51,11 +51,11 @@
 	return append(effects, s(now())...)
 }
 
-// enqueue puts a step on the ring; false when the ring is full or closed.
+// enqueue puts a step on the ring; it returns false if the ring is full or closed.
 func (t *thread) enqueue(s step) bool { return t.steps.Put(s) }
 
-// enqueueTick puts a tick on the ring unless one is still there: a thread that is behind
-// catches up with one.
+// enqueueTick puts a tick on the ring unless one is still pending: a thread that is behind
+// needs only one tick to catch up.
 func (t *thread) enqueueTick(tick step) {
 	if t.tickPending.Swap(true) {
 		return
--- a/internal/daemon/eventloop/thread_test.go
+++ b/internal/daemon/eventloop/thread_test.go
@@ -10,7 +10,7 @@
 
 func noEffects(clock.Micros) []machine.Effect { return nil }
 
-// runAll runs what is on a thread's ring, and gives the bodies that were sent, in order.
+// runAll runs the steps on a thread's ring and returns the bodies that were sent, in order.
 func runAll(t *thread) (sent []any) {
 	t.steps.Close()
 	t.run(func() clock.Micros { return 1 }, func(effects []machine.Effect) {
@@ -40,7 +40,7 @@
 	thread.enqueueTick(sendStep("tick"))
 	thread.enqueueTick(sendStep("tick"))
 	if thread.steps.Len() != 1 {
-		t.Fatalf("%d ticks wait", thread.steps.Len())
+		t.Fatalf("%d ticks are on the ring", thread.steps.Len())
 	}
 	if got := runAll(thread); len(got) != 1 || thread.tickPending.Load() {
 		t.Errorf("executed %v, still pending: %v", got, thread.tickPending.Load())
--- a/internal/daemon/eventloop/wait_for_disk.go
+++ b/internal/daemon/eventloop/wait_for_disk.go
@@ -11,10 +11,10 @@
 	"tuliprudder/internal/storage"
 )
 
-// WaitForDisk runs a part of a daemon's start that needs a disk which takes writes, and
-// retries it with exponential backoff while the disk is full or fails writes. A daemon that
-// ended instead would be started again just to end again. Any other error (damage, a fault
-// in the settings) is returned at once. pause waits between two attempts.
+// WaitForDisk runs a startup operation that needs a writable disk, and retries it with
+// exponential backoff while the disk is full or its writes fail. A daemon that exited instead
+// would be restarted only to exit again. Any other error (a damaged folder, an error in the
+// settings) is returned at once. pause waits between two attempts.
 func WaitForDisk(log zerolog.Logger, pause func(time.Duration), operation func() error) error {
 	waited := false
 	for delay := initialRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
@@ -26,14 +26,14 @@
 			return err
 		}
 		if !waited {
-			logging.Write(log, StartWaitsForDisk{Reason: err.Error(), Remedy: "free space on the disk, or replace it; the start goes on by itself"})
+			logging.Write(log, StartWaitsForDisk{Reason: err.Error(), Remedy: "free space on the disk, or replace it; startup then continues automatically"})
 		}
 		waited = true
 		pause(delay)
 	}
 }
 
-// isTransient tells whether an error is one of a disk that may pass by itself.
+// isTransient reports whether an error is a disk error that may resolve by itself.
 func isTransient(err error) bool {
 	return storage.IsWriteError(err) && (storage.IsDiskFull(err) || errors.Is(err, syscall.EIO))
 }
--- a/internal/daemon/eventloop/wait_for_disk_test.go
+++ b/internal/daemon/eventloop/wait_for_disk_test.go
@@ -13,7 +13,7 @@
 	"tuliprudder/internal/storage"
 )
 
-// A start waits for a disk that is full, logs it once, and goes on.
+// Startup waits while the disk is full or its writes fail, logs this once, and then continues.
 func TestAStartWaitsForTheDisk(t *testing.T) {
 	var log bytes.Buffer
 	var pauses []time.Duration
@@ -36,7 +36,7 @@
 	}
 }
 
-// Damage, and a folder that may not be written, are no reason to wait.
+// Startup does not wait on a damaged folder or on one without write permission.
 func TestAStartDoesNotWaitForDamage(t *testing.T) {
 	for _, want := range []error{errs.New(errs.Corrupt, "r", "m"), errs.New(errs.WrongFolder, "r", "m"),
 		&storage.WriteError{Step: "write", Err: syscall.EACCES}, syscall.EIO, nil} {
