--- a/internal/controlplane/autoscale/load.go
+++ b/internal/controlplane/autoscale/load.go
@@ -44,15 +44,15 @@
 
 // loadTable has the last report of each daemon.
 type loadTable struct {
-	reports map[Reporter]report
-	counted map[string]counted // by service, since they were taken last
+	reports       map[Reporter]report
+	requestCounts map[string]liveRequestCounts // by service, since they were taken last
 }
 
-// counted are live requests of all daemons.
-type counted struct{ started, rejected, late int64 }
+// liveRequestCounts are live requests of all daemons.
+type liveRequestCounts struct{ started, rejected, late int64 }
 
 func newLoadTable() loadTable {
-	return loadTable{reports: map[Reporter]report{}, counted: map[string]counted{}}
+	return loadTable{reports: map[Reporter]report{}, requestCounts: map[string]liveRequestCounts{}}
 }
 
 // receive takes a report: it has the services that the daemon has something to run of, or had at its last
@@ -67,23 +67,23 @@
 	for _, load := range loads {
 		next.loads[load.Pool] = load
 		if before, wasReported := last.loads[load.Pool]; wasReported {
-			t.count(before, load)
+			t.addCounts(before, load)
 		}
 	}
 	t.reports[reporter] = next
 }
 
-// count counts what a daemon's live requests came to between two reports.
-func (t *loadTable) count(before, after Load) {
-	sum := t.counted[after.Pool]
+// addCounts counts what a daemon's live requests came to between two reports.
+func (t *loadTable) addCounts(before, after Load) {
+	sum := t.requestCounts[after.Pool]
 	sum.started += max(0, after.Started-before.Started)
 	sum.rejected += max(0, after.Rejected-before.Rejected)
 	sum.late += max(0, after.Late-before.Late)
-	t.counted[after.Pool] = sum
+	t.requestCounts[after.Pool] = sum
 }
 
-// forgetOld drops the reports of daemons that have ended.
-func (t *loadTable) forgetOld(now clock.Micros) {
+// removeStale drops the reports of daemons that have ended.
+func (t *loadTable) removeStale(now clock.Micros) {
 	for reporter, last := range t.reports {
 		if now-last.receivedAt > reportTimeout {
 			delete(t.reports, reporter)
@@ -91,8 +91,8 @@
 	}
 }
 
-// take sums what all daemons have to run of a service; the counts begin anew.
-func (t *loadTable) take(service string) Load {
+// takeTotal sums what all daemons have to run of a service; the counts begin anew.
+func (t *loadTable) takeTotal(service string) Load {
 	sum := Load{Pool: service}
 	for _, last := range t.reports {
 		load := last.loads[service]
@@ -100,8 +100,8 @@
 		sum.Queued += load.Queued
 		sum.Required += load.Required
 	}
-	requests := t.counted[service]
+	requests := t.requestCounts[service]
 	sum.Started, sum.Rejected, sum.Late = requests.started, requests.rejected, requests.late
-	delete(t.counted, service)
+	delete(t.requestCounts, service)
 	return sum
 }
--- a/internal/controlplane/autoscale/load_test.go
+++ b/internal/controlplane/autoscale/load_test.go
@@ -10,30 +10,30 @@
 	table := newLoadTable()
 	table.receive(Reporter{"a", 1}, []Load{{Pool: "p", Busy: 1500, Queued: 1, Required: 10, Started: 100, Rejected: 10}}, 1)
 	table.receive(Reporter{"b", 1}, []Load{{Pool: "p", Busy: 500}, {Pool: "q", Busy: 9}}, 1)
-	if got := table.take("p"); got != (Load{Pool: "p", Busy: 2000, Queued: 1, Required: 10}) {
+	if got := table.takeTotal("p"); got != (Load{Pool: "p", Busy: 2000, Queued: 1, Required: 10}) {
 		t.Errorf("first reports: %+v", got)
 	}
 	table.receive(Reporter{"a", 1}, []Load{{Pool: "p", Busy: 100, Started: 130, Rejected: 12, Late: 3}}, 2)
 	table.receive(Reporter{"a", 1}, []Load{{Pool: "p", Busy: 100, Started: 130, Rejected: 12, Late: 3}}, 2)
-	if got := table.take("p"); got != (Load{Pool: "p", Busy: 600, Started: 30, Rejected: 2, Late: 3}) {
+	if got := table.takeTotal("p"); got != (Load{Pool: "p", Busy: 600, Started: 30, Rejected: 2, Late: 3}) {
 		t.Errorf("a report that comes twice: %+v", got)
 	}
-	if got := table.take("p"); got.Started != 0 {
+	if got := table.takeTotal("p"); got.Started != 0 {
 		t.Errorf("taken twice: %+v", got)
 	}
 }
 
 // A daemon that has ended runs nothing, and one that starts anew counts from its start.
-func TestReportsOfDaemonsThatEnded(t *testing.T) {
+func TestReportsOfEndedDaemonsAreRemoved(t *testing.T) {
 	table := newLoadTable()
 	table.receive(Reporter{"a", 1}, []Load{{Pool: "p", Busy: 1000, Started: 100}}, clock.Second)
 	table.receive(Reporter{"a", 2}, []Load{{Pool: "p", Busy: 300, Started: 5}}, 3*clock.Second)
-	table.forgetOld(clock.Second + reportTimeout + 1)
-	if got := table.take("p"); got != (Load{Pool: "p", Busy: 300}) {
+	table.removeStale(clock.Second + reportTimeout + 1)
+	if got := table.takeTotal("p"); got != (Load{Pool: "p", Busy: 300}) {
 		t.Errorf("after a restart: %+v", got)
 	}
 	table.receive(Reporter{"a", 2}, nil, 4*clock.Second)
-	if got := table.take("p"); !got.isIdle() {
+	if got := table.takeTotal("p"); !got.isIdle() {
 		t.Errorf("it runs nothing any more: %+v", got)
 	}
 	for i := range uint64(maxReporters + 10) {
--- a/internal/controlplane/autoscale/planner.go
+++ b/internal/controlplane/autoscale/planner.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// listenTime is how long a new primary listens to reports before it changes anything.
-	listenTime = 3 * clock.Second
-	// growthTime is how long a zone that nothing was decided of has to have no more servers than before until
+	// observationTime is how long a new primary listens to reports before it changes anything.
+	observationTime = 3 * clock.Second
+	// stableCountTime is how long a zone that nothing was decided of has to have no more servers than before until
 	// they count as all: at a fleet's start they come one by one.
-	growthTime = 5 * clock.Second
+	stableCountTime = 5 * clock.Second
 	// idleDelay is how long a new primary waits for the first request until it takes a service for idle: a
 	// fleet that has just started isn't.
 	idleDelay = 60 * clock.Second
@@ -82,7 +82,7 @@
 		return
 	}
 	p.evaluateAt = now + evaluationInterval
-	p.loads.forgetOld(now)
+	p.loads.removeStale(now)
 	p.updateServices()
 	for _, name := range slices.Sorted(maps.Keys(p.services)) {
 		p.evaluate(name, p.services[name], table, now)
@@ -99,7 +99,7 @@
 	}
 	for _, pool := range p.configuration.Pools {
 		if pool.Autoscale.IsEnabled() {
-			p.serviceOf(pool.Name).bounds = pool.Autoscale
+			p.ensureService(pool.Name).bounds = pool.Autoscale
 		}
 	}
 	maps.DeleteFunc(p.services, func(_ string, known *service) bool { return !known.bounds.IsEnabled() })
@@ -110,7 +110,7 @@
 	}
 }
 
-func (p *Planner) serviceOf(name string) *service {
+func (p *Planner) ensureService(name string) *service {
 	if p.services[name] == nil {
 		// A former primary may have raised it until it was succeeded.
 		p.services[name] = &service{zones: map[string]*zone{}, raisedAt: p.servingSince}
@@ -125,33 +125,33 @@
 	if hasServers {
 		p.sample(name, s, now)
 	}
-	s.takeDecided(name, table, now)
-	if now < p.servingSince+listenTime {
+	s.initializeTargets(name, table, now)
+	if now < p.servingSince+observationTime {
 		return
 	}
-	p.keepBounds(name, s)
+	p.enforceBounds(name, s)
 	for _, z := range s.zones {
-		z.watchEmpty(now)
+		z.trackEmpty(now)
 	}
 	if hasServers {
-		p.follow(name, s, now)
+		p.adjustToLoad(name, s, now)
 	}
 	for zoneName, z := range s.zones {
-		z.watchMissing(table.Record(Subject(name, zoneName)), s.bounds, now)
+		z.trackBelowTarget(table.Record(Subject(name, zoneName)), s.bounds, now)
 	}
 }
 
 // sample adds the present load to a service's history.
 func (p *Planner) sample(name string, s *service, now clock.Micros) {
-	load := p.loads.take(name)
-	s.hasServed = s.hasServed || !load.isIdle() || now-p.servingSince >= idleDelay
-	if s.hasServed {
+	load := p.loads.takeTotal(name)
+	s.hasHadLoad = s.hasHadLoad || !load.isIdle() || now-p.servingSince >= idleDelay
+	if s.hasHadLoad {
 		s.history = s.history.add(newSample(load, s.serving(), s.slots))
 	}
 }
 
-// follow has a service's targets follow its load.
-func (p *Planner) follow(name string, s *service, now clock.Micros) {
+// adjustToLoad has a service's targets adjustToLoad its load.
+func (p *Planner) adjustToLoad(name string, s *service, now clock.Micros) {
 	zones := s.availableZones(now)
 	if len(zones) == 0 {
 		return
@@ -160,23 +160,23 @@
 	mayRaise := now >= s.raisedAt+raiseInterval
 	mayCountMisses := now >= s.raisedAt+s.bounds.BootTime+stabilizationTime
 	mayLower := now >= s.loweredAt+lowerInterval && now >= s.raisedAt+s.bounds.BootTime+lowerInterval
-	if up, ok := s.history.raised(current, mayCountMisses); ok {
-		if mayRaise && p.setTargets(name, s, zones, up, higher) {
+	if up, ok := s.history.raiseDecision(current, mayCountMisses); ok {
+		if mayRaise && p.setTargets(name, s, zones, up, raiseOnly) {
 			s.raisedAt = now
 		}
 		return
 	}
-	if down, ok := s.history.lowered(current, float64(len(zones))); ok && mayLower && p.setTargets(name, s, zones, down, lower) {
+	if down, ok := s.history.lowerDecision(current, float64(len(zones))); ok && mayLower && p.setTargets(name, s, zones, down, lowerOnly) {
 		s.loweredAt = now
 	}
 }
 
-// keepBounds changes the targets that are out of the configuration's bounds.
-func (p *Planner) keepBounds(name string, s *service) {
+// enforceBounds changes the targets that are out of the configuration's bounds.
+func (p *Planner) enforceBounds(name string, s *service) {
 	for _, zoneName := range slices.Sorted(maps.Keys(s.zones)) {
 		z := s.zones[zoneName]
 		if z.target > 0 {
-			p.change(name, zoneName, z, s.bounds.Clamp(z.target), reasonBounds, s)
+			p.setTarget(name, zoneName, z, s.bounds.Clamp(z.target), reasonBounds, s)
 		}
 	}
 }
@@ -184,34 +184,34 @@
 // setTargets sets the targets of a service's zones to the same number each, where choose takes that rather than
 // the present one; it tells whether any target has changed.
 func (p *Planner) setTargets(name string, s *service, zones map[string]*zone, d decision, choose func(present, perZone int64) int64) (changed bool) {
-	perZone := s.perZone(d.servers, zones)
+	perZone := s.serversPerZone(d.servers, zones)
 	for _, zoneName := range slices.Sorted(maps.Keys(zones)) {
 		z := zones[zoneName]
-		changed = p.change(name, zoneName, z, choose(z.target, perZone), d.reason, s) || changed
+		changed = p.setTarget(name, zoneName, z, choose(z.target, perZone), d.reason, s) || changed
 	}
 	return changed
 }
 
-// higher and lower choose the target of a zone when a service is raised and lowered.
-func higher(present, perZone int64) int64 { return max(present, perZone) }
+// raiseOnly and lower choose the target of a zone when a service is raised and lowered.
+func raiseOnly(present, perZone int64) int64 { return max(present, perZone) }
 
-func lower(present, perZone int64) int64 { return min(present, perZone) }
+func lowerOnly(present, perZone int64) int64 { return min(present, perZone) }
 
-// change sets a target, and tells whether it is another one.
-func (p *Planner) change(service, zoneName string, z *zone, target int64, cause reason, s *service) bool {
+// setTarget sets a target, and tells whether it is another one.
+func (p *Planner) setTarget(service, zoneName string, z *zone, target int64, cause reason, s *service) bool {
 	if target == z.target {
 		return false
 	}
 	latest := mean(s.history)
 	p.emit(machine.LogEvent{Event: TargetChanged{
 		Service: service, Zone: zoneName, From: z.target, To: target, Serving: z.serving, Reason: string(cause),
-		Utilization: hundredths(latest.utilization()), Misses: hundredths(latest.misses()),
+		Utilization: twoDecimals(latest.utilization()), Misses: twoDecimals(latest.missRatio()),
 	}})
-	z.target, z.missingSince, z.repeated = target, 0, 0
+	z.target, z.belowTargetSince, z.repeatNumber = target, 0, 0
 	return true
 }
 
-func hundredths(x float64) float64 { return math.Round(x*100) / 100 }
+func twoDecimals(x float64) float64 { return math.Round(x*100) / 100 }
 
 // Due are the acts for the zones whose target isn't the one that was decided last.
 func (p *Planner) Due(table *exclusive.Table) []exclusive.Act {
@@ -219,7 +219,7 @@
 	for _, name := range slices.Sorted(maps.Keys(p.services)) {
 		zones := p.services[name].zones
 		for _, zoneName := range slices.Sorted(maps.Keys(zones)) {
-			if act, ok := zones[zoneName].act(name, zoneName, table); ok {
+			if act, ok := zones[zoneName].proposeAct(name, zoneName, table); ok {
 				out = append(out, act)
 			}
 		}
--- a/internal/controlplane/autoscale/planner_test.go
+++ b/internal/controlplane/autoscale/planner_test.go
@@ -10,32 +10,32 @@
 	"tuliprudder/internal/machine"
 )
 
-// planBench is a planner with three zones of servers; acts are decided and performed at once.
-type planBench struct {
+// plannerTestBed is a planner with three zones of servers; acts are decided and performed at once.
+type plannerTestBed struct {
 	*Planner
-	t        *testing.T
-	table    exclusive.Table
-	now      clock.Micros
-	acts     []exclusive.Act
-	started  int64 // live requests
-	late     int64
-	numbered int
-	platform func(zone string, desired int64) // carries an act out; nil: nothing happens
+	t                *testing.T
+	table            exclusive.Table
+	now              clock.Micros
+	acts             []exclusive.Act
+	started          int64 // live requests
+	late             int64
+	lastServerNumber int
+	resizeZone       func(zone string, desired int64) // carries an act out; nil: nothing happens
 }
 
-func newPlanBench(t *testing.T, perZone int) *planBench {
-	b := &planBench{t: t, now: 1000 * clock.Second}
+func newPlannerTestBed(t *testing.T, perZone int) *plannerTestBed {
+	b := &plannerTestBed{t: t, now: 1000 * clock.Second}
 	b.Planner = New(func(machine.Effect) {})
 	b.setBounds(config.Autoscale{Min: 7, Max: 16, BootTime: 4 * clock.Second})
 	b.Start(b.now)
 	for _, zone := range []string{"a", "b", "c"} {
 		b.addServers(zone, perZone)
 	}
-	b.platform = b.resize
+	b.resizeZone = b.resize
 	return b
 }
 
-func (b *planBench) setBounds(bounds config.Autoscale) {
+func (b *plannerTestBed) setBounds(bounds config.Autoscale) {
 	c := &config.Configuration{Pools: []config.Pool{
 		{Name: "llm", Servers: config.Selector{"service": {"llm"}}, Autoscale: bounds},
 		{Name: "fixed", Servers: config.Selector{"service": {"fixed"}}},
@@ -44,15 +44,15 @@
 	b.SetConfiguration(c)
 }
 
-func (b *planBench) addServers(zone string, count int) {
+func (b *plannerTestBed) addServers(zone string, count int) {
 	for range count {
-		b.numbered++
-		b.SetServer(Server{Name: fmt.Sprintf("%s-%03d", zone, b.numbered), Labels: config.Labels{"service": "llm"}, Zone: zone, Slots: 8, Serving: true})
+		b.lastServerNumber++
+		b.SetServer(Server{Name: fmt.Sprintf("%s-%03d", zone, b.lastServerNumber), Labels: config.Labels{"service": "llm"}, Zone: zone, Slots: 8, Serving: true})
 	}
 }
 
 // serversOf are the names of the servers that serve in a zone, in no order.
-func (b *planBench) serversOf(zone string) (names []string) {
+func (b *plannerTestBed) serversOf(zone string) (names []string) {
 	for name, server := range b.servers {
 		if server.Zone == zone && server.Serving {
 			names = append(names, name)
@@ -61,14 +61,14 @@
 	return names
 }
 
-func (b *planBench) removeServers(zone string, count int) {
+func (b *plannerTestBed) removeServers(zone string, count int) {
 	for _, name := range b.serversOf(zone)[:count] {
 		b.RemoveServer(name)
 	}
 }
 
 // resize is a platform that starts and ends servers at once.
-func (b *planBench) resize(zone string, desired int64) {
+func (b *plannerTestBed) resize(zone string, desired int64) {
 	if missing := int(desired) - len(b.serversOf(zone)); missing > 0 {
 		b.addServers(zone, missing)
 	} else {
@@ -76,8 +76,8 @@
 	}
 }
 
-// pass lets some seconds pass in which so many slots are taken and this part of 500 requests a second is late.
-func (b *planBench) pass(seconds int, busy int64, late float64) {
+// runSeconds lets some seconds runSeconds in which so many slots are taken and this part of 500 requests a second is late.
+func (b *plannerTestBed) runSeconds(seconds int, busy int64, late float64) {
 	for range seconds {
 		b.now += clock.Second
 		b.started += 500
@@ -85,12 +85,12 @@
 		load := Load{Pool: "llm", Busy: busy * milli, Started: b.started, Late: b.late}
 		b.Receive(Reporter{Daemon: "edge", Incarnation: 1}, []Load{load}, b.now)
 		b.Advance(&b.table, b.now)
-		b.perform()
+		b.performDueActs()
 	}
 }
 
-// perform has the acts that are due decided and carried out.
-func (b *planBench) perform() {
+// performDueActs has the acts that are due decided and carried out.
+func (b *plannerTestBed) performDueActs() {
 	for _, act := range b.Due(&b.table) {
 		b.acts = append(b.acts, act)
 		b.table.Apply(exclusive.Update{Grants: []exclusive.Grant{{Subject: act.Subject, Fence: 1, Acts: []exclusive.Act{act}}}})
@@ -98,42 +98,42 @@
 		if err != nil || !act.Supersedes || act.Subject != Subject(target.Service, target.Zone) {
 			b.t.Fatalf("act %+v, %v", act, err)
 		}
-		if b.platform != nil {
-			b.platform(target.Zone, target.Desired)
+		if b.resizeZone != nil {
+			b.resizeZone(target.Zone, target.Desired)
 			b.table.Apply(exclusive.Update{Settlements: []exclusive.Settlement{{Subject: act.Subject, Numbers: []uint64{act.Number}}}})
 		}
 	}
 }
 
-// expect checks the numbers of servers that were decided last; 0 is none.
-func (b *planBench) expect(what string, want map[string]int64) {
+// expectTargets checks the numbers of servers that were decided last; 0 is none.
+func (b *plannerTestBed) expectTargets(when string, want map[string]int64) {
 	b.t.Helper()
 	for zone, desired := range want {
-		decided, _ := decidedTarget(&b.table, Subject("llm", zone))
+		decided, _ := lastDecidedTarget(&b.table, Subject("llm", zone))
 		if decided.Desired != desired {
-			b.t.Errorf("%s: zone %s is to have %d servers, not %d", what, zone, decided.Desired, desired)
+			b.t.Errorf("%s: zone %s is to have %d servers, not %d", when, zone, decided.Desired, desired)
 		}
 	}
 }
 
-func TestAUsualLoadChangesNothing(t *testing.T) {
-	b := newPlanBench(t, 8)
-	b.pass(60, 100, 0.01)
+func TestNormalLoadKeepsTargets(t *testing.T) {
+	b := newPlannerTestBed(t, 8)
+	b.runSeconds(60, 100, 0.01)
 	if len(b.acts) > 0 {
 		t.Errorf("acts %+v", b.acts)
 	}
 }
 
-func TestALastingLoadRaisesAllZonesAlike(t *testing.T) {
-	b := newPlanBench(t, 8)
-	b.pass(7, 300, 0)
-	b.expect("for 7 s", map[string]int64{"a": 0, "b": 0, "c": 0})
-	b.pass(1, 300, 0)
-	b.expect("for 8 s", map[string]int64{"a": 12, "b": 12, "c": 12})
-	b.pass(2, 300, 0)
-	b.expect("2 s later", map[string]int64{"a": 12, "b": 12, "c": 12})
-	b.pass(30, 300, 0)
-	b.expect("for half a minute", map[string]int64{"a": 15, "b": 15, "c": 15})
+func TestSustainedLoadRaisesAllZonesEqually(t *testing.T) {
+	b := newPlannerTestBed(t, 8)
+	b.runSeconds(7, 300, 0)
+	b.expectTargets("for 7 s", map[string]int64{"a": 0, "b": 0, "c": 0})
+	b.runSeconds(1, 300, 0)
+	b.expectTargets("for 8 s", map[string]int64{"a": 12, "b": 12, "c": 12})
+	b.runSeconds(2, 300, 0)
+	b.expectTargets("2 s later", map[string]int64{"a": 12, "b": 12, "c": 12})
+	b.runSeconds(30, 300, 0)
+	b.expectTargets("for half a minute", map[string]int64{"a": 15, "b": 15, "c": 15})
 	for _, act := range b.acts[:3] {
 		if act.Number != 1 {
 			t.Errorf("act %+v", act)
@@ -144,137 +144,137 @@
 	}
 }
 
-func TestALowLoadLowersStepByStep(t *testing.T) {
-	b := newPlanBench(t, 10)
-	b.pass(11, 40, 0)
-	b.expect("for 11 s", map[string]int64{"a": 0, "b": 0, "c": 0})
-	b.pass(1, 40, 0)
-	b.expect("for 12 s", map[string]int64{"a": 9, "b": 9, "c": 9})
-	b.pass(2, 40, 0)
-	b.expect("2 s later", map[string]int64{"a": 9, "b": 9, "c": 9})
-	b.pass(30, 40, 0)
-	b.expect("at last", map[string]int64{"a": 7, "b": 7, "c": 7})
+func TestLowLoadLowersTargetsInSteps(t *testing.T) {
+	b := newPlannerTestBed(t, 10)
+	b.runSeconds(11, 40, 0)
+	b.expectTargets("for 11 s", map[string]int64{"a": 0, "b": 0, "c": 0})
+	b.runSeconds(1, 40, 0)
+	b.expectTargets("for 12 s", map[string]int64{"a": 9, "b": 9, "c": 9})
+	b.runSeconds(2, 40, 0)
+	b.expectTargets("2 s later", map[string]int64{"a": 9, "b": 9, "c": 9})
+	b.runSeconds(30, 40, 0)
+	b.expectTargets("at last", map[string]int64{"a": 7, "b": 7, "c": 7})
 }
 
 // A fleet that has just started has served nothing yet; that is no low load.
-func TestAServiceIsNotLoweredBeforeItsFirstRequest(t *testing.T) {
-	b := newPlanBench(t, 10)
+func TestServiceIsNotLoweredBeforeFirstRequest(t *testing.T) {
+	b := newPlannerTestBed(t, 10)
 	for range 40 {
 		b.now += clock.Second
 		b.Advance(&b.table, b.now)
-		b.perform()
+		b.performDueActs()
 	}
 	if len(b.acts) > 0 {
 		t.Fatalf("acts %+v", b.acts)
 	}
-	b.pass(12, 40, 0)
-	b.expect("12 s after the first request", map[string]int64{"a": 9})
+	b.runSeconds(12, 40, 0)
+	b.expectTargets("12 s after the first request", map[string]int64{"a": 9})
 }
 
 // When a fleet starts its servers come one by one. (On the bench the first primary took the two or three, or
 // twelve, that it knew for all, and had the zones lowered to their least.)
-func TestServersThatAreStillComingAreNotTakenForAll(t *testing.T) {
-	b := newPlanBench(t, 1)
+func TestInitialTargetsWaitForAllServersToStart(t *testing.T) {
+	b := newPlannerTestBed(t, 1)
 	for range 9 {
 		for _, zone := range []string{"a", "b", "c"} {
 			b.addServers(zone, 1)
 		}
-		b.pass(3, 100, 0)
+		b.runSeconds(3, 100, 0)
 	}
-	b.pass(3, 130, 0)
+	b.runSeconds(3, 130, 0)
 	if len(b.acts) > 0 {
 		t.Errorf("acts %+v", b.acts)
 	}
 }
 
-func TestBoundsAreKept(t *testing.T) {
-	b := newPlanBench(t, 5)
-	b.pass(7, 20, 0)
-	b.expect("fewer than the bounds allow", map[string]int64{"a": 7, "b": 7, "c": 7})
-	b.pass(60, 5000, 0.5)
-	b.expect("an overload", map[string]int64{"a": 16, "b": 16, "c": 16})
+func TestTargetsStayWithinBounds(t *testing.T) {
+	b := newPlannerTestBed(t, 5)
+	b.runSeconds(7, 20, 0)
+	b.expectTargets("fewer than the bounds allow", map[string]int64{"a": 7, "b": 7, "c": 7})
+	b.runSeconds(60, 5000, 0.5)
+	b.expectTargets("an overload", map[string]int64{"a": 16, "b": 16, "c": 16})
 	b.setBounds(config.Autoscale{Min: 2, Max: 12, BootTime: 4 * clock.Second})
-	b.pass(1, 5000, 0.5)
-	b.expect("a lower bound", map[string]int64{"a": 12, "b": 12, "c": 12})
+	b.runSeconds(1, 5000, 0.5)
+	b.expectTargets("a lower bound", map[string]int64{"a": 12, "b": 12, "c": 12})
 	b.setBounds(config.Autoscale{})
 	acts := len(b.acts)
-	b.pass(30, 0, 0)
+	b.runSeconds(30, 0, 0)
 	if len(b.acts) != acts {
 		t.Errorf("a pool that isn't scaled any more: acts %+v", b.acts[acts:])
 	}
 }
 
 // What was decided outlives the primary; the servers that there are may be on their way there.
-func TestANewPrimaryGoesByWhatWasDecided(t *testing.T) {
-	b := newPlanBench(t, 8)
-	b.platform = nil
-	b.pass(8, 300, 0)
-	b.expect("decided", map[string]int64{"a": 12})
+func TestNewPrimaryKeepsDecidedTargets(t *testing.T) {
+	b := newPlannerTestBed(t, 8)
+	b.resizeZone = nil
+	b.runSeconds(8, 300, 0)
+	b.expectTargets("decided", map[string]int64{"a": 12})
 	acts := len(b.acts)
 	b.Start(b.now)
-	b.pass(4, 120, 0)
+	b.runSeconds(4, 120, 0)
 	if len(b.acts) != acts {
 		t.Errorf("the next primary: acts %+v", b.acts[acts:])
 	}
 }
 
 // A new primary counts live requests from its first reports on, not from the daemons' starts.
-func TestANewPrimaryCountsFromItsFirstReports(t *testing.T) {
-	b := newPlanBench(t, 8)
+func TestNewPrimaryCountsRequestsFromFirstReports(t *testing.T) {
+	b := newPlannerTestBed(t, 8)
 	b.started, b.late = 1_000_000, 900_000
-	b.pass(20, 100, 0)
+	b.runSeconds(20, 100, 0)
 	if len(b.acts) > 0 {
 		t.Errorf("acts %+v", b.acts)
 	}
 }
 
 // A new primary took the misses of before for a want of more servers, beside those that had just been requested.
-func TestANewPrimaryWaitsForServersThatBoot(t *testing.T) {
-	b := newPlanBench(t, 8)
-	b.platform = nil
-	b.pass(10, 110, 0.5)
-	b.expect("decided", map[string]int64{"a": 11})
+func TestNewPrimaryWaitsForBootingServers(t *testing.T) {
+	b := newPlannerTestBed(t, 8)
+	b.resizeZone = nil
+	b.runSeconds(10, 110, 0.5)
+	b.expectTargets("decided", map[string]int64{"a": 11})
 	b.Start(b.now)
-	b.pass(9, 110, 0.5)
-	b.expect("while they boot", map[string]int64{"a": 11, "b": 11, "c": 11})
-	b.pass(1, 110, 0.5)
-	b.expect("afterwards", map[string]int64{"a": 15, "b": 15, "c": 15})
+	b.runSeconds(9, 110, 0.5)
+	b.expectTargets("while they boot", map[string]int64{"a": 11, "b": 11, "c": 11})
+	b.runSeconds(1, 110, 0.5)
+	b.expectTargets("afterwards", map[string]int64{"a": 15, "b": 15, "c": 15})
 }
 
 // Where the last server was lost, nothing was requested any more.
-func TestAServiceWithoutServersIsRequestedAgain(t *testing.T) {
-	b := newPlanBench(t, 8)
-	b.pass(8, 300, 0)
-	b.expect("decided", map[string]int64{"a": 12})
-	b.pass(1, 300, 0)
+func TestTargetsAreRequestedAgainAfterAllServersAreLost(t *testing.T) {
+	b := newPlannerTestBed(t, 8)
+	b.runSeconds(8, 300, 0)
+	b.expectTargets("decided", map[string]int64{"a": 12})
+	b.runSeconds(1, 300, 0)
 	acts := len(b.acts)
-	b.platform = nil
+	b.resizeZone = nil
 	for _, zone := range []string{"a", "b", "c"} {
 		b.removeServers(zone, 12)
 	}
-	b.pass(12, 0, 0)
+	b.runSeconds(12, 0, 0)
 	if len(b.acts) != acts {
 		t.Fatalf("while they may boot: acts %+v", b.acts[acts:])
 	}
-	b.pass(1, 0, 0)
+	b.runSeconds(1, 0, 0)
 	if len(b.acts) != acts+3 || string(b.acts[acts].Content) != string(b.acts[0].Content) {
 		t.Errorf("then: acts %+v", b.acts[acts:])
 	}
 }
 
-func TestServersThatDontComeAreRequestedAgain(t *testing.T) {
-	b := newPlanBench(t, 8)
-	b.platform = func(string, int64) {}
-	b.pass(8, 190, 0)
+func TestTargetsAreRequestedAgainIfServersDoNotStart(t *testing.T) {
+	b := newPlannerTestBed(t, 8)
+	b.resizeZone = func(string, int64) {}
+	b.runSeconds(8, 190, 0)
 	acts := len(b.acts)
 	if acts != 3 {
 		t.Fatalf("acts %+v", b.acts)
 	}
-	b.pass(10, 190, 0)
+	b.runSeconds(10, 190, 0)
 	if len(b.acts) != acts {
 		t.Fatalf("while they may boot: acts %+v", b.acts[acts:])
 	}
-	b.pass(2, 190, 0)
+	b.runSeconds(2, 190, 0)
 	if len(b.acts) != 2*acts || b.acts[acts].Number != 2 || string(b.acts[acts].Content) != string(b.acts[0].Content) {
 		t.Errorf("then: acts %+v", b.acts)
 	}
@@ -282,32 +282,32 @@
 
 // Crashed servers stay on the list for some seconds, and come back or are replaced: no reason to change
 // a number.
-func TestACrashOfASixthChangesNothing(t *testing.T) {
-	b := newPlanBench(t, 8)
-	b.pass(20, 100, 0)
+func TestCrashOfOneSixthOfServersKeepsTargets(t *testing.T) {
+	b := newPlannerTestBed(t, 8)
+	b.runSeconds(20, 100, 0)
 	b.removeServers("a", 2)
 	b.removeServers("b", 2)
-	b.pass(5, 100, 0.02)
+	b.runSeconds(5, 100, 0.02)
 	b.addServers("a", 2)
 	b.addServers("b", 2)
-	b.pass(20, 100, 0)
+	b.runSeconds(20, 100, 0)
 	if len(b.acts) > 0 {
 		t.Errorf("acts %+v", b.acts)
 	}
 }
 
 // Servers that are replaced one by one: the new one starts first, the old one drains.
-func TestAReleaseChangesNothing(t *testing.T) {
-	b := newPlanBench(t, 8)
-	b.pass(15, 100, 0)
+func TestRollingReplacementKeepsTargets(t *testing.T) {
+	b := newPlannerTestBed(t, 8)
+	b.runSeconds(15, 100, 0)
 	for range 8 {
 		for _, zone := range []string{"a", "b", "c"} {
 			old := b.servers[b.serversOf(zone)[0]]
 			b.addServers(zone, 1)
-			b.pass(1, 100, 0)
+			b.runSeconds(1, 100, 0)
 			old.Serving = false
 			b.SetServer(old)
-			b.pass(1, 100, 0)
+			b.runSeconds(1, 100, 0)
 			b.RemoveServer(old.Name)
 		}
 	}
@@ -317,32 +317,32 @@
 }
 
 // The other zones take the part of one whose servers are all gone, and give it back.
-func TestTheOtherZonesTakeALostZonesPart(t *testing.T) {
-	b := newPlanBench(t, 8)
-	b.platform = func(zone string, desired int64) {
+func TestOtherZonesReplaceLostZone(t *testing.T) {
+	b := newPlannerTestBed(t, 8)
+	b.resizeZone = func(zone string, desired int64) {
 		if zone != "c" {
 			b.resize(zone, desired)
 		}
 	}
-	b.pass(15, 130, 0)
+	b.runSeconds(15, 130, 0)
 	b.removeServers("c", 8)
-	b.pass(30, 130, 0)
-	b.expect("a zone is lost", map[string]int64{"a": 10, "b": 10})
-	b.platform = b.resize
-	b.pass(60, 80, 0)
-	b.expect("it is back", map[string]int64{"c": 8})
+	b.runSeconds(30, 130, 0)
+	b.expectTargets("a zone is lost", map[string]int64{"a": 10, "b": 10})
+	b.resizeZone = b.resize
+	b.runSeconds(60, 80, 0)
+	b.expectTargets("it is back", map[string]int64{"c": 8})
 }
 
 // Each number is proposed with one content until it is decided.
-func TestNothingIsProposedTwice(t *testing.T) {
-	b := newPlanBench(t, 8)
-	b.pass(7, 300, 0)
+func TestUnchangedTargetsAreNotProposed(t *testing.T) {
+	b := newPlannerTestBed(t, 8)
+	b.runSeconds(7, 300, 0)
 	if due := b.Due(&b.table); len(due) > 0 {
 		t.Errorf("due are %+v", due)
 	}
 }
 
-func TestTargetsAreEncodedAlike(t *testing.T) {
+func TestTargetEncoding(t *testing.T) {
 	target := Target{Service: "llm", Zone: "a/b", Desired: 3}
 	if got := string(target.Encode()); got != `{"service":"llm","zone":"a/b","desired":3}` {
 		t.Errorf("encoded %s", got)
--- a/internal/daemon/machines/edge.go
+++ b/internal/daemon/machines/edge.go
@@ -58,7 +58,7 @@
 	e.Requests = requests.New(settings.Requests, e.Calls, e.Scheduler, e.Quota, e.Reader, e.Decisions)
 	e.Proxy = proxy.New(settings.Proxy, e.Calls, e.Scheduler, seed+1)
 	e.Usage = usage.NewCounter(settings.Usage, e.Calls)
-	e.Proxy.OnExecutionStarted = e.Usage.Began
+	e.Proxy.OnExecutionStarted = e.Usage.RecordStart
 	if e.Usage.IsEnabled() {
 		e.Reports.AddPart(e.Usage)
 	}
--- a/internal/dataplane/modelclient/completion_test.go
+++ b/internal/dataplane/modelclient/completion_test.go
@@ -130,16 +130,16 @@
 	}
 	received := make(chan sent, 1)
 	address := startServer(t, func(_ http.ResponseWriter, r *http.Request) {
-		one := sent{path: r.Method + " " + r.URL.Path, id: r.Header.Get("X-Request-Id")}
-		if err := json.NewDecoder(r.Body).Decode(&one.body); err != nil {
+		request := sent{path: r.Method + " " + r.URL.Path, id: r.Header.Get("X-Request-Id")}
+		if err := json.NewDecoder(r.Body).Decode(&request.body); err != nil {
 			t.Error(err)
 		}
-		received <- one
+		received <- request
 	})
 	request := newRequest(address)
 	request.Prefix, request.PartialOutput, request.Priority = "be brief", "begun", 2
 	complete(t, request)
-	no := false
+	addGenerationPrompt := false
 	want := sent{"POST /v1/chat/completions", "o", completionRequest{
 		Model:                "m",
 		Messages:             []message{{"system", "be brief"}, {"user", "x"}, {"assistant", "begun"}},
@@ -148,7 +148,7 @@
 		User:                 "o",
 		Priority:             2,
 		ContinueFinalMessage: true,
-		AddGenerationPrompt:  &no,
+		AddGenerationPrompt:  &addGenerationPrompt,
 	}}
 	if got := <-received; !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, not %+v", got, want)
--- a/internal/dataplane/openapi/openapi.go
+++ b/internal/dataplane/openapi/openapi.go
@@ -81,8 +81,8 @@
 		}
 		imported[r.name] = r
 	}
-	present, _ := out["routes"].([]any)
-	out["routes"] = mergeRoutes(present, routes, imported)
+	existing, _ := out["routes"].([]any)
+	out["routes"] = mergeRoutes(existing, routes, imported)
 	data, err := json.Marshal(out)
 	if err != nil {
 		return nil, err
@@ -93,14 +93,14 @@
 	return out, nil
 }
 
-func mergeRoutes(present []any, routes []route, imported map[string]route) []any {
+func mergeRoutes(existing []any, routes []route, imported map[string]route) []any {
 	var out []any
 	replaced := map[string]bool{}
-	for _, one := range present {
-		name := nameOf(one)
+	for _, entry := range existing {
+		name := nameOf(entry)
 		replacement, ok := imported[name]
 		if !ok || replaced[name] {
-			out = append(out, one)
+			out = append(out, entry)
 			continue
 		}
 		replaced[name] = true
--- a/internal/dataplane/openapi/openapi_test.go
+++ b/internal/dataplane/openapi/openapi_test.go
@@ -8,7 +8,7 @@
 	"tuliprudder/internal/errs"
 )
 
-const file = `{"openapi":"3.0.3","info":{"title":"t","version":"1"},
+const specFile = `{"openapi":"3.0.3","info":{"title":"t","version":"1"},
  "x-tuliprudder":{"classes":{"live":"yes"},"pools":{"use":"all"},"model":"m1"},
  "paths":{
   "/tickets/check":{"post":{"operationId":"checkTicket","x-tuliprudder":{"kind":"one-shot","expiry_us":2000000},"responses":{"200":{"description":"ok"}}},
@@ -25,8 +25,8 @@
 	return data
 }
 
-func TestRoutesFromAFile(t *testing.T) {
-	got, err := Import([]byte(file), loadConfiguration(t))
+func TestImportRoutes(t *testing.T) {
+	got, err := Import([]byte(specFile), loadConfiguration(t))
 	if err != nil {
 		t.Fatal(err, errs.Of(err).Faults)
 	}
@@ -53,15 +53,15 @@
 	}
 }
 
-func TestBrokenFilesChangeNothing(t *testing.T) {
+func TestInvalidFilesAreRejected(t *testing.T) {
 	for name, broken := range map[string]string{
 		"no json":         `{"openapi":`,
 		"no paths":        `{"openapi":"3.0.3","info":{"title":"t","version":"1"}}`,
 		"nothing to take": `{"openapi":"3.0.3","info":{"title":"t","version":"1"},"paths":{}}`,
-		"unknown field":   strings.Replace(file, `"kind":"stream"`, `"kind":"stream","colour":"red"`, 1),
-		"unknown kind":    strings.Replace(file, `"kind":"stream"`, `"kind":"dance"`, 1),
-		"same name":       strings.Replace(file, `"kind":"stream"`, `"kind":"stream","name":"checkTicket"`, 1),
-		"no such pool":    strings.Replace(file, `{"use":"all"}`, `{"use":"none"}`, 1),
+		"unknown field":   strings.Replace(specFile, `"kind":"stream"`, `"kind":"stream","colour":"red"`, 1),
+		"unknown kind":    strings.Replace(specFile, `"kind":"stream"`, `"kind":"dance"`, 1),
+		"same name":       strings.Replace(specFile, `"kind":"stream"`, `"kind":"stream","name":"checkTicket"`, 1),
+		"no such pool":    strings.Replace(specFile, `{"use":"all"}`, `{"use":"none"}`, 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := Import([]byte(broken), loadConfiguration(t))
--- a/internal/dataplane/openapi/routes_test.go
+++ b/internal/dataplane/openapi/routes_test.go
@@ -18,7 +18,7 @@
 }
 
 // An operation's fields go over the file's, and neither is changed.
-func TestAnOperationsFieldsGoOverTheFiles(t *testing.T) {
+func TestOperationFieldsOverrideFileDefaults(t *testing.T) {
 	r := &routeReader{defaults: document{"kind": "stream", "model": "m1"}}
 	fields := document{"model": "m2"}
 	got := r.newRoute(fields, "verdict", "/verdicts")
@@ -32,12 +32,12 @@
 }
 
 // Two imports of a file make the same configuration.
-func TestAnImportMayBeRepeated(t *testing.T) {
-	present := []any{document{"name": "a", "kind": "stream"}, document{"name": "b"}}
+func TestImportIsIdempotent(t *testing.T) {
+	existing := []any{document{"name": "a", "kind": "stream"}, document{"name": "b"}}
 	routes := []route{{"c", document{"name": "c"}}, {"b", document{"name": "b", "model": "m"}}}
 	imported := map[string]route{"b": routes[1], "c": routes[0]}
-	once := mergeRoutes(present, routes, imported)
-	want := []any{present[0], routes[1].fields, routes[0].fields}
+	once := mergeRoutes(existing, routes, imported)
+	want := []any{existing[0], routes[1].fields, routes[0].fields}
 	if !reflect.DeepEqual(once, want) {
 		t.Errorf("%v, not %v", once, want)
 	}
--- a/internal/dataplane/usage/counter.go
+++ b/internal/dataplane/usage/counter.go
@@ -62,8 +62,8 @@
 // windowAt is the window that a time is in.
 func (c *Counter) windowAt(now clock.Micros) uint64 { return uint64(now / c.settings.Interval) }
 
-// Began counts a request of a tenant that has just begun to run; tenant is "" where it has none.
-func (c *Counter) Began(tenant string, now clock.Micros) {
+// RecordStart counts a request of a tenant that has just begun to run; tenant is "" where it has none.
+func (c *Counter) RecordStart(tenant string, now clock.Micros) {
 	if !c.IsEnabled() || tenant == "" {
 		return
 	}
@@ -87,12 +87,12 @@
 		oldest := slices.Min(slices.Collect(maps.Keys(c.windows)))
 		requests := c.windows[oldest].total()
 		c.Dropped += requests
-		c.forget(oldest)
+		c.remove(oldest)
 		c.calls.Emit(machine.LogEvent{Event: WindowDropped{Window: oldest, Requests: requests}})
 	}
 }
 
-func (c *Counter) forget(number uint64) {
+func (c *Counter) remove(number uint64) {
 	c.counts -= len(c.windows[number].counts)
 	delete(c.windows, number)
 }
@@ -149,7 +149,7 @@
 	c.decidedUpTo = max(c.decidedUpTo, reply.UsageDecidedUpTo)
 	for number := range c.windows {
 		if number <= c.decidedUpTo {
-			c.forget(number)
+			c.remove(number)
 		}
 	}
 }
--- a/internal/dataplane/usage/counter_test.go
+++ b/internal/dataplane/usage/counter_test.go
@@ -29,17 +29,17 @@
 	return out
 }
 
-func TestOnlyChangedCountsAreTold(t *testing.T) {
+func TestOnlyChangedCountsAreReported(t *testing.T) {
 	c, _ := newTestCounter()
-	c.Began("a", at(7))
-	c.Began("a", at(7))
-	c.Began("b", at(7))
-	c.Began("", at(7))
+	c.RecordStart("a", at(7))
+	c.RecordStart("a", at(7))
+	c.RecordStart("b", at(7))
+	c.RecordStart("", at(7))
 	first := report(c, at(7))
 	if first == nil || len(first.Usage) != 1 || first.Usage[0].Window != 7 || !maps.Equal(first.Usage[0].Counts, map[string]int64{"a": 2, "b": 1}) {
 		t.Fatalf("told %+v", first)
 	}
-	c.Began("a", at(7))
+	c.RecordStart("a", at(7))
 	c.Acknowledged(*first, primaryreport.Reply{})
 	second := report(c, at(7))
 	if second == nil || !maps.Equal(second.Usage[0].Counts, map[string]int64{"a": 3}) {
@@ -50,13 +50,13 @@
 		t.Errorf("told %+v again", again)
 	}
 	c.Reset()
-	if anew := report(c, at(7)); anew == nil || !maps.Equal(anew.Usage[0].Counts, map[string]int64{"a": 3, "b": 1}) {
-		t.Errorf("told %+v to another primary", anew)
+	if afterReset := report(c, at(7)); afterReset == nil || !maps.Equal(afterReset.Usage[0].Counts, map[string]int64{"a": 3, "b": 1}) {
+		t.Errorf("told %+v to another primary", afterReset)
 	}
 }
 
 // The primary waits for the word of each edge that a window is over.
-func TestTheEndOfAWindowIsTold(t *testing.T) {
+func TestEndOfWindowIsReported(t *testing.T) {
 	c, _ := newTestCounter()
 	idle := report(c, at(7))
 	if idle == nil || len(idle.Usage) > 0 {
@@ -71,10 +71,10 @@
 	}
 }
 
-func TestDecidedWindowsAreForgotten(t *testing.T) {
+func TestDecidedWindowsAreRemoved(t *testing.T) {
 	c, _ := newTestCounter()
 	for window := int64(7); window < 10; window++ {
-		c.Began("a", at(window))
+		c.RecordStart("a", at(window))
 	}
 	c.Acknowledged(primaryreport.Report{SentAt: at(9)}, primaryreport.Reply{UsageDecidedUpTo: 8})
 	if left := report(c, at(9)); len(left.Usage) != 1 || left.Usage[0].Window != 9 || c.Undecided() != 1 {
@@ -82,10 +82,10 @@
 	}
 }
 
-func TestWhatIsKeptIsBounded(t *testing.T) {
+func TestKeptWindowsAndCountsAreBounded(t *testing.T) {
 	c, calls := newTestCounter()
 	for window := int64(1); window <= maxWindows+3; window++ {
-		c.Began("a", at(window))
+		c.RecordStart("a", at(window))
 	}
 	events := calls.Drain()
 	if len(c.windows) != maxWindows || c.Dropped != 3 || len(events) != 3 {
@@ -95,7 +95,7 @@
 		t.Errorf("dropped %+v", first)
 	}
 	for tenant := range maxCounts + 10 {
-		c.Began(fmt.Sprint("t", tenant), at(maxWindows+4))
+		c.RecordStart(fmt.Sprint("t", tenant), at(maxWindows+4))
 	}
 	if len(c.windows) != 1 || c.counts < maxCounts {
 		t.Errorf("%d windows with %d counts", len(c.windows), c.counts)
@@ -103,9 +103,9 @@
 }
 
 // An edge where use isn't reported counts and sends nothing.
-func TestNothingIsCountedWithoutAnInterval(t *testing.T) {
+func TestZeroIntervalDisablesCounting(t *testing.T) {
 	c := NewCounter(Settings{}, machine.NewCalls())
-	c.Began("a", at(1))
+	c.RecordStart("a", at(1))
 	c.Acknowledged(primaryreport.Report{}, primaryreport.Reply{UsageDecidedUpTo: 3})
 	if c.Counted != 0 || report(c, at(2)) != nil {
 		t.Error("counted")
--- a/internal/dataplane/usage/model_test.go
+++ b/internal/dataplane/usage/model_test.go
@@ -32,32 +32,32 @@
 	gossipLag = 800 * clock.Millisecond
 )
 
-// troubles are what happens in a run of the model.
-type troubles struct {
-	primaryChanges, kills, drains, cuts, wrongClocks bool
+// disturbances are what happens in a run of the model.
+type disturbances struct {
+	primaryChanges, kills, drains, partitions, skewedClocks bool
 }
 
-// began is a request that began, as the model itself counts it.
-type began struct {
-	tenant   string
-	at       clock.Micros
-	edge     *modelEdge
-	isBehind bool // the window was over, and the edge's clock is behind
+// startedRequest is a request that startedRequest, as the model itself counts it.
+type startedRequest struct {
+	tenant        string
+	at            clock.Micros
+	edge          *modelEdge
+	isClockBehind bool // the window was over, and the edge's clock is behind
 }
 
 // modelEdge is one incarnation of an edge.
 type modelEdge struct {
 	*Counter
-	sender   *primaryreport.Sender
-	calls    *machine.Calls
-	id       string
-	skew     clock.Micros // of its clock
-	killedAt clock.Micros // 0: it lives, or drained
-	isGone   bool
-	isQuiet  bool // takes no requests any more
-	cutUntil clock.Micros
-	cuts     [][2]clock.Micros
-	hasLost  bool // its last message or the reply
+	sender           *primaryreport.Sender
+	calls            *machine.Calls
+	id               string
+	skew             clock.Micros // of its clock
+	killedAt         clock.Micros // 0: it lives, or drained
+	hasEnded         bool
+	rejectsRequests  bool // takes no requests any more
+	partitionedUntil clock.Micros
+	partitions       [][2]clock.Micros
+	hasLostMessage   bool // its last message or the reply
 }
 
 func (e *modelEdge) clock(now clock.Micros) clock.Micros { return now + e.skew }
@@ -90,17 +90,17 @@
 
 // model is edges, cores, and the network between them, in virtual time.
 type model struct {
-	rng      *rand.Rand
-	troubles troubles
-	faults   collector.InjectedFaults
-	sender   primaryreport.InjectedFaults
-	now      clock.Micros
-	events   eventHeap
-	order    int
-
-	edges []*modelEdge
-	lives int
-	cores [modelCores]*modelCore
+	rng             *rand.Rand
+	disturbances    disturbances
+	collectorFaults collector.InjectedFaults
+	senderFaults    primaryreport.InjectedFaults
+	now             clock.Micros
+	events          eventHeap
+	order           int
+
+	edges        []*modelEdge
+	incarnations int
+	cores        [modelCores]*modelCore
 
 	primary      int // -1: there is none
 	epoch        uint64
@@ -108,18 +108,18 @@
 	changes      []clock.Micros // of the primary
 	kills        []clock.Micros // of cores that were primary
 
-	table     exclusive.Table
-	began     map[uint64][]began // by the window of the edge's clock
-	decided   []uint64
-	missing   int
-	requests  int
-	violation string
+	table           exclusive.Table
+	startedByWindow map[uint64][]startedRequest // by the window of the edge's clock
+	decided         []uint64
+	missingRequests int
+	requests        int
+	violation       string
 }
 
-func newModel(seed int64, troubles troubles, faults collector.InjectedFaults, sender primaryreport.InjectedFaults) *model {
+func newModel(seed int64, troubles disturbances, faults collector.InjectedFaults, sender primaryreport.InjectedFaults) *model {
 	m := &model{
-		rng: rand.New(rand.NewSource(seed)), troubles: troubles, faults: faults, sender: sender,
-		now: 1000*modelInterval + 300*clock.Millisecond, primary: -1, began: map[uint64][]began{},
+		rng: rand.New(rand.NewSource(seed)), disturbances: troubles, collectorFaults: faults, senderFaults: sender,
+		now: 1000*modelInterval + 300*clock.Millisecond, primary: -1, startedByWindow: map[uint64][]startedRequest{},
 	}
 	for i := range m.cores {
 		m.startCore(i)
@@ -128,18 +128,18 @@
 		m.startEdge(fmt.Sprint("edge-", i))
 	}
 	m.elect(0)
-	m.everyTick()
-	m.poll()
-	m.disturb()
+	m.tickEdges()
+	m.pollForPermits()
+	m.injectDisturbances()
 	return m
 }
 
-func (m *model) after(delay clock.Micros, run func()) {
+func (m *model) schedule(delay clock.Micros, run func()) {
 	m.order++
 	heap.Push(&m.events, event{m.now + delay, m.order, run})
 }
 
-func (m *model) upTo(span clock.Micros) clock.Micros { return 1 + m.rng.Int63n(span) }
+func (m *model) randomUpTo(span clock.Micros) clock.Micros { return 1 + m.rng.Int63n(span) }
 
 func (m *model) run(until clock.Micros) {
 	for m.violation == "" && len(m.events) > 0 && m.events[0].at <= until {
@@ -157,26 +157,26 @@
 
 // startEdge starts an incarnation; the identity is the former one's, as of a daemon with a disk.
 func (m *model) startEdge(id string) {
-	m.lives++
+	m.incarnations++
 	e := &modelEdge{calls: machine.NewCalls(), id: id}
-	if m.troubles.wrongClocks && m.rng.Intn(3) == 0 {
+	if m.disturbances.skewedClocks && m.rng.Intn(3) == 0 {
 		e.skew = m.rng.Int63n(4*clock.Second) - 2*clock.Second
 	}
 	e.Counter = NewCounter(Settings{Interval: modelInterval}, e.calls)
 	e.sender = primaryreport.NewSender(id, e.calls)
 	e.sender.AddPart(e.Counter)
-	e.sender.SetIncarnation(uint64(m.lives))
-	e.sender.InjectedFaults = m.sender
+	e.sender.SetIncarnation(uint64(m.incarnations))
+	e.sender.InjectedFaults = m.senderFaults
 	m.edges = append(m.edges, e)
-	m.tellMembership(e, uint64(m.lives), true, 100*clock.Millisecond, 800*clock.Millisecond)
-	m.tellPrimary(e)
+	m.announceMembership(e, uint64(m.incarnations), true, 100*clock.Millisecond, 800*clock.Millisecond)
+	m.announcePrimary(e)
 }
 
-// tellMembership tells the cores, each after a while, that an edge lives or doesn't.
-func (m *model) tellMembership(e *modelEdge, incarnation uint64, isLive bool, least, most clock.Micros) {
+// announceMembership tells the cores, each after a while, that an edge lives or doesn't.
+func (m *model) announceMembership(e *modelEdge, incarnation uint64, isLive bool, least, most clock.Micros) {
 	for _, core := range m.cores {
-		m.after(least+m.upTo(most-least), func() {
-			if isLive && e.isGone {
+		m.schedule(least+m.randomUpTo(most-least), func() {
+			if isLive && e.hasEnded {
 				return
 			}
 			core.SetEdge(e.id, incarnation, isLive)
@@ -184,25 +184,25 @@
 	}
 }
 
-// tellPrimary tells an edge who is primary, after a while.
-func (m *model) tellPrimary(e *modelEdge) {
+// announcePrimary tells an edge who is primary, after a while.
+func (m *model) announcePrimary(e *modelEdge) {
 	if m.primary < 0 {
 		return
 	}
 	update := state.CoreUpdate{Epoch: m.epoch, Peer: coreNames[m.primary], VoterPeers: coreNames}
-	m.after(50*clock.Millisecond+m.upTo(700*clock.Millisecond), func() { e.sender.SetPrimary(update) })
+	m.schedule(50*clock.Millisecond+m.randomUpTo(700*clock.Millisecond), func() { e.sender.SetPrimary(update) })
 }
 
 // startCore starts a core, which knows nothing; the membership tells it of the edges in a while.
 func (m *model) startCore(i int) {
 	settings := collector.Settings{Interval: modelInterval, Delay: modelDelay}
 	core := &modelCore{Collector: collector.NewCollector(settings, func(machine.Effect) {})}
-	core.InjectFaults(m.faults)
+	core.InjectFaults(m.collectorFaults)
 	core.SetConfiguredAt(m.now)
 	m.cores[i] = core
 	for at, e := range m.edges {
-		m.after(m.upTo(800*clock.Millisecond), func() {
-			if !e.isGone {
+		m.schedule(m.randomUpTo(800*clock.Millisecond), func() {
+			if !e.hasEnded {
 				core.SetEdge(e.id, uint64(at+1), true)
 			}
 		})
@@ -216,30 +216,30 @@
 	m.cores[core].Start(m.epoch, m.now)
 	m.cores[core].SetDecided(m.table.Record(collector.Subject).LastNumber)
 	for _, e := range m.edges {
-		m.tellPrimary(e)
+		m.announcePrimary(e)
 	}
 }
 
-func (m *model) everyTick() {
+func (m *model) tickEdges() {
 	for _, e := range m.edges {
-		if e.isGone {
+		if e.hasEnded {
 			continue
 		}
-		if !e.isQuiet && m.rng.Intn(4) == 0 {
-			m.begin(e)
+		if !e.rejectsRequests && m.rng.Intn(4) == 0 {
+			m.startRequest(e)
 		}
 		e.sender.Tick(e.clock(m.now))
 		m.sendReports(e)
 	}
-	m.after(modelTick, m.everyTick)
+	m.schedule(modelTick, m.tickEdges)
 }
 
-func (m *model) begin(e *modelEdge) {
+func (m *model) startRequest(e *modelEdge) {
 	tenant := fmt.Sprint("tenant-", min(m.rng.Intn(modelTenants), m.rng.Intn(modelTenants)))
 	window := uint64(e.clock(m.now) / modelInterval)
-	m.began[window] = append(m.began[window], began{tenant, m.now, e, uint64(m.now/modelInterval) > window})
+	m.startedByWindow[window] = append(m.startedByWindow[window], startedRequest{tenant, m.now, e, uint64(m.now/modelInterval) > window})
 	m.requests++
-	e.Began(tenant, e.clock(m.now))
+	e.RecordStart(tenant, e.clock(m.now))
 }
 
 // sendReports carries out what an edge's machine emitted.
@@ -247,66 +247,66 @@
 	for _, effect := range e.calls.Drain() {
 		switch effect := effect.(type) {
 		case machine.Request:
-			m.carry(e, effect)
+			m.sendRequest(e, effect)
 		case machine.Send:
-			m.after(m.delay(), func() { m.deliver(e, effect) })
+			m.schedule(m.delay(), func() { m.deliverMessage(e, effect) })
 		default:
 			m.fail("%s emitted %+v", e.id, effect)
 		}
 	}
 }
 
-// deliver delivers a message to a core; without a cut TCP loses none.
-func (m *model) deliver(e *modelEdge, message machine.Send) {
-	if m.now >= e.cutUntil {
+// deliverMessage delivers a message to a core; without a cut TCP loses none.
+func (m *model) deliverMessage(e *modelEdge, message machine.Send) {
+	if m.now >= e.partitionedUntil {
 		m.cores[slices.Index(coreNames, message.To)].Receive(message.Body.(primaryreport.Report), m.now)
 	}
 }
 
-// carry takes a report over the network: it is lost, late or doubled at times, and its reply too.
-func (m *model) carry(e *modelEdge, request machine.Request) {
+// sendRequest takes a report over the network: it is lost, late or doubled at times, and its reply too.
+func (m *model) sendRequest(e *modelEdge, request machine.Request) {
 	isAnswered := false
 	answer := func(body any, err error) {
-		if isAnswered || e.isGone {
+		if isAnswered || e.hasEnded {
 			return
 		}
 		isAnswered = true
 		e.calls.ReplyReceived(request.Token, body, err, e.clock(m.now))
 		m.sendReports(e)
 	}
-	m.after(request.Timeout, func() { answer(nil, errors.New("timed out")) })
+	m.schedule(request.Timeout, func() { answer(nil, errors.New("timed out")) })
 	deliver := func() {
-		if m.now < e.cutUntil {
+		if m.now < e.partitionedUntil {
 			return
 		}
 		reply, err := m.receive(request)
 		if !m.isLost(e) {
-			m.after(m.delay(), func() {
-				if m.now >= e.cutUntil {
+			m.schedule(m.delay(), func() {
+				if m.now >= e.partitionedUntil {
 					answer(reply, err)
 				}
 			})
 		}
 	}
 	if !m.isLost(e) {
-		m.after(m.delay(), deliver)
+		m.schedule(m.delay(), deliver)
 	}
 	if m.rng.Intn(20) == 0 {
-		m.after(m.upTo(9*clock.Second), deliver)
+		m.schedule(m.randomUpTo(9*clock.Second), deliver)
 	}
 }
 
 // isLost tells whether a message from or to an edge is lost; of two in a row one arrives.
 func (m *model) isLost(e *modelEdge) bool {
-	e.hasLost = !e.hasLost && m.rng.Intn(25) == 0
-	return e.hasLost
+	e.hasLostMessage = !e.hasLostMessage && m.rng.Intn(25) == 0
+	return e.hasLostMessage
 }
 
 func (m *model) delay() clock.Micros {
 	if m.rng.Intn(20) == 0 {
-		return m.upTo(600 * clock.Millisecond)
+		return m.randomUpTo(600 * clock.Millisecond)
 	}
-	return m.upTo(30 * clock.Millisecond)
+	return m.randomUpTo(30 * clock.Millisecond)
 }
 
 // coreNames are the addresses of the cores.
@@ -322,8 +322,8 @@
 	return reply, nil
 }
 
-// poll has a node ask for permits: what is due is decided then.
-func (m *model) poll() {
+// pollForPermits has a node ask for permits: what is due is decided then.
+func (m *model) pollForPermits() {
 	if m.primary >= 0 {
 		core := m.cores[m.primary]
 		core.Advance(m.now)
@@ -331,24 +331,24 @@
 			m.decide(core, due)
 		}
 	}
-	m.after(100*clock.Millisecond+m.upTo(400*clock.Millisecond), m.poll)
+	m.schedule(100*clock.Millisecond+m.randomUpTo(400*clock.Millisecond), m.pollForPermits)
 }
 
 // decide has acts decided; the primary learns a little later that they are durable. Where it is killed
 // first, they may be decided or not.
 func (m *model) decide(core *modelCore, due []exclusive.Act) {
-	if m.troubles.primaryChanges && m.rng.Intn(12) == 0 {
+	if m.disturbances.primaryChanges && m.rng.Intn(12) == 0 {
 		m.killPrimary()
 		if m.rng.Intn(2) == 0 {
 			return
 		}
 	} else {
 		last := due[len(due)-1].Number
-		m.after(m.upTo(20*clock.Millisecond), func() { core.SetDecided(last) })
+		m.schedule(m.randomUpTo(20*clock.Millisecond), func() { core.SetDecided(last) })
 	}
 	m.table.Apply(exclusive.Update{Grants: []exclusive.Grant{{Subject: collector.Subject, Holder: exclusive.Holder{Name: "h"}, Fence: 1, Acts: due}}})
 	for _, act := range due {
-		m.check(act)
+		m.checkDecision(act)
 		m.table.Apply(exclusive.Update{Settlements: []exclusive.Settlement{{Subject: collector.Subject, Numbers: []uint64{act.Number}}}})
 	}
 }
@@ -361,36 +361,36 @@
 	m.primary = -1
 	m.kills = append(m.kills, m.now)
 	m.startCore(dead)
-	m.after(500*clock.Millisecond+m.upTo(3*clock.Second), func() {
+	m.schedule(500*clock.Millisecond+m.randomUpTo(3*clock.Second), func() {
 		m.elect((dead + 1 + m.rng.Intn(modelCores-1)) % modelCores)
 	})
 }
 
-// disturb makes trouble now and then.
-func (m *model) disturb() {
-	m.after(200*clock.Millisecond+m.upTo(3*clock.Second), m.disturb)
+// injectDisturbances makes trouble now and then.
+func (m *model) injectDisturbances() {
+	m.schedule(200*clock.Millisecond+m.randomUpTo(3*clock.Second), m.injectDisturbances)
 	e := m.edges[m.rng.Intn(len(m.edges))]
 	switch m.rng.Intn(10) {
 	case 0:
-		if m.troubles.primaryChanges && m.primary >= 0 {
+		if m.disturbances.primaryChanges && m.primary >= 0 {
 			m.killPrimary()
 		}
 	case 1:
-		if m.troubles.primaryChanges && m.primary >= 0 {
+		if m.disturbances.primaryChanges && m.primary >= 0 {
 			m.elect(m.primary) // under another term, with other voters
 		}
 	case 2, 3:
-		if m.troubles.kills && !e.isQuiet {
+		if m.disturbances.kills && !e.rejectsRequests {
 			m.kill(e)
 		}
 	case 4:
-		if m.troubles.drains && !e.isQuiet {
+		if m.disturbances.drains && !e.rejectsRequests {
 			m.drain(e)
 		}
 	case 5, 6:
-		if m.troubles.cuts && m.now >= e.cutUntil && !e.isQuiet {
-			e.cutUntil = m.now + m.upTo(9*clock.Second)
-			e.cuts = append(e.cuts, [2]clock.Micros{m.now, e.cutUntil})
+		if m.disturbances.partitions && m.now >= e.partitionedUntil && !e.rejectsRequests {
+			e.partitionedUntil = m.now + m.randomUpTo(9*clock.Second)
+			e.partitions = append(e.partitions, [2]clock.Micros{m.now, e.partitionedUntil})
 		}
 	}
 }
@@ -399,43 +399,43 @@
 
 // kill ends an edge without notice; it is started again, or not noticed to be gone, for a while.
 func (m *model) kill(e *modelEdge) {
-	e.isQuiet, e.isGone, e.killedAt = true, true, m.now
-	m.tellMembership(e, m.incarnationOf(e), false, 2*clock.Second, 5*clock.Second)
-	m.after(m.upTo(3*clock.Second), func() { m.startEdge(e.id) })
+	e.rejectsRequests, e.hasEnded, e.killedAt = true, true, m.now
+	m.announceMembership(e, m.incarnationOf(e), false, 2*clock.Second, 5*clock.Second)
+	m.schedule(m.randomUpTo(3*clock.Second), func() { m.startEdge(e.id) })
 }
 
 // drain ends an edge on purpose: it takes no more requests and tells what it has.
 func (m *model) drain(e *modelEdge) {
-	e.isQuiet = true
+	e.rejectsRequests = true
 	leave := func() {
-		if e.isGone {
+		if e.hasEnded {
 			return
 		}
-		e.isGone = true
-		if e.hasChanges(m) {
+		e.hasEnded = true
+		if e.hasUnreportedCounts(m) {
 			e.killedAt = m.now
 		}
-		m.tellMembership(e, m.incarnationOf(e), false, 50*clock.Millisecond, 800*clock.Millisecond)
-		m.after(m.upTo(clock.Second), func() { m.startEdge(e.id) })
+		m.announceMembership(e, m.incarnationOf(e), false, 50*clock.Millisecond, 800*clock.Millisecond)
+		m.schedule(m.randomUpTo(clock.Second), func() { m.startEdge(e.id) })
 	}
-	m.after(clock.Millisecond, func() {
-		if e.isGone {
+	m.schedule(clock.Millisecond, func() {
+		if e.hasEnded {
 			return
 		}
-		e.sender.Flush(e.clock(m.now), func() { m.after(1, leave) })
+		e.sender.Flush(e.clock(m.now), func() { m.schedule(1, leave) })
 		m.sendReports(e)
 	})
 }
 
-// hasChanges tells whether an edge counted what the present primary was not told.
-func (e *modelEdge) hasChanges(m *model) bool {
+// hasUnreportedCounts tells whether an edge counted what the present primary was not told.
+func (e *modelEdge) hasUnreportedCounts(m *model) bool {
 	var report primaryreport.Report
 	e.Add(&report, e.clock(m.now))
 	return len(report.Usage) > 0
 }
 
-// check compares what is decided for a window with what began in it.
-func (m *model) check(act exclusive.Act) {
+// checkDecision compares what is decided for a window with what began in it.
+func (m *model) checkDecision(act exclusive.Act) {
 	content, err := collector.DecodeContent(act.Content)
 	if err != nil || content.Window != act.Number {
 		m.fail("window %d has the content %s: %v", act.Number, act.Content, err)
@@ -446,18 +446,18 @@
 	}
 	m.decided = append(m.decided, act.Number)
 	m.checkTime(act.Number)
-	counted, excusable := map[string]int64{}, map[string]int64{}
-	for _, one := range m.began[act.Number] {
-		counted[one.tenant]++
-		if m.isExcusable(one) {
-			excusable[one.tenant]++
+	counted, allowedMissing := map[string]int64{}, map[string]int64{}
+	for _, request := range m.startedByWindow[act.Number] {
+		counted[request.tenant]++
+		if m.mayBeMissing(request) {
+			allowedMissing[request.tenant]++
 		}
 	}
 	for _, tenant := range slices.Sorted(maps.Keys(counted)) {
 		missing := counted[tenant] - content.Counts[tenant]
-		m.missing += int(max(0, missing))
-		if missing < 0 || missing > excusable[tenant] {
-			m.fail("window %d has %d of %s; %d began, %d may be missing", act.Number, content.Counts[tenant], tenant, counted[tenant], excusable[tenant])
+		m.missingRequests += int(max(0, missing))
+		if missing < 0 || missing > allowedMissing[tenant] {
+			m.fail("window %d has %d of %s; %d began, %d may be missing", act.Number, content.Counts[tenant], tenant, counted[tenant], allowedMissing[tenant])
 		}
 	}
 	for tenant := range content.Counts {
@@ -479,68 +479,68 @@
 	}
 }
 
-// isExcusable tells whether a request may be missing in what is decided now.
-func (m *model) isExcusable(one began) bool {
-	if m.wasCut(one) {
+// mayBeMissing tells whether a request may be missing in what is decided now.
+func (m *model) mayBeMissing(request startedRequest) bool {
+	if m.wasPartitioned(request) {
 		return true
 	}
-	killsSince := 0
+	primaryKillsSince := 0
 	for _, at := range m.kills {
-		if at > one.at {
-			killsSince++
+		if at > request.at {
+			primaryKillsSince++
 		}
 	}
 	switch {
-	case one.edge.killedAt > 0: // what it had told is known to the primary that it told alone
-		hadNobodyToTell := slices.ContainsFunc(m.changes, func(at clock.Micros) bool {
-			return at > one.at && at > one.edge.killedAt-reportLag-gossipLag
+	case request.edge.killedAt > 0: // what it had told is known to the primary that it told alone
+		primaryWasUnknown := slices.ContainsFunc(m.changes, func(at clock.Micros) bool {
+			return at > request.at && at > request.edge.killedAt-reportLag-gossipLag
 		})
-		return killsSince > 0 || hadNobodyToTell || one.at > one.edge.killedAt-reportLag
-	case one.edge.isGone: // all cores were told by a drained edge; two may have started again since
-		return killsSince > 1
-	case one.isBehind: // the edge may be so new that the primary doesn't know of it
-		return one.at > m.now-reportLag-gossipLag
+		return primaryKillsSince > 0 || primaryWasUnknown || request.at > request.edge.killedAt-reportLag
+	case request.edge.hasEnded: // all cores were told by a drained edge; two may have started again since
+		return primaryKillsSince > 1
+	case request.isClockBehind: // the edge may be so new that the primary doesn't know of it
+		return request.at > m.now-reportLag-gossipLag
 	}
 	return false
 }
 
-// wasCut tells whether an edge was cut off, since a request, for so long that it may not have told the
+// wasPartitioned tells whether an edge was cut off, since a request, for so long that it may not have told the
 // present primary of it. An edge that ended may have told the former one alone.
-func (m *model) wasCut(one began) bool {
-	return slices.ContainsFunc(one.edge.cuts, func(cut [2]clock.Micros) bool {
-		untilNow := cut[1]+reportLag > m.now-clock.Second
-		return cut[1]+reportLag > one.at && (untilNow || one.edge.isGone)
+func (m *model) wasPartitioned(request startedRequest) bool {
+	return slices.ContainsFunc(request.edge.partitions, func(partition [2]clock.Micros) bool {
+		isRecent := partition[1]+reportLag > m.now-clock.Second
+		return partition[1]+reportLag > request.at && (isRecent || request.edge.hasEnded)
 	})
 }
 
-// allTroubles are the kinds of run that every window has to be right in.
-var allTroubles = map[string]troubles{
+// scenarios are the kinds of run that every window has to be right in.
+var scenarios = map[string]disturbances{
 	"nothing but losses":   {},
 	"changes of primary":   {primaryChanges: true},
-	"wrong clocks":         {primaryChanges: true, wrongClocks: true},
+	"wrong clocks":         {primaryChanges: true, skewedClocks: true},
 	"drained edges":        {drains: true},
 	"drained and changes":  {drains: true, primaryChanges: true},
 	"killed edges":         {kills: true},
-	"cuts":                 {cuts: true},
+	"cuts":                 {partitions: true},
 	"everything at a time": {true, true, true, true, true},
 }
 
 func (m *model) String() string {
 	var out strings.Builder
-	fmt.Fprintf(&out, "%d requests, %d windows, %d missing, %d changes of primary, %d incarnations", m.requests, len(m.decided), m.missing, len(m.changes)-1, m.lives)
+	fmt.Fprintf(&out, "%d requests, %d windows, %d missing, %d changes of primary, %d incarnations", m.requests, len(m.decided), m.missingRequests, len(m.changes)-1, m.incarnations)
 	return out.String()
 }
 
-func TestEveryWindowIsWithinTheTruth(t *testing.T) {
+func TestDecidedCountsMatchStartedRequests(t *testing.T) {
 	const (
 		seeds    = 60
 		duration = 90 * clock.Second
 	)
-	for _, name := range slices.Sorted(maps.Keys(allTroubles)) {
+	for _, name := range slices.Sorted(maps.Keys(scenarios)) {
 		t.Run(name, func(t *testing.T) {
 			requests, missing, windows := 0, 0, 0
 			for seed := int64(1); seed <= seeds; seed++ {
-				m := newModel(seed, allTroubles[name], collector.InjectedFaults{}, primaryreport.InjectedFaults{})
+				m := newModel(seed, scenarios[name], collector.InjectedFaults{}, primaryreport.InjectedFaults{})
 				m.run(m.now + duration)
 				if m.violation != "" {
 					t.Fatalf("seed %d: %s (%s)", seed, m.violation, m)
@@ -548,7 +548,7 @@
 				if len(m.decided) < 10 {
 					t.Fatalf("seed %d: %s", seed, m)
 				}
-				requests, missing, windows = requests+m.requests, missing+m.missing, windows+len(m.decided)
+				requests, missing, windows = requests+m.requests, missing+m.missingRequests, windows+len(m.decided)
 			}
 			t.Logf("%d requests in %d windows, %d missing", requests, windows, missing)
 		})
@@ -556,7 +556,7 @@
 }
 
 // The search finds each safeguard that is left out.
-func TestTheModelFindsWhatIsLeftOut(t *testing.T) {
+func TestModelDetectsInjectedFaults(t *testing.T) {
 	for name, test := range map[string]struct {
 		collector collector.InjectedFaults
 		sender    primaryreport.InjectedFaults
@@ -571,7 +571,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := int64(1); seed <= 100; seed++ {
-				m := newModel(seed, troubles{primaryChanges: true, drains: true}, test.collector, test.sender)
+				m := newModel(seed, disturbances{primaryChanges: true, drains: true}, test.collector, test.sender)
 				m.run(m.now + 90*clock.Second)
 				if m.violation != "" {
 					t.Logf("seed %d: %s", seed, m.violation)
