--- a/internal/controlplane/autoscale/events.go
+++ b/internal/controlplane/autoscale/events.go
@@ -2,7 +2,7 @@
 
 import "tuliprudder/internal/machine"
 
-// TargetChanged is the log event of another number of servers for a zone of a service.
+// TargetChanged is logged when the target number of servers of a zone of a service changes.
 type TargetChanged struct {
 	machine.Info
 	Service     string  `json:"service"`
@@ -10,10 +10,10 @@
 	From        int64   `json:"from"`
 	To          int64   `json:"to"`
 	Serving     int64   `json:"serving"`
-	Utilization float64 `json:"utilization"` // of all zones' slots, in the last samples
-	Misses      float64 `json:"misses"`      // part of the live requests, in the same
+	Utilization float64 `json:"utilization"` // fraction of the slots in all zones in use, over the last samples
+	Misses      float64 `json:"misses"`      // fraction of live requests that missed their targets, in the same samples
 	Reason      string  `json:"reason"`
 }
 
-// EventName is the event's key in the log.
+// EventName returns the event's key in the log.
 func (TargetChanged) EventName() string { return "servers_target_changed" }
--- a/internal/controlplane/autoscale/load.go
+++ b/internal/controlplane/autoscale/load.go
@@ -2,24 +2,28 @@
 
 import "tuliprudder/internal/clock"
 
-// milli is what fractions of slots are counted in.
+// milli is the number of units per slot: slot counts in reports are in thousandths.
 const milli = 1000
 
-// Load is what one daemon has to run in a scaled pool. Its type and fields are on the wire.
+// Load is the load of one daemon on a scaled pool. The type and its fields are part of the wire
+// format.
 type Load struct {
-	Pool string // its name
-	// Busy is how many slots of servers its requests took, on average since its last report, in thousandths.
+	Pool string // the name of the pool
+	// Busy is the average number of server slots that its requests occupied since its last report, in
+	// thousandths.
 	Busy int64
-	// Queued is how many of its live requests wait for a server.
+	// Queued is the number of its live requests that wait for a server.
 	Queued int64
-	// Required is how many slots its queued batch items need to be ready when they are due, in thousandths.
+	// Required is the number of slots that its queued batch items need to finish by their deadlines, in
+	// thousandths.
 	Required int64
-	// Started, Rejected and Late count live requests since the daemon's start: those that got a server,
-	// those that got none in time, and responses that came later than their route's targets.
+	// Started, Rejected and Late count live requests since the daemon's start: those that were assigned a
+	// server, those for which none became available in time, and those whose response missed the latency
+	// targets of its route.
 	Started, Rejected, Late int64
 }
 
-// isIdle tells whether nothing runs or waits.
+// isIdle reports whether nothing runs or waits.
 func (l Load) isIdle() bool {
 	return l.Busy == 0 && l.Queued == 0 && l.Required == 0 && l.Started == 0 && l.Rejected == 0
 }
@@ -30,34 +34,35 @@
 	Incarnation uint64
 }
 
-// reportTimeout is how long a daemon's last report counts: one that has ended runs nothing.
+// reportTimeout is how long a daemon's last report is used. A daemon that has not reported for longer
+// is taken to have ended, so that it runs nothing.
 const reportTimeout = 3 * clock.Second
 
-// maxReporters bounds how many incarnations of daemons are known.
+// maxReporters limits the number of daemon incarnations that are tracked.
 const maxReporters = 8192
 
-// report is the last one of a daemon.
+// report is the last report of a daemon.
 type report struct {
 	loads      map[string]Load // by service
 	receivedAt clock.Micros
 }
 
-// loadTable has the last report of each daemon.
+// loadTable holds the last report of each daemon.
 type loadTable struct {
 	reports       map[Reporter]report
-	requestCounts map[string]liveRequestCounts // by service, since they were taken last
+	requestCounts map[string]liveRequestCounts // by service, since the last takeTotal
 }
 
-// liveRequestCounts are live requests of all daemons.
+// liveRequestCounts holds the numbers of live requests of all daemons.
 type liveRequestCounts struct{ started, rejected, late int64 }
 
 func newLoadTable() loadTable {
 	return loadTable{reports: map[Reporter]report{}, requestCounts: map[string]liveRequestCounts{}}
 }
 
-// receive takes a report: it has the services that the daemon has something to run of, or had at its last
-// report. Counts of a daemon that is new here begin with this report, as a former primary may have had
-// them.
+// receive stores a report. It lists the services for which the daemon has load now or had load at its
+// previous report. The counts of the first report of a daemon serve only as a baseline, because a former
+// primary may already have used them.
 func (t *loadTable) receive(reporter Reporter, loads []Load, now clock.Micros) {
 	last, isKnown := t.reports[reporter]
 	if !isKnown && len(t.reports) >= maxReporters {
@@ -73,7 +78,7 @@
 	t.reports[reporter] = next
 }
 
-// addCounts counts what a daemon's live requests came to between two reports.
+// addCounts adds the live requests of a daemon between two of its reports.
 func (t *loadTable) addCounts(before, after Load) {
 	sum := t.requestCounts[after.Pool]
 	sum.started += max(0, after.Started-before.Started)
@@ -82,7 +87,7 @@
 	t.requestCounts[after.Pool] = sum
 }
 
-// removeStale drops the reports of daemons that have ended.
+// removeStale removes the reports of daemons that have ended.
 func (t *loadTable) removeStale(now clock.Micros) {
 	for reporter, last := range t.reports {
 		if now-last.receivedAt > reportTimeout {
@@ -91,7 +96,7 @@
 	}
 }
 
-// takeTotal sums what all daemons have to run of a service; the counts begin anew.
+// takeTotal returns the summed load of all daemons on a service and resets its counts of live requests.
 func (t *loadTable) takeTotal(service string) Load {
 	sum := Load{Pool: service}
 	for _, last := range t.reports {
--- a/internal/controlplane/autoscale/load_test.go
+++ b/internal/controlplane/autoscale/load_test.go
@@ -16,14 +16,15 @@
 	table.receive(Reporter{"a", 1}, []Load{{Pool: "p", Busy: 100, Started: 130, Rejected: 12, Late: 3}}, 2)
 	table.receive(Reporter{"a", 1}, []Load{{Pool: "p", Busy: 100, Started: 130, Rejected: 12, Late: 3}}, 2)
 	if got := table.takeTotal("p"); got != (Load{Pool: "p", Busy: 600, Started: 30, Rejected: 2, Late: 3}) {
-		t.Errorf("a report that comes twice: %+v", got)
+		t.Errorf("after a repeated report: %+v", got)
 	}
 	if got := table.takeTotal("p"); got.Started != 0 {
-		t.Errorf("taken twice: %+v", got)
+		t.Errorf("counts were not reset: %+v", got)
 	}
 }
 
-// A daemon that has ended runs nothing, and one that starts anew counts from its start.
+// The load of a daemon that has ended is dropped. A restarted daemon has a new incarnation, whose first
+// report is a new baseline.
 func TestReportsOfEndedDaemonsAreRemoved(t *testing.T) {
 	table := newLoadTable()
 	table.receive(Reporter{"a", 1}, []Load{{Pool: "p", Busy: 1000, Started: 100}}, clock.Second)
@@ -34,12 +35,12 @@
 	}
 	table.receive(Reporter{"a", 2}, nil, 4*clock.Second)
 	if got := table.takeTotal("p"); !got.isIdle() {
-		t.Errorf("it runs nothing any more: %+v", got)
+		t.Errorf("load after an empty report: %+v", got)
 	}
 	for i := range uint64(maxReporters + 10) {
 		table.receive(Reporter{"many", i}, nil, 5*clock.Second)
 	}
 	if len(table.reports) > maxReporters {
-		t.Errorf("%d reporters are known", len(table.reports))
+		t.Errorf("%d reporters are tracked", len(table.reports))
 	}
 }
--- a/internal/controlplane/autoscale/planner.go
+++ b/internal/controlplane/autoscale/planner.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// observationTime is how long a new primary listens to reports before it changes anything.
+	// observationTime is how long a new primary only collects reports before it changes any target.
 	observationTime = 3 * clock.Second
-	// stableCountTime is how long a zone that nothing was decided of has to have no more servers than before until
-	// they count as all: at a fleet's start they come one by one.
+	// stableCountTime is how long the number of servers of a zone without a decided target must not grow until it
+	// is used as the initial target: when a fleet starts, its servers register one by one.
 	stableCountTime = 5 * clock.Second
-	// idleDelay is how long a new primary waits for the first request until it takes a service for idle: a
-	// fleet that has just started isn't.
+	// idleDelay is how long a new primary waits for the first request before it treats a service as idle: a
+	// fleet that has just started has no requests yet.
 	idleDelay = 60 * clock.Second
-	// replaceDelay is how long beyond the time that servers take to boot a zone may have fewer than
-	// its target until that is requested again.
+	// replaceDelay is how long, in addition to the boot time of servers, a zone may have fewer servers than
+	// its target before the target is requested again.
 	replaceDelay = 8 * clock.Second
 )
 
-// Server is one entry of the list of servers.
+// Server is an entry of the server list.
 type Server struct {
 	Name   string
 	Labels map[string]string
 	Zone   string
 	Slots  int
-	// Serving is false for one that drains.
+	// Serving is false for a draining server.
 	Serving bool
 }
 
-// Planner plans the numbers of servers.
+// Planner decides the target numbers of servers.
 type Planner struct {
 	emit func(machine.Effect)
 
@@ -44,39 +44,40 @@
 	configuration *config.Configuration
 	servers       map[string]Server // by name
 	loads         loadTable
-	services      map[string]*service // the scaled ones, by name
+	services      map[string]*service // scaled services by name
 }
 
-// New makes a planner; Start is called before its first act. What it logs is emitted.
+// New returns a planner, which passes its log events to emit. Start must be called before the first
+// Advance.
 func New(emit func(machine.Effect)) *Planner {
 	return &Planner{emit: emit, servers: map[string]Server{}, loads: newLoadTable(), services: map[string]*service{}}
 }
 
-// Start begins a term of this core as primary.
+// Start starts a term in which this core is primary.
 func (p *Planner) Start(now clock.Micros) {
 	p.servingSince = now
 	p.loads = newLoadTable()
 	p.services = map[string]*service{}
 }
 
-// SetConfiguration takes the configuration in force.
+// SetConfiguration sets the current configuration.
 func (p *Planner) SetConfiguration(configuration *config.Configuration) {
 	p.configuration = configuration
 }
 
-// SetServer takes a server that is on the list.
+// SetServer adds or updates a server of the server list.
 func (p *Planner) SetServer(server Server) { p.servers[server.Name] = server }
 
-// RemoveServer takes that a server is not on the list any more.
+// RemoveServer removes a server that has left the server list.
 func (p *Planner) RemoveServer(name string) { delete(p.servers, name) }
 
-// Receive takes a daemon's report.
+// Receive stores the report of a daemon.
 func (p *Planner) Receive(reporter Reporter, loads []Load, now clock.Micros) {
 	p.loads.receive(reporter, loads, now)
 }
 
-// Advance looks at the load and the servers when that is due, and changes the targets. It is called by the
-// core that serves as primary alone.
+// Advance evaluates the load and the servers once per evaluationInterval and changes the targets. Only the
+// core that serves as primary calls it.
 func (p *Planner) Advance(table *exclusive.Table, now clock.Micros) {
 	if now < p.evaluateAt || p.configuration == nil {
 		return
@@ -89,7 +90,8 @@
 	}
 }
 
-// updateServices has the services of the configuration, their zones and servers.
+// updateServices rebuilds the scaled services from the configuration, and their slots and serving servers
+// from the server list.
 func (p *Planner) updateServices() {
 	for _, known := range p.services {
 		known.bounds, known.slots = config.Autoscale{}, 0
@@ -112,14 +114,14 @@
 
 func (p *Planner) ensureService(name string) *service {
 	if p.services[name] == nil {
-		// A former primary may have raised it until it was succeeded.
+		// The former primary may have raised the service just before this term began.
 		p.services[name] = &service{zones: map[string]*zone{}, raisedAt: p.servingSince}
 	}
 	return p.services[name]
 }
 
-// evaluate takes a sample of a service and changes its targets. While none of its servers is known, it has no load
-// to follow; that they are missing counts all the same.
+// evaluate takes a sample of a service and changes its targets. While none of its servers is known, there is
+// no load to adjust to, but the missing servers are still tracked and requested again.
 func (p *Planner) evaluate(name string, s *service, table *exclusive.Table, now clock.Micros) {
 	hasServers := s.slots > 0
 	if hasServers {
@@ -141,7 +143,7 @@
 	}
 }
 
-// sample adds the present load to a service's history.
+// sample adds the current load to a service's history.
 func (p *Planner) sample(name string, s *service, now clock.Micros) {
 	load := p.loads.takeTotal(name)
 	s.hasHadLoad = s.hasHadLoad || !load.isIdle() || now-p.servingSince >= idleDelay
@@ -150,7 +152,7 @@
 	}
 }
 
-// adjustToLoad has a service's targets adjustToLoad its load.
+// adjustToLoad raises or lowers a service's targets according to its load.
 func (p *Planner) adjustToLoad(name string, s *service, now clock.Micros) {
 	zones := s.availableZones(now)
 	if len(zones) == 0 {
@@ -171,7 +173,7 @@
 	}
 }
 
-// enforceBounds changes the targets that are out of the configuration's bounds.
+// enforceBounds moves targets that are outside the configured bounds to the nearest bound.
 func (p *Planner) enforceBounds(name string, s *service) {
 	for _, zoneName := range slices.Sorted(maps.Keys(s.zones)) {
 		z := s.zones[zoneName]
@@ -181,8 +183,8 @@
 	}
 }
 
-// setTargets sets the targets of a service's zones to the same number each, where choose takes that rather than
-// the present one; it tells whether any target has changed.
+// setTargets offers all zones of a service the same target; choose picks between it and the present target of
+// the zone. It reports whether any target changed.
 func (p *Planner) setTargets(name string, s *service, zones map[string]*zone, d decision, choose func(present, perZone int64) int64) (changed bool) {
 	perZone := s.serversPerZone(d.servers, zones)
 	for _, zoneName := range slices.Sorted(maps.Keys(zones)) {
@@ -192,12 +194,12 @@
 	return changed
 }
 
-// raiseOnly and lower choose the target of a zone when a service is raised and lowered.
+// raiseOnly and lowerOnly choose the target of a zone when its service is raised or lowered.
 func raiseOnly(present, perZone int64) int64 { return max(present, perZone) }
 
 func lowerOnly(present, perZone int64) int64 { return min(present, perZone) }
 
-// setTarget sets a target, and tells whether it is another one.
+// setTarget sets the target of a zone and reports whether it changed.
 func (p *Planner) setTarget(service, zoneName string, z *zone, target int64, cause reason, s *service) bool {
 	if target == z.target {
 		return false
@@ -213,7 +215,8 @@
 
 func twoDecimals(x float64) float64 { return math.Round(x*100) / 100 }
 
-// Due are the acts for the zones whose target isn't the one that was decided last.
+// Due returns the acts for the zones whose target differs from the last decided one, or has to be requested
+// again.
 func (p *Planner) Due(table *exclusive.Table) []exclusive.Act {
 	var out []exclusive.Act
 	for _, name := range slices.Sorted(maps.Keys(p.services)) {
--- a/internal/controlplane/autoscale/planner_test.go
+++ b/internal/controlplane/autoscale/planner_test.go
@@ -10,7 +10,7 @@
 	"tuliprudder/internal/machine"
 )
 
-// plannerTestBed is a planner with three zones of servers; acts are decided and performed at once.
+// plannerTestBed runs a planner with three zones of servers. Its acts are decided and performed immediately.
 type plannerTestBed struct {
 	*Planner
 	t                *testing.T
@@ -20,7 +20,7 @@
 	started          int64 // live requests
 	late             int64
 	lastServerNumber int
-	resizeZone       func(zone string, desired int64) // carries an act out; nil: nothing happens
+	resizeZone       func(zone string, desired int64) // performs an act; nil: acts are not performed
 }
 
 func newPlannerTestBed(t *testing.T, perZone int) *plannerTestBed {
@@ -51,7 +51,7 @@
 	}
 }
 
-// serversOf are the names of the servers that serve in a zone, in no order.
+// serversOf returns the names of the serving servers of a zone, in no particular order.
 func (b *plannerTestBed) serversOf(zone string) (names []string) {
 	for name, server := range b.servers {
 		if server.Zone == zone && server.Serving {
@@ -67,7 +67,7 @@
 	}
 }
 
-// resize is a platform that starts and ends servers at once.
+// resize starts and ends servers immediately.
 func (b *plannerTestBed) resize(zone string, desired int64) {
 	if missing := int(desired) - len(b.serversOf(zone)); missing > 0 {
 		b.addServers(zone, missing)
@@ -76,7 +76,8 @@
 	}
 }
 
-// runSeconds lets some seconds runSeconds in which so many slots are taken and this part of 500 requests a second is late.
+// runSeconds advances the time by some seconds with the given number of busy slots; the given fraction of 500
+// requests per second is late.
 func (b *plannerTestBed) runSeconds(seconds int, busy int64, late float64) {
 	for range seconds {
 		b.now += clock.Second
@@ -89,7 +90,7 @@
 	}
 }
 
-// performDueActs has the acts that are due decided and carried out.
+// performDueActs decides and performs the acts that are due.
 func (b *plannerTestBed) performDueActs() {
 	for _, act := range b.Due(&b.table) {
 		b.acts = append(b.acts, act)
@@ -105,13 +106,13 @@
 	}
 }
 
-// expectTargets checks the numbers of servers that were decided last; 0 is none.
+// expectTargets checks the last decided targets; 0 means that none was decided.
 func (b *plannerTestBed) expectTargets(when string, want map[string]int64) {
 	b.t.Helper()
 	for zone, desired := range want {
 		decided, _ := lastDecidedTarget(&b.table, Subject("llm", zone))
 		if decided.Desired != desired {
-			b.t.Errorf("%s: zone %s is to have %d servers, not %d", when, zone, decided.Desired, desired)
+			b.t.Errorf("%s: zone %s has a target of %d servers, want %d", when, zone, decided.Desired, desired)
 		}
 	}
 }
@@ -133,7 +134,7 @@
 	b.runSeconds(2, 300, 0)
 	b.expectTargets("2 s later", map[string]int64{"a": 12, "b": 12, "c": 12})
 	b.runSeconds(30, 300, 0)
-	b.expectTargets("for half a minute", map[string]int64{"a": 15, "b": 15, "c": 15})
+	b.expectTargets("for 40 s", map[string]int64{"a": 15, "b": 15, "c": 15})
 	for _, act := range b.acts[:3] {
 		if act.Number != 1 {
 			t.Errorf("act %+v", act)
@@ -153,10 +154,10 @@
 	b.runSeconds(2, 40, 0)
 	b.expectTargets("2 s later", map[string]int64{"a": 9, "b": 9, "c": 9})
 	b.runSeconds(30, 40, 0)
-	b.expectTargets("at last", map[string]int64{"a": 7, "b": 7, "c": 7})
+	b.expectTargets("30 s later", map[string]int64{"a": 7, "b": 7, "c": 7})
 }
 
-// A fleet that has just started has served nothing yet; that is no low load.
+// A fleet that has just started has not served any requests yet, which must not be taken for low load.
 func TestServiceIsNotLoweredBeforeFirstRequest(t *testing.T) {
 	b := newPlannerTestBed(t, 10)
 	for range 40 {
@@ -171,8 +172,8 @@
 	b.expectTargets("12 s after the first request", map[string]int64{"a": 9})
 }
 
-// When a fleet starts its servers come one by one. (On the bench the first primary took the two or three, or
-// twelve, that it knew for all, and had the zones lowered to their least.)
+// When a fleet starts, its servers register one by one. A primary that takes the first two, three or twelve
+// servers for the whole fleet lowers the zones to their minimum.
 func TestInitialTargetsWaitForAllServersToStart(t *testing.T) {
 	b := newPlannerTestBed(t, 1)
 	for range 9 {
@@ -190,21 +191,21 @@
 func TestTargetsStayWithinBounds(t *testing.T) {
 	b := newPlannerTestBed(t, 5)
 	b.runSeconds(7, 20, 0)
-	b.expectTargets("fewer than the bounds allow", map[string]int64{"a": 7, "b": 7, "c": 7})
+	b.expectTargets("fewer servers than the minimum", map[string]int64{"a": 7, "b": 7, "c": 7})
 	b.runSeconds(60, 5000, 0.5)
-	b.expectTargets("an overload", map[string]int64{"a": 16, "b": 16, "c": 16})
+	b.expectTargets("heavy overload", map[string]int64{"a": 16, "b": 16, "c": 16})
 	b.setBounds(config.Autoscale{Min: 2, Max: 12, BootTime: 4 * clock.Second})
 	b.runSeconds(1, 5000, 0.5)
-	b.expectTargets("a lower bound", map[string]int64{"a": 12, "b": 12, "c": 12})
+	b.expectTargets("lower maximum", map[string]int64{"a": 12, "b": 12, "c": 12})
 	b.setBounds(config.Autoscale{})
 	acts := len(b.acts)
 	b.runSeconds(30, 0, 0)
 	if len(b.acts) != acts {
-		t.Errorf("a pool that isn't scaled any more: acts %+v", b.acts[acts:])
+		t.Errorf("a pool that is no longer scaled: acts %+v", b.acts[acts:])
 	}
 }
 
-// What was decided outlives the primary; the servers that there are may be on their way there.
+// Decided targets outlive the primary. The number of running servers may still differ from them.
 func TestNewPrimaryKeepsDecidedTargets(t *testing.T) {
 	b := newPlannerTestBed(t, 8)
 	b.resizeZone = nil
@@ -218,7 +219,7 @@
 	}
 }
 
-// A new primary counts live requests from its first reports on, not from the daemons' starts.
+// A new primary counts live requests from its first report of each daemon on, not from the daemon's start.
 func TestNewPrimaryCountsRequestsFromFirstReports(t *testing.T) {
 	b := newPlannerTestBed(t, 8)
 	b.started, b.late = 1_000_000, 900_000
@@ -228,7 +229,8 @@
 	}
 }
 
-// A new primary took the misses of before for a want of more servers, beside those that had just been requested.
+// A new primary must not request further servers for misses that servers requested by its predecessor will
+// resolve once they have booted.
 func TestNewPrimaryWaitsForBootingServers(t *testing.T) {
 	b := newPlannerTestBed(t, 8)
 	b.resizeZone = nil
@@ -236,12 +238,12 @@
 	b.expectTargets("decided", map[string]int64{"a": 11})
 	b.Start(b.now)
 	b.runSeconds(9, 110, 0.5)
-	b.expectTargets("while they boot", map[string]int64{"a": 11, "b": 11, "c": 11})
+	b.expectTargets("while the servers boot", map[string]int64{"a": 11, "b": 11, "c": 11})
 	b.runSeconds(1, 110, 0.5)
 	b.expectTargets("afterwards", map[string]int64{"a": 15, "b": 15, "c": 15})
 }
 
-// Where the last server was lost, nothing was requested any more.
+// Missing servers are requested again even when no server of the service is left.
 func TestTargetsAreRequestedAgainAfterAllServersAreLost(t *testing.T) {
 	b := newPlannerTestBed(t, 8)
 	b.runSeconds(8, 300, 0)
@@ -280,8 +282,8 @@
 	}
 }
 
-// Crashed servers stay on the list for some seconds, and come back or are replaced: no reason to change
-// a number.
+// Crashed servers stay on the server list for some seconds, then return or are replaced: no reason to
+// change a target.
 func TestCrashOfOneSixthOfServersKeepsTargets(t *testing.T) {
 	b := newPlannerTestBed(t, 8)
 	b.runSeconds(20, 100, 0)
@@ -296,7 +298,7 @@
 	}
 }
 
-// Servers that are replaced one by one: the new one starts first, the old one drains.
+// In a rolling replacement, each new server starts before its predecessor drains.
 func TestRollingReplacementKeepsTargets(t *testing.T) {
 	b := newPlannerTestBed(t, 8)
 	b.runSeconds(15, 100, 0)
@@ -316,7 +318,8 @@
 	}
 }
 
-// The other zones take the part of one whose servers are all gone, and give it back.
+// When a zone loses all of its servers, the targets of the other zones rise to replace them. The zone gets its
+// share back once it has servers again.
 func TestOtherZonesReplaceLostZone(t *testing.T) {
 	b := newPlannerTestBed(t, 8)
 	b.resizeZone = func(zone string, desired int64) {
@@ -327,18 +330,18 @@
 	b.runSeconds(15, 130, 0)
 	b.removeServers("c", 8)
 	b.runSeconds(30, 130, 0)
-	b.expectTargets("a zone is lost", map[string]int64{"a": 10, "b": 10})
+	b.expectTargets("zone c is lost", map[string]int64{"a": 10, "b": 10})
 	b.resizeZone = b.resize
 	b.runSeconds(60, 80, 0)
-	b.expectTargets("it is back", map[string]int64{"c": 8})
+	b.expectTargets("zone c is back", map[string]int64{"c": 8})
 }
 
-// Each number is proposed with one content until it is decided.
+// A zone at its initial target has no act to propose.
 func TestUnchangedTargetsAreNotProposed(t *testing.T) {
 	b := newPlannerTestBed(t, 8)
 	b.runSeconds(7, 300, 0)
 	if due := b.Due(&b.table); len(due) > 0 {
-		t.Errorf("due are %+v", due)
+		t.Errorf("acts that are due: %+v", due)
 	}
 }
 
@@ -353,9 +356,9 @@
 	}
 	zone, ok := zoneOfSubject(Subject("llm", "a/b"), "llm")
 	if _, other := zoneOfSubject("usage", "llm"); !ok || zone != "a/b" || other || !IsSubject(Subject("llm", "a")) || IsSubject("usage") {
-		t.Errorf("the subject is of zone %q", zone)
+		t.Errorf("the subject yields zone %q", zone)
 	}
 	if _, err := DecodeTarget([]byte("{")); err == nil {
-		t.Error("decoded what can't be read")
+		t.Error("decoded invalid JSON without an error")
 	}
 }
--- a/internal/controlplane/autoscale/policy.go
+++ b/internal/controlplane/autoscale/policy.go
@@ -6,75 +6,77 @@
 	"tuliprudder/internal/clock"
 )
 
-// The policy: up when slots are taken or requests miss their targets, a quarter of a minute later down
-// again when neither is so. Requests that share a server slow each other down before its slots are used up
-// (one's prefill interrupts the others' tokens), at another utilization for each kind of server; so
-// what requests miss counts beside the slots. A burst of 2 to 4 s changes nothing: new servers would serve
-// after it.
+// The scaling policy: add servers when slots are in use or requests miss their latency targets, and remove them
+// again about 15 s after both have ceased. Requests that share a server slow each other down before all of
+// its slots are in use (the prefill of one interrupts the decoding of the others), at a utilization that
+// depends on the kind of server. The policy therefore considers misses as well as utilization. It ignores bursts
+// of 2 to 4 s, because new servers would be ready only after them.
 const (
-	// evaluationInterval is between two samples of the load.
+	// evaluationInterval is the time between two samples of the load.
 	evaluationInterval = clock.Second
 
-	// raiseUtilization is the part of all slots that is to be taken after servers were added for the load. Where
-	// hardly any requests miss their targets, less than raiseEvidence of them, servers of that kind bear
-	// more: fullUtilization.
+	// raiseUtilization is the intended fraction of slots in use after servers were added because of load. Where
+	// fewer than toleratedMissRatio of the requests miss their targets, this kind of server can run at a
+	// higher utilization, and fullUtilization applies instead.
 	raiseUtilization   = 0.6
 	fullUtilization    = 0.85
 	toleratedMissRatio = 0.015
-	// batchUtilization is the same where batch items would be late otherwise.
+	// batchUtilization is the same where servers are added to finish batch items by their deadlines.
 	batchUtilization = 0.8
-	// raiseSamples is how many of the last samples have to require more servers. A burst of 4 s and a swing of
-	// the load within 11 s have fewer.
+	// raiseSamples is the number of recent samples that must require more servers. A burst of 4 s, or load that
+	// oscillates with a period of up to 11 s, yields fewer.
 	raiseSamples = 8
-	// raiseMargin is the part of its servers that a service has to be short of.
+	// raiseMargin is the shortage of servers, as a fraction of the current number, above which servers are added.
 	raiseMargin = 0.1
-	// maxRaise is the largest part of its servers that a service is raised by at once.
+	// maxRaise is the largest increase in one step, as a fraction of the current number of servers.
 	maxRaise = 0.5
-	// raiseInterval is between two steps up.
+	// raiseInterval is the minimum time between two increases.
 	raiseInterval = 3 * clock.Second
 
-	// raiseMissRatio is the part of a second's live requests that miss their targets, or get no server, from
-	// which on it counts; so many of the latest samples have to count for servers to be added.
+	// raiseMissRatio is the fraction of the live requests of a sample that must miss their targets, or get no
+	// server, for the sample to count; servers are added once raiseMissesSamples recent samples count.
 	raiseMissRatio     = 0.03
 	raiseMissesSamples = 7
-	// severeMissRatio is the part that adds servers when as many samples in a row have it.
+	// severeMissRatio is the fraction at which severeMissesSamples consecutive samples suffice.
 	severeMissRatio     = 0.1
 	severeMissesSamples = 3
-	// minMisses is the smallest number of such requests.
+	// minMisses is the number of such requests below which misses are ignored.
 	minMisses = 10
-	// minMissUtilization is the utilization below which they have another cause than a want of servers.
+	// minMissUtilization is the utilization below which misses have another cause than a shortage of servers.
 	minMissUtilization = 0.3
-	// raisePerMissRatio is how much a service is raised by, as a multiple of the part that missed; maxMissRaise is
-	// the most.
+	// raisePerMissRatio is the increase for misses as a multiple of the fraction of requests that missed;
+	// maxMissRaise is its upper limit.
 	raisePerMissRatio = 3
 	maxMissRaise      = 0.3
-	// stabilizationTime is how long after new servers have booted what requests miss counts again: they have
-	// to be known everywhere, and what waited before has to be gone.
+	// stabilizationTime is how long misses are ignored after new servers have booted: all daemons have to learn
+	// of the servers first, and requests that queued before have to finish.
 	stabilizationTime = 6 * clock.Second
 
-	// lowerUtilization is the part of all slots that may be taken after servers were taken away. It leaves
-	// room for the loss of a zone of two.
+	// lowerUtilization is the largest fraction of slots in use after servers were removed. It leaves enough
+	// capacity for the loss of one of two zones.
 	lowerUtilization = 0.4
-	// lowerSamples is over how many samples the load has to be low.
+	// lowerSamples is the number of samples over which the load must be low.
 	lowerSamples = 12
-	// lowerMissRatio is the part of the live requests from which on no server is taken away.
+	// lowerMissRatio is the fraction of live requests with misses at which no servers are removed.
 	lowerMissRatio = 0.02
-	// maxLower is the largest part of its servers that a service is lowered by at once; one server in each
-	// zone may always go.
+	// maxLower is the largest decrease in one step, as a fraction of the current number of servers; one server
+	// in each zone may always be removed.
 	maxLower = 0.15
-	// lowerInterval is between two steps down, and after servers were added.
+	// lowerInterval is the minimum time between two decreases, and between the boot of added servers and a
+	// decrease.
 	lowerInterval = 3 * clock.Second
 )
 
-// sample is a service's load at one time.
+// sample is the load of a service at one point in time.
 type sample struct {
-	busy            float64 // slots that requests take or wait for
-	requiredSlots   float64 // slots that queued batch items need besides to be in time
+	busy            float64 // slots that requests occupy or wait for
+	requiredSlots   float64 // further slots that queued batch items need to finish by their deadlines
 	slots, servers  float64
-	started, missed float64 // live requests since the sample before
+	started, missed float64 // live requests since the previous sample
 }
 
-// newSample makes a sample of what all daemons have to run, before so many servers with so many slots in all.
+// newSample returns a sample of the load of all daemons on the given number of servers, which have the given
+// number of slots in total.
 func newSample(load Load, servers int64, slots int) sample {
 	return sample{
 		busy:          float64(load.Busy)/milli + float64(load.Queued),
@@ -86,10 +88,10 @@
 	}
 }
 
-// utilization is the part of the slots that is taken.
+// utilization returns the fraction of the slots that are in use.
 func (s sample) utilization() float64 { return s.busy / max(1, s.slots) }
 
-// serversFor is how many servers the sample requires, at some utilization.
+// serversFor returns the number of servers that the sample requires at the given utilization.
 func (s sample) serversFor(utilization float64) float64 {
 	slots := s.busy / utilization
 	if s.requiredSlots > 0 {
@@ -98,7 +100,7 @@
 	return slots * s.servers / max(1, s.slots)
 }
 
-// mean is the mean of samples; what is counted is summed.
+// mean averages the samples; counts of requests are summed instead.
 func mean(samples history) sample {
 	var out sample
 	for _, s := range samples {
@@ -112,10 +114,10 @@
 	return out
 }
 
-// missRatio is the part of the live requests that missed their targets.
+// missRatio returns the fraction of the live requests that missed their targets.
 func (s sample) missRatio() float64 { return s.missed / max(1, s.started) }
 
-// history are the last samples of a service, the newest last.
+// history holds the last samples of a service, the newest last.
 type history []sample
 
 func (h history) add(s sample) history {
@@ -123,7 +125,7 @@
 	return h[max(0, len(h)-lowerSamples):]
 }
 
-// last are the newest samples; nil where there are fewer.
+// last returns the given number of newest samples, or nil if there are fewer.
 func (h history) last(count int) history {
 	if len(h) < count {
 		return nil
@@ -131,14 +133,15 @@
 	return h[len(h)-count:]
 }
 
-// decision is how many servers a service is to have, and why.
+// decision is the number of servers that a service should have, and the reason.
 type decision struct {
 	servers float64
 	reason  reason
 }
 
-// raiseDecision is how many servers a service with so many is raiseDecision to; false where it isn't. What requests miss
-// counts only where the latest new servers have served for a while.
+// raiseDecision returns the number of servers to which a service is raised from the current one; false if it is
+// not raised. Misses are considered only with countMisses, once the most recently added servers have served for
+// a while.
 func (h history) raiseDecision(current float64, countMisses bool) (decision, bool) {
 	out := decision{servers: current}
 	if required := h.requiredServers(); required > current*(1+raiseMargin) {
@@ -151,8 +154,8 @@
 	return out, out.servers > current
 }
 
-// relevantMissRatio is the part of the live requests that miss their targets for want of servers; 0 where that is too
-// few, or for too short.
+// relevantMissRatio returns the fraction of the live requests that miss their targets for a shortage of servers; 0
+// if they are too few or have lasted for too short a time.
 func (h history) relevantMissRatio() float64 {
 	latest, all := mean(h.last(severeMissesSamples)), mean(h)
 	switch {
@@ -164,8 +167,8 @@
 	return 0
 }
 
-// countSamplesWithMisses counts the samples in which this part of the live requests missed their targets, and in which
-// enough slots were taken for a want of servers.
+// countSamplesWithMisses counts the samples in which at least this fraction of the live requests missed their
+// targets, and in which the utilization was high enough for a shortage of servers to be the cause.
 func (h history) countSamplesWithMisses(ratio float64) (count int) {
 	for _, s := range h {
 		if s.missRatio() >= ratio && s.missed > 0 && s.utilization() >= minMissUtilization {
@@ -175,8 +178,8 @@
 	return count
 }
 
-// requiredServers is the number of servers that as many as raiseSamples of the samples require; 0 where there are
-// fewer.
+// requiredServers returns the number of servers that at least raiseSamples of the samples require; 0 if there
+// are fewer samples.
 func (h history) requiredServers() float64 {
 	utilization := fullUtilization
 	if mean(h).missRatio() >= toleratedMissRatio {
@@ -193,7 +196,8 @@
 	return required[len(required)-raiseSamples]
 }
 
-// lowerDecision is how many servers a service with so many, over some zones, is lowerDecision to; false where it isn't.
+// lowerDecision returns the number of servers to which a service in the given number of zones is lowered from the
+// current one; false if it is not lowered.
 func (h history) lowerDecision(current, zones float64) (decision, bool) {
 	samples := h.last(lowerSamples)
 	if samples == nil {
@@ -207,7 +211,7 @@
 	return decision{max(required, current-max(zones, current*maxLower)), reasonLowLoad}, true
 }
 
-// reason says why a target changes. It is in the log; the spelling never changes.
+// reason is the cause of a change of a target. It appears in the log; the spelling never changes.
 type reason string
 
 const (
--- a/internal/controlplane/autoscale/service.go
+++ b/internal/controlplane/autoscale/service.go
@@ -9,38 +9,38 @@
 	"tuliprudder/internal/exclusive"
 )
 
-// service is a pool whose servers are scaled.
+// service is a pool whose number of servers is scaled.
 type service struct {
 	bounds  config.Autoscale
-	zones   map[string]*zone // those that it runs in, by name
-	slots   int              // of all servers that serve
+	zones   map[string]*zone // zones that it runs in, by name
+	slots   int              // of all serving servers
 	history history
-	// hasHadLoad: it has had something to run under this primary, or nothing for long.
+	// hasHadLoad: the service has had load under this primary, or the primary has served for idleDelay.
 	hasHadLoad bool
 	raisedAt   clock.Micros
 	loweredAt  clock.Micros
 }
 
-// zone is a service in a zone.
+// zone is the state of a service in one zone.
 type zone struct {
-	target int64 // 0: none is known
-	// initialTarget is the number of servers that the zone had before any was decided.
+	target int64 // 0: not known yet
+	// initialTarget is the target derived from the running servers, for a zone without a decided target.
 	initialTarget int64
-	// serving is how many of its servers serve.
+	// serving is the number of serving servers.
 	serving int64
-	// peakServing is the peakServing number of servers that served while no target was known, and grownAt is when
-	// that was reached.
+	// peakServing is the highest number of serving servers so far, and peakReachedAt is when it was
+	// reached. It becomes the target of a zone without a decided one.
 	peakServing   int64
 	peakReachedAt clock.Micros
-	// emptySince is since when it has had no server; 0: it has some.
+	// emptySince is the time since which the zone has had no serving server; 0: it has some.
 	emptySince clock.Micros
-	// belowTargetSince is since when it has had fewer servers than its target; 0: it has as many.
+	// belowTargetSince is the time since which the zone has had fewer servers than its target; 0: it has enough.
 	belowTargetSince clock.Micros
-	// repeatNumber is the number of the act that has to be repeatNumber, as its servers haven't come; 0: none.
+	// repeatNumber is the number of the act that repeats the last one, whose servers have not appeared; 0: none.
 	repeatNumber uint64
 }
 
-// addServer counts a server in its zone.
+// addServer adds a server to the counts of its zone and service.
 func (s *service) addServer(server Server) {
 	z := s.ensureZone(server.Zone)
 	if server.Serving {
@@ -56,8 +56,8 @@
 	return s.zones[name]
 }
 
-// initializeTargets takes the targets of zones that this primary has none of from what was decided, or else
-// from the servers that there are, once these don't become more any longer.
+// initializeTargets sets the targets of zones for which this primary has none: to the last decided target, or else to
+// the peak number of serving servers once that has stopped growing.
 func (s *service) initializeTargets(name string, table *exclusive.Table, now clock.Micros) {
 	for subject := range table.Subjects {
 		if zoneName, ok := zoneOfSubject(subject, name); ok {
@@ -87,8 +87,8 @@
 	return sum
 }
 
-// availableZones are the zones that the servers are spread over: not one whose servers have been missing
-// for longer than new ones take.
+// availableZones returns the zones over which the servers are spread. It leaves out zones without a target, and
+// zones that have had no server for longer than replacements take to boot.
 func (s *service) availableZones(now clock.Micros) map[string]*zone {
 	out := maps.Clone(s.zones)
 	maps.DeleteFunc(out, func(_ string, z *zone) bool {
@@ -98,12 +98,12 @@
 	return out
 }
 
-// serversPerZone is how many servers each zone has for a total of all.
+// serversPerZone returns the number of servers of each zone that yields the given total.
 func (s *service) serversPerZone(total float64, zones map[string]*zone) int64 {
 	return s.bounds.Clamp(int64(math.Ceil(total / float64(len(zones)))))
 }
 
-// trackEmpty notes since when the zone has had no server.
+// trackEmpty records since when the zone has had no serving server.
 func (z *zone) trackEmpty(now clock.Micros) {
 	switch {
 	case z.serving > 0:
@@ -113,7 +113,7 @@
 	}
 }
 
-// trackBelowTarget has the last act repeated where its servers haven't come.
+// trackBelowTarget schedules a repetition of the last act if its servers have not appeared in time.
 func (z *zone) trackBelowTarget(record exclusive.Record, bounds config.Autoscale, now clock.Micros) {
 	if z.serving >= z.target {
 		z.belowTargetSince = 0
@@ -129,7 +129,7 @@
 	}
 }
 
-// proposeAct is the proposeAct that sets a zone's target; false where there is none to propose.
+// proposeAct returns the act that sets the target of the zone; false if there is none to propose.
 func (z *zone) proposeAct(service, zoneName string, table *exclusive.Table) (exclusive.Act, bool) {
 	subject := Subject(service, zoneName)
 	record := table.Record(subject)
@@ -151,7 +151,7 @@
 	return sum
 }
 
-// lastDecidedTarget is the last target that was decided of a subject; false for none.
+// lastDecidedTarget returns the last decided target of a subject; false if there is none.
 func lastDecidedTarget(table *exclusive.Table, subject exclusive.Subject) (Target, bool) {
 	record := table.Record(subject)
 	if len(record.LastContent) == 0 {
--- a/internal/dataplane/modelclient/completion.go
+++ b/internal/dataplane/modelclient/completion.go
@@ -1,8 +1,8 @@
-// Package modelclient speaks to model servers by their published protocol (DESIGN §7.1): chat
-// completions streamed as server-sent events, a health page and a metrics page.
+// Package modelclient is a client for model servers and their published protocol (DESIGN §7.1):
+// chat completions streamed as server-sent events, a health endpoint and a metrics endpoint.
 //
-// StreamCompletion and ReadLoad may be called by any number of goroutines. Each makes one HTTP
-// request (ReadLoad two) and never retries: who calls decides that by the Outcome.
+// StreamCompletion and ReadLoad may be called by any number of goroutines. StreamCompletion makes
+// one HTTP request and ReadLoad two. Neither retries: the caller decides by the Outcome.
 package modelclient
 
 import (
@@ -23,15 +23,15 @@
 )
 
 const (
-	// endMarker is the data of a stream's last event.
+	// endMarker is the data of the last event of a stream.
 	endMarker = "[DONE]"
-	// maxLineBytes is the longest line of a stream.
+	// maxLineBytes limits the length of a line of a stream.
 	maxLineBytes = 1 << 20
-	// lineBufferBytes is how much is allocated for lines at first.
+	// lineBufferBytes is the initial size of the line buffer.
 	lineBufferBytes = 4 << 10
 )
 
-// completionChunk is the JSON data of one event of a stream; its keys are the servers' wire form.
+// completionChunk is the JSON data of one event of a stream; the keys are those of the servers' wire format.
 type completionChunk struct {
 	Choices []struct {
 		Delta struct {
@@ -44,9 +44,9 @@
 	} `json:"error"`
 }
 
-// StreamCompletion sends a request and calls onChunk with each chunk of the output as it comes; an
-// error of onChunk interrupts the request. The outcome is Complete only for a stream with both a
-// finish reason and the end marker; then, and only then, the error is nil.
+// StreamCompletion sends a request and calls onChunk with each chunk of the output as it arrives. An
+// error returned by onChunk interrupts the request. The outcome is Complete only if the stream has
+// both a finish reason and the end marker; the error is nil in this case only.
 func StreamCompletion(ctx context.Context, r Request, onChunk func(string) error) (Outcome, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -62,9 +62,9 @@
 	response, err := httpc.DoRequest(request)
 	if err != nil {
 		if !headersWritten.Load() {
-			return NotStarted, errors.Wrap(err, "reaching the server")
+			return NotStarted, errors.Wrap(err, "connecting to the server")
 		}
-		return Interrupted, errors.Wrap(err, "the server gave no response")
+		return Interrupted, errors.Wrap(err, "no response from the server")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
@@ -73,8 +73,8 @@
 	return readStream(response.Body, func() { idleTimer.Reset(timeout) }, onChunk)
 }
 
-// statusOutcome is the outcome of a response other than 200. A server answers 429 and 503 before it
-// starts a request.
+// statusOutcome returns the outcome of a response with a status other than 200. Servers reply with
+// 429 and 503 only before they start a request.
 func statusOutcome(response *http.Response) (Outcome, error) {
 	status := response.StatusCode
 	switch {
@@ -86,7 +86,7 @@
 	return Interrupted, errors.Errorf("the server failed: %s", response.Status)
 }
 
-// readStream reads the events of a response; onLine is called at each line.
+// readStream reads the events of a response. It calls onLine for each line.
 func readStream(stream io.Reader, onLine func(), onChunk func(string) error) (Outcome, error) {
 	lines := bufio.NewScanner(stream)
 	lines.Buffer(make([]byte, lineBufferBytes), maxLineBytes)
@@ -102,7 +102,7 @@
 			if finished {
 				return Complete, nil
 			}
-			return Interrupted, errors.New("the server's end marker came without a finish reason")
+			return Interrupted, errors.New("the stream has its end marker but no finish reason")
 		}
 		hasFinishReason, err := readEvent(data, onChunk)
 		if err != nil {
@@ -116,11 +116,11 @@
 	return Interrupted, errors.New("the stream ended without its end marker")
 }
 
-// readEvent passes the chunks of one event on, and tells whether it has a finish reason.
+// readEvent passes the chunks of one event to onChunk and reports whether the event has a finish reason.
 func readEvent(data string, onChunk func(string) error) (hasFinishReason bool, err error) {
 	var event completionChunk
 	if err := json.Unmarshal([]byte(data), &event); err != nil {
-		return false, errors.Wrap(err, "decoding an event of the server")
+		return false, errors.Wrap(err, "decoding an event of the stream")
 	}
 	if event.Error != nil {
 		return false, errors.Errorf("the server reported an error: %s", event.Error.Message)
--- a/internal/dataplane/modelclient/completion_test.go
+++ b/internal/dataplane/modelclient/completion_test.go
@@ -24,7 +24,7 @@
 	return Request{Address: address, RequestID: "o", Model: "m", Input: "x", MaxTokens: 8, IdleTimeout: 20 * clock.Second}
 }
 
-// complete sends a request and returns what came of it.
+// complete sends a request and returns its outcome, output and error.
 func complete(t *testing.T, request Request) (outcome Outcome, output string, err error) {
 	t.Helper()
 	var text strings.Builder
@@ -35,20 +35,20 @@
 	return outcome, text.String(), err
 }
 
-// Only a stream with a finish reason and the end marker is complete.
+// A stream is complete only with both a finish reason and the end marker.
 func TestStreamOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		stream, output string
 		want           Outcome
 	}{
-		"complete":                    {chunkAB + chunkC + finishedEvent + doneEvent, "abc", Complete},
-		"other lines and comments":    {": ping\n\nevent: x\n" + chunkAB + finishedEvent + doneEvent, "ab", Complete},
-		"no end marker":               {chunkAB + finishedEvent, "ab", Interrupted},
-		"no finish reason":            {chunkAB + doneEvent, "ab", Interrupted},
-		"empty":                       {"", "", Interrupted},
-		"not JSON":                    {chunkAB + "data: {oops\n\n" + finishedEvent + doneEvent, "ab", Interrupted},
-		"an error":                    {chunkAB + `data: {"error":{"message":"out of memory"}}` + "\n\n", "ab", Interrupted},
-		"a line that is far too long": {chunkAB + "data: " + strings.Repeat("x", maxLineBytes) + "\n\n" + finishedEvent + doneEvent, "ab", Interrupted},
+		"complete":                     {chunkAB + chunkC + finishedEvent + doneEvent, "abc", Complete},
+		"other lines and comments":     {": ping\n\nevent: x\n" + chunkAB + finishedEvent + doneEvent, "ab", Complete},
+		"no end marker":                {chunkAB + finishedEvent, "ab", Interrupted},
+		"no finish reason":             {chunkAB + doneEvent, "ab", Interrupted},
+		"empty":                        {"", "", Interrupted},
+		"not JSON":                     {chunkAB + "data: {oops\n\n" + finishedEvent + doneEvent, "ab", Interrupted},
+		"an error":                     {chunkAB + `data: {"error":{"message":"out of memory"}}` + "\n\n", "ab", Interrupted},
+		"a line longer than the limit": {chunkAB + "data: " + strings.Repeat("x", maxLineBytes) + "\n\n" + finishedEvent + doneEvent, "ab", Interrupted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			address := startServer(t, func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, c.stream) })
@@ -60,7 +60,7 @@
 	}
 }
 
-// A server's status tells whether the request was started.
+// The status code of a response determines whether the request was started.
 func TestStatusOutcomes(t *testing.T) {
 	for status, want := range map[int]Outcome{
 		http.StatusServiceUnavailable:  NotStarted,
@@ -68,19 +68,19 @@
 		http.StatusBadRequest:          Rejected,
 		http.StatusUnprocessableEntity: Rejected,
 		http.StatusInternalServerError: Interrupted,
-		http.StatusFound:               Interrupted, // no redirect is followed
+		http.StatusFound:               Interrupted, // redirects are not followed
 	} {
 		address := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Location", "http://"+r.Host+"/elsewhere")
 			w.WriteHeader(status)
 		})
 		if outcome, _, err := complete(t, newRequest(address)); outcome != want || err == nil {
-			t.Errorf("status %d: %s, %v", status, outcome, err)
+			t.Errorf("status %d: outcome %s, error %v", status, outcome, err)
 		}
 	}
 }
 
-// A request that reached no server has not started; one whose connection breaks may have run.
+// A request that reached no server has not started. One whose connection breaks may have run.
 func TestConnectionOutcomes(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -88,15 +88,15 @@
 	}
 	listener.Close()
 	if outcome, _, err := complete(t, newRequest(listener.Addr().String())); outcome != NotStarted || err == nil {
-		t.Errorf("no server: %s, %v", outcome, err)
+		t.Errorf("no server: outcome %s, error %v", outcome, err)
 	}
 	address := startServer(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	if outcome, _, err := complete(t, newRequest(address)); outcome != Interrupted || err == nil {
-		t.Errorf("a broken connection: %s, %v", outcome, err)
+		t.Errorf("broken connection: outcome %s, error %v", outcome, err)
 	}
 }
 
-// A server that sends nothing for the idle time-out is given up.
+// A request is interrupted if its server sends nothing during the idle time-out.
 func TestIdleTimeout(t *testing.T) {
 	address := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, chunkAB)
@@ -106,11 +106,11 @@
 	request := newRequest(address)
 	request.IdleTimeout = 100 * clock.Millisecond
 	if outcome, _, err := complete(t, request); outcome != Interrupted || err == nil {
-		t.Errorf("%s, %v", outcome, err)
+		t.Errorf("outcome %s, error %v", outcome, err)
 	}
 }
 
-// An error of the reader interrupts the request.
+// An error returned by onChunk interrupts the request.
 func TestReaderError(t *testing.T) {
 	address := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, chunkAB+chunkC+finishedEvent+doneEvent)
@@ -118,11 +118,11 @@
 	full := errors.New("full")
 	outcome, err := StreamCompletion(t.Context(), newRequest(address), func(string) error { return full })
 	if outcome != Interrupted || !errors.Is(err, full) {
-		t.Errorf("%s, %v", outcome, err)
+		t.Errorf("outcome %s, error %v", outcome, err)
 	}
 }
 
-// The request carries prefix, input and partial output as messages, and its ID in a header.
+// The request carries its prefix, input and partial output as messages, and its ID in a header.
 func TestRequestAsSent(t *testing.T) {
 	type sent struct {
 		path, id string
@@ -151,6 +151,6 @@
 		AddGenerationPrompt:  &addGenerationPrompt,
 	}}
 	if got := <-received; !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, not %+v", got, want)
+		t.Errorf("sent %+v, want %+v", got, want)
 	}
 }
--- a/internal/dataplane/modelclient/default_client.go
+++ b/internal/dataplane/modelclient/default_client.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// The bounds of the default client.
+// The limits of the default client.
 const (
 	dialTimeout         = time.Second
-	idleTimeout         = 30 * time.Second // of a connection
+	idleTimeout         = 30 * time.Second // of a pooled connection
 	maxIdleConnsPerHost = 64
 )
 
-// ConfigureDefaultClient replaces http.DefaultClient, which go-zero's httpc uses: the new one
-// follows no redirect, uses no proxy, does not compress, and closes idle connections. A program
-// calls it once, before the first request.
+// ConfigureDefaultClient replaces http.DefaultClient, which go-zero's httpc uses. The new client
+// follows no redirects, uses no proxy, does not compress, and closes idle connections. A program
+// calls it once, before its first request.
 func ConfigureDefaultClient() {
 	http.DefaultClient = &http.Client{
 		Transport: &http.Transport{
--- a/internal/dataplane/modelclient/golden_test.go
+++ b/internal/dataplane/modelclient/golden_test.go
@@ -6,7 +6,7 @@
 	"tuliprudder/test/goldenjson"
 )
 
-// What goes to a model server, and what comes from it, keeps its keys.
+// The JSON keys of messages to and from model servers must not change.
 func TestGoldenJSON(t *testing.T) {
 	for name, pointer := range map[string]any{"request.json": &completionRequest{}, "chunk.json": &completionChunk{}} {
 		if err := goldenjson.Check("testdata/golden/"+name, pointer); err != nil {
--- a/internal/dataplane/modelclient/harness_test.go
+++ b/internal/dataplane/modelclient/harness_test.go
@@ -16,7 +16,7 @@
 	os.Exit(m.Run())
 }
 
-// startServer runs a stand-in for a model server and returns its address.
+// startServer runs a fake model server and returns its address.
 func startServer(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
--- a/internal/dataplane/modelclient/load_test.go
+++ b/internal/dataplane/modelclient/load_test.go
@@ -14,7 +14,7 @@
 vllm:num_requests_waiting 7
 `
 
-// The load is the sum over all labels; a server whose pages can't be read is an error.
+// The load is the sum over all label values. If a page of the server can't be read, ReadLoad returns an error.
 func TestReadLoad(t *testing.T) {
 	for name, c := range map[string]struct {
 		healthStatus     int
@@ -35,12 +35,12 @@
 				case "/metrics":
 					io.WriteString(w, c.page)
 				default:
-					t.Errorf("a request for %s", r.URL.Path)
+					t.Errorf("unexpected request for %s", r.URL.Path)
 				}
 			})
 			running, waiting, err := ReadLoad(t.Context(), address)
 			if got, want := fmt.Sprint(running, waiting, err == nil), fmt.Sprint(c.running, c.waiting, c.ok); got != want {
-				t.Errorf("%s, not %s: %v", got, want, err)
+				t.Errorf("got %s, want %s: %v", got, want, err)
 			}
 		})
 	}
--- a/internal/dataplane/modelclient/outcome.go
+++ b/internal/dataplane/modelclient/outcome.go
@@ -1,21 +1,21 @@
 package modelclient
 
-// Outcome is what is certain about a request that was sent to a server.
+// Outcome is what is known for certain about a request that was sent to a server.
 type Outcome int
 
 // The outcomes.
 const (
-	// NotStarted: it certainly did not run.
+	// NotStarted: the request did not run.
 	NotStarted Outcome = iota
 	// Complete: the response has its finish reason and its end marker.
 	Complete
-	// Interrupted: the response is missing or incomplete; it may have run, in part or completely.
+	// Interrupted: the response is missing or incomplete; the request may have run, partially or completely.
 	Interrupted
-	// Rejected: the server read it and rejected it for what it asks; no server will run it.
+	// Rejected: the server rejected the request as invalid; no server will run it.
 	Rejected
 )
 
-// outcomeNames stand in the decision log, which operators read as JSON: they never change.
+// outcomeNames appear in the decision log, which operators read as JSON: they never change.
 var outcomeNames = map[Outcome]string{
 	NotStarted:  "not started",
 	Complete:    "complete",
@@ -23,5 +23,5 @@
 	Rejected:    "rejected",
 }
 
-// String names the outcome.
+// String returns the name of the outcome in the decision log.
 func (o Outcome) String() string { return outcomeNames[o] }
--- a/internal/dataplane/modelclient/request.go
+++ b/internal/dataplane/modelclient/request.go
@@ -12,17 +12,17 @@
 	"tuliprudder/internal/clock"
 )
 
-// Request is a completion that a server is asked for.
+// Request is a completion request to a model server.
 type Request struct {
 	Address       string // of the server: IP and port
 	RequestID     string
 	Model         string
 	Prefix        string // the system message; "" for none
 	Input         string // the user's message
-	PartialOutput string // what earlier attempts produced, to be continued
+	PartialOutput string // output of earlier attempts, to be continued
 	MaxTokens     int64
-	Priority      int          // 0 is served first
-	IdleTimeout   clock.Micros // longest wait for the next line of the response
+	Priority      int          // 0 is the highest
+	IdleTimeout   clock.Micros // maximum time until the next line of the response
 }
 
 // The roles of messages.
@@ -37,7 +37,7 @@
 	Content string `json:"content"`
 }
 
-// completionRequest is the JSON body of a request; its keys are the servers' wire form.
+// completionRequest is the JSON body of a request; the keys are those of the servers' wire format.
 type completionRequest struct {
 	Model                string    `json:"model"`
 	Messages             []message `json:"messages"`
@@ -49,8 +49,8 @@
 	AddGenerationPrompt  *bool     `json:"add_generation_prompt,omitempty"`
 }
 
-// payload is the body of the request. A partial output is given as the beginning of the
-// assistant's message, which the server is asked to continue.
+// payload returns the body of the request. A partial output is sent as the beginning of the
+// assistant's message, which the server continues.
 func (r Request) payload() completionRequest {
 	payload := completionRequest{
 		Model:     r.Model,
@@ -72,17 +72,17 @@
 	return payload
 }
 
-// httpRequest is the request as it is sent.
+// httpRequest returns the request in its HTTP form.
 func (r Request) httpRequest(ctx context.Context) (*http.Request, error) {
 	data, err := json.Marshal(r.payload())
 	if err != nil {
 		return nil, errors.Wrap(err, "encoding the request")
 	}
-	// A body of a type that net/http can't rewind: it never sends the request a second time.
+	// net/http can't rewind a body of this type, so that it never sends the request a second time.
 	body := io.NopCloser(bytes.NewReader(data))
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.Address+"/v1/chat/completions", body)
 	if err != nil {
-		return nil, errors.Wrap(err, "making the HTTP request")
+		return nil, errors.Wrap(err, "creating the HTTP request")
 	}
 	request.ContentLength = int64(len(data))
 	request.Header.Set("Content-Type", "application/json")
--- a/internal/dataplane/openapi/openapi.go
+++ b/internal/dataplane/openapi/openapi.go
@@ -1,10 +1,10 @@
-// Package openapi turns the operations of an OpenAPI file into routes of a configuration
+// Package openapi imports the operations of an OpenAPI file as routes of a configuration
 // (docs/DESIGN.md section 8.5).
 //
-// A POST operation becomes a route if its extension x-tuliprudder, or the file's as the
-// default, names a kind of route; the extension's fields are those of a route in a
-// configuration document. Import reports what it doesn't carry over. A file with faults
-// changes nothing.
+// A POST operation becomes a route if its x-tuliprudder extension specifies a kind of route.
+// An extension of the whole file supplies defaults. The extension's fields are those of a
+// route in a configuration document. Import reports everything that it does not import. An
+// invalid file changes nothing.
 package openapi
 
 import (
@@ -16,23 +16,23 @@
 	"tuliprudder/internal/errs"
 )
 
-// document is JSON of unknown shape: a configuration, or a route of one. What is in it
-// is checked by package config, and what isn't known here is carried over as it is.
+// document is a decoded JSON object: a configuration, or one of its routes. Package config
+// validates it. Fields that are unknown to this package are preserved.
 type document = map[string]any
 
-// Result is what an import makes.
+// Result is the result of an import.
 type Result struct {
-	// Configuration is the configuration with the routes in it.
+	// Configuration is the configuration, including the imported routes.
 	Configuration document
-	// RouteNames are the routes that were made, in the order of paths and methods.
+	// RouteNames are the names of the imported routes, ordered by path and method.
 	RouteNames []string
-	// Skipped says what was not carried over, and why.
+	// Skipped lists what was not imported, and why.
 	Skipped []string
 }
 
-// Import puts the routes of an OpenAPI file into a configuration: a route of the same name
-// is replaced, all others stay. Its error is of kind errs.BadInput for the file, or
-// errs.InvalidConfiguration for the configuration with the routes in it.
+// Import adds the routes of an OpenAPI file to a configuration. Routes of the same name are
+// replaced, all others stay. Its error is of kind errs.BadInput for an invalid file, or
+// errs.InvalidConfiguration for an invalid configuration, with or without the routes.
 func Import(file, configuration []byte) (Result, error) {
 	spec, err := load(file)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return out, nil
 }
 
-// load reads and checks an OpenAPI file. References out of the file are not followed.
+// load parses and validates an OpenAPI file. References to other files are not followed.
 func load(file []byte) (*openapi3.T, error) {
 	loader := openapi3.NewLoader()
 	loader.IsExternalRefsAllowed = false
@@ -62,22 +62,22 @@
 		err = spec.Validate(loader.Context)
 	}
 	if err != nil {
-		return nil, errs.New(errs.BadInput, "correct the OpenAPI file; the configuration stays as it is", "the OpenAPI file can't be read: %v", err)
+		return nil, errs.New(errs.BadInput, "correct the OpenAPI file; the configuration stays as it is", "the OpenAPI file is invalid: %v", err)
 	}
 	return spec, nil
 }
 
-// merge puts routes into a configuration document and checks the outcome: a route takes
-// the place of one with its name, the others come at the end.
+// merge adds routes to a configuration document and validates the result: a route replaces an
+// existing one of the same name in place, the others are appended.
 func merge(routes []route, configuration []byte) (document, error) {
 	var out document
 	if err := json.Unmarshal(configuration, &out); err != nil {
-		return nil, errs.New(errs.InvalidConfiguration, "give the configuration in force", "the configuration can't be read: %v", err)
+		return nil, errs.New(errs.InvalidConfiguration, "pass the current configuration", "the configuration can't be read: %v", err)
 	}
 	imported := map[string]route{}
 	for _, r := range routes {
 		if _, taken := imported[r.name]; taken {
-			return nil, errs.New(errs.BadInput, "give each operation an operationId or a name of its own", "two operations become route %q", r.name)
+			return nil, errs.New(errs.BadInput, "give each operation a unique operationId or name", "two operations are imported as route %q", r.name)
 		}
 		imported[r.name] = r
 	}
--- a/internal/dataplane/openapi/openapi_test.go
+++ b/internal/dataplane/openapi/openapi_test.go
@@ -35,7 +35,7 @@
 	}
 	routes := got.Configuration["routes"].([]any)
 	if len(routes) != 4 {
-		t.Fatalf("%d routes in the configuration, not the 3 it had and 1 more", len(routes))
+		t.Fatalf("%d routes in the configuration, want the 3 existing ones and 1 new one", len(routes))
 	}
 	kinds := map[string]any{}
 	for _, route := range routes {
@@ -55,20 +55,20 @@
 
 func TestInvalidFilesAreRejected(t *testing.T) {
 	for name, broken := range map[string]string{
-		"no json":         `{"openapi":`,
-		"no paths":        `{"openapi":"3.0.3","info":{"title":"t","version":"1"}}`,
-		"nothing to take": `{"openapi":"3.0.3","info":{"title":"t","version":"1"},"paths":{}}`,
-		"unknown field":   strings.Replace(specFile, `"kind":"stream"`, `"kind":"stream","colour":"red"`, 1),
-		"unknown kind":    strings.Replace(specFile, `"kind":"stream"`, `"kind":"dance"`, 1),
-		"same name":       strings.Replace(specFile, `"kind":"stream"`, `"kind":"stream","name":"checkTicket"`, 1),
-		"no such pool":    strings.Replace(specFile, `{"use":"all"}`, `{"use":"none"}`, 1),
+		"no json":       `{"openapi":`,
+		"no paths":      `{"openapi":"3.0.3","info":{"title":"t","version":"1"}}`,
+		"no operations": `{"openapi":"3.0.3","info":{"title":"t","version":"1"},"paths":{}}`,
+		"unknown field": strings.Replace(specFile, `"kind":"stream"`, `"kind":"stream","colour":"red"`, 1),
+		"unknown kind":  strings.Replace(specFile, `"kind":"stream"`, `"kind":"dance"`, 1),
+		"same name":     strings.Replace(specFile, `"kind":"stream"`, `"kind":"stream","name":"checkTicket"`, 1),
+		"no such pool":  strings.Replace(specFile, `{"use":"all"}`, `{"use":"none"}`, 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := Import([]byte(broken), loadConfiguration(t))
 			if err == nil || got.Configuration != nil {
-				t.Errorf("%v, %v", got.RouteNames, err)
+				t.Errorf("imported routes %v, error %v", got.RouteNames, err)
 			} else if m := errs.Of(err); m.Remedy == "" || m.Kind == errs.OutcomeUnknown {
-				t.Errorf("no typed error: %v", err)
+				t.Errorf("error without a kind or remedy: %v", err)
 			}
 		})
 	}
--- a/internal/dataplane/openapi/routes.go
+++ b/internal/dataplane/openapi/routes.go
@@ -13,31 +13,31 @@
 	"tuliprudder/internal/errs"
 )
 
-// extensionName is the extension of a file or operation that makes operations routes.
+// extensionName is the extension of a file or operation that marks operations to be imported as routes.
 const extensionName = "x-tuliprudder"
 
-// routeFields are the fields that an extension may have.
+// routeFields are the fields that an extension may contain.
 var routeFields = []string{
 	"name", "kind", "labels", "classes", "pools", "model", "adapter", "weights", "prefix", "max_tokens", "expiry_us", "most_items",
 }
 
 var invalidNameChars = regexp.MustCompile(`[^A-Za-z0-9._-]+`)
 
-// route is a route that an operation became, as a configuration has it.
+// route is the route of an imported operation, as it appears in a configuration.
 type route struct {
 	name   string
 	fields document
 }
 
-// routeReader gathers the routes of a file.
+// routeReader collects the routes of a file.
 type routeReader struct {
-	defaults document // the file's extension; nil where there is none
+	defaults document // the file's extension; nil if there is none
 	list     []route
-	skipped  []string // what is not carried over, and why
+	skipped  []string // what is not imported, and why
 	faults   []string
 }
 
-// readRoutes reads the routes of a file's operations, in the order of paths and methods.
+// readRoutes returns the routes of a file's operations, ordered by path and method.
 func readRoutes(spec *openapi3.T) (*routeReader, error) {
 	r := &routeReader{}
 	r.defaults = r.readExtension(spec.Extensions, "the file's "+extensionName)
@@ -51,15 +51,15 @@
 	if len(r.faults) > 0 {
 		return nil, &errs.Error{
 			Kind:    errs.BadInput,
-			Message: "the OpenAPI file has faults; the configuration stays as it is",
-			Remedy:  "correct each of the named places",
+			Message: "the OpenAPI file has invalid extensions; the configuration stays as it is",
+			Remedy:  "correct each of the listed faults",
 			Faults:  r.faults,
 		}
 	}
 	if len(r.list) == 0 {
 		return nil, &errs.Error{
 			Kind:    errs.BadInput,
-			Message: "no operation of the file becomes a route",
+			Message: "the OpenAPI file has no operation that becomes a route",
 			Remedy:  "give POST operations an " + extensionName + " with a kind",
 			Faults:  r.skipped,
 		}
@@ -67,7 +67,7 @@
 	return r, nil
 }
 
-// addOperation makes an operation a route, or notes why it becomes none.
+// addOperation adds the route of an operation, or records why there is none.
 func (r *routeReader) addOperation(method, path string, operation *openapi3.Operation) {
 	at := method + " " + path
 	if method != http.MethodPost {
@@ -80,16 +80,16 @@
 		return
 	}
 	if operation.Security != nil && len(*operation.Security) > 0 {
-		r.skip(at, "its security is not carried over; callers use their customer key")
+		r.skip(at, "its security is not imported; callers use their tenant's API key")
 	}
 	if len(operation.Parameters) > 0 {
-		r.skip(at, "its parameters are not carried over; a request has an input")
+		r.skip(at, "its parameters are not imported; a request has only an input")
 	}
 	r.list = append(r.list, r.newRoute(fields, operation.OperationID, path))
 }
 
-// newRoute puts an operation's fields over the file's. The name is the operation's id, or
-// made of its path, where no field says it.
+// newRoute returns the route of an operation, whose fields override the file's. Unless a field
+// specifies the name, it is derived from the operation's ID, or else from its path.
 func (r *routeReader) newRoute(fields document, operationID, path string) route {
 	merged := document{}
 	maps.Copy(merged, r.defaults)
@@ -104,8 +104,8 @@
 
 func (r *routeReader) addFault(at, fault string) { r.faults = append(r.faults, at+": "+fault) }
 
-// readExtension reads the extension of a file or operation; nil where there is none, or
-// it is no object.
+// readExtension returns the extension of a file or operation; nil if there is none, or if it
+// is not an object.
 func (r *routeReader) readExtension(extensions map[string]any, at string) document {
 	value, present := extensions[extensionName]
 	if !present {
@@ -118,13 +118,13 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
 		if !slices.Contains(routeFields, name) {
-			r.addFault(at, extensionName+"."+name+" is no field of a route")
+			r.addFault(at, extensionName+"."+name+" is not a field of a route")
 		}
 	}
 	return fields
 }
 
-// routeName makes a name of an operation's id or path.
+// routeName derives a name from an operation's ID, or else from its path.
 func routeName(operationID, path string) string {
 	name := operationID
 	if name == "" {
@@ -133,7 +133,7 @@
 	return strings.Trim(invalidNameChars.ReplaceAllString(name, "-"), "-")
 }
 
-// nameOf is the name of a route in a document.
+// nameOf returns the name of a route document.
 func nameOf(value any) string {
 	fields, _ := value.(document)
 	return fmt.Sprint(fields["name"])
--- a/internal/dataplane/usage/counter.go
+++ b/internal/dataplane/usage/counter.go
@@ -1,7 +1,7 @@
-// Package usage counts, for each window of the wall clock and each tenant, the requests that began to
-// run (docs/notes/duties.md). A Counter is a part of an edge's state machine, and a part of its
-// reports to the primary core (primaryreport.Part): it keeps a window until the primary replies that its
-// counts are decided, so that all of it can be reported again to a new primary.
+// Package usage counts the requests that started to run, for each wall-clock window and tenant
+// (docs/notes/duties.md). A Counter is part of an edge's state machine and of its reports to the
+// primary core (primaryreport.Part). It keeps a window until the primary replies that the counts of the
+// window are decided, so that all of them can be reported again to a new primary.
 //
 // Nothing here reads a clock, and nothing is safe for concurrent use.
 package usage
@@ -16,53 +16,54 @@
 )
 
 const (
-	// maxWindows is how many undecided windows are kept; the oldest is dropped for a new one.
+	// maxWindows is the number of undecided windows that are kept; a new one displaces the oldest.
 	maxWindows = 64
-	// maxCounts bounds the counts of all kept windows together; the oldest window is dropped.
+	// maxCounts limits the total number of counts in all kept windows; beyond it the oldest window is dropped.
 	maxCounts = 32_768
 )
 
-// Settings of a Counter.
+// Settings configures a Counter.
 type Settings struct {
-	// Interval is the length of a window; window k starts k intervals after 1970. 0, the default:
-	// nothing is counted.
+	// Interval is the length of a window; window k starts k intervals after the Unix epoch. 0, the
+	// default, disables counting.
 	Interval clock.Micros
 }
 
-// Counter counts the requests that begin at one edge.
+// Counter counts the requests that start at one edge.
 type Counter struct {
 	settings Settings
 	calls    *machine.Calls
 	windows  map[uint64]*window
 	counts   int // over all windows
-	// decidedUpTo is the last window that the primary replied to be decided.
+	// decidedUpTo is the last decided window according to the primary's replies.
 	decidedUpTo uint64
-	// reportedUpTo is the window in which the last acknowledged report was sent; 0 for none.
+	// reportedUpTo is the window in which the last acknowledged report was sent; 0: no report yet.
 	reportedUpTo uint64
 
-	// Counted and Dropped count requests since the start, for the operators: those that began, and
-	// those of windows that were dropped undecided.
+	// Counted and Dropped are metrics: the number of requests that started since the start of the
+	// edge, and the number of those in windows that were dropped before they were decided.
 	Counted, Dropped int64
 }
 
-// window is what is kept of one window.
+// window holds the counts of one window.
 type window struct {
 	counts       map[string]int64 // by tenant
-	acknowledged map[string]int64 // what of them the primary has
+	acknowledged map[string]int64 // the counts that the primary has acknowledged
 }
 
-// NewCounter makes a counter that has counted nothing.
+// NewCounter returns an empty counter.
 func NewCounter(settings Settings, calls *machine.Calls) *Counter {
 	return &Counter{settings: settings, calls: calls, windows: map[uint64]*window{}}
 }
 
-// IsEnabled tells whether requests are counted.
+// IsEnabled reports whether requests are counted.
 func (c *Counter) IsEnabled() bool { return c.settings.Interval > 0 }
 
-// windowAt is the window that a time is in.
+// windowAt returns the number of the window that contains a time.
 func (c *Counter) windowAt(now clock.Micros) uint64 { return uint64(now / c.settings.Interval) }
 
-// RecordStart counts a request of a tenant that has just begun to run; tenant is "" where it has none.
+// RecordStart counts a request that has just started to run. A request without a tenant (tenant is "")
+// is not counted.
 func (c *Counter) RecordStart(tenant string, now clock.Micros) {
 	if !c.IsEnabled() || tenant == "" {
 		return
@@ -81,7 +82,7 @@
 	c.dropExcess()
 }
 
-// dropExcess drops the oldest windows while there is too much to keep.
+// dropExcess drops the oldest windows while maxWindows or maxCounts is exceeded.
 func (c *Counter) dropExcess() {
 	for len(c.windows) > maxWindows || (c.counts > maxCounts && len(c.windows) > 1) {
 		oldest := slices.Min(slices.Collect(maps.Keys(c.windows)))
@@ -97,7 +98,7 @@
 	delete(c.windows, number)
 }
 
-// total is how many requests of a window were counted.
+// total returns the number of requests counted in the window.
 func (w *window) total() int64 {
 	sum := int64(0)
 	for _, count := range w.counts {
@@ -106,7 +107,7 @@
 	return sum
 }
 
-// unacknowledged are the counts that the primary doesn't have.
+// unacknowledged returns the counts that the primary has not acknowledged; nil if there are none.
 func (w *window) unacknowledged() map[string]int64 {
 	var unacknowledged map[string]int64
 	for tenant, count := range w.counts {
@@ -121,8 +122,8 @@
 	return unacknowledged
 }
 
-// Add adds the counts that changed. Where none did, a report is due once a window has ended: it shows the primary
-// that the counts of the window are complete.
+// Add adds the counts that changed to a report. If none changed, a report is still due once a window has ended:
+// it shows the primary that the counts of that window are complete.
 func (c *Counter) Add(report *primaryreport.Report, now clock.Micros) bool {
 	if !c.IsEnabled() {
 		return false
@@ -135,7 +136,7 @@
 	return len(report.Usage) > 0 || c.windowAt(now) > c.reportedUpTo
 }
 
-// Acknowledged records what the primary has, and forgets the windows that are decided.
+// Acknowledged records the counts that the primary has received, and removes the windows that are decided.
 func (c *Counter) Acknowledged(report primaryreport.Report, reply primaryreport.Reply) {
 	if !c.IsEnabled() {
 		return
@@ -154,7 +155,7 @@
 	}
 }
 
-// Reset forgets what the former primary has.
+// Reset discards the acknowledgements of the former primary.
 func (c *Counter) Reset() {
 	c.reportedUpTo = 0
 	for _, known := range c.windows {
@@ -162,7 +163,7 @@
 	}
 }
 
-// Undecided is how many requests are in the windows that are kept.
+// Undecided returns the number of requests in the kept windows, which are not decided yet.
 func (c *Counter) Undecided() int64 {
 	sum := int64(0)
 	for _, known := range c.windows {
--- a/internal/dataplane/usage/counter_test.go
+++ b/internal/dataplane/usage/counter_test.go
@@ -12,7 +12,7 @@
 
 const testInterval = 5 * clock.Second
 
-// at is a time in a window.
+// at returns a time within a window.
 func at(window int64) clock.Micros { return window*testInterval + clock.Second }
 
 func newTestCounter() (*Counter, *machine.Calls) {
@@ -20,7 +20,7 @@
 	return NewCounter(Settings{Interval: testInterval}, calls), calls
 }
 
-// report is what the counter has to tell now; nil for nothing.
+// report returns the report that the counter has due; nil if there is none.
 func report(c *Counter, now clock.Micros) *primaryreport.Report {
 	out := &primaryreport.Report{SentAt: now}
 	if !c.Add(out, now) {
@@ -37,37 +37,37 @@
 	c.RecordStart("", at(7))
 	first := report(c, at(7))
 	if first == nil || len(first.Usage) != 1 || first.Usage[0].Window != 7 || !maps.Equal(first.Usage[0].Counts, map[string]int64{"a": 2, "b": 1}) {
-		t.Fatalf("told %+v", first)
+		t.Fatalf("first report: %+v", first)
 	}
 	c.RecordStart("a", at(7))
 	c.Acknowledged(*first, primaryreport.Reply{})
 	second := report(c, at(7))
 	if second == nil || !maps.Equal(second.Usage[0].Counts, map[string]int64{"a": 3}) {
-		t.Fatalf("told %+v", second)
+		t.Fatalf("second report: %+v", second)
 	}
 	c.Acknowledged(*second, primaryreport.Reply{})
 	if again := report(c, at(7)); again != nil {
-		t.Errorf("told %+v again", again)
+		t.Errorf("report without changes: %+v", again)
 	}
 	c.Reset()
 	if afterReset := report(c, at(7)); afterReset == nil || !maps.Equal(afterReset.Usage[0].Counts, map[string]int64{"a": 3, "b": 1}) {
-		t.Errorf("told %+v to another primary", afterReset)
+		t.Errorf("report to another primary: %+v", afterReset)
 	}
 }
 
-// The primary waits for the word of each edge that a window is over.
+// The primary waits for each edge to report that a window has ended, even if the edge counted nothing.
 func TestEndOfWindowIsReported(t *testing.T) {
 	c, _ := newTestCounter()
 	idle := report(c, at(7))
 	if idle == nil || len(idle.Usage) > 0 {
-		t.Fatalf("told %+v", idle)
+		t.Fatalf("report of an idle edge: %+v", idle)
 	}
 	c.Acknowledged(*idle, primaryreport.Reply{})
 	if again := report(c, at(7)+1); again != nil {
-		t.Errorf("told %+v", again)
+		t.Errorf("second report in one window: %+v", again)
 	}
 	if next := report(c, at(8)); next == nil {
-		t.Error("the next window's begin isn't told")
+		t.Error("no report at the start of the next window")
 	}
 }
 
@@ -78,7 +78,7 @@
 	}
 	c.Acknowledged(primaryreport.Report{SentAt: at(9)}, primaryreport.Reply{UsageDecidedUpTo: 8})
 	if left := report(c, at(9)); len(left.Usage) != 1 || left.Usage[0].Window != 9 || c.Undecided() != 1 {
-		t.Errorf("told %+v", left)
+		t.Errorf("reported %+v", left)
 	}
 }
 
@@ -92,7 +92,7 @@
 		t.Fatalf("%d windows, %d dropped, %d events", len(c.windows), c.Dropped, len(events))
 	}
 	if first := events[0].(machine.LogEvent).Event.(WindowDropped); first.Window != 1 || first.Requests != 1 {
-		t.Errorf("dropped %+v", first)
+		t.Errorf("first event: %+v", first)
 	}
 	for tenant := range maxCounts + 10 {
 		c.RecordStart(fmt.Sprint("t", tenant), at(maxWindows+4))
@@ -102,7 +102,7 @@
 	}
 }
 
-// An edge where use isn't reported counts and sends nothing.
+// An edge without usage reporting counts and reports nothing.
 func TestZeroIntervalDisablesCounting(t *testing.T) {
 	c := NewCounter(Settings{}, machine.NewCalls())
 	c.RecordStart("a", at(1))
--- a/internal/dataplane/usage/model_test.go
+++ b/internal/dataplane/usage/model_test.go
@@ -25,24 +25,24 @@
 	modelCores    = 3
 	modelEdges    = 6
 	modelTenants  = 5
-	// reportLag is how long what an edge counted may take to the primary: an interval, a report that
-	// was lost, and the way of the next.
+	// reportLag is the longest time until a count reaches the primary: a report interval, a lost report,
+	// and the delivery of the next one.
 	reportLag = 2*primaryreport.Interval + 900*clock.Millisecond
-	// gossipLag is how long it may take until an edge hears of a new primary.
+	// gossipLag is the longest time until an edge learns of a new primary.
 	gossipLag = 800 * clock.Millisecond
 )
 
-// disturbances are what happens in a run of the model.
+// disturbances selects the kinds of disturbance that a run of the model injects.
 type disturbances struct {
 	primaryChanges, kills, drains, partitions, skewedClocks bool
 }
 
-// startedRequest is a request that startedRequest, as the model itself counts it.
+// startedRequest is a request that started to run, as recorded by the model itself.
 type startedRequest struct {
 	tenant        string
 	at            clock.Micros
 	edge          *modelEdge
-	isClockBehind bool // the window was over, and the edge's clock is behind
+	isClockBehind bool // by true time its window was over already: the edge's clock is behind
 }
 
 // modelEdge is one incarnation of an edge.
@@ -51,23 +51,23 @@
 	sender           *primaryreport.Sender
 	calls            *machine.Calls
 	id               string
-	skew             clock.Micros // of its clock
-	killedAt         clock.Micros // 0: it lives, or drained
+	skew             clock.Micros // offset of its clock
+	killedAt         clock.Micros // 0: it runs, or has drained completely
 	hasEnded         bool
-	rejectsRequests  bool // takes no requests any more
+	rejectsRequests  bool // it was killed or drains
 	partitionedUntil clock.Micros
 	partitions       [][2]clock.Micros
-	hasLostMessage   bool // its last message or the reply
+	hasLostMessage   bool // its previous message or reply was lost
 }
 
 func (e *modelEdge) clock(now clock.Micros) clock.Micros { return now + e.skew }
 
-// modelCore is a core, with what the membership tells it.
+// modelCore is a core, which learns of edges by membership updates.
 type modelCore struct {
 	*collector.Collector
 }
 
-// event is something that happens at a time; of those at one time the first added goes first.
+// event is a scheduled function call. Events at the same time run in the order in which they were added.
 type event struct {
 	at    clock.Micros
 	order int
@@ -88,7 +88,7 @@
 	return last
 }
 
-// model is edges, cores, and the network between them, in virtual time.
+// model simulates edges, cores and the network between them in virtual time.
 type model struct {
 	rng             *rand.Rand
 	disturbances    disturbances
@@ -102,14 +102,14 @@
 	incarnations int
 	cores        [modelCores]*modelCore
 
-	primary      int // -1: there is none
+	primary      int // -1: no primary
 	epoch        uint64
 	servingSince clock.Micros
 	changes      []clock.Micros // of the primary
 	kills        []clock.Micros // of cores that were primary
 
 	table           exclusive.Table
-	startedByWindow map[uint64][]startedRequest // by the window of the edge's clock
+	startedByWindow map[uint64][]startedRequest // by window, according to the edge's clock
 	decided         []uint64
 	missingRequests int
 	requests        int
@@ -155,7 +155,7 @@
 	}
 }
 
-// startEdge starts an incarnation; the identity is the former one's, as of a daemon with a disk.
+// startEdge starts an incarnation of an edge. A restarted edge keeps its ID, as a daemon with a disk does.
 func (m *model) startEdge(id string) {
 	m.incarnations++
 	e := &modelEdge{calls: machine.NewCalls(), id: id}
@@ -172,7 +172,7 @@
 	m.announcePrimary(e)
 }
 
-// announceMembership tells the cores, each after a while, that an edge lives or doesn't.
+// announceMembership notifies each core, after a random delay, that an edge is live or not.
 func (m *model) announceMembership(e *modelEdge, incarnation uint64, isLive bool, least, most clock.Micros) {
 	for _, core := range m.cores {
 		m.schedule(least+m.randomUpTo(most-least), func() {
@@ -184,7 +184,7 @@
 	}
 }
 
-// announcePrimary tells an edge who is primary, after a while.
+// announcePrimary notifies an edge of the current primary, after a random delay.
 func (m *model) announcePrimary(e *modelEdge) {
 	if m.primary < 0 {
 		return
@@ -193,7 +193,7 @@
 	m.schedule(50*clock.Millisecond+m.randomUpTo(700*clock.Millisecond), func() { e.sender.SetPrimary(update) })
 }
 
-// startCore starts a core, which knows nothing; the membership tells it of the edges in a while.
+// startCore starts a core without any state; it learns of the edges after random delays.
 func (m *model) startCore(i int) {
 	settings := collector.Settings{Interval: modelInterval, Delay: modelDelay}
 	core := &modelCore{Collector: collector.NewCollector(settings, func(machine.Effect) {})}
@@ -242,7 +242,7 @@
 	e.RecordStart(tenant, e.clock(m.now))
 }
 
-// sendReports carries out what an edge's machine emitted.
+// sendReports sends the messages that an edge's state machine emitted.
 func (m *model) sendReports(e *modelEdge) {
 	for _, effect := range e.calls.Drain() {
 		switch effect := effect.(type) {
@@ -256,14 +256,15 @@
 	}
 }
 
-// deliverMessage delivers a message to a core; without a cut TCP loses none.
+// deliverMessage delivers a message to a core. TCP loses none unless the edge is partitioned.
 func (m *model) deliverMessage(e *modelEdge, message machine.Send) {
 	if m.now >= e.partitionedUntil {
 		m.cores[slices.Index(coreNames, message.To)].Receive(message.Body.(primaryreport.Report), m.now)
 	}
 }
 
-// sendRequest takes a report over the network: it is lost, late or doubled at times, and its reply too.
+// sendRequest transmits a report, which may be lost, delayed or duplicated, and its reply, which may be
+// lost or delayed.
 func (m *model) sendRequest(e *modelEdge, request machine.Request) {
 	isAnswered := false
 	answer := func(body any, err error) {
@@ -296,7 +297,7 @@
 	}
 }
 
-// isLost tells whether a message from or to an edge is lost; of two in a row one arrives.
+// isLost decides whether a message from or to an edge is lost; two consecutive ones are never both lost.
 func (m *model) isLost(e *modelEdge) bool {
 	e.hasLostMessage = !e.hasLostMessage && m.rng.Intn(25) == 0
 	return e.hasLostMessage
@@ -312,7 +313,8 @@
 // coreNames are the addresses of the cores.
 var coreNames = []string{"0", "1", "2"}
 
-// receive has the core at the request's address answer a report. One that isn't primary remembers it.
+// receive passes a report to the core at the request's address. A core that isn't primary stores the report
+// too, but replies with an error.
 func (m *model) receive(request machine.Request) (any, error) {
 	at := slices.Index(coreNames, request.To)
 	reply := m.cores[at].Receive(request.Body.(primaryreport.Report), m.now)
@@ -322,7 +324,7 @@
 	return reply, nil
 }
 
-// pollForPermits has a node ask for permits: what is due is decided then.
+// pollForPermits simulates a node that requests permits: acts that are due are decided then.
 func (m *model) pollForPermits() {
 	if m.primary >= 0 {
 		core := m.cores[m.primary]
@@ -334,8 +336,8 @@
 	m.schedule(100*clock.Millisecond+m.randomUpTo(400*clock.Millisecond), m.pollForPermits)
 }
 
-// decide has acts decided; the primary learns a little later that they are durable. Where it is killed
-// first, they may be decided or not.
+// decide decides acts; the primary learns a little later that they are durable. If the primary is killed
+// before that, the acts may be decided or lost.
 func (m *model) decide(core *modelCore, due []exclusive.Act) {
 	if m.disturbances.primaryChanges && m.rng.Intn(12) == 0 {
 		m.killPrimary()
@@ -366,7 +368,7 @@
 	})
 }
 
-// injectDisturbances makes trouble now and then.
+// injectDisturbances injects one of the selected disturbances at random intervals.
 func (m *model) injectDisturbances() {
 	m.schedule(200*clock.Millisecond+m.randomUpTo(3*clock.Second), m.injectDisturbances)
 	e := m.edges[m.rng.Intn(len(m.edges))]
@@ -377,7 +379,7 @@
 		}
 	case 1:
 		if m.disturbances.primaryChanges && m.primary >= 0 {
-			m.elect(m.primary) // under another term, with other voters
+			m.elect(m.primary) // in a new term, with other voters
 		}
 	case 2, 3:
 		if m.disturbances.kills && !e.rejectsRequests {
@@ -397,14 +399,14 @@
 
 func (m *model) incarnationOf(e *modelEdge) uint64 { return uint64(slices.Index(m.edges, e) + 1) }
 
-// kill ends an edge without notice; it is started again, or not noticed to be gone, for a while.
+// kill ends an edge without notice. It restarts within 3 s, possibly before the cores learn that it ended.
 func (m *model) kill(e *modelEdge) {
 	e.rejectsRequests, e.hasEnded, e.killedAt = true, true, m.now
 	m.announceMembership(e, m.incarnationOf(e), false, 2*clock.Second, 5*clock.Second)
 	m.schedule(m.randomUpTo(3*clock.Second), func() { m.startEdge(e.id) })
 }
 
-// drain ends an edge on purpose: it takes no more requests and tells what it has.
+// drain shuts an edge down gracefully: it takes no more requests and reports its remaining counts.
 func (m *model) drain(e *modelEdge) {
 	e.rejectsRequests = true
 	leave := func() {
@@ -427,18 +429,18 @@
 	})
 }
 
-// hasUnreportedCounts tells whether an edge counted what the present primary was not told.
+// hasUnreportedCounts reports whether an edge has counts that the current primary has not acknowledged.
 func (e *modelEdge) hasUnreportedCounts(m *model) bool {
 	var report primaryreport.Report
 	e.Add(&report, e.clock(m.now))
 	return len(report.Usage) > 0
 }
 
-// checkDecision compares what is decided for a window with what began in it.
+// checkDecision compares the decided counts of a window with the requests that started in it.
 func (m *model) checkDecision(act exclusive.Act) {
 	content, err := collector.DecodeContent(act.Content)
 	if err != nil || content.Window != act.Number {
-		m.fail("window %d has the content %s: %v", act.Number, act.Content, err)
+		m.fail("window %d has invalid content %s: %v", act.Number, act.Content, err)
 		return
 	}
 	if n := len(m.decided); n > 0 && act.Number != m.decided[n-1]+1 {
@@ -457,17 +459,17 @@
 		missing := counted[tenant] - content.Counts[tenant]
 		m.missingRequests += int(max(0, missing))
 		if missing < 0 || missing > allowedMissing[tenant] {
-			m.fail("window %d has %d of %s; %d began, %d may be missing", act.Number, content.Counts[tenant], tenant, counted[tenant], allowedMissing[tenant])
+			m.fail("window %d has %d requests of %s; %d started, %d may be missing", act.Number, content.Counts[tenant], tenant, counted[tenant], allowedMissing[tenant])
 		}
 	}
 	for tenant := range content.Counts {
 		if counted[tenant] == 0 {
-			m.fail("window %d has %s, of which nothing began", act.Number, tenant)
+			m.fail("window %d has %s, of which no request started", act.Number, tenant)
 		}
 	}
 }
 
-// checkTime checks that a window is decided once it is over, and in time where a primary served.
+// checkTime checks that a window is decided only after its end, and soon enough while a primary serves.
 func (m *model) checkTime(window uint64) {
 	const pollTime = 700 * clock.Millisecond
 	end := clock.Micros(window+1) * modelInterval
@@ -479,7 +481,7 @@
 	}
 }
 
-// mayBeMissing tells whether a request may be missing in what is decided now.
+// mayBeMissing reports whether a request may be missing from counts that are decided now.
 func (m *model) mayBeMissing(request startedRequest) bool {
 	if m.wasPartitioned(request) {
 		return true
@@ -491,21 +493,21 @@
 		}
 	}
 	switch {
-	case request.edge.killedAt > 0: // what it had told is known to the primary that it told alone
+	case request.edge.killedAt > 0: // only the primary that it reported to has its counts
 		primaryWasUnknown := slices.ContainsFunc(m.changes, func(at clock.Micros) bool {
 			return at > request.at && at > request.edge.killedAt-reportLag-gossipLag
 		})
 		return primaryKillsSince > 0 || primaryWasUnknown || request.at > request.edge.killedAt-reportLag
-	case request.edge.hasEnded: // all cores were told by a drained edge; two may have started again since
+	case request.edge.hasEnded: // a drained edge reported to all cores, of which two may have restarted since
 		return primaryKillsSince > 1
-	case request.isClockBehind: // the edge may be so new that the primary doesn't know of it
+	case request.isClockBehind: // the edge may be so new that the primary doesn't know it yet
 		return request.at > m.now-reportLag-gossipLag
 	}
 	return false
 }
 
-// wasPartitioned tells whether an edge was cut off, since a request, for so long that it may not have told the
-// present primary of it. An edge that ended may have told the former one alone.
+// wasPartitioned reports whether a partition may have kept an edge from reporting a request to the current
+// primary. An edge that has ended may have reported it to the former primary only.
 func (m *model) wasPartitioned(request startedRequest) bool {
 	return slices.ContainsFunc(request.edge.partitions, func(partition [2]clock.Micros) bool {
 		isRecent := partition[1]+reportLag > m.now-clock.Second
@@ -513,21 +515,21 @@
 	})
 }
 
-// scenarios are the kinds of run that every window has to be right in.
+// scenarios are the combinations of disturbances under which the decided counts must be right.
 var scenarios = map[string]disturbances{
-	"nothing but losses":   {},
-	"changes of primary":   {primaryChanges: true},
-	"wrong clocks":         {primaryChanges: true, skewedClocks: true},
-	"drained edges":        {drains: true},
-	"drained and changes":  {drains: true, primaryChanges: true},
-	"killed edges":         {kills: true},
-	"cuts":                 {partitions: true},
-	"everything at a time": {true, true, true, true, true},
+	"message loss":                      {},
+	"primary changes":                   {primaryChanges: true},
+	"primary changes and skewed clocks": {primaryChanges: true, skewedClocks: true},
+	"drained edges":                     {drains: true},
+	"drained edges and primary changes": {drains: true, primaryChanges: true},
+	"killed edges":                      {kills: true},
+	"cuts":                              {partitions: true},
+	"all disturbances":                  {true, true, true, true, true},
 }
 
 func (m *model) String() string {
 	var out strings.Builder
-	fmt.Fprintf(&out, "%d requests, %d windows, %d missing, %d changes of primary, %d incarnations", m.requests, len(m.decided), m.missingRequests, len(m.changes)-1, m.incarnations)
+	fmt.Fprintf(&out, "%d requests, %d windows, %d missing, %d primary changes, %d incarnations", m.requests, len(m.decided), m.missingRequests, len(m.changes)-1, m.incarnations)
 	return out.String()
 }
 
@@ -555,19 +557,20 @@
 	}
 }
 
-// The search finds each safeguard that is left out.
+// The model must detect each injected fault, which disables one safeguard, so that a run without violations
+// is meaningful.
 func TestModelDetectsInjectedFaults(t *testing.T) {
 	for name, test := range map[string]struct {
 		collector collector.InjectedFaults
 		sender    primaryreport.InjectedFaults
 	}{
-		"a report is added to the one before":            {collector: collector.InjectedFaults{AddRepeatedReports: true}},
-		"a restarted edge replaces its former counts":    {collector: collector.InjectedFaults{ForgetIncarnations: true}},
-		"counts go by the time of their arrival":         {collector: collector.InjectedFaults{CountByArrival: true}},
-		"a window is proposed at its end":                {collector: collector.InjectedFaults{ProposeWithoutWait: true}},
-		"a new primary proposes without the edges' word": {collector: collector.InjectedFaults{ProposeAfterElection: true}},
-		"acknowledgements outlive their primary":         {sender: primaryreport.InjectedFaults{KeepAcknowledgements: true}},
-		"a drained edge tells the primary alone":         {sender: primaryreport.InjectedFaults{FlushToPrimaryOnly: true}},
+		"repeated reports are added up":                               {collector: collector.InjectedFaults{AddRepeatedReports: true}},
+		"counts of a restarted edge replace its former counts":        {collector: collector.InjectedFaults{ForgetIncarnations: true}},
+		"counts are assigned to the window of their arrival":          {collector: collector.InjectedFaults{CountByArrival: true}},
+		"a window is proposed at its end without waiting for reports": {collector: collector.InjectedFaults{ProposeWithoutWait: true}},
+		"a new primary proposes without waiting for reports":          {collector: collector.InjectedFaults{ProposeAfterElection: true}},
+		"acknowledgements are kept after a primary change":            {sender: primaryreport.InjectedFaults{KeepAcknowledgements: true}},
+		"a drained edge reports to the primary only":                  {sender: primaryreport.InjectedFaults{FlushToPrimaryOnly: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := int64(1); seed <= 100; seed++ {
@@ -578,7 +581,7 @@
 					return
 				}
 			}
-			t.Error("none of 100 seeds found it")
+			t.Error("no violation found with 100 seeds")
 		})
 	}
 }
