--- a/internal/controlplane/usage/collector.go
+++ b/internal/controlplane/usage/collector.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// minDelay is the shortest time from the end of a window to its proposal.
-	minDelay = 1500 * clock.Millisecond
-	// waitPercent is the part of Settings.Delay for which reports are awaited.
-	waitPercent = 60
-	// listenTime is how long a new primary waits for reports where a window's wait is over already:
+	// minProposalDelay is the shortest time from the end of a window to its proposal.
+	minProposalDelay = 1500 * clock.Millisecond
+	// reportWaitPercent is the part of Settings.Delay for which reports are awaited.
+	reportWaitPercent = 60
+	// postElectionWait is how long a new primary waits for reports where a window's wait is over already:
 	// the edges have to learn first that it is primary.
-	listenTime = 3 * clock.Second
-	// maxAge is how old an undecided window may get; older ones are skipped.
-	maxAge = 300 * clock.Second
+	postElectionWait = 3 * clock.Second
+	// maxWindowAge is how old an undecided window may get; older ones are skipped.
+	maxWindowAge = 300 * clock.Second
 	// maxWindows is how many undecided windows are proposed and kept.
 	maxWindows = 64
-	// keptWindows is how many decided windows are remembered, to tell late counts from repeated ones.
-	keptWindows = 4
+	// retainedWindows is how many decided windows are remembered, to tell late counts from repeated ones.
+	retainedWindows = 4
 	// maxReporters and maxCounts bound what is kept: incarnations of edges, and the counts of all.
 	maxReporters = 8192
 	maxCounts    = 500_000
-	// maxClockError is by how much the clocks of an edge and the primary may differ until the edge's clock counts as skewed.
-	maxClockError = clock.Second
+	// maxClockSkew is by how much the clocks of an edge and the primary may differ until the edge's clock counts as skewed.
+	maxClockSkew = clock.Second
 )
 
 // InjectedFaults are set by tests only, to show that their checks find such a fault.
@@ -55,7 +55,7 @@
 	decidedUpTo   uint64 // the last window that is durably decided; 0: none is
 	skippedBefore uint64 // the windows before this one are skipped
 
-	edges     map[string]uint64 // the incarnations of the edges that live, by id
+	liveEdges map[string]uint64 // the incarnations of the edges that live, by id
 	reporters map[reporter]*reporterState
 	counts    int // of all reporters, windows and tenants
 
@@ -76,12 +76,12 @@
 	// completeUntil is up to when all that began was reported to this primary, by the edge's clock;
 	// 0: nothing was.
 	completeUntil clock.Micros
-	clockError    clock.Micros // of its last report, and the time on the way
+	clockOffset   clock.Micros // of its last report, and the time on the way
 }
 
 // NewCollector makes a collector; Start is called before its first proposal. What it logs is emitted.
 func NewCollector(settings Settings, emit func(machine.Effect)) *Collector {
-	return &Collector{settings: settings, emit: emit, edges: map[string]uint64{}, reporters: map[reporter]*reporterState{}}
+	return &Collector{settings: settings, emit: emit, liveEdges: map[string]uint64{}, reporters: map[reporter]*reporterState{}}
 }
 
 // InjectFaults plants faults. For tests only.
@@ -92,8 +92,8 @@
 func (c *Collector) Start(epoch uint64, now clock.Micros) {
 	c.epoch, c.servingSince, c.now = epoch, now, now
 	c.decidedUpTo = 0
-	for _, known := range c.reporters {
-		known.completeUntil = 0
+	for _, state := range c.reporters {
+		state.completeUntil = 0
 	}
 }
 
@@ -104,9 +104,9 @@
 func (c *Collector) SetEdge(id string, incarnation uint64, isLive bool) {
 	switch {
 	case isLive:
-		c.edges[id] = incarnation
-	case c.edges[id] <= incarnation:
-		delete(c.edges, id)
+		c.liveEdges[id] = incarnation
+	case c.liveEdges[id] <= incarnation:
+		delete(c.liveEdges, id)
 	}
 }
 
@@ -130,57 +130,57 @@
 // Receive takes an edge's report, and gives the reply.
 func (c *Collector) Receive(report primaryreport.Report, now clock.Micros) primaryreport.Reply {
 	c.now = now
-	known := c.reporterOf(report)
+	state := c.reporterStateFor(report)
 	for _, entry := range report.Usage {
-		c.receiveWindow(known, entry)
+		c.receiveWindow(state, entry)
 	}
-	if known != nil {
-		known.clockError = report.SentAt - now
+	if state != nil {
+		state.clockOffset = report.SentAt - now
 		if report.Epoch == c.epoch {
-			known.completeUntil = max(known.completeUntil, report.SentAt)
+			state.completeUntil = max(state.completeUntil, report.SentAt)
 		}
 	}
 	return primaryreport.Reply{Epoch: c.epoch, UsageDecidedUpTo: c.decidedUpTo}
 }
 
-// reporterOf finds or adds who sent a report; nil where there are too many already.
-func (c *Collector) reporterOf(report primaryreport.Report) *reporterState {
+// reporterStateFor finds or adds who sent a report; nil where there are too many already.
+func (c *Collector) reporterStateFor(report primaryreport.Report) *reporterState {
 	key := reporter{report.Daemon, report.Incarnation}
 	if c.faults.ForgetIncarnations {
 		key.incarnation = 0
 	}
-	known := c.reporters[key]
-	if known == nil && len(c.reporters) < maxReporters {
-		known = &reporterState{windows: map[uint64]map[string]int64{}}
-		c.reporters[key] = known
+	state := c.reporters[key]
+	if state == nil && len(c.reporters) < maxReporters {
+		state = &reporterState{windows: map[uint64]map[string]int64{}}
+		c.reporters[key] = state
 	}
-	return known
+	return state
 }
 
 // receiveWindow takes the counts of one window. They only grow, so of two reports the higher count is
 // the later one.
-func (c *Collector) receiveWindow(known *reporterState, entry primaryreport.WindowCounts) {
+func (c *Collector) receiveWindow(state *reporterState, entry primaryreport.WindowCounts) {
 	number := entry.Window
 	if c.faults.CountByArrival {
 		number = c.settings.window(c.now)
 	}
-	if known == nil || !c.isNear(number) {
-		c.Misdated += sumOf(entry.Counts)
+	if state == nil || !c.isInRange(number) {
+		c.Misdated += sumCounts(entry.Counts)
 		return
 	}
-	counts := known.windows[number]
+	counts := state.windows[number]
 	if counts == nil {
 		if number <= c.decidedUpTo {
-			c.Late += sumOf(entry.Counts)
+			c.Late += sumCounts(entry.Counts)
 			return
 		}
 		counts = map[string]int64{}
-		known.windows[number] = counts
+		state.windows[number] = counts
 	}
-	before := sumOf(counts)
+	before := sumCounts(counts)
 	c.merge(counts, entry.Counts)
 	if number <= c.decidedUpTo {
-		c.Late += sumOf(counts) - before
+		c.Late += sumCounts(counts) - before
 	}
 }
 
@@ -202,13 +202,13 @@
 	}
 }
 
-// isNear tells whether a window is neither too old to be reported nor too far ahead of the clock.
-func (c *Collector) isNear(window uint64) bool {
-	present := c.settings.window(c.now)
-	return window+maxWindows >= present && window <= present+maxWindows
+// isInRange tells whether a window is neither too old to be reported nor too far ahead of the clock.
+func (c *Collector) isInRange(window uint64) bool {
+	currentWindow := c.settings.window(c.now)
+	return window+maxWindows >= currentWindow && window <= currentWindow+maxWindows
 }
 
-func sumOf(counts map[string]int64) int64 {
+func sumCounts(counts map[string]int64) int64 {
 	sum := int64(0)
 	for _, count := range counts {
 		sum += count
@@ -233,7 +233,7 @@
 
 // nextWindow is the first window that is to be reported after the last one that was.
 func (c *Collector) nextWindow(last uint64) uint64 {
-	oldest := c.oldestWindow()
+	oldest := c.oldestReportableWindow()
 	if last == 0 {
 		return max(oldest, c.settings.window(c.configuredAt))
 	}
@@ -247,12 +247,12 @@
 	return oldest
 }
 
-// oldestWindow is the oldest window that is still reported.
-func (c *Collector) oldestWindow() uint64 {
-	byAge := c.settings.window(c.now - max(maxAge, 2*c.settings.Delay))
-	present := c.settings.window(c.now)
-	if present > maxWindows {
-		return max(byAge, present-maxWindows)
+// oldestReportableWindow is the oldest window that is still reported.
+func (c *Collector) oldestReportableWindow() uint64 {
+	byAge := c.settings.window(c.now - max(maxWindowAge, 2*c.settings.Delay))
+	currentWindow := c.settings.window(c.now)
+	if currentWindow > maxWindows {
+		return max(byAge, currentWindow-maxWindows)
 	}
 	return byAge
 }
@@ -264,11 +264,11 @@
 	if c.faults.ProposeWithoutWait {
 		return c.now >= end
 	}
-	waitUntil := end + c.settings.Delay*waitPercent/100
+	waitUntil := end + c.settings.Delay*reportWaitPercent/100
 	if !c.faults.ProposeAfterElection {
-		waitUntil = max(waitUntil, c.servingSince+listenTime)
+		waitUntil = max(waitUntil, c.servingSince+postElectionWait)
 	}
-	earliest := min(end+minDelay, waitUntil)
+	earliest := min(end+minProposalDelay, waitUntil)
 	return c.now >= earliest && (c.now >= waitUntil || c.isComplete(end))
 }
 
@@ -278,20 +278,20 @@
 	if c.faults.ProposeAfterElection {
 		return true
 	}
-	for id, incarnation := range c.edges {
-		known := c.reporters[reporter{id, incarnation}]
-		if known == nil || known.completeUntil < until {
+	for id, incarnation := range c.liveEdges {
+		state := c.reporters[reporter{id, incarnation}]
+		if state == nil || state.completeUntil < until {
 			return false
 		}
 	}
-	return len(c.edges) > 0
+	return len(c.liveEdges) > 0
 }
 
 // content is what is known of a window now.
 func (c *Collector) content(window uint64) Content {
 	content := Content{Window: window, Counts: map[string]int64{}}
-	for _, known := range c.reporters {
-		for tenant, count := range known.windows[window] {
+	for _, state := range c.reporters {
+		for tenant, count := range state.windows[window] {
 			content.Counts[tenant] += count
 		}
 	}
@@ -301,15 +301,15 @@
 // prune drops what is not needed any more: windows that were decided, or are skipped, and edges that
 // are gone and have reported no other window.
 func (c *Collector) prune() {
-	oldest := c.oldestWindow()
-	for key, known := range c.reporters {
-		for number, counts := range known.windows {
-			if number+keptWindows <= c.decidedUpTo || number < oldest {
+	oldest := c.oldestReportableWindow()
+	for key, state := range c.reporters {
+		for number, counts := range state.windows {
+			if number+retainedWindows <= c.decidedUpTo || number < oldest {
 				c.counts -= len(counts)
-				delete(known.windows, number)
+				delete(state.windows, number)
 			}
 		}
-		if len(known.windows) == 0 && c.edges[key.id] != key.incarnation {
+		if len(state.windows) == 0 && c.liveEdges[key.id] != key.incarnation {
 			delete(c.reporters, key)
 		}
 	}
@@ -324,13 +324,13 @@
 
 // Status gives what is known of the edges.
 func (c *Collector) Status() Status {
-	status := Status{Edges: int64(len(c.edges)), DecidedUpTo: c.decidedUpTo}
-	for _, id := range slices.Sorted(maps.Keys(c.edges)) {
-		known := c.reporters[reporter{id, c.edges[id]}]
+	status := Status{Edges: int64(len(c.liveEdges)), DecidedUpTo: c.decidedUpTo}
+	for _, id := range slices.Sorted(maps.Keys(c.liveEdges)) {
+		state := c.reporters[reporter{id, c.liveEdges[id]}]
 		switch {
-		case known == nil || known.completeUntil == 0:
+		case state == nil || state.completeUntil == 0:
 			status.UnreportedEdges++
-		case max(known.clockError, -known.clockError) > maxClockError:
+		case max(state.clockOffset, -state.clockOffset) > maxClockSkew:
 			status.SkewedClocks++
 		}
 	}
--- a/internal/controlplane/usage/collector_test.go
+++ b/internal/controlplane/usage/collector_test.go
@@ -10,8 +10,8 @@
 	"tuliprudder/internal/machine"
 )
 
-// collectorBench is a collector that serves in term 3, with the log that it emits.
-type collectorBench struct {
+// collectorFixture is a collector that serves in term 3, with the log that it emits.
+type collectorFixture struct {
 	*Collector
 	t      *testing.T
 	table  exclusive.Table
@@ -20,22 +20,24 @@
 
 const firstWindow = 100
 
-func newCollectorBench(t *testing.T, edges ...string) *collectorBench {
-	b := &collectorBench{t: t}
+func newCollectorFixture(t *testing.T, edges ...string) *collectorFixture {
+	b := &collectorFixture{t: t}
 	b.Collector = NewCollector(Settings{Interval: 5 * clock.Second, Delay: 10 * clock.Second}, func(effect machine.Effect) { b.events = append(b.events, effect) })
 	for _, id := range edges {
 		b.SetEdge(id, 1, true)
 	}
-	b.SetConfiguredAt(inWindow(firstWindow, 0))
-	b.Start(3, inWindow(firstWindow, 0))
+	b.SetConfiguredAt(timeInWindow(firstWindow, 0))
+	b.Start(3, timeInWindow(firstWindow, 0))
 	return b
 }
 
-// inWindow is a time after the start of a window.
-func inWindow(window int64, after clock.Micros) clock.Micros { return window*5*clock.Second + after }
+// timeInWindow is a time after the start of a window.
+func timeInWindow(window int64, after clock.Micros) clock.Micros {
+	return window*5*clock.Second + after
+}
 
 // report has an edge tell the counts of a window and that it is complete up to now.
-func (b *collectorBench) report(id string, window uint64, counts map[string]int64, now clock.Micros) primaryreport.Reply {
+func (b *collectorFixture) report(id string, window uint64, counts map[string]int64, now clock.Micros) primaryreport.Reply {
 	report := primaryreport.Report{Daemon: id, Incarnation: 1, Epoch: 3, SentAt: now}
 	if counts != nil {
 		report.Usage = []primaryreport.WindowCounts{{Window: window, Counts: counts}}
@@ -44,7 +46,7 @@
 }
 
 // due lists the contents that are due at a time.
-func (b *collectorBench) due(now clock.Micros) string {
+func (b *collectorFixture) due(now clock.Micros) string {
 	b.Advance(now)
 	out := ""
 	for _, act := range b.Due(&b.table) {
@@ -56,63 +58,63 @@
 	return out
 }
 
-// decide writes acts down as decided.
-func (b *collectorBench) decide(acts []exclusive.Act) {
+// recordDecided writes acts down as decided.
+func (b *collectorFixture) recordDecided(acts []exclusive.Act) {
 	grant := exclusive.Grant{Subject: Subject, Holder: exclusive.Holder{Name: "h"}, Fence: 1, Acts: acts}
 	b.table.Apply(exclusive.Update{Grants: []exclusive.Grant{grant}})
 }
 
-func (b *collectorBench) check(now clock.Micros, want string) {
+func (b *collectorFixture) expectDue(now clock.Micros, want string) {
 	b.t.Helper()
 	if got := b.due(now); got != want {
-		b.t.Errorf("%.1f s after the start of window %d: %q is due, not %q", float64(now-inWindow(firstWindow, 0))/1e6, firstWindow, got, want)
+		b.t.Errorf("%.1f s after the start of window %d: %q is due, not %q", float64(now-timeInWindow(firstWindow, 0))/1e6, firstWindow, got, want)
 	}
 }
 
-func TestAWindowIsProposedOnceAllEdgesToldIt(t *testing.T) {
-	b := newCollectorBench(t, "e1", "e2")
-	b.report("e1", firstWindow, map[string]int64{"b": 2, "a": 1}, inWindow(firstWindow, clock.Second))
-	b.report("e2", firstWindow, map[string]int64{"a": 4}, inWindow(firstWindow, 2*clock.Second))
-	b.report("e1", firstWindow, map[string]int64{"a": 3}, inWindow(firstWindow+1, 200*clock.Millisecond))
-	b.check(inWindow(firstWindow+1, 3*clock.Second), "")
-	b.report("e2", 0, nil, inWindow(firstWindow+1, 3*clock.Second))
-	b.check(inWindow(firstWindow+1, 3*clock.Second), `{"window":100,"counts":{"a":7,"b":2}}`)
+func TestWindowIsProposedOnceAllEdgesReported(t *testing.T) {
+	b := newCollectorFixture(t, "e1", "e2")
+	b.report("e1", firstWindow, map[string]int64{"b": 2, "a": 1}, timeInWindow(firstWindow, clock.Second))
+	b.report("e2", firstWindow, map[string]int64{"a": 4}, timeInWindow(firstWindow, 2*clock.Second))
+	b.report("e1", firstWindow, map[string]int64{"a": 3}, timeInWindow(firstWindow+1, 200*clock.Millisecond))
+	b.expectDue(timeInWindow(firstWindow+1, 3*clock.Second), "")
+	b.report("e2", 0, nil, timeInWindow(firstWindow+1, 3*clock.Second))
+	b.expectDue(timeInWindow(firstWindow+1, 3*clock.Second), `{"window":100,"counts":{"a":7,"b":2}}`)
 }
 
-func TestASilentEdgeIsWaitedForToABound(t *testing.T) {
-	b := newCollectorBench(t, "e1", "silent")
-	b.report("e1", firstWindow, map[string]int64{"a": 1}, inWindow(firstWindow+1, clock.Second))
-	b.check(inWindow(firstWindow+1, 5900*clock.Millisecond), "")
-	b.check(inWindow(firstWindow+1, 6*clock.Second), `{"window":100,"counts":{"a":1}}`)
+func TestWaitForUnresponsiveEdgeIsBounded(t *testing.T) {
+	b := newCollectorFixture(t, "e1", "silent")
+	b.report("e1", firstWindow, map[string]int64{"a": 1}, timeInWindow(firstWindow+1, clock.Second))
+	b.expectDue(timeInWindow(firstWindow+1, 5900*clock.Millisecond), "")
+	b.expectDue(timeInWindow(firstWindow+1, 6*clock.Second), `{"window":100,"counts":{"a":1}}`)
 	b.SetEdge("silent", 1, false)
-	b.report("e1", 0, nil, inWindow(firstWindow+2, clock.Second))
-	b.check(inWindow(firstWindow+2, 1500*clock.Millisecond), `{"window":100,"counts":{"a":1}}{"window":101,"counts":{}}`)
+	b.report("e1", 0, nil, timeInWindow(firstWindow+2, clock.Second))
+	b.expectDue(timeInWindow(firstWindow+2, 1500*clock.Millisecond), `{"window":100,"counts":{"a":1}}{"window":101,"counts":{}}`)
 }
 
 // What an edge told another primary is not known here, so its word that all is told doesn't count.
-func TestTheWordToAFormerPrimaryDoesNotCount(t *testing.T) {
-	b := newCollectorBench(t, "e1")
-	b.Start(4, inWindow(firstWindow, 4*clock.Second))
-	if reply := b.report("e1", firstWindow, map[string]int64{"a": 1}, inWindow(firstWindow+1, clock.Second)); reply.Epoch != 4 {
+func TestReportToFormerPrimaryDoesNotCompleteWindow(t *testing.T) {
+	b := newCollectorFixture(t, "e1")
+	b.Start(4, timeInWindow(firstWindow, 4*clock.Second))
+	if reply := b.report("e1", firstWindow, map[string]int64{"a": 1}, timeInWindow(firstWindow+1, clock.Second)); reply.Epoch != 4 {
 		t.Errorf("the reply is of term %d", reply.Epoch)
 	}
-	b.check(inWindow(firstWindow+1, 2*clock.Second), "")
+	b.expectDue(timeInWindow(firstWindow+1, 2*clock.Second), "")
 }
 
-func TestANewPrimaryListensFirst(t *testing.T) {
-	b := newCollectorBench(t, "e1")
-	b.Start(4, inWindow(firstWindow+2, 4*clock.Second))
-	b.check(inWindow(firstWindow+2, 6900*clock.Millisecond), "")
-	b.check(inWindow(firstWindow+2, 7*clock.Second), `{"window":100,"counts":{}}{"window":101,"counts":{}}`)
+func TestNewPrimaryWaitsForReports(t *testing.T) {
+	b := newCollectorFixture(t, "e1")
+	b.Start(4, timeInWindow(firstWindow+2, 4*clock.Second))
+	b.expectDue(timeInWindow(firstWindow+2, 6900*clock.Millisecond), "")
+	b.expectDue(timeInWindow(firstWindow+2, 7*clock.Second), `{"window":100,"counts":{}}{"window":101,"counts":{}}`)
 }
 
 func TestDecidedWindowsAreNotProposedAgain(t *testing.T) {
-	b := newCollectorBench(t, "e1")
-	b.report("e1", firstWindow, map[string]int64{"a": 1}, inWindow(firstWindow+1, clock.Second))
-	now := inWindow(firstWindow+1, 2*clock.Second)
+	b := newCollectorFixture(t, "e1")
+	b.report("e1", firstWindow, map[string]int64{"a": 1}, timeInWindow(firstWindow+1, clock.Second))
+	now := timeInWindow(firstWindow+1, 2*clock.Second)
 	b.Advance(now)
-	b.decide(b.Due(&b.table))
-	b.check(now, "")
+	b.recordDecided(b.Due(&b.table))
+	b.expectDue(now, "")
 	b.SetDecided(firstWindow)
 	reply := b.report("e1", firstWindow, map[string]int64{"a": 3}, now)
 	if reply.UsageDecidedUpTo != firstWindow || b.Late != 2 {
@@ -120,13 +122,13 @@
 	}
 }
 
-func TestOldWindowsAreGivenUp(t *testing.T) {
-	b := newCollectorBench(t, "e1")
-	b.decide([]exclusive.Act{{Subject: Subject, Number: firstWindow, Content: []byte("{}")}})
-	now := inWindow(firstWindow+100, 0)
+func TestOldWindowsAreSkipped(t *testing.T) {
+	b := newCollectorFixture(t, "e1")
+	b.recordDecided([]exclusive.Act{{Subject: Subject, Number: firstWindow, Content: []byte("{}")}})
+	now := timeInWindow(firstWindow+100, 0)
 	b.Advance(now)
 	due := b.Due(&b.table)
-	oldest := uint64(firstWindow + 100 - int64(maxAge/(5*clock.Second)))
+	oldest := uint64(firstWindow + 100 - int64(maxWindowAge/(5*clock.Second)))
 	if len(due) != maxWindows/2 || due[0].Number != oldest || b.Skipped != int64(oldest-firstWindow-1) {
 		t.Fatalf("%d are due, the first is %d; %d were given up", len(due), due[0].Number, b.Skipped)
 	}
@@ -135,30 +137,30 @@
 	}
 }
 
-func TestNothingIsDueWithoutAConfiguration(t *testing.T) {
-	b := newCollectorBench(t, "e1")
+func TestNothingIsDueWithoutConfiguration(t *testing.T) {
+	b := newCollectorFixture(t, "e1")
 	b.SetConfiguredAt(0)
-	b.check(inWindow(firstWindow+9, 0), "")
+	b.expectDue(timeInWindow(firstWindow+9, 0), "")
 }
 
 // One edge whose clock is far off moves no other edge's counts, and its own are dropped.
-func TestCountsFarFromTheClockAreDropped(t *testing.T) {
-	b := newCollectorBench(t, "e1", "e2")
-	now := inWindow(firstWindow+1, 2*clock.Second)
+func TestCountsOfDistantWindowsAreDropped(t *testing.T) {
+	b := newCollectorFixture(t, "e1", "e2")
+	now := timeInWindow(firstWindow+1, 2*clock.Second)
 	b.report("e1", firstWindow, map[string]int64{"a": 1}, now)
 	b.Receive(primaryreport.Report{Daemon: "e2", Incarnation: 1, Epoch: 3, SentAt: 2 * now, Usage: []primaryreport.WindowCounts{{Window: 2 * firstWindow, Counts: map[string]int64{"a": 9}}}}, now)
-	b.check(now, `{"window":100,"counts":{"a":1}}`)
+	b.expectDue(now, `{"window":100,"counts":{"a":1}}`)
 	if status := b.Status(); b.Misdated != 9 || status.SkewedClocks != 1 || status.Edges != 2 || status.UnreportedEdges != 0 {
 		t.Errorf("%d misdated, %+v", b.Misdated, status)
 	}
 }
 
-func TestReportersThatAreGoneAreForgotten(t *testing.T) {
-	b := newCollectorBench(t)
+func TestReportersOfRemovedEdgesArePruned(t *testing.T) {
+	b := newCollectorFixture(t)
 	for i := range 50 {
-		b.report(fmt.Sprint("e", i), firstWindow, map[string]int64{"a": 1}, inWindow(firstWindow, clock.Second))
+		b.report(fmt.Sprint("e", i), firstWindow, map[string]int64{"a": 1}, timeInWindow(firstWindow, clock.Second))
 	}
-	b.SetDecided(firstWindow + keptWindows)
+	b.SetDecided(firstWindow + retainedWindows)
 	if len(b.reporters) != 0 {
 		t.Errorf("%d reporters are kept", len(b.reporters))
 	}
@@ -166,24 +168,24 @@
 
 // What is kept is bounded over all edges, and there is room again once windows are decided.
 func TestCountsAreBounded(t *testing.T) {
-	b := newCollectorBench(t)
+	b := newCollectorFixture(t)
 	tenants := map[string]int64{}
 	for i := range maxCounts/10 + 10 {
 		tenants[fmt.Sprint("t", i)] = 1
 	}
 	for i := range 10 {
-		b.report(fmt.Sprint("e", i), firstWindow, tenants, inWindow(firstWindow, clock.Second))
+		b.report(fmt.Sprint("e", i), firstWindow, tenants, timeInWindow(firstWindow, clock.Second))
 	}
 	if b.counts != maxCounts || b.Misdated != 100 {
 		t.Errorf("%d are kept, %d were dropped", b.counts, b.Misdated)
 	}
-	b.SetDecided(firstWindow + keptWindows)
+	b.SetDecided(firstWindow + retainedWindows)
 	if b.counts != 0 {
 		t.Errorf("%d are kept of a decided window", b.counts)
 	}
 }
 
-func TestContentsAreTheSameBytes(t *testing.T) {
+func TestContentEncodingIsDeterministic(t *testing.T) {
 	content := Content{Window: 7, Counts: map[string]int64{"b": 2, "a": 1}}
 	if got := string(content.Encode()); got != `{"window":7,"counts":{"a":1,"b":2}}` {
 		t.Errorf("encoded as %s", got)
