--- a/internal/controlplane/usage/collector.go
+++ b/internal/controlplane/usage/collector.go
@@ -11,56 +11,58 @@
 )
 
 const (
-	// minProposalDelay is the shortest time from the end of a window to its proposal.
+	// minProposalDelay is the minimum time from the end of a window to its proposal.
 	minProposalDelay = 1500 * clock.Millisecond
-	// reportWaitPercent is the part of Settings.Delay for which reports are awaited.
+	// reportWaitPercent is the percentage of Settings.Delay to wait for missing reports.
 	reportWaitPercent = 60
-	// postElectionWait is how long a new primary waits for reports where a window's wait is over already:
-	// the edges have to learn first that it is primary.
+	// postElectionWait is how long a new primary waits for reports of windows whose wait is already
+	// over: the edges must first learn that it is primary.
 	postElectionWait = 3 * clock.Second
-	// maxWindowAge is how old an undecided window may get; older ones are skipped.
+	// maxWindowAge is the maximum age of an undecided window; older ones are skipped.
 	maxWindowAge = 300 * clock.Second
-	// maxWindows is how many undecided windows are proposed and kept.
+	// maxWindows is the maximum number of undecided windows that are proposed and retained.
 	maxWindows = 64
-	// retainedWindows is how many decided windows are remembered, to tell late counts from repeated ones.
+	// retainedWindows is how many decided windows are retained, to distinguish late counts from repeated ones.
 	retainedWindows = 4
-	// maxReporters and maxCounts bound what is kept: incarnations of edges, and the counts of all.
+	// maxReporters and maxCounts bound memory use: edge incarnations, and counts across all of them.
 	maxReporters = 8192
 	maxCounts    = 500_000
-	// maxClockSkew is by how much the clocks of an edge and the primary may differ until the edge's clock counts as skewed.
+	// maxClockSkew is the maximum difference between an edge's clock and the primary's before the
+	// edge's clock is reported as skewed.
 	maxClockSkew = clock.Second
 )
 
-// InjectedFaults are set by tests only, to show that their checks find such a fault.
+// InjectedFaults are set only by tests, to show that their checks detect such a fault.
 type InjectedFaults struct {
-	AddRepeatedReports   bool // a report is added to the one before
-	ForgetIncarnations   bool // a restarted edge's counts replace those of its former incarnation
-	CountByArrival       bool // a count is taken for the window in which it arrives
-	ProposeWithoutWait   bool // a window is proposed at its end, whoever has reported
-	ProposeAfterElection bool // a new primary does not wait for what was reported to the former one
+	AddRepeatedReports   bool // counts of a report are added to those of earlier reports
+	ForgetIncarnations   bool // a restarted edge shares the counts of its previous incarnation
+	CountByArrival       bool // a count is attributed to the window in which it arrives
+	ProposeWithoutWait   bool // a window is proposed at its end without waiting for reports
+	ProposeAfterElection bool // a new primary does not wait for reports that went to the previous one
 }
 
-// Collector sums the counts of the edges.
+// Collector aggregates the request counts that the edges report, and proposes an act for each window.
 type Collector struct {
 	settings Settings
 	faults   InjectedFaults
 	emit     func(machine.Effect)
 
 	now          clock.Micros
-	epoch        uint64 // of the term that this core serves in
+	epoch        uint64 // of the term in which this core is primary
 	servingSince clock.Micros
-	// configuredAt is when the control state first had a configuration, as far as it is known; 0: it
+	// configuredAt is when the control state first had a configuration, as far as known; 0 if it
 	// has none.
 	configuredAt  clock.Micros
-	decidedUpTo   uint64 // the last window that is durably decided; 0: none is
-	skippedBefore uint64 // the windows before this one are skipped
+	decidedUpTo   uint64 // the last window that is durably decided; 0 if none is
+	skippedBefore uint64 // windows before this one are skipped
 
-	liveEdges map[string]uint64 // the incarnations of the edges that live, by id
+	liveEdges map[string]uint64 // incarnations of the live edges, by ID
 	reporters map[reporter]*reporterState
-	counts    int // of all reporters, windows and tenants
+	counts    int // entries across all reporters, windows and tenants
 
-	// Late, Skipped and Misdated are for the operators, since the start: requests that were reported after
-	// their window was decided, windows that were skipped, and counts whose window is too far off.
+	// Late, Skipped and Misdated are counters for operators, since the start: requests reported after
+	// their window was decided, windows that were skipped, and requests whose count was dropped
+	// because its window is too far from the current one or a limit was reached.
 	Late, Skipped, Misdated int64
 }
 
@@ -70,24 +72,24 @@
 	incarnation uint64
 }
 
-// reporterState is what one reporter reported.
+// reporterState holds what one reporter has reported.
 type reporterState struct {
 	windows map[uint64]map[string]int64
-	// completeUntil is up to when all that began was reported to this primary, by the edge's clock;
-	// 0: nothing was.
+	// completeUntil is the time, by the edge's clock, before which every request that began has been
+	// reported to this primary; 0 if nothing has been.
 	completeUntil clock.Micros
-	clockOffset   clock.Micros // of its last report, and the time on the way
+	clockOffset   clock.Micros // seen in its last report; includes the network delay
 }
 
-// NewCollector makes a collector; Start is called before its first proposal. What it logs is emitted.
+// NewCollector returns a collector. Start must be called before its first proposal. Log events go to emit.
 func NewCollector(settings Settings, emit func(machine.Effect)) *Collector {
 	return &Collector{settings: settings, emit: emit, liveEdges: map[string]uint64{}, reporters: map[reporter]*reporterState{}}
 }
 
-// InjectFaults plants faults. For tests only.
+// InjectFaults sets the faults to simulate. For tests only.
 func (c *Collector) InjectFaults(faults InjectedFaults) { c.faults = faults }
 
-// Start begins a term of this core as primary. Counts that were reported before remain true, but more may
+// Start begins a term with this core as primary. Counts reported earlier remain valid, but more may
 // have been reported to another primary since.
 func (c *Collector) Start(epoch uint64, now clock.Micros) {
 	c.epoch, c.servingSince, c.now = epoch, now, now
@@ -97,10 +99,11 @@
 	}
 }
 
-// SetConfiguredAt sets when the control state first had a configuration; the first window is the one then.
+// SetConfiguredAt sets when the control state first had a configuration. The first window reported is
+// the one that contains this time.
 func (c *Collector) SetConfiguredAt(at clock.Micros) { c.configuredAt = at }
 
-// SetEdge sets whether an incarnation of an edge is alive.
+// SetEdge records whether an incarnation of an edge is alive.
 func (c *Collector) SetEdge(id string, incarnation uint64, isLive bool) {
 	switch {
 	case isLive:
@@ -110,7 +113,8 @@
 	}
 }
 
-// SetDecided sets the last window that is decided on every member of the control state's group.
+// SetDecided sets the last window that is decided on every member of the control state's replication
+// group.
 func (c *Collector) SetDecided(window uint64) {
 	if window > c.decidedUpTo {
 		c.decidedUpTo = window
@@ -118,7 +122,7 @@
 	}
 }
 
-// Advance sets the time. With each new window the oldest ones are dropped.
+// Advance sets the time. When a new window begins, windows that are no longer needed are dropped.
 func (c *Collector) Advance(now clock.Micros) {
 	before := c.now
 	c.now = now
@@ -127,7 +131,7 @@
 	}
 }
 
-// Receive takes an edge's report, and gives the reply.
+// Receive processes an edge's report and returns the reply.
 func (c *Collector) Receive(report primaryreport.Report, now clock.Micros) primaryreport.Reply {
 	c.now = now
 	state := c.reporterStateFor(report)
@@ -143,7 +147,8 @@
 	return primaryreport.Reply{Epoch: c.epoch, UsageDecidedUpTo: c.decidedUpTo}
 }
 
-// reporterStateFor finds or adds who sent a report; nil where there are too many already.
+// reporterStateFor returns the state of a report's sender, and creates it if needed. It returns nil if
+// there are too many reporters.
 func (c *Collector) reporterStateFor(report primaryreport.Report) *reporterState {
 	key := reporter{report.Daemon, report.Incarnation}
 	if c.faults.ForgetIncarnations {
@@ -157,8 +162,8 @@
 	return state
 }
 
-// receiveWindow takes the counts of one window. They only grow, so of two reports the higher count is
-// the later one.
+// receiveWindow merges the counts of one window. Counts only grow, so of two reports the one with the
+// higher count is the later.
 func (c *Collector) receiveWindow(state *reporterState, entry primaryreport.WindowCounts) {
 	number := entry.Window
 	if c.faults.CountByArrival {
@@ -184,7 +189,7 @@
 	}
 }
 
-// merge takes the higher of each tenant's counts.
+// merge keeps the higher count of each tenant.
 func (c *Collector) merge(counts, entry map[string]int64) {
 	for tenant, count := range entry {
 		before, isKnown := counts[tenant]
@@ -202,7 +207,7 @@
 	}
 }
 
-// isInRange tells whether a window is neither too old to be reported nor too far ahead of the clock.
+// isInRange reports whether a window is neither too old to be reported nor too far ahead of the clock.
 func (c *Collector) isInRange(window uint64) bool {
 	currentWindow := c.settings.window(c.now)
 	return window+maxWindows >= currentWindow && window <= currentWindow+maxWindows
@@ -216,8 +221,8 @@
 	return sum
 }
 
-// Due are the acts of the windows that are over and that are not decided in the table yet
-// (exclusive.Source).
+// Due implements exclusive.Source. It returns the acts of the windows that have ended and are not yet
+// decided in the table.
 func (c *Collector) Due(table *exclusive.Table) []exclusive.Act {
 	if c.configuredAt == 0 || c.epoch == 0 {
 		return nil
@@ -231,7 +236,8 @@
 	return acts
 }
 
-// nextWindow is the first window that is to be reported after the last one that was.
+// nextWindow returns the first window to report after the last decided one, and logs the windows that
+// it skips because they are too old.
 func (c *Collector) nextWindow(last uint64) uint64 {
 	oldest := c.oldestReportableWindow()
 	if last == 0 {
@@ -247,7 +253,7 @@
 	return oldest
 }
 
-// oldestReportableWindow is the oldest window that is still reported.
+// oldestReportableWindow returns the oldest window that may still be reported.
 func (c *Collector) oldestReportableWindow() uint64 {
 	byAge := c.settings.window(c.now - max(maxWindowAge, 2*c.settings.Delay))
 	currentWindow := c.settings.window(c.now)
@@ -257,8 +263,8 @@
 	return byAge
 }
 
-// isReady tells whether a window may be proposed: it is over, and every edge has reported all of it or has
-// been awaited for long enough.
+// isReady reports whether a window may be proposed: it has ended, and either every live edge has reported
+// all of it or the wait for missing reports is over.
 func (c *Collector) isReady(window uint64) bool {
 	end := c.settings.end(window)
 	if c.faults.ProposeWithoutWait {
@@ -272,8 +278,8 @@
 	return c.now >= earliest && (c.now >= waitUntil || c.isComplete(end))
 }
 
-// isComplete tells whether every live edge has reported to this primary all that began before a time. A
-// primary that knows of no edge has not learnt of them yet.
+// isComplete reports whether every live edge has reported to this primary all requests that began before
+// a time. It is false if no edge is known, since the primary has then not learned of the edges yet.
 func (c *Collector) isComplete(until clock.Micros) bool {
 	if c.faults.ProposeAfterElection {
 		return true
@@ -287,7 +293,7 @@
 	return len(c.liveEdges) > 0
 }
 
-// content is what is known of a window now.
+// content returns the counts of a window as known now.
 func (c *Collector) content(window uint64) Content {
 	content := Content{Window: window, Counts: map[string]int64{}}
 	for _, state := range c.reporters {
@@ -298,8 +304,8 @@
 	return content
 }
 
-// prune drops what is not needed any more: windows that were decided, or are skipped, and edges that
-// are gone and have reported no other window.
+// prune drops what is no longer needed: windows that were decided more than retainedWindows ago or are
+// too old, and edge incarnations that are no longer alive and have no windows left.
 func (c *Collector) prune() {
 	oldest := c.oldestReportableWindow()
 	for key, state := range c.reporters {
@@ -315,14 +321,14 @@
 	}
 }
 
-// Status is the collector's part of a core's figures.
+// Status is the collector's part of a core's metrics.
 type Status struct {
-	Edges, UnreportedEdges int64 // live ones, and of them those that have reported nothing to this primary yet
-	SkewedClocks           int64 // edges whose clocks differ from this core's
+	Edges, UnreportedEdges int64 // live edges, and those of them that have not yet reported to this primary
+	SkewedClocks           int64 // edges whose clocks differ from this core's by more than maxClockSkew
 	DecidedUpTo            uint64
 }
 
-// Status gives what is known of the edges.
+// Status returns the state of the live edges' reports.
 func (c *Collector) Status() Status {
 	status := Status{Edges: int64(len(c.liveEdges)), DecidedUpTo: c.decidedUpTo}
 	for _, id := range slices.Sorted(maps.Keys(c.liveEdges)) {
--- a/internal/controlplane/usage/collector_test.go
+++ b/internal/controlplane/usage/collector_test.go
@@ -10,7 +10,7 @@
 	"tuliprudder/internal/machine"
 )
 
-// collectorFixture is a collector that serves in term 3, with the log that it emits.
+// collectorFixture is a collector in term 3, with the log events that it emitted.
 type collectorFixture struct {
 	*Collector
 	t      *testing.T
@@ -31,12 +31,12 @@
 	return b
 }
 
-// timeInWindow is a time after the start of a window.
+// timeInWindow returns the time at an offset after the start of a window.
 func timeInWindow(window int64, after clock.Micros) clock.Micros {
 	return window*5*clock.Second + after
 }
 
-// report has an edge tell the counts of a window and that it is complete up to now.
+// report delivers an edge's report of a window's counts, complete up to now.
 func (b *collectorFixture) report(id string, window uint64, counts map[string]int64, now clock.Micros) primaryreport.Reply {
 	report := primaryreport.Report{Daemon: id, Incarnation: 1, Epoch: 3, SentAt: now}
 	if counts != nil {
@@ -45,20 +45,20 @@
 	return b.Receive(report, now)
 }
 
-// due lists the contents that are due at a time.
+// due returns the concatenated contents of the acts that are due at a time.
 func (b *collectorFixture) due(now clock.Micros) string {
 	b.Advance(now)
 	out := ""
 	for _, act := range b.Due(&b.table) {
 		if act.Subject != Subject {
-			b.t.Errorf("an act on %q", act.Subject)
+			b.t.Errorf("act on subject %q", act.Subject)
 		}
 		out += string(act.Content)
 	}
 	return out
 }
 
-// recordDecided writes acts down as decided.
+// recordDecided records acts as decided in the table.
 func (b *collectorFixture) recordDecided(acts []exclusive.Act) {
 	grant := exclusive.Grant{Subject: Subject, Holder: exclusive.Holder{Name: "h"}, Fence: 1, Acts: acts}
 	b.table.Apply(exclusive.Update{Grants: []exclusive.Grant{grant}})
@@ -67,7 +67,7 @@
 func (b *collectorFixture) expectDue(now clock.Micros, want string) {
 	b.t.Helper()
 	if got := b.due(now); got != want {
-		b.t.Errorf("%.1f s after the start of window %d: %q is due, not %q", float64(now-timeInWindow(firstWindow, 0))/1e6, firstWindow, got, want)
+		b.t.Errorf("%.1f s after the start of window %d: due %q, want %q", float64(now-timeInWindow(firstWindow, 0))/1e6, firstWindow, got, want)
 	}
 }
 
@@ -91,12 +91,13 @@
 	b.expectDue(timeInWindow(firstWindow+2, 1500*clock.Millisecond), `{"window":100,"counts":{"a":1}}{"window":101,"counts":{}}`)
 }
 
-// What an edge told another primary is not known here, so its word that all is told doesn't count.
+// Guards against treating a window as complete because an edge reported it in full to another primary,
+// whose counts this primary does not have.
 func TestReportToFormerPrimaryDoesNotCompleteWindow(t *testing.T) {
 	b := newCollectorFixture(t, "e1")
 	b.Start(4, timeInWindow(firstWindow, 4*clock.Second))
 	if reply := b.report("e1", firstWindow, map[string]int64{"a": 1}, timeInWindow(firstWindow+1, clock.Second)); reply.Epoch != 4 {
-		t.Errorf("the reply is of term %d", reply.Epoch)
+		t.Errorf("reply has term %d, want 4", reply.Epoch)
 	}
 	b.expectDue(timeInWindow(firstWindow+1, 2*clock.Second), "")
 }
@@ -118,7 +119,7 @@
 	b.SetDecided(firstWindow)
 	reply := b.report("e1", firstWindow, map[string]int64{"a": 3}, now)
 	if reply.UsageDecidedUpTo != firstWindow || b.Late != 2 {
-		t.Errorf("the reply is %+v, %d were late", reply, b.Late)
+		t.Errorf("reply %+v, %d late; want the window decided and 2 late", reply, b.Late)
 	}
 }
 
@@ -130,10 +131,10 @@
 	due := b.Due(&b.table)
 	oldest := uint64(firstWindow + 100 - int64(maxWindowAge/(5*clock.Second)))
 	if len(due) != maxWindows/2 || due[0].Number != oldest || b.Skipped != int64(oldest-firstWindow-1) {
-		t.Fatalf("%d are due, the first is %d; %d were given up", len(due), due[0].Number, b.Skipped)
+		t.Fatalf("%d due, the first is window %d; %d skipped", len(due), due[0].Number, b.Skipped)
 	}
 	if b.Due(&b.table); len(b.events) != 1 {
-		t.Errorf("logged %+v", b.events)
+		t.Errorf("want one log event, got %+v", b.events)
 	}
 }
 
@@ -143,7 +144,7 @@
 	b.expectDue(timeInWindow(firstWindow+9, 0), "")
 }
 
-// One edge whose clock is far off moves no other edge's counts, and its own are dropped.
+// The counts of an edge whose clock is far off are dropped, and other edges' counts are not affected.
 func TestCountsOfDistantWindowsAreDropped(t *testing.T) {
 	b := newCollectorFixture(t, "e1", "e2")
 	now := timeInWindow(firstWindow+1, 2*clock.Second)
@@ -151,7 +152,7 @@
 	b.Receive(primaryreport.Report{Daemon: "e2", Incarnation: 1, Epoch: 3, SentAt: 2 * now, Usage: []primaryreport.WindowCounts{{Window: 2 * firstWindow, Counts: map[string]int64{"a": 9}}}}, now)
 	b.expectDue(now, `{"window":100,"counts":{"a":1}}`)
 	if status := b.Status(); b.Misdated != 9 || status.SkewedClocks != 1 || status.Edges != 2 || status.UnreportedEdges != 0 {
-		t.Errorf("%d misdated, %+v", b.Misdated, status)
+		t.Errorf("%d misdated (want 9), status %+v", b.Misdated, status)
 	}
 }
 
@@ -162,11 +163,11 @@
 	}
 	b.SetDecided(firstWindow + retainedWindows)
 	if len(b.reporters) != 0 {
-		t.Errorf("%d reporters are kept", len(b.reporters))
+		t.Errorf("%d reporters retained, want none", len(b.reporters))
 	}
 }
 
-// What is kept is bounded over all edges, and there is room again once windows are decided.
+// The number of counts is bounded across all edges, and capacity is freed once windows are decided.
 func TestCountsAreBounded(t *testing.T) {
 	b := newCollectorFixture(t)
 	tenants := map[string]int64{}
@@ -177,11 +178,11 @@
 		b.report(fmt.Sprint("e", i), firstWindow, tenants, timeInWindow(firstWindow, clock.Second))
 	}
 	if b.counts != maxCounts || b.Misdated != 100 {
-		t.Errorf("%d are kept, %d were dropped", b.counts, b.Misdated)
+		t.Errorf("%d counts retained, %d dropped", b.counts, b.Misdated)
 	}
 	b.SetDecided(firstWindow + retainedWindows)
 	if b.counts != 0 {
-		t.Errorf("%d are kept of a decided window", b.counts)
+		t.Errorf("%d counts of a decided window retained, want none", b.counts)
 	}
 }
 
@@ -191,13 +192,13 @@
 		t.Errorf("encoded as %s", got)
 	}
 	if got := string(Content{Window: 7}.Encode()); got != `{"window":7,"counts":{}}` {
-		t.Errorf("no counts are encoded as %s", got)
+		t.Errorf("nil counts encoded as %s", got)
 	}
 	decoded, err := DecodeContent(content.Encode())
 	if err != nil || decoded.Window != 7 || decoded.Counts["b"] != 2 {
 		t.Errorf("decoded as %+v, %v", decoded, err)
 	}
 	if _, err := DecodeContent([]byte("{")); err == nil {
-		t.Error("half a document was decoded")
+		t.Error("decoding truncated JSON did not fail")
 	}
 }
