--- a/internal/controlplane/counters.go
+++ b/internal/controlplane/counters.go
@@ -38,8 +38,8 @@
 	if len(c.actSources) == 0 && table.IsZero() {
 		return
 	}
-	counters["acts_open"] = int64(table.OpenActs())
-	counters["act_oldest_us"] = table.OldestOpen(now)
+	counters["acts_open"] = int64(table.OpenActCount())
+	counters["act_oldest_us"] = table.OldestOpenAge(now)
 	counters["acts_abandoned"] = int64(table.Abandoned)
 	counters["act_permits"] = c.arbiter.Permits
 	counters["act_holder_changes"] = c.arbiter.HolderChanges
--- a/internal/controlplane/permits.go
+++ b/internal/controlplane/permits.go
@@ -113,7 +113,7 @@
 		return
 	}
 	c.arbiter.RequestReceived(request, now)
-	if exclusive.IsIdle(&c.state.Acts, request, c.dueActs()) {
+	if exclusive.IsNoOp(&c.state.Acts, request, c.dueActs()) {
 		c.Emit(machine.Reply{Call: call, Body: c.arbiter.Response(nil)})
 		return
 	}
--- a/internal/exclusive/arbiter.go
+++ b/internal/exclusive/arbiter.go
@@ -9,8 +9,8 @@
 	"tuliprudder/internal/machine"
 )
 
-// requestMemory is for how long the arbiter remembers a node that requests no permits any more.
-const requestMemory = 60 * clock.Second
+// requestRetention is for how long the arbiter remembers a node that requests no permits any more.
+const requestRetention = 60 * clock.Second
 
 // Arbiter is what the primary knows of permits beside the table. It is forgotten with the primary: the
 // next one lets a whole HolderLease pass before a subject changes hands.
@@ -23,8 +23,8 @@
 	servingSince clock.Micros
 	lastSerial   uint64 // of a permit
 	lastBatch    uint64
-	rate         rateLimit
-	subjects     map[Subject]*attempts
+	rate         rateLimiter
+	subjects     map[Subject]*subjectState
 	requestedAt  map[Holder]clock.Micros // when each node's latest request came
 
 	Counters
@@ -54,8 +54,8 @@
 func (a *Arbiter) Start(epoch uint64, now clock.Micros) {
 	a.epoch, a.servingSince = epoch, now
 	a.lastSerial, a.lastBatch = 0, 0
-	a.rate = newRateLimit(a.settings.CallsPerSecond, now)
-	a.subjects = map[Subject]*attempts{}
+	a.rate = newRateLimiter(a.settings.CallsPerSecond, now)
+	a.subjects = map[Subject]*subjectState{}
 	a.requestedAt = map[Holder]clock.Micros{}
 }
 
@@ -65,7 +65,7 @@
 	if request.ReportOnly {
 		a.requestedAt[request.Holder] = now - a.settings.PresenceTimeout
 	}
-	maps.DeleteFunc(a.requestedAt, func(_ Holder, at clock.Micros) bool { return now-at > requestMemory })
+	maps.DeleteFunc(a.requestedAt, func(_ Holder, at clock.Micros) bool { return now-at > requestRetention })
 }
 
 // Decision answers a request. The update has to be durable before the holder may hear of the permits.
@@ -80,10 +80,10 @@
 	return Response{Permits: permits, Validity: a.settings.Validity}
 }
 
-// IsIdle tells that a request can't change anything: it reports nothing, and nothing is to be done.
-func IsIdle(table *Table, request Request, due []Act) bool {
+// IsNoOp tells that a request can't change anything: it reports nothing, and nothing is to be done.
+func IsNoOp(table *Table, request Request, due []Act) bool {
 	isNew := func(act Act) bool { return act.Number > table.Record(act.Subject).LastNumber }
-	return len(request.Outcomes) == 0 && table.OpenActs() == 0 && !slices.ContainsFunc(due, isNew)
+	return len(request.Outcomes) == 0 && table.OpenActCount() == 0 && !slices.ContainsFunc(due, isNew)
 }
 
 // Decide decides on a request. Everything in the table is durable on all replicas; due are the acts
@@ -94,10 +94,10 @@
 	var decision Decision
 	after := *table
 	for _, outcome := range request.Outcomes {
-		if settlement, ends := a.report(&after, request.Holder, outcome, now); ends {
+		if settlement, isSettled := a.processOutcome(&after, request.Holder, outcome, now); isSettled {
 			after.applySettlement(settlement)
 			decision.Update.Settlements = append(decision.Update.Settlements, settlement)
-			decision.Events = append(decision.Events, refusals(request.Holder, outcome)...)
+			decision.Events = append(decision.Events, refusalEvents(request.Holder, outcome)...)
 		}
 	}
 	for _, subject := range a.candidates(&after, due) {
@@ -110,51 +110,51 @@
 			decision.Update.Grants = append(decision.Update.Grants, grant)
 		}
 	}
-	decision.Events = append(decision.Events, changes(table, &after)...)
+	decision.Events = append(decision.Events, changeEvents(table, &after)...)
 	return decision
 }
 
 // expirePermits ends the permits that no holder may perform any more, and forgets what is of no use.
 func (a *Arbiter) expirePermits(table *Table, now clock.Micros) {
-	for subject, known := range a.subjects {
+	for subject, state := range a.subjects {
 		record := table.Record(subject)
-		known.expire(a.settings, record.Holder, now)
-		isForgotten := record.Fence == 0 && now-known.lastPermitAt > a.settings.HolderLease
-		if isForgotten && len(known.pending) == 0 {
+		state.expire(a.settings, record.Holder, now)
+		isUnused := record.Fence == 0 && now-state.lastPermitAt > a.settings.HolderLease
+		if isUnused && len(state.pending) == 0 {
 			delete(a.subjects, subject)
 		}
 	}
 }
 
-// report takes the outcome of a permit, and gives the settlement that follows; false where none does.
-func (a *Arbiter) report(table *Table, holder Holder, outcome Outcome, now clock.Micros) (Settlement, bool) {
+// processOutcome takes the outcome of a permit, and gives the settlement that follows; false where none does.
+func (a *Arbiter) processOutcome(table *Table, holder Holder, outcome Outcome, now clock.Micros) (Settlement, bool) {
 	record := table.Record(outcome.Subject)
-	known := a.attemptsAt(outcome.Subject)
-	permit, isPending := known.pending[outcome.ID]
-	delete(known.pending, outcome.ID)
+	state := a.stateOf(outcome.Subject)
+	permit, isPending := state.pending[outcome.ID]
+	delete(state.pending, outcome.ID)
 	if isPending {
 		a.Outcomes[outcome.Result]++
-		known.lastResult, known.hasResult = outcome.Result, true
+		state.lastResult, state.hasResult = outcome.Result, true
 	}
 	switch outcome.Result {
 	case Done, Refused:
-		known.succeeded(now)
-		return Settlement{Subject: outcome.Subject, Numbers: []uint64{outcome.Number}}, endsAct(table, record, holder, outcome)
+		state.recordSuccess(now)
+		return Settlement{Subject: outcome.Subject, Numbers: []uint64{outcome.Number}}, settlesAct(table, record, holder, outcome)
 	case NoAnswer:
 		if isPending {
-			known.unanswered(a.settings, holder, permit.batch, now)
+			state.recordNoAnswer(a.settings, holder, permit.batch, now)
 		}
 	case RetryLater:
 		if isPending {
-			known.postponed(a.settings, now)
+			state.recordRetryLater(a.settings, now)
 		}
 	}
 	return Settlement{}, false
 }
 
-// endsAct tells whether an act need not be performed any more after an outcome. That it was done is
+// settlesAct tells whether an act need not be performed any more after an outcome. That it was done is
 // true whoever did it, as its content is the same. A refusal of a former holder may be due to its fence.
-func endsAct(table *Table, record Record, holder Holder, outcome Outcome) bool {
+func settlesAct(table *Table, record Record, holder Holder, outcome Outcome) bool {
 	if !record.isOpen(outcome.Number) || outcome.Fence <= table.FenceFloor {
 		return false
 	}
@@ -181,8 +181,8 @@
 }
 
 func (a *Arbiter) lastPermitAt(subject Subject) clock.Micros {
-	if known := a.subjects[subject]; known != nil {
-		return known.lastPermitAt
+	if state := a.subjects[subject]; state != nil {
+		return state.lastPermitAt
 	}
 	return 0
 }
@@ -194,8 +194,8 @@
 	if !a.isEligible(table, subject, holder, now) {
 		return nil, Grant{}, false
 	}
-	newActs := newActsOf(due, subject, record.LastNumber, now)
-	if a.mustWait(subject, record, newActs) || (!isKnown && !table.hasCapacity()) {
+	newActs := undecidedActs(due, subject, record.LastNumber, now)
+	if a.isBlocked(subject, record, newActs) || (!isKnown && !table.hasCapacity()) {
 		return nil, Grant{}, false
 	}
 	grant = Grant{Subject: subject, Holder: holder, Fence: nextFence(table, subject, holder), Acts: newActs}
@@ -208,52 +208,52 @@
 		a.HolderChanges++
 	}
 	permits = a.permits(table.Record(subject), subject, now)
-	a.plantFaults(permits, record, due)
+	a.applyInjectedFaults(permits, record, due)
 	return permits, grant, isNew
 }
 
-// mustWait tells whether no permit for a subject can be granted now: every act of it may be being
+// isBlocked tells whether no permit for a subject can be granted now: every act of it may be being
 // performed, or one that a newer one would supersede.
-func (a *Arbiter) mustWait(subject Subject, record Record, newActs []Act) bool {
-	known := a.attemptsAt(subject)
-	if len(known.pending) == 0 {
+func (a *Arbiter) isBlocked(subject Subject, record Record, newActs []Act) bool {
+	state := a.stateOf(subject)
+	if len(state.pending) == 0 {
 		return false
 	}
 	if slices.ContainsFunc(slices.Concat(record.Open, newActs), func(act Act) bool { return act.Supersedes }) {
 		return true
 	}
-	isPending := func(act Act) bool { return known.isPending(act.Number) }
+	isPending := func(act Act) bool { return state.isPending(act.Number) }
 	return len(newActs) == 0 && !slices.ContainsFunc(record.Open, func(act Act) bool { return !isPending(act) })
 }
 
 // permits gives the holder of a subject permits for its open acts, as far as the outside system takes
 // calls.
 func (a *Arbiter) permits(record Record, subject Subject, now clock.Micros) []Permit {
-	known := a.attemptsAt(subject)
-	known.lastPermitAt = now
+	state := a.stateOf(subject)
+	state.lastPermitAt = now
 	a.lastBatch++
 	var permits []Permit
 	for _, act := range record.Open {
-		if known.isPending(act.Number) || !a.rate.take(now) {
+		if state.isPending(act.Number) || !a.rate.take(now) {
 			continue
 		}
 		a.lastSerial++
 		id := PermitID{Epoch: a.epoch, Serial: a.lastSerial}
-		known.pending[id] = pendingPermit{number: act.Number, batch: a.lastBatch, expiresAt: now + a.settings.Validity}
+		state.pending[id] = pendingPermit{number: act.Number, batch: a.lastBatch, expiresAt: now + a.settings.Validity}
 		permits = append(permits, Permit{Act: act, ID: id, Holder: record.Holder, Fence: record.Fence})
 	}
 	a.Permits += int64(len(permits))
 	return permits
 }
 
-// plantFaults changes permits as the planted faults would.
-func (a *Arbiter) plantFaults(permits []Permit, former Record, due []Act) {
+// applyInjectedFaults changes permits as the planted faults would.
+func (a *Arbiter) applyInjectedFaults(permits []Permit, former Record, due []Act) {
 	for i := range permits {
-		if a.faults.FormerFence && former.Fence > 0 {
+		if a.faults.StaleFence && former.Fence > 0 {
 			permits[i].Fence = former.Fence
 		}
 		for _, act := range due {
-			if a.faults.LaterContent && act.Subject == permits[i].Subject && act.Number == permits[i].Number {
+			if a.faults.LatestProposedContent && act.Subject == permits[i].Subject && act.Number == permits[i].Number {
 				permits[i].Content = act.Content
 			}
 		}
@@ -275,9 +275,9 @@
 
 // isEligible tells whether a node may have the next permit for a subject now.
 func (a *Arbiter) isEligible(table *Table, subject Subject, holder Holder, now clock.Micros) bool {
-	known := a.attemptsAt(subject)
-	isExcluded := known.isExcluded(holder, now) && a.hasSuccessor(known, holder, now)
-	if now < known.notBefore || isExcluded || !a.rate.allows(now) {
+	state := a.stateOf(subject)
+	isExcluded := state.isExcluded(holder, now) && a.hasSuccessor(state, holder, now)
+	if now < state.retryAt || isExcluded || !a.rate.allows(now) {
 		return false
 	}
 	record, isKnown := table.Subjects[subject]
@@ -285,18 +285,18 @@
 		return true
 	}
 	// A holder that isn't the primary survives the loss of the primary, and the primary its loss.
-	if holder == a.self && a.hasSuccessor(known, holder, now) {
+	if holder == a.self && a.hasSuccessor(state, holder, now) {
 		return false
 	}
 	isFirst := !isKnown && table.FenceFloor == 0
-	return isFirst || a.mayTakeOver(record.Holder, known, now)
+	return isFirst || a.mayTakeOver(record.Holder, state, now)
 }
 
 // hasSuccessor tells whether a node other than a holder is present that may take a subject over.
-func (a *Arbiter) hasSuccessor(known *attempts, holder Holder, now clock.Micros) bool {
+func (a *Arbiter) hasSuccessor(state *subjectState, holder Holder, now clock.Micros) bool {
 	for other, requestedAt := range a.requestedAt {
 		isPresent := now-requestedAt < a.settings.PresenceTimeout
-		if other != holder && isPresent && !known.isExcluded(other, now) {
+		if other != holder && isPresent && !state.isExcluded(other, now) {
 			return true
 		}
 	}
@@ -305,9 +305,9 @@
 
 // mayTakeOver tells whether a subject may pass on from its holder: all permits of it have expired, and
 // it is absent or has to leave the subject.
-func (a *Arbiter) mayTakeOver(former Holder, known *attempts, now clock.Micros) bool {
+func (a *Arbiter) mayTakeOver(former Holder, state *subjectState, now clock.Micros) bool {
 	// A former primary may have granted the holder a permit until it was succeeded.
-	lastPermitAt := max(known.lastPermitAt, a.servingSince)
+	lastPermitAt := max(state.lastPermitAt, a.servingSince)
 	if now < lastPermitAt+a.settings.HolderLease && !a.faults.NoHolderLease {
 		return false
 	}
@@ -315,20 +315,20 @@
 	if !hasRequested {
 		requestedAt = a.servingSince
 	}
-	return known.isExcluded(former, now) || a.faults.IgnorePresence || now-requestedAt >= a.settings.PresenceTimeout
+	return state.isExcluded(former, now) || a.faults.IgnorePresence || now-requestedAt >= a.settings.PresenceTimeout
 }
 
-func (a *Arbiter) attemptsAt(subject Subject) *attempts {
-	known := a.subjects[subject]
-	if known == nil {
-		known = &attempts{pending: map[PermitID]pendingPermit{}}
-		a.subjects[subject] = known
+func (a *Arbiter) stateOf(subject Subject) *subjectState {
+	state := a.subjects[subject]
+	if state == nil {
+		state = &subjectState{pending: map[PermitID]pendingPermit{}}
+		a.subjects[subject] = state
 	}
-	return known
+	return state
 }
 
-// newActsOf are the acts of a subject beyond the number of the last decided one, in order.
-func newActsOf(due []Act, subject Subject, lastNumber uint64, now clock.Micros) []Act {
+// undecidedActs are the acts of a subject beyond the number of the last decided one, in order.
+func undecidedActs(due []Act, subject Subject, lastNumber uint64, now clock.Micros) []Act {
 	var newActs []Act
 	for _, act := range due {
 		if act.Subject == subject && act.Number > lastNumber {
--- a/internal/exclusive/arbiter_test.go
+++ b/internal/exclusive/arbiter_test.go
@@ -6,30 +6,30 @@
 	"tuliprudder/internal/clock"
 )
 
-// fixture is an arbiter with its table, in which every update is durable at once.
-type fixture struct {
+// arbiterFixture is an arbiter with its table, in which every update is durable at once.
+type arbiterFixture struct {
 	t       *testing.T
 	arbiter *Arbiter
 	table   Table
 	now     clock.Micros
 }
 
-func newFixture(t *testing.T) *fixture {
-	f := &fixture{t: t, arbiter: NewArbiter(Defaults()), now: 100 * clock.Second}
+func newArbiterFixture(t *testing.T) *arbiterFixture {
+	f := &arbiterFixture{t: t, arbiter: NewArbiter(Defaults()), now: 100 * clock.Second}
 	f.arbiter.Start(1, f.now)
 	f.now += 20 * clock.Second
 	return f
 }
 
 // request has a holder request permits, with the outcomes of earlier ones.
-func (f *fixture) request(holder Holder, due []Act, outcomes ...Outcome) Decision {
+func (f *arbiterFixture) request(holder Holder, due []Act, outcomes ...Outcome) Decision {
 	decision := f.arbiter.Decide(&f.table, Request{Holder: holder, Outcomes: outcomes}, due, f.now)
 	f.table.Apply(decision.Update)
 	return decision
 }
 
-// one has a holder request the only permit.
-func (f *fixture) one(holder Holder, due ...Act) Permit {
+// requestOne has a holder request the only permit.
+func (f *arbiterFixture) requestOne(holder Holder, due ...Act) Permit {
 	f.t.Helper()
 	permits := f.request(holder, due).Permits
 	if len(permits) != 1 {
@@ -42,25 +42,25 @@
 	return Outcome{ID: permit.ID, Subject: permit.Subject, Number: permit.Number, Fence: permit.Fence, Result: result}
 }
 
-func TestASubjectPassesOnOnlyAfterTheHolderLease(t *testing.T) {
-	f := newFixture(t)
+func TestReassignmentWaitsForHolderLease(t *testing.T) {
+	f := newArbiterFixture(t)
 	settings := Defaults()
-	first := f.one(holderA, act("s", 1, "x"))
+	first := f.requestOne(holderA, act("s", 1, "x"))
 	f.now += settings.HolderLease - 1
 	if got := f.request(holderB, []Act{act("s", 1, "y")}).Permits; len(got) > 0 {
 		t.Fatalf("within the lease of the holder another gets %+v", got)
 	}
 	f.now++
-	second := f.one(holderB, act("s", 1, "y"))
+	second := f.requestOne(holderB, act("s", 1, "y"))
 	if second.Fence <= first.Fence || string(second.Content) != "x" {
 		t.Fatalf("first %+v, then %+v", first, second)
 	}
 }
 
 // Permits that a former primary granted are not known to its successor.
-func TestANewPrimaryWaitsForTheFormerOnesPermits(t *testing.T) {
-	f := newFixture(t)
-	f.one(holderA, act("s", 1, "x"))
+func TestNewPrimaryWaitsForFormerPermitsToExpire(t *testing.T) {
+	f := newArbiterFixture(t)
+	f.requestOne(holderA, act("s", 1, "x"))
 	f.now += 50 * clock.Millisecond
 	f.arbiter.Start(2, f.now)
 	f.now += Defaults().HolderLease - 1
@@ -68,12 +68,12 @@
 		t.Fatalf("another gets %+v", got)
 	}
 	f.now++
-	f.one(holderB)
+	f.requestOne(holderB)
 }
 
-func TestAPresentHolderKeepsItsSubject(t *testing.T) {
-	f := newFixture(t)
-	done := f.one(holderA, act("s", 1, "x"))
+func TestPresentHolderKeepsSubject(t *testing.T) {
+	f := newArbiterFixture(t)
+	done := f.requestOne(holderA, act("s", 1, "x"))
 	f.request(holderA, nil, outcomeOf(done, Done))
 	f.now += 10 * clock.Second
 	f.arbiter.RequestReceived(Request{Holder: holderA}, f.now)
@@ -88,23 +88,23 @@
 }
 
 // A process that was started again doesn't know what the one before has under way.
-func TestARestartedHolderIsAnother(t *testing.T) {
-	f := newFixture(t)
-	first := f.one(holderA, act("s", 1, "x"))
+func TestRestartedProcessIsDifferentHolder(t *testing.T) {
+	f := newArbiterFixture(t)
+	first := f.requestOne(holderA, act("s", 1, "x"))
 	again := Holder{Name: holderA.Name, Instance: "run-2"}
 	f.now += clock.Second
 	if got := f.request(again, nil).Permits; len(got) > 0 {
 		t.Fatalf("it gets %+v at once", got)
 	}
 	f.now += Defaults().HolderLease
-	if second := f.one(again); second.Fence <= first.Fence {
+	if second := f.requestOne(again); second.Fence <= first.Fence {
 		t.Fatalf("first %+v, then %+v", first, second)
 	}
 }
 
-func TestAnActIsSettledOnce(t *testing.T) {
-	f := newFixture(t)
-	permit := f.one(holderA, act("s", 1, "x"))
+func TestActIsSettledOnce(t *testing.T) {
+	f := newArbiterFixture(t)
+	permit := f.requestOne(holderA, act("s", 1, "x"))
 	if got := f.request(holderA, nil, outcomeOf(permit, Done)).Update.Settlements; len(got) != 1 {
 		t.Fatalf("settled %+v", got)
 	}
@@ -114,15 +114,15 @@
 }
 
 // That an act was done is true whoever did it; a refusal may be due to the former fence.
-func TestOutcomesOfAFormerFence(t *testing.T) {
+func TestOutcomesUnderFormerFence(t *testing.T) {
 	for _, test := range []struct {
 		result Result
 		ends   bool
 	}{{Done, true}, {Refused, false}, {RetryLater, false}, {NoAnswer, false}} {
-		f := newFixture(t)
-		former := f.one(holderA, act("s", 1, "x"))
+		f := newArbiterFixture(t)
+		former := f.requestOne(holderA, act("s", 1, "x"))
 		f.now += Defaults().HolderLease
-		f.one(holderB)
+		f.requestOne(holderB)
 		f.request(holderA, nil, outcomeOf(former, test.result))
 		if ends := len(f.table.Record("s").Open) == 0; ends != test.ends {
 			t.Errorf("%s of a former holder: settled is %v", test.result, ends)
@@ -131,21 +131,21 @@
 }
 
 // A request that comes again must not end the delay, nor the permit that was granted since.
-func TestAnOutcomeCountsOnce(t *testing.T) {
-	f := newFixture(t)
-	first := f.one(holderA, act("s", 1, "x"))
+func TestRepeatedOutcomeIsIgnored(t *testing.T) {
+	f := newArbiterFixture(t)
+	first := f.requestOne(holderA, act("s", 1, "x"))
 	f.request(holderA, nil, outcomeOf(first, NoAnswer))
 	f.now += Defaults().MinRetryDelay
-	f.one(holderA)
+	f.requestOne(holderA)
 	f.now += Defaults().MinRetryDelay
 	if got := f.request(holderA, nil, outcomeOf(first, NoAnswer)).Permits; len(got) > 0 {
 		t.Fatalf("a second permit beside the one that is pending: %+v", got)
 	}
 }
 
-func TestAnActIsNotGrantedTwiceAtATime(t *testing.T) {
-	f := newFixture(t)
-	f.one(holderA, act("s", 1, "x"))
+func TestPendingActIsNotGrantedAgain(t *testing.T) {
+	f := newArbiterFixture(t)
+	f.requestOne(holderA, act("s", 1, "x"))
 	got := f.request(holderA, []Act{act("s", 2, "y")}).Permits
 	if len(got) != 1 || got[0].Number != 2 {
 		t.Fatalf("beside act 1 it gets %+v", got)
@@ -153,11 +153,11 @@
 }
 
 // A call with the former target could otherwise arrive after one with the newer.
-func TestASupersedingActWaitsForTheOneBefore(t *testing.T) {
-	f := newFixture(t)
+func TestSupersedingActWaitsForPendingPermit(t *testing.T) {
+	f := newArbiterFixture(t)
 	older, newer := act("s", 1, "x"), act("s", 2, "y")
 	older.Supersedes, newer.Supersedes = true, true
-	first := f.one(holderA, older)
+	first := f.requestOne(holderA, older)
 	if got := f.request(holderA, []Act{newer}); len(got.Permits) > 0 || !got.Update.IsEmpty() {
 		t.Fatalf("while the first is pending: %+v", got)
 	}
@@ -167,40 +167,40 @@
 	}
 }
 
-// withoutAnswers has a holder get no answer until it has to leave the subject.
-func (f *fixture) withoutAnswers(holder Holder) {
+// failUntilExcluded has a holder get no answer until it has to leave the subject.
+func (f *arbiterFixture) failUntilExcluded(holder Holder) {
 	f.t.Helper()
 	settings := Defaults()
-	permit := f.one(holder, act("s", 1, "x"))
+	permit := f.requestOne(holder, act("s", 1, "x"))
 	for range settings.MaxFailures - 1 {
 		f.request(holder, nil, outcomeOf(permit, NoAnswer))
 		f.now += settings.MaxRetryDelay
-		permit = f.one(holder)
+		permit = f.requestOne(holder)
 	}
 	f.request(holder, nil, outcomeOf(permit, NoAnswer))
 	f.now += settings.HolderLease
 }
 
-func TestAHolderWithoutAnswersLeavesTheSubject(t *testing.T) {
-	f := newFixture(t)
-	f.withoutAnswers(holderA)
+func TestHolderWithoutAnswersIsExcluded(t *testing.T) {
+	f := newArbiterFixture(t)
+	f.failUntilExcluded(holderA)
 	f.arbiter.RequestReceived(Request{Holder: holderB}, f.now)
 	if got := f.request(holderA, nil).Permits; len(got) > 0 {
 		t.Fatalf("it gets %+v again", got)
 	}
-	f.one(holderB)
+	f.requestOne(holderB)
 }
 
 // Nobody else is there to take it over.
-func TestTheOnlyNodeKeepsItsSubject(t *testing.T) {
-	f := newFixture(t)
-	f.withoutAnswers(holderA)
-	f.one(holderA)
+func TestOnlyNodeKeepsSubjectWithoutAnswers(t *testing.T) {
+	f := newArbiterFixture(t)
+	f.failUntilExcluded(holderA)
+	f.requestOne(holderA)
 }
 
 // The permits of one batch are one failure.
-func TestAnOutageOfABatchIsOneFailure(t *testing.T) {
-	f := newFixture(t)
+func TestBatchWithoutAnswersCountsAsOneFailure(t *testing.T) {
+	f := newArbiterFixture(t)
 	permits := f.request(holderA, []Act{act("s", 1, "x"), act("s", 2, "y"), act("s", 3, "z")}).Permits
 	var outcomes []Outcome
 	for _, permit := range permits {
@@ -213,8 +213,8 @@
 	}
 }
 
-func TestCallsOfAllSubjectsShareTheRate(t *testing.T) {
-	f := newFixture(t)
+func TestRateLimitSpansAllSubjects(t *testing.T) {
+	f := newArbiterFixture(t)
 	var due []Act
 	for _, subject := range []Subject{"a", "b", "c", "d", "e", "f", "g", "h"} {
 		for number := range uint64(8) {
@@ -240,34 +240,34 @@
 	}
 }
 
-func TestARequestThatChangesNothingIsIdle(t *testing.T) {
+func TestRequestThatChangesNothingIsNoOp(t *testing.T) {
 	var table Table
-	if !IsIdle(&table, Request{Holder: holderA}, nil) {
+	if !IsNoOp(&table, Request{Holder: holderA}, nil) {
 		t.Fatal("nothing is to be done")
 	}
 	due := []Act{act("s", 1, "x")}
-	isIdle := IsIdle(&table, Request{Holder: holderA}, due)
-	table.Apply(granted("s", holderA, 1, due...))
-	if isIdle || IsIdle(&table, Request{Holder: holderA}, nil) || IsIdle(&Table{}, Request{Outcomes: make([]Outcome, 1)}, nil) {
+	isIdle := IsNoOp(&table, Request{Holder: holderA}, due)
+	table.Apply(grantUpdate("s", holderA, 1, due...))
+	if isIdle || IsNoOp(&table, Request{Holder: holderA}, nil) || IsNoOp(&Table{}, Request{Outcomes: make([]Outcome, 1)}, nil) {
 		t.Fatal("something is due, open or reported")
 	}
 }
 
-func TestASubjectPassesOnFromANodeThatLeaves(t *testing.T) {
-	f := newFixture(t)
-	done := f.one(holderA, act("s", 1, "x"))
+func TestDrainingHolderIsReplacedWhilePresent(t *testing.T) {
+	f := newArbiterFixture(t)
+	done := f.requestOne(holderA, act("s", 1, "x"))
 	f.now += Defaults().HolderLease
 	f.request(holderA, nil, outcomeOf(done, Done))
 	leaving := f.arbiter.Decide(&f.table, Request{Holder: holderA, ReportOnly: true}, []Act{act("s", 2, "y")}, f.now)
 	if len(leaving.Permits) > 0 {
 		t.Fatalf("it gets %+v", leaving.Permits)
 	}
-	f.one(holderB, act("s", 2, "y"))
+	f.requestOne(holderB, act("s", 2, "y"))
 }
 
 // A holder that is the primary would be lost together with it.
-func TestThePrimaryLeavesActsToOthers(t *testing.T) {
-	f := newFixture(t)
+func TestPrimaryYieldsToOtherNodes(t *testing.T) {
+	f := newArbiterFixture(t)
 	f.arbiter.SetSelf(holderA)
 	f.arbiter.RequestReceived(Request{Holder: holderB}, f.now)
 	due := []Act{act("s", 1, "x")}
@@ -275,14 +275,14 @@
 		t.Fatalf("beside another node the primary gets %+v", got)
 	}
 	f.now += Defaults().PresenceTimeout
-	f.one(holderA, due...)
+	f.requestOne(holderA, due...)
 }
 
 // The other node is there and can't reach the outside system.
-func TestThePrimaryTakesWhatAnotherHasToLeave(t *testing.T) {
-	f := newFixture(t)
+func TestPrimaryReplacesExcludedHolder(t *testing.T) {
+	f := newArbiterFixture(t)
 	f.arbiter.SetSelf(holderB)
-	f.withoutAnswers(holderA)
+	f.failUntilExcluded(holderA)
 	f.arbiter.RequestReceived(Request{Holder: holderA}, f.now)
-	f.one(holderB)
+	f.requestOne(holderB)
 }
--- a/internal/exclusive/events.go
+++ b/internal/exclusive/events.go
@@ -43,8 +43,8 @@
 // EventName is the event's key in the log.
 func (ActAbandoned) EventName() string { return "act_abandoned" }
 
-// refusals is the event of an outcome that settled an act, where it is a refusal.
-func refusals(holder Holder, outcome Outcome) []machine.Event {
+// refusalEvents is the event of an outcome that settled an act, where it is a refusal.
+func refusalEvents(holder Holder, outcome Outcome) []machine.Event {
 	if outcome.Result != Refused {
 		return nil
 	}
@@ -52,8 +52,8 @@
 		Remedy: "see at the outside system why it refuses this act; it isn't sent again"}}
 }
 
-// changes are the events of what a decision changed in the table.
-func changes(before, after *Table) (events []machine.Event) {
+// changeEvents are the events of what a decision changed in the table.
+func changeEvents(before, after *Table) (events []machine.Event) {
 	for _, subject := range slices.Sorted(maps.Keys(after.Subjects)) {
 		former, record := before.Record(subject), after.Record(subject)
 		if former.Fence == record.Fence && former.LastNumber == record.LastNumber {
@@ -62,13 +62,13 @@
 		if former.Holder != record.Holder {
 			events = append(events, HolderChanged{Subject: subject, Holder: record.Holder.Name, Former: former.Holder.Name, Fence: record.Fence})
 		}
-		events = append(events, abandoned(subject, former, record)...)
+		events = append(events, abandonedEvents(subject, former, record)...)
 	}
 	return events
 }
 
-// abandoned are the events of the acts that were given up for newer ones.
-func abandoned(subject Subject, former, record Record) (events []machine.Event) {
+// abandonedEvents are the events of the acts that were given up for newer ones.
+func abandonedEvents(subject Subject, former, record Record) (events []machine.Event) {
 	if len(record.Open) < maxOpenActs {
 		return nil
 	}
--- a/internal/exclusive/messages.go
+++ b/internal/exclusive/messages.go
@@ -20,11 +20,11 @@
 	Refused
 )
 
-// results are the results' names for operators.
-var results = map[Result]string{NoAnswer: "no_answer", Done: "done", RetryLater: "retry_later", Refused: "refused"}
+// resultNames are the resultNames' names for operators.
+var resultNames = map[Result]string{NoAnswer: "no_answer", Done: "done", RetryLater: "retry_later", Refused: "refused"}
 
 // String is the result's name for operators.
-func (r Result) String() string { return results[r] }
+func (r Result) String() string { return resultNames[r] }
 
 // Outcome is the result of a permit.
 type Outcome struct {
--- a/internal/exclusive/model_control_test.go
+++ b/internal/exclusive/model_control_test.go
@@ -29,12 +29,12 @@
 	m.epoch++
 	var running []*modelNode
 	for _, node := range m.nodes {
-		if !node.isFrozen && !node.isCut {
+		if !node.isPaused && !node.isPartitioned {
 			running = append(running, node)
 		}
 	}
 	if len(running) == 0 {
-		m.after(clock.Second, func() { m.startTerm(table) })
+		m.schedule(clock.Second, func() { m.startTerm(table) })
 		return
 	}
 	if m.faults.tableLost {
@@ -57,13 +57,13 @@
 		return
 	}
 	old.isDeposed = true
-	old.leaseUntil = m.now + m.upTo(clock.Second)
+	old.leaseUntil = m.now + m.randomDuration(clock.Second)
 	m.logf("%s is deposed", old.node.name)
 	table := old.confirmed
 	if m.chance(0.5) {
 		table = old.table
 	}
-	m.after(old.leaseUntil-m.now+m.upTo(2*clock.Second), func() {
+	m.schedule(old.leaseUntil-m.now+m.randomDuration(2*clock.Second), func() {
 		m.term = nil
 		m.startTerm(table)
 	})
@@ -87,14 +87,14 @@
 	}
 	now := t.node.now()
 	due := t.due()
-	if IsIdle(&t.table, request, due) {
+	if IsNoOp(&t.table, request, due) {
 		t.arbiter.RequestReceived(request, now)
 		reply(t.arbiter.Response(nil))
 		return
 	}
 	decision := t.arbiter.Decide(&t.table, request, due, now)
 	if len(decision.Permits) > 0 {
-		t.model.ambush(from)
+		t.model.maybeInjectStepFault(from)
 	}
 	answer := func() { reply(t.arbiter.Response(decision.Permits)) }
 	if decision.Update.IsEmpty() {
@@ -102,13 +102,13 @@
 		return
 	}
 	t.table.Apply(decision.Update)
-	t.model.ambush(t.node)
+	t.model.maybeInjectStepFault(t.node)
 	t.inFlight = answer
 	if t.model.faults.answerBeforeDurable {
 		answer()
 		t.inFlight = func() {}
 	}
-	t.model.after(t.model.delay(), func() { t.node.do(t.confirm) })
+	t.model.schedule(t.model.delay(), func() { t.node.runStep(t.confirm) })
 }
 
 // confirm ends the update in flight.
@@ -142,7 +142,7 @@
 		due = append(due, Act{Subject: "windows", Number: number, Content: content})
 	}
 	for _, subject := range []Subject{"target/a", "target/b"} {
-		desired := fmt.Appendf(nil, "%d", t.model.outside.desired(subject))
+		desired := fmt.Appendf(nil, "%d", t.model.external.desired(subject))
 		record := t.table.Record(subject)
 		if record.LastNumber == 0 || string(record.LastContent) != string(desired) {
 			due = append(due, Act{Subject: subject, Number: record.LastNumber + 1, Content: desired, Supersedes: true})
--- a/internal/exclusive/model_test.go
+++ b/internal/exclusive/model_test.go
@@ -17,11 +17,11 @@
 // unreachable. What the outside system received is held against the rules.
 
 const (
-	modelStep      = 20 * clock.Millisecond
-	modelCalm      = 40 * clock.Second // at the end of a run
-	outsideLease   = 3 * clock.Second  // within which holders must not act in the order A, B, A
-	maxOpenAge     = 15 * clock.Second // of an act while nothing fails
-	windowInterval = 5 * clock.Second
+	modelStep         = 20 * clock.Millisecond
+	recoveryPeriod    = 40 * clock.Second // at the end of a run
+	alternationWindow = 3 * clock.Second  // within which holders must not act in the order A, B, A
+	maxOpenAge        = 15 * clock.Second // of an act while nothing fails
+	windowInterval    = 5 * clock.Second
 )
 
 // modelFaults are faults that are planted in the model or in the package.
@@ -54,45 +54,45 @@
 }
 
 type model struct {
-	rng    *rand.Rand
-	now    clock.Micros
-	events eventQueue
-	serial int
-	faults modelFaults
-	isCalm bool
-
-	nodes   []*modelNode // those that run, and frozen ones that were replaced
-	started int          // processes
-	term    *modelTerm
-	epoch   uint64
-	outside *outsideSystem
-
-	lossRate, slowRate, ambushRate float64
-	faultInterval                  clock.Micros
-	log                            []string
+	rng           *rand.Rand
+	now           clock.Micros
+	events        eventQueue
+	serial        int
+	faults        modelFaults
+	faultsStopped bool
+
+	nodes            []*modelNode // those that run, and frozen ones that were replaced
+	startedProcesses int          // processes
+	term             *modelTerm
+	epoch            uint64
+	external         *externalSystem
+
+	lossRate, slowRate, stepFaultRate float64
+	faultInterval                     clock.Micros
+	log                               []string
 }
 
 func newModel(seed int64, faults modelFaults) *model {
 	m := &model{rng: rand.New(rand.NewSource(seed)), faults: faults, now: 1000 * clock.Second}
 	m.lossRate = m.rng.Float64() * 0.1
 	m.slowRate = m.rng.Float64() * 0.4
-	m.ambushRate = m.rng.Float64() * 0.3
-	m.faultInterval = clock.Second + m.upTo(8*clock.Second)
-	m.outside = &outsideSystem{model: m, seenOpen: map[string]clock.Micros{}}
+	m.stepFaultRate = m.rng.Float64() * 0.3
+	m.faultInterval = clock.Second + m.randomDuration(8*clock.Second)
+	m.external = &externalSystem{model: m, firstSeenOpen: map[string]clock.Micros{}}
 	for i := range 3 + m.rng.Intn(3) {
-		m.boot(fmt.Sprintf("node-%d", i))
+		m.startProcess(fmt.Sprintf("node-%d", i))
 	}
 	m.startTerm(Table{})
 	return m
 }
 
-// after has something happen later.
-func (m *model) after(delay clock.Micros, do func()) {
+// schedule has something happen later.
+func (m *model) schedule(delay clock.Micros, do func()) {
 	m.serial++
 	heap.Push(&m.events, event{m.now + delay, m.serial, do})
 }
 
-func (m *model) upTo(limit clock.Micros) clock.Micros {
+func (m *model) randomDuration(limit clock.Micros) clock.Micros {
 	return clock.Micros(m.rng.Int63n(int64(limit)))
 }
 
@@ -105,10 +105,10 @@
 // run lets time pass, with faults until the last part.
 func (m *model) run(duration clock.Micros) {
 	end := m.now + duration
-	m.after(m.faultInterval, m.fail)
+	m.schedule(m.faultInterval, m.injectFault)
 	m.tick()
-	m.runUntil(end - modelCalm)
-	m.recover()
+	m.runUntil(end - recoveryPeriod)
+	m.stopFaults()
 	m.runUntil(end)
 }
 
@@ -125,25 +125,25 @@
 	for _, node := range m.nodes {
 		node.tick()
 	}
-	if m.isCalm {
-		m.outside.checkProgress()
+	if m.faultsStopped {
+		m.external.checkProgress()
 	}
-	m.after(modelStep, m.tick)
+	m.schedule(modelStep, m.tick)
 }
 
 // transmit carries a message between nodes; it may come late, twice or not at all.
 func (m *model) transmit(from, to *modelNode, arrive func()) {
-	if !m.isCalm && m.chance(m.lossRate) {
+	if !m.faultsStopped && m.chance(m.lossRate) {
 		return
 	}
 	copies := 1
-	if !m.isCalm && m.chance(0.05) {
+	if !m.faultsStopped && m.chance(0.05) {
 		copies = 2
 	}
 	for range copies {
-		m.after(m.delay(), func() {
-			if !from.isCut && !to.isCut {
-				to.do(arrive)
+		m.schedule(m.delay(), func() {
+			if !from.isPartitioned && !to.isPartitioned {
+				to.runStep(arrive)
 			}
 		})
 	}
@@ -151,92 +151,92 @@
 
 // delay is the time that a message or a step takes.
 func (m *model) delay() clock.Micros {
-	short := clock.Millisecond + m.upTo(5*clock.Millisecond)
-	if m.isCalm || !m.chance(m.slowRate) {
+	short := clock.Millisecond + m.randomDuration(5*clock.Millisecond)
+	if m.faultsStopped || !m.chance(m.slowRate) {
 		return short
 	}
 	if m.chance(0.5) {
-		return m.upTo(300 * clock.Millisecond)
+		return m.randomDuration(300 * clock.Millisecond)
 	}
-	return m.upTo(5 * clock.Second)
+	return m.randomDuration(5 * clock.Second)
 }
 
-// fail lets a fault happen, and the next one later.
-func (m *model) fail() {
-	if m.isCalm {
+// injectFault lets a fault happen, and the next one later.
+func (m *model) injectFault() {
+	if m.faultsStopped {
 		return
 	}
-	m.after(m.faultInterval/2+m.upTo(m.faultInterval), m.fail)
+	m.schedule(m.faultInterval/2+m.randomDuration(m.faultInterval), m.injectFault)
 	if len(m.nodes) == 0 {
 		return
 	}
-	node := m.victim()
-	duration := m.upTo(9 * clock.Second)
+	node := m.pickFaultTarget()
+	duration := m.randomDuration(9 * clock.Second)
 	switch m.rng.Intn(10) {
 	case 0, 1:
-		node.freeze(duration, m.chance(0.3))
+		node.pause(duration, m.chance(0.3))
 	case 2, 3:
 		node.kill()
-		m.after(m.upTo(5*clock.Second), func() { m.boot(node.name) })
+		m.schedule(m.randomDuration(5*clock.Second), func() { m.startProcess(node.name) })
 	case 4:
-		node.isCut = true
+		node.isPartitioned = true
 		m.logf("%s is cut off from the nodes", node.name)
-		m.after(duration, func() { node.isCut = false })
+		m.schedule(duration, func() { node.isPartitioned = false })
 	case 5, 6:
-		node.isOutsideCut = true
+		node.isExternalUnreachable = true
 		m.logf("%s is cut off from the outside system", node.name)
-		m.after(duration, func() { node.isOutsideCut = false })
+		m.schedule(duration, func() { node.isExternalUnreachable = false })
 	case 7, 8:
 		m.changePrimary()
 	case 9:
-		m.outside.fail(duration)
+		m.external.injectFault(duration)
 	}
 }
 
-// victim draws a node; often the one that acted last.
-func (m *model) victim() *modelNode {
+// pickFaultTarget draws a node; often the one that acted last.
+func (m *model) pickFaultTarget() *modelNode {
 	for _, node := range m.nodes {
-		if node.name == m.outside.lastHolder && m.chance(0.5) {
+		if node.name == m.external.lastHolder && m.chance(0.5) {
 			return node
 		}
 	}
 	return m.nodes[m.rng.Intn(len(m.nodes))]
 }
 
-// recover ends all faults.
-func (m *model) recover() {
+// stopFaults ends all faults.
+func (m *model) stopFaults() {
 	m.logf("calm")
-	m.isCalm = true
-	m.outside.recover()
+	m.faultsStopped = true
+	m.external.stopFaults()
 	for _, node := range slices.Clone(m.nodes) {
-		node.isCut, node.isOutsideCut = false, false
+		node.isPartitioned, node.isExternalUnreachable = false, false
 		if node.isReplaced {
 			node.kill()
 		}
-		node.thaw()
+		node.resume()
 	}
 }
 
-// ambush lets a fault hit a node at a step of a call.
-func (m *model) ambush(node *modelNode) {
-	if m.isCalm || !m.chance(m.ambushRate) {
+// maybeInjectStepFault lets a fault hit a node at a step of a call.
+func (m *model) maybeInjectStepFault(node *modelNode) {
+	if m.faultsStopped || !m.chance(m.stepFaultRate) {
 		return
 	}
-	duration := m.upTo(6 * clock.Second)
+	duration := m.randomDuration(6 * clock.Second)
 	switch m.rng.Intn(5) {
 	case 0:
-		node.freeze(duration, m.chance(0.3))
+		node.pause(duration, m.chance(0.3))
 	case 1:
 		node.kill()
-		m.after(m.upTo(3*clock.Second), func() { m.boot(node.name) })
+		m.schedule(m.randomDuration(3*clock.Second), func() { m.startProcess(node.name) })
 	case 2:
-		node.isCut = true
+		node.isPartitioned = true
 		m.logf("%s is cut off from the nodes", node.name)
-		m.after(duration, func() { node.isCut = false })
+		m.schedule(duration, func() { node.isPartitioned = false })
 	case 3:
-		node.isOutsideCut = true
+		node.isExternalUnreachable = true
 		m.logf("%s is cut off from the outside system", node.name)
-		m.after(duration, func() { node.isOutsideCut = false })
+		m.schedule(duration, func() { node.isExternalUnreachable = false })
 	case 4:
 		m.changePrimary()
 	}
@@ -244,26 +244,26 @@
 
 // modelNode is one run of a node's process.
 type modelNode struct {
-	model      *model
-	name       string
-	instance   string
-	performer  *Performer
-	calls      *machine.Calls
-	clockAhead clock.Micros
-	isUp       bool
-	isFrozen   bool
-	isReplaced bool // another process has its name; it ends when it thaws for a while
-	deferred   []func()
-
-	isCut, isOutsideCut bool
-	connections         []*connection
+	model       *model
+	name        string
+	instance    string
+	performer   *Performer
+	calls       *machine.Calls
+	clockOffset clock.Micros
+	isUp        bool
+	isPaused    bool
+	isReplaced  bool // another process has its name; it ends when it thaws for a while
+	deferred    []func()
+
+	isPartitioned, isExternalUnreachable bool
+	connections                          []*connection
 }
 
-// boot starts a process.
-func (m *model) boot(name string) {
-	m.started++
-	node := &modelNode{model: m, name: name, instance: fmt.Sprintf("run-%d", m.started), isUp: true}
-	node.clockAhead = m.upTo(20*clock.Second) - 10*clock.Second
+// startProcess starts a process.
+func (m *model) startProcess(name string) {
+	m.startedProcesses++
+	node := &modelNode{model: m, name: name, instance: fmt.Sprintf("run-%d", m.startedProcesses), isUp: true}
+	node.clockOffset = m.randomDuration(20*clock.Second) - 10*clock.Second
 	node.calls = machine.NewCalls()
 	node.performer = NewPerformer(Holder{name, node.instance}, PerformerDefaults(), node.calls)
 	node.performer.InjectFaults(m.faults.InjectedFaults)
@@ -272,13 +272,13 @@
 }
 
 // now is the time by the node's clock.
-func (n *modelNode) now() clock.Micros { return n.model.now + n.clockAhead }
+func (n *modelNode) now() clock.Micros { return n.model.now + n.clockOffset }
 
-// do runs a step of the process, or keeps it while the process is frozen.
-func (n *modelNode) do(step func()) {
+// runStep runs a step of the process, or keeps it while the process is frozen.
+func (n *modelNode) runStep(step func()) {
 	switch {
 	case !n.isUp:
-	case n.isFrozen:
+	case n.isPaused:
 		n.deferred = append(n.deferred, step)
 	default:
 		step()
@@ -286,31 +286,31 @@
 	}
 }
 
-// freeze stops the process for a while; another may be started under its name meanwhile.
-func (n *modelNode) freeze(duration clock.Micros, isReplaced bool) {
-	if n.isFrozen || n.isReplaced {
+// pause stops the process for a while; another may be started under its name meanwhile.
+func (n *modelNode) pause(duration clock.Micros, isReplaced bool) {
+	if n.isPaused || n.isReplaced {
 		return
 	}
 	n.model.logf("%s (%s) freezes", n.name, n.instance)
-	n.isFrozen = true
-	n.model.after(duration, n.thaw)
+	n.isPaused = true
+	n.model.schedule(duration, n.resume)
 	if isReplaced {
 		n.isReplaced = true
-		n.model.after(n.model.upTo(2*clock.Second), func() { n.model.boot(n.name) })
-		n.model.after(duration+5*clock.Second, n.kill)
+		n.model.schedule(n.model.randomDuration(2*clock.Second), func() { n.model.startProcess(n.name) })
+		n.model.schedule(duration+5*clock.Second, n.kill)
 	}
 }
 
-func (n *modelNode) thaw() {
-	if !n.isFrozen || !n.isUp {
+func (n *modelNode) resume() {
+	if !n.isPaused || !n.isUp {
 		return
 	}
 	n.model.logf("%s (%s) thaws", n.name, n.instance)
-	n.isFrozen = false
+	n.isPaused = false
 	deferred := n.deferred
 	n.deferred = nil
 	for _, step := range deferred {
-		n.do(step)
+		n.runStep(step)
 	}
 }
 
@@ -336,7 +336,7 @@
 }
 
 func (n *modelNode) tick() {
-	n.do(func() {
+	n.runStep(func() {
 		term := n.model.term
 		if term == nil {
 			return
@@ -352,7 +352,7 @@
 		case machine.Request:
 			n.request(e)
 		case machine.Execute:
-			n.model.outside.connect(n, e.Task.(Task))
+			n.model.external.connect(n, e.Task.(Task))
 		}
 	}
 }
@@ -361,9 +361,9 @@
 func (n *modelNode) request(e machine.Request) {
 	m, term := n.model, n.model.term
 	reply := func(body any, err error) {
-		n.do(func() { n.calls.ReplyReceived(e.Token, body, err, n.now()) })
+		n.runStep(func() { n.calls.ReplyReceived(e.Token, body, err, n.now()) })
 	}
-	m.after(e.Timeout, func() { reply(nil, errNoResponse) })
+	m.schedule(e.Timeout, func() { reply(nil, errNoResponse) })
 	if term == nil {
 		return
 	}
@@ -387,24 +387,24 @@
 	for seed := range *modelSeeds {
 		m := newModel(seed, modelFaults{})
 		m.run(modelDuration)
-		if m.outside.violation != "" {
+		if m.external.violation != "" {
 			for _, line := range m.log[max(0, len(m.log)-80):] {
 				t.Log(line)
 			}
-			t.Fatalf("seed %d: %s", seed, m.outside.violation)
+			t.Fatalf("seed %d: %s", seed, m.external.violation)
 		}
-		if m.outside.accepted < 20 {
-			t.Fatalf("seed %d: only %d acts were done", seed, m.outside.accepted)
+		if m.external.accepted < 20 {
+			t.Fatalf("seed %d: only %d acts were done", seed, m.external.accepted)
 		}
 	}
 }
 
 // Each planted fault is found by the model, so that it can find such a fault.
-func TestModelFindsPlantedFaults(t *testing.T) {
+func TestModelDetectsInjectedFaults(t *testing.T) {
 	for name, faults := range map[string]modelFaults{
 		"no holder lease":           {InjectedFaults: InjectedFaults{NoHolderLease: true}},
-		"content of later proposer": {InjectedFaults: InjectedFaults{LaterContent: true}},
-		"fence not raised":          {InjectedFaults: InjectedFaults{FormerFence: true}},
+		"content of later proposer": {InjectedFaults: InjectedFaults{LatestProposedContent: true}},
+		"fence not raised":          {InjectedFaults: InjectedFaults{StaleFence: true}},
 		"valid from arrival":        {InjectedFaults: InjectedFaults{ValidFromArrival: true}},
 		"answer before durable":     {answerBeforeDurable: true},
 		"table lost":                {tableLost: true},
@@ -415,8 +415,8 @@
 			for seed := range int64(faultRuns) {
 				m := newModel(seed, faults)
 				m.run(modelDuration)
-				if m.outside.violation != "" {
-					t.Logf("seed %d: %s", seed, m.outside.violation)
+				if m.external.violation != "" {
+					t.Logf("seed %d: %s", seed, m.external.violation)
 					return
 				}
 			}
--- a/internal/exclusive/performer.go
+++ b/internal/exclusive/performer.go
@@ -51,15 +51,15 @@
 	calls    *machine.Calls
 	faults   InjectedFaults
 
-	isDraining    bool
-	hasLeft       bool // the primary knows that this node drains
-	isRequesting  bool
-	nextRequestAt clock.Micros
-	running       map[PermitID]Permit
-	outcomes      []Outcome // to be reported
-
-	// Performances counts the results by kind.
-	Performances map[Result]int64
+	isDraining        bool
+	drainAcknowledged bool // the primary knows that this node drains
+	isRequesting      bool
+	nextRequestAt     clock.Micros
+	running           map[PermitID]Permit
+	outcomes          []Outcome // to be reported
+
+	// ResultCounts counts the results by kind.
+	ResultCounts map[Result]int64
 }
 
 // NewPerformer makes a performer that emits its effects to calls.
@@ -69,7 +69,7 @@
 		holder:       holder,
 		calls:        calls,
 		running:      map[PermitID]Permit{},
-		Performances: map[Result]int64{},
+		ResultCounts: map[Result]int64{},
 	}
 }
 
@@ -79,7 +79,7 @@
 // Tick sends a request where one is due. primary is the address of the primary core, "" where none is
 // known.
 func (p *Performer) Tick(primary string, isPrimary bool, now clock.Micros) {
-	if p.isRequesting || now < p.nextRequestAt || primary == "" || p.isDone() {
+	if p.isRequesting || now < p.nextRequestAt || primary == "" || p.isDrained() {
 		return
 	}
 	interval := p.settings.Interval
@@ -93,7 +93,7 @@
 	p.calls.Request(primary, request, p.settings.RequestTimeout, func(body any, err error, receivedAt clock.Micros) {
 		p.isRequesting = false
 		if response, ok := body.(Response); ok && err == nil {
-			p.hasLeft = request.ReportOnly
+			p.drainAcknowledged = request.ReportOnly
 			p.receive(response, reported, now, receivedAt)
 		}
 	})
@@ -147,7 +147,7 @@
 		return
 	}
 	delete(p.running, report.ID)
-	p.Performances[report.Result]++
+	p.ResultCounts[report.Result]++
 	p.addOutcome(permit, report.Result, now)
 }
 
@@ -166,8 +166,10 @@
 // Outcomes are reported on.
 func (p *Performer) Drain() { p.isDraining, p.nextRequestAt = true, 0 }
 
-// isDone tells that a performer that drains has nothing to report any more.
-func (p *Performer) isDone() bool { return p.hasLeft && len(p.running)+len(p.outcomes) == 0 }
+// isDrained tells that a performer that drains has nothing to report any more.
+func (p *Performer) isDrained() bool {
+	return p.drainAcknowledged && len(p.running)+len(p.outcomes) == 0
+}
 
 // Running is the number of permits that are being performed.
 func (p *Performer) Running() int { return len(p.running) }
--- a/internal/exclusive/performer_test.go
+++ b/internal/exclusive/performer_test.go
@@ -55,7 +55,7 @@
 }
 
 // The response may have been on its way, or the process frozen, for any time.
-func TestAPermitCountsFromTheMomentOfTheRequest(t *testing.T) {
+func TestPermitValidityStartsWhenRequestIsSent(t *testing.T) {
 	f := newPerformerFixture(t)
 	f.tick()
 	sentAt := f.now
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestAPermitThatCameTooLateIsNotPerformed(t *testing.T) {
+func TestLatePermitIsNotPerformed(t *testing.T) {
 	f := newPerformerFixture(t)
 	f.tick()
 	f.now += Defaults().Validity
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestOutcomesAreReportedUntilTheyAreAnswered(t *testing.T) {
+func TestOutcomesAreReportedUntilAcknowledged(t *testing.T) {
 	f := newPerformerFixture(t)
 	f.tick()
 	f.respond(permitOf(1, act("s", 1, "x")))
@@ -102,7 +102,7 @@
 }
 
 // A new primary doesn't know what is being performed.
-func TestASupersededActIsOverBeforeTheNextBegins(t *testing.T) {
+func TestSupersedingActIsDeferredWhileAnotherRuns(t *testing.T) {
 	f := newPerformerFixture(t)
 	older, newer := act("s", 1, "x"), act("s", 2, "y")
 	older.Supersedes, newer.Supersedes = true, true
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestRequestsComeAtIntervals(t *testing.T) {
+func TestRequestInterval(t *testing.T) {
 	f := newPerformerFixture(t)
 	if !f.tick() || f.tick() {
 		t.Fatal("one request at a time")
@@ -142,7 +142,7 @@
 }
 
 // A node that stops is succeeded without the time that an absence takes.
-func TestADrainingNodeLeavesItsSubjects(t *testing.T) {
+func TestDrainingNodeOnlyReportsOutcomes(t *testing.T) {
 	f := newPerformerFixture(t)
 	f.tick()
 	f.respond(permitOf(1, act("s", 1, "x")))
--- a/internal/exclusive/settings.go
+++ b/internal/exclusive/settings.go
@@ -43,10 +43,10 @@
 
 // InjectedFaults are faults that tests plant to show that their checks catch them. Set by tests only.
 type InjectedFaults struct {
-	NoHolderLease  bool // a subject passes on while the former holder's permits are valid
-	IgnorePresence bool // a subject passes on though its holder is present
-	LaterContent   bool // a permit has the content that is proposed now, not the decided one
-	FormerFence    bool // a new holder's permits have the former holder's fence
+	NoHolderLease         bool // a subject passes on while the former holder's permits are valid
+	IgnorePresence        bool // a subject passes on though its holder is present
+	LatestProposedContent bool // a permit has the content that is proposed now, not the decided one
+	StaleFence            bool // a new holder's permits have the former holder's fence
 	// ValidFromArrival: permits count from the arrival of the response at the performer.
 	ValidFromArrival bool
 }
--- a/internal/exclusive/status.go
+++ b/internal/exclusive/status.go
@@ -43,22 +43,22 @@
 
 func (a *Arbiter) subjectStatus(subject Subject, record Record, now clock.Micros) SubjectStatus {
 	status := SubjectStatus{Subject: subject, Holder: record.Holder.Name, Fence: record.Fence, LastNumber: record.LastNumber, Open: []ActStatus{}}
-	known := a.subjects[subject]
-	if known == nil {
-		known = &attempts{}
+	state := a.subjects[subject]
+	if state == nil {
+		state = &subjectState{}
 	}
-	status.Failures = known.failures
-	if known.hasResult {
-		status.LastResult = known.lastResult.String()
+	status.Failures = state.failures
+	if state.hasResult {
+		status.LastResult = state.lastResult.String()
 	}
 	for _, act := range record.Open {
-		status.Open = append(status.Open, ActStatus{Number: act.Number, AgeUS: max(0, now-act.DecidedAt), IsPending: known.isPending(act.Number)})
+		status.Open = append(status.Open, ActStatus{Number: act.Number, AgeUS: max(0, now-act.DecidedAt), IsPending: state.isPending(act.Number)})
 	}
 	return status
 }
 
-// OldestOpen is the age of the oldest open act; 0 without one.
-func (t *Table) OldestOpen(now clock.Micros) clock.Micros {
+// OldestOpenAge is the age of the oldest open act; 0 without one.
+func (t *Table) OldestOpenAge(now clock.Micros) clock.Micros {
 	age := clock.Micros(0)
 	for _, record := range t.Subjects {
 		for _, act := range record.Open {
@@ -68,8 +68,8 @@
 	return age
 }
 
-// OpenActs is the number of acts that are decided and not known to be done.
-func (t *Table) OpenActs() (count int) {
+// OpenActCount is the number of acts that are decided and not known to be done.
+func (t *Table) OpenActCount() (count int) {
 	for _, record := range t.Subjects {
 		count += len(record.Open)
 	}
--- a/internal/exclusive/table.go
+++ b/internal/exclusive/table.go
@@ -87,12 +87,12 @@
 // applyGrant applies a grant. A fence never goes back and never has two holders, and the content of an
 // act never changes.
 func (t *Table) applyGrant(grant Grant) {
-	record, known := t.Subjects[grant.Subject]
-	if !known {
-		t.forgetOne()
+	record, isKnown := t.Subjects[grant.Subject]
+	if !isKnown {
+		t.evictOne()
 		record.Fence = t.FenceFloor
 	}
-	isHolder := known && grant.Fence == record.Fence && grant.Holder == record.Holder
+	isHolder := isKnown && grant.Fence == record.Fence && grant.Holder == record.Holder
 	if !isHolder && grant.Fence <= record.Fence {
 		return
 	}
@@ -103,12 +103,12 @@
 		record, abandoned = record.withAct(act)
 		t.Abandoned += uint64(abandoned)
 	}
-	t.set(grant.Subject, record)
+	t.setRecord(grant.Subject, record)
 }
 
-// forgetOne makes room for a subject, where there is none.
-func (t *Table) forgetOne() {
-	oldest, exists := t.oldestIdle()
+// evictOne makes room for a subject, where there is none.
+func (t *Table) evictOne() {
+	oldest, exists := t.oldestEvictable()
 	if len(t.Subjects) < maxSubjects || !exists {
 		return
 	}
@@ -117,10 +117,10 @@
 	delete(t.Subjects, oldest)
 }
 
-// oldestIdle is the subject that was granted least recently of those that may be forgotten; false where none may.
-func (t *Table) oldestIdle() (oldest Subject, exists bool) {
+// oldestEvictable is the subject that was granted least recently of those that may be forgotten; false where none may.
+func (t *Table) oldestEvictable() (oldest Subject, exists bool) {
 	for subject, record := range t.Subjects {
-		if !record.mayBeForgotten() {
+		if !record.isEvictable() {
 			continue
 		}
 		if !exists || record.GrantedAt < t.Subjects[oldest].GrantedAt {
@@ -132,14 +132,14 @@
 
 // hasCapacity tells whether there is room for another subject.
 func (t *Table) hasCapacity() bool {
-	_, canForget := t.oldestIdle()
-	return len(t.Subjects) < maxSubjects || canForget
+	_, canEvict := t.oldestEvictable()
+	return len(t.Subjects) < maxSubjects || canEvict
 }
 
 // firstFence is the fence that a new subject begins with.
 func (t *Table) firstFence() uint64 {
 	after := *t
-	after.forgetOne()
+	after.evictOne()
 	return after.FenceFloor + 1
 }
 
@@ -161,9 +161,9 @@
 	return r, abandoned
 }
 
-// mayBeForgotten tells whether nothing is lost with the record: it has no open act, and its acts supersede each
+// isEvictable tells whether nothing is lost with the record: it has no open act, and its acts supersede each
 // other. Of others LastNumber tells which are decided; without it they would be decided anew.
-func (r Record) mayBeForgotten() bool { return len(r.Open) == 0 && len(r.LastContent) > 0 }
+func (r Record) isEvictable() bool { return len(r.Open) == 0 && len(r.LastContent) > 0 }
 
 // isOpen tells whether an act of the subject is decided and not known to be done.
 func (r Record) isOpen(number uint64) bool {
@@ -172,18 +172,18 @@
 
 // applySettlement applies a settlement.
 func (t *Table) applySettlement(settlement Settlement) {
-	record, known := t.Subjects[settlement.Subject]
-	if !known {
+	record, isKnown := t.Subjects[settlement.Subject]
+	if !isKnown {
 		return
 	}
 	record.Open = slices.DeleteFunc(slices.Clone(record.Open), func(act Act) bool {
 		return slices.Contains(settlement.Numbers, act.Number)
 	})
-	t.set(settlement.Subject, record)
+	t.setRecord(settlement.Subject, record)
 }
 
-// set replaces the map, which may have been handed out.
-func (t *Table) set(subject Subject, record Record) {
+// setRecord replaces the map, which may have been handed out.
+func (t *Table) setRecord(subject Subject, record Record) {
 	subjects := make(map[Subject]Record, len(t.Subjects)+1)
 	maps.Copy(subjects, t.Subjects)
 	subjects[subject] = record
--- a/internal/exclusive/table_test.go
+++ b/internal/exclusive/table_test.go
@@ -14,49 +14,49 @@
 	return Act{Subject: subject, Number: number, Content: []byte(content)}
 }
 
-func granted(subject Subject, holder Holder, fence uint64, acts ...Act) Update {
+func grantUpdate(subject Subject, holder Holder, fence uint64, acts ...Act) Update {
 	return Update{Grants: []Grant{{Subject: subject, Holder: holder, Fence: fence, Acts: acts}}}
 }
 
-func TestContentOfAnActNeverChanges(t *testing.T) {
+func TestDecidedContentNeverChanges(t *testing.T) {
 	var table Table
-	table.Apply(granted("s", holderA, 1, act("s", 5, "first")))
-	table.Apply(granted("s", holderB, 2, act("s", 5, "second"), act("s", 4, "earlier")))
+	table.Apply(grantUpdate("s", holderA, 1, act("s", 5, "first")))
+	table.Apply(grantUpdate("s", holderB, 2, act("s", 5, "second"), act("s", 4, "earlier")))
 	open := table.Record("s").Open
 	if len(open) != 1 || string(open[0].Content) != "first" {
 		t.Fatalf("open are %+v", open)
 	}
 }
 
-func TestAFenceNeverGoesBackNorHasTwoHolders(t *testing.T) {
+func TestFenceNeverDecreasesNorHasTwoHolders(t *testing.T) {
 	var table Table
-	table.Apply(granted("s", holderA, 3, act("s", 1, "x")))
-	table.Apply(granted("s", holderB, 2, act("s", 2, "y")))
-	table.Apply(granted("s", holderB, 3, act("s", 2, "y")))
-	table.Apply(granted("s", Holder{"node-a", "run-2"}, 3, act("s", 2, "y")))
+	table.Apply(grantUpdate("s", holderA, 3, act("s", 1, "x")))
+	table.Apply(grantUpdate("s", holderB, 2, act("s", 2, "y")))
+	table.Apply(grantUpdate("s", holderB, 3, act("s", 2, "y")))
+	table.Apply(grantUpdate("s", Holder{"node-a", "run-2"}, 3, act("s", 2, "y")))
 	if record := table.Record("s"); record.Holder != holderA || record.Fence != 3 || record.LastNumber != 1 {
 		t.Fatalf("the record is %+v", record)
 	}
 }
 
-func TestASupersedingActLeavesItselfOnly(t *testing.T) {
+func TestSupersedingActReplacesOpenActs(t *testing.T) {
 	var table Table
-	table.Apply(granted("s", holderA, 1, act("s", 1, "x")))
+	table.Apply(grantUpdate("s", holderA, 1, act("s", 1, "x")))
 	newer := act("s", 2, "y")
 	newer.Supersedes = true
-	table.Apply(granted("s", holderA, 1, newer))
+	table.Apply(grantUpdate("s", holderA, 1, newer))
 	record := table.Record("s")
 	if len(record.Open) != 1 || record.Open[0].Number != 2 || string(record.LastContent) != "y" {
 		t.Fatalf("the record is %+v", record)
 	}
 }
 
-func TestASettledActIsNotOpenAndNotDecidedAgain(t *testing.T) {
+func TestSettledActIsNeitherOpenNorDecidedAgain(t *testing.T) {
 	var table Table
-	table.Apply(granted("s", holderA, 1, act("s", 1, "x"), act("s", 2, "y")))
+	table.Apply(grantUpdate("s", holderA, 1, act("s", 1, "x"), act("s", 2, "y")))
 	copied := table
 	table.Apply(Update{Settlements: []Settlement{{Subject: "s", Numbers: []uint64{1, 9}}, {Subject: "unknown", Numbers: []uint64{1}}}})
-	table.Apply(granted("s", holderA, 1, act("s", 1, "z")))
+	table.Apply(grantUpdate("s", holderA, 1, act("s", 1, "z")))
 	if open := table.Record("s").Open; len(open) != 1 || open[0].Number != 2 {
 		t.Fatalf("open are %+v", open)
 	}
@@ -68,7 +68,7 @@
 func TestOpenActsAreBounded(t *testing.T) {
 	var table Table
 	for number := range uint64(maxOpenActs + 3) {
-		table.Apply(granted("s", holderA, 1, act("s", number+1, "x")))
+		table.Apply(grantUpdate("s", holderA, 1, act("s", number+1, "x")))
 	}
 	open := table.Record("s").Open
 	if len(open) != maxOpenActs || open[0].Number != 4 || table.Abandoned != 3 {
@@ -77,15 +77,15 @@
 }
 
 // A subject that was forgotten gets no fence that it had before.
-func TestAForgottenSubjectGetsAHigherFence(t *testing.T) {
+func TestEvictedSubjectGetsHigherFence(t *testing.T) {
 	var table Table
 	target := act("forgotten", 1, "x")
 	target.Supersedes = true
-	table.Apply(granted("forgotten", holderA, 7, target))
+	table.Apply(grantUpdate("forgotten", holderA, 7, target))
 	table.Apply(Update{Settlements: []Settlement{{Subject: "forgotten", Numbers: []uint64{1}}}})
 	for i := range maxSubjects {
 		subject := Subject(fmt.Sprintf("s%d", i))
-		table.Apply(granted(subject, holderA, nextFence(&table, subject, holderA), act(subject, 1, "x")))
+		table.Apply(grantUpdate(subject, holderA, nextFence(&table, subject, holderA), act(subject, 1, "x")))
 	}
 	if _, isKnown := table.Subjects["forgotten"]; isKnown || len(table.Subjects) != maxSubjects {
 		t.Fatalf("%d subjects are known", len(table.Subjects))
@@ -96,24 +96,24 @@
 	if fence := nextFence(&table, "forgotten", holderA); fence <= 7 {
 		t.Fatalf("its next fence is %d", fence)
 	}
-	table.Apply(granted("forgotten", holderB, 7, act("forgotten", 2, "y")))
+	table.Apply(grantUpdate("forgotten", holderB, 7, act("forgotten", 2, "y")))
 	if _, isKnown := table.Subjects["forgotten"]; isKnown {
 		t.Fatal("a former fence was granted again")
 	}
 }
 
 // Acts that are all to be performed were decided anew, with other contents, once their subject was forgotten.
-func TestASubjectWhoseActsAreAllPerformedIsNotForgotten(t *testing.T) {
+func TestSubjectWithoutSupersedingActsIsNotEvicted(t *testing.T) {
 	var table Table
-	table.Apply(granted("windows", holderA, 7, act("windows", 5, "first")))
+	table.Apply(grantUpdate("windows", holderA, 7, act("windows", 5, "first")))
 	table.Apply(Update{Settlements: []Settlement{{Subject: "windows", Numbers: []uint64{5}}}})
 	for i := range maxSubjects {
 		subject, target := Subject(fmt.Sprintf("s%d", i)), act("", 1, "x")
 		target.Subject, target.Supersedes = subject, true
-		table.Apply(granted(subject, holderA, nextFence(&table, subject, holderA), target))
+		table.Apply(grantUpdate(subject, holderA, nextFence(&table, subject, holderA), target))
 		table.Apply(Update{Settlements: []Settlement{{Subject: subject, Numbers: []uint64{1}}}})
 	}
-	table.Apply(granted("windows", holderA, nextFence(&table, "windows", holderA), act("windows", 5, "second")))
+	table.Apply(grantUpdate("windows", holderA, nextFence(&table, "windows", holderA), act("windows", 5, "second")))
 	if record := table.Record("windows"); record.LastNumber != 5 || len(record.Open) > 0 {
 		t.Fatalf("the act was decided again: %+v", record)
 	}
--- a/test/simulator/acts_test.go
+++ b/test/simulator/acts_test.go
@@ -70,8 +70,8 @@
 	const runs = 60
 	for name, faults := range map[string]exclusive.InjectedFaults{
 		"no holder lease":               {NoHolderLease: true, IgnorePresence: true},
-		"content of the later proposer": {LaterContent: true},
-		"the former holder's fence":     {FormerFence: true},
+		"content of the later proposer": {LatestProposedContent: true},
+		"the former holder's fence":     {StaleFence: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/test/simulator/outside.go
+++ b/test/simulator/outside.go
@@ -246,7 +246,7 @@
 	w := o.world
 	w.Workload.countCheck(actsPerformed)
 	table := &w.primary().Core.State().Acts
-	if age := table.OldestOpen(w.Now); age > maxActAge {
+	if age := table.OldestOpenAge(w.Now); age > maxActAge {
 		w.Workload.reportViolation(actsPerformed, "an act is open since %d ms: %+v", age/clock.Millisecond, table.Subjects)
 	}
 	latest := uint64((w.Now - maxActAge) / actInterval)
