--- a/internal/exclusive/arbiter.go
+++ b/internal/exclusive/arbiter.go
@@ -9,48 +9,48 @@
 	"tuliprudder/internal/machine"
 )
 
-// requestRetention is for how long the arbiter remembers a node that requests no permits any more.
+// requestRetention is how long the arbiter remembers a node that has stopped requesting permits.
 const requestRetention = 60 * clock.Second
 
-// Arbiter is what the primary knows of permits beside the table. It is forgotten with the primary: the
-// next one lets a whole HolderLease pass before a subject changes hands.
+// Arbiter is the primary's state about permits that is not in the table. It is lost with the primary:
+// the next primary therefore waits a full HolderLease before it reassigns a subject.
 type Arbiter struct {
 	settings Settings
 	faults   InjectedFaults
-	self     Holder // this core, where it performs acts itself
+	self     Holder // this core, if it performs acts itself
 
-	epoch        uint64 // of the term in which this core serves
+	epoch        uint64 // of the term in which this core is primary
 	servingSince clock.Micros
-	lastSerial   uint64 // of a permit
+	lastSerial   uint64 // number of the latest permit
 	lastBatch    uint64
 	rate         rateLimiter
 	subjects     map[Subject]*subjectState
-	requestedAt  map[Holder]clock.Micros // when each node's latest request came
+	requestedAt  map[Holder]clock.Micros // when each node's latest request was received
 
 	Counters
 }
 
-// Counters count since the start of the daemon.
+// Counters holds counts since the start of the daemon.
 type Counters struct {
-	Permits       int64 // that were granted
+	Permits       int64 // granted
 	HolderChanges int64
 	Outcomes      map[Result]int64
 }
 
-// NewArbiter makes an arbiter; Start is called before its first decision.
+// NewArbiter returns an arbiter. Start must be called before its first decision.
 func NewArbiter(settings Settings) *Arbiter {
 	a := &Arbiter{settings: settings, Counters: Counters{Outcomes: map[Result]int64{}}}
 	a.Start(0, 0)
 	return a
 }
 
-// InjectFaults plants faults. For tests only.
+// InjectFaults sets the faults to simulate. For tests only.
 func (a *Arbiter) InjectFaults(faults InjectedFaults) { a.faults = faults }
 
-// SetSelf sets which holder this core itself is.
+// SetSelf sets the holder that is this core itself.
 func (a *Arbiter) SetSelf(self Holder) { a.self = self }
 
-// Start begins anew: this core serves as primary of a term from now on.
+// Start resets the arbiter: from now on this core is primary in the given term.
 func (a *Arbiter) Start(epoch uint64, now clock.Micros) {
 	a.epoch, a.servingSince = epoch, now
 	a.lastSerial, a.lastBatch = 0, 0
@@ -59,7 +59,7 @@
 	a.requestedAt = map[Holder]clock.Micros{}
 }
 
-// RequestReceived records that a node sent a request. One that leaves its subjects counts as absent.
+// RequestReceived records that a node sent a request. A node that gives up its subjects counts as absent.
 func (a *Arbiter) RequestReceived(request Request, now clock.Micros) {
 	a.requestedAt[request.Holder] = now
 	if request.ReportOnly {
@@ -68,26 +68,27 @@
 	maps.DeleteFunc(a.requestedAt, func(_ Holder, at clock.Micros) bool { return now-at > requestRetention })
 }
 
-// Decision answers a request. The update has to be durable before the holder may hear of the permits.
+// Decision is the result of a request. The update must be durable before the permits are sent to the
+// holder.
 type Decision struct {
 	Permits []Permit
 	Update  Update
-	Events  []machine.Event // to be logged
+	Events  []machine.Event // to log
 }
 
-// Response is the decision as the holder is sent it.
+// Response returns the response that carries the permits of a decision to the holder.
 func (a *Arbiter) Response(permits []Permit) Response {
 	return Response{Permits: permits, Validity: a.settings.Validity}
 }
 
-// IsNoOp tells that a request can't change anything: it reports nothing, and nothing is to be done.
+// IsNoOp reports whether a request can change nothing: it reports no outcomes, and no act is open or due.
 func IsNoOp(table *Table, request Request, due []Act) bool {
 	isNew := func(act Act) bool { return act.Number > table.Record(act.Subject).LastNumber }
 	return len(request.Outcomes) == 0 && table.OpenActCount() == 0 && !slices.ContainsFunc(due, isNew)
 }
 
-// Decide decides on a request. Everything in the table is durable on all replicas; due are the acts
-// that the sources propose.
+// Decide decides on a request. Everything in the table must be durable on all replicas; due holds the
+// acts that the sources propose.
 func (a *Arbiter) Decide(table *Table, request Request, due []Act, now clock.Micros) Decision {
 	a.RequestReceived(request, now)
 	a.expirePermits(table, now)
@@ -114,7 +115,7 @@
 	return decision
 }
 
-// expirePermits ends the permits that no holder may perform any more, and forgets what is of no use.
+// expirePermits removes expired permits, and the state of subjects for which it is no longer needed.
 func (a *Arbiter) expirePermits(table *Table, now clock.Micros) {
 	for subject, state := range a.subjects {
 		record := table.Record(subject)
@@ -126,7 +127,8 @@
 	}
 }
 
-// processOutcome takes the outcome of a permit, and gives the settlement that follows; false where none does.
+// processOutcome records the outcome of a permit and returns the resulting settlement; false if there is
+// none.
 func (a *Arbiter) processOutcome(table *Table, holder Holder, outcome Outcome, now clock.Micros) (Settlement, bool) {
 	record := table.Record(outcome.Subject)
 	state := a.stateOf(outcome.Subject)
@@ -152,8 +154,9 @@
 	return Settlement{}, false
 }
 
-// settlesAct tells whether an act need not be performed any more after an outcome. That it was done is
-// true whoever did it, as its content is the same. A refusal of a former holder may be due to its fence.
+// settlesAct reports whether an act need not be performed again after an outcome. Done counts whichever
+// holder reports it, because the content is the same. A refusal counts only from the current holder,
+// since the external system may have refused a former holder's call because of its fence.
 func settlesAct(table *Table, record Record, holder Holder, outcome Outcome) bool {
 	if !record.isOpen(outcome.Number) || outcome.Fence <= table.FenceFloor {
 		return false
@@ -162,7 +165,7 @@
 	return outcome.Result == Done || isCurrent
 }
 
-// candidates are the subjects that have something to perform, the one that waited longest first.
+// candidates returns the subjects with open or new acts, the one with the least recent permit first.
 func (a *Arbiter) candidates(table *Table, due []Act) []Subject {
 	subjects := map[Subject]bool{}
 	for subject, record := range table.Subjects {
@@ -187,8 +190,8 @@
 	return 0
 }
 
-// grant gives a holder the permits for a subject that it may have now. The grant is to be recorded where
-// it is new: the holder, or the content of an act.
+// grant returns the permits for a subject that a holder may have now. The grant must be recorded if isNew
+// is set: it changes the holder, or decides the content of an act.
 func (a *Arbiter) grant(table *Table, subject Subject, holder Holder, due []Act, now clock.Micros) (permits []Permit, grant Grant, isNew bool) {
 	record, isKnown := table.Subjects[subject]
 	if !a.isEligible(table, subject, holder, now) {
@@ -212,8 +215,8 @@
 	return permits, grant, isNew
 }
 
-// isBlocked tells whether no permit for a subject can be granted now: every act of it may be being
-// performed, or one that a newer one would supersede.
+// isBlocked reports whether no permit for a subject can be granted now, because all of its acts may be in
+// progress, or because any act may be in progress on a subject with superseding acts.
 func (a *Arbiter) isBlocked(subject Subject, record Record, newActs []Act) bool {
 	state := a.stateOf(subject)
 	if len(state.pending) == 0 {
@@ -226,8 +229,7 @@
 	return len(newActs) == 0 && !slices.ContainsFunc(record.Open, func(act Act) bool { return !isPending(act) })
 }
 
-// permits gives the holder of a subject permits for its open acts, as far as the outside system takes
-// calls.
+// permits returns new permits for a subject's open acts to its holder, as far as the rate limit allows.
 func (a *Arbiter) permits(record Record, subject Subject, now clock.Micros) []Permit {
 	state := a.stateOf(subject)
 	state.lastPermitAt = now
@@ -246,7 +248,7 @@
 	return permits
 }
 
-// applyInjectedFaults changes permits as the planted faults would.
+// applyInjectedFaults modifies permits as the injected faults require.
 func (a *Arbiter) applyInjectedFaults(permits []Permit, former Record, due []Act) {
 	for i := range permits {
 		if a.faults.StaleFence && former.Fence > 0 {
@@ -260,7 +262,7 @@
 	}
 }
 
-// nextFence is the fence of a holder's next permit.
+// nextFence returns the fence of a holder's next permit for a subject.
 func nextFence(table *Table, subject Subject, holder Holder) uint64 {
 	record, isKnown := table.Subjects[subject]
 	switch {
@@ -273,7 +275,7 @@
 	}
 }
 
-// isEligible tells whether a node may have the next permit for a subject now.
+// isEligible reports whether a node may have the next permit for a subject now.
 func (a *Arbiter) isEligible(table *Table, subject Subject, holder Holder, now clock.Micros) bool {
 	state := a.stateOf(subject)
 	isExcluded := state.isExcluded(holder, now) && a.hasSuccessor(state, holder, now)
@@ -284,7 +286,8 @@
 	if isKnown && record.Holder == holder {
 		return true
 	}
-	// A holder that isn't the primary survives the loss of the primary, and the primary its loss.
+	// Prefer another node to the primary, so that one failure does not take out both the primary and
+	// the holder.
 	if holder == a.self && a.hasSuccessor(state, holder, now) {
 		return false
 	}
@@ -292,7 +295,7 @@
 	return isFirst || a.mayTakeOver(record.Holder, state, now)
 }
 
-// hasSuccessor tells whether a node other than a holder is present that may take a subject over.
+// hasSuccessor reports whether a node other than the holder is present and may take over a subject.
 func (a *Arbiter) hasSuccessor(state *subjectState, holder Holder, now clock.Micros) bool {
 	for other, requestedAt := range a.requestedAt {
 		isPresent := now-requestedAt < a.settings.PresenceTimeout
@@ -303,10 +306,10 @@
 	return false
 }
 
-// mayTakeOver tells whether a subject may pass on from its holder: all permits of it have expired, and
-// it is absent or has to leave the subject.
+// mayTakeOver reports whether a subject may be reassigned from its holder: all of the holder's permits
+// have expired, and the holder is absent or excluded from the subject.
 func (a *Arbiter) mayTakeOver(former Holder, state *subjectState, now clock.Micros) bool {
-	// A former primary may have granted the holder a permit until it was succeeded.
+	// A previous primary may have granted the holder a permit until this one took over.
 	lastPermitAt := max(state.lastPermitAt, a.servingSince)
 	if now < lastPermitAt+a.settings.HolderLease && !a.faults.NoHolderLease {
 		return false
@@ -327,7 +330,7 @@
 	return state
 }
 
-// undecidedActs are the acts of a subject beyond the number of the last decided one, in order.
+// undecidedActs returns the due acts of a subject that are numbered above its last decided act, in order.
 func undecidedActs(due []Act, subject Subject, lastNumber uint64, now clock.Micros) []Act {
 	var newActs []Act
 	for _, act := range due {
--- a/internal/exclusive/arbiter_test.go
+++ b/internal/exclusive/arbiter_test.go
@@ -6,7 +6,7 @@
 	"tuliprudder/internal/clock"
 )
 
-// arbiterFixture is an arbiter with its table, in which every update is durable at once.
+// arbiterFixture is an arbiter with its table; every update is durable immediately.
 type arbiterFixture struct {
 	t       *testing.T
 	arbiter *Arbiter
@@ -21,19 +21,19 @@
 	return f
 }
 
-// request has a holder request permits, with the outcomes of earlier ones.
+// request makes a holder request permits and report the outcomes of earlier ones.
 func (f *arbiterFixture) request(holder Holder, due []Act, outcomes ...Outcome) Decision {
 	decision := f.arbiter.Decide(&f.table, Request{Holder: holder, Outcomes: outcomes}, due, f.now)
 	f.table.Apply(decision.Update)
 	return decision
 }
 
-// requestOne has a holder request the only permit.
+// requestOne makes a holder request permits, and returns the only one granted.
 func (f *arbiterFixture) requestOne(holder Holder, due ...Act) Permit {
 	f.t.Helper()
 	permits := f.request(holder, due).Permits
 	if len(permits) != 1 {
-		f.t.Fatalf("%d permits", len(permits))
+		f.t.Fatalf("got %d permits, want 1", len(permits))
 	}
 	return permits[0]
 }
@@ -48,16 +48,16 @@
 	first := f.requestOne(holderA, act("s", 1, "x"))
 	f.now += settings.HolderLease - 1
 	if got := f.request(holderB, []Act{act("s", 1, "y")}).Permits; len(got) > 0 {
-		t.Fatalf("within the lease of the holder another gets %+v", got)
+		t.Fatalf("another node got %+v within the holder's lease", got)
 	}
 	f.now++
 	second := f.requestOne(holderB, act("s", 1, "y"))
 	if second.Fence <= first.Fence || string(second.Content) != "x" {
-		t.Fatalf("first %+v, then %+v", first, second)
+		t.Fatalf("first permit %+v, then %+v", first, second)
 	}
 }
 
-// Permits that a former primary granted are not known to its successor.
+// A new primary does not know the permits that the previous one granted.
 func TestNewPrimaryWaitsForFormerPermitsToExpire(t *testing.T) {
 	f := newArbiterFixture(t)
 	f.requestOne(holderA, act("s", 1, "x"))
@@ -65,7 +65,7 @@
 	f.arbiter.Start(2, f.now)
 	f.now += Defaults().HolderLease - 1
 	if got := f.request(holderB, nil).Permits; len(got) > 0 {
-		t.Fatalf("another gets %+v", got)
+		t.Fatalf("another node got %+v within the lease", got)
 	}
 	f.now++
 	f.requestOne(holderB)
@@ -79,26 +79,26 @@
 	f.arbiter.RequestReceived(Request{Holder: holderA}, f.now)
 	due := []Act{act("s", 2, "y")}
 	if got := f.request(holderB, due).Permits; len(got) > 0 {
-		t.Fatalf("beside a holder that is present another gets %+v", got)
+		t.Fatalf("another node got %+v while the holder is present", got)
 	}
 	f.now += Defaults().PresenceTimeout
 	if got := f.request(holderB, due).Permits; len(got) != 1 {
-		t.Fatalf("once the holder is absent another gets %+v", got)
+		t.Fatalf("another node got %+v once the holder is absent, want 1 permit", got)
 	}
 }
 
-// A process that was started again doesn't know what the one before has under way.
+// A restarted process does not know which calls of its predecessor are still in progress.
 func TestRestartedProcessIsDifferentHolder(t *testing.T) {
 	f := newArbiterFixture(t)
 	first := f.requestOne(holderA, act("s", 1, "x"))
 	again := Holder{Name: holderA.Name, Instance: "run-2"}
 	f.now += clock.Second
 	if got := f.request(again, nil).Permits; len(got) > 0 {
-		t.Fatalf("it gets %+v at once", got)
+		t.Fatalf("restarted process got %+v at once", got)
 	}
 	f.now += Defaults().HolderLease
 	if second := f.requestOne(again); second.Fence <= first.Fence {
-		t.Fatalf("first %+v, then %+v", first, second)
+		t.Fatalf("first permit %+v, then %+v", first, second)
 	}
 }
 
@@ -106,14 +106,15 @@
 	f := newArbiterFixture(t)
 	permit := f.requestOne(holderA, act("s", 1, "x"))
 	if got := f.request(holderA, nil, outcomeOf(permit, Done)).Update.Settlements; len(got) != 1 {
-		t.Fatalf("settled %+v", got)
+		t.Fatalf("settlements are %+v, want 1", got)
 	}
 	if got := f.request(holderA, nil, outcomeOf(permit, Done)).Update; !got.IsEmpty() {
-		t.Fatalf("a request that comes again updates %+v", got)
+		t.Fatalf("a resent request caused the update %+v", got)
 	}
 }
 
-// That an act was done is true whoever did it; a refusal may be due to the former fence.
+// An act that was done need not be repeated, whichever holder reports it; a refusal may be due to the
+// former fence.
 func TestOutcomesUnderFormerFence(t *testing.T) {
 	for _, test := range []struct {
 		result Result
@@ -125,12 +126,12 @@
 		f.requestOne(holderB)
 		f.request(holderA, nil, outcomeOf(former, test.result))
 		if ends := len(f.table.Record("s").Open) == 0; ends != test.ends {
-			t.Errorf("%s of a former holder: settled is %v", test.result, ends)
+			t.Errorf("%s from a former holder: settled is %v", test.result, ends)
 		}
 	}
 }
 
-// A request that comes again must not end the delay, nor the permit that was granted since.
+// A resent request must not change the retry delay, nor end the permit that was granted since.
 func TestRepeatedOutcomeIsIgnored(t *testing.T) {
 	f := newArbiterFixture(t)
 	first := f.requestOne(holderA, act("s", 1, "x"))
@@ -139,7 +140,7 @@
 	f.requestOne(holderA)
 	f.now += Defaults().MinRetryDelay
 	if got := f.request(holderA, nil, outcomeOf(first, NoAnswer)).Permits; len(got) > 0 {
-		t.Fatalf("a second permit beside the one that is pending: %+v", got)
+		t.Fatalf("got a second permit while one is pending: %+v", got)
 	}
 }
 
@@ -148,26 +149,26 @@
 	f.requestOne(holderA, act("s", 1, "x"))
 	got := f.request(holderA, []Act{act("s", 2, "y")}).Permits
 	if len(got) != 1 || got[0].Number != 2 {
-		t.Fatalf("beside act 1 it gets %+v", got)
+		t.Fatalf("got %+v while act 1 is pending, want act 2 only", got)
 	}
 }
 
-// A call with the former target could otherwise arrive after one with the newer.
+// Otherwise a call with the old target could arrive after one with the new target.
 func TestSupersedingActWaitsForPendingPermit(t *testing.T) {
 	f := newArbiterFixture(t)
 	older, newer := act("s", 1, "x"), act("s", 2, "y")
 	older.Supersedes, newer.Supersedes = true, true
 	first := f.requestOne(holderA, older)
 	if got := f.request(holderA, []Act{newer}); len(got.Permits) > 0 || !got.Update.IsEmpty() {
-		t.Fatalf("while the first is pending: %+v", got)
+		t.Fatalf("granted while the first act is pending: %+v", got)
 	}
 	got := f.request(holderA, []Act{newer}, outcomeOf(first, Done)).Permits
 	if len(got) != 1 || got[0].Number != 2 {
-		t.Fatalf("once it is done: %+v", got)
+		t.Fatalf("got %+v once the first act is done, want act 2", got)
 	}
 }
 
-// failUntilExcluded has a holder get no answer until it has to leave the subject.
+// failUntilExcluded reports missing answers for a holder until it is excluded from the subject.
 func (f *arbiterFixture) failUntilExcluded(holder Holder) {
 	f.t.Helper()
 	settings := Defaults()
@@ -186,19 +187,19 @@
 	f.failUntilExcluded(holderA)
 	f.arbiter.RequestReceived(Request{Holder: holderB}, f.now)
 	if got := f.request(holderA, nil).Permits; len(got) > 0 {
-		t.Fatalf("it gets %+v again", got)
+		t.Fatalf("excluded holder got %+v", got)
 	}
 	f.requestOne(holderB)
 }
 
-// Nobody else is there to take it over.
+// Without another node to take the subject over, exclusion does not apply.
 func TestOnlyNodeKeepsSubjectWithoutAnswers(t *testing.T) {
 	f := newArbiterFixture(t)
 	f.failUntilExcluded(holderA)
 	f.requestOne(holderA)
 }
 
-// The permits of one batch are one failure.
+// Otherwise one outage during a batch would exclude the holder.
 func TestBatchWithoutAnswersCountsAsOneFailure(t *testing.T) {
 	f := newArbiterFixture(t)
 	permits := f.request(holderA, []Act{act("s", 1, "x"), act("s", 2, "y"), act("s", 3, "z")}).Permits
@@ -209,7 +210,7 @@
 	f.request(holderA, nil, outcomes...)
 	f.now += Defaults().MinRetryDelay
 	if got := f.request(holderA, nil).Permits; len(got) != 3 {
-		t.Fatalf("%d of 3 are granted again", len(got))
+		t.Fatalf("%d of 3 acts were granted again", len(got))
 	}
 }
 
@@ -230,7 +231,7 @@
 		}
 	}
 	if len(times) < 40 {
-		t.Fatalf("only %d of 64 calls in 10 s", len(times))
+		t.Fatalf("only %d of 64 calls were granted in 10 s", len(times))
 	}
 	limit := Defaults().CallsPerSecond
 	for i := limit; i < len(times); i++ {
@@ -243,13 +244,13 @@
 func TestRequestThatChangesNothingIsNoOp(t *testing.T) {
 	var table Table
 	if !IsNoOp(&table, Request{Holder: holderA}, nil) {
-		t.Fatal("nothing is to be done")
+		t.Fatal("a request with nothing to do is not a no-op")
 	}
 	due := []Act{act("s", 1, "x")}
 	isIdle := IsNoOp(&table, Request{Holder: holderA}, due)
 	table.Apply(grantUpdate("s", holderA, 1, due...))
 	if isIdle || IsNoOp(&table, Request{Holder: holderA}, nil) || IsNoOp(&Table{}, Request{Outcomes: make([]Outcome, 1)}, nil) {
-		t.Fatal("something is due, open or reported")
+		t.Fatal("a request is a no-op although an act is due or open, or an outcome reported")
 	}
 }
 
@@ -260,25 +261,25 @@
 	f.request(holderA, nil, outcomeOf(done, Done))
 	leaving := f.arbiter.Decide(&f.table, Request{Holder: holderA, ReportOnly: true}, []Act{act("s", 2, "y")}, f.now)
 	if len(leaving.Permits) > 0 {
-		t.Fatalf("it gets %+v", leaving.Permits)
+		t.Fatalf("draining node got %+v", leaving.Permits)
 	}
 	f.requestOne(holderB, act("s", 2, "y"))
 }
 
-// A holder that is the primary would be lost together with it.
+// If the primary is the holder, one failure takes out both.
 func TestPrimaryYieldsToOtherNodes(t *testing.T) {
 	f := newArbiterFixture(t)
 	f.arbiter.SetSelf(holderA)
 	f.arbiter.RequestReceived(Request{Holder: holderB}, f.now)
 	due := []Act{act("s", 1, "x")}
 	if got := f.request(holderA, due).Permits; len(got) > 0 {
-		t.Fatalf("beside another node the primary gets %+v", got)
+		t.Fatalf("the primary got %+v although another node is present", got)
 	}
 	f.now += Defaults().PresenceTimeout
 	f.requestOne(holderA, due...)
 }
 
-// The other node is there and can't reach the outside system.
+// The other node is present but cannot reach the external system.
 func TestPrimaryReplacesExcludedHolder(t *testing.T) {
 	f := newArbiterFixture(t)
 	f.arbiter.SetSelf(holderB)
--- a/internal/exclusive/events.go
+++ b/internal/exclusive/events.go
@@ -7,9 +7,9 @@
 	"tuliprudder/internal/machine"
 )
 
-// The log events of the primary about acts.
+// Log events of the primary about acts.
 type (
-	// HolderChanged tells that a subject has another holder.
+	// HolderChanged is logged when a subject is assigned to another holder.
 	HolderChanged struct {
 		machine.Info
 		Subject Subject `json:"subject"`
@@ -17,7 +17,7 @@
 		Former  string  `json:"former"`
 		Fence   uint64  `json:"fence"`
 	}
-	// ActRefused tells that the outside system will never take an act; it is given up.
+	// ActRefused is logged when the external system rejects an act permanently; the act is not retried.
 	ActRefused struct {
 		machine.Warning
 		Subject Subject `json:"subject"`
@@ -25,7 +25,7 @@
 		Holder  string  `json:"holder"`
 		Remedy  string  `json:"remedy"`
 	}
-	// ActAbandoned tells that an act was given up since too many wait.
+	// ActAbandoned is logged when an open act is dropped because its subject has too many.
 	ActAbandoned struct {
 		machine.Warning
 		Subject Subject `json:"subject"`
@@ -34,25 +34,25 @@
 	}
 )
 
-// EventName is the event's key in the log.
+// EventName returns the event's key in the log.
 func (HolderChanged) EventName() string { return "act_holder_changed" }
 
-// EventName is the event's key in the log.
+// EventName returns the event's key in the log.
 func (ActRefused) EventName() string { return "act_refused" }
 
-// EventName is the event's key in the log.
+// EventName returns the event's key in the log.
 func (ActAbandoned) EventName() string { return "act_abandoned" }
 
-// refusalEvents is the event of an outcome that settled an act, where it is a refusal.
+// refusalEvents returns the event of an outcome that settled an act, if it is a refusal.
 func refusalEvents(holder Holder, outcome Outcome) []machine.Event {
 	if outcome.Result != Refused {
 		return nil
 	}
 	return []machine.Event{ActRefused{Subject: outcome.Subject, Number: outcome.Number, Holder: holder.Name,
-		Remedy: "see at the outside system why it refuses this act; it isn't sent again"}}
+		Remedy: "check the external system for why it rejects this act; it is not sent again"}}
 }
 
-// changeEvents are the events of what a decision changed in the table.
+// changeEvents returns the events for what a decision changed in the table.
 func changeEvents(before, after *Table) (events []machine.Event) {
 	for _, subject := range slices.Sorted(maps.Keys(after.Subjects)) {
 		former, record := before.Record(subject), after.Record(subject)
@@ -67,7 +67,7 @@
 	return events
 }
 
-// abandonedEvents are the events of the acts that were given up for newer ones.
+// abandonedEvents returns the events of the acts that were dropped for newer ones.
 func abandonedEvents(subject Subject, former, record Record) (events []machine.Event) {
 	if len(record.Open) < maxOpenActs {
 		return nil
@@ -75,7 +75,7 @@
 	for _, act := range former.Open {
 		if act.Number < record.Open[0].Number {
 			events = append(events, ActAbandoned{Subject: subject, Number: act.Number,
-				Remedy: "see why the outside system takes no acts on this subject"})
+				Remedy: "check why the external system accepts no acts on this subject"})
 		}
 	}
 	return events
--- a/internal/exclusive/messages.go
+++ b/internal/exclusive/messages.go
@@ -5,25 +5,25 @@
 	"tuliprudder/internal/transport"
 )
 
-// Result is how a permit ended.
+// Result is the result of performing the act of a permit.
 type Result int
 
-// The results.
+// Results of a permit.
 const (
-	// NoAnswer: the outside system gave none in time; whether it took the act is unknown.
+	// NoAnswer: the external system did not answer in time; whether it accepted the act is unknown.
 	NoAnswer Result = iota
-	// Done: it took the act.
+	// Done: the external system accepted the act.
 	Done
-	// RetryLater: it can take the act later.
+	// RetryLater: the act can be retried later.
 	RetryLater
-	// Refused: it will never take the act.
+	// Refused: the external system rejected the act permanently.
 	Refused
 )
 
 // resultNames are the resultNames' names for operators.
 var resultNames = map[Result]string{NoAnswer: "no_answer", Done: "done", RetryLater: "retry_later", Refused: "refused"}
 
-// String is the result's name for operators.
+// String returns the result's name as shown to operators.
 func (r Result) String() string { return resultNames[r] }
 
 // Outcome is the result of a permit.
@@ -35,21 +35,21 @@
 	Result  Result
 }
 
-// Messages between nodes and the primary. The names of these types and of their fields are on the
-// wire between daemons (gob).
+// Messages between nodes and the primary. gob puts the names of these types and of their fields on
+// the wire, so they must not change.
 type (
-	// Request requests permits, and reports the outcomes of earlier ones. It may be sent again: an
-	// outcome counts once.
+	// Request requests permits, and reports the outcomes of earlier ones. It may be resent: repeated
+	// outcomes are ignored.
 	Request struct {
 		Holder   Holder
 		Outcomes []Outcome
-		// ReportOnly: the node takes no permit any more, and leaves its subjects.
+		// ReportOnly: the node accepts no more permits and gives up its subjects.
 		ReportOnly bool
 	}
-	// Response has the permits that the node may perform now; none is usual.
+	// Response holds the permits that the node may use now; usually there are none.
 	Response struct {
 		Permits []Permit
-		// Validity is for how long they may be performed, from the moment at which the request was sent.
+		// Validity is how long the permits are valid, from the time at which the request was sent.
 		Validity clock.Micros
 	}
 )
--- a/internal/exclusive/model_control_test.go
+++ b/internal/exclusive/model_control_test.go
@@ -9,22 +9,22 @@
 
 var errNoResponse = errors.New("no response in time")
 
-// modelTerm is one primary. It stands for the control state's replication group: at most one update is in
-// flight, and it is durable on every replica when it is confirmed.
+// modelTerm is one term of a primary. It models the control state's replication group: at most one update
+// is in flight, and a confirmed update is durable on every replica.
 type modelTerm struct {
 	model      *model
 	node       *modelNode
 	arbiter    *Arbiter
 	confirmed  Table
-	table      Table // with what is in flight
+	table      Table // includes the update in flight
 	leaseUntil clock.Micros
-	isDeposed  bool // nothing is confirmed any more; the lease may still run for a moment
+	isDeposed  bool // confirms nothing more; the lease may still be valid for a moment
 	inFlight   func()
 	waiting    []func()
-	proposals  int // each proposal of an act has another content
+	proposals  int // makes the content of every proposal different
 }
 
-// startTerm has a node serve as primary.
+// startTerm makes a random node primary of a new term.
 func (m *model) startTerm(table Table) {
 	m.epoch++
 	var running []*modelNode
@@ -46,11 +46,11 @@
 	term.arbiter.SetSelf(Holder{term.node.name, term.node.instance})
 	term.arbiter.Start(m.epoch, term.node.now())
 	m.term = term
-	m.logf("%s serves as primary of term %d", term.node.name, m.epoch)
+	m.logf("%s is primary of term %d", term.node.name, m.epoch)
 }
 
-// changePrimary has the primary succeeded once the lease that it may still hold has ended. What it had
-// in flight is lost, or found by its successor.
+// changePrimary replaces the primary once any lease that it still holds has ended. The update that it had
+// in flight is either lost or part of its successor's table.
 func (m *model) changePrimary() {
 	old := m.term
 	if old == nil || old.isDeposed {
@@ -71,7 +71,7 @@
 
 func (t *modelTerm) holdsLease() bool { return !t.isDeposed || t.model.now < t.leaseUntil }
 
-// receive takes a request; it is decided when nothing is in flight.
+// receive processes a request once no update is in flight.
 func (t *modelTerm) receive(from *modelNode, request Request, reply func(Response)) {
 	decide := func() { t.decide(from, request, reply) }
 	if t.inFlight != nil {
@@ -111,7 +111,7 @@
 	t.model.schedule(t.model.delay(), func() { t.node.runStep(t.confirm) })
 }
 
-// confirm ends the update in flight.
+// confirm marks the update in flight as durable, and continues with the waiting requests.
 func (t *modelTerm) confirm() {
 	if t.isDeposed {
 		return
@@ -131,8 +131,8 @@
 	}
 }
 
-// due proposes acts: a window is proposed again and again, with another content each time; a target
-// replaces the one before.
+// due proposes acts: each window is proposed repeatedly, with different content each time; a new target
+// supersedes the previous one.
 func (t *modelTerm) due() []Act {
 	t.proposals++
 	content := fmt.Appendf(nil, "term %d, proposal %d", t.model.epoch, t.proposals)
--- a/internal/exclusive/model_external_test.go
+++ b/internal/exclusive/model_external_test.go
@@ -7,7 +7,7 @@
 	"tuliprudder/internal/clock"
 )
 
-// externalSystem takes calls and remembers them. It looks at no fence.
+// externalSystem receives calls and records them. It does not check fences.
 type externalSystem struct {
 	model            *model
 	calls            []call
@@ -18,11 +18,11 @@
 	busyUntil        clock.Micros
 	answersLostUntil clock.Micros // until when
 	recoveredAt      clock.Micros
-	firstSeenOpen    map[string]clock.Micros // when acts were first seen open while nothing failed
+	firstSeenOpen    map[string]clock.Micros // when each act was first seen open while nothing failed
 	violation        string
 }
 
-// call is what arrived.
+// call is a call that the external system received.
 type call struct {
 	at      clock.Micros
 	subject Subject
@@ -32,14 +32,14 @@
 	fence   uint64
 }
 
-// desired is what the sources want now; it changes every few seconds.
+// desired returns the target that the sources propose now; it changes every 7 s.
 func (o *externalSystem) desired(subject Subject) int64 {
 	return (o.model.now + int64(len(subject))) / (7 * clock.Second)
 }
 
 func (o *externalSystem) injectFault(duration clock.Micros) {
 	until := o.model.now + duration
-	o.model.logf("the outside system fails for %d ms", duration/clock.Millisecond)
+	o.model.logf("the external system fails for %d ms", duration/clock.Millisecond)
 	switch o.model.rng.Intn(4) {
 	case 0:
 		o.slowUntil = until
@@ -57,18 +57,19 @@
 	o.slowUntil, o.downUntil, o.busyUntil, o.answersLostUntil = 0, 0, 0, 0
 }
 
-// connection is one call of a process.
+// connection is the connection of one call by a process.
 type connection struct {
 	node       *modelNode
 	task       Task
 	isReset    bool
-	isReported bool // the result was reported
+	isReported bool // to the performer
 }
 
-// reset drops what is under way.
+// reset drops a call that has not arrived yet.
 func (c *connection) reset() { c.isReset = true }
 
-// connect dials, writes after a last look at the clock, and resets the connection at the deadline.
+// connect opens a connection, sends the call unless its deadline has passed by then, and resets the
+// connection at the deadline.
 func (o *externalSystem) connect(node *modelNode, task Task) {
 	m := o.model
 	c := &connection{node: node, task: task}
@@ -83,7 +84,7 @@
 	m.maybeInjectStepFault(node)
 }
 
-// write writes the call, unless its time is over.
+// write sends the call, unless its deadline has passed.
 func (o *externalSystem) write(c *connection) {
 	isLate := c.node.now() >= c.task.Deadline
 	if isLate && !o.model.faults.noDeadlineCheck {
@@ -97,7 +98,7 @@
 	o.model.maybeInjectStepFault(c.node)
 }
 
-// deliver has the call arrive once the link is whole, unless the connection is reset before.
+// deliver delivers the call once the external system is reachable, unless the connection is reset first.
 func (o *externalSystem) deliver(c *connection) {
 	m := o.model
 	switch {
@@ -109,7 +110,7 @@
 	}
 }
 
-// report tells the performer how the call ended, once.
+// report reports the result of the call to the performer, once.
 func (c *connection) report(result Result) {
 	if c.isReported {
 		return
@@ -118,7 +119,7 @@
 	c.node.performer.Performed(Performed{ID: c.task.Permit.ID, Result: result}, c.node.now())
 }
 
-// arrive takes a call.
+// arrive processes a call that has arrived.
 func (o *externalSystem) arrive(c *connection) {
 	m, permit := o.model, c.task.Permit
 	if m.now < o.downUntil {
@@ -150,32 +151,32 @@
 	})
 }
 
-// checkCall holds a call against all before it.
+// checkCall checks a call against all earlier ones on its subject.
 func (o *externalSystem) checkCall(latest call) {
-	var otherHolders []string // holders of the subject's calls within the lease, the latest first
+	var otherHolders []string // of the subject's recent calls, the latest first
 	isRecent := true
 	for _, earlier := range slices.Backward(o.calls) {
 		if earlier.subject != latest.subject {
 			continue
 		}
 		if earlier.number == latest.number && earlier.content != latest.content {
-			o.recordViolation("two contents: %+v, %+v", earlier, latest)
+			o.recordViolation("one act with two contents: %+v, %+v", earlier, latest)
 		}
 		if earlier.fence == latest.fence && earlier.holder != latest.holder {
-			o.recordViolation("one fence of two holders: %+v, %+v", earlier, latest)
+			o.recordViolation("one fence with two holders: %+v, %+v", earlier, latest)
 		}
 		if earlier.fence > latest.fence {
-			o.recordViolation("a lower fence: %+v, %+v", earlier, latest)
+			o.recordViolation("fence decreased: %+v, %+v", earlier, latest)
 		}
 		if earlier.number > latest.number && latest.subject != "windows" {
-			o.recordViolation("an act that was superseded: %+v, %+v", earlier, latest)
+			o.recordViolation("superseded act was performed: %+v, %+v", earlier, latest)
 		}
 		isRecent = isRecent && latest.at-earlier.at < alternationWindow
 		if !isRecent {
 			continue
 		}
 		if earlier.holder == latest.holder && len(otherHolders) > 0 {
-			o.recordViolation("%s acts, then %v, then %s again: %+v, %+v", latest.holder, otherHolders, latest.holder, earlier, latest)
+			o.recordViolation("holders alternate: %s, then %v, then %s again: %+v, %+v", latest.holder, otherHolders, latest.holder, earlier, latest)
 		}
 		if earlier.holder != latest.holder {
 			otherHolders = append(otherHolders, earlier.holder)
@@ -183,7 +184,7 @@
 	}
 }
 
-// checkProgress tells of acts that stay open while nothing fails.
+// checkProgress records a violation if acts stay open, or windows undecided, while nothing fails.
 func (o *externalSystem) checkProgress() {
 	m := o.model
 	term := m.term
@@ -194,7 +195,7 @@
 		for _, act := range record.Open {
 			since := max(o.openSince(subject, act.Number), o.recoveredAt)
 			if m.now-since > maxOpenAge {
-				o.recordViolation("%s %d is open since %d s", subject, act.Number, (m.now-since)/clock.Second)
+				o.recordViolation("%s %d has been open for %d s", subject, act.Number, (m.now-since)/clock.Second)
 			}
 		}
 	}
@@ -204,7 +205,7 @@
 	}
 }
 
-// openSince is when an act was first seen open.
+// openSince returns when an act was first seen open.
 func (o *externalSystem) openSince(subject Subject, number uint64) clock.Micros {
 	key := fmt.Sprintf("%s %d", subject, number)
 	if _, isSeen := o.firstSeenOpen[key]; !isSeen {
--- a/internal/exclusive/model_test.go
+++ b/internal/exclusive/model_test.go
@@ -12,25 +12,25 @@
 	"tuliprudder/internal/machine"
 )
 
-// The model is a fleet whose primary changes, whose nodes freeze, die and come back under the same
-// name, whose messages are late, lost and doubled, and whose outside system is slow, down or
-// unreachable. What the outside system received is held against the rules.
+// The model simulates a fleet: the primary changes; nodes pause, crash and restart under the same name;
+// messages are delayed, lost and duplicated; and the external system is slow, down or unreachable. The
+// calls that the external system receives are checked against the invariants of the package.
 
 const (
 	modelStep         = 20 * clock.Millisecond
-	recoveryPeriod    = 40 * clock.Second // at the end of a run
-	alternationWindow = 3 * clock.Second  // within which holders must not act in the order A, B, A
-	maxOpenAge        = 15 * clock.Second // of an act while nothing fails
+	recoveryPeriod    = 40 * clock.Second // fault-free part at the end of a run
+	alternationWindow = 3 * clock.Second  // within which holders must not alternate (A, B, A)
+	maxOpenAge        = 15 * clock.Second // maximum age of an open act while nothing fails
 	windowInterval    = 5 * clock.Second
 )
 
-// modelFaults are faults that are planted in the model or in the package.
+// modelFaults are faults that are injected into the model or the package.
 type modelFaults struct {
 	InjectedFaults
-	answerBeforeDurable bool // a response goes out while its update is in flight
-	tableLost           bool // a new primary begins without the table
-	noDeadlineCheck     bool // a process that was frozen sends after the deadline
-	noReset             bool // a call that is given up stays in the network
+	answerBeforeDurable bool // a response is sent while its update is in flight
+	tableLost           bool // a new primary starts with an empty table
+	noDeadlineCheck     bool // a process that was paused sends after the deadline
+	noReset             bool // a call that has timed out stays in the network
 }
 
 type event struct {
@@ -61,8 +61,8 @@
 	faults        modelFaults
 	faultsStopped bool
 
-	nodes            []*modelNode // those that run, and frozen ones that were replaced
-	startedProcesses int          // processes
+	nodes            []*modelNode // running ones, and paused ones that were replaced
+	startedProcesses int          // number of processes started so far
 	term             *modelTerm
 	epoch            uint64
 	external         *externalSystem
@@ -86,7 +86,7 @@
 	return m
 }
 
-// schedule has something happen later.
+// schedule runs do after a delay.
 func (m *model) schedule(delay clock.Micros, do func()) {
 	m.serial++
 	heap.Push(&m.events, event{m.now + delay, m.serial, do})
@@ -102,7 +102,7 @@
 	m.log = append(m.log, fmt.Sprintf("%9.3f s  ", float64(m.now)/float64(clock.Second))+fmt.Sprintf(format, args...))
 }
 
-// run lets time pass, with faults until the last part.
+// run simulates a duration, with faults until the recovery period.
 func (m *model) run(duration clock.Micros) {
 	end := m.now + duration
 	m.schedule(m.faultInterval, m.injectFault)
@@ -131,7 +131,7 @@
 	m.schedule(modelStep, m.tick)
 }
 
-// transmit carries a message between nodes; it may come late, twice or not at all.
+// transmit delivers a message between nodes: late, twice or not at all.
 func (m *model) transmit(from, to *modelNode, arrive func()) {
 	if !m.faultsStopped && m.chance(m.lossRate) {
 		return
@@ -149,7 +149,7 @@
 	}
 }
 
-// delay is the time that a message or a step takes.
+// delay returns the random duration of a message or step.
 func (m *model) delay() clock.Micros {
 	short := clock.Millisecond + m.randomDuration(5*clock.Millisecond)
 	if m.faultsStopped || !m.chance(m.slowRate) {
@@ -161,7 +161,7 @@
 	return m.randomDuration(5 * clock.Second)
 }
 
-// injectFault lets a fault happen, and the next one later.
+// injectFault injects a random fault and schedules the next one.
 func (m *model) injectFault() {
 	if m.faultsStopped {
 		return
@@ -180,11 +180,11 @@
 		m.schedule(m.randomDuration(5*clock.Second), func() { m.startProcess(node.name) })
 	case 4:
 		node.isPartitioned = true
-		m.logf("%s is cut off from the nodes", node.name)
+		m.logf("%s is partitioned from the other nodes", node.name)
 		m.schedule(duration, func() { node.isPartitioned = false })
 	case 5, 6:
 		node.isExternalUnreachable = true
-		m.logf("%s is cut off from the outside system", node.name)
+		m.logf("%s cannot reach the external system", node.name)
 		m.schedule(duration, func() { node.isExternalUnreachable = false })
 	case 7, 8:
 		m.changePrimary()
@@ -193,7 +193,7 @@
 	}
 }
 
-// pickFaultTarget draws a node; often the one that acted last.
+// pickFaultTarget picks a random node, often the one that called the external system last.
 func (m *model) pickFaultTarget() *modelNode {
 	for _, node := range m.nodes {
 		if node.name == m.external.lastHolder && m.chance(0.5) {
@@ -203,9 +203,9 @@
 	return m.nodes[m.rng.Intn(len(m.nodes))]
 }
 
-// stopFaults ends all faults.
+// stopFaults ends all faults and injects no more.
 func (m *model) stopFaults() {
-	m.logf("calm")
+	m.logf("faults stop")
 	m.faultsStopped = true
 	m.external.stopFaults()
 	for _, node := range slices.Clone(m.nodes) {
@@ -217,7 +217,7 @@
 	}
 }
 
-// maybeInjectStepFault lets a fault hit a node at a step of a call.
+// maybeInjectStepFault may inject a fault into a node at a step of a call.
 func (m *model) maybeInjectStepFault(node *modelNode) {
 	if m.faultsStopped || !m.chance(m.stepFaultRate) {
 		return
@@ -231,11 +231,11 @@
 		m.schedule(m.randomDuration(3*clock.Second), func() { m.startProcess(node.name) })
 	case 2:
 		node.isPartitioned = true
-		m.logf("%s is cut off from the nodes", node.name)
+		m.logf("%s is partitioned from the other nodes", node.name)
 		m.schedule(duration, func() { node.isPartitioned = false })
 	case 3:
 		node.isExternalUnreachable = true
-		m.logf("%s is cut off from the outside system", node.name)
+		m.logf("%s cannot reach the external system", node.name)
 		m.schedule(duration, func() { node.isExternalUnreachable = false })
 	case 4:
 		m.changePrimary()
@@ -252,14 +252,14 @@
 	clockOffset clock.Micros
 	isUp        bool
 	isPaused    bool
-	isReplaced  bool // another process has its name; it ends when it thaws for a while
+	isReplaced  bool // another process has its name; killed 5 s after it resumes
 	deferred    []func()
 
 	isPartitioned, isExternalUnreachable bool
 	connections                          []*connection
 }
 
-// startProcess starts a process.
+// startProcess starts a process of a node.
 func (m *model) startProcess(name string) {
 	m.startedProcesses++
 	node := &modelNode{model: m, name: name, instance: fmt.Sprintf("run-%d", m.startedProcesses), isUp: true}
@@ -271,10 +271,10 @@
 	m.logf("%s starts as %s", name, node.instance)
 }
 
-// now is the time by the node's clock.
+// now returns the time by the node's clock.
 func (n *modelNode) now() clock.Micros { return n.model.now + n.clockOffset }
 
-// runStep runs a step of the process, or keeps it while the process is frozen.
+// runStep runs a step of the process, or defers it while the process is paused.
 func (n *modelNode) runStep(step func()) {
 	switch {
 	case !n.isUp:
@@ -286,12 +286,12 @@
 	}
 }
 
-// pause stops the process for a while; another may be started under its name meanwhile.
+// pause suspends the process for a while; with isReplaced, another process starts under its name.
 func (n *modelNode) pause(duration clock.Micros, isReplaced bool) {
 	if n.isPaused || n.isReplaced {
 		return
 	}
-	n.model.logf("%s (%s) freezes", n.name, n.instance)
+	n.model.logf("%s (%s) is paused", n.name, n.instance)
 	n.isPaused = true
 	n.model.schedule(duration, n.resume)
 	if isReplaced {
@@ -305,7 +305,7 @@
 	if !n.isPaused || !n.isUp {
 		return
 	}
-	n.model.logf("%s (%s) thaws", n.name, n.instance)
+	n.model.logf("%s (%s) resumes", n.name, n.instance)
 	n.isPaused = false
 	deferred := n.deferred
 	n.deferred = nil
@@ -357,7 +357,7 @@
 	}
 }
 
-// request sends a request to the primary of now.
+// request sends a request to the current primary.
 func (n *modelNode) request(e machine.Request) {
 	m, term := n.model, n.model.term
 	reply := func(body any, err error) {
@@ -374,12 +374,12 @@
 	})
 }
 
-// modelSeeds plays more runs than CI does.
-var modelSeeds = flag.Int64("model-seeds", modelRuns, "runs of the model without planted faults")
+// modelSeeds allows for more runs than in CI.
+var modelSeeds = flag.Int64("model-seeds", modelRuns, "number of model runs without injected faults")
 
 const (
 	modelRuns     = 300
-	faultRuns     = 2000 // until a planted fault is found
+	faultRuns     = 2000 // maximum number of runs until an injected fault is detected
 	modelDuration = 160 * clock.Second
 )
 
@@ -394,12 +394,12 @@
 			t.Fatalf("seed %d: %s", seed, m.external.violation)
 		}
 		if m.external.accepted < 20 {
-			t.Fatalf("seed %d: only %d acts were done", seed, m.external.accepted)
+			t.Fatalf("seed %d: only %d acts were done, want at least 20", seed, m.external.accepted)
 		}
 	}
 }
 
-// Each planted fault is found by the model, so that it can find such a fault.
+// Checks that the model detects each injected fault, so that a pass of TestModel means something.
 func TestModelDetectsInjectedFaults(t *testing.T) {
 	for name, faults := range map[string]modelFaults{
 		"no holder lease":           {InjectedFaults: InjectedFaults{NoHolderLease: true}},
@@ -420,7 +420,7 @@
 					return
 				}
 			}
-			t.Fatalf("not found in %d runs", faultRuns)
+			t.Fatalf("fault was not detected in %d runs", faultRuns)
 		})
 	}
 }
--- a/internal/exclusive/performer.go
+++ b/internal/exclusive/performer.go
@@ -7,22 +7,22 @@
 	"tuliprudder/internal/machine"
 )
 
-// maxOutcomes is how many outcomes wait to be reported; the oldest is dropped for a new one, and its act
-// performed again.
+// maxOutcomes is the maximum number of outcomes that wait to be reported. Beyond it the oldest is dropped
+// for a new one, and its act is performed again.
 const maxOutcomes = 256
 
-// PerformerSettings are the intervals of a performer; PerformerDefaults has the usual values.
+// PerformerSettings holds the intervals of a performer; PerformerDefaults returns the default values.
 type PerformerSettings struct {
-	// Interval is between two requests. Default 500 ms.
+	// Interval is the time between two requests. Default 500 ms.
 	Interval clock.Micros
-	// PrimaryInterval is the same at the primary itself. It is longer: a holder that isn't the primary
-	// survives a change of the primary, and a change of the primary it. Default 1.2 s.
+	// PrimaryInterval is the same for the primary itself. It is longer, so that other nodes tend to
+	// become holders: then one failure does not take out both the primary and the holder. Default 1.2 s.
 	PrimaryInterval clock.Micros
-	// RequestTimeout is how long a request may take. Default 1 s.
+	// RequestTimeout is the time limit of a request. Default 1 s.
 	RequestTimeout clock.Micros
 }
 
-// PerformerDefaults are the usual settings.
+// PerformerDefaults returns the default settings.
 func PerformerDefaults() PerformerSettings {
 	return PerformerSettings{
 		Interval:        500 * clock.Millisecond,
@@ -31,8 +31,9 @@
 	}
 }
 
-// Task performs an act (machine.Execute). Whoever executes it makes no call to the outside system at or
-// after Deadline, resets a call that is then under way, and reports once with Performed.
+// Task is an instruction to perform an act (machine.Execute). Its executor makes no call to the external
+// system at or after Deadline, resets a call that is in progress at that time, and reports once with
+// Performed.
 type Task struct {
 	Permit   Permit
 	Deadline clock.Micros // by this daemon's clock
@@ -44,7 +45,7 @@
 	Result Result
 }
 
-// Performer requests permits of the primary and has them performed.
+// Performer requests permits from the primary and has the permitted acts performed.
 type Performer struct {
 	settings PerformerSettings
 	holder   Holder
@@ -52,17 +53,17 @@
 	faults   InjectedFaults
 
 	isDraining        bool
-	drainAcknowledged bool // the primary knows that this node drains
+	drainAcknowledged bool // the primary knows that this node is draining
 	isRequesting      bool
 	nextRequestAt     clock.Micros
 	running           map[PermitID]Permit
-	outcomes          []Outcome // to be reported
+	outcomes          []Outcome // not reported yet
 
-	// ResultCounts counts the results by kind.
+	// ResultCounts is the number of finished tasks by result.
 	ResultCounts map[Result]int64
 }
 
-// NewPerformer makes a performer that emits its effects to calls.
+// NewPerformer returns a performer that emits its effects to calls.
 func NewPerformer(holder Holder, settings PerformerSettings, calls *machine.Calls) *Performer {
 	return &Performer{
 		settings:     settings,
@@ -73,11 +74,10 @@
 	}
 }
 
-// InjectFaults plants faults. For tests only.
+// InjectFaults sets the faults to simulate. For tests only.
 func (p *Performer) InjectFaults(faults InjectedFaults) { p.faults = faults }
 
-// Tick sends a request where one is due. primary is the address of the primary core, "" where none is
-// known.
+// Tick sends a request if one is due. primary is the address of the primary core, or "" if none is known.
 func (p *Performer) Tick(primary string, isPrimary bool, now clock.Micros) {
 	if p.isRequesting || now < p.nextRequestAt || primary == "" || p.isDrained() {
 		return
@@ -99,7 +99,8 @@
 	})
 }
 
-// receive takes the response to a request that was sent at a time and reported the first outcomes.
+// receive processes the response to a request that was sent at sentAt; reported is the number of
+// outcomes that the request carried.
 func (p *Performer) receive(response Response, reported int, sentAt, now clock.Micros) {
 	p.outcomes = slices.Delete(p.outcomes, 0, min(reported, len(p.outcomes)))
 	if len(p.outcomes) > 0 {
@@ -113,8 +114,8 @@
 	}
 }
 
-// start has a permit performed, unless it came too late, or it is not known how an earlier one for the
-// act, or one that it supersedes, ends.
+// start has the act of a permit performed, unless the permit has already expired or conflicts with one
+// whose outcome is not known yet.
 func (p *Performer) start(permit Permit, deadline, now clock.Micros) {
 	switch {
 	case now >= deadline:
@@ -127,7 +128,8 @@
 	}
 }
 
-// conflicts tells whether a permit must not be performed beside those that are running.
+// conflicts reports whether a permit's act must not be performed concurrently with the running ones: the
+// same act, or any act of the subject if either of the two supersedes others.
 func (p *Performer) conflicts(permit Permit) bool {
 	for _, running := range p.running {
 		if running.Subject != permit.Subject {
@@ -140,7 +142,7 @@
 	return false
 }
 
-// Performed takes the result of a task; a second one for a permit is ignored.
+// Performed processes the result of a task. A second result for the same permit is ignored.
 func (p *Performer) Performed(report Performed, now clock.Micros) {
 	permit, isRunning := p.running[report.ID]
 	if !isRunning {
@@ -151,7 +153,7 @@
 	p.addOutcome(permit, report.Result, now)
 }
 
-// addOutcome has an outcome reported with the next request, which is due now.
+// addOutcome queues an outcome for the next request, and makes that request due now.
 func (p *Performer) addOutcome(permit Permit, result Result, now clock.Micros) {
 	if len(p.outcomes) >= maxOutcomes && !p.isRequesting {
 		p.outcomes = slices.Delete(p.outcomes, 0, 1)
@@ -162,14 +164,14 @@
 	p.nextRequestAt = min(p.nextRequestAt, now)
 }
 
-// Drain ends the requests for further permits: this daemon is about to stop, and the primary is notified.
-// Outcomes are reported on.
+// Drain stops requesting permits, because this daemon is about to stop, and notifies the primary. Outcomes
+// are still reported.
 func (p *Performer) Drain() { p.isDraining, p.nextRequestAt = true, 0 }
 
-// isDrained tells that a performer that drains has nothing to report any more.
+// isDrained reports whether a draining performer has nothing left to report.
 func (p *Performer) isDrained() bool {
 	return p.drainAcknowledged && len(p.running)+len(p.outcomes) == 0
 }
 
-// Running is the number of permits that are being performed.
+// Running returns the number of permits whose acts are in progress.
 func (p *Performer) Running() int { return len(p.running) }
--- a/internal/exclusive/performer_test.go
+++ b/internal/exclusive/performer_test.go
@@ -8,7 +8,7 @@
 	"tuliprudder/internal/machine"
 )
 
-// performerFixture is a performer whose requests are answered by hand.
+// performerFixture is a performer whose requests are answered by the test.
 type performerFixture struct {
 	t         *testing.T
 	performer *Performer
@@ -23,7 +23,7 @@
 	return &performerFixture{t: t, calls: calls, now: 100 * clock.Second, performer: NewPerformer(holderA, PerformerDefaults(), calls)}
 }
 
-// tick tells whether a request was sent.
+// tick reports whether a request was sent.
 func (f *performerFixture) tick() (isSent bool) {
 	f.performer.Tick("primary", false, f.now)
 	return f.drain()
@@ -41,7 +41,7 @@
 	return isSent
 }
 
-// respond answers the latest request.
+// respond answers the latest request with permits.
 func (f *performerFixture) respond(permits ...Permit) {
 	response := Response{Permits: permits, Validity: Defaults().Validity}
 	f.calls.ReplyReceived(f.request.Token, response, nil, f.now)
@@ -54,7 +54,7 @@
 	return Permit{Act: act, ID: PermitID{1, serial}, Holder: holderA, Fence: 1}
 }
 
-// The response may have been on its way, or the process frozen, for any time.
+// The response may have been delayed, or the process paused, for any length of time.
 func TestPermitValidityStartsWhenRequestIsSent(t *testing.T) {
 	f := newPerformerFixture(t)
 	f.tick()
@@ -62,7 +62,7 @@
 	f.now += 900 * clock.Millisecond
 	f.respond(permitOf(1, act("s", 1, "x")))
 	if len(f.tasks) != 1 || f.tasks[0].Deadline != sentAt+Defaults().Validity {
-		t.Fatalf("the tasks are %+v", f.tasks)
+		t.Fatalf("tasks are %+v", f.tasks)
 	}
 }
 
@@ -73,7 +73,7 @@
 	f.respond(permitOf(1, act("s", 1, "x")))
 	f.tick()
 	if len(f.tasks) > 0 || len(f.outcomes()) != 1 || f.outcomes()[0].Result != NoAnswer {
-		t.Fatalf("tasks %+v, outcomes %+v", f.tasks, f.outcomes())
+		t.Fatalf("tasks are %+v, outcomes are %+v", f.tasks, f.outcomes())
 	}
 }
 
@@ -84,24 +84,25 @@
 	f.performer.Performed(Performed{PermitID{1, 1}, Done}, f.now)
 	f.performer.Performed(Performed{PermitID{1, 1}, NoAnswer}, f.now)
 	if !f.tick() || len(f.outcomes()) != 1 || f.outcomes()[0].Result != Done {
-		t.Fatalf("reported at once: %+v", f.outcomes())
+		t.Fatalf("first report of the outcome: %+v", f.outcomes())
 	}
 	f.calls.ReplyReceived(f.request.Token, nil, errors.New("lost"), f.now)
 	if f.tick() {
-		t.Fatal("a request that failed is sent again without a pause")
+		t.Fatal("a failed request was resent without a delay")
 	}
 	f.now += clock.Second
 	if !f.tick() || len(f.outcomes()) != 1 {
-		t.Fatalf("reported again: %+v", f.outcomes())
+		t.Fatalf("second report after a failed request: %+v", f.outcomes())
 	}
 	f.respond()
 	f.now += clock.Second
 	if !f.tick() || len(f.outcomes()) != 0 {
-		t.Fatalf("reported once more: %+v", f.outcomes())
+		t.Fatalf("outcomes reported again after a response: %+v", f.outcomes())
 	}
 }
 
-// A new primary doesn't know what is being performed.
+// A new primary does not know which acts are in progress, so the performer itself must not run a
+// superseding act concurrently with another one.
 func TestSupersedingActIsDeferredWhileAnotherRuns(t *testing.T) {
 	f := newPerformerFixture(t)
 	older, newer := act("s", 1, "x"), act("s", 2, "y")
@@ -112,52 +113,53 @@
 	f.tick()
 	f.respond(permitOf(2, newer), permitOf(3, act("other", 1, "z")))
 	if len(f.tasks) != 2 || f.tasks[1].Permit.Subject != "other" {
-		t.Fatalf("the tasks are %+v", f.tasks)
+		t.Fatalf("tasks are %+v", f.tasks)
 	}
 	f.tick()
 	if got := f.outcomes(); len(got) != 1 || got[0].ID != (PermitID{1, 2}) || got[0].Result != RetryLater {
-		t.Fatalf("the outcomes are %+v", got)
+		t.Fatalf("outcomes are %+v, want RetryLater for permit 2", got)
 	}
 }
 
 func TestRequestInterval(t *testing.T) {
 	f := newPerformerFixture(t)
 	if !f.tick() || f.tick() {
-		t.Fatal("one request at a time")
+		t.Fatal("want exactly one request at a time")
 	}
 	f.respond()
 	f.now += PerformerDefaults().Interval - 1
 	if f.tick() {
-		t.Fatal("the next one is not due")
+		t.Fatal("request sent before the interval has passed")
 	}
 	f.now++
 	if !f.tick() {
-		t.Fatal("the next one is due")
+		t.Fatal("no request sent after the interval")
 	}
 	f.respond()
 	f.performer.Tick("", false, f.now+clock.Second)
 	if f.drain() {
-		t.Fatal("no primary is known")
+		t.Fatal("request sent although no primary is known")
 	}
 }
 
-// A node that stops is succeeded without the time that an absence takes.
+// A draining node notifies the primary, so that its subjects are reassigned without waiting for the
+// presence timeout.
 func TestDrainingNodeOnlyReportsOutcomes(t *testing.T) {
 	f := newPerformerFixture(t)
 	f.tick()
 	f.respond(permitOf(1, act("s", 1, "x")))
 	f.performer.Drain()
 	if !f.tick() || !f.request.Body.(Request).ReportOnly {
-		t.Fatalf("its next request is %+v", f.request)
+		t.Fatalf("next request is %+v, want ReportOnly", f.request)
 	}
 	f.respond()
 	f.performer.Performed(Performed{PermitID{1, 1}, Done}, f.now)
 	if !f.tick() || len(f.outcomes()) != 1 {
-		t.Fatal("the outcome of what it performed is not reported")
+		t.Fatal("outcome of a running act was not reported")
 	}
 	f.respond()
 	f.now += 10 * clock.Second
 	if f.tick() {
-		t.Fatal("it requests on")
+		t.Fatal("request sent although everything was reported")
 	}
 }
--- a/internal/exclusive/rate.go
+++ b/internal/exclusive/rate.go
@@ -2,15 +2,15 @@
 
 import "tuliprudder/internal/clock"
 
-// rateLimiter bounds the calls of any second. Half of them may come in a burst, and half come at even
-// intervals, so that no second has more than all.
+// rateLimiter limits the calls in any one-second interval. Half of the limit may be used in a burst and
+// half is replenished at even intervals, so that no second exceeds the limit.
 type rateLimiter struct {
-	interval clock.Micros // between two calls at an even rate; 0: no limit
-	burst    clock.Micros // by how much calls may run ahead of that rate
-	nextAt   clock.Micros // when the next call is due at an even rate
+	interval clock.Micros // between two calls at an even rate; 0 means no limit
+	burst    clock.Micros // how far calls may run ahead of the even rate
+	nextAt   clock.Micros // when the next call is due at the even rate
 }
 
-// newRateLimiter begins without a burst: another primary may have used it up just before.
+// newRateLimiter returns a limiter without burst capacity: a previous primary may have just used it up.
 func newRateLimiter(perSecond int, now clock.Micros) rateLimiter {
 	if perSecond <= 0 {
 		return rateLimiter{}
@@ -20,10 +20,10 @@
 	return rateLimiter{interval: interval, burst: burst, nextAt: now + burst}
 }
 
-// allows tells whether there may be a call now.
+// allows reports whether a call is allowed now.
 func (r *rateLimiter) allows(now clock.Micros) bool { return now+r.burst >= r.nextAt }
 
-// take counts a call; false where there may be none now.
+// take counts a call, and reports whether it is allowed now.
 func (r *rateLimiter) take(now clock.Micros) bool {
 	if !r.allows(now) {
 		return false
--- a/internal/exclusive/settings.go
+++ b/internal/exclusive/settings.go
@@ -2,32 +2,33 @@
 
 import "tuliprudder/internal/clock"
 
-// Settings are the times of permits; Defaults has the usual values.
+// Settings holds the timing and limits of permits; Defaults returns the default values.
 type Settings struct {
-	// Validity is for how long a holder may perform an act, from the moment at which it sent its
-	// request. Default 2 s.
+	// Validity is how long a permit is valid, from the time at which the holder sent its request.
+	// Default 2 s.
 	Validity clock.Micros
-	// HolderLease is for how long after its last permit a subject stays with its holder. It is longer
-	// than Validity, so that the former holder's calls have ended before the next one's begin.
+	// HolderLease is how long after its last permit a subject stays with its holder. It is longer than
+	// Validity, so that the previous holder's calls have ended before those of the next one begin.
 	// Default 3.5 s.
 	HolderLease clock.Micros
-	// PresenceTimeout is after how long without a request a holder counts as absent: a subject stays
-	// with a holder that is present. Default 1.5 s.
+	// PresenceTimeout is how long after its last request a node counts as absent. A subject stays with
+	// its holder while the holder is present. Default 1.5 s.
 	PresenceTimeout clock.Micros
-	// MinRetryDelay and MaxRetryDelay are between two permits for an act that was not done; the delay
-	// doubles with each. Defaults 300 ms and 2 s.
+	// MinRetryDelay and MaxRetryDelay bound the delay before a subject's next permit when an act was not
+	// done; the delay doubles each time. Defaults 300 ms and 2 s.
 	MinRetryDelay, MaxRetryDelay clock.Micros
-	// MaxFailures is how many times in a row the outside system may give no answer until a holder has
-	// to leave the subject to another. Default 3.
+	// MaxFailures is the number of consecutive failures without an answer of the external system after
+	// which the holder is excluded from the subject. Default 3.
 	MaxFailures int
-	// ExclusionTime is for how long such a holder gets no permit for the subject. Default 10 s.
+	// ExclusionTime is how long an excluded holder gets no permits for the subject, as long as another
+	// node can take it over. Default 10 s.
 	ExclusionTime clock.Micros
-	// CallsPerSecond is how many calls the outside system takes a second, of all nodes together;
-	// 0: any number. Default 10.
+	// CallsPerSecond limits the calls to the external system, of all nodes together; 0 means no limit.
+	// Default 10.
 	CallsPerSecond int
 }
 
-// Defaults are the usual settings.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
 		Validity:        2 * clock.Second,
@@ -41,12 +42,12 @@
 	}
 }
 
-// InjectedFaults are faults that tests plant to show that their checks catch them. Set by tests only.
+// InjectedFaults are set only by tests, to show that their checks detect such faults.
 type InjectedFaults struct {
-	NoHolderLease         bool // a subject passes on while the former holder's permits are valid
-	IgnorePresence        bool // a subject passes on though its holder is present
-	LatestProposedContent bool // a permit has the content that is proposed now, not the decided one
-	StaleFence            bool // a new holder's permits have the former holder's fence
-	// ValidFromArrival: permits count from the arrival of the response at the performer.
+	NoHolderLease         bool // a subject is reassigned while the previous holder's permits are valid
+	IgnorePresence        bool // a subject is reassigned although its holder is present
+	LatestProposedContent bool // a permit has the content proposed now instead of the decided one
+	StaleFence            bool // a new holder's permits have the previous holder's fence
+	// ValidFromArrival: the validity of permits starts when the response arrives at the performer.
 	ValidFromArrival bool
 }
--- a/internal/exclusive/status.go
+++ b/internal/exclusive/status.go
@@ -7,23 +7,23 @@
 	"tuliprudder/internal/clock"
 )
 
-// SubjectStatus is what is known of a subject, for operators. Its JSON is given to them; the keys never
+// SubjectStatus is the status of a subject, for operators. They are given its JSON, so the keys must not
 // change.
 type SubjectStatus struct {
 	Subject Subject `json:"subject"`
 	Holder  string  `json:"holder"`
 	Fence   uint64  `json:"fence"`
-	// LastNumber is that of the latest act whose content was decided.
+	// LastNumber is the number of the latest act whose content was decided.
 	LastNumber uint64 `json:"last_number"`
-	// LastResult is that of the latest permit that this primary granted; "" before it is known.
+	// LastResult is the latest result reported for a permit of this primary; "" before the first.
 	LastResult string `json:"last_result"`
-	// Failures is how many permits in a row brought no answer.
+	// Failures is the number of consecutive failures without an answer.
 	Failures int         `json:"failures"`
 	Open     []ActStatus `json:"open"`
 }
 
-// ActStatus is an act that is decided and not known to be done. Its JSON is given to operators; the keys
-// never change.
+// ActStatus is the status of an act that is decided and not known to be done. Operators are given its
+// JSON, so the keys must not change.
 type ActStatus struct {
 	Number uint64 `json:"number"`
 	// AgeUS is the time since its content was decided, in microseconds.
@@ -32,7 +32,7 @@
 	IsPending bool `json:"pending"`
 }
 
-// Status lists the subjects, by name.
+// Status returns the status of all subjects, sorted by name.
 func (a *Arbiter) Status(table *Table, now clock.Micros) []SubjectStatus {
 	list := []SubjectStatus{}
 	for _, subject := range slices.Sorted(maps.Keys(table.Subjects)) {
@@ -57,7 +57,7 @@
 	return status
 }
 
-// OldestOpenAge is the age of the oldest open act; 0 without one.
+// OldestOpenAge returns the age of the oldest open act, or 0 if there is none.
 func (t *Table) OldestOpenAge(now clock.Micros) clock.Micros {
 	age := clock.Micros(0)
 	for _, record := range t.Subjects {
@@ -68,7 +68,7 @@
 	return age
 }
 
-// OpenActCount is the number of acts that are decided and not known to be done.
+// OpenActCount returns the number of acts that are decided and not known to be done.
 func (t *Table) OpenActCount() (count int) {
 	for _, record := range t.Subjects {
 		count += len(record.Open)
--- a/internal/exclusive/subject_state.go
+++ b/internal/exclusive/subject_state.go
@@ -8,30 +8,30 @@
 	"tuliprudder/internal/clock"
 )
 
-// subjectState is what the arbiter knows of the permits of one subject.
+// subjectState is the arbiter's state about the permits of one subject.
 type subjectState struct {
-	lastPermitAt clock.Micros // 0: none was granted by this primary
-	retryAt      clock.Micros // when the next permit is due
-	retryDelay   clock.Micros // that the latest failure brought about
+	lastPermitAt clock.Micros // 0 if this primary has granted none
+	retryAt      clock.Micros // earliest time of the next permit
+	retryDelay   clock.Micros // set by the latest failure
 	pending      map[PermitID]pendingPermit
 
-	failures        int    // in a row
-	lastFailedBatch uint64 // the latest that failed; the permits of one batch are one failure
-	excludedHolder  Holder // that has to leave the subject to another; the zero value for none
+	failures        int    // consecutive
+	lastFailedBatch uint64 // the latest that failed; the permits of one batch count as one failure
+	excludedHolder  Holder // must leave the subject to another node; the zero value for none
 	excludedUntil   clock.Micros
 
 	lastResult Result
 	hasResult  bool
 }
 
-// pendingPermit is a permit that was granted and whose outcome isn't known.
+// pendingPermit is a permit that was granted and whose outcome is not known yet.
 type pendingPermit struct {
-	number    uint64 // of the act
-	batch     uint64 // that were granted together
+	number    uint64 // number of the act
+	batch     uint64 // shared by permits that were granted together
 	expiresAt clock.Micros
 }
 
-// isPending tells whether an act may be being performed by a permit of this primary.
+// isPending reports whether an act may be in progress under a permit of this primary.
 func (a *subjectState) isPending(number uint64) bool {
 	for _, permit := range a.pending {
 		if permit.number == number {
@@ -41,23 +41,23 @@
 	return false
 }
 
-// isExcluded tells whether a holder has to leave the subject to another.
+// isExcluded reports whether a holder must leave the subject to another node.
 func (a *subjectState) isExcluded(holder Holder, now clock.Micros) bool {
 	return a.excludedHolder == holder && now < a.excludedUntil
 }
 
-// recordSuccess records that the outside system took an act, or refused it for good.
+// recordSuccess records that the external system accepted an act, or rejected it permanently.
 func (a *subjectState) recordSuccess(now clock.Micros) {
 	a.failures, a.retryDelay, a.retryAt = 0, 0, now
 }
 
-// recordRetryLater records that the outside system wants to be called later.
+// recordRetryLater records that an act is to be retried later.
 func (a *subjectState) recordRetryLater(settings Settings, now clock.Micros) {
 	a.failures = 0
 	a.backOff(settings, now)
 }
 
-// recordNoAnswer records that a permit ended without an answer at a time.
+// recordNoAnswer records that a permit ended without an answer at the given time.
 func (a *subjectState) recordNoAnswer(settings Settings, holder Holder, batch uint64, at clock.Micros) {
 	if batch <= a.lastFailedBatch {
 		return
@@ -77,7 +77,7 @@
 	a.retryAt = now + a.retryDelay
 }
 
-// expire ends the permits that no holder may perform any more.
+// expire removes the permits that have expired, and counts them as unanswered.
 func (a *subjectState) expire(settings Settings, holder Holder, now clock.Micros) {
 	for _, id := range slices.SortedFunc(maps.Keys(a.pending), comparePermits) {
 		permit := a.pending[id]
@@ -88,5 +88,5 @@
 	}
 }
 
-// comparePermits orders the permits of one primary as they were granted.
+// comparePermits orders the permits of one primary in the order in which they were granted.
 func comparePermits(one, other PermitID) int { return cmp.Compare(one.Serial, other.Serial) }
--- a/internal/exclusive/table.go
+++ b/internal/exclusive/table.go
@@ -7,53 +7,53 @@
 )
 
 const (
-	// maxOpenActs is how many undone acts of a subject are kept; the oldest is given up for a new one.
+	// maxOpenActs is the maximum number of open acts of a subject; beyond it the oldest is abandoned.
 	maxOpenActs = 64
-	// maxSubjects is how many subjects are remembered; of those that may be forgotten (Record.mayBeForgotten)
-	// the one that was granted least recently is, for a new one.
+	// maxSubjects is the maximum number of subjects. Beyond it the evictable subject (Record.isEvictable)
+	// with the least recent grant is evicted for a new one.
 	maxSubjects = 1024
 )
 
-// Table is what has been decided of each subject. Its maps and slices are replaced, not changed, so
-// that a copy stays as it is. Its JSON is in the snapshots of the control state; the keys never
-// change.
+// Table holds what has been decided for each subject. Its maps and slices are replaced, never modified,
+// so a shallow copy is a snapshot. Its JSON is part of the control state's snapshots, so the keys must
+// not change.
 type Table struct {
 	Subjects map[Subject]Record `json:"subjects,omitempty"`
-	// FenceFloor is the highest fence of the subjects that were forgotten; a new subject's is above.
+	// FenceFloor is the highest fence of the evicted subjects; the fence of a new subject starts above it.
 	FenceFloor uint64 `json:"fence_floor,omitempty"`
 	// Grants counts the grants of all subjects.
 	Grants uint64 `json:"grants,omitempty"`
-	// Abandoned counts the open acts that were given up for newer ones.
+	// Abandoned counts the open acts that were dropped for newer ones.
 	Abandoned uint64 `json:"abandoned,omitempty"`
 }
 
-// Record is what has been decided of one subject.
+// Record holds what has been decided for one subject.
 type Record struct {
 	Holder Holder `json:"holder"`
-	// Fence is the highest that was ever granted; 0: none was.
+	// Fence is the highest fence granted so far; 0 if none was.
 	Fence uint64 `json:"fence"`
 	// GrantedAt is the number of its latest grant (Table.Grants).
 	GrantedAt uint64 `json:"granted"`
-	// LastNumber is the highest number of an act whose content was decided. Those up to it that
-	// are not open are done, given up or superseded.
+	// LastNumber is the highest number of an act whose content was decided. Acts up to it that are
+	// not open were done, refused, abandoned or superseded.
 	LastNumber uint64 `json:"last"`
-	// LastContent is the content of that act where it supersedes those before it.
+	// LastContent is the content of that act, if it supersedes those before it.
 	LastContent []byte `json:"content,omitempty"`
-	// Open are the acts that are decided and not known to be done, in the order of their numbers.
+	// Open holds the acts that are decided and not known to be done, ordered by number.
 	Open []Act `json:"open,omitempty"`
 }
 
-// Update is one change of the table. It is stored; its JSON keys never change.
+// Update is one change of the table. It is stored, so its JSON keys must not change.
 type Update struct {
 	Settlements []Settlement `json:"settlements,omitempty"`
 	Grants      []Grant      `json:"grants,omitempty"`
 }
 
-// IsEmpty tells that the update changes nothing.
+// IsEmpty reports whether the update changes nothing.
 func (u Update) IsEmpty() bool { return len(u.Settlements)+len(u.Grants) == 0 }
 
-// Grant records permits: the holder and fence of a subject, and the contents of acts that have none
-// yet. It is stored; its JSON keys never change.
+// Grant records permits: the holder and fence of a subject, and the contents of newly decided acts. It
+// is stored, so its JSON keys must not change.
 type Grant struct {
 	Subject Subject `json:"subject"`
 	Holder  Holder  `json:"holder"`
@@ -61,17 +61,17 @@
 	Acts    []Act   `json:"acts,omitempty"` // newly decided
 }
 
-// Settlement records that acts need not be performed any more. It is stored; its JSON keys never
+// Settlement records that acts need not be performed again. It is stored, so its JSON keys must not
 // change.
 type Settlement struct {
 	Subject Subject  `json:"subject"`
 	Numbers []uint64 `json:"numbers"`
 }
 
-// IsZero tells that nothing was ever decided.
+// IsZero reports whether nothing was ever decided.
 func (t Table) IsZero() bool { return len(t.Subjects) == 0 && t.Grants == 0 }
 
-// Record is what has been decided of a subject; the zero value before the first permit.
+// Record returns what has been decided for a subject, or the zero value before its first permit.
 func (t *Table) Record(subject Subject) Record { return t.Subjects[subject] }
 
 // Apply applies an update.
@@ -84,8 +84,8 @@
 	}
 }
 
-// applyGrant applies a grant. A fence never goes back and never has two holders, and the content of an
-// act never changes.
+// applyGrant applies a grant. It ignores a grant that would lower a subject's fence or give one fence to
+// two holders, and never changes the content of a decided act.
 func (t *Table) applyGrant(grant Grant) {
 	record, isKnown := t.Subjects[grant.Subject]
 	if !isKnown {
@@ -106,7 +106,7 @@
 	t.setRecord(grant.Subject, record)
 }
 
-// evictOne makes room for a subject, where there is none.
+// evictOne evicts a subject if the table is full and one is evictable.
 func (t *Table) evictOne() {
 	oldest, exists := t.oldestEvictable()
 	if len(t.Subjects) < maxSubjects || !exists {
@@ -117,7 +117,7 @@
 	delete(t.Subjects, oldest)
 }
 
-// oldestEvictable is the subject that was granted least recently of those that may be forgotten; false where none may.
+// oldestEvictable returns the evictable subject with the least recent grant; false if none is evictable.
 func (t *Table) oldestEvictable() (oldest Subject, exists bool) {
 	for subject, record := range t.Subjects {
 		if !record.isEvictable() {
@@ -130,21 +130,21 @@
 	return oldest, exists
 }
 
-// hasCapacity tells whether there is room for another subject.
+// hasCapacity reports whether the table can take another subject.
 func (t *Table) hasCapacity() bool {
 	_, canEvict := t.oldestEvictable()
 	return len(t.Subjects) < maxSubjects || canEvict
 }
 
-// firstFence is the fence that a new subject begins with.
+// firstFence returns the fence that a new subject starts with.
 func (t *Table) firstFence() uint64 {
 	after := *t
 	after.evictOne()
 	return after.FenceFloor + 1
 }
 
-// withAct is the record with one more act, and how many were given up for it; without a change where
-// the act was decided before.
+// withAct returns the record with an act added, and how many open acts were abandoned for it. The record
+// is unchanged if the act was decided before.
 func (r Record) withAct(act Act) (after Record, abandoned int) {
 	if act.Number <= r.LastNumber {
 		return r, 0
@@ -161,11 +161,12 @@
 	return r, abandoned
 }
 
-// isEvictable tells whether nothing is lost with the record: it has no open act, and its acts supersede each
-// other. Of others LastNumber tells which are decided; without it they would be decided anew.
+// isEvictable reports whether the record can be evicted without loss: it has no open act, and its acts
+// supersede each other. For other subjects LastNumber shows which acts are decided; without it they would
+// be decided again.
 func (r Record) isEvictable() bool { return len(r.Open) == 0 && len(r.LastContent) > 0 }
 
-// isOpen tells whether an act of the subject is decided and not known to be done.
+// isOpen reports whether an act of the subject is decided and not known to be done.
 func (r Record) isOpen(number uint64) bool {
 	return slices.ContainsFunc(r.Open, func(act Act) bool { return act.Number == number })
 }
@@ -182,7 +183,7 @@
 	t.setRecord(settlement.Subject, record)
 }
 
-// setRecord replaces the map, which may have been handed out.
+// setRecord sets a subject's record in a new map, since copies of the table share the old one.
 func (t *Table) setRecord(subject Subject, record Record) {
 	subjects := make(map[Subject]Record, len(t.Subjects)+1)
 	maps.Copy(subjects, t.Subjects)
--- a/internal/exclusive/table_test.go
+++ b/internal/exclusive/table_test.go
@@ -24,7 +24,7 @@
 	table.Apply(grantUpdate("s", holderB, 2, act("s", 5, "second"), act("s", 4, "earlier")))
 	open := table.Record("s").Open
 	if len(open) != 1 || string(open[0].Content) != "first" {
-		t.Fatalf("open are %+v", open)
+		t.Fatalf("open acts are %+v", open)
 	}
 }
 
@@ -35,7 +35,7 @@
 	table.Apply(grantUpdate("s", holderB, 3, act("s", 2, "y")))
 	table.Apply(grantUpdate("s", Holder{"node-a", "run-2"}, 3, act("s", 2, "y")))
 	if record := table.Record("s"); record.Holder != holderA || record.Fence != 3 || record.LastNumber != 1 {
-		t.Fatalf("the record is %+v", record)
+		t.Fatalf("unexpected record: %+v", record)
 	}
 }
 
@@ -47,7 +47,7 @@
 	table.Apply(grantUpdate("s", holderA, 1, newer))
 	record := table.Record("s")
 	if len(record.Open) != 1 || record.Open[0].Number != 2 || string(record.LastContent) != "y" {
-		t.Fatalf("the record is %+v", record)
+		t.Fatalf("unexpected record: %+v", record)
 	}
 }
 
@@ -58,10 +58,10 @@
 	table.Apply(Update{Settlements: []Settlement{{Subject: "s", Numbers: []uint64{1, 9}}, {Subject: "unknown", Numbers: []uint64{1}}}})
 	table.Apply(grantUpdate("s", holderA, 1, act("s", 1, "z")))
 	if open := table.Record("s").Open; len(open) != 1 || open[0].Number != 2 {
-		t.Fatalf("open are %+v", open)
+		t.Fatalf("open acts are %+v, want act 2 only", open)
 	}
 	if len(copied.Record("s").Open) != 2 {
-		t.Fatal("a copy of the table has changed")
+		t.Fatal("a copy of the table was modified")
 	}
 }
 
@@ -72,11 +72,11 @@
 	}
 	open := table.Record("s").Open
 	if len(open) != maxOpenActs || open[0].Number != 4 || table.Abandoned != 3 {
-		t.Fatalf("%d are open from %d, %d given up", len(open), open[0].Number, table.Abandoned)
+		t.Fatalf("%d open acts starting at %d, %d abandoned", len(open), open[0].Number, table.Abandoned)
 	}
 }
 
-// A subject that was forgotten gets no fence that it had before.
+// An evicted subject must not get a fence again that it had before.
 func TestEvictedSubjectGetsHigherFence(t *testing.T) {
 	var table Table
 	target := act("forgotten", 1, "x")
@@ -88,21 +88,22 @@
 		table.Apply(grantUpdate(subject, holderA, nextFence(&table, subject, holderA), act(subject, 1, "x")))
 	}
 	if _, isKnown := table.Subjects["forgotten"]; isKnown || len(table.Subjects) != maxSubjects {
-		t.Fatalf("%d subjects are known", len(table.Subjects))
+		t.Fatalf("subject was not evicted, or the size is wrong: %d subjects", len(table.Subjects))
 	}
 	if table.hasCapacity() {
-		t.Fatal("every subject has an open act, and there is room for one more")
+		t.Fatal("table has capacity although every subject has an open act")
 	}
 	if fence := nextFence(&table, "forgotten", holderA); fence <= 7 {
-		t.Fatalf("its next fence is %d", fence)
+		t.Fatalf("next fence is %d, want more than 7", fence)
 	}
 	table.Apply(grantUpdate("forgotten", holderB, 7, act("forgotten", 2, "y")))
 	if _, isKnown := table.Subjects["forgotten"]; isKnown {
-		t.Fatal("a former fence was granted again")
+		t.Fatal("a fence was granted again after eviction")
 	}
 }
 
-// Acts that are all to be performed were decided anew, with other contents, once their subject was forgotten.
+// Guards against deciding acts a second time, with different content: that happened when a subject
+// whose acts do not supersede each other was evicted, since its LastNumber was lost.
 func TestSubjectWithoutSupersedingActsIsNotEvicted(t *testing.T) {
 	var table Table
 	table.Apply(grantUpdate("windows", holderA, 7, act("windows", 5, "first")))
@@ -115,6 +116,6 @@
 	}
 	table.Apply(grantUpdate("windows", holderA, nextFence(&table, "windows", holderA), act("windows", 5, "second")))
 	if record := table.Record("windows"); record.LastNumber != 5 || len(record.Open) > 0 {
-		t.Fatalf("the act was decided again: %+v", record)
+		t.Fatalf("act was decided again: %+v", record)
 	}
 }
