--- a/internal/exclusive/arbiter.go
+++ b/internal/exclusive/arbiter.go
@@ -95,7 +95,7 @@
 	var decision Decision
 	after := *table
 	for _, outcome := range request.Outcomes {
-		if settlement, isSettled := a.processOutcome(&after, request.Holder, outcome, now); isSettled {
+		if settlement, exists := a.processOutcome(&after, request.Holder, outcome, now); exists {
 			after.applySettlement(settlement)
 			decision.Update.Settlements = append(decision.Update.Settlements, settlement)
 			decision.Events = append(decision.Events, refusalEvents(request.Holder, outcome)...)
--- a/internal/exclusive/model_external_test.go
+++ b/internal/exclusive/model_external_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func (o *externalSystem) stopFaults() {
+func (o *externalSystem) recover() {
 	o.recoveredAt = o.model.now
 	o.slowUntil, o.downUntil, o.busyUntil, o.answersLostUntil = 0, 0, 0, 0
 }
--- a/internal/exclusive/model_test.go
+++ b/internal/exclusive/model_test.go
@@ -108,7 +108,7 @@
 	m.schedule(m.faultInterval, m.injectFault)
 	m.tick()
 	m.runUntil(end - recoveryPeriod)
-	m.stopFaults()
+	m.recover()
 	m.runUntil(end)
 }
 
@@ -203,11 +203,11 @@
 	return m.nodes[m.rng.Intn(len(m.nodes))]
 }
 
-// stopFaults ends all faults and injects no more.
-func (m *model) stopFaults() {
+// recover ends all faults and injects no more.
+func (m *model) recover() {
 	m.logf("faults stop")
 	m.faultsStopped = true
-	m.external.stopFaults()
+	m.external.recover()
 	for _, node := range slices.Clone(m.nodes) {
 		node.isPartitioned, node.isExternalUnreachable = false, false
 		if node.isReplaced {
