--- a/internal/exclusive/model_test.go
+++ b/internal/exclusive/model_test.go
@@ -205,7 +205,7 @@
 
 // recover ends all faults and injects no more.
 func (m *model) recover() {
-	m.logf("faults stop")
+	m.logf("calm")
 	m.faultsStopped = true
 	m.external.recover()
 	for _, node := range slices.Clone(m.nodes) {
