--- a/internal/controlplane/autoscaling.go
+++ b/internal/controlplane/autoscaling.go
@@ -8,8 +8,8 @@
 // This file keeps the planner of the numbers of servers up to date (package autoscale).
 
 type (
-	// EndpointKnown tells that a model server is on the list, or what has changed of it.
-	EndpointKnown struct{ Server autoscale.Server }
+	// EndpointUpdated tells that a model server is on the list, or what has changed of it.
+	EndpointUpdated struct{ Server autoscale.Server }
 	// EndpointRemoved tells that a model server is not on the list any more.
 	EndpointRemoved struct{ Name string }
 	// ConfigurationInForce gives the configuration that is in force.
@@ -17,7 +17,7 @@
 )
 
 // Apply records it.
-func (s EndpointKnown) Apply(c *Core, _ clock.Micros) {
+func (s EndpointUpdated) Apply(c *Core, _ clock.Micros) {
 	if c.autoscale != nil {
 		c.autoscale.SetServer(s.Server)
 	}
--- a/internal/controlplane/autoscaling_test.go
+++ b/internal/controlplane/autoscaling_test.go
@@ -10,8 +10,8 @@
 	"tuliprudder/internal/controlplane/primaryreport"
 )
 
-// scaledCluster is a cluster that knows six servers in each of two zones, of a pool that is scaled.
-func scaledCluster(t *testing.T) *testCluster {
+// autoscaledCluster is a cluster that knows six servers in each of two zones, of a pool that is scaled.
+func autoscaledCluster(t *testing.T) *testCluster {
 	t.Helper()
 	settings := smallSettings()
 	settings.Autoscale = true
@@ -24,17 +24,17 @@
 	for _, core := range b.cores {
 		core.Do(ConfigurationInForce{Body: []byte(`{}`)}, b.now)
 		for i := range 12 {
-			core.Do(EndpointKnown{Server: autoscale.Server{Name: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%2), Slots: 4, Serving: true}}, b.now)
+			core.Do(EndpointUpdated{Server: autoscale.Server{Name: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%2), Slots: 4, Serving: true}}, b.now)
 		}
-		core.Do(EndpointKnown{Server: autoscale.Server{Name: "gone", Zone: "z2", Slots: 4, Serving: true}}, b.now)
+		core.Do(EndpointUpdated{Server: autoscale.Server{Name: "gone", Zone: "z2", Slots: 4, Serving: true}}, b.now)
 		core.Do(EndpointRemoved{Name: "gone"}, b.now)
 	}
 	return b
 }
 
-// targets has an edge report for some seconds that so many slots are taken, and gives the numbers of
+// targetsForLoad has an edge report for some seconds that so many slots are taken, and gives the numbers of
 // servers that permits are given for.
-func (b *testCluster) targets(t *testing.T, seconds int, busy int64) map[string]int64 {
+func (b *testCluster) targetsForLoad(t *testing.T, seconds int, busy int64) map[string]int64 {
 	t.Helper()
 	out := map[string]int64{}
 	for range seconds {
@@ -52,12 +52,12 @@
 	return out
 }
 
-func TestReportedLoadBecomesActs(t *testing.T) {
-	b := scaledCluster(t)
-	if got := b.targets(t, 10, 24); len(got) != 0 {
+func TestSustainedLoadLeadsToScalingPermits(t *testing.T) {
+	b := autoscaledCluster(t)
+	if got := b.targetsForLoad(t, 10, 24); len(got) != 0 {
 		t.Fatalf("for a usual load: %v", got)
 	}
-	got := b.targets(t, 12, 60)
+	got := b.targetsForLoad(t, 12, 60)
 	if len(got) != 2 || got["z0"] != 9 || got["z1"] != 9 {
 		t.Errorf("for a lasting load: %v", got)
 	}
--- a/internal/controlplane/bootstrap_test.go
+++ b/internal/controlplane/bootstrap_test.go
@@ -11,7 +11,7 @@
 
 // A founder that won its term and waits until its replicas hold the state does not
 // bootstrap again: the founders would grant the second term and refuse to commit the first.
-func TestAFounderThatWonDoesNotBootstrapAgain(t *testing.T) {
+func TestElectedFounderDoesNotBootstrapAgain(t *testing.T) {
 	b := newTestCluster(smallSettings())
 	for i := 1; i <= 3; i++ {
 		b.core(fmt.Sprint("core-", i), fmt.Sprint("c", i), fmt.Sprint("zone-", i), "c1", "c2", "c3")
@@ -79,23 +79,23 @@
 
 // Where more empty cores are heard than it takes, those at the seeds bootstrap the
 // fleet, whichever id is lowest, and whoever was heard first.
-func TestTheCoresAtTheSeedsBootstrap(t *testing.T) {
-	for _, arrivedEarly := range []bool{true, false} {
+func TestCoresAtSeedAddressesBootstrap(t *testing.T) {
+	for _, nonSeedsFirst := range []bool{true, false} {
 		b := newTestCluster(smallSettings())
-		stranger := func() {
+		addNonSeedCores := func() {
 			b.core("core-0", "c9", "zone-1", "c1", "c2", "c3")
 			b.core("core-4", "c8", "zone-2", "c1", "c2", "c3")
 		}
-		if arrivedEarly {
-			stranger()
+		if nonSeedsFirst {
+			addNonSeedCores()
 		}
 		for i := 1; i <= 3; i++ {
 			b.core(fmt.Sprint("core-", i), fmt.Sprint("c", i), fmt.Sprint("zone-", i), "c1", "c2", "c3")
 			b.store(fmt.Sprint("store-", i), fmt.Sprint("s", i), fmt.Sprint("zone-", i))
 			b.advance(300 * clock.Millisecond)
 		}
-		if !arrivedEarly {
-			stranger()
+		if !nonSeedsFirst {
+			addNonSeedCores()
 		}
 		var first []election.CoreRef
 		for i := 0; i < 400 && first == nil; i++ {
@@ -107,39 +107,39 @@
 			}
 		}
 		if got := fmt.Sprint(idsOf(first)); got != "[core-1 core-2 core-3]" {
-			t.Errorf("strangers early %v: bootstrapped by %s", arrivedEarly, got)
+			t.Errorf("strangers early %v: bootstrapped by %s", nonSeedsFirst, got)
 		}
 		// The others are given votes by agreement, one at a time.
 		b.awaitStable(t)
 		b.advance(10 * clock.Second)
 		if got := fmt.Sprint(b.voters()); got != "[core-0 core-1 core-2 core-3 core-4]" {
-			t.Errorf("strangers early %v: voters %s", arrivedEarly, got)
+			t.Errorf("strangers early %v: voters %s", nonSeedsFirst, got)
 		}
 	}
 }
 
 // A core that hears more empty cores than it takes does not grant the bootstrap of
 // others than those it would bootstrap with: its grant would bind it to them.
-func TestACoreGrantsTheBootstrapOfItsOwnFoundersOnly(t *testing.T) {
+func TestCoreGrantsBootstrapToItsOwnFoundersOnly(t *testing.T) {
 	b := newTestCluster(smallSettings())
 	for i := 1; i <= 4; i++ {
 		b.core(fmt.Sprint("core-", i), fmt.Sprint("c", i), fmt.Sprint("zone-", i), "c2", "c3", "c4")
 	}
-	b.drop = func(l envelope) bool { _, claim := l.body.(election.VoteRequest); return claim }
+	b.drop = func(l envelope) bool { _, isVoteRequest := l.body.(election.VoteRequest); return isVoteRequest }
 	b.advance(clock.Second)
-	witness := b.cores["c2"]
+	voter := b.cores["c2"]
 	var refs []election.CoreRef
 	for i := 1; i <= 3; i++ {
 		refs = append(refs, b.cores[fmt.Sprint("c", i)].self)
 	}
-	claim := election.VoteRequest{Fleet: "f-core-1", Assignment: replication.Assignment{Epoch: 1}, Voters: refs, Candidate: refs[0], Bootstrap: true}
-	witness.Do(Message{"c1", claim}, b.now)
-	if witness.Vote().Fleet != "" {
+	request := election.VoteRequest{Fleet: "f-core-1", Assignment: replication.Assignment{Epoch: 1}, Voters: refs, Candidate: refs[0], Bootstrap: true}
+	voter.Do(Message{"c1", request}, b.now)
+	if voter.Vote().Fleet != "" {
 		t.Fatal("granted the bootstrap of other cores")
 	}
-	claim.Fleet, claim.Voters = "f-core-2", append(refs[1:], b.cores["c4"].self)
-	witness.Do(Message{"c3", claim}, b.now)
-	if witness.Vote().Fleet == "" {
+	request.Fleet, request.Voters = "f-core-2", append(refs[1:], b.cores["c4"].self)
+	voter.Do(Message{"c3", request}, b.now)
+	if voter.Vote().Fleet == "" {
 		t.Fatal("did not grant the bootstrap of its own founders")
 	}
 }
--- a/internal/controlplane/changes.go
+++ b/internal/controlplane/changes.go
@@ -28,11 +28,11 @@
 // its turn after each change, and when no change can be started.
 func (c *Core) processQueue(now clock.Micros) {
 	for !c.queue.HasInFlight() && c.HoldsLease(now) {
-		if c.permitRequests.isTurn && c.decideOnPermits(now) {
+		if c.permitRequests.isNext && c.decideOnPermits(now) {
 			continue
 		}
-		isTaken, ok := c.startNextChange(now)
-		if !ok || !isTaken && !c.decideOnPermits(now) {
+		changeTaken, ok := c.startNextChange(now)
+		if !ok || !changeTaken && !c.decideOnPermits(now) {
 			return
 		}
 	}
@@ -40,14 +40,14 @@
 
 // startNextChange decides the next change and sends it to the replicas. isTaken is false where all wait,
 // ok where the state is damaged.
-func (c *Core) startNextChange(now clock.Micros) (isTaken, ok bool) {
+func (c *Core) startNextChange(now clock.Micros) (changeTaken, ok bool) {
 	checks := changequeue.Checks{
 		CanRetire: func(id string) error { return c.canRetire(id, now) },
 		Document:  c.settings.CheckConfiguration,
 	}
-	change, isTaken, err := c.queue.Next(c.state, checks)
+	change, changeTaken, err := c.queue.Next(c.state, checks)
 	switch {
-	case !isTaken:
+	case !changeTaken:
 		return false, true
 	case err != nil:
 		c.Emit(machine.Reply{Call: change.Call, Err: err})
@@ -57,7 +57,7 @@
 		c.replyToChange(change)
 		return true, true
 	}
-	c.permitRequests.isTurn = true
+	c.permitRequests.isNext = true
 	return true, c.replicate(change, now)
 }
 
@@ -66,7 +66,7 @@
 	c.Changes++
 	data := state.Encode(change.Entry)
 	if err := c.state.ApplyEntry(data); err != nil {
-		c.haltOnDamage(err)
+		c.haltOnCorruption(err)
 		return false
 	}
 	c.queue.Start(change)
--- a/internal/controlplane/cluster_test.go
+++ b/internal/controlplane/cluster_test.go
@@ -29,8 +29,8 @@
 type testCluster struct {
 	now        clock.Micros
 	settings   Settings
-	cores      map[string]*Core // by peer
-	starts     map[string]start // by peer, the latest
+	cores      map[string]*Core     // by peer
+	starts     map[string]coreStart // by peer, the latest
 	stores     []*fakeStore
 	network    []envelope
 	drop       func(l envelope) bool
@@ -43,20 +43,20 @@
 	blocksWrite func(peer string, write machine.Persist) bool
 }
 
-// start is what a core is made of, besides its disk.
-type start struct {
+// coreStart is what a core is made of, besides its disk.
+type coreStart struct {
 	self        election.CoreRef
 	incarnation uint64
 	seeds       []string
 	settings    Settings
 }
 
-func (s start) core(records []machine.Record) *Core {
+func (s coreStart) newCore(records []machine.Record) *Core {
 	return New(s.self, s.incarnation, s.seeds, s.settings, records)
 }
 
-// next is the next start of the same core.
-func (s start) next() start {
+// nextIncarnation is the nextIncarnation start of the same core.
+func (s coreStart) nextIncarnation() coreStart {
 	s.incarnation++
 	return s
 }
@@ -75,13 +75,13 @@
 }
 
 func newTestCluster(settings Settings) *testCluster {
-	return &testCluster{now: 1000, settings: settings, cores: map[string]*Core{}, starts: map[string]start{}, replies: map[uint64]machine.Reply{}}
+	return &testCluster{now: 1000, settings: settings, cores: map[string]*Core{}, starts: map[string]coreStart{}, replies: map[uint64]machine.Reply{}}
 }
 
 // core adds an empty core; its peer address is its name.
 func (b *testCluster) core(id, peer, zone string, seeds ...string) *Core {
-	b.starts[peer] = start{election.CoreRef{ID: id, Peer: peer, Zone: zone}, 1, seeds, b.settings}
-	b.cores[peer] = b.starts[peer].core(nil)
+	b.starts[peer] = coreStart{election.CoreRef{ID: id, Peer: peer, Zone: zone}, 1, seeds, b.settings}
+	b.cores[peer] = b.starts[peer].newCore(nil)
 	return b.cores[peer]
 }
 
@@ -92,8 +92,8 @@
 	return s
 }
 
-// carryOut carries out what a core decided.
-func (b *testCluster) carryOut(peer string, effects []machine.Effect) {
+// applyEffects carries out what a core decided.
+func (b *testCluster) applyEffects(peer string, effects []machine.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case machine.Send:
@@ -105,7 +105,7 @@
 			if b.blocksWrite != nil && b.blocksWrite(peer, e) {
 				continue
 			}
-			b.carryOut(peer, b.cores[peer].Do(Persisted{e.Token}, b.now))
+			b.applyEffects(peer, b.cores[peer].Do(Persisted{e.Token}, b.now))
 		case machine.Compact:
 			if b.disks != nil {
 				b.disks[peer] = &disk{snapshot: e.Records}
@@ -123,11 +123,11 @@
 
 func (b *testCluster) deliverAll() {
 	for len(b.network) > 0 {
-		wire := b.network
+		inTransit := b.network
 		b.network = nil
-		for _, l := range wire {
+		for _, l := range inTransit {
 			if to := b.cores[l.to]; to != nil && (b.drop == nil || !b.drop(l)) {
-				b.carryOut(l.to, to.Do(Message{l.from, l.body}, b.now))
+				b.applyEffects(l.to, to.Do(Message{l.from, l.body}, b.now))
 			}
 		}
 	}
@@ -139,8 +139,8 @@
 		b.now += 50 * clock.Millisecond
 		for _, peer := range sortedKeys(b.cores) {
 			core := b.cores[peer]
-			b.carryOut(peer, core.Do(FreshnessAdvanced{b.now}, b.now))
-			b.carryOut(peer, core.Do(Tick{}, b.now))
+			b.applyEffects(peer, core.Do(FreshnessAdvanced{b.now}, b.now))
+			b.applyEffects(peer, core.Do(Tick{}, b.now))
 			for _, s := range b.stores {
 				if s.unreachable {
 					continue
@@ -152,7 +152,7 @@
 						heartbeat.Ready[shard] = p.Epoch
 					}
 				}
-				b.carryOut(peer, core.Do(Message{s.Peer, heartbeat}, b.now))
+				b.applyEffects(peer, core.Do(Message{s.Peer, heartbeat}, b.now))
 			}
 		}
 		b.deliverAll()
@@ -175,7 +175,7 @@
 // call asks a core and returns the number of the call.
 func (b *testCluster) call(core *Core, body any) uint64 {
 	b.lastCall++
-	b.carryOut(core.self.Peer, core.Do(Call{b.lastCall, body}, b.now))
+	b.applyEffects(core.self.Peer, core.Do(Call{b.lastCall, body}, b.now))
 	return b.lastCall
 }
 
--- a/internal/controlplane/commands.go
+++ b/internal/controlplane/commands.go
@@ -14,8 +14,8 @@
 type (
 	// Persisted tells that the write of a machine.Persist effect is synced.
 	Persisted struct{ Token uint64 }
-	// Suspicion tells what the membership takes a store for.
-	Suspicion struct {
+	// StoreHealth tells what the membership takes a store for.
+	StoreHealth struct {
 		ID        string
 		Unhealthy bool
 	}
@@ -47,7 +47,7 @@
 func (d Persisted) Apply(c *Core, now clock.Micros) { c.groups.Persisted(d.Token, now) }
 
 // Apply records it.
-func (n Suspicion) Apply(c *Core, _ clock.Micros) { c.stores.SetSuspected(n.ID, n.Unhealthy) }
+func (n StoreHealth) Apply(c *Core, _ clock.Micros) { c.stores.SetSuspected(n.ID, n.Unhealthy) }
 
 // Apply records it.
 func (e EdgeHealth) Apply(c *Core, _ clock.Micros) { c.setEdgeHealth(e) }
@@ -67,7 +67,7 @@
 		c.handleStoreHeartbeat(m.From, heartbeat, now)
 	}
 	if report, ok := m.Body.(primaryreport.Report); ok {
-		c.rememberReport(report, now)
+		c.recordReport(report, now)
 	}
 }
 
--- a/internal/controlplane/configurations_test.go
+++ b/internal/controlplane/configurations_test.go
@@ -10,7 +10,7 @@
 
 // A configuration carries the operator's own number: it has to be above the one in force,
 // and a stale base is refused first.
-func TestConfigurationsCarryTheOperatorsNumber(t *testing.T) {
+func TestConfigurationsKeepTheOperatorsNumber(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
 	for i, step := range []struct {
@@ -47,7 +47,7 @@
 // An exact repeat gets the same acknowledgement, whatever its base and what came after it; it
 // writes nothing, and it too is acknowledged once a majority of the voters for updates know
 // the configuration.
-func TestAnExactRepeatGetsTheSameAcknowledgement(t *testing.T) {
+func TestRepeatedRequestGetsTheSameAcknowledgement(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
 	for _, request := range []PutConfigurationRequest{putRequest(3, 0, `{ "a": "x<y" }`), putRequest(3, 0, `{"a":"x<y"}`), putRequest(3, 99, `{"a" : "x<y"}`), putRequest(4, 3, `{}`), putRequest(3, 0, `{"a":"x<y"}`)} {
@@ -67,7 +67,7 @@
 }
 
 // A repeat of a version that the group has not confirmed waits for it.
-func TestARepeatWaitsForTheVersionInFlight(t *testing.T) {
+func TestRepeatedRequestWaitsForTheVersionInFlight(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
 	b.drop = isAppend
@@ -98,7 +98,7 @@
 }
 
 // Two operators put on the same base: exactly one of them wins.
-func TestTwoOperatorsOnOneBase(t *testing.T) {
+func TestOneOfTwoRequestsOnOneBaseIsApplied(t *testing.T) {
 	for _, second := range []uint64{5, 6, 0} {
 		b := bootstrappedCluster(t, smallSettings())
 		core := b.primary()
@@ -122,7 +122,7 @@
 
 // The latest version is read back complete, at the serving primary alone, and never
 // one that is in flight; an invalid configuration is rejected before anything is written.
-func TestTheLatestConfirmedConfigurationReadsBack(t *testing.T) {
+func TestReadReturnsTheLatestConfirmedConfiguration(t *testing.T) {
 	settings := smallSettings()
 	settings.CheckConfiguration = func(body []byte) error {
 		if string(body) == `{"bad":1}` {
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -48,11 +48,11 @@
 // InjectedFaults are faults that tests plant to show that the checks catch them. Set by
 // tests only.
 type InjectedFaults struct {
-	Election         election.InjectedFaults
-	SkipRequestTable bool // a snapshot lacks what recognises repeated requests
-	KeepVotes        bool // a lost store keeps its vote for updates
-	Usage            usage.InjectedFaults
-	Acts             exclusive.InjectedFaults
+	Election          election.InjectedFaults
+	SkipRequestTable  bool // a snapshot lacks what recognises repeated requests
+	SkipStoreEviction bool // a lost store keeps its vote for updates
+	Usage             usage.InjectedFaults
+	Acts              exclusive.InjectedFaults
 }
 
 // Core is the state machine of a core daemon.
@@ -121,7 +121,7 @@
 func (c *Core) restore(record machine.Record) {
 	if isVote, err := c.election.RestoreVote(record); isVote {
 		if err != nil {
-			c.haltOnDamage(err)
+			c.haltOnCorruption(err)
 		}
 		return
 	}
@@ -136,7 +136,7 @@
 
 // Do applies a command and hands over the effects.
 func (c *Core) Do(command Command, now clock.Micros) []machine.Effect {
-	if !c.rejectedForDisk(command, now) {
+	if !c.rejectWhileUnwritable(command, now) {
 		command.Apply(c, now)
 	}
 	if c.recordsSinceCompaction >= c.settings.CompactAfter || c.bytesSinceCompaction >= compactAfterBytes {
--- a/internal/controlplane/counters.go
+++ b/internal/controlplane/counters.go
@@ -64,12 +64,12 @@
 
 // underReplicatedShards counts the shards with fewer complete copies than there should be.
 func (c *Core) underReplicatedShards() int64 {
-	short := int64(0)
+	count := int64(0)
 	replicas := c.settings.placement().Replicas()
 	for _, assignment := range c.state.Shards {
 		if !assignment.Complete || len(assignment.Members()) < replicas {
-			short++
+			count++
 		}
 	}
-	return short
+	return count
 }
--- a/internal/controlplane/degraded_test.go
+++ b/internal/controlplane/degraded_test.go
@@ -11,7 +11,7 @@
 // A fleet has fewer stores than the copies that the tolerance asks for, and all its
 // stores start again at once with their disks: every shard is assigned to them anew,
 // with as many copies as there are stores.
-func TestShardsComeBackThoughStoresAreFewerThanCopies(t *testing.T) {
+func TestShardsRecoverWithFewerStoresThanCopies(t *testing.T) {
 	for stores := 3; stores <= 4; stores++ {
 		for restarted := 1; restarted <= 3; restarted++ {
 			settings := smallSettings()
@@ -33,7 +33,7 @@
 				t.Fatal("no core is primary")
 			}
 			for shard, assignment := range core.State().Shards {
-				if !assignment.Complete || len(assignment.Members()) != stores || !core.living(assignment, b.now) {
+				if !assignment.Complete || len(assignment.Members()) != stores || !core.allMembersLive(assignment, b.now) {
 					t.Errorf("%d of %d stores started again: shard %d is still %+v", restarted, stores, shard, assignment)
 					break
 				}
@@ -42,8 +42,8 @@
 	}
 }
 
-// living tells whether every member of an assignment runs in the incarnation it was assigned in.
-func (c *Core) living(assignment replication.Assignment, now clock.Micros) bool {
+// allMembersLive tells whether every member of an assignment runs in the incarnation it was assigned in.
+func (c *Core) allMembersLive(assignment replication.Assignment, now clock.Micros) bool {
 	for _, member := range assignment.Members() {
 		if incarnation, ok := c.stores.Incarnation(c.state, member.ID, now); !ok || incarnation != member.Incarnation {
 			return false
--- a/internal/controlplane/disk.go
+++ b/internal/controlplane/disk.go
@@ -13,9 +13,9 @@
 // it had decided before waits for its disk, in order, and is acknowledged by nobody
 // until it is synced.
 
-// probationSpan is how long a disk has to take writes again before its core does more
+// probationPeriod is how long a disk has to take writes again before its core does more
 // than listen.
-const probationSpan = clock.Second
+const probationPeriod = clock.Second
 
 // diskProbation is what a core knows of its disk.
 type diskProbation struct {
@@ -40,7 +40,7 @@
 	c.disk = diskProbation{unwritable: !d.State.Writable, reason: d.State.Reason}
 	if d.State.Writable {
 		c.disk.writableSince = now
-		c.Emit(machine.LogEvent{Event: DiskWritable{ResumesAfterUS: probationSpan}})
+		c.Emit(machine.LogEvent{Event: DiskWritable{ResumesAfterUS: probationPeriod}})
 		return
 	}
 	c.Emit(machine.LogEvent{Event: DiskUnwritable{Reason: d.State.Reason, Role: c.group().Role.String()}})
@@ -58,13 +58,13 @@
 	c.recordsSinceCompaction = c.settings.CompactAfter
 }
 
-// rejectedForDisk tells whether a command is ignored, as the disk takes no writes or is on
+// rejectWhileUnwritable tells whether a command is ignored, as the disk takes no writes or is on
 // probation.
-func (c *Core) rejectedForDisk(command Command, now clock.Micros) bool {
+func (c *Core) rejectWhileUnwritable(command Command, now clock.Micros) bool {
 	if c.disk.isOver() {
 		return false
 	}
-	if !c.disk.unwritable && now-c.disk.writableSince >= probationSpan {
+	if !c.disk.unwritable && now-c.disk.writableSince >= probationPeriod {
 		c.resumeRoles(now)
 		return false
 	}
@@ -82,7 +82,7 @@
 // what the disk itself tells, and what only makes this core know more.
 func isAllowedWithoutDisk(command Command) bool {
 	switch command := command.(type) {
-	case Persisted, DiskStateChanged, CompactAgain, Suspicion, EdgeHealth, DurableUpdate, FreshnessAdvanced:
+	case Persisted, DiskStateChanged, CompactAgain, StoreHealth, EdgeHealth, DurableUpdate, FreshnessAdvanced:
 		return true
 	case Message:
 		_, isHeartbeat := command.Body.(election.Heartbeat)
--- a/internal/controlplane/disk_test.go
+++ b/internal/controlplane/disk_test.go
@@ -31,7 +31,7 @@
 	}
 	b.drop = func(l envelope) bool {
 		_, full := d.waiting[l.from]
-		if _, yields := l.body.(replication.LeaseRelease); full && !yields { // a lease that is released commits to nothing
+		if _, isLeaseRelease := l.body.(replication.LeaseRelease); full && !isLeaseRelease { // a lease that is released commits to nothing
 			d.sent[l.from]++
 		}
 		return false
@@ -48,7 +48,7 @@
 	}
 	d.b.deliverAll()
 	d.sent[peer] = 0
-	d.b.carryOut(peer, core.Do(DiskStateChanged{machine.DiskState{Reason: "the disk is full"}}, d.b.now))
+	d.b.applyEffects(peer, core.Do(DiskStateChanged{machine.DiskState{Reason: "the disk is full"}}, d.b.now))
 }
 
 // clear empties the disk again: what waited is written, in order.
@@ -57,14 +57,14 @@
 	tokens := d.waiting[peer]
 	delete(d.waiting, peer)
 	for _, token := range tokens {
-		d.b.carryOut(peer, core.Do(Persisted{token}, d.b.now))
+		d.b.applyEffects(peer, core.Do(Persisted{token}, d.b.now))
 	}
-	d.b.carryOut(peer, core.Do(DiskStateChanged{machine.DiskState{Writable: true}}, d.b.now))
+	d.b.applyEffects(peer, core.Do(DiskStateChanged{machine.DiskState{Writable: true}}, d.b.now))
 	d.b.deliverAll()
 }
 
-// primaryAcknowledges puts a configuration at the primary, which has to acknowledge it.
-func (b *testCluster) primaryAcknowledges(t *testing.T, number, base uint64) {
+// mustPutAtPrimary puts a configuration at the primary, which has to acknowledge it.
+func (b *testCluster) mustPutAtPrimary(t *testing.T, number, base uint64) {
 	t.Helper()
 	core := b.primary()
 	if core == nil {
@@ -77,8 +77,8 @@
 	}
 }
 
-// latest is the configuration in force at a core that serves.
-func latest(core *Core) uint64 {
+// latestVersion is the configuration in force at a core that serves.
+func latestVersion(core *Core) uint64 {
 	version, _ := core.State().Latest()
 	return version.Number
 }
@@ -86,13 +86,13 @@
 // A primary whose disk is full answers who waits at once, sends nothing more to the other
 // cores, and another one leads. Once its disk takes writes it takes part again, and
 // brings nothing back that was not confirmed.
-func TestAFullDiskPassesTheLeadOn(t *testing.T) {
+func TestFullDiskOnPrimaryCausesFailover(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
-	b.primaryAcknowledges(t, 1, 0)
+	b.mustPutAtPrimary(t, 1, 0)
 	disks, old := withFullDisks(b), b.primary()
-	var caught uint64
-	disks.fill(old, func() { caught = b.call(old, putRequest(2, 1, `{"a":2}`)) })
-	if answer := b.reply(t, caught); !errs.Is(answer.Err, errs.OutcomeUnknown) {
+	var waitingCall uint64
+	disks.fill(old, func() { waitingCall = b.call(old, putRequest(2, 1, `{"a":2}`)) })
+	if answer := b.reply(t, waitingCall); !errs.Is(answer.Err, errs.OutcomeUnknown) {
 		t.Fatalf("the operator who waited was told %v %v", answer.Body, answer.Err)
 	}
 	for _, request := range []any{putRequest(3, 1, `{"a":3}`), ConfigurationsRequest{Latest: true}, RetireRequest{ID: "store-1", Timeout: clock.Second}} {
@@ -108,15 +108,15 @@
 	if now == nil || now == old {
 		t.Fatal("no other core leads")
 	}
-	base := latest(now)
-	b.primaryAcknowledges(t, 8, base)
+	base := latestVersion(now)
+	b.mustPutAtPrimary(t, 8, base)
 	disks.clear(old)
 	b.advance(6 * clock.Second)
 	if b.primary() == nil {
 		t.Fatal("no core serves alone after the disk is well")
 	}
 	b.awaitStable(t)
-	b.primaryAcknowledges(t, 9, 8)
+	b.mustPutAtPrimary(t, 9, 8)
 	if silent := b.primary().election.Status(b.now).UnreachableVoters; silent != 0 || !hasVote(b.primary().Vote().Voters, old.self.ID) {
 		t.Fatalf("%d voters are not heard, and the core whose disk is well again should be one that is", silent)
 	}
@@ -124,9 +124,9 @@
 
 // A disk that is full for a moment costs no term: the entry that waited is written,
 // and confirmed from then on.
-func TestADiskThatIsFullForAMoment(t *testing.T) {
+func TestBrieflyFullDiskKeepsPendingWrites(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
-	b.primaryAcknowledges(t, 1, 0)
+	b.mustPutAtPrimary(t, 1, 0)
 	disks, core := withFullDisks(b), b.primary()
 	epoch := core.group().Epoch
 	disks.fill(core, func() { b.call(core, putRequest(2, 1, `{"a":2}`)) })
@@ -137,20 +137,20 @@
 	disks.clear(core)
 	b.advance(1500 * clock.Millisecond)
 	b.awaitStable(t)
-	if got := latest(b.primary()); got != 2 {
+	if got := latestVersion(b.primary()); got != 2 {
 		t.Fatalf("version %d is in force", got)
 	}
 	if core.group().Epoch > epoch+1 {
 		t.Fatalf("the primary changed %d times", core.group().Epoch-epoch)
 	}
-	b.primaryAcknowledges(t, 3, 2)
+	b.mustPutAtPrimary(t, 3, 2)
 }
 
 // A replica whose disk is full acknowledges no entry and grants no vote; the primary
 // finds another replica.
-func TestAReplicaWithAFullDiskIsReplaced(t *testing.T) {
+func TestReplicaWithFullDiskIsReplaced(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
-	b.primaryAcknowledges(t, 1, 0)
+	b.mustPutAtPrimary(t, 1, 0)
 	disks, primary := withFullDisks(b), b.primary()
 	var backup *Core
 	for _, core := range b.cores {
@@ -161,11 +161,11 @@
 	disks.fill(backup, nil)
 	call := b.call(primary, putRequest(2, 1, `{"a":2}`))
 	b.deliverAll()
-	if _, arrivedEarly := b.replies[call]; arrivedEarly {
+	if _, isAnswered := b.replies[call]; isAnswered {
 		t.Fatal("a configuration was confirmed with one copy")
 	}
 	vote := backup.Vote()
-	b.carryOut(backup.self.Peer, backup.Do(Message{"c9", election.VoteRequest{Fleet: vote.Fleet, Assignment: replication.Assignment{Epoch: vote.Term + 1}, Voters: vote.Voters, Base: vote.Committed.Epoch, Candidate: primary.self}}, b.now))
+	b.applyEffects(backup.self.Peer, backup.Do(Message{"c9", election.VoteRequest{Fleet: vote.Fleet, Assignment: replication.Assignment{Epoch: vote.Term + 1}, Voters: vote.Voters, Base: vote.Committed.Epoch, Candidate: primary.self}}, b.now))
 	if backup.Vote().Term != vote.Term || len(disks.waiting[backup.self.Peer]) != 0 {
 		t.Fatal("a vote was granted without the disk")
 	}
@@ -177,16 +177,16 @@
 	if now == nil || slices.Contains(now.Vote().Committed.IDs(), backup.self.ID) {
 		t.Fatal("the group is not complete without the full disk")
 	}
-	b.primaryAcknowledges(t, 8, latest(now))
+	b.mustPutAtPrimary(t, 8, latestVersion(now))
 	disks.clear(backup)
 	b.advance(3 * clock.Second)
 	b.awaitStable(t)
 }
 
 // No core can write: nothing is acknowledged, and all goes on from where it was.
-func TestAllDisksAreFull(t *testing.T) {
+func TestFleetResumesAfterAllDisksWereFull(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
-	b.primaryAcknowledges(t, 1, 0)
+	b.mustPutAtPrimary(t, 1, 0)
 	disks, before := withFullDisks(b), append([]replication.Assignment(nil), b.primary().State().Shards...)
 	for _, peer := range sortedKeys(b.cores) {
 		disks.fill(b.cores[peer], nil)
@@ -202,10 +202,10 @@
 	}
 	b.advance(4 * clock.Second)
 	b.awaitStable(t)
-	if got := latest(b.primary()); got != 1 {
+	if got := latestVersion(b.primary()); got != 1 {
 		t.Fatalf("version %d is in force", got)
 	}
-	b.primaryAcknowledges(t, 2, 1)
+	b.mustPutAtPrimary(t, 2, 1)
 	for shard, p := range b.primary().State().Shards {
 		if !p.Equal(before[shard]) {
 			t.Fatalf("shard %d was assigned anew, as %+v, though all stores lived: only the cores could not hear them", shard, p)
@@ -215,7 +215,7 @@
 
 // A core that has its disk back has heard no store meanwhile: it takes none for lost before it
 // had the time to hear it, also where some are heard sooner than others.
-func TestNoStoreCountsAsLostBeforeItIsHeard(t *testing.T) {
+func TestStoresAreNotLostRightAfterDiskRecovery(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	disks, before := withFullDisks(b), append([]replication.Assignment(nil), b.primary().State().Shards...)
 	for _, peer := range sortedKeys(b.cores) {
@@ -226,7 +226,7 @@
 		disks.clear(b.cores[peer])
 	}
 	b.stores[0].unreachable = true
-	b.advance(probationSpan + clock.Second)
+	b.advance(probationPeriod + clock.Second)
 	b.stores[0].unreachable = false
 	b.advance(3 * clock.Second)
 	b.awaitStable(t)
@@ -238,16 +238,16 @@
 }
 
 // A snapshot that could not be written is made anew when the event loop asks for it.
-func TestASnapshotIsMadeAgain(t *testing.T) {
+func TestFailedCompactionIsRetriedOnRequest(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
-	b.primaryAcknowledges(t, 1, 0)
-	core, folds := b.primary(), 0
+	b.mustPutAtPrimary(t, 1, 0)
+	core, compactions := b.primary(), 0
 	for _, effect := range core.Do(CompactAgain{}, b.now) {
 		if _, ok := effect.(machine.Compact); ok {
-			folds++
+			compactions++
 		}
 	}
-	if folds != 1 {
-		t.Fatalf("%d snapshots", folds)
+	if compactions != 1 {
+		t.Fatalf("%d snapshots", compactions)
 	}
 }
--- a/internal/controlplane/patches_test.go
+++ b/internal/controlplane/patches_test.go
@@ -41,7 +41,7 @@
 
 // A patch is applied where its base is checked. It is acknowledged again if it is sent again, and
 // refused on another base than the one in force.
-func TestPatchesAreDecidedAtTheirTurn(t *testing.T) {
+func TestPatchesAreAppliedOnTheirBaseOnly(t *testing.T) {
 	b := bootstrappedCluster(t, patchSettings())
 	const whole = `{"ver":7,"routes":[{"name":"a"}]}`
 	add, other := `{"ver":9,"upsert":{"routes":[{"name":"b"}]}}`, `{"ver":9,"upsert":{"routes":[{"name":"c"}]}}`
@@ -84,7 +84,7 @@
 }
 
 // Of two operators' patches on one base one is applied, and nothing of the other.
-func TestTwoPatchesOnOneBase(t *testing.T) {
+func TestOneOfTwoPatchesOnOneBaseIsApplied(t *testing.T) {
 	b := bootstrappedCluster(t, patchSettings())
 	core := b.primary()
 	b.mustAcknowledge(t, core, putRequest(1, 0, `{"ver":1,"routes":[]}`))
@@ -103,14 +103,14 @@
 }
 
 // A patch is recognised when it is sent again to the successor of the primary that applied it.
-func TestARepeatedPatchIsRecognisedByTheSuccessor(t *testing.T) {
+func TestRepeatedPatchIsRecognisedByTheNextPrimary(t *testing.T) {
 	b := bootstrappedCluster(t, patchSettings())
 	old := b.primary()
 	b.mustAcknowledge(t, old, putRequest(1, 0, `{"ver":1,"routes":[]}`))
 	patch := patchRequest(1, `{"ver":2,"upsert":{"routes":[{"name":"a"}]}}`)
 	b.call(old, patch)
 	b.deliverAll()
-	b.drop = cutOff(old)
+	b.drop = isolate(old)
 	core := b.awaitOtherPrimary(t, old)
 	call := b.call(core, patch)
 	b.deliverAll()
@@ -120,7 +120,7 @@
 }
 
 // The digest of a patch is stored with the configuration that it made.
-func TestTheDigestOfAPatchIsStored(t *testing.T) {
+func TestPatchDigestIsStored(t *testing.T) {
 	digest, err := state.DigestOf([]byte(`{"ver":2}`))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/permits.go
+++ b/internal/controlplane/permits.go
@@ -33,7 +33,7 @@
 // until its update is confirmed.
 type permitRequests struct {
 	waiting []permitRequest
-	isTurn  bool // a change was started since the latest decision
+	isNext  bool // a change was started since the latest decision
 
 	pendingCall     uint64 // 0: none, or nobody waits for it any more
 	pendingDeadline clock.Micros
@@ -130,7 +130,7 @@
 // this core holds its lease.
 func (c *Core) decideOnPermits(now clock.Micros) bool {
 	request, ok := c.permitRequests.next()
-	c.permitRequests.isTurn = false
+	c.permitRequests.isNext = false
 	if !ok {
 		return false
 	}
--- a/internal/controlplane/permits_test.go
+++ b/internal/controlplane/permits_test.go
@@ -10,10 +10,10 @@
 	"tuliprudder/internal/exclusive"
 )
 
-// proposed is a source that proposes the same acts all the time.
-type proposed struct{ acts []exclusive.Act }
+// fixedActSource is a source that proposes the same acts all the time.
+type fixedActSource struct{ acts []exclusive.Act }
 
-func (p *proposed) Due(table *exclusive.Table) (due []exclusive.Act) {
+func (p *fixedActSource) Due(table *exclusive.Table) (due []exclusive.Act) {
 	for _, act := range p.acts {
 		if act.Number > table.Record(act.Subject).LastNumber {
 			due = append(due, act)
@@ -31,8 +31,8 @@
 	nodeB = exclusive.Holder{Name: "node-b", Instance: "run-1"}
 )
 
-// actingCluster is a bootstrapped cluster whose cores all have the source.
-func actingCluster(t *testing.T, source exclusive.Source) *testCluster {
+// clusterWithActSource is a bootstrapped cluster whose cores all have the source.
+func clusterWithActSource(t *testing.T, source exclusive.Source) *testCluster {
 	t.Helper()
 	b := bootstrappedCluster(t, smallSettings())
 	for _, core := range b.cores {
@@ -63,8 +63,8 @@
 	return typed.Kind
 }
 
-func TestAPermitIsDurableBeforeItsHolderHearsOfIt(t *testing.T) {
-	b := actingCluster(t, &proposed{[]exclusive.Act{windowAct(1, "x")}})
+func TestPermitIsDurableBeforeItIsSent(t *testing.T) {
+	b := clusterWithActSource(t, &fixedActSource{[]exclusive.Act{windowAct(1, "x")}})
 	b.drop = isAppend
 	call := b.call(b.primary(), exclusive.Request{Holder: nodeA})
 	b.deliverAll()
@@ -97,9 +97,9 @@
 	t.Fatal("no core took over")
 }
 
-func TestASuccessorKnowsEveryPermitThatWasHeardOf(t *testing.T) {
-	source := &proposed{[]exclusive.Act{windowAct(1, "x")}}
-	b := actingCluster(t, source)
+func TestNextPrimaryKnowsEverySentPermit(t *testing.T) {
+	source := &fixedActSource{[]exclusive.Act{windowAct(1, "x")}}
+	b := clusterWithActSource(t, source)
 	first := b.permits(t, nodeA)[0]
 	source.acts = []exclusive.Act{windowAct(1, "other")}
 	b.stopPrimary(t)
@@ -117,8 +117,8 @@
 	}
 }
 
-func TestADeposedPrimaryGrantsNothing(t *testing.T) {
-	b := actingCluster(t, &proposed{[]exclusive.Act{windowAct(1, "x")}})
+func TestDeposedPrimaryGrantsNoPermits(t *testing.T) {
+	b := clusterWithActSource(t, &fixedActSource{[]exclusive.Act{windowAct(1, "x")}})
 	old := b.primary()
 	inFlight := b.call(old, exclusive.Request{Holder: nodeA})
 	waiting := b.call(old, exclusive.Request{Holder: nodeB})
@@ -136,8 +136,8 @@
 	}
 }
 
-func TestAPrimaryWithoutItsLeaseGrantsNothing(t *testing.T) {
-	b := actingCluster(t, &proposed{[]exclusive.Act{windowAct(1, "x")}})
+func TestPrimaryWithoutLeaseGrantsNoPermits(t *testing.T) {
+	b := clusterWithActSource(t, &fixedActSource{[]exclusive.Act{windowAct(1, "x")}})
 	primary := b.primary()
 	b.now += 2 * clock.Second
 	if answer := b.reply(t, b.call(primary, exclusive.Request{Holder: nodeA})); kindOf(answer.Err) != errs.NotReady {
@@ -146,13 +146,13 @@
 }
 
 // Nodes ask all the time: where nothing is to be done that costs neither a write nor a turn.
-func TestRequestsThatChangeNothingCostNoWrite(t *testing.T) {
-	b := actingCluster(t, &proposed{})
+func TestIdlePermitRequestsCauseNoWrite(t *testing.T) {
+	b := clusterWithActSource(t, &fixedActSource{})
 	primary := b.primary()
 	changes := primary.Changes
 	b.drop = isAppend
 	put := b.call(primary, putRequest(1, 0, `{}`))
-	if got := b.permits(t, nodeA); len(got) > 0 || primary.permitRequests.isTurn && len(primary.permitRequests.waiting) > 0 {
+	if got := b.permits(t, nodeA); len(got) > 0 || primary.permitRequests.isNext && len(primary.permitRequests.waiting) > 0 {
 		t.Fatalf("it gets %+v", got)
 	}
 	b.drop = nil
@@ -165,8 +165,8 @@
 	}
 }
 
-func TestPermitRequestsTakeTurnsWithOperators(t *testing.T) {
-	b := actingCluster(t, &proposed{[]exclusive.Act{windowAct(1, "x")}})
+func TestPermitRequestsAlternateWithOperatorRequests(t *testing.T) {
+	b := clusterWithActSource(t, &fixedActSource{[]exclusive.Act{windowAct(1, "x")}})
 	primary := b.primary()
 	b.drop = isAppend
 	b.call(primary, putRequest(1, 0, `{}`))
@@ -191,7 +191,7 @@
 
 // The map goes to every daemon; a permit changes nothing in it.
 func TestPermitsPublishNoMap(t *testing.T) {
-	b := actingCluster(t, &proposed{[]exclusive.Act{windowAct(1, "x")}})
+	b := clusterWithActSource(t, &fixedActSource{[]exclusive.Act{windowAct(1, "x")}})
 	b.published = nil
 	permit := b.permits(t, nodeA)[0]
 	b.permits(t, nodeA, exclusive.Outcome{ID: permit.ID, Subject: permit.Subject, Number: permit.Number, Fence: permit.Fence, Result: exclusive.Done})
@@ -205,8 +205,8 @@
 	}
 }
 
-func TestOperatorsReadActsAtThePrimaryOnly(t *testing.T) {
-	b := actingCluster(t, &proposed{[]exclusive.Act{windowAct(1, "x")}})
+func TestActsAreReadAtThePrimaryOnly(t *testing.T) {
+	b := clusterWithActSource(t, &fixedActSource{[]exclusive.Act{windowAct(1, "x")}})
 	b.permits(t, nodeA)
 	b.now += clock.Millisecond
 	for _, core := range b.cores {
--- a/internal/controlplane/reconcile_test.go
+++ b/internal/controlplane/reconcile_test.go
@@ -8,7 +8,7 @@
 
 // A new primary decides at once when it has heard all stores that count since it
 // serves, and else only once it has listened for long enough.
-func TestANewPrimaryJudgesOnceItHasHeardEveryStore(t *testing.T) {
+func TestNewPrimaryDecidesOnceItHasHeardEveryStore(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	p := b.primary()
 	began := b.now + 1
@@ -33,7 +33,7 @@
 
 // Moves towards even shares leave shards whose batches are open where they are, unless
 // the shares are very uneven.
-func TestBusyShardsStayWhereTheyAre(t *testing.T) {
+func TestBusyShardsAreNotMoved(t *testing.T) {
 	owners := func(p *Core) map[string]int {
 		out := map[string]int{}
 		for _, assignment := range p.State().Shards {
--- a/internal/controlplane/repeated_requests_test.go
+++ b/internal/controlplane/repeated_requests_test.go
@@ -11,8 +11,8 @@
 	"tuliprudder/internal/replication"
 )
 
-// cutOff drops all messages from and to a core.
-func cutOff(core *Core) func(l envelope) bool {
+// isolate drops all messages from and to a core.
+func isolate(core *Core) func(l envelope) bool {
 	return func(l envelope) bool { return l.to == core.self.Peer || l.from == core.self.Peer }
 }
 
@@ -50,36 +50,36 @@
 type lossPoint int
 
 const (
-	neverArrived  lossPoint = iota
-	onOneDisk               // no replica has it
-	onAllDisks              // the replica's acknowledgement is lost
-	onceConfirmed           // only the answer to the operator is lost
+	beforeArrival     lossPoint = iota
+	onPrimaryDisk               // no replica has it
+	onAllDisks                  // the replica's acknowledgement is lost
+	afterConfirmation           // only the answer to the operator is lost
 )
 
-var lossPointNames = map[lossPoint]string{neverArrived: "never arrived", onOneDisk: "on one disk", onAllDisks: "on all disks", onceConfirmed: "confirmed"}
+var lossPointNames = map[lossPoint]string{beforeArrival: "never arrived", onPrimaryDisk: "on one disk", onAllDisks: "on all disks", afterConfirmation: "confirmed"}
 
-// primaryFate is what became of the primary before the request is sent again.
-type primaryFate int
+// primaryFailure is what became of the primary before the request is sent again.
+type primaryFailure int
 
 const (
-	stays primaryFate = iota
-	isCutOff
-	isKilled
+	noFailure primaryFailure = iota
+	primaryIsolated
+	primaryKilled
 )
 
-var primaryFateNames = map[primaryFate]string{stays: "stays", isCutOff: "is cut off", isKilled: "is killed"}
+var primaryFailureNames = map[primaryFailure]string{noFailure: "stays", primaryIsolated: "is cut off", primaryKilled: "is killed"}
 
 // repeatedRequest is version 10 on top of 5, sent again to every core.
 type repeatedRequest struct {
-	lost         lossPoint
-	after        primaryFate
-	newer        int // versions put since
-	healed       bool
-	injectFaults func(core *Core)
+	lost          lossPoint
+	failure       primaryFailure
+	newerVersions int // versions put since
+	healed        bool
+	injectFaults  func(core *Core)
 }
 
 func (r repeatedRequest) String() string {
-	return fmt.Sprintf("%s, primary %s, %d newer, healed %v", lossPointNames[r.lost], primaryFateNames[r.after], r.newer, r.healed)
+	return fmt.Sprintf("%s, primary %s, %d newer, healed %v", lossPointNames[r.lost], primaryFailureNames[r.failure], r.newerVersions, r.healed)
 }
 
 // run returns what was wrong with the replies.
@@ -95,9 +95,9 @@
 	b.mustAcknowledge(t, old, putRequest(5, 0, `{"n":5}`))
 	request := putRequest(10, 5, `{"n":10}`)
 	b.submitAndLose(old, request, r.lost)
-	primary := b.applyFate(t, old, r.after)
+	primary := b.failPrimary(t, old, r.failure)
 	_, survived := primary.state.Version(10)
-	for i := 1; i <= r.newer; i++ {
+	for i := 1; i <= r.newerVersions; i++ {
 		latest, _ := primary.state.Latest()
 		number := latest.Number + 3
 		b.mustAcknowledge(t, primary, putRequest(number, latest.Number, fmt.Sprintf(`{"n":%d}`, number)))
@@ -112,26 +112,26 @@
 // submitAndLose sends a request and loses it, or its answer, at some point.
 func (b *testCluster) submitAndLose(primary *Core, request PutConfigurationRequest, lost lossPoint) {
 	switch lost {
-	case neverArrived:
+	case beforeArrival:
 		return
-	case onOneDisk:
+	case onPrimaryDisk:
 		b.drop = isAppend
 	case onAllDisks:
 		b.drop = func(l envelope) bool { _, ack := l.body.(replication.AppendAck); return ack }
-	case onceConfirmed:
+	case afterConfirmation:
 	}
 	b.call(primary, request)
 	b.deliverAll()
 	b.drop = nil
 }
 
-func (b *testCluster) applyFate(t *testing.T, old *Core, after primaryFate) *Core {
+func (b *testCluster) failPrimary(t *testing.T, old *Core, failure primaryFailure) *Core {
 	t.Helper()
-	switch after {
-	case isCutOff:
-		b.drop = cutOff(old)
+	switch failure {
+	case primaryIsolated:
+		b.drop = isolate(old)
 		return b.awaitOtherPrimary(t, old)
-	case isKilled:
+	case primaryKilled:
 		delete(b.cores, old.self.Peer)
 		return b.awaitOtherPrimary(t, old)
 	}
@@ -144,7 +144,7 @@
 	t.Helper()
 	var wrong []string
 	var acknowledgements, refusals int
-	mayRefuse := !survived && r.newer > 0 // its base was passed, and it was never taken
+	mayRefuse := !survived && r.newerVersions > 0 // its base was passed, and it was never taken
 	for _, peer := range sortedKeys(b.cores) {
 		calls := []uint64{b.call(b.cores[peer], request), b.call(b.cores[peer], request)}
 		b.advance(request.Timeout + clock.Second)
@@ -173,12 +173,12 @@
 // A request whose answer was lost is sent again, as it was, to every core: it is
 // acknowledged, or its outcome is unknown. It is refused only where it was never applied and
 // another version is built on its base.
-func TestOrdersThatAreSentAgain(t *testing.T) {
+func TestRepeatedRequestIsAcknowledgedOrUnknown(t *testing.T) {
 	for lost := range lossPointNames {
-		for after := range primaryFateNames {
+		for failure := range primaryFailureNames {
 			for _, newer := range []int{0, 1, 20} {
 				for _, healed := range []bool{false, true} {
-					r := repeatedRequest{lost: lost, after: after, newer: newer, healed: healed}
+					r := repeatedRequest{lost: lost, failure: failure, newerVersions: newer, healed: healed}
 					t.Run(r.String(), func(t *testing.T) {
 						for _, wrong := range r.run(t) {
 							t.Error(wrong)
@@ -191,8 +191,8 @@
 }
 
 // A snapshot without the table of requests is caught: a planted fault.
-func TestASnapshotWithoutTheOrdersIsCaught(t *testing.T) {
-	r := repeatedRequest{lost: onceConfirmed, after: isKilled, newer: 1, injectFaults: func(core *Core) { core.InjectFaults(InjectedFaults{SkipRequestTable: true}) }}
+func TestSnapshotWithoutRequestTableIsDetected(t *testing.T) {
+	r := repeatedRequest{lost: afterConfirmation, failure: primaryKilled, newerVersions: 1, injectFaults: func(core *Core) { core.InjectFaults(InjectedFaults{SkipRequestTable: true}) }}
 	// The new primary fills its own replica by a snapshot; that one takes over next.
 	b := bootstrappedCluster(t, smallSettings())
 	for _, core := range b.cores {
@@ -200,12 +200,12 @@
 	}
 	b.mustAcknowledge(t, b.primary(), putRequest(5, 0, `{"n":5}`))
 	old := b.primary()
-	b.drop = cutOff(old)
+	b.drop = isolate(old)
 	second := b.awaitOtherPrimary(t, old)
 	b.drop = nil
 	b.advance(5 * clock.Second)
 	b.mustAcknowledge(t, second, putRequest(7, 5, `{"n":7}`))
-	b.drop = cutOff(second)
+	b.drop = isolate(second)
 	b.awaitOtherPrimary(t, second)
 	wrong := b.resendEverywhere(t, putRequest(5, 0, `{"n":5}`), r, true)
 	if len(wrong) == 0 {
@@ -216,11 +216,11 @@
 
 // A primary that was deposed without knowing refuses nothing: what it takes for
 // stale may have been applied by the new one.
-func TestADeposedPrimaryRefusesNothing(t *testing.T) {
+func TestDeposedPrimaryGivesNoFinalRefusal(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	old := b.primary()
 	b.mustAcknowledge(t, old, putRequest(5, 0, `{"n":5}`))
-	b.drop = cutOff(old)
+	b.drop = isolate(old)
 	primary := b.awaitOtherPrimary(t, old)
 	b.mustAcknowledge(t, primary, putRequest(8, 5, `{"n":8}`))
 	b.mustAcknowledge(t, primary, putRequest(9, 8, `{"n":9}`))
@@ -240,12 +240,12 @@
 
 // Two documents under one number, through a change of primary: the second one is
 // confirmed, and the first one never.
-func TestOneNumberIsConfirmedOnce(t *testing.T) {
+func TestVersionNumberIsConfirmedForOneDocumentOnly(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	old := b.primary()
 	first, second := putRequest(5, 0, `{"by":"first"}`), putRequest(5, 0, `{"by":"second"}`)
-	b.submitAndLose(old, first, onOneDisk)
-	b.drop = cutOff(old)
+	b.submitAndLose(old, first, onPrimaryDisk)
+	b.drop = isolate(old)
 	primary := b.awaitOtherPrimary(t, old)
 	b.mustAcknowledge(t, primary, second)
 	b.drop = nil
@@ -259,7 +259,7 @@
 			}
 		}
 		again := b.primary()
-		b.drop = cutOff(again)
+		b.drop = isolate(again)
 		b.awaitOtherPrimary(t, again)
 		b.drop = nil
 		b.advance(5 * clock.Second)
@@ -271,7 +271,7 @@
 
 // Eight requests are under way at once, each built on the one before, and arrive in any
 // order: all are applied.
-func TestEightOrdersAtOnce(t *testing.T) {
+func TestDependentRequestsArriveInAnyOrder(t *testing.T) {
 	for turn := 0; turn < 8; turn++ {
 		b := bootstrappedCluster(t, smallSettings())
 		core := b.primary()
@@ -296,7 +296,7 @@
 }
 
 // A request that the core numbers is recognised by its base and document.
-func TestAnOrderThatTheCoreNumbersIsRecognised(t *testing.T) {
+func TestRepeatedRequestWithoutNumberIsRecognised(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
 	request := PutConfigurationRequest{HasBase: true, Body: []byte(`{"a":1}`), Timeout: clock.Second}
@@ -320,7 +320,7 @@
 
 // Of a request that is older than all that is recognised the outcome is unknown: it is not
 // refused, and not applied a second time.
-func TestAForgottenOrderIsLeftUnclear(t *testing.T) {
+func TestOutcomeOfForgottenRequestIsUnknown(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
 	for n := uint64(1); n <= state.MaxRequests+3; n++ {
@@ -344,7 +344,7 @@
 }
 
 // Old documents are dropped; a request for one says so, and the list has their digests.
-func TestAnOldDocumentGaveWay(t *testing.T) {
+func TestOldDocumentIsDroppedAndItsDigestKept(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
 	for n := uint64(1); n <= 20; n++ {
@@ -366,7 +366,7 @@
 
 // A snapshot that is damaged, or of another form, ends the core: what it holds on
 // disk stays as it is, and nothing is acknowledged.
-func TestADamagedSnapshotEndsTheCore(t *testing.T) {
+func TestDamagedSnapshotHaltsTheCore(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
 	b.mustAcknowledge(t, core, putRequest(1, 0, `{}`))
@@ -387,18 +387,18 @@
 
 // A request that overtook the one it is built on is not refused: that decision would not be
 // final, as it is valid once its base is in force (found on real processes).
-func TestARequestThatOvertookItsBaseIsNotRefused(t *testing.T) {
+func TestRequestThatPrecedesItsBaseIsNotRefused(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
 	b.mustAcknowledge(t, core, putRequest(1, 0, `{"n":1}`))
-	arrivedEarly := b.call(core, putRequest(3, 2, `{"n":3}`))
+	early := b.call(core, putRequest(3, 2, `{"n":3}`))
 	b.advance(clock.Second)
-	if answer, notified := b.replies[arrivedEarly]; notified {
+	if answer, isAnswered := b.replies[early]; isAnswered {
 		t.Fatalf("told %v %v before its base came", answer.Body, answer.Err)
 	}
 	b.mustAcknowledge(t, core, putRequest(2, 1, `{"n":2}`))
 	b.advance(clock.Second)
-	if answer := b.reply(t, arrivedEarly); answer.Err != nil {
+	if answer := b.reply(t, early); answer.Err != nil {
 		t.Fatalf("its base is in force, and it is told %v", answer.Err)
 	}
 	lost := b.call(core, putRequest(9, 8, `{"n":9}`))
@@ -406,9 +406,9 @@
 	if answer := b.reply(t, lost); !errs.Is(answer.Err, errs.NotReady) {
 		t.Fatalf("its base never came, and it is told %v %v", answer.Body, answer.Err)
 	}
-	senseless := b.call(core, putRequest(9, 9, `{"n":9}`))
+	ownBase := b.call(core, putRequest(9, 9, `{"n":9}`))
 	b.advance(clock.Second)
-	if answer := b.reply(t, senseless); !isRefusal(answer) {
+	if answer := b.reply(t, ownBase); !isRefusal(answer) {
 		t.Fatalf("a request under its own base's number is told %v %v", answer.Body, answer.Err)
 	}
 }
--- a/internal/controlplane/replicated_state.go
+++ b/internal/controlplane/replicated_state.go
@@ -18,9 +18,9 @@
 // LocalSnapshot is the same: a core archives nothing.
 func (c *Core) LocalSnapshot(string) [][]byte {
 	if c.faults.SkipRequestTable {
-		bare := *c.state
-		bare.Requests = state.RequestTable{}
-		return bare.Snapshot()
+		stripped := *c.state
+		stripped.Requests = state.RequestTable{}
+		return stripped.Snapshot()
 	}
 	return c.state.Snapshot()
 }
@@ -33,24 +33,24 @@
 
 // Restore replaces the state by a snapshot.
 func (c *Core) Restore(_ string, parts [][]byte) {
-	fresh, err := state.Restore(parts)
+	restored, err := state.Restore(parts)
 	if err != nil {
-		c.haltOnDamage(err)
+		c.haltOnCorruption(err)
 		return
 	}
-	c.state = fresh
+	c.state = restored
 }
 
 // ApplyEntry applies a change on a replica or when read back.
 func (c *Core) ApplyEntry(_ string, data []byte) {
 	if err := c.state.ApplyEntry(data); err != nil {
-		c.haltOnDamage(err)
+		c.haltOnCorruption(err)
 	}
 }
 
-// haltOnDamage records that stored data can't be read, and ends the daemon: going on would
+// haltOnCorruption records that stored data can't be read, and ends the daemon: going on would
 // answer for a state that this core does not hold.
-func (c *Core) haltOnDamage(err error) {
+func (c *Core) haltOnCorruption(err error) {
 	if c.BadRecord == nil {
 		c.BadRecord = err
 	}
--- a/internal/controlplane/reports.go
+++ b/internal/controlplane/reports.go
@@ -17,7 +17,7 @@
 // receiveReport takes a daemon's report. A core that isn't primary remembers it, as it may be soon, but
 // acknowledges nothing.
 func (c *Core) receiveReport(call uint64, report primaryreport.Report, now clock.Micros) {
-	reply := c.rememberReport(report, now)
+	reply := c.recordReport(report, now)
 	if !c.IsServing() {
 		c.rejectNotPrimary(call)
 		return
@@ -25,8 +25,8 @@
 	c.Emit(machine.Reply{Call: call, Body: reply})
 }
 
-// rememberReport takes a report, and gives the reply to it.
-func (c *Core) rememberReport(report primaryreport.Report, now clock.Micros) primaryreport.Reply {
+// recordReport takes a report, and gives the reply to it.
+func (c *Core) recordReport(report primaryreport.Report, now clock.Micros) primaryreport.Reply {
 	if c.autoscale != nil {
 		c.autoscale.Receive(autoscale.Reporter{Daemon: report.Daemon, Incarnation: report.Incarnation}, report.Loads, now)
 	}
--- a/internal/controlplane/restart_test.go
+++ b/internal/controlplane/restart_test.go
@@ -34,7 +34,7 @@
 			if start := starts[peer]; b.now >= start.due {
 				start.due = b.now + tick
 				b.cores[peer] = start.core
-				b.carryOut(peer, start.core.Do(Tick{}, b.now))
+				b.applyEffects(peer, start.core.Do(Tick{}, b.now))
 			}
 		}
 		b.deliverOnce()
@@ -48,28 +48,28 @@
 
 // restarted is a core in its next incarnation, with what its disk holds.
 func (b *testCluster) restarted(peer string) *Core {
-	b.starts[peer] = b.starts[peer].next()
+	b.starts[peer] = b.starts[peer].nextIncarnation()
 	records := append([]machine.Record(nil), b.disk(peer).snapshot...)
 	for _, write := range b.disk(peer).writes {
 		records = append(records, write...)
 	}
-	return b.starts[peer].core(records)
+	return b.starts[peer].newCore(records)
 }
 
 // deliverOnce delivers what is under way now; answers to it come with the next step.
 func (b *testCluster) deliverOnce() {
-	wire := b.network
+	inTransit := b.network
 	b.network = nil
-	for _, l := range wire {
+	for _, l := range inTransit {
 		if to := b.cores[l.to]; to != nil {
-			b.carryOut(l.to, to.Do(Message{l.from, l.body}, b.now))
+			b.applyEffects(l.to, to.Do(Message{l.from, l.body}, b.now))
 		}
 	}
 }
 
 // Two members that campaign for one term at the same moment may grant it to each
 // other and win it neither: they don't wait for a term that nobody holds.
-func TestATermThatNobodyHoldsIsNotAwaited(t *testing.T) {
+func TestElectionDoesNotWaitForATermWithoutHolder(t *testing.T) {
 	const limit = 2 * clock.Second
 	for seed := int64(1); seed <= 120; seed++ {
 		b := newTestCluster(smallSettings())
--- a/internal/controlplane/retirements_test.go
+++ b/internal/controlplane/retirements_test.go
@@ -22,7 +22,7 @@
 // A store is retired by the operator's name for its machine: the newest store that
 // is not evicted; a read-only request changes nothing; what the operator calls it is kept up to
 // date.
-func TestAStoreIsRetiredByName(t *testing.T) {
+func TestStoreIsRetiredByName(t *testing.T) {
 	b := newTestCluster(smallSettings())
 	for i := 1; i <= 3; i++ {
 		b.core(fmt.Sprint("core-", i), fmt.Sprint("c", i), fmt.Sprint("zone-", i), "c1", "c2", "c3")
@@ -71,7 +71,7 @@
 
 // Two stores are retired at once, and the fleet can do without either but not
 // without both: one is refused.
-func TestTwoRetirementsAreDecidedInTurn(t *testing.T) {
+func TestConcurrentRetirementsAreDecidedInOrder(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	b.store("store-4", "s4", "zone-1")
 	b.advance(clock.Second)
@@ -88,53 +88,53 @@
 }
 
 // How far a retirement is, is answered from what the group has confirmed.
-func TestAReadOnlyRetirementWaitsForWhatIsInFlight(t *testing.T) {
+func TestReadOnlyRetirementWaitsForTheChangeInFlight(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	b.store("store-4", "s4", "zone-1")
 	b.advance(clock.Second)
 	core := b.primary()
 	b.drop = isAppend
-	mark := b.call(core, RetireRequest{ID: "store-1", Timeout: clock.Second})
-	look := b.call(core, RetireRequest{ID: "store-1", ReadOnly: true})
+	retire := b.call(core, RetireRequest{ID: "store-1", Timeout: clock.Second})
+	readOnly := b.call(core, RetireRequest{ID: "store-1", ReadOnly: true})
 	again := b.call(core, RetireRequest{ID: "store-1", Timeout: clock.Second})
 	b.advance(1200 * clock.Millisecond)
-	if _, notified := b.replies[look]; notified {
+	if _, isAnswered := b.replies[readOnly]; isAnswered {
 		t.Fatal("answered before the group confirmed the mark")
 	}
-	for _, call := range []uint64{mark, again} {
+	for _, call := range []uint64{retire, again} {
 		if answer := b.reply(t, call); !errs.Is(answer.Err, errs.OutcomeUnknown) {
 			t.Errorf("call %d expired: told %v %v", call, answer.Body, answer.Err)
 		}
 	}
 	b.drop = nil
 	b.advance(clock.Second)
-	if answer := b.reply(t, look); answer.Err != nil {
+	if answer := b.reply(t, readOnly); answer.Err != nil {
 		t.Fatalf("told %v", answer.Err)
 	}
 }
 
 // A store is retired only when no shard depends on it, those included whose new group
 // is not complete, and when all other groups are complete, too.
-func TestRetiredOnlyWhenEveryPairIsWhole(t *testing.T) {
+func TestStoreIsRetiredOnlyWhenAllGroupsAreComplete(t *testing.T) {
 	settings := smallSettings()
 	settings.BalanceAfter = 3600 * clock.Second
 	b := bootstrappedCluster(t, settings)
 	fourth := b.store("store-4", "s4", "zone-1")
 	b.advance(clock.Second)
-	look := func(id string) RetireResponse {
+	readProgress := func(id string) RetireResponse {
 		acknowledgement, err := b.retire(t, RetireRequest{ID: id, ReadOnly: true})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return acknowledgement
 	}
-	replicas := func(whole bool) {
+	setReportsComplete := func(complete bool) {
 		for _, s := range b.stores {
-			s.reportsComplete = whole
+			s.reportsComplete = complete
 		}
 	}
 	// Nothing depends on the fourth, but groups of the others are not complete.
-	replicas(false)
+	setReportsComplete(false)
 	b.stores[2].Incarnation = 2
 	b.advance(clock.Second)
 	if allShardsComplete(b.primary()) {
@@ -144,19 +144,19 @@
 		t.Fatal(err)
 	}
 	b.advance(3 * clock.Second)
-	if got := look("store-4"); got.Done || got.ShardsLeft != 0 {
+	if got := readProgress("store-4"); got.Done || got.ShardsLeft != 0 {
 		t.Fatalf("other groups are not complete: %+v", got)
 	}
-	replicas(true)
+	setReportsComplete(true)
 	b.advance(3 * clock.Second)
-	if got := look("store-4"); !got.Done {
+	if got := readProgress("store-4"); !got.Done {
 		t.Fatalf("all is complete: %+v", got)
 	}
 	if _, err := b.retire(t, RetireRequest{ID: fourth.ID, Cancel: true}); err != nil {
 		t.Fatal(err)
 	}
 	// The shards of the first have new groups, but none is complete yet.
-	replicas(false)
+	setReportsComplete(false)
 	if _, err := b.retire(t, RetireRequest{ID: "store-1"}); err != nil {
 		t.Fatal(err)
 	}
@@ -166,12 +166,12 @@
 			t.Fatalf("shard %d still names the store: %+v", shard, p)
 		}
 	}
-	if got := look("store-1"); got.Done || got.ShardsLeft == 0 {
+	if got := readProgress("store-1"); got.Done || got.ShardsLeft == 0 {
 		t.Fatalf("the new groups are not complete: %+v", got)
 	}
-	replicas(true)
+	setReportsComplete(true)
 	b.advance(3 * clock.Second)
-	if got := look("store-1"); !got.Done || got.ShardsLeft != 0 {
+	if got := readProgress("store-1"); !got.Done || got.ShardsLeft != 0 {
 		t.Fatalf("all is complete: %+v", got)
 	}
 }
--- a/internal/controlplane/shards_test.go
+++ b/internal/controlplane/shards_test.go
@@ -51,7 +51,7 @@
 
 // All stores are killed and come back with their disks: every shard is complete again, as
 // far as there are stores, also where there are fewer stores than copies.
-func TestAllStoresRestart(t *testing.T) {
+func TestShardsRecoverAfterAllStoresRestart(t *testing.T) {
 	for _, shape := range []struct{ tolerance, stores int }{{1, 2}, {1, 3}, {2, 3}, {2, 5}, {3, 3}} {
 		b := clusterWithStores(t, shape.tolerance, shape.stores)
 		for _, s := range b.stores {
@@ -69,7 +69,7 @@
 
 // Two of four stores are lost at once, where two may be: each shard goes on with the two
 // that live, and is complete again with their successors.
-func TestAsManyStoresAsToleratedAreLost(t *testing.T) {
+func TestShardsSurviveTheToleratedStoreLosses(t *testing.T) {
 	for _, stores := range []int{4, 5} {
 		b := clusterWithStores(t, 2, stores)
 		for shard, assignment := range b.primary().State().Shards {
@@ -87,7 +87,7 @@
 
 // One of two copies is never given up for want of another store: a single store does not
 // confirm alone where one may be lost.
-func TestASingleStoreDoesNotGoOnAlone(t *testing.T) {
+func TestShardIsNotReducedToASingleCopy(t *testing.T) {
 	b := clusterWithStores(t, 1, 2)
 	b.stores[0].unreachable = true
 	b.advance(20 * clock.Second)
@@ -100,7 +100,7 @@
 
 // A store that is to be emptied keeps what it holds until groups without it are complete,
 // and others may be lost right after it is done.
-func TestARetiringStoreAnswersForItsCopies(t *testing.T) {
+func TestRetiringStoreKeepsItsCopiesUntilReplaced(t *testing.T) {
 	for _, shape := range []struct{ tolerance, stores int }{{1, 3}, {2, 4}} {
 		b := clusterWithStores(t, shape.tolerance, shape.stores)
 		for _, s := range b.stores {
@@ -132,7 +132,7 @@
 }
 
 // Too few stores would remain: the request is refused and changes nothing.
-func TestARetirementThatLeavesTooFewIsRefused(t *testing.T) {
+func TestRetirementThatLeavesTooFewStoresIsRefused(t *testing.T) {
 	for _, shape := range []struct{ tolerance, stores int }{{1, 2}, {2, 3}, {3, 3}} {
 		b := clusterWithStores(t, shape.tolerance, shape.stores)
 		if _, err := b.retire(t, RetireRequest{ID: "store-1"}); err == nil {
--- a/internal/controlplane/state_size_test.go
+++ b/internal/controlplane/state_size_test.go
@@ -32,17 +32,17 @@
 // writeTo writes the same files as a daemon does.
 func (d *disk) writeTo(t *testing.T, folder string) (files int, size int64) {
 	t.Helper()
-	room, _, err := storage.Open(folder)
+	log, _, err := storage.Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if d.snapshot != nil {
-		if err := room.Compact(d.snapshot); err != nil {
+		if err := log.Compact(d.snapshot); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, records := range d.writes {
-		if err := room.Write(records); err != nil {
+		if err := log.Write(records); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -60,8 +60,8 @@
 	return len(entries), size
 }
 
-// configuration is a document of 30 routes, as the operators send them.
-func configuration(number int) string {
+// largeConfiguration is a document of 30 routes, as the operators send them.
+func largeConfiguration(number int) string {
 	var routes []string
 	for i := 0; i < 30; i++ {
 		routes = append(routes, fmt.Sprintf(`{"name":"r-%d-%05d","host":"host%d.example","path-prefix":"/part%d/","kind":"stream","deadline-ms":%d,"target-ms":300,"prio":0,"split":[{"svc":"service-a","share":90},{"svc":"service-b","share":10}],"tries":2,"pin":true,"resumable":true,"token-gap-ms":150}`,
@@ -70,8 +70,8 @@
 	return fmt.Sprintf(`{"ver":%05d,"routes":[%s],"svcs":[{"name":"service-a","max-conns":210},{"name":"service-b","max-conns":210}]}`, 10_000+number, strings.Join(routes, ","))
 }
 
-// figures are what a number of changes costs a core that joins or starts afterwards.
-type figures struct {
+// stateCost are what a number of changes costs a core that joins or starts afterwards.
+type stateCost struct {
 	changes     int
 	copyBytes   int           // of state sent to a core that joins the group
 	copyChunks  int           // messages of them
@@ -83,32 +83,32 @@
 	mapBytes    int           // of updates to every daemon
 }
 
-func (f figures) String() string {
+func (f stateCost) String() string {
 	return fmt.Sprintf("%6d changes: copy %7d bytes in %d chunks, complete again after %.2f s; disk %8d bytes in %3d files, start %5.1f ms, heap %5d KB; map %d bytes",
 		f.changes, f.copyBytes, f.copyChunks, float64(f.joinedAfter)/float64(clock.Second), f.diskBytes, f.diskFiles, float64(f.startedIn.Microseconds())/1000, f.heap/1024, f.mapBytes)
 }
 
-// measure puts a number of configurations, has another core take the place of the
+// measureStateCost puts a number of configurations, has another core take the place of the
 // replica that is lost, and starts a core from the primary's disk.
-func measure(t *testing.T, changes int) figures {
+func measureStateCost(t *testing.T, changes int) stateCost {
 	t.Helper()
 	b := newTestCluster(smallSettings())
 	b.disks = map[string]*disk{}
 	bootstrapWithStores(t, b)
 	primary := b.primary()
 	for n := 1; n <= changes; n++ {
-		b.mustAcknowledge(t, primary, putRequest(uint64(n), uint64(n-1), configuration(n)))
+		b.mustAcknowledge(t, primary, putRequest(uint64(n), uint64(n-1), largeConfiguration(n)))
 		b.broadcasts, b.replies = nil, map[uint64]machine.Reply{}
 	}
-	out := figures{changes: changes}
+	out := stateCost{changes: changes}
 	written := b.disk(primary.self.Peer)
-	out.joinedAfter = b.join(t, primary, &out)
-	out.start(t, b.starts[primary.self.Peer].next(), primary, written)
+	out.joinedAfter = b.replaceReplica(t, primary, &out)
+	out.startFromDisk(t, b.starts[primary.self.Peer].nextIncarnation(), primary, written)
 	return out
 }
 
-// join takes the replica's machine away and waits until another core is replica.
-func (b *testCluster) join(t *testing.T, primary *Core, out *figures) clock.Micros {
+// replaceReplica takes the replica's machine away and waits until another core is replica.
+func (b *testCluster) replaceReplica(t *testing.T, primary *Core, out *stateCost) clock.Micros {
 	t.Helper()
 	for peer, core := range b.cores {
 		if core != primary && core.state.Configured() {
@@ -137,23 +137,23 @@
 	return 0
 }
 
-// start writes a core's disk to files and starts a core from them.
-func (f *figures) start(t *testing.T, again start, of *Core, written *disk) {
+// startFromDisk writes a core's disk to files and starts a core from them.
+func (f *stateCost) startFromDisk(t *testing.T, again coreStart, of *Core, written *disk) {
 	t.Helper()
 	folder := t.TempDir()
 	f.diskFiles, f.diskBytes = written.writeTo(t, folder)
 	var before, after runtime.MemStats
-	collect()
+	collectGarbage()
 	runtime.ReadMemStats(&before)
 	began := time.Now()
 	_, records, err := storage.Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	core := again.core(records)
+	core := again.newCore(records)
 	f.startedIn = time.Since(began)
 	records = nil
-	collect()
+	collectGarbage()
 	runtime.ReadMemStats(&after)
 	runtime.KeepAlive(written)
 	runtime.KeepAlive(of)
@@ -162,28 +162,28 @@
 	if core.BadRecord != nil || f.changes > 0 && latest.Number != uint64(f.changes) {
 		t.Fatalf("started with version %d, %v", latest.Number, core.BadRecord)
 	}
-	mapNews, err := json.Marshal(core.state.Map())
+	mapUpdate, err := json.Marshal(core.state.Map())
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.mapBytes = len(mapNews)
+	f.mapBytes = len(mapUpdate)
 }
 
-// collect frees what is no longer used.
-func collect() {
+// collectGarbage frees what is no longer used.
+func collectGarbage() {
 	runtime.GC()
 	runtime.GC()
 }
 
 // Neither what a joining core is sent nor what a core holds on disk grows with the
 // number of changes, from 1,000 on. Run with -v for the figures.
-func TestChangesDoNotMakeTheStateGrow(t *testing.T) {
-	var at1000 figures
+func TestStateSizeDoesNotGrowWithChanges(t *testing.T) {
+	var at1000 stateCost
 	for _, changes := range []int{10, 100, 1_000, 10_000} {
 		if changes > 1_000 && testing.Short() {
 			break
 		}
-		f := measure(t, changes)
+		f := measureStateCost(t, changes)
 		t.Log(f)
 		if changes < 1_000 {
 			continue
--- a/internal/controlplane/stores.go
+++ b/internal/controlplane/stores.go
@@ -74,7 +74,7 @@
 
 // evictUnreachableStores writes down which stores no longer count as voters for updates.
 func (c *Core) evictUnreachableStores(now clock.Micros) {
-	if c.faults.KeepVotes {
+	if c.faults.SkipStoreEviction {
 		return
 	}
 	for _, store := range c.stores.ToEvict(c.state, now) {
--- a/internal/controlplane/stores_test.go
+++ b/internal/controlplane/stores_test.go
@@ -8,7 +8,7 @@
 
 // An empty store at the address of another: the former one's shards are assigned anew
 // at once, and a heartbeat of it that comes late does not bring it back.
-func TestAReplacedStoresShardsAreNotAwaited(t *testing.T) {
+func TestShardsOfAReplacedStoreAreReassignedAtOnce(t *testing.T) {
 	settings := smallSettings()
 	settings.StoreTimeout = 60 * clock.Second
 	b := bootstrappedCluster(t, settings)
@@ -23,7 +23,7 @@
 	if n := core.state.DependentShards("store-1"); n != 0 || !allShardsComplete(core) {
 		t.Fatalf("after a second %d shards depend on the store that was replaced, all complete %v", n, allShardsComplete(core))
 	}
-	b.carryOut(core.self.Peer, core.Do(Message{"s1", late}, b.now))
+	b.applyEffects(core.self.Peer, core.Do(Message{"s1", late}, b.now))
 	b.advance(clock.Second)
 	if !core.State().Stores["store-1"].Evicted {
 		t.Fatal("a late heartbeat brought the store back")
--- a/internal/controlplane/voters_test.go
+++ b/internal/controlplane/voters_test.go
@@ -10,8 +10,8 @@
 	"tuliprudder/internal/replication"
 )
 
-// clusterOf is a fleet of so many cores in zones by turns, bootstrapped by the first three.
-func clusterOf(t *testing.T, settings Settings, cores int, zones ...string) *testCluster {
+// clusterWithCores is a fleet of so many cores in zones by turns, bootstrapped by the first three.
+func clusterWithCores(t *testing.T, settings Settings, cores int, zones ...string) *testCluster {
 	t.Helper()
 	b := newTestCluster(settings)
 	seeds := []string{"c1", "c2", "c3"}[:min(cores, 3)]
@@ -42,9 +42,9 @@
 	return 0
 }
 
-// leading is the core that is primary and holds its lease; nil when none does. Two are
+// leaseHolder is the core that is primary and holds its lease; nil when none does. Two are
 // a failure.
-func (b *testCluster) leading(t *testing.T) *Core {
+func (b *testCluster) leaseHolder(t *testing.T) *Core {
 	t.Helper()
 	var found *Core
 	for _, core := range b.cores {
@@ -62,10 +62,10 @@
 // kill takes a core away for good.
 func (b *testCluster) kill(core *Core) { delete(b.cores, core.self.Peer) }
 
-// member is the core at a place of the primary's group.
-func (b *testCluster) member(t *testing.T, at int) *Core {
+// groupMember is the core at a place of the primary's group.
+func (b *testCluster) groupMember(t *testing.T, at int) *Core {
 	t.Helper()
-	ids := b.leading(t).Vote().Committed.IDs()
+	ids := b.leaseHolder(t).Vote().Committed.IDs()
 	for _, core := range b.cores {
 		if core.self.ID == ids[at] {
 			return core
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// cutApart drops the messages between two sides, for as long as it is set.
-func cutApart(side ...*Core) func(l envelope) bool {
+// partition drops the messages between two sides, for as long as it is set.
+func partition(side ...*Core) func(l envelope) bool {
 	within := func(peer string) bool {
 		return slices.ContainsFunc(side, func(core *Core) bool { return core.self.Peer == peer })
 	}
@@ -85,9 +85,9 @@
 
 // A fleet of any number of cores is bootstrapped once, whatever number is there at first:
 // by those at the seeds; the others are given votes. Its group covers every majority.
-func TestAnyNumberOfCoresFoundOneFleet(t *testing.T) {
+func TestAnyNumberOfCoresBootstrapOneFleet(t *testing.T) {
 	for cores, replicas := range map[int]int{1: 1, 2: 2, 3: 2, 4: 2, 5: 3, 6: 3, 7: 4} {
-		b := clusterOf(t, smallSettings(), cores, "zone-1", "zone-2", "zone-3")
+		b := clusterWithCores(t, smallSettings(), cores, "zone-1", "zone-2", "zone-3")
 		fleets := map[string]bool{}
 		for _, core := range b.cores {
 			fleets[core.Vote().Fleet] = true
@@ -96,14 +96,14 @@
 			t.Errorf("%d cores bootstrapped %d fleets", cores, len(fleets))
 		}
 		b.await(t, fmt.Sprint(cores, " cores keep ", replicas, " copies"), func() bool {
-			lead := b.leading(t)
+			lead := b.leaseHolder(t)
 			return lead != nil && len(lead.Vote().Committed.IDs()) == replicas
 		})
 	}
 }
 
 // Only a first start bootstraps: empty cores that start later stand by, however many.
-func TestOnlyTheFirstStartFounds(t *testing.T) {
+func TestOnlyTheFirstStartBootstraps(t *testing.T) {
 	settings := smallSettings()
 	settings.Bootstrap = false
 	b := newTestCluster(settings)
@@ -120,11 +120,11 @@
 
 // Three empty cores that hear each other before those with a vote do not bootstrap a second
 // fleet: what likely happened in the Ghent site's trouble-1.
-func TestEmptyCoresOfAFoundedFleetFoundNone(t *testing.T) {
+func TestEmptyCoresDoNotBootstrapASecondFleet(t *testing.T) {
 	settings := smallSettings()
 	settings.Tolerance = 2
-	b := clusterOf(t, settings, 5, "zone-1", "zone-2", "zone-3")
-	fleet := b.leading(t).Vote().Fleet
+	b := clusterWithCores(t, settings, 5, "zone-1", "zone-2", "zone-3")
+	fleet := b.leaseHolder(t).Vote().Fleet
 	b.settings.Bootstrap = false
 	kept := map[string]*Core{}
 	for _, peer := range []string{"c1", "c2", "c3"} {
@@ -132,7 +132,7 @@
 		delete(b.cores, peer)
 		b.core("empty-"+peer, peer, "zone-1", "c1", "c2", "c3")
 	}
-	b.drop = cutApart(b.cores["c1"], b.cores["c2"], b.cores["c3"])
+	b.drop = partition(b.cores["c1"], b.cores["c2"], b.cores["c3"])
 	b.advance(10 * clock.Second)
 	for _, core := range b.cores {
 		if got := core.Vote().Fleet; got != "" && got != fleet {
@@ -143,21 +143,21 @@
 
 // Two cores of one zone are a majority of three: the loss of the third, alone in its
 // zone, leaves them a group.
-func TestZonesAreAPreference(t *testing.T) {
+func TestGroupFormsWithinOneZoneIfNeeded(t *testing.T) {
 	for _, cutOnly := range []bool{true, false} {
-		b := clusterOf(t, smallSettings(), 3, "zone-1", "zone-1", "zone-2")
+		b := clusterWithCores(t, smallSettings(), 3, "zone-1", "zone-1", "zone-2")
 		lone := b.cores["c3"]
 		b.await(t, "the group is spread over both zones", func() bool {
-			lead := b.leading(t)
+			lead := b.leaseHolder(t)
 			return lead != nil && slices.Contains(lead.Vote().Committed.IDs(), lone.self.ID)
 		})
 		if cutOnly {
-			b.drop = cutApart(lone)
+			b.drop = partition(lone)
 		} else {
 			b.kill(lone)
 		}
 		b.await(t, "the two of zone-1 lead", func() bool {
-			lead := b.leading(t)
+			lead := b.leaseHolder(t)
 			return lead != nil && lead != lone
 		})
 	}
@@ -166,24 +166,24 @@
 // A primary that is cut off for twenty seconds, alone or with one other core, neither
 // acknowledges nor reads back once its lease is over; the others go on within three
 // seconds, and it follows them afterwards.
-func TestACutOffPrimaryConfirmsAndReadsNothing(t *testing.T) {
+func TestIsolatedPrimaryNeitherConfirmsNorReads(t *testing.T) {
 	for _, shape := range []struct{ cores, tolerance, with int }{{3, 1, 0}, {5, 2, 0}, {5, 2, 1}, {5, 1, 1}, {7, 1, 2}} {
 		settings := smallSettings()
 		settings.Tolerance = shape.tolerance
-		b := clusterOf(t, settings, shape.cores, "zone-1", "zone-2", "zone-3")
-		old := b.leading(t)
-		b.primaryAcknowledges(t, 1, 0)
+		b := clusterWithCores(t, settings, shape.cores, "zone-1", "zone-2", "zone-3")
+		old := b.leaseHolder(t)
+		b.mustPutAtPrimary(t, 1, 0)
 		side := []*Core{old}
 		for at := 1; at <= shape.with; at++ {
-			side = append(side, b.member(t, at))
+			side = append(side, b.groupMember(t, at))
 		}
-		b.drop = cutApart(side...)
+		b.drop = partition(side...)
 		stale := b.call(old, putRequest(2, 1, `{"stale":true}`))
-		took := b.await(t, "the majority leads", func() bool { lead := b.leading(t); return lead != nil && lead != old })
+		took := b.await(t, "the majority leads", func() bool { lead := b.leaseHolder(t); return lead != nil && lead != old })
 		if took > 3*clock.Second {
 			t.Errorf("%+v: the majority led after %d us", shape, took)
 		}
-		lead := b.leading(t)
+		lead := b.leaseHolder(t)
 		call := b.call(lead, putRequest(3, 1, `{"a":3}`))
 		b.await(t, fmt.Sprintf("%+v: %s answers", shape, lead.self.ID), func() bool { _, notified := b.replies[call]; return notified })
 		if answer := b.reply(t, call); answer.Err != nil {
@@ -203,8 +203,8 @@
 		b.drop = nil
 		b.advance(3 * clock.Second)
 		for _, core := range b.cores {
-			if slices.Contains(lead.Vote().Committed.IDs(), core.self.ID) && latest(core) != 3 {
-				t.Errorf("%+v: %s holds version %d after the cut", shape, core.self.ID, latest(core))
+			if slices.Contains(lead.Vote().Committed.IDs(), core.self.ID) && latestVersion(core) != 3 {
+				t.Errorf("%+v: %s holds version %d after the cut", shape, core.self.ID, latestVersion(core))
 			}
 			if core.Vote().Committed.Epoch != lead.Vote().Committed.Epoch {
 				t.Errorf("%+v: %s knows term %d after the cut, not %d", shape, core.self.ID, core.Vote().Committed.Epoch, lead.Vote().Committed.Epoch)
@@ -214,12 +214,12 @@
 }
 
 // A primary that is heard but hears nobody (a cut in one direction) gives way.
-func TestADeafPrimaryGivesWay(t *testing.T) {
+func TestPrimaryThatReceivesNothingIsReplaced(t *testing.T) {
 	for _, cores := range []int{3, 5} {
-		b := clusterOf(t, smallSettings(), cores, "zone-1", "zone-2", "zone-3")
-		old := b.leading(t)
+		b := clusterWithCores(t, smallSettings(), cores, "zone-1", "zone-2", "zone-3")
+		old := b.leaseHolder(t)
 		b.drop = func(l envelope) bool { return l.to == old.self.Peer }
-		if took := b.await(t, "another leads", func() bool { lead := b.leading(t); return lead != nil && lead != old }); took > 4*clock.Second {
+		if took := b.await(t, "another leads", func() bool { lead := b.leaseHolder(t); return lead != nil && lead != old }); took > 4*clock.Second {
 			t.Errorf("%d cores: another led after %d us", cores, took)
 		}
 	}
@@ -227,24 +227,24 @@
 
 // A planned replacement: the new core has its vote before the old one has stopped, so that
 // the next loss, right then, finds a majority.
-func TestALossRightAfterAPlannedReplacement(t *testing.T) {
+func TestLossRightAfterAPlannedReplacement(t *testing.T) {
 	settings := smallSettings()
 	settings.ReplaceSoonAfter = 2300 * clock.Millisecond
-	b := clusterOf(t, settings, 3, "zone-1", "zone-2", "zone-3")
+	b := clusterWithCores(t, settings, 3, "zone-1", "zone-2", "zone-3")
 	for round := range 3 {
-		departing := b.member(t, round%2)
+		departing := b.groupMember(t, round%2)
 		b.settings.Bootstrap = false
 		b.core(fmt.Sprint("new-", round), fmt.Sprint("n", round), departing.self.Zone, sortedKeys(b.cores)...)
 		b.advance(3 * clock.Second)
-		b.carryOut(departing.self.Peer, departing.Do(Drain{}, b.now))
+		b.applyEffects(departing.self.Peer, departing.Do(Drain{}, b.now))
 		b.await(t, "nobody depends on the core that drains", func() bool { return !departing.IsNeeded(b.now) })
 		b.kill(departing)
-		lost := b.leading(t)
+		lost := b.leaseHolder(t)
 		if lost == nil {
 			t.Fatalf("round %d: nobody leads right after the planned replacement", round)
 		}
 		b.kill(lost)
-		b.await(t, "a majority leads after the next loss", func() bool { return b.leading(t) != nil })
+		b.await(t, "a majority leads after the next loss", func() bool { return b.leaseHolder(t) != nil })
 		b.core(fmt.Sprint("spare-", round), fmt.Sprint("p", round), lost.self.Zone, sortedKeys(b.cores)...)
 		b.await(t, "three have votes again", func() bool { return len(b.voters()) == 3 && !slices.Contains(b.voters(), lost.self.ID) })
 		b.awaitStable(t)
@@ -254,35 +254,35 @@
 // Losses one after the other, each replaced by an empty core: every one finds a
 // majority, and a copy, as long as it comes after the time that the deployment allows
 // for the last one's successor.
-func TestALossRightAfterARepair(t *testing.T) {
+func TestSuccessiveLossesWithReplacements(t *testing.T) {
 	const syncTime = 4600 * clock.Millisecond
 	for _, shape := range []struct{ cores, tolerance int }{{3, 1}, {5, 2}} {
 		settings := smallSettings()
 		settings.Tolerance, settings.ReplaceSoonAfter = shape.tolerance, syncTime/2
-		b := clusterOf(t, settings, shape.cores, "zone-1", "zone-2", "zone-3")
+		b := clusterWithCores(t, settings, shape.cores, "zone-1", "zone-2", "zone-3")
 		b.settings.Bootstrap = false
-		b.primaryAcknowledges(t, 1, 0)
+		b.mustPutAtPrimary(t, 1, 0)
 		for round := 1; round <= 6; round++ {
 			for at := range shape.tolerance {
-				lost := b.member(t, 0)
+				lost := b.groupMember(t, 0)
 				b.kill(lost)
 				b.core(fmt.Sprintf("new-%d-%d", round, at), fmt.Sprintf("n%d.%d", round, at), lost.self.Zone, sortedKeys(b.cores)...)
-				b.await(t, "somebody leads after the loss", func() bool { return b.leading(t) != nil })
+				b.await(t, "somebody leads after the loss", func() bool { return b.leaseHolder(t) != nil })
 			}
 			b.advance(syncTime)
-			if got := latest(b.leading(t)); got != uint64(round) {
+			if got := latestVersion(b.leaseHolder(t)); got != uint64(round) {
 				t.Fatalf("%+v, round %d: version %d is in force", shape, round, got)
 			}
-			b.primaryAcknowledges(t, uint64(round+1), uint64(round))
+			b.mustPutAtPrimary(t, uint64(round+1), uint64(round))
 		}
 	}
 }
 
 // The voters change by majorities of both: a new set of voters that only its own
 // majority wrote down is no base for anybody, and the old ones go on without it.
-func TestVotersChangeByMajoritiesOfBoth(t *testing.T) {
-	b := clusterOf(t, smallSettings(), 3, "zone-1", "zone-2", "zone-3")
-	lead, replica := b.leading(t), b.member(t, 1)
+func TestVoterChangeNeedsMajoritiesOfBothSets(t *testing.T) {
+	b := clusterWithCores(t, smallSettings(), 3, "zone-1", "zone-2", "zone-3")
+	lead, replica := b.leaseHolder(t), b.groupMember(t, 1)
 	var third *Core
 	for _, core := range b.cores {
 		if core != lead && core != replica {
@@ -293,28 +293,28 @@
 	// replica has the copy of that term, the primary and the new core are alone: only they
 	// write down that it is complete.
 	fresh := b.core("core-9", "c9", "zone-9", "c1", "c2", "c3")
-	parted := false
-	apart := cutApart(lead, fresh)
+	partitioned := false
+	dropAcross := partition(lead, fresh)
 	b.drop = func(l envelope) bool {
-		if parted {
-			return apart(l)
+		if partitioned {
+			return dropAcross(l)
 		}
 		ack, copied := l.body.(replication.AppendAck)
-		parted = copied && ack.SnapshotInstalled && hasVote(lead.Vote().PendingVoters, "core-9")
+		partitioned = copied && ack.SnapshotInstalled && hasVote(lead.Vote().PendingVoters, "core-9")
 		return l.from == third.self.Peer || l.to == third.self.Peer
 	}
 	b.await(t, "the new core writes its voters down", func() bool { return hasVote(fresh.Vote().Voters, "core-9") })
-	if b.leading(t) == lead && hasVote(lead.Vote().Voters, "core-9") {
+	if b.leaseHolder(t) == lead && hasVote(lead.Vote().Voters, "core-9") {
 		t.Fatal("the primary leads under voters that the old ones have not committed")
 	}
 	// The old majority leads, and the other two don't, though they are one of the new voters.
 	b.await(t, "the old majority leads", func() bool {
-		now := b.leading(t)
+		now := b.leaseHolder(t)
 		return now != nil && now != lead && now != fresh
 	})
 	for range 100 {
 		b.advance(100 * clock.Millisecond)
-		if now := b.leading(t); now == lead || now == fresh {
+		if now := b.leaseHolder(t); now == lead || now == fresh {
 			t.Fatalf("%s leads with a minority of the old voters", now.self.ID)
 		}
 	}
@@ -322,32 +322,32 @@
 
 // A core that lost its disk comes back under another identity: what its former one
 // granted and held counts for nothing, and it leads nobody before it was sent the state.
-func TestAWipedCoreIsNobodyItWas(t *testing.T) {
-	b := clusterOf(t, smallSettings(), 3, "zone-1", "zone-2", "zone-3")
+func TestCoreThatLostItsDiskHasANewIdentity(t *testing.T) {
+	b := clusterWithCores(t, smallSettings(), 3, "zone-1", "zone-2", "zone-3")
 	b.settings.Bootstrap = false
-	b.primaryAcknowledges(t, 1, 0)
-	wiped := b.member(t, 1)
+	b.mustPutAtPrimary(t, 1, 0)
+	wiped := b.groupMember(t, 1)
 	b.kill(wiped)
 	again := b.core("core-8", wiped.self.Peer, wiped.self.Zone, "c1", "c2", "c3")
-	request := election.VoteRequest{Fleet: again.Vote().Fleet, Assignment: replication.Assignment{Epoch: 99}, Voters: b.leading(t).Vote().Voters, Candidate: wiped.self}
+	request := election.VoteRequest{Fleet: again.Vote().Fleet, Assignment: replication.Assignment{Epoch: 99}, Voters: b.leaseHolder(t).Vote().Voters, Candidate: wiped.self}
 	again.Do(Message{wiped.self.Peer, request}, b.now)
 	if again.Vote().Term != 0 {
 		t.Fatal("an empty core granted a term to voters that it is none of")
 	}
-	b.kill(b.leading(t))
+	b.kill(b.leaseHolder(t))
 	b.advance(3 * clock.Second)
-	if lead := b.leading(t); lead == again {
+	if lead := b.leaseHolder(t); lead == again {
 		t.Fatal("an empty core leads")
 	}
 }
 
 // A core that drains waits for others to take its duties over, and only where there are
 // any: the only one stops at once.
-func TestTheOnlyCoreStopsAtOnce(t *testing.T) {
+func TestOnlyCoreStopsAtOnce(t *testing.T) {
 	for cores, waits := range map[int]bool{1: false, 2: true, 3: true} {
-		b := clusterOf(t, smallSettings(), cores, "zone-1", "zone-2", "zone-3")
-		lead := b.leading(t)
-		b.carryOut(lead.self.Peer, lead.Do(Drain{}, b.now))
+		b := clusterWithCores(t, smallSettings(), cores, "zone-1", "zone-2", "zone-3")
+		lead := b.leaseHolder(t)
+		b.applyEffects(lead.self.Peer, lead.Do(Drain{}, b.now))
 		if got := lead.IsNeeded(b.now); got != waits {
 			t.Errorf("%d cores: needed %v", cores, got)
 		}
@@ -357,7 +357,7 @@
 
 // The vote of a core that is lost passes to an empty core sooner than to one that
 // had a vote; without the setting both wait equally long.
-func TestAnEmptyCoreIsGivenAVoteSooner(t *testing.T) {
+func TestEmptyCoreReplacesALostVoterSooner(t *testing.T) {
 	for _, soon := range []clock.Micros{0, 2 * clock.Second, 60 * clock.Second} {
 		settings := smallSettings()
 		settings.ReplaceAfter, settings.ReplaceSoonAfter = 20*clock.Second, soon
--- a/internal/daemon/machines/core.go
+++ b/internal/daemon/machines/core.go
@@ -79,7 +79,7 @@
 	if server.Removed {
 		return controlplane.EndpointRemoved{Name: server.Name}
 	}
-	return controlplane.EndpointKnown{Server: autoscale.Server{
+	return controlplane.EndpointUpdated{Server: autoscale.Server{
 		Name: server.Name, Labels: server.Labels, Zone: server.Labels[endpoints.LabelZone], Slots: server.Slots, Serving: !server.Draining,
 	}}
 }
@@ -95,7 +95,7 @@
 	case !ok:
 		return nil
 	case member.Kind == membership.Store:
-		return c.Do(controlplane.Suspicion{ID: member.ID, Unhealthy: member.Status != membership.Alive}, now)
+		return c.Do(controlplane.StoreHealth{ID: member.ID, Unhealthy: member.Status != membership.Alive}, now)
 	case member.Kind == membership.Edge && c.ReportsUsage():
 		isLive := member.Status < membership.Dead
 		return c.Do(controlplane.EdgeHealth{ID: member.ID, Incarnation: member.Incarnation, IsLive: isLive}, now)
--- a/test/simulator/lost_stores_test.go
+++ b/test/simulator/lost_stores_test.go
@@ -23,7 +23,7 @@
 func TestStoresThatKeepTheirVotesAreCaught(t *testing.T) {
 	w := loseReplacedStoresAndCores(func(n *Node) {
 		if n.Core != nil {
-			n.Core.InjectFaults(controlplane.InjectedFaults{KeepVotes: true})
+			n.Core.InjectFaults(controlplane.InjectedFaults{SkipStoreEviction: true})
 		}
 	})
 	if !w.Workload.HasViolated(serviceRestored) {
