--- a/internal/controlplane/autoscaling_test.go
+++ b/internal/controlplane/autoscaling_test.go
@@ -10,7 +10,7 @@
 	"tuliprudder/internal/controlplane/primaryreport"
 )
 
-// autoscaledCluster is a cluster that knows six servers in each of two zones, of a pool that is scaled.
+// autoscaledCluster returns a cluster with an autoscaled pool of six servers in each of two zones.
 func autoscaledCluster(t *testing.T) *testCluster {
 	t.Helper()
 	settings := smallSettings()
@@ -32,8 +32,8 @@
 	return b
 }
 
-// targetsForLoad has an edge report for some seconds that so many slots are taken, and gives the numbers of
-// servers that permits are given for.
+// targetsForLoad has an edge report the number of busy slots once a second, and returns, by zone,
+// the numbers of servers for which permits are granted.
 func (b *testCluster) targetsForLoad(t *testing.T, seconds int, busy int64) map[string]int64 {
 	t.Helper()
 	out := map[string]int64{}
@@ -55,10 +55,10 @@
 func TestSustainedLoadLeadsToScalingPermits(t *testing.T) {
 	b := autoscaledCluster(t)
 	if got := b.targetsForLoad(t, 10, 24); len(got) != 0 {
-		t.Fatalf("for a usual load: %v", got)
+		t.Fatalf("scaling permits under normal load: %v, want none", got)
 	}
 	got := b.targetsForLoad(t, 12, 60)
 	if len(got) != 2 || got["z0"] != 9 || got["z1"] != 9 {
-		t.Errorf("for a lasting load: %v", got)
+		t.Errorf("scaling permits under sustained load: %v, want 9 servers in z0 and z1", got)
 	}
 }
--- a/internal/controlplane/bootstrap_test.go
+++ b/internal/controlplane/bootstrap_test.go
@@ -9,8 +9,9 @@
 	"tuliprudder/internal/replication"
 )
 
-// A founder that won its term and waits until its replicas hold the state does not
-// bootstrap again: the founders would grant the second term and refuse to commit the first.
+// A founder that won its term and waits for its replicas to receive the state does not
+// bootstrap again: otherwise the founders would grant the second term and refuse to commit the
+// first.
 func TestElectedFounderDoesNotBootstrapAgain(t *testing.T) {
 	b := newTestCluster(smallSettings())
 	for i := 1; i <= 3; i++ {
@@ -23,12 +24,12 @@
 	}
 	b.advance(clock.Second)
 	if founder := b.cores["c1"]; founder.election.TermsWon != 1 || founder.Vote().Term != 1 || !founder.IsServing() {
-		t.Errorf("a second on, the founder won %d terms, the last granted is %d, it serves: %v; wanted the first alone", founder.election.TermsWon, founder.Vote().Term, founder.IsServing())
+		t.Errorf("after 1 s the founder has won %d terms, last granted term %d, serving %v; want only term 1, serving", founder.election.TermsWon, founder.Vote().Term, founder.IsServing())
 	}
 }
 
-// Five cores bootstrap a fleet when all of them are there and grant it, and it outlives
-// two of them.
+// Five founders bootstrap a fleet only when all of them are present and grant it; the fleet
+// survives the loss of two of them.
 func TestFiveCoresBootstrapAFleet(t *testing.T) {
 	settings := smallSettings()
 	settings.Founders = 5
@@ -45,30 +46,30 @@
 	b.advance(5 * clock.Second)
 	for _, core := range b.cores {
 		if core.Vote().Fleet != "" {
-			t.Fatalf("four of five bootstrapped %s", core.Vote().Fleet)
+			t.Fatalf("four of five founders bootstrapped %s", core.Vote().Fleet)
 		}
 	}
 	add(5)
 	b.drop = func(l envelope) bool { _, grant := l.body.(election.VoteResponse); return grant && l.from == "c5" }
 	b.advance(5 * clock.Second)
 	if b.primary() != nil {
-		t.Fatal("bootstrapped without the grant of one of the five")
+		t.Fatal("the fleet was bootstrapped without the vote of one of the five founders")
 	}
 	b.drop = nil
 	b.awaitStable(t)
 	if got := fmt.Sprint(b.voters()); got != "[core-1 core-2 core-3 core-4 core-5]" {
-		t.Fatalf("voters: %s", got)
+		t.Fatalf("voters: %s, want all five cores", got)
 	}
 	delete(b.cores, b.primary().self.Peer)
 	b.advance(10 * clock.Second)
 	if b.primary() == nil {
-		t.Fatal("four of five have no primary")
+		t.Fatal("four of five cores elected no primary")
 	}
 	delete(b.cores, b.primary().self.Peer)
 	b.advance(10 * clock.Second)
 	core := b.primary()
 	if core == nil {
-		t.Fatal("three of five have no primary")
+		t.Fatal("three of five cores elected no primary")
 	}
 	call := b.call(core, putRequest(1, 0, `{}`))
 	b.deliverAll()
@@ -77,8 +78,8 @@
 	}
 }
 
-// Where more empty cores are heard than it takes, those at the seeds bootstrap the
-// fleet, whichever id is lowest, and whoever was heard first.
+// If more empty cores are present than founders are needed, those at the seed addresses
+// bootstrap the fleet, regardless of ids and of the order in which the cores appear.
 func TestCoresAtSeedAddressesBootstrap(t *testing.T) {
 	for _, nonSeedsFirst := range []bool{true, false} {
 		b := newTestCluster(smallSettings())
@@ -107,19 +108,19 @@
 			}
 		}
 		if got := fmt.Sprint(idsOf(first)); got != "[core-1 core-2 core-3]" {
-			t.Errorf("strangers early %v: bootstrapped by %s", nonSeedsFirst, got)
+			t.Errorf("non-seed cores first %v: bootstrapped by %s", nonSeedsFirst, got)
 		}
-		// The others are given votes by agreement, one at a time.
+		// The other cores become voters one at a time.
 		b.awaitStable(t)
 		b.advance(10 * clock.Second)
 		if got := fmt.Sprint(b.voters()); got != "[core-0 core-1 core-2 core-3 core-4]" {
-			t.Errorf("strangers early %v: voters %s", nonSeedsFirst, got)
+			t.Errorf("non-seed cores first %v: voters %s", nonSeedsFirst, got)
 		}
 	}
 }
 
-// A core that hears more empty cores than it takes does not grant the bootstrap of
-// others than those it would bootstrap with: its grant would bind it to them.
+// A core that knows more empty cores than founders are needed grants a bootstrap only to the
+// founders that it would choose itself, because its vote would bind it to the others.
 func TestCoreGrantsBootstrapToItsOwnFoundersOnly(t *testing.T) {
 	b := newTestCluster(smallSettings())
 	for i := 1; i <= 4; i++ {
@@ -135,11 +136,11 @@
 	request := election.VoteRequest{Fleet: "f-core-1", Assignment: replication.Assignment{Epoch: 1}, Voters: refs, Candidate: refs[0], Bootstrap: true}
 	voter.Do(Message{"c1", request}, b.now)
 	if voter.Vote().Fleet != "" {
-		t.Fatal("granted the bootstrap of other cores")
+		t.Fatal("the core granted a bootstrap to other founders than its own")
 	}
 	request.Fleet, request.Voters = "f-core-2", append(refs[1:], b.cores["c4"].self)
 	voter.Do(Message{"c3", request}, b.now)
 	if voter.Vote().Fleet == "" {
-		t.Fatal("did not grant the bootstrap of its own founders")
+		t.Fatal("the core did not grant the bootstrap to its own founders")
 	}
 }
--- a/internal/controlplane/calls.go
+++ b/internal/controlplane/calls.go
@@ -12,13 +12,13 @@
 	"tuliprudder/internal/machine"
 )
 
-// Call is a request that came in and is to be answered.
+// Call is an incoming request that expects a reply.
 type Call struct {
 	Number uint64
 	Body   any // one of the requests in messages.go
 }
 
-// Apply answers the request by its type, or queues the change that it asks for.
+// Apply dispatches the request by its type: it replies at once or queues the requested change.
 func (call Call) Apply(c *Core, now clock.Micros) {
 	switch request := call.Body.(type) {
 	case PutConfigurationRequest:
@@ -38,11 +38,11 @@
 	case StatusRequest:
 		c.Emit(machine.Reply{Call: call.Number, Body: c.status()})
 	default:
-		c.Emit(machine.Reply{Call: call.Number, Err: errs.New(errs.BadInput, "run the same release on all daemons", "a core knows no such request: %T", request)})
+		c.Emit(machine.Reply{Call: call.Number, Err: errs.New(errs.BadInput, "run the same release on all daemons", "unknown request type %T", request)})
 	}
 }
 
-// status is this core's own account; any core gives it.
+// status describes this core; every core answers it, primary or not.
 func (c *Core) status() StatusResponse {
 	response := StatusResponse{
 		Core:  c.self,
@@ -59,10 +59,10 @@
 
 func (c *Core) rejectNotPrimary(call uint64) {
 	c.Emit(machine.Reply{Call: call, Err: errs.NewWithRetry(errs.NotReady, clock.Second,
-		"ask again; the cores are agreeing on a primary", "this core is not primary (%s)", c.group().Role)})
+		"retry; the cores are electing a primary", "this core is not primary (%s)", c.group().Role)})
 }
 
-// putConfiguration queues a configuration; it is decided at its turn.
+// putConfiguration queues a configuration; it is checked against its base when it leaves the queue.
 func (c *Core) putConfiguration(call uint64, request PutConfigurationRequest, now clock.Micros) {
 	if !c.IsServing() {
 		c.rejectNotPrimary(call)
@@ -84,7 +84,8 @@
 	})
 }
 
-// patchConfiguration queues a patch; it is applied and decided at its turn.
+// patchConfiguration queues a patch; it is checked against its base and applied when it leaves the
+// queue.
 func (c *Core) patchConfiguration(call uint64, request PatchConfigurationRequest, now clock.Micros) {
 	if !c.IsServing() {
 		c.rejectNotPrimary(call)
@@ -111,17 +112,17 @@
 	})
 }
 
-// queueConfiguration queues an operator's request, as far as there is room.
+// queueConfiguration queues an operator's request, or rejects it if the queue is full.
 func (c *Core) queueConfiguration(call uint64, timeout, now clock.Micros, configuration changequeue.Configuration) {
 	if c.queue.IsFull() {
-		c.Emit(machine.Reply{Call: call, Err: errs.NewWithRetry(errs.Busy, clock.Second, "send it again; it was not put", "too many configurations wait")})
+		c.Emit(machine.Reply{Call: call, Err: errs.NewWithRetry(errs.Busy, clock.Second, "send it again; nothing was changed", "too many configurations are queued")})
 		return
 	}
 	c.queue.Add(changequeue.Change{Call: call, Deadline: now + timeout, Configuration: &configuration})
 	c.processQueue(now)
 }
 
-// checkConfiguration checks a document by itself and gives its digest.
+// checkConfiguration validates a document independently of the state and returns its digest.
 func (c *Core) checkConfiguration(body []byte) (state.Digest, error) {
 	digest, err := state.DigestOf(body)
 	if err != nil {
@@ -134,13 +135,13 @@
 }
 
 func errUnreadableConfiguration(err error) error {
-	return errs.New(errs.InvalidConfiguration, "send one whole JSON document", "the configuration can't be read: %v", err)
+	return errs.New(errs.InvalidConfiguration, "send one complete JSON document", "the configuration can't be parsed: %v", err)
 }
 
-// readOnlyTimeout is how long a request that changes nothing may wait for its turn.
+// readOnlyTimeout limits how long a read-only request waits in the queue.
 const readOnlyTimeout = 2 * clock.Second
 
-// retire queues a request to retire a store; it is decided at its turn.
+// retire queues a request to retire a store; it is decided when it leaves the queue.
 func (c *Core) retire(call uint64, request RetireRequest, now clock.Micros) {
 	if !c.IsServing() {
 		c.rejectNotPrimary(call)
--- a/internal/controlplane/changes.go
+++ b/internal/controlplane/changes.go
@@ -10,22 +10,22 @@
 	"tuliprudder/internal/machine"
 )
 
-// This file takes the changes of the control state through the replication group, one at a
+// This file replicates the changes of the control state through the replication group, one at a
 // time (DESIGN §5.4).
 
-// broadcastTimeout is how long a configuration may take until a majority of the voters for
-// updates know it.
+// broadcastTimeout limits how long a configuration may take to reach a majority of the voters
+// for updates.
 const broadcastTimeout = 2 * clock.Second
 
-// propose queues a change of the core's own.
+// propose queues a change that the core itself makes.
 func (c *Core) propose(entry state.Entry, now clock.Micros) {
 	c.queue.Add(changequeue.Change{Entry: entry})
 	c.processQueue(now)
 }
 
-// processQueue takes one change at a time through the group, so that two operators'
-// configurations have one order. Nothing is decided without the lease. A request for permits has
-// its turn after each change, and when no change can be started.
+// processQueue replicates one change at a time, so that the configurations of several operators
+// are totally ordered. Nothing is decided without the lease. A permit request is decided after
+// each change, and whenever no change can be started.
 func (c *Core) processQueue(now clock.Micros) {
 	for !c.queue.HasInFlight() && c.HoldsLease(now) {
 		if c.permitRequests.isNext && c.decideOnPermits(now) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// startNextChange decides the next change and sends it to the replicas. isTaken is false where all wait,
-// ok where the state is damaged.
+// startNextChange decides the next change and sends it to the replicas. changeTaken is false if no
+// change can be started yet, ok is false if the state is damaged.
 func (c *Core) startNextChange(now clock.Micros) (changeTaken, ok bool) {
 	checks := changequeue.Checks{
 		CanRetire: func(id string) error { return c.canRetire(id, now) },
@@ -53,7 +53,7 @@
 		c.Emit(machine.Reply{Call: change.Call, Err: err})
 		return true, true
 	case change.Entry == nil:
-		// Nothing to write; all in the state is confirmed, as nothing is in flight.
+		// Nothing to write. The complete state is confirmed, as no change is in flight.
 		c.replyToChange(change)
 		return true, true
 	}
@@ -61,7 +61,8 @@
 	return true, c.replicate(change, now)
 }
 
-// replicate applies a change here and sends it to the replicas; false when it can't be applied.
+// replicate applies a change locally and sends it to the replicas; it returns false if the change
+// can't be applied.
 func (c *Core) replicate(change changequeue.Change, now clock.Micros) bool {
 	c.Changes++
 	data := state.Encode(change.Entry)
@@ -74,13 +75,13 @@
 	return true
 }
 
-// canRetire is why a store can't be retired; nil when it can.
+// canRetire returns the reason why a store can't be retired; nil if it can.
 func (c *Core) canRetire(id string, now clock.Micros) error {
 	return placement.CheckRetirement(c.settings.placement(), c.stores.Cluster(c.state, now), id)
 }
 
-// replyToChange tells who asked for a change that it is confirmed. A configuration is in
-// force once a majority of the voters for updates know it (DESIGN §8.2): only then it is acknowledged.
+// replyToChange notifies the caller that its change is confirmed. A configuration is in force once
+// a majority of the voters for updates know it, and is acknowledged only then (DESIGN §8.2).
 func (c *Core) replyToChange(change changequeue.Change) {
 	if change.Call == 0 {
 		return
@@ -97,8 +98,8 @@
 	}})
 }
 
-// broadcastConfiguration spreads the configuration in force and then acknowledges the one that
-// was asked for; a repeated request may be about an earlier one.
+// broadcastConfiguration broadcasts the configuration in force and then acknowledges the requested
+// version; a repeated request may refer to an earlier version than the one in force.
 func (c *Core) broadcastConfiguration(change changequeue.Change) {
 	latest, _ := c.state.Latest()
 	c.published.configuration = max(c.published.configuration, latest.Number)
@@ -110,7 +111,8 @@
 	})
 }
 
-// expireChanges answers those whose deadlines passed while they waited.
+// expireChanges answers the callers whose deadlines passed while their changes were queued or in
+// flight.
 func (c *Core) expireChanges(now clock.Micros) {
 	c.rejectPermitRequests(c.permitRequests.expire(now))
 	for _, timedOut := range c.queue.Expire(c.state, now) {
@@ -119,24 +121,24 @@
 			continue
 		}
 		c.Emit(machine.Reply{Call: timedOut.Call, Err: errs.NewWithRetry(errs.NotReady, 2*clock.Second,
-			"send it again; it was not put", "the cores had no complete group in time")})
+			"send it again; nothing was changed", "the cores had no complete replication group before the deadline")})
 	}
 }
 
-// replyUnknown tells a caller that its change may or may not be applied.
+// replyUnknown notifies a caller that its change may or may not be applied.
 func (c *Core) replyUnknown(call uint64) {
 	c.UnknownOutcomes++
 	c.Emit(machine.Reply{Call: call, Err: errs.NewWithRetry(errs.OutcomeUnknown, clock.Second,
-		"read back what is in force before you send it again", "it is not known whether this was made durable")})
+		"read back what is in force before you send it again", "it is not known whether the change was made durable")})
 }
 
-// assignsShards tells whether an entry assigns shards.
+// assignsShards reports whether an entry assigns shards.
 func assignsShards(e state.Entry) bool {
 	_, ok := e.(state.AssignShards)
 	return ok
 }
 
-// registersStore tells of an entry whether it registers a store.
+// registersStore returns a predicate for entries that register the given store.
 func registersStore(id string) func(state.Entry) bool {
 	return func(e state.Entry) bool {
 		registration, ok := e.(state.RegisterStore)
--- a/internal/controlplane/cluster_test.go
+++ b/internal/controlplane/cluster_test.go
@@ -13,10 +13,10 @@
 	"tuliprudder/internal/replication"
 )
 
-// fakeStore is a store daemon as far as the cores see it: its heartbeats.
+// fakeStore is what the cores see of a store daemon: its heartbeats.
 type fakeStore struct {
 	registration.Heartbeat
-	reportsComplete bool // reports of each shard it is primary of that the group is complete
+	reportsComplete bool // reports the group of each shard of which it is primary as complete
 	unreachable     bool
 }
 
@@ -25,12 +25,12 @@
 	body     any
 }
 
-// testCluster is some cores that reach each other, and the heartbeats of stores.
+// testCluster is a set of cores that exchange messages and receive the heartbeats of stores.
 type testCluster struct {
 	now        clock.Micros
 	settings   Settings
 	cores      map[string]*Core     // by peer
-	starts     map[string]coreStart // by peer, the latest
+	starts     map[string]coreStart // latest start, by peer
 	stores     []*fakeStore
 	network    []envelope
 	drop       func(l envelope) bool
@@ -38,12 +38,12 @@
 	replies    map[uint64]machine.Reply
 	broadcasts []machine.Broadcast
 	published  []machine.Update
-	disks      map[string]*disk // what each core has written, where the test keeps it
-	// blocksWrite keeps a write from a core's disk; nil: each is done at once.
+	disks      map[string]*disk // what each core has written; nil if the test doesn't record it
+	// blocksWrite reports whether a write must not complete; nil: every write completes at once.
 	blocksWrite func(peer string, write machine.Persist) bool
 }
 
-// coreStart is what a core is made of, besides its disk.
+// coreStart is what a core is created from, besides its disk.
 type coreStart struct {
 	self        election.CoreRef
 	incarnation uint64
@@ -55,7 +55,7 @@
 	return New(s.self, s.incarnation, s.seeds, s.settings, records)
 }
 
-// nextIncarnation is the nextIncarnation start of the same core.
+// nextIncarnation returns the next start of the same core.
 func (s coreStart) nextIncarnation() coreStart {
 	s.incarnation++
 	return s
@@ -65,7 +65,7 @@
 
 func hasVote(voters []election.CoreRef, id string) bool { return slices.Contains(idsOf(voters), id) }
 
-// idsOf lists the ids of some cores in order.
+// idsOf returns the sorted ids of the cores.
 func idsOf(refs []election.CoreRef) (ids []string) {
 	for _, ref := range refs {
 		ids = append(ids, ref.ID)
@@ -78,7 +78,7 @@
 	return &testCluster{now: 1000, settings: settings, cores: map[string]*Core{}, starts: map[string]coreStart{}, replies: map[uint64]machine.Reply{}}
 }
 
-// core adds an empty core; its peer address is its name.
+// core adds an empty core with the given peer address.
 func (b *testCluster) core(id, peer, zone string, seeds ...string) *Core {
 	b.starts[peer] = coreStart{election.CoreRef{ID: id, Peer: peer, Zone: zone}, 1, seeds, b.settings}
 	b.cores[peer] = b.starts[peer].newCore(nil)
@@ -92,7 +92,7 @@
 	return s
 }
 
-// applyEffects carries out what a core decided.
+// applyEffects executes the effects of a core.
 func (b *testCluster) applyEffects(peer string, effects []machine.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
@@ -133,7 +133,7 @@
 	}
 }
 
-// advance lets time go by.
+// advance advances the time in steps of 50 ms, with ticks and heartbeats in each step.
 func (b *testCluster) advance(span clock.Micros) {
 	for end := b.now + span; b.now < end; {
 		b.now += 50 * clock.Millisecond
@@ -159,7 +159,7 @@
 	}
 }
 
-// primary is the core that serves; nil when none or two do.
+// primary returns the core that serves; nil if none or more than one does.
 func (b *testCluster) primary() *Core {
 	var found *Core
 	for _, core := range b.cores {
@@ -172,31 +172,31 @@
 	return found
 }
 
-// call asks a core and returns the number of the call.
+// call sends a request to a core and returns the number of the call.
 func (b *testCluster) call(core *Core, body any) uint64 {
 	b.lastCall++
 	b.applyEffects(core.self.Peer, core.Do(Call{b.lastCall, body}, b.now))
 	return b.lastCall
 }
 
-// reply is the answer to a call that has to be there.
+// reply returns the reply to a call; it fails the test if there is none.
 func (b *testCluster) reply(t *testing.T, call uint64) machine.Reply {
 	t.Helper()
 	answer, ok := b.replies[call]
 	if !ok {
-		t.Fatalf("call %d is not answered", call)
+		t.Fatalf("call %d has no reply", call)
 	}
 	return answer
 }
 
-// bootstrappedCluster is three cores that have bootstrapped a fleet, with three stores and
+// bootstrappedCluster returns three cores that have bootstrapped a fleet, with three stores and
 // their shards.
 func bootstrappedCluster(t *testing.T, settings Settings) *testCluster {
 	t.Helper()
 	return bootstrapWithStores(t, newTestCluster(settings))
 }
 
-// bootstrapWithStores has three cores bootstrap a fleet with three stores.
+// bootstrapWithStores adds three cores, which bootstrap a fleet, and three stores.
 func bootstrapWithStores(t *testing.T, b *testCluster) *testCluster {
 	t.Helper()
 	for i := 1; i <= 3; i++ {
@@ -225,7 +225,7 @@
 			return
 		}
 	}
-	t.Fatal("the fleet never became stable")
+	t.Fatal("the fleet did not become stable within 20 s")
 }
 
 func allShardsComplete(s *Core) bool {
@@ -241,10 +241,10 @@
 	return PutConfigurationRequest{Number: number, Base: base, HasBase: true, Body: []byte(body), By: "o", Timeout: 3 * clock.Second}
 }
 
-// isAppend tells of the messages that carry entries to the replica.
+// isAppend reports whether a message carries entries to a replica.
 func isAppend(l envelope) bool { _, entry := l.body.(replication.Append); return entry }
 
-// voters are the ids of the cores with a vote, as the primary knows them.
+// voters returns the sorted ids of the voters, as known to the primary.
 func (b *testCluster) voters() (ids []string) {
 	if p := b.primary(); p != nil {
 		for _, ref := range p.Vote().Voters {
--- a/internal/controlplane/commands.go
+++ b/internal/controlplane/commands.go
@@ -7,58 +7,58 @@
 	"tuliprudder/internal/machine"
 )
 
-// Command is an input of a core.
+// Command is an input to a core.
 type Command = machine.Command[*Core]
 
 // The commands of a core.
 type (
-	// Persisted tells that the write of a machine.Persist effect is synced.
+	// Persisted reports that the write of a machine.Persist effect is synced.
 	Persisted struct{ Token uint64 }
-	// StoreHealth tells what the membership takes a store for.
+	// StoreHealth reports the health of a store according to the membership.
 	StoreHealth struct {
 		ID        string
 		Unhealthy bool
 	}
-	// EdgeHealth tells whether an incarnation of an edge lives, as the membership takes it.
+	// EdgeHealth reports whether an incarnation of an edge is alive according to the membership.
 	EdgeHealth struct {
 		ID          string
 		Incarnation uint64
 		IsLive      bool
 	}
-	// CorePeers tells the addresses of the cores that the membership knows.
+	// CorePeers lists the addresses of the cores that the membership knows.
 	CorePeers struct{ Peers []string }
-	// FreshnessAdvanced tells up to when this daemon's updates include what a majority of the
-	// voters for updates knew.
+	// FreshnessAdvanced reports that this daemon's updates include everything that a majority of
+	// the voters for updates knew at the time At.
 	FreshnessAdvanced struct{ At clock.Micros }
-	// DurableUpdate is an update that is to outlive a stop of the whole fleet.
+	// DurableUpdate is an update that must survive a stop of the complete fleet.
 	DurableUpdate struct{ Update machine.Update }
-	// Message is a message that was received.
+	// Message is a message received from a peer.
 	Message struct {
 		From string
-		Body any // one of the types that are given to transport.Register
+		Body any // one of the types registered with transport.Register
 	}
-	// Tick lets the core do what is due.
+	// Tick runs the periodic work of the core.
 	Tick struct{}
-	// Drain tells the core that it is about to stop: others take its duties over.
+	// Drain notifies the core that it is about to stop: other cores take over its roles.
 	Drain struct{}
 )
 
-// Apply runs what waits for the write.
+// Apply continues the work that waits for the write.
 func (d Persisted) Apply(c *Core, now clock.Micros) { c.groups.Persisted(d.Token, now) }
 
-// Apply records it.
+// Apply records the health of the store.
 func (n StoreHealth) Apply(c *Core, _ clock.Micros) { c.stores.SetSuspected(n.ID, n.Unhealthy) }
 
-// Apply records it.
+// Apply records the health of the edge.
 func (e EdgeHealth) Apply(c *Core, _ clock.Micros) { c.setEdgeHealth(e) }
 
 // Apply sends these cores a heartbeat.
 func (p CorePeers) Apply(c *Core, now clock.Micros) { c.election.SendHeartbeatTo(p.Peers, now) }
 
-// Apply records it.
+// Apply records the time.
 func (f FreshnessAdvanced) Apply(c *Core, _ clock.Micros) { c.stores.SetFreshUntil(f.At) }
 
-// Apply hands the message to the part that it is for.
+// Apply dispatches the message to the part that handles it.
 func (m Message) Apply(c *Core, now clock.Micros) {
 	if c.groups.HandleMessage(m.From, m.Body, now) || c.election.HandleMessage(m.From, m.Body, now) {
 		return
@@ -71,7 +71,7 @@
 	}
 }
 
-// Apply does what is due.
+// Apply runs the periodic work of all parts.
 func (Tick) Apply(c *Core, now clock.Micros) {
 	c.republishUpdates()
 	c.advanceUsage(now)
@@ -83,5 +83,5 @@
 	c.reconcileWhenDue(now)
 }
 
-// Apply tells the other cores.
+// Apply notifies the other cores.
 func (Drain) Apply(c *Core, now clock.Micros) { c.election.Drain(now) }
--- a/internal/controlplane/configurations.go
+++ b/internal/controlplane/configurations.go
@@ -7,8 +7,8 @@
 	"tuliprudder/internal/machine"
 )
 
-// readConfigurations reads back what is confirmed, under the lease only: a
-// primary that was deposed without knowing would take an older one for the newest (DESIGN §8.2).
+// readConfigurations returns confirmed configurations, and only under the lease: a primary that was
+// deposed without noticing could return an older version as the latest (DESIGN §8.2).
 func (c *Core) readConfigurations(call uint64, request ConfigurationsRequest, now clock.Micros) {
 	if !c.HoldsLease(now) {
 		c.rejectNotPrimary(call)
@@ -22,7 +22,7 @@
 	c.Emit(machine.Reply{Call: call, Body: response})
 }
 
-// confirmedConfigurations is what of the state every replica has on disk.
+// confirmedConfigurations is the part of the configuration state that every replica has on disk.
 type confirmedConfigurations struct {
 	versions []state.Version
 	requests []state.AppliedRequest
@@ -31,14 +31,14 @@
 func (c *Core) confirmedConfigurations() confirmedConfigurations {
 	confirmed := confirmedConfigurations{versions: c.state.Versions, requests: c.state.Requests.All()}
 	if c.queue.HasConfigurationInFlight() {
-		// The newest one is applied here, and not yet confirmed.
+		// The newest version is applied locally, but not confirmed yet.
 		confirmed.versions = confirmed.versions[:len(confirmed.versions)-1]
 		confirmed.requests = confirmed.requests[:len(confirmed.requests)-1]
 	}
 	return confirmed
 }
 
-// read is the response to a request.
+// read returns the response to a request.
 func (f confirmedConfigurations) read(request ConfigurationsRequest) (ConfigurationsResponse, error) {
 	switch {
 	case request.Latest && len(f.versions) == 0:
@@ -51,7 +51,7 @@
 	return f.find(request.Version)
 }
 
-// find reads one version back.
+// find returns one version.
 func (f confirmedConfigurations) find(number uint64) (ConfigurationsResponse, error) {
 	for _, version := range f.versions {
 		if version.Number == number {
@@ -60,15 +60,15 @@
 	}
 	for _, applied := range f.requests {
 		if applied.Number == number {
-			return ConfigurationsResponse{}, errs.New(errs.NotFound, "read one of the newest versions, or look where you keep your configurations; the list tells this one's digest",
+			return ConfigurationsResponse{}, errs.New(errs.NotFound, "read one of the newest versions, or look up the document where you keep your configurations; the list contains its digest",
 				"version %d was confirmed, but its document is no longer kept", number)
 		}
 	}
 	return ConfigurationsResponse{}, errs.New(errs.NotFound, "list the versions that exist", "no configuration version %d", number)
 }
 
-// list lists the versions that can be read back, without their documents, and
-// every request that is still recognised.
+// list returns the versions that can be read back, without their documents, and every request that
+// is still recognised.
 func (f confirmedConfigurations) list() ConfigurationsResponse {
 	response := ConfigurationsResponse{Requests: f.requests}
 	for _, version := range f.versions {
--- a/internal/controlplane/configurations_test.go
+++ b/internal/controlplane/configurations_test.go
@@ -8,8 +8,8 @@
 	"tuliprudder/internal/errs"
 )
 
-// A configuration carries the operator's own number: it has to be above the one in force,
-// and a stale base is refused first.
+// A configuration keeps the operator's version number, which must be above the one in force; a
+// stale base is reported before a number that is too low.
 func TestConfigurationsKeepTheOperatorsNumber(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
@@ -17,16 +17,16 @@
 		ask  PutConfigurationRequest
 		want any
 	}{
-		{putRequest(3, 3, `{"a":1}`), errs.StaleBase}, // nothing is in force, and 3 can't be the base of 3
+		{putRequest(3, 3, `{"a":1}`), errs.StaleBase}, // no version is in force, and 3 can't be its own base
 		{putRequest(7, 0, `{"a":1}`), uint64(7)},
-		{putRequest(7, 0, `{"a":2}`), errs.StaleBase}, // the number is taken by another
-		{putRequest(5, 0, `{"a":2}`), errs.StaleBase}, // stale, and not above: stale is told
+		{putRequest(7, 0, `{"a":2}`), errs.StaleBase}, // the number belongs to another document
+		{putRequest(5, 0, `{"a":2}`), errs.StaleBase}, // both stale and too low: reported as stale
 		{putRequest(5, 7, `{"a":2}`), errs.InvalidConfiguration},
 		{putRequest(9, 7, `{"a":2}`), uint64(9)},
 		{putRequest(12, 7, `{"a":3}`), errs.StaleBase},
 		{PutConfigurationRequest{Number: 8, Body: []byte(`{"a":4}`), Timeout: clock.Second}, errs.InvalidConfiguration},
 		{PutConfigurationRequest{Number: 11, Body: []byte(`{"a":4}`), Timeout: clock.Second}, uint64(11)},
-		{PutConfigurationRequest{Body: []byte(`{"a":5}`), Timeout: clock.Second}, uint64(12)}, // the core's own
+		{PutConfigurationRequest{Body: []byte(`{"a":5}`), Timeout: clock.Second}, uint64(12)}, // the core assigns the number
 	} {
 		call := b.call(core, step.ask)
 		b.deliverAll()
@@ -34,19 +34,19 @@
 		switch want := step.want.(type) {
 		case errs.Kind:
 			if !errs.Is(answer.Err, want) || errs.Of(answer.Err).Remedy == "" {
-				t.Errorf("step %d: told %v %v, not %s", i, answer.Body, answer.Err, want)
+				t.Errorf("step %d: reply %v, error %v, want %s", i, answer.Body, answer.Err, want)
 			}
 		case uint64:
 			if answer.Body != (PutConfigurationResponse{Version: want}) {
-				t.Errorf("step %d: told %v %v, not version %d", i, answer.Body, answer.Err, want)
+				t.Errorf("step %d: reply %v, error %v, want version %d", i, answer.Body, answer.Err, want)
 			}
 		}
 	}
 }
 
-// An exact repeat gets the same acknowledgement, whatever its base and what came after it; it
-// writes nothing, and it too is acknowledged once a majority of the voters for updates know
-// the configuration.
+// A repeated request gets the same acknowledgement, regardless of its base and of later
+// versions. It writes nothing, and it is acknowledged only once a majority of the voters for
+// updates know the configuration.
 func TestRepeatedRequestGetsTheSameAcknowledgement(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
@@ -55,18 +55,18 @@
 		call := b.call(core, request)
 		b.deliverAll()
 		if answer := b.reply(t, call); answer.Body != (PutConfigurationResponse{Version: request.Number}) {
-			t.Fatalf("%d on base %d: told %v %v", request.Number, request.Base, answer.Body, answer.Err)
+			t.Fatalf("version %d on base %d: reply %v, error %v, want an acknowledgement", request.Number, request.Base, answer.Body, answer.Err)
 		}
 		if len(b.broadcasts) != notified+1 {
-			t.Fatalf("%d on base %d: it was acknowledged before a majority of the voters for updates knew the configuration", request.Number, request.Base)
+			t.Fatalf("version %d on base %d was acknowledged before a majority of the voters for updates knew it", request.Number, request.Base)
 		}
 	}
 	if n := len(core.State().Versions); n != 2 {
-		t.Fatalf("%d versions are written, not 2", n)
+		t.Fatalf("%d versions were written, want 2", n)
 	}
 }
 
-// A repeat of a version that the group has not confirmed waits for it.
+// A repeated request for a version that is not yet confirmed waits for its confirmation.
 func TestRepeatedRequestWaitsForTheVersionInFlight(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
@@ -74,30 +74,30 @@
 	first, again, other := b.call(core, putRequest(3, 0, `{"a":1}`)), b.call(core, putRequest(3, 0, `{"a":1}`)), b.call(core, putRequest(3, 0, `{"a":2}`))
 	b.deliverAll()
 	if len(b.replies) != 0 {
-		t.Fatalf("answered before the group confirmed: %v", b.replies)
+		t.Fatalf("replies before the group confirmed the version: %v", b.replies)
 	}
 	b.drop = nil
 	b.advance(clock.Second)
 	for _, call := range []uint64{first, again} {
 		if answer := b.reply(t, call); answer.Body != (PutConfigurationResponse{Version: 3}) {
-			t.Errorf("call %d: told %v %v", call, answer.Body, answer.Err)
+			t.Errorf("call %d: reply %v, error %v, want version 3", call, answer.Body, answer.Err)
 		}
 	}
 	if answer := b.reply(t, other); !errs.Is(answer.Err, errs.StaleBase) {
-		t.Errorf("the same number with another document: told %v %v", answer.Body, answer.Err)
+		t.Errorf("the same number with another document: reply %v, error %v, want a stale base", answer.Body, answer.Err)
 	}
-	// One that expires while it waits is not told that nothing was put.
+	// A repeat whose deadline passes while it waits must not be answered as if nothing was written.
 	b.drop = isAppend
 	first, again = b.call(core, putRequest(5, 3, `{"a":1}`)), b.call(core, putRequest(5, 3, `{"a":1}`))
 	b.advance(3500 * clock.Millisecond)
 	for _, call := range []uint64{first, again} {
 		if answer := b.reply(t, call); !errs.Is(answer.Err, errs.OutcomeUnknown) {
-			t.Errorf("call %d expired: told %v %v", call, answer.Body, answer.Err)
+			t.Errorf("call %d after its deadline: reply %v, error %v, want an unknown outcome", call, answer.Body, answer.Err)
 		}
 	}
 }
 
-// Two operators put on the same base: exactly one of them wins.
+// Of two operators' configurations on one base, exactly one is applied.
 func TestOneOfTwoRequestsOnOneBaseIsApplied(t *testing.T) {
 	for _, second := range []uint64{5, 6, 0} {
 		b := bootstrappedCluster(t, smallSettings())
@@ -111,17 +111,17 @@
 			if answer := b.reply(t, call); answer.Err == nil {
 				won++
 			} else if !errs.Is(answer.Err, errs.StaleBase) {
-				t.Errorf("the loser is told %v", answer.Err)
+				t.Errorf("the rejected request got error %v, want a stale base", answer.Err)
 			}
 		}
 		if won != 1 || len(core.State().Versions) != 1 {
-			t.Errorf("%d won, %d versions are written", won, len(core.State().Versions))
+			t.Errorf("%d requests were applied and %d versions written, want 1 of each", won, len(core.State().Versions))
 		}
 	}
 }
 
-// The latest version is read back complete, at the serving primary alone, and never
-// one that is in flight; an invalid configuration is rejected before anything is written.
+// The latest confirmed version can be read at the serving primary only, and never one that is
+// in flight. An invalid configuration is rejected before anything is written.
 func TestReadReturnsTheLatestConfirmedConfiguration(t *testing.T) {
 	settings := smallSettings()
 	settings.CheckConfiguration = func(body []byte) error {
@@ -144,36 +144,36 @@
 		return versions[0].Number, nil
 	}
 	if _, err := latest(core); !errs.Is(err, errs.NotFound) {
-		t.Errorf("before any configuration: told %v", err)
+		t.Errorf("before any configuration: error %v, want not found", err)
 	}
 	seq := core.State().Seq
 	if answer := b.reply(t, b.call(core, putRequest(2, 0, `{"bad":1}`))); !errs.Is(answer.Err, errs.InvalidConfiguration) || core.State().Seq != seq {
-		t.Errorf("an invalid configuration: told %v, %d entries more", answer.Err, core.State().Seq-seq)
+		t.Errorf("an invalid configuration: error %v, %d entries written, want none", answer.Err, core.State().Seq-seq)
 	}
 	b.call(core, putRequest(2, 0, `{"n":2}`))
 	b.deliverAll()
 	b.drop = isAppend
 	b.call(core, putRequest(4, 2, `{"n":4}`))
 	if number, err := latest(core); number != 2 {
-		t.Errorf("while 4 is in flight: told %d %v", number, err)
+		t.Errorf("while 4 is in flight: version %d, error %v, want 2", number, err)
 	}
 	b.drop = nil
 	b.advance(clock.Second)
 	if number, err := latest(core); number != 4 {
-		t.Errorf("after 4 was confirmed: told %d %v", number, err)
+		t.Errorf("after 4 was confirmed: version %d, error %v, want 4", number, err)
 	}
 	for _, other := range b.cores {
 		if other == core {
 			continue
 		}
 		if _, err := latest(other); !errs.Is(err, errs.NotReady) {
-			t.Errorf("a core that is not primary: told %v", err)
+			t.Errorf("a core that is not primary: error %v, want not ready", err)
 		}
 	}
-	// A primary that nobody hears does not know whether it still is one.
+	// An isolated primary does not know whether it is still primary.
 	b.drop = func(l envelope) bool { return l.to == core.self.Peer || l.from == core.self.Peer }
 	b.advance(1600 * clock.Millisecond)
 	if _, err := latest(core); !errs.Is(err, errs.NotReady) {
-		t.Errorf("a primary that was cut off: told %v", err)
+		t.Errorf("an isolated primary: error %v, want not ready", err)
 	}
 }
--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -1,27 +1,27 @@
 // Package controlplane is the state machine of a core daemon (DESIGN §5, docs/CONTROL.md).
 //
-// A Core routes commands (messages, calls, ticks, writes that are done) to its parts and
-// holds the control state that a replication group of cores replicates. Each part is a
-// package of its own below this one:
+// A Core dispatches commands (messages, calls, ticks, completed writes) to its parts and
+// holds the control state, which a replication group of cores replicates. Each part is a
+// package below this one:
 //
 //	election         which core is primary: votes, terms, leases, voters
 //	state            the replicated control state and its entries
-//	changequeue      the order of changes, and the decision on operators' requests
+//	changequeue      the queue of changes, and the decisions on operators' requests
 //	placement        which stores hold which shard
-//	stores           the stores that are heard: who may join, who is evicted
-//	durableupdates   updates that outlive a stop of the fleet, kept on disk
-//	primaryreport    what other daemons tell the primary of their work
-//	usage            the reports of use that are due, from what the edges counted
-//	autoscale        how many servers the zones of a pool are to have
+//	stores           the stores that send heartbeats: which may join, which are evicted
+//	durableupdates   updates that survive a stop of the fleet, kept on disk
+//	primaryreport    the reports of other daemons to the primary
+//	usage            the usage reports that are due, from the counts of the edges
+//	autoscale        how many servers each zone of a pool should have
 //
-// Which node performs acts on outside systems is decided by internal/exclusive; permits.go takes
-// its decisions through the replication group.
+// Package internal/exclusive decides which node performs acts on external systems; permits.go
+// replicates its decisions through the replication group.
 //
-// A Core is pure: commands and the time go in, effects come out, and nothing here touches
-// a clock, a socket or a file. It is not safe for concurrent use; the daemon's event loop
-// owns it.
+// A Core does no I/O: it takes commands and the current time and returns effects, and never
+// uses a clock, a socket or a file. It is not safe for concurrent use; the daemon's event
+// loop owns it.
 //
-// Invariant: what depends on being primary (confirming and reading a configuration,
+// Invariant: whatever requires this core to be primary (confirming or reading a configuration,
 // deciding a request, assigning a shard) happens only under the lease (Core.HoldsLease),
 // and is acknowledged only once every replica has it on disk (Core.Confirmed).
 package controlplane
@@ -41,16 +41,16 @@
 	"tuliprudder/internal/replication"
 )
 
-// compactAfterBytes is how many bytes of changes are written before a snapshot replaces
-// them; Settings.CompactAfter says after how many changes.
+// compactAfterBytes is the size of the changes on disk after which a snapshot replaces them;
+// Settings.CompactAfter limits their number.
 const compactAfterBytes = 1 << 20
 
-// InjectedFaults are faults that tests plant to show that the checks catch them. Set by
+// InjectedFaults are faults that tests inject to verify that the checks detect them. Set by
 // tests only.
 type InjectedFaults struct {
 	Election          election.InjectedFaults
-	SkipRequestTable  bool // a snapshot lacks what recognises repeated requests
-	SkipStoreEviction bool // a lost store keeps its vote for updates
+	SkipRequestTable  bool // snapshots lack the table that recognises repeated requests
+	SkipStoreEviction bool // lost stores are not evicted and keep their votes for updates
 	Usage             usage.InjectedFaults
 	Acts              exclusive.InjectedFaults
 }
@@ -71,25 +71,25 @@
 	arbiter        *exclusive.Arbiter
 	permitRequests permitRequests
 	actSources     []exclusive.Source
-	usage          *usage.Collector   // nil where nothing is reported of use
-	autoscale      *autoscale.Planner // nil where no servers are scaled
+	usage          *usage.Collector   // nil if usage is not reported
+	autoscale      *autoscale.Planner // nil if autoscaling is disabled
 
 	placementMemory placement.Memory
 	nextReconcileAt clock.Micros
 	published       published
 	disk            diskProbation
 
-	recordsSinceCompaction int // written since the last snapshot on disk
-	bytesSinceCompaction   int // of their bodies
+	recordsSinceCompaction int // records written since the last snapshot on disk
+	bytesSinceCompaction   int // bytes in their bodies
 
-	// Changes and UnknownOutcomes are counters for the operators: changes that were
-	// replicated, and calls whose outcome was not known.
+	// Changes and UnknownOutcomes are counters for operators: changes that were
+	// replicated, and calls that were answered with an unknown outcome.
 	Changes, UnknownOutcomes int64
-	// BadRecord is the first damage that was found in what was read back; nil when there is none.
+	// BadRecord is the first error found in stored data; nil if there is none.
 	BadRecord error
 }
 
-// New makes a core from what was read back from its disk. incarnation counts the starts of
+// New creates a core from the records read from its disk. incarnation counts the starts of
 // this process, seeds are the addresses of the cores that bootstrap the fleet.
 func New(self election.CoreRef, incarnation uint64, seeds []string, settings Settings, records []machine.Record) *Core {
 	c := &Core{
@@ -117,7 +117,7 @@
 	return c
 }
 
-// restore reads one record back.
+// restore restores the state from one record.
 func (c *Core) restore(record machine.Record) {
 	if isVote, err := c.election.RestoreVote(record); isVote {
 		if err != nil {
@@ -134,7 +134,7 @@
 	c.groups.Recover(record)
 }
 
-// Do applies a command and hands over the effects.
+// Do applies a command and returns its effects.
 func (c *Core) Do(command Command, now clock.Micros) []machine.Effect {
 	if !c.rejectWhileUnwritable(command, now) {
 		command.Apply(c, now)
@@ -148,14 +148,14 @@
 	return effects
 }
 
-// compactedRecords are records that say the same as all written so far.
+// compactedRecords returns records that are equivalent to all records written so far.
 func (c *Core) compactedRecords() []machine.Record {
 	records := []machine.Record{c.election.VoteRecord()}
 	records = append(records, c.durableUpdates.Records()...)
 	return append(records, c.groups.CompactedRecords()...)
 }
 
-// countRecords counts what is written towards the next compaction.
+// countRecords counts the written records and bytes towards the next compaction.
 func (c *Core) countRecords(effects []machine.Effect) {
 	for _, effect := range effects {
 		persist, ok := effect.(machine.Persist)
@@ -169,7 +169,7 @@
 	}
 }
 
-// InjectFaults plants faults. For tests only.
+// InjectFaults injects faults. For tests only.
 func (c *Core) InjectFaults(faults InjectedFaults) {
 	c.faults = faults
 	c.election.InjectFaults(faults.Election)
@@ -179,24 +179,24 @@
 	c.arbiter.InjectFaults(faults.Acts)
 }
 
-// group is the replication group that holds the control state.
+// group returns the replication group that holds the control state.
 func (c *Core) group() *replication.Group { return c.groups.Group(election.GroupUnit) }
 
-// Groups is the core's replication group, for tests.
+// Groups gives tests access to the core's replication group.
 func (c *Core) Groups() *replication.Groups { return c.groups }
 
-// State is the replicated control state; a copy must be taken before it is changed.
+// State returns the replicated control state; callers must copy it before they change it.
 func (c *Core) State() *state.State { return c.state }
 
-// Vote is what this core keeps as a voter.
+// Vote returns the state that this core keeps as a voter.
 func (c *Core) Vote() election.Vote { return c.election.Vote() }
 
-// IsServing tells whether this core is the primary and may confirm.
+// IsServing reports whether this core is the primary and may confirm changes.
 func (c *Core) IsServing() bool { return c.election.IsServing() }
 
-// HoldsLease tells whether this core is the primary and holds its lease.
+// HoldsLease reports whether this core is the primary and holds its lease.
 func (c *Core) HoldsLease(now clock.Micros) bool { return c.election.HoldsLease(now) }
 
-// IsNeeded tells whether others still depend on this core; a core that drains stops once
+// IsNeeded reports whether other cores still depend on this one; a draining core stops once
 // none does.
 func (c *Core) IsNeeded(now clock.Micros) bool { return c.election.IsNeeded(now) }
--- a/internal/controlplane/counters.go
+++ b/internal/controlplane/counters.go
@@ -5,7 +5,7 @@
 	"tuliprudder/internal/exclusive"
 )
 
-// Counters are this core's figures for its operators (docs/OPERATORS.md).
+// Counters returns this core's metrics for operators (docs/OPERATORS.md).
 func (c *Core) Counters(now clock.Micros) map[string]int64 {
 	status := c.election.Status(now)
 	counters := map[string]int64{
@@ -32,7 +32,7 @@
 	return counters
 }
 
-// addActCounters adds those of acts on outside systems, where there are any.
+// addActCounters adds the counters of acts on external systems, if there are any.
 func (c *Core) addActCounters(counters map[string]int64, now clock.Micros) {
 	table := &c.state.Acts
 	if len(c.actSources) == 0 && table.IsZero() {
@@ -49,7 +49,7 @@
 	counters["acts_refused"] = c.arbiter.Outcomes[exclusive.Refused]
 }
 
-// addUsageCounters adds those of the reports of use, where there are any.
+// addUsageCounters adds the counters of usage reports, if usage is reported.
 func (c *Core) addUsageCounters(counters map[string]int64) {
 	if c.usage == nil {
 		return
@@ -62,7 +62,7 @@
 	counters["usage_windows_skipped"] = c.usage.Skipped
 }
 
-// underReplicatedShards counts the shards with fewer complete copies than there should be.
+// underReplicatedShards counts the shards with fewer complete copies than the settings require.
 func (c *Core) underReplicatedShards() int64 {
 	count := int64(0)
 	replicas := c.settings.placement().Replicas()
--- a/internal/controlplane/degraded_test.go
+++ b/internal/controlplane/degraded_test.go
@@ -8,9 +8,9 @@
 	"tuliprudder/internal/replication"
 )
 
-// A fleet has fewer stores than the copies that the tolerance asks for, and all its
-// stores start again at once with their disks: every shard is assigned to them anew,
-// with as many copies as there are stores.
+// A fleet has fewer stores than the copies that the tolerance requires. When stores restart with
+// their disks, up to three at the same time, every shard is assigned to them again, with as
+// many copies as there are stores.
 func TestShardsRecoverWithFewerStoresThanCopies(t *testing.T) {
 	for stores := 3; stores <= 4; stores++ {
 		for restarted := 1; restarted <= 3; restarted++ {
@@ -34,7 +34,7 @@
 			}
 			for shard, assignment := range core.State().Shards {
 				if !assignment.Complete || len(assignment.Members()) != stores || !core.allMembersLive(assignment, b.now) {
-					t.Errorf("%d of %d stores started again: shard %d is still %+v", restarted, stores, shard, assignment)
+					t.Errorf("%d of %d stores restarted: shard %d is still assigned as %+v", restarted, stores, shard, assignment)
 					break
 				}
 			}
@@ -42,7 +42,8 @@
 	}
 }
 
-// allMembersLive tells whether every member of an assignment runs in the incarnation it was assigned in.
+// allMembersLive reports whether every member of an assignment runs in the incarnation that it was
+// assigned in.
 func (c *Core) allMembersLive(assignment replication.Assignment, now clock.Micros) bool {
 	for _, member := range assignment.Members() {
 		if incarnation, ok := c.stores.Incarnation(c.state, member.ID, now); !ok || incarnation != member.Incarnation {
--- a/internal/controlplane/disk.go
+++ b/internal/controlplane/disk.go
@@ -7,31 +7,31 @@
 	"tuliprudder/internal/machine"
 )
 
-// This file is what a core does while its disk takes no writes (DESIGN §5): nothing
-// that others could depend on. It sends no heartbeat, grants no vote, takes no entries and
-// leads nobody, as if it were frozen, so that the other cores go on without it. What
-// it had decided before waits for its disk, in order, and is acknowledged by nobody
-// until it is synced.
+// This file defines what a core does while its disk accepts no writes (DESIGN §5): nothing
+// that others could depend on. It sends no heartbeats, grants no votes, accepts no entries and
+// does not act as primary, as if it were frozen, so that the other cores continue without it.
+// Changes that it decided before wait for its disk, in order, and are not acknowledged until
+// they are synced.
 
-// probationPeriod is how long a disk has to take writes again before its core does more
-// than listen.
+// probationPeriod is how long a disk must accept writes again before its core does more than
+// receive heartbeats.
 const probationPeriod = clock.Second
 
-// diskProbation is what a core knows of its disk.
+// diskProbation is the state of a core's disk.
 type diskProbation struct {
 	unwritable    bool
 	reason        string
-	writableSince clock.Micros // since when the disk takes writes again; 0: it always did, or the probation is over
+	writableSince clock.Micros // when the disk began to accept writes again; 0: it never stopped, or the probation is over
 }
 
-// isOver tells whether the core may do all its duties.
+// isOver reports whether the core may perform all its roles.
 func (p diskProbation) isOver() bool { return !p.unwritable && p.writableSince == 0 }
 
-// DiskStateChanged tells whether the disk takes writes.
+// DiskStateChanged reports whether the disk accepts writes.
 type DiskStateChanged struct{ State machine.DiskState }
 
-// Apply records it. Operators who wait are told at once that the outcome is not known,
-// so that they ask another core.
+// Apply records the state of the disk. If it accepts no writes, waiting callers are notified at
+// once that the outcome is unknown, so that they ask another core.
 func (d DiskStateChanged) Apply(c *Core, now clock.Micros) {
 	if d.State.Writable == !c.disk.unwritable {
 		c.disk.reason = d.State.Reason
@@ -50,16 +50,16 @@
 	c.rejectPermitRequests(c.permitRequests.clear())
 }
 
-// CompactAgain asks for another snapshot: the last one could not be written.
+// CompactAgain requests another snapshot, because the last one could not be written.
 type CompactAgain struct{}
 
-// Apply has the snapshot made with this step's effects.
+// Apply makes Do add the snapshot to the effects of this command.
 func (CompactAgain) Apply(c *Core, _ clock.Micros) {
 	c.recordsSinceCompaction = c.settings.CompactAfter
 }
 
-// rejectWhileUnwritable tells whether a command is ignored, as the disk takes no writes or is on
-// probation.
+// rejectWhileUnwritable reports whether a command is ignored because the disk accepts no writes or is
+// on probation; it answers an ignored call with an error.
 func (c *Core) rejectWhileUnwritable(command Command, now clock.Micros) bool {
 	if c.disk.isOver() {
 		return false
@@ -73,13 +73,13 @@
 	}
 	if call, ok := command.(Call); ok {
 		c.Emit(machine.Reply{Call: call.Number, Err: errs.NewWithRetry(errs.NotReady, clock.Second,
-			"ask another core; this one is back once its disk takes writes", "core %s can't write: %s", c.self.ID, c.disk.reason)})
+			"send it to another core; this one resumes once its disk accepts writes", "core %s can't write to its disk: %s", c.self.ID, c.disk.reason)})
 	}
 	return true
 }
 
-// isAllowedWithoutDisk tells whether a command is handled while the disk takes no writes:
-// what the disk itself tells, and what only makes this core know more.
+// isAllowedWithoutDisk reports whether a command is handled while the disk accepts no writes:
+// results and states of the disk itself, and inputs that only add to what this core knows.
 func isAllowedWithoutDisk(command Command) bool {
 	switch command := command.(type) {
 	case Persisted, DiskStateChanged, CompactAgain, StoreHealth, EdgeHealth, DurableUpdate, FreshnessAdvanced:
@@ -94,8 +94,8 @@
 	return false
 }
 
-// resumeRoles ends the probation. This core has heard no store meanwhile, and
-// listens anew until it decides on any.
+// resumeRoles ends the probation. This core has received no store heartbeats meanwhile, so it
+// listens for them again before it decides on any store.
 func (c *Core) resumeRoles(now clock.Micros) {
 	c.disk = diskProbation{}
 	if c.IsServing() {
--- a/internal/controlplane/disk_test.go
+++ b/internal/controlplane/disk_test.go
@@ -11,15 +11,14 @@
 	"tuliprudder/internal/replication"
 )
 
-// fullDisks are the disks of some cores that take no writes; what is written there
-// waits.
+// fullDisks simulates cores whose disks accept no writes; their writes wait.
 type fullDisks struct {
 	b       *testCluster
-	waiting map[string][]uint64 // by peer; a peer that is not there has a disk that takes writes
-	sent    map[string]int      // messages that a core with a full disk sent
+	waiting map[string][]uint64 // tokens by peer; the disk of a peer that is absent accepts writes
+	sent    map[string]int      // messages that cores with full disks sent, by peer
 }
 
-// withFullDisks watches the cores' disks, and what a core with a full one sends.
+// withFullDisks controls the cores' disks, and counts what a core with a full one sends.
 func withFullDisks(b *testCluster) *fullDisks {
 	d := &fullDisks{b: b, waiting: map[string][]uint64{}, sent: map[string]int{}}
 	b.blocksWrite = func(peer string, write machine.Persist) bool {
@@ -31,7 +30,7 @@
 	}
 	b.drop = func(l envelope) bool {
 		_, full := d.waiting[l.from]
-		if _, isLeaseRelease := l.body.(replication.LeaseRelease); full && !isLeaseRelease { // a lease that is released commits to nothing
+		if _, isLeaseRelease := l.body.(replication.LeaseRelease); full && !isLeaseRelease { // releasing a lease makes no commitment
 			d.sent[l.from]++
 		}
 		return false
@@ -39,7 +38,7 @@
 	return d
 }
 
-// fill fills a core's disk; before runs before the core is notified.
+// fill makes a core's disk full; before runs before the core is notified.
 func (d *fullDisks) fill(core *Core, before func()) {
 	peer := core.self.Peer
 	d.waiting[peer] = []uint64{}
@@ -51,7 +50,7 @@
 	d.b.applyEffects(peer, core.Do(DiskStateChanged{machine.DiskState{Reason: "the disk is full"}}, d.b.now))
 }
 
-// clear empties the disk again: what waited is written, in order.
+// clear makes the disk accept writes again: the waiting writes complete, in order.
 func (d *fullDisks) clear(core *Core) {
 	peer := core.self.Peer
 	tokens := d.waiting[peer]
@@ -63,29 +62,30 @@
 	d.b.deliverAll()
 }
 
-// mustPutAtPrimary puts a configuration at the primary, which has to acknowledge it.
+// mustPutAtPrimary puts a configuration at the primary; it fails the test unless it is
+// acknowledged.
 func (b *testCluster) mustPutAtPrimary(t *testing.T, number, base uint64) {
 	t.Helper()
 	core := b.primary()
 	if core == nil {
-		t.Fatal("no core serves alone")
+		t.Fatal("there is no single primary")
 	}
 	call := b.call(core, putRequest(number, base, `{"a":1}`))
 	b.advance(clock.Second)
 	if answer := b.reply(t, call); answer.Body != (PutConfigurationResponse{Version: number}) {
-		t.Fatalf("%s told %v %v, not an acknowledgement", core.self.ID, answer.Body, answer.Err)
+		t.Fatalf("%s: reply %v, error %v, want an acknowledgement", core.self.ID, answer.Body, answer.Err)
 	}
 }
 
-// latestVersion is the configuration in force at a core that serves.
+// latestVersion returns the number of the latest configuration in a core's state.
 func latestVersion(core *Core) uint64 {
 	version, _ := core.State().Latest()
 	return version.Number
 }
 
-// A primary whose disk is full answers who waits at once, sends nothing more to the other
-// cores, and another one leads. Once its disk takes writes it takes part again, and
-// brings nothing back that was not confirmed.
+// A primary whose disk is full answers the waiting callers at once and sends nothing more to the
+// other cores, and another core becomes primary. Once its disk accepts writes it rejoins, and
+// no unconfirmed change reappears.
 func TestFullDiskOnPrimaryCausesFailover(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	b.mustPutAtPrimary(t, 1, 0)
@@ -93,11 +93,11 @@
 	var waitingCall uint64
 	disks.fill(old, func() { waitingCall = b.call(old, putRequest(2, 1, `{"a":2}`)) })
 	if answer := b.reply(t, waitingCall); !errs.Is(answer.Err, errs.OutcomeUnknown) {
-		t.Fatalf("the operator who waited was told %v %v", answer.Body, answer.Err)
+		t.Fatalf("the waiting operator got reply %v, error %v, want an unknown outcome", answer.Body, answer.Err)
 	}
 	for _, request := range []any{putRequest(3, 1, `{"a":3}`), ConfigurationsRequest{Latest: true}, RetireRequest{ID: "store-1", Timeout: clock.Second}} {
 		if answer := b.reply(t, b.call(old, request)); !errs.Is(answer.Err, errs.NotReady) || errs.Of(answer.Err).Remedy == "" {
-			t.Fatalf("%T: told %v %v", request, answer.Body, answer.Err)
+			t.Fatalf("%T: reply %v, error %v, want not ready with a remedy", request, answer.Body, answer.Err)
 		}
 	}
 	b.advance(6 * clock.Second)
@@ -106,24 +106,24 @@
 	}
 	now := b.primary()
 	if now == nil || now == old {
-		t.Fatal("no other core leads")
+		t.Fatal("no other core is primary")
 	}
 	base := latestVersion(now)
 	b.mustPutAtPrimary(t, 8, base)
 	disks.clear(old)
 	b.advance(6 * clock.Second)
 	if b.primary() == nil {
-		t.Fatal("no core serves alone after the disk is well")
+		t.Fatal("there is no single primary after the disk recovered")
 	}
 	b.awaitStable(t)
 	b.mustPutAtPrimary(t, 9, 8)
 	if silent := b.primary().election.Status(b.now).UnreachableVoters; silent != 0 || !hasVote(b.primary().Vote().Voters, old.self.ID) {
-		t.Fatalf("%d voters are not heard, and the core whose disk is well again should be one that is", silent)
+		t.Fatalf("%d voters are unreachable, or the core whose disk recovered is no voter; want all reachable, and it among them", silent)
 	}
 }
 
-// A disk that is full for a moment costs no term: the entry that waited is written,
-// and confirmed from then on.
+// A disk that is full only briefly costs at most one term: the waiting entry is written, and
+// then confirmed.
 func TestBrieflyFullDiskKeepsPendingWrites(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	b.mustPutAtPrimary(t, 1, 0)
@@ -132,7 +132,7 @@
 	disks.fill(core, func() { b.call(core, putRequest(2, 1, `{"a":2}`)) })
 	b.advance(200 * clock.Millisecond)
 	if core.group().Unconfirmed() == 0 {
-		t.Fatal("an entry was confirmed without the disk")
+		t.Fatal("an entry was confirmed before it was on disk")
 	}
 	disks.clear(core)
 	b.advance(1500 * clock.Millisecond)
@@ -146,8 +146,8 @@
 	b.mustPutAtPrimary(t, 3, 2)
 }
 
-// A replica whose disk is full acknowledges no entry and grants no vote; the primary
-// finds another replica.
+// A replica whose disk is full acknowledges no entries and grants no votes; the primary
+// replaces it.
 func TestReplicaWithFullDiskIsReplaced(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	b.mustPutAtPrimary(t, 1, 0)
@@ -162,12 +162,12 @@
 	call := b.call(primary, putRequest(2, 1, `{"a":2}`))
 	b.deliverAll()
 	if _, isAnswered := b.replies[call]; isAnswered {
-		t.Fatal("a configuration was confirmed with one copy")
+		t.Fatal("a configuration was confirmed with one copy only")
 	}
 	vote := backup.Vote()
 	b.applyEffects(backup.self.Peer, backup.Do(Message{"c9", election.VoteRequest{Fleet: vote.Fleet, Assignment: replication.Assignment{Epoch: vote.Term + 1}, Voters: vote.Voters, Base: vote.Committed.Epoch, Candidate: primary.self}}, b.now))
 	if backup.Vote().Term != vote.Term || len(disks.waiting[backup.self.Peer]) != 0 {
-		t.Fatal("a vote was granted without the disk")
+		t.Fatal("a vote was granted without a write to disk")
 	}
 	b.advance(6 * clock.Second)
 	if disks.sent[backup.self.Peer] != 0 {
@@ -175,7 +175,7 @@
 	}
 	now := b.primary()
 	if now == nil || slices.Contains(now.Vote().Committed.IDs(), backup.self.ID) {
-		t.Fatal("the group is not complete without the full disk")
+		t.Fatal("no group formed without the replica whose disk is full")
 	}
 	b.mustPutAtPrimary(t, 8, latestVersion(now))
 	disks.clear(backup)
@@ -183,7 +183,8 @@
 	b.awaitStable(t)
 }
 
-// No core can write: nothing is acknowledged, and all goes on from where it was.
+// While no core can write, nothing is acknowledged; afterwards the fleet continues from its
+// previous state.
 func TestFleetResumesAfterAllDisksWereFull(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	b.mustPutAtPrimary(t, 1, 0)
@@ -194,7 +195,7 @@
 	b.advance(20 * clock.Second)
 	for _, peer := range sortedKeys(b.cores) {
 		if answer := b.reply(t, b.call(b.cores[peer], putRequest(2, 1, `{"a":2}`))); !errs.Is(answer.Err, errs.NotReady) {
-			t.Fatalf("%s told %v %v", peer, answer.Body, answer.Err)
+			t.Fatalf("%s: reply %v, error %v, want not ready", peer, answer.Body, answer.Err)
 		}
 	}
 	for _, peer := range sortedKeys(b.cores) {
@@ -208,13 +209,13 @@
 	b.mustPutAtPrimary(t, 2, 1)
 	for shard, p := range b.primary().State().Shards {
 		if !p.Equal(before[shard]) {
-			t.Fatalf("shard %d was assigned anew, as %+v, though all stores lived: only the cores could not hear them", shard, p)
+			t.Fatalf("shard %d was reassigned, as %+v, though all stores were alive and only the cores could not receive their heartbeats", shard, p)
 		}
 	}
 }
 
-// A core that has its disk back has heard no store meanwhile: it takes none for lost before it
-// had the time to hear it, also where some are heard sooner than others.
+// A core whose disk has recovered received no store heartbeats meanwhile. It must not treat a
+// store as lost before that store had the time to send one, even if others do so sooner.
 func TestStoresAreNotLostRightAfterDiskRecovery(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	disks, before := withFullDisks(b), append([]replication.Assignment(nil), b.primary().State().Shards...)
@@ -232,12 +233,12 @@
 	b.awaitStable(t)
 	for shard, p := range b.primary().State().Shards {
 		if !p.Equal(before[shard]) {
-			t.Fatalf("shard %d was assigned anew, as %+v", shard, p)
+			t.Fatalf("shard %d was reassigned, as %+v", shard, p)
 		}
 	}
 }
 
-// A snapshot that could not be written is made anew when the event loop asks for it.
+// A snapshot that could not be written is made again when the event loop requests it.
 func TestFailedCompactionIsRetriedOnRequest(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	b.mustPutAtPrimary(t, 1, 0)
@@ -248,6 +249,6 @@
 		}
 	}
 	if compactions != 1 {
-		t.Fatalf("%d snapshots", compactions)
+		t.Fatalf("%d snapshots, want 1", compactions)
 	}
 }
--- a/internal/controlplane/events.go
+++ b/internal/controlplane/events.go
@@ -7,13 +7,13 @@
 
 // The log events of a core.
 type (
-	// LostPrimary tells that another core has a higher term; this one no longer serves.
+	// LostPrimary reports that another core has a higher term; this one is no longer primary.
 	LostPrimary struct {
 		machine.Info
 		Epoch uint64 `json:"epoch"`
 	}
-	// StoreRejected tells that a store may not join, since its data folder is a copy or of another
-	// fleet.
+	// StoreRejected reports that a store may not join, because its data folder is a copy or belongs
+	// to another fleet.
 	StoreRejected struct {
 		machine.Warning
 		Store       string `json:"store"`
@@ -21,34 +21,35 @@
 		Incarnation uint64 `json:"incarnation"`
 		Reason      string `json:"reason"`
 	}
-	// StoreEvicted tells that an unreachable store no longer counts as a voter for updates.
+	// StoreEvicted reports that an unreachable store no longer counts as a voter for updates.
 	StoreEvicted struct {
 		machine.Warning
 		Store string `json:"store"`
 	}
-	// StoreRetired tells that nothing depends on the store any more; its machine may be removed.
+	// StoreRetired reports that nothing depends on the store any more; its machine may be removed.
 	StoreRetired struct {
 		machine.Info
 		Store string `json:"store"`
 	}
-	// EndpointLimitReached tells that there are more endpoints than a core keeps on disk.
+	// EndpointLimitReached reports that there are more endpoints than a core keeps on disk.
 	EndpointLimitReached struct {
 		machine.Warning
 		Endpoint string `json:"endpoint"`
 		Remedy   string `json:"remedy"`
 	}
-	// DiskWritable tells that the disk takes writes again; the core resumes its duties after probation.
+	// DiskWritable reports that the disk accepts writes again; the core resumes its roles after a
+	// probation.
 	DiskWritable struct {
 		machine.Info
 		ResumesAfterUS clock.Micros `json:"resumes_after_us"`
 	}
-	// DiskUnwritable tells that the disk takes no writes; the core gives up all duties.
+	// DiskUnwritable reports that the disk accepts no writes; the core gives up all its roles.
 	DiskUnwritable struct {
 		machine.Warning
 		Reason string `json:"reason"`
 		Role   string `json:"role"`
 	}
-	// RolesResumed tells that the probation of the disk is over.
+	// RolesResumed reports that the probation of the disk is over.
 	RolesResumed struct {
 		machine.Info
 		Role string `json:"role"`
--- a/internal/controlplane/messages.go
+++ b/internal/controlplane/messages.go
@@ -10,13 +10,14 @@
 	"tuliprudder/internal/transport"
 )
 
-// Requests of other daemons to a core, and its responses. Their Go names and those of
-// their fields are on the wire.
+// Requests from other daemons to a core, and its responses. The Go names of the types and of
+// their fields are part of the wire format.
 type (
-	// PutConfigurationRequest submits a whole configuration. HasBase: only where Base is the
-	// version in force, 0 where none is. Number is the operator's own version; 0: the
-	// core numbers it. The same request sent again gets the same response; one without a
-	// number and without a base can't be recognised, and is a new one each time.
+	// PutConfigurationRequest submits a complete configuration. If HasBase is set, it is
+	// applied only if Base is the version in force (0 if there is none). Number is the
+	// operator's version number; if it is 0, the core assigns one. A repeated request gets the
+	// same response; without a number and a base a repeat can't be recognised, and counts as a
+	// new request.
 	PutConfigurationRequest struct {
 		Body    []byte
 		Number  uint64
@@ -26,7 +27,7 @@
 		Timeout clock.Micros
 	}
 	// PatchConfigurationRequest changes named entries of the configuration in force; the primary
-	// applies it where it checks the base. Body is the patch as the operator wrote it; the other
+	// applies it when it checks the base. Body is the patch as the operator wrote it; the other
 	// fields are those of a PutConfigurationRequest. The response is a PutConfigurationResponse.
 	PatchConfigurationRequest struct {
 		Body    []byte
@@ -37,20 +38,21 @@
 	}
 	// PutConfigurationResponse acknowledges a configuration, once every replica has it on disk.
 	PutConfigurationResponse struct{ Version uint64 }
-	// ConfigurationsRequest reads configurations back: one version, the latest one that is
-	// confirmed, or a list.
+	// ConfigurationsRequest reads one version, the latest confirmed version, or the list of
+	// versions.
 	ConfigurationsRequest struct {
 		Version uint64
 		Latest  bool
 	}
-	// ConfigurationsResponse is the answer. A list has the versions that can be read back, without
-	// their documents, and every request that is still recognised.
+	// ConfigurationsResponse returns configurations. A list has the versions that can be read back,
+	// without their documents, and every request that is still recognised.
 	ConfigurationsResponse struct {
 		Versions []state.Version
 		Requests []state.AppliedRequest
 	}
-	// RetireRequest empties a store and retires it; Cancel has it stay, ReadOnly changes
-	// nothing. Where ID is "" the store that the operator calls Name is meant.
+	// RetireRequest moves all shards off a store and retires it; Cancel reverses this, ReadOnly
+	// only reads the progress. If ID is empty, the store is selected by Name, the operator's
+	// name for it.
 	RetireRequest struct {
 		ID       string
 		Name     string
@@ -58,19 +60,19 @@
 		ReadOnly bool
 		Timeout  clock.Micros
 	}
-	// RetireResponse tells how far it is.
+	// RetireResponse reports the progress of a retirement.
 	RetireResponse struct {
 		ID         string
 		Done       bool
-		ShardsLeft int // shards that still depend on it
+		ShardsLeft int // shards that still depend on the store
 	}
-	// ActsRequest reads from the primary what is known of acts on outside systems.
+	// ActsRequest reads the status of acts on external systems from the primary.
 	ActsRequest struct{ Brief bool }
-	// ActsResponse is the answer: the subjects by name.
+	// ActsResponse lists the subjects by name.
 	ActsResponse struct{ Subjects []exclusive.SubjectStatus }
-	// StatusRequest asks a core for its own account.
+	// StatusRequest reads the status of a core.
 	StatusRequest struct{ Brief bool }
-	// StatusResponse is that account.
+	// StatusResponse is the status of the core that answers.
 	StatusResponse struct {
 		Core                 election.CoreRef
 		Role                 string
--- a/internal/controlplane/patches_test.go
+++ b/internal/controlplane/patches_test.go
@@ -10,7 +10,7 @@
 	"tuliprudder/internal/errs"
 )
 
-// patchSettings are those of a cluster whose documents carry the operator's version.
+// patchSettings returns the settings of a cluster whose documents contain the operator's version.
 func patchSettings() Settings {
 	settings := smallSettings()
 	settings.PatchFormat = config.PatchFormat{Lists: []string{"routes", "svcs"}, VersionField: "ver"}
@@ -27,20 +27,20 @@
 	return PatchConfigurationRequest{Base: base, HasBase: true, Body: []byte(body), By: "o", Timeout: 3 * clock.Second}
 }
 
-// latestDocument is what the primary reads back.
+// latestDocument returns the latest configuration as read from the primary.
 func (b *testCluster) latestDocument(t *testing.T) string {
 	t.Helper()
 	call := b.call(b.primary(), ConfigurationsRequest{Latest: true})
 	b.deliverAll()
 	response, ok := b.reply(t, call).Body.(ConfigurationsResponse)
 	if !ok || len(response.Versions) != 1 {
-		t.Fatalf("read back %+v", b.reply(t, call))
+		t.Fatalf("got %+v, want one version", b.reply(t, call))
 	}
 	return string(response.Versions[0].Body)
 }
 
-// A patch is applied where its base is checked. It is acknowledged again if it is sent again, and
-// refused on another base than the one in force.
+// A patch is applied when its base is checked, and rejected on another base than the version in
+// force. A repeated patch is acknowledged again.
 func TestPatchesAreAppliedOnTheirBaseOnly(t *testing.T) {
 	b := bootstrappedCluster(t, patchSettings())
 	const whole = `{"ver":7,"routes":[{"name":"a"}]}`
@@ -59,9 +59,9 @@
 		{patchRequest(7, `{"ver":9,`), errs.InvalidConfiguration, whole},
 		{patchRequest(7, add), uint64(9), `{"routes":[{"name":"a"},{"name":"b"}],"ver":9}`},
 		{patchRequest(7, other), errs.StaleBase, `{"routes":[{"name":"a"},{"name":"b"}],"ver":9}`},
-		{patchRequest(7, add), uint64(9), `{"routes":[{"name":"a"},{"name":"b"}],"ver":9}`}, // sent again
+		{patchRequest(7, add), uint64(9), `{"routes":[{"name":"a"},{"name":"b"}],"ver":9}`}, // a repeat
 		{patchRequest(9, `{"ver":11,"remove":{"routes":["a"]}}`), uint64(11), `{"routes":[{"name":"b"}],"ver":11}`},
-		{patchRequest(7, ` {"ver" : 9, "upsert":{"routes":[{"name":"b"}]}}`), uint64(9), `{"routes":[{"name":"b"}],"ver":11}`}, // again, after a later one
+		{patchRequest(7, ` {"ver" : 9, "upsert":{"routes":[{"name":"b"}]}}`), uint64(9), `{"routes":[{"name":"b"}],"ver":11}`}, // a repeat, after a later version
 		{putRequest(9, 7, `{"ver":9,"routes":[{"name":"a"},{"name":"c"}]}`), errs.StaleBase, `{"routes":[{"name":"b"}],"ver":11}`},
 	} {
 		call := b.call(b.primary(), step.ask)
@@ -70,20 +70,20 @@
 		switch want := step.want.(type) {
 		case errs.Kind:
 			if !errs.Is(answer.Err, want) || errs.Of(answer.Err).Remedy == "" {
-				t.Errorf("step %d: told %v %v, not %s", i, answer.Body, answer.Err, want)
+				t.Errorf("step %d: reply %v, error %v, want %s", i, answer.Body, answer.Err, want)
 			}
 		case uint64:
 			if answer.Body != (PutConfigurationResponse{Version: want}) {
-				t.Errorf("step %d: told %v %v, not version %d", i, answer.Body, answer.Err, want)
+				t.Errorf("step %d: reply %v, error %v, want version %d", i, answer.Body, answer.Err, want)
 			}
 		}
 		if got := b.latestDocument(t); got != step.document {
-			t.Errorf("step %d: in force is %s", i, got)
+			t.Errorf("step %d: the configuration in force is %s", i, got)
 		}
 	}
 }
 
-// Of two operators' patches on one base one is applied, and nothing of the other.
+// Of two operators' patches on one base, one is applied and the other has no effect.
 func TestOneOfTwoPatchesOnOneBaseIsApplied(t *testing.T) {
 	b := bootstrappedCluster(t, patchSettings())
 	core := b.primary()
@@ -92,17 +92,17 @@
 	second := b.call(core, patchRequest(1, `{"ver":3,"upsert":{"routes":[{"name":"b"}]}}`))
 	b.deliverAll()
 	if answer := b.reply(t, first); answer.Err != nil {
-		t.Errorf("the first got %v", answer.Err)
+		t.Errorf("the first patch got error %v", answer.Err)
 	}
 	if answer := b.reply(t, second); !errs.Is(answer.Err, errs.StaleBase) {
-		t.Errorf("the second got %v %v", answer.Body, answer.Err)
+		t.Errorf("the second patch got reply %v, error %v, want a stale base", answer.Body, answer.Err)
 	}
 	if got := b.latestDocument(t); got != `{"routes":[{"name":"a"}],"ver":2}` {
-		t.Errorf("in force is %s", got)
+		t.Errorf("the configuration in force is %s", got)
 	}
 }
 
-// A patch is recognised when it is sent again to the successor of the primary that applied it.
+// A repeated patch is recognised by the primary that follows the one that applied it.
 func TestRepeatedPatchIsRecognisedByTheNextPrimary(t *testing.T) {
 	b := bootstrappedCluster(t, patchSettings())
 	old := b.primary()
@@ -115,7 +115,7 @@
 	call := b.call(core, patch)
 	b.deliverAll()
 	if answer := b.reply(t, call); answer.Body != (PutConfigurationResponse{Version: 2}) {
-		t.Errorf("told %v %v", answer.Body, answer.Err)
+		t.Errorf("reply %v, error %v, want version 2", answer.Body, answer.Err)
 	}
 }
 
@@ -131,6 +131,6 @@
 		t.Fatal(err)
 	}
 	if applied, found := current.Requests.Find(2); !found || applied.Digest != digest {
-		t.Errorf("stored is %v", applied)
+		t.Errorf("stored request %v, want the digest of the patch", applied)
 	}
 }
--- a/internal/controlplane/permits.go
+++ b/internal/controlplane/permits.go
@@ -11,36 +11,37 @@
 	"tuliprudder/internal/machine"
 )
 
-// This file takes requests for permits (package exclusive) through the replication group. Each is
-// decided at a turn at which nothing is in flight, under the lease, so that the whole state is
-// confirmed; what the decision changes is on every replica's disk before the node hears of a permit.
+// This file replicates decisions on permit requests (package exclusive). Each request is decided
+// under the lease while no change is in flight, so that the complete state is confirmed; the
+// resulting update is on every replica's disk before the node receives a permit.
 
 const (
-	// maxPermitRequests is how many nodes may wait for a decision.
+	// maxPermitRequests limits how many nodes wait for a decision.
 	maxPermitRequests = 64
-	// permitRequestTimeout is how long a node waits for one.
+	// permitRequestTimeout limits how long a node waits for a decision.
 	permitRequestTimeout = clock.Second
 )
 
-// permitRequest is a node's request that waits for its turn.
+// permitRequest is a node's queued request.
 type permitRequest struct {
 	call     uint64
 	deadline clock.Micros
 	exclusive.Request
 }
 
-// permitRequests are the requests that wait, at most one of each holder, and the response that waits
+// permitRequests are the queued requests, at most one per holder, and the response that is pending
 // until its update is confirmed.
 type permitRequests struct {
 	waiting []permitRequest
-	isNext  bool // a change was started since the latest decision
+	isNext  bool // a change was started since the last decision on permits
 
-	pendingCall     uint64 // 0: none, or nobody waits for it any more
+	pendingCall     uint64 // 0: none, or its caller no longer waits
 	pendingDeadline clock.Micros
 	pendingResponse exclusive.Response
 }
 
-// add has a request wait; it replaces an earlier one of the same holder, whose call is given back.
+// add queues a request. It replaces an earlier request of the same holder and returns the replaced
+// call.
 func (p *permitRequests) add(request permitRequest) (replaced []uint64) {
 	p.waiting = slices.DeleteFunc(p.waiting, func(other permitRequest) bool {
 		isSame := other.Holder == request.Holder
@@ -53,7 +54,7 @@
 	return replaced
 }
 
-// next takes the request whose turn it is; false where none waits.
+// next removes and returns the first request; it returns false if none is queued.
 func (p *permitRequests) next() (permitRequest, bool) {
 	if len(p.waiting) == 0 {
 		return permitRequest{}, false
@@ -63,7 +64,8 @@
 	return first, true
 }
 
-// expire drops what waited too long and lists its calls. What is in flight goes on without its caller.
+// expire removes the requests past their deadlines and returns their calls. An update in flight
+// continues without its caller.
 func (p *permitRequests) expire(now clock.Micros) (calls []uint64) {
 	p.waiting = slices.DeleteFunc(p.waiting, func(request permitRequest) bool {
 		isLate := now >= request.deadline
@@ -79,7 +81,7 @@
 	return calls
 }
 
-// clear drops all and lists the calls.
+// clear removes all requests and returns their calls.
 func (p *permitRequests) clear() (calls []uint64) {
 	for _, request := range p.waiting {
 		calls = append(calls, request.call)
@@ -91,13 +93,13 @@
 	return calls
 }
 
-// AddActSource adds a source of acts; it is asked while this core is primary under its lease.
+// AddActSource adds a source of acts; it is queried while this core is primary and holds its lease.
 func (c *Core) AddActSource(source exclusive.Source) { c.actSources = append(c.actSources, source) }
 
-// SetOwnHolder sets which holder this core is in acts.
+// SetOwnHolder sets the identity of this core as a holder of permits.
 func (c *Core) SetOwnHolder(holder exclusive.Holder) { c.arbiter.SetSelf(holder) }
 
-// dueActs are the acts that the sources propose.
+// dueActs returns the acts that the sources propose.
 func (c *Core) dueActs() (due []exclusive.Act) {
 	for _, source := range c.actSources {
 		due = append(due, source.Due(&c.state.Acts)...)
@@ -105,8 +107,8 @@
 	return due
 }
 
-// requestPermits has a node's request decided. One that can change nothing is answered at once, so that
-// it costs no turn.
+// requestPermits queues a node's request. A request that can change nothing is answered at once,
+// without being queued.
 func (c *Core) requestPermits(call uint64, request exclusive.Request, now clock.Micros) {
 	if !c.HoldsLease(now) {
 		c.rejectNotPrimary(call)
@@ -118,7 +120,7 @@
 		return
 	}
 	if len(c.permitRequests.waiting) >= maxPermitRequests {
-		c.Emit(machine.Reply{Call: call, Err: errs.NewWithRetry(errs.Busy, clock.Second, "send it again", "too many requests for permits wait")})
+		c.Emit(machine.Reply{Call: call, Err: errs.NewWithRetry(errs.Busy, clock.Second, "send it again", "too many permit requests are queued")})
 		return
 	}
 	replaced := c.permitRequests.add(permitRequest{call: call, deadline: now + permitRequestTimeout, Request: request})
@@ -126,8 +128,8 @@
 	c.processQueue(now)
 }
 
-// decideOnPermits decides the next request for permits; false where none waits. Nothing is in flight and
-// this core holds its lease.
+// decideOnPermits decides the next permit request; it returns false if none is queued. The caller
+// must hold the lease, and no change may be in flight.
 func (c *Core) decideOnPermits(now clock.Micros) bool {
 	request, ok := c.permitRequests.next()
 	c.permitRequests.isNext = false
@@ -148,7 +150,7 @@
 	return c.replicate(changequeue.Change{Entry: state.UpdateActs{Update: decision.Update}}, now)
 }
 
-// replyWithPermits answers the node whose request led to a change that is confirmed.
+// replyWithPermits answers the node whose request led to the confirmed change.
 func (c *Core) replyWithPermits(confirmed changequeue.Change) {
 	if !updatesActs(confirmed.Entry) {
 		return
@@ -162,7 +164,7 @@
 }
 
 // rejectPermitRequests answers nodes whose requests were not decided, or whose decisions may not be
-// durable. Their outcomes stay with them and come again.
+// durable. The nodes keep their outcomes and report them again.
 func (c *Core) rejectPermitRequests(calls []uint64) {
 	for _, call := range calls {
 		c.Emit(machine.Reply{Call: call, Err: errs.NewWithRetry(errs.OutcomeUnknown, clock.Second,
@@ -170,13 +172,13 @@
 	}
 }
 
-// updatesActs tells whether an entry changes the table of acts, and nothing else.
+// updatesActs reports whether an entry changes the table of acts, and nothing else.
 func updatesActs(entry state.Entry) bool {
 	_, ok := entry.(state.UpdateActs)
 	return ok
 }
 
-// readActs answers an operator; only the primary knows of permits.
+// readActs returns the status of acts to an operator; only the primary knows the permits.
 func (c *Core) readActs(call uint64, now clock.Micros) {
 	if !c.HoldsLease(now) {
 		c.rejectNotPrimary(call)
@@ -185,8 +187,8 @@
 	c.Emit(machine.Reply{Call: call, Body: ActsResponse{Subjects: c.arbiter.Status(&c.state.Acts, now)}})
 }
 
-// PrimaryAddress is the address of the primary core as this one knows it, with the epoch of its term; ""
-// where it knows none.
+// PrimaryAddress returns the address of the primary core as known to this core, and the epoch of its
+// term; "" if no primary is known.
 func (c *Core) PrimaryAddress() (address string, epoch uint64) {
 	vote := c.Vote()
 	for _, ref := range vote.Voters {
--- a/internal/controlplane/permits_test.go
+++ b/internal/controlplane/permits_test.go
@@ -10,7 +10,7 @@
 	"tuliprudder/internal/exclusive"
 )
 
-// fixedActSource is a source that proposes the same acts all the time.
+// fixedActSource is a source that always proposes the same acts.
 type fixedActSource struct{ acts []exclusive.Act }
 
 func (p *fixedActSource) Due(table *exclusive.Table) (due []exclusive.Act) {
@@ -31,7 +31,7 @@
 	nodeB = exclusive.Holder{Name: "node-b", Instance: "run-1"}
 )
 
-// clusterWithActSource is a bootstrapped cluster whose cores all have the source.
+// clusterWithActSource returns a bootstrapped cluster whose cores all have the given source.
 func clusterWithActSource(t *testing.T, source exclusive.Source) *testCluster {
 	t.Helper()
 	b := bootstrappedCluster(t, smallSettings())
@@ -42,7 +42,7 @@
 	return b
 }
 
-// permits requests permits of the primary, which answers at once.
+// permits requests permits from the primary, which must answer at once.
 func (b *testCluster) permits(t *testing.T, holder exclusive.Holder, outcomes ...exclusive.Outcome) []exclusive.Permit {
 	t.Helper()
 	call := b.call(b.primary(), exclusive.Request{Holder: holder, Outcomes: outcomes})
@@ -69,22 +69,22 @@
 	call := b.call(b.primary(), exclusive.Request{Holder: nodeA})
 	b.deliverAll()
 	if answer, ok := b.replies[call]; ok {
-		t.Fatalf("answered before the replicas have it: %+v", answer)
+		t.Fatalf("replied before the replicas have the permit: %+v", answer)
 	}
 	b.drop = nil
 	b.advance(500 * clock.Millisecond)
 	permits := b.reply(t, call).Body.(exclusive.Response).Permits
 	if len(permits) != 1 || string(permits[0].Content) != "x" {
-		t.Fatalf("the permits are %+v", permits)
+		t.Fatalf("permits %+v, want one with content x", permits)
 	}
 	for peer, core := range b.cores {
 		if record := core.State().Acts.Record("windows"); record.Holder != nodeA && core.Groups().Group("core").Seq > 0 {
-			t.Errorf("%s has %+v", peer, record)
+			t.Errorf("%s has record %+v, want holder node-a", peer, record)
 		}
 	}
 }
 
-// stop ends the primary and gives its successor once one serves.
+// stopPrimary removes the primary and waits until another core serves under its lease.
 func (b *testCluster) stopPrimary(t *testing.T) {
 	t.Helper()
 	delete(b.cores, b.primary().self.Peer)
@@ -104,16 +104,16 @@
 	source.acts = []exclusive.Act{windowAct(1, "other")}
 	b.stopPrimary(t)
 	if got := b.permits(t, nodeB); len(got) > 0 {
-		t.Fatalf("at once another node gets %+v", got)
+		t.Fatalf("before the lease ended another node got %+v", got)
 	}
 	again := b.permits(t, nodeA)
 	if len(again) != 1 || again[0].Fence != first.Fence || string(again[0].Content) != "x" {
-		t.Fatalf("first %+v, again %+v", first, again)
+		t.Fatalf("first permit %+v, repeated %+v, want the same", first, again)
 	}
 	b.advance(exclusive.Defaults().HolderLease + 50*clock.Millisecond)
 	taken := b.permits(t, nodeB)
 	if len(taken) != 1 || taken[0].Fence <= first.Fence || string(taken[0].Content) != "x" {
-		t.Fatalf("after the lease %+v", taken)
+		t.Fatalf("after the lease ended: %+v, want one permit with a higher fence and content x", taken)
 	}
 }
 
@@ -128,11 +128,11 @@
 	b.advance(8 * clock.Second)
 	for _, call := range []uint64{inFlight, waiting} {
 		if answer := b.reply(t, call); kindOf(answer.Err) != errs.OutcomeUnknown {
-			t.Errorf("call %d is answered with %+v", call, answer)
+			t.Errorf("call %d: reply %+v, want an unknown outcome", call, answer)
 		}
 	}
 	if call := b.call(old, exclusive.Request{Holder: nodeA}); old != b.primary() && kindOf(b.reply(t, call).Err) != errs.NotReady {
-		t.Errorf("asked again, it answers %+v", b.reply(t, call))
+		t.Errorf("a repeated request: reply %+v, want not ready", b.reply(t, call))
 	}
 }
 
@@ -141,11 +141,12 @@
 	primary := b.primary()
 	b.now += 2 * clock.Second
 	if answer := b.reply(t, b.call(primary, exclusive.Request{Holder: nodeA})); kindOf(answer.Err) != errs.NotReady {
-		t.Fatalf("it answers %+v", answer)
+		t.Fatalf("reply %+v, want not ready", answer)
 	}
 }
 
-// Nodes ask all the time: where nothing is to be done that costs neither a write nor a turn.
+// Nodes send requests all the time: without any work to do, a request must cause no write and
+// must not wait in the queue.
 func TestIdlePermitRequestsCauseNoWrite(t *testing.T) {
 	b := clusterWithActSource(t, &fixedActSource{})
 	primary := b.primary()
@@ -153,7 +154,7 @@
 	b.drop = isAppend
 	put := b.call(primary, putRequest(1, 0, `{}`))
 	if got := b.permits(t, nodeA); len(got) > 0 || primary.permitRequests.isNext && len(primary.permitRequests.waiting) > 0 {
-		t.Fatalf("it gets %+v", got)
+		t.Fatalf("permits %+v, or a queued request; want neither", got)
 	}
 	b.drop = nil
 	b.advance(500 * clock.Millisecond)
@@ -161,7 +162,7 @@
 		t.Fatal(answer.Err)
 	}
 	if primary.Changes != changes+1 {
-		t.Fatalf("%d changes were written", primary.Changes-changes)
+		t.Fatalf("%d changes were written, want 1", primary.Changes-changes)
 	}
 }
 
@@ -176,7 +177,7 @@
 		b.call(primary, exclusive.Request{Holder: exclusive.Holder{Name: "node", Instance: string(rune('a' + number))}})
 	}
 	if waiting := len(primary.permitRequests.waiting); waiting != maxPermitRequests {
-		t.Fatalf("%d requests wait", waiting)
+		t.Fatalf("%d requests are queued", waiting)
 	}
 	put := b.call(primary, putRequest(2, 1, `{}`))
 	b.drop = nil
@@ -185,23 +186,24 @@
 		t.Fatal(answer.Err)
 	}
 	if answer := b.reply(t, again); answer.Err != nil || len(answer.Body.(exclusive.Response).Permits) != 1 {
-		t.Fatalf("the latest request of a node is answered with %+v", answer)
+		t.Fatalf("the latest request of a node got reply %+v, want one permit", answer)
 	}
 }
 
-// The map goes to every daemon; a permit changes nothing in it.
+// The shard map is published to every daemon; a permit doesn't change it and must not cause an
+// update.
 func TestPermitsPublishNoMap(t *testing.T) {
 	b := clusterWithActSource(t, &fixedActSource{[]exclusive.Act{windowAct(1, "x")}})
 	b.published = nil
 	permit := b.permits(t, nodeA)[0]
 	b.permits(t, nodeA, exclusive.Outcome{ID: permit.ID, Subject: permit.Subject, Number: permit.Number, Fence: permit.Fence, Result: exclusive.Done})
 	if len(b.primary().state.Acts.Record("windows").Open) > 0 || len(b.published) > 0 {
-		t.Fatalf("published is %+v, the acts are %+v", b.published, b.primary().state.Acts)
+		t.Fatalf("published %+v, want nothing; acts %+v, want none open", b.published, b.primary().state.Acts)
 	}
 	b.call(b.primary(), RetireRequest{ID: "store-1", Timeout: clock.Second})
 	b.deliverAll()
 	if len(b.published) != 1 || b.published[0].Key != state.MapKey || b.published[0].Seq != b.primary().state.Seq {
-		t.Fatalf("after a change of the map, published is %+v", b.published)
+		t.Fatalf("after a change of the map, published %+v, want the map alone", b.published)
 	}
 }
 
@@ -213,13 +215,13 @@
 		answer := b.reply(t, b.call(core, ActsRequest{}))
 		if core != b.primary() {
 			if kindOf(answer.Err) != errs.NotReady {
-				t.Errorf("another core answers %+v", answer)
+				t.Errorf("a core that is not primary: reply %+v, want not ready", answer)
 			}
 			continue
 		}
 		subjects := answer.Body.(ActsResponse).Subjects
 		if len(subjects) != 1 || subjects[0].Holder != nodeA.Name || len(subjects[0].Open) != 1 || !subjects[0].Open[0].IsPending || subjects[0].Open[0].AgeUS != clock.Millisecond {
-			t.Errorf("the primary answers %+v", subjects)
+			t.Errorf("the primary: subjects %+v, want one open act of node-a", subjects)
 		}
 	}
 }
--- a/internal/controlplane/publish.go
+++ b/internal/controlplane/publish.go
@@ -7,12 +7,12 @@
 	"tuliprudder/internal/machine"
 )
 
-// published is what this core published last of each update.
+// published is the number of the last update of each kind that this core published.
 type published struct{ configuration, seq, epoch uint64 }
 
-// publish hands what is confirmed to gossip: the configuration in force, the map of shards
-// and who is primary. Nothing is published while a change is in flight, as the state has it
-// already.
+// publish sends confirmed state to gossip: the configuration in force, the shard map and the
+// identity of the primary. Nothing is published while a change is in flight, as the state
+// already contains that change.
 func (c *Core) publish() {
 	if !c.IsServing() || c.queue.HasInFlight() || c.state.Fleet == "" {
 		return
@@ -33,15 +33,15 @@
 	}
 }
 
-// skipMapUpdate records, after a change that the map of shards has no part of, that the map is as it was
-// published.
+// skipMapUpdate records, after a change that does not affect the shard map, that the published map
+// is still current.
 func (c *Core) skipMapUpdate() {
 	if c.published.seq+1 == c.state.Seq {
 		c.published.seq = c.state.Seq
 	}
 }
 
-// coreUpdate says that this core is primary, and who the other cores are.
+// coreUpdate returns the update that names this core as primary and lists the other cores.
 func (c *Core) coreUpdate(epoch uint64) state.CoreUpdate {
 	vote := c.Vote()
 	update := state.CoreUpdate{
--- a/internal/controlplane/reconcile.go
+++ b/internal/controlplane/reconcile.go
@@ -10,7 +10,7 @@
 	"tuliprudder/internal/machine"
 )
 
-// reconcileInterval is between two comparisons of the map of shards with the stores that live.
+// reconcileInterval is the time between two comparisons of the shard map with the live stores.
 const reconcileInterval = 100 * clock.Millisecond
 
 func (c *Core) reconcileWhenDue(now clock.Micros) {
@@ -20,8 +20,9 @@
 	}
 }
 
-// reconcileShards compares the map of shards with the stores that live, and has shards assigned anew
-// where they differ (DESIGN §5.4). One such change at a time: the next one is decided on its outcome.
+// reconcileShards compares the shard map with the live stores, and reassigns shards where they
+// differ (DESIGN §5.4). It makes one such change at a time, as the next decision depends on its
+// outcome.
 func (c *Core) reconcileShards(now clock.Micros) {
 	mayAssign := c.HoldsLease(now) && c.state.Fleet != "" && c.stores.HasHeardEnough(c.state, now)
 	if !mayAssign || c.queue.HasEntry(assignsShards) {
@@ -37,13 +38,13 @@
 		c.propose(state.AssignShards{Shards: decision.Assignments}, now)
 		return
 	}
-	// Every group is complete before a store may go, and requests that came first are decided first.
+	// A store is retired only once every group is complete and all earlier requests are decided.
 	if decision.AllComplete && c.queue.IsIdle() && c.stores.HasQuorumContact(c.state, now) {
 		c.finishRetirement(now)
 	}
 }
 
-// finishRetirement writes down that nothing depends on a retiring store any more, one
+// finishRetirement marks a retiring store as retired once nothing depends on it any more, one
 // store at a time.
 func (c *Core) finishRetirement(now clock.Micros) {
 	for _, id := range slices.Sorted(maps.Keys(c.state.Stores)) {
--- a/internal/controlplane/reconcile_test.go
+++ b/internal/controlplane/reconcile_test.go
@@ -6,33 +6,32 @@
 	"tuliprudder/internal/clock"
 )
 
-// A new primary decides at once when it has heard all stores that count since it
-// serves, and else only once it has listened for long enough.
+// A new primary decides on stores as soon as it has received a heartbeat from every store that
+// counts, and otherwise only after the listen delay.
 func TestNewPrimaryDecidesOnceItHasHeardEveryStore(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	p := b.primary()
 	began := b.now + 1
 	p.stores.StartServing(began)
 	if p.stores.HasHeardEnough(p.state, b.now+2) {
-		t.Fatal("it decides before any store was heard")
+		t.Fatal("the primary decides before it received any heartbeat")
 	}
 	b.stores[2].unreachable = true
 	b.advance(100 * clock.Millisecond)
 	if p.stores.HasHeardEnough(p.state, b.now) {
-		t.Fatal("it decides before the third store was heard")
+		t.Fatal("the primary decides before it received the third store's heartbeat")
 	}
 	if !p.stores.HasHeardEnough(p.state, began+p.settings.ListenDelay) {
-		t.Fatal("it waits for an unreachable store for ever")
+		t.Fatal("the primary still waits for an unreachable store after the listen delay")
 	}
 	b.stores[2].unreachable = false
 	b.advance(100 * clock.Millisecond)
 	if !p.stores.HasHeardEnough(p.state, b.now) {
-		t.Fatal("it has heard every store and does not decide")
+		t.Fatal("the primary received a heartbeat from every store and does not decide")
 	}
 }
 
-// Moves towards even shares leave shards whose batches are open where they are, unless
-// the shares are very uneven.
+// Balancing does not move shards with open batches, unless the distribution is very uneven.
 func TestBusyShardsAreNotMoved(t *testing.T) {
 	owners := func(p *Core) map[string]int {
 		out := map[string]int{}
@@ -56,7 +55,7 @@
 			b.store("store-4", "s4", "zone-2")
 			b.advance(20 * clock.Second)
 			if got := owners(b.primary()); (got["store-4"] > 0) != c.moves {
-				t.Fatalf("owners after a store was added: %v", got)
+				t.Fatalf("shards by primary store after a store was added: %v", got)
 			}
 		})
 	}
--- a/internal/controlplane/repeated_requests_test.go
+++ b/internal/controlplane/repeated_requests_test.go
@@ -16,7 +16,7 @@
 	return func(l envelope) bool { return l.to == core.self.Peer || l.from == core.self.Peer }
 }
 
-// awaitOtherPrimary waits until a core other than one serves under its lease.
+// awaitOtherPrimary waits until a core other than old serves under its lease.
 func (b *testCluster) awaitOtherPrimary(t *testing.T, old *Core) *Core {
 	t.Helper()
 	for i := 0; i < 400; i++ {
@@ -27,11 +27,11 @@
 			}
 		}
 	}
-	t.Fatal("no other core began to serve")
+	t.Fatal("no other core became primary within 20 s")
 	return nil
 }
 
-// mustAcknowledge puts a configuration that has to be acknowledged.
+// mustAcknowledge puts a configuration; it fails the test unless it is acknowledged.
 func (b *testCluster) mustAcknowledge(t *testing.T, core *Core, request PutConfigurationRequest) {
 	t.Helper()
 	call := b.call(core, request)
@@ -41,24 +41,24 @@
 	}
 }
 
-// isRefusal tells whether a reply is a final refusal for the operator.
+// isRefusal reports whether a reply is a final refusal for the operator.
 func isRefusal(answer machine.Reply) bool {
 	return errs.Is(answer.Err, errs.StaleBase) || errs.Is(answer.Err, errs.InvalidConfiguration) || errs.Is(answer.Err, errs.BadInput) || errs.Is(answer.Err, errs.Conflict)
 }
 
-// lossPoint is how far a request came before its answer was lost.
+// lossPoint is the progress of a request before it or its reply is lost.
 type lossPoint int
 
 const (
 	beforeArrival     lossPoint = iota
-	onPrimaryDisk               // no replica has it
-	onAllDisks                  // the replica's acknowledgement is lost
-	afterConfirmation           // only the answer to the operator is lost
+	onPrimaryDisk               // no replica has the entry
+	onAllDisks                  // the replica has the entry, but its acknowledgement is lost
+	afterConfirmation           // only the reply to the operator is lost
 )
 
-var lossPointNames = map[lossPoint]string{beforeArrival: "never arrived", onPrimaryDisk: "on one disk", onAllDisks: "on all disks", afterConfirmation: "confirmed"}
+var lossPointNames = map[lossPoint]string{beforeArrival: "never arrived", onPrimaryDisk: "on the primary's disk", onAllDisks: "on all disks", afterConfirmation: "confirmed"}
 
-// primaryFailure is what became of the primary before the request is sent again.
+// primaryFailure is the failure of the primary before the request is repeated.
 type primaryFailure int
 
 const (
@@ -67,13 +67,13 @@
 	primaryKilled
 )
 
-var primaryFailureNames = map[primaryFailure]string{noFailure: "stays", primaryIsolated: "is cut off", primaryKilled: "is killed"}
+var primaryFailureNames = map[primaryFailure]string{noFailure: "stays", primaryIsolated: "is isolated", primaryKilled: "is killed"}
 
-// repeatedRequest is version 10 on top of 5, sent again to every core.
+// repeatedRequest is a request for version 10 on base 5 that is repeated to every core.
 type repeatedRequest struct {
 	lost          lossPoint
 	failure       primaryFailure
-	newerVersions int // versions put since
+	newerVersions int // versions put before the request is repeated
 	healed        bool
 	injectFaults  func(core *Core)
 }
@@ -82,7 +82,7 @@
 	return fmt.Sprintf("%s, primary %s, %d newer, healed %v", lossPointNames[r.lost], primaryFailureNames[r.failure], r.newerVersions, r.healed)
 }
 
-// run returns what was wrong with the replies.
+// run returns descriptions of the wrong replies.
 func (r repeatedRequest) run(t *testing.T) []string {
 	t.Helper()
 	b := bootstrappedCluster(t, smallSettings())
@@ -109,7 +109,7 @@
 	return b.resendEverywhere(t, request, r, survived)
 }
 
-// submitAndLose sends a request and loses it, or its answer, at some point.
+// submitAndLose sends a request and loses it, or its reply, at the given point.
 func (b *testCluster) submitAndLose(primary *Core, request PutConfigurationRequest, lost lossPoint) {
 	switch lost {
 	case beforeArrival:
@@ -139,12 +139,12 @@
 	return old
 }
 
-// resendEverywhere sends the request to every core, twice at once, and checks the replies.
+// resendEverywhere repeats the request to every core, two at the same time, and checks the replies.
 func (b *testCluster) resendEverywhere(t *testing.T, request PutConfigurationRequest, r repeatedRequest, survived bool) []string {
 	t.Helper()
 	var wrong []string
 	var acknowledgements, refusals int
-	mayRefuse := !survived && r.newerVersions > 0 // its base was passed, and it was never taken
+	mayRefuse := !survived && r.newerVersions > 0 // its base is no longer in force, and it was never applied
 	for _, peer := range sortedKeys(b.cores) {
 		calls := []uint64{b.call(b.cores[peer], request), b.call(b.cores[peer], request)}
 		b.advance(request.Timeout + clock.Second)
@@ -156,7 +156,7 @@
 			case isRefusal(answer):
 				refusals++
 				if !mayRefuse {
-					wrong = append(wrong, fmt.Sprintf("%s refuses: %v", peer, answer.Err))
+					wrong = append(wrong, fmt.Sprintf("%s refused the request: %v", peer, answer.Err))
 				}
 			}
 		}
@@ -170,9 +170,9 @@
 	return wrong
 }
 
-// A request whose answer was lost is sent again, as it was, to every core: it is
-// acknowledged, or its outcome is unknown. It is refused only where it was never applied and
-// another version is built on its base.
+// A request whose reply was lost is repeated unchanged to every core: it is acknowledged, or its
+// outcome is unknown. It is refused only if it was never applied and another version was built
+// on its base.
 func TestRepeatedRequestIsAcknowledgedOrUnknown(t *testing.T) {
 	for lost := range lossPointNames {
 		for failure := range primaryFailureNames {
@@ -190,10 +190,10 @@
 	}
 }
 
-// A snapshot without the table of requests is caught: a planted fault.
+// The checks detect an injected fault: snapshots without the table of requests.
 func TestSnapshotWithoutRequestTableIsDetected(t *testing.T) {
 	r := repeatedRequest{lost: afterConfirmation, failure: primaryKilled, newerVersions: 1, injectFaults: func(core *Core) { core.InjectFaults(InjectedFaults{SkipRequestTable: true}) }}
-	// The new primary fills its own replica by a snapshot; that one takes over next.
+	// The second primary sends its replica a snapshot; that replica becomes primary next.
 	b := bootstrappedCluster(t, smallSettings())
 	for _, core := range b.cores {
 		r.injectFaults(core)
@@ -209,13 +209,13 @@
 	b.awaitOtherPrimary(t, second)
 	wrong := b.resendEverywhere(t, putRequest(5, 0, `{"n":5}`), r, true)
 	if len(wrong) == 0 {
-		t.Fatal("the planted fault was not caught")
+		t.Fatal("the injected fault was not detected")
 	}
 	t.Log(wrong[0])
 }
 
-// A primary that was deposed without knowing refuses nothing: what it takes for
-// stale may have been applied by the new one.
+// A primary that was deposed without noticing refuses no request: the new primary may have
+// applied a request that the old one considers stale.
 func TestDeposedPrimaryGivesNoFinalRefusal(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	old := b.primary()
@@ -228,18 +228,18 @@
 		call := b.call(old, request)
 		b.advance(4 * clock.Second)
 		if answer := b.reply(t, call); answer.Err == nil || isRefusal(answer) {
-			t.Errorf("version %d on %d: told %v %v", request.Number, request.Base, answer.Body, answer.Err)
+			t.Errorf("version %d on %d: reply %v, error %v, want neither an acknowledgement nor a refusal", request.Number, request.Base, answer.Body, answer.Err)
 		}
 	}
 	for _, request := range []ConfigurationsRequest{{Latest: true}, {}, {Version: 9}} {
 		if answer := b.reply(t, b.call(old, request)); !errs.Is(answer.Err, errs.NotReady) {
-			t.Errorf("%+v: told %v %v", request, answer.Body, answer.Err)
+			t.Errorf("%+v: reply %v, error %v, want not ready", request, answer.Body, answer.Err)
 		}
 	}
 }
 
-// Two documents under one number, through a change of primary: the second one is
-// confirmed, and the first one never.
+// Two documents are put under one number, before and after a change of primary: once the second
+// is confirmed, the first must never be.
 func TestVersionNumberIsConfirmedForOneDocumentOnly(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	old := b.primary()
@@ -255,7 +255,7 @@
 			call := b.call(b.cores[peer], first)
 			b.advance(4 * clock.Second)
 			if answer := b.reply(t, call); answer.Err == nil {
-				t.Fatalf("round %d, %s: both documents are confirmed under one number", round, peer)
+				t.Fatalf("round %d, %s: both documents were confirmed under one number", round, peer)
 			}
 		}
 		again := b.primary()
@@ -265,17 +265,17 @@
 		b.advance(5 * clock.Second)
 	}
 	if version, ok := b.primary().state.Version(5); !ok || string(version.Body) != `{"by":"second"}` {
-		t.Fatalf("in force is %s", version.Body)
+		t.Fatalf("the configuration in force is %s", version.Body)
 	}
 }
 
-// Eight requests are under way at once, each built on the one before, and arrive in any
-// order: all are applied.
+// Eight requests are in flight at the same time, each based on the previous one. They are all
+// applied, in whichever order they arrive.
 func TestDependentRequestsArriveInAnyOrder(t *testing.T) {
 	for turn := 0; turn < 8; turn++ {
 		b := bootstrappedCluster(t, smallSettings())
 		core := b.primary()
-		b.drop = isAppend // what comes first is still on its way when the others come
+		b.drop = isAppend // the first request is still in flight when the others arrive
 		b.call(core, putRequest(1, 0, `{}`))
 		var calls []uint64
 		for i := 0; i < 8; i++ {
@@ -286,16 +286,16 @@
 		b.advance(2 * clock.Second)
 		for _, call := range calls {
 			if answer := b.reply(t, call); answer.Err != nil {
-				t.Errorf("turn %d: told %v", turn, answer.Err)
+				t.Errorf("order %d: error %v", turn, answer.Err)
 			}
 		}
 		if latest, _ := core.state.Latest(); latest.Number != 9 {
-			t.Errorf("turn %d: version %d is in force", turn, latest.Number)
+			t.Errorf("order %d: version %d is in force, want 9", turn, latest.Number)
 		}
 	}
 }
 
-// A request that the core numbers is recognised by its base and document.
+// A repeated request without a number is recognised by its base and document.
 func TestRepeatedRequestWithoutNumberIsRecognised(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
@@ -308,18 +308,18 @@
 		call := b.call(core, step.ask)
 		b.deliverAll()
 		if answer := b.reply(t, call); answer.Body != (PutConfigurationResponse{Version: step.want}) {
-			t.Errorf("step %d: told %v %v", i, answer.Body, answer.Err)
+			t.Errorf("step %d: reply %v, error %v, want the same version", i, answer.Body, answer.Err)
 		}
 	}
 	call := b.call(core, PutConfigurationRequest{HasBase: true, Body: []byte(`{"a":3}`), Timeout: clock.Second})
 	b.deliverAll()
 	if answer := b.reply(t, call); !errs.Is(answer.Err, errs.StaleBase) {
-		t.Errorf("another document on the same base: told %v %v", answer.Body, answer.Err)
+		t.Errorf("another document on the same base: reply %v, error %v, want a stale base", answer.Body, answer.Err)
 	}
 }
 
-// Of a request that is older than all that is recognised the outcome is unknown: it is not
-// refused, and not applied a second time.
+// The outcome of a request that is older than every recognised one is unknown: it is neither
+// refused nor applied a second time.
 func TestOutcomeOfForgottenRequestIsUnknown(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
@@ -330,20 +330,21 @@
 		call := b.call(core, putRequest(n, n-1, fmt.Sprintf(`{"n":%d}`, n)))
 		b.deliverAll()
 		if answer := b.reply(t, call); want != (answer.Err == nil) || !want && !errs.Is(answer.Err, errs.OutcomeUnknown) {
-			t.Errorf("version %d again: told %v %v", n, answer.Body, answer.Err)
+			t.Errorf("repeated version %d: reply %v, error %v", n, answer.Body, answer.Err)
 		}
 	}
 	call := b.call(core, PutConfigurationRequest{HasBase: true, Base: 2, Body: []byte(`{"n":3}`), Timeout: clock.Second})
 	b.deliverAll()
 	if answer := b.reply(t, call); !errs.Is(answer.Err, errs.OutcomeUnknown) {
-		t.Errorf("numbered by the core: told %v %v", answer.Body, answer.Err)
+		t.Errorf("a repeat without a number: reply %v, error %v, want an unknown outcome", answer.Body, answer.Err)
 	}
 	if latest, _ := core.state.Latest(); latest.Number != state.MaxRequests+3 {
-		t.Errorf("version %d is in force", latest.Number)
+		t.Errorf("version %d is in force, want the last one", latest.Number)
 	}
 }
 
-// Old documents are dropped; a request for one says so, and the list has their digests.
+// Old documents are dropped; a read of one returns a specific error, and the list has their
+// digests.
 func TestOldDocumentIsDroppedAndItsDigestKept(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
@@ -352,20 +353,19 @@
 	}
 	answer := b.reply(t, b.call(core, ConfigurationsRequest{Version: 1}))
 	if !errs.Is(answer.Err, errs.NotFound) || errs.Of(answer.Err).Remedy == "" {
-		t.Errorf("an old version: told %v %v", answer.Body, answer.Err)
+		t.Errorf("an old version: reply %v, error %v, want not found", answer.Body, answer.Err)
 	}
 	if answer = b.reply(t, b.call(core, ConfigurationsRequest{Version: 19})); answer.Err != nil || string(answer.Body.(ConfigurationsResponse).Versions[0].Body) != `{"n":19}` {
-		t.Errorf("the one before the newest: told %v %v", answer.Body, answer.Err)
+		t.Errorf("the version before the newest: reply %v, error %v", answer.Body, answer.Err)
 	}
 	list := b.reply(t, b.call(core, ConfigurationsRequest{})).Body.(ConfigurationsResponse)
 	digest, _ := state.DigestOf([]byte(`{ "n" : 1 }`))
 	if len(list.Requests) != 20 || list.Requests[0] != (state.AppliedRequest{Number: 1, Digest: digest}) || len(list.Versions) == 0 || list.Versions[0].Body != nil {
-		t.Errorf("the list is %+v", list)
+		t.Errorf("list %+v", list)
 	}
 }
 
-// A snapshot that is damaged, or of another form, ends the core: what it holds on
-// disk stays as it is, and nothing is acknowledged.
+// A damaged snapshot halts the core: its state stays unchanged, and nothing is acknowledged.
 func TestDamagedSnapshotHaltsTheCore(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
@@ -374,19 +374,20 @@
 	parts[0][len(parts[0])-2] ^= 1
 	core.Restore("", parts)
 	if !errs.Is(core.BadRecord, errs.Corrupt) || errs.Of(core.BadRecord).Remedy == "" {
-		t.Fatalf("told %v", core.BadRecord)
+		t.Fatalf("error %v, want corrupt with a remedy", core.BadRecord)
 	}
 	if latest, _ := core.state.Latest(); latest.Number != 1 {
-		t.Error("what was held is lost")
+		t.Error("the previous state was lost")
 	}
 	effects := core.Drain()
 	if halt, ok := effects[len(effects)-1].(machine.Halt); !ok || !errs.Is(halt.Err, errs.Corrupt) {
-		t.Errorf("the core goes on: %v", effects)
+		t.Errorf("the core does not halt: %v", effects)
 	}
 }
 
-// A request that overtook the one it is built on is not refused: that decision would not be
-// final, as it is valid once its base is in force (found on real processes).
+// A request that arrives before the one it is based on is not refused: a refusal would not be
+// final, as the request is valid once its base is in force. The fault was found on real
+// processes.
 func TestRequestThatPrecedesItsBaseIsNotRefused(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
@@ -394,21 +395,21 @@
 	early := b.call(core, putRequest(3, 2, `{"n":3}`))
 	b.advance(clock.Second)
 	if answer, isAnswered := b.replies[early]; isAnswered {
-		t.Fatalf("told %v %v before its base came", answer.Body, answer.Err)
+		t.Fatalf("reply %v, error %v before the base arrived", answer.Body, answer.Err)
 	}
 	b.mustAcknowledge(t, core, putRequest(2, 1, `{"n":2}`))
 	b.advance(clock.Second)
 	if answer := b.reply(t, early); answer.Err != nil {
-		t.Fatalf("its base is in force, and it is told %v", answer.Err)
+		t.Fatalf("its base is in force, and it got error %v", answer.Err)
 	}
 	lost := b.call(core, putRequest(9, 8, `{"n":9}`))
 	b.advance(5 * clock.Second)
 	if answer := b.reply(t, lost); !errs.Is(answer.Err, errs.NotReady) {
-		t.Fatalf("its base never came, and it is told %v %v", answer.Body, answer.Err)
+		t.Fatalf("its base never arrived: reply %v, error %v, want not ready", answer.Body, answer.Err)
 	}
 	ownBase := b.call(core, putRequest(9, 9, `{"n":9}`))
 	b.advance(clock.Second)
 	if answer := b.reply(t, ownBase); !isRefusal(answer) {
-		t.Fatalf("a request under its own base's number is told %v %v", answer.Body, answer.Err)
+		t.Fatalf("a request with the number of its own base: reply %v, error %v, want a refusal", answer.Body, answer.Err)
 	}
 }
--- a/internal/controlplane/replicated_state.go
+++ b/internal/controlplane/replicated_state.go
@@ -7,15 +7,15 @@
 	"tuliprudder/internal/replication"
 )
 
-// This file has the callbacks of the replication group (replication.StateMachine). The
-// core has one group, so the unit that they are given is always the same.
+// This file has the callbacks of the replication group (replication.StateMachine). A core has
+// one group, so the unit argument is always the same.
 
-// Snapshot is the whole state as a snapshot: it is small.
+// Snapshot returns the complete state, which is small.
 func (c *Core) Snapshot(unit string) replication.Snapshot {
 	return replication.Parts(c.LocalSnapshot(unit))
 }
 
-// LocalSnapshot is the same: a core archives nothing.
+// LocalSnapshot returns the same parts as Snapshot, as a core archives nothing.
 func (c *Core) LocalSnapshot(string) [][]byte {
 	if c.faults.SkipRequestTable {
 		stripped := *c.state
@@ -25,13 +25,13 @@
 	return c.state.Snapshot()
 }
 
-// Install replaces the state by the primary's snapshot.
+// Install replaces the state with the primary's snapshot.
 func (c *Core) Install(unit string, parts [][]byte) [][]byte {
 	c.Restore(unit, parts)
 	return parts
 }
 
-// Restore replaces the state by a snapshot.
+// Restore replaces the state with a snapshot.
 func (c *Core) Restore(_ string, parts [][]byte) {
 	restored, err := state.Restore(parts)
 	if err != nil {
@@ -41,15 +41,15 @@
 	c.state = restored
 }
 
-// ApplyEntry applies a change on a replica or when read back.
+// ApplyEntry applies a change on a replica, or when it is read from disk.
 func (c *Core) ApplyEntry(_ string, data []byte) {
 	if err := c.state.ApplyEntry(data); err != nil {
 		c.haltOnCorruption(err)
 	}
 }
 
-// haltOnCorruption records that stored data can't be read, and ends the daemon: going on would
-// answer for a state that this core does not hold.
+// haltOnCorruption records that stored data can't be read, and stops the daemon: continuing would
+// mean answering from a state that this core does not have.
 func (c *Core) haltOnCorruption(err error) {
 	if c.BadRecord == nil {
 		c.BadRecord = err
@@ -57,7 +57,7 @@
 	c.Emit(machine.Halt{Err: err})
 }
 
-// Confirmed answers the operator whose change every replica has on disk, and starts the next change.
+// Confirmed answers the caller whose change every replica has on disk, and starts the next change.
 func (c *Core) Confirmed(_ string, _ uint64, now clock.Micros) {
 	if confirmed, ok := c.queue.Confirm(); ok {
 		c.replyToChange(confirmed)
@@ -68,10 +68,10 @@
 	c.processQueue(now)
 }
 
-// GroupReady has the voters commit the term: every member of its group has the state.
+// GroupReady lets the voters commit the term, as every member of its group has the state.
 func (c *Core) GroupReady(_ string, epoch uint64, _ clock.Micros) { c.election.GroupReady(epoch) }
 
-// Deposed answers "outcome unknown" to all who wait: this core is no longer primary.
+// Deposed answers all waiting callers with an unknown outcome: this core is no longer primary.
 func (c *Core) Deposed(_ string, epoch uint64, _ clock.Micros) {
 	c.election.Deposed()
 	for _, call := range c.queue.Clear() {
--- a/internal/controlplane/reports.go
+++ b/internal/controlplane/reports.go
@@ -8,14 +8,14 @@
 	"tuliprudder/internal/machine"
 )
 
-// This file takes what other daemons report to the primary (package primaryreport), and keeps the
-// collector of reports of use up to date.
+// This file handles the reports of other daemons to the primary (package primaryreport), and feeds
+// the usage collector.
 
-// ReportsUsage tells whether this core makes reports of use as primary.
+// ReportsUsage reports whether this core makes usage reports as primary.
 func (c *Core) ReportsUsage() bool { return c.usage != nil }
 
-// receiveReport takes a daemon's report. A core that isn't primary remembers it, as it may be soon, but
-// acknowledges nothing.
+// receiveReport handles a daemon's report. A core that isn't primary keeps the report, as it may
+// become primary soon, but does not acknowledge it.
 func (c *Core) receiveReport(call uint64, report primaryreport.Report, now clock.Micros) {
 	reply := c.recordReport(report, now)
 	if !c.IsServing() {
@@ -25,7 +25,7 @@
 	c.Emit(machine.Reply{Call: call, Body: reply})
 }
 
-// recordReport takes a report, and gives the reply to it.
+// recordReport records a report and returns the reply to it.
 func (c *Core) recordReport(report primaryreport.Report, now clock.Micros) primaryreport.Reply {
 	if c.autoscale != nil {
 		c.autoscale.Receive(autoscale.Reporter{Daemon: report.Daemon, Incarnation: report.Incarnation}, report.Loads, now)
@@ -36,14 +36,14 @@
 	return c.usage.Receive(report, now)
 }
 
-// setEdgeHealth has the collector wait for the live edges.
+// setEdgeHealth updates the live edges that the collector waits for.
 func (c *Core) setEdgeHealth(health EdgeHealth) {
 	if c.usage != nil {
 		c.usage.SetEdge(health.ID, health.Incarnation, health.IsLive)
 	}
 }
 
-// startUsage begins a term as primary.
+// startUsage starts the collector for a term as primary.
 func (c *Core) startUsage(now clock.Micros) {
 	if c.usage != nil {
 		c.usage.Start(c.group().Epoch, now)
@@ -51,15 +51,16 @@
 	}
 }
 
-// advanceUsage sets the collector's time.
+// advanceUsage advances the collector to the current time.
 func (c *Core) advanceUsage(now clock.Micros) {
 	if c.usage != nil {
 		c.usage.Advance(now)
 	}
 }
 
-// updateDecidedUsage gives the collector what is decided and since when there is a configuration. It is
-// called while nothing is in flight, so that every replica has it.
+// updateDecidedUsage passes the last decided window, and the time since which there is a
+// configuration, to the collector. It does so only while no change is in flight, so that every
+// replica has them.
 func (c *Core) updateDecidedUsage() {
 	if c.usage == nil || !c.IsServing() || c.queue.HasInFlight() {
 		return
--- a/internal/controlplane/reports_test.go
+++ b/internal/controlplane/reports_test.go
@@ -10,13 +10,14 @@
 	"tuliprudder/internal/exclusive"
 )
 
-// usageReportingCluster is a cluster with a configuration whose cores report use in windows of 5 s, and one edge.
+// usageReportingCluster returns a cluster with a configuration and one edge, whose cores report usage in
+// windows of 5 s.
 func usageReportingCluster(t *testing.T) *testCluster {
 	t.Helper()
 	settings := smallSettings()
 	settings.Usage.Interval = 5 * clock.Second
 	b := bootstrappedCluster(t, settings)
-	b.advance(10 * clock.Second) // the first windows have no numbers that an act may have
+	b.advance(10 * clock.Second) // the numbers of the first windows are not valid as numbers of acts
 	b.call(b.primary(), putRequest(1, 0, `{}`))
 	b.deliverAll()
 	for _, core := range b.cores {
@@ -25,7 +26,7 @@
 	return b
 }
 
-// sendReport has the edge tell a core what began in a window.
+// sendReport sends a core the edge's count for a window.
 func (b *testCluster) sendReport(core *Core, window uint64, count int64) uint64 {
 	call := b.call(core, primaryreport.Report{
 		Daemon: "edge", Incarnation: 1, Epoch: b.primary().group().Epoch, SentAt: b.now,
@@ -37,7 +38,8 @@
 
 func (b *testCluster) currentWindow() uint64 { return uint64(b.now / (5 * clock.Second)) }
 
-// awaitUsagePermit advances until a node gets a permit for a window's report, and gives its content.
+// awaitUsagePermit advances the time until a node gets a permit for a window's report, and returns
+// its content.
 func (b *testCluster) awaitUsagePermit(t *testing.T, window uint64) string {
 	t.Helper()
 	for range 200 {
@@ -48,7 +50,7 @@
 			}
 		}
 	}
-	t.Fatalf("no permit for window %d", window)
+	t.Fatalf("no permit for window %d within 20 s", window)
 	return ""
 }
 
@@ -57,19 +59,20 @@
 	window := b.currentWindow()
 	reply := b.reply(t, b.sendReport(b.primary(), window, 4)).Body.(primaryreport.Reply)
 	if reply.Epoch != b.primary().group().Epoch || reply.UsageDecidedUpTo >= window {
-		t.Fatalf("the reply is %+v", reply)
+		t.Fatalf("reply to the first report: %+v, want the current epoch and the window undecided", reply)
 	}
 	b.advance(5 * clock.Second)
 	b.sendReport(b.primary(), window, 6)
 	if content := b.awaitUsagePermit(t, window); content != string(usage.Content{Window: window, Counts: map[string]int64{"t": 6}}.Encode()) {
-		t.Errorf("the content is %s", content)
+		t.Errorf("permit content %s, want the latest count", content)
 	}
 	if reply := b.reply(t, b.sendReport(b.primary(), window+1, 1)).Body.(primaryreport.Reply); reply.UsageDecidedUpTo != window {
-		t.Errorf("the reply is %+v", reply)
+		t.Errorf("reply %+v, want the window decided", reply)
 	}
 }
 
-// An edge forgets what it is told to be decided, so that it must be on every replica's disk.
+// An edge discards the counts of windows reported to it as decided, so the decision must be on
+// every replica's disk first.
 func TestWindowIsDecidedOnlyOnceConfirmed(t *testing.T) {
 	b := usageReportingCluster(t)
 	window := b.currentWindow()
@@ -80,26 +83,26 @@
 	b.call(b.primary(), exclusive.Request{Holder: nodeA})
 	b.deliverAll()
 	if last := b.primary().State().Acts.Record(usage.Subject).LastNumber; last < window {
-		t.Fatalf("window %d isn't on its way, the last is %d", window, last)
+		t.Fatalf("window %d is not in flight; the last number is %d", window, last)
 	}
 	if reply := b.reply(t, b.sendReport(b.primary(), window+1, 1)).Body.(primaryreport.Reply); reply.UsageDecidedUpTo >= window {
-		t.Errorf("the reply is %+v before the replicas have it", reply)
+		t.Errorf("reply %+v before the replicas have the decision", reply)
 	}
 	b.drop = nil
 	b.advance(500 * clock.Millisecond)
 	if reply := b.reply(t, b.sendReport(b.primary(), window+1, 1)).Body.(primaryreport.Reply); reply.UsageDecidedUpTo < window {
-		t.Errorf("the reply is %+v once they have", reply)
+		t.Errorf("reply %+v after the replicas have the decision", reply)
 	}
 }
 
-// A core that isn't primary acknowledges nothing, and still knows what it was told once it is.
+// A core that isn't primary acknowledges no report, but keeps it and uses it once it is primary.
 func TestReportToANonPrimaryCoreIsKept(t *testing.T) {
 	b := usageReportingCluster(t)
 	window := b.currentWindow()
 	for _, core := range b.cores {
 		call := b.sendReport(core, window, 4)
 		if core != b.primary() && kindOf(b.reply(t, call).Err) != errs.NotReady {
-			t.Errorf("a core that isn't primary replies %+v", b.reply(t, call))
+			t.Errorf("a core that isn't primary: reply %+v, want not ready", b.reply(t, call))
 		}
 	}
 	for _, core := range b.cores {
@@ -107,13 +110,13 @@
 	}
 	b.stopPrimary(t)
 	if content := b.awaitUsagePermit(t, window); content != string(usage.Content{Window: window, Counts: map[string]int64{"t": 4}}.Encode()) {
-		t.Errorf("the content is %s", content)
+		t.Errorf("permit content %s, want the reported count", content)
 	}
 }
 
 func TestReportsWhileUsageReportingIsDisabled(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	if reply := b.reply(t, b.sendReport(b.primary(), b.currentWindow(), 4)); reply.Err != nil || reply.Body.(primaryreport.Reply).UsageDecidedUpTo != 0 {
-		t.Errorf("the reply is %+v", reply)
+		t.Errorf("reply %+v, want no decided window", reply)
 	}
 }
--- a/internal/controlplane/restart_test.go
+++ b/internal/controlplane/restart_test.go
@@ -8,14 +8,14 @@
 	"tuliprudder/internal/machine"
 )
 
-// restartedCore is a core that is started again, and when its next tick is due.
+// restartedCore is a restarted core and the time of its next tick.
 type restartedCore struct {
 	core *Core
 	due  clock.Micros
 }
 
-// restartAll ends every core at once and starts each again within the spread, with what
-// its disk holds. It returns how long after the last start the fleet has a primary.
+// restartAll stops all cores at the same time and restarts each from its disk at a random time
+// within the spread. It returns the time from the last start until the fleet has a primary.
 func (b *testCluster) restartAll(t *testing.T, rng *rand.Rand, spread clock.Micros) clock.Micros {
 	t.Helper()
 	const step, tick, timeout = 5 * clock.Millisecond, 50 * clock.Millisecond, 30 * clock.Second
@@ -42,11 +42,11 @@
 			return max(0, b.now-last)
 		}
 	}
-	t.Fatal("no core is primary half a minute after all were started again")
+	t.Fatal("no core is primary 30 s after all were restarted")
 	return 0
 }
 
-// restarted is a core in its next incarnation, with what its disk holds.
+// restarted returns the core in its next incarnation, created from its disk.
 func (b *testCluster) restarted(peer string) *Core {
 	b.starts[peer] = b.starts[peer].nextIncarnation()
 	records := append([]machine.Record(nil), b.disk(peer).snapshot...)
@@ -56,7 +56,7 @@
 	return b.starts[peer].newCore(records)
 }
 
-// deliverOnce delivers what is under way now; answers to it come with the next step.
+// deliverOnce delivers the messages in transit; replies to them are delivered in the next step.
 func (b *testCluster) deliverOnce() {
 	inTransit := b.network
 	b.network = nil
@@ -67,8 +67,8 @@
 	}
 }
 
-// Two members that campaign for one term at the same moment may grant it to each
-// other and win it neither: they don't wait for a term that nobody holds.
+// Two members that campaign for one term at the same time may vote for each other, so that
+// neither wins it. The cores must not wait for the end of a term that no core holds.
 func TestElectionDoesNotWaitForATermWithoutHolder(t *testing.T) {
 	const limit = 2 * clock.Second
 	for seed := int64(1); seed <= 120; seed++ {
@@ -80,7 +80,7 @@
 		}
 		b.awaitStable(t)
 		if took := b.restartAll(t, rand.New(rand.NewSource(seed)), 500*clock.Millisecond); took > limit {
-			t.Errorf("seed %d: no primary until %d us after the last start", seed, took)
+			t.Errorf("seed %d: first primary %d us after the last start", seed, took)
 		}
 	}
 }
--- a/internal/controlplane/settings.go
+++ b/internal/controlplane/settings.go
@@ -10,35 +10,35 @@
 	"tuliprudder/internal/exclusive"
 )
 
-// Settings of a core. All spans are in microseconds; the defaults are those of Defaults.
+// Settings configure a core. All durations are in microseconds; Defaults returns the defaults.
 type Settings struct {
-	Shards             int                     // of a fleet that is bootstrapped; default 24
+	Shards             int                     // number of shards of a newly bootstrapped fleet; default 24
 	Founders           int                     // cores that bootstrap a fleet; default 3; 0: as many as there are seeds
-	Bootstrap          bool                    // this is the first start of the whole fleet: it may be bootstrapped; default false
-	Tolerance          int                     // machines with a disk that may be lost at once; default 1
-	ShardZones         int                     // zones that the copies of a shard have to be in; default 2
-	HeartbeatEvery     clock.Micros            // between two heartbeats to the other cores; default 250 ms
-	CoreTimeout        clock.Micros            // after which a core that is not heard counts as lost; default 1.5 s
-	ReplaceAfter       clock.Micros            // after which a lost core's vote passes to another; default 4 s
-	ReplaceSoonAfter   clock.Micros            // the same where the other core is empty; default 4 s; 0: no sooner
-	StoreTimeout       clock.Micros            // after which a store that is not heard counts as lost; default 2 s
-	ListenDelay        clock.Micros            // for how long a new primary listens until it decides on stores; default 1.5 s
-	BalanceEvery       clock.Micros            // between two moves towards even shares; default 500 ms
-	BalanceAfter       clock.Micros            // for how long a store is heard until shards move to it; default 4 s
-	PartitionMemory    clock.Micros            // for how long two stores that lost contact share no group; default 30 s
+	Bootstrap          bool                    // this is the first start of the complete fleet: it may be bootstrapped; default false
+	Tolerance          int                     // machines with a disk that may be lost at the same time; default 1
+	ShardZones         int                     // zones that the copies of a shard must span; default 2
+	HeartbeatEvery     clock.Micros            // interval of heartbeats to the other cores; default 250 ms
+	CoreTimeout        clock.Micros            // without a heartbeat, after which a core counts as lost; default 1.5 s
+	ReplaceAfter       clock.Micros            // after which a lost core's vote passes to another core; default 4 s
+	ReplaceSoonAfter   clock.Micros            // the same if the other core is empty; default 4 s; 0: same as ReplaceAfter
+	StoreTimeout       clock.Micros            // without a heartbeat, after which a store counts as lost; default 2 s
+	ListenDelay        clock.Micros            // for which a new primary waits for heartbeats before it decides on stores; default 1.5 s
+	BalanceEvery       clock.Micros            // interval of moves that balance the shards; default 500 ms
+	BalanceAfter       clock.Micros            // for which a store must send heartbeats before shards move to it; default 4 s
+	PartitionMemory    clock.Micros            // for which two stores that lost contact share no group; default 30 s
 	CompactAfter       int                     // changes on disk until a snapshot replaces them; default 500
-	MaxStaleness       clock.Micros            // how old the updates here may be for a store to be evicted; default 2.5 s
+	MaxStaleness       clock.Micros            // maximum age of this core's updates at which it may evict a store; default 2.5 s
 	EvictAfter         clock.Micros            // after which a lost store no longer counts as a voter for updates; default 10 s
-	AssumeLostAfter    clock.Micros            // after which a core takes the voters for updates that it does not hear for lost; default 20 s
-	CheckConfiguration func(body []byte) error // refuses an invalid configuration; default nil: none is
-	ParseConfiguration config.ParseFunc        // reads a configuration; default: one of the product's own documents
-	PatchFormat        config.PatchFormat      // how operators' patches are written; default: that of the product's own documents
-	Acts               exclusive.Settings      // times of permits for acts on outside systems; default: exclusive.Defaults
-	Autoscale          bool                    // numbers of servers are planned; default false
-	Usage              usage.Settings          // windows of the reports of use; default: none are made
+	AssumeLostAfter    clock.Micros            // after which a core assumes that unreachable voters for updates are lost; default 20 s
+	CheckConfiguration func(body []byte) error // rejects an invalid configuration; default nil: none is rejected
+	ParseConfiguration config.ParseFunc        // parses a configuration; default: the product's own format
+	PatchFormat        config.PatchFormat      // format of operators' patches; default: the product's own format
+	Acts               exclusive.Settings      // durations of permits for acts on external systems; default: exclusive.Defaults
+	Autoscale          bool                    // plans the numbers of servers; default false
+	Usage              usage.Settings          // windows of usage reports; default: no reports
 }
 
-// Defaults are the starting values.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
 		Shards:             24,
@@ -65,7 +65,7 @@
 	}
 }
 
-// election are the settings of the election.
+// election returns the settings of the election.
 func (s Settings) election() election.Settings {
 	return election.Settings{
 		Bootstrap:         s.Bootstrap,
@@ -78,7 +78,7 @@
 	}
 }
 
-// placement are the settings of the placement.
+// placement returns the settings of the placement.
 func (s Settings) placement() placement.Settings {
 	return placement.Settings{
 		Tolerance:       s.Tolerance,
@@ -89,7 +89,7 @@
 	}
 }
 
-// stores are the settings of the table of stores.
+// stores returns the settings of the table of stores.
 func (s Settings) stores() stores.Settings {
 	return stores.Settings{
 		Timeout:         s.StoreTimeout,
--- a/internal/controlplane/shards_test.go
+++ b/internal/controlplane/shards_test.go
@@ -8,10 +8,11 @@
 	"tuliprudder/internal/clock"
 )
 
-// restart has a store come back in another incarnation.
+// restart gives the store a new incarnation, as after a restart with its disk.
 func (s *fakeStore) restart() { s.Incarnation++ }
 
-// underReplicated lists the shards whose groups are not complete with so many live members.
+// underReplicated returns the shards whose groups are incomplete, have members that are not alive
+// or have fewer members than replicas.
 func (b *testCluster) underReplicated(replicas int) (short []int) {
 	core := b.primary()
 	if core == nil {
@@ -31,7 +32,7 @@
 	return short
 }
 
-// clusterWithStores has a fleet with so many stores, one a zone.
+// clusterWithStores returns a fleet with the given number of stores, each in its own zone.
 func clusterWithStores(t *testing.T, tolerance, stores int) *testCluster {
 	t.Helper()
 	settings := smallSettings()
@@ -49,15 +50,15 @@
 	return b
 }
 
-// All stores are killed and come back with their disks: every shard is complete again, as
-// far as there are stores, also where there are fewer stores than copies.
+// All stores restart at the same time with their disks: every shard becomes complete again, with
+// as many copies as there are stores if these are fewer than the required copies.
 func TestShardsRecoverAfterAllStoresRestart(t *testing.T) {
 	for _, shape := range []struct{ tolerance, stores int }{{1, 2}, {1, 3}, {2, 3}, {2, 5}, {3, 3}} {
 		b := clusterWithStores(t, shape.tolerance, shape.stores)
 		for _, s := range b.stores {
 			s.restart()
 		}
-		b.advance(100 * clock.Millisecond) // the new lives are heard
+		b.advance(100 * clock.Millisecond) // heartbeats of the new incarnations arrive
 		took := b.await(t, fmt.Sprintf("%+v: every shard is complete", shape), func() bool {
 			return len(b.underReplicated(min(shape.tolerance+1, shape.stores))) == 0
 		})
@@ -67,8 +68,8 @@
 	}
 }
 
-// Two of four stores are lost at once, where two may be: each shard goes on with the two
-// that live, and is complete again with their successors.
+// Two of four or five stores are lost at the same time, as many as tolerated: every shard
+// continues with at least two live members, and has three copies again once new stores join.
 func TestShardsSurviveTheToleratedStoreLosses(t *testing.T) {
 	for _, stores := range []int{4, 5} {
 		b := clusterWithStores(t, 2, stores)
@@ -78,33 +79,33 @@
 			}
 		}
 		b.stores[0].unreachable, b.stores[1].unreachable = true, true
-		b.await(t, "every shard goes on without the two", func() bool { return len(b.underReplicated(2)) == 0 })
+		b.await(t, "every shard continues without the two lost stores", func() bool { return len(b.underReplicated(2)) == 0 })
 		b.store("store-8", "s8", "zone-8")
 		b.store("store-9", "s9", "zone-9")
 		b.await(t, "every shard has three copies again", func() bool { return len(b.underReplicated(3)) == 0 })
 	}
 }
 
-// One of two copies is never given up for want of another store: a single store does not
-// confirm alone where one may be lost.
+// A shard is not reduced from two copies to one when no other store is available: with a
+// tolerance of one, a single store must not confirm alone.
 func TestShardIsNotReducedToASingleCopy(t *testing.T) {
 	b := clusterWithStores(t, 1, 2)
 	b.stores[0].unreachable = true
 	b.advance(20 * clock.Second)
 	for shard, assignment := range b.primary().State().Shards {
 		if assignment.Complete && len(assignment.Members()) < 2 {
-			t.Fatalf("shard %d goes on with one copy", shard)
+			t.Fatalf("shard %d continues with one copy", shard)
 		}
 	}
 }
 
-// A store that is to be emptied keeps what it holds until groups without it are complete,
-// and others may be lost right after it is done.
+// A retiring store keeps its copies until groups without it are complete, so that other stores
+// may be lost right after it is retired.
 func TestRetiringStoreKeepsItsCopiesUntilReplaced(t *testing.T) {
 	for _, shape := range []struct{ tolerance, stores int }{{1, 3}, {2, 4}} {
 		b := clusterWithStores(t, shape.tolerance, shape.stores)
 		for _, s := range b.stores {
-			s.reportsComplete = false // no copy becomes whole
+			s.reportsComplete = false // no copy becomes complete
 		}
 		if _, err := b.retire(t, RetireRequest{ID: "store-1"}); err != nil {
 			t.Fatal(err)
@@ -112,34 +113,34 @@
 		b.advance(5 * clock.Second)
 		for shard, assignment := range b.primary().State().Shards {
 			if !assignment.Complete && slices.Contains(assignment.Trusted, "store-1") && !assignment.MustKeep("store-1") {
-				t.Fatalf("%+v: shard %d lets the retiring store forget its copy", shape, shard)
+				t.Fatalf("%+v: shard %d lets the retiring store delete its copy", shape, shard)
 			}
 		}
 		if acknowledgement, err := b.retire(t, RetireRequest{ID: "store-1", ReadOnly: true}); err != nil || acknowledgement.Done {
-			t.Fatalf("%+v: done before other stores hold its copies: %+v %v", shape, acknowledgement, err)
+			t.Fatalf("%+v: retired before other stores hold its copies: reply %+v, error %v", shape, acknowledgement, err)
 		}
 		for _, s := range b.stores {
 			s.reportsComplete = true
 		}
-		b.await(t, "the store is done", func() bool {
+		b.await(t, "the store is retired", func() bool {
 			acknowledgement, err := b.retire(t, RetireRequest{ID: "store-1", ReadOnly: true})
 			return err == nil && acknowledgement.Done
 		})
 		if short := b.underReplicated(shape.tolerance + 1); len(short) > 0 {
-			t.Fatalf("%+v: done, and shards %v lack copies", shape, short)
+			t.Fatalf("%+v: the store is retired, but shards %v lack copies", shape, short)
 		}
 	}
 }
 
-// Too few stores would remain: the request is refused and changes nothing.
+// A retirement after which too few stores would remain is refused and changes nothing.
 func TestRetirementThatLeavesTooFewStoresIsRefused(t *testing.T) {
 	for _, shape := range []struct{ tolerance, stores int }{{1, 2}, {2, 3}, {3, 3}} {
 		b := clusterWithStores(t, shape.tolerance, shape.stores)
 		if _, err := b.retire(t, RetireRequest{ID: "store-1"}); err == nil {
-			t.Errorf("%+v: accepted", shape)
+			t.Errorf("%+v: the retirement was accepted", shape)
 		}
 		if b.primary().State().Stores["store-1"].Retiring {
-			t.Errorf("%+v: refused and still marked", shape)
+			t.Errorf("%+v: the retirement was refused, but the store is marked as retiring", shape)
 		}
 	}
 }
--- a/internal/controlplane/state_size_test.go
+++ b/internal/controlplane/state_size_test.go
@@ -16,7 +16,7 @@
 	"tuliprudder/internal/storage"
 )
 
-// disk is what a core has written: a snapshot, and the writes since.
+// disk is what a core has written: a snapshot, and the later writes.
 type disk struct {
 	snapshot []machine.Record
 	writes   [][]machine.Record
@@ -29,7 +29,7 @@
 	return b.disks[peer]
 }
 
-// writeTo writes the same files as a daemon does.
+// writeTo writes the same files as a daemon.
 func (d *disk) writeTo(t *testing.T, folder string) (files int, size int64) {
 	t.Helper()
 	log, _, err := storage.Open(folder)
@@ -60,7 +60,7 @@
 	return len(entries), size
 }
 
-// largeConfiguration is a document of 30 routes, as the operators send them.
+// largeConfiguration returns a document with 30 routes, like those that operators send.
 func largeConfiguration(number int) string {
 	var routes []string
 	for i := 0; i < 30; i++ {
@@ -70,17 +70,17 @@
 	return fmt.Sprintf(`{"ver":%05d,"routes":[%s],"svcs":[{"name":"service-a","max-conns":210},{"name":"service-b","max-conns":210}]}`, 10_000+number, strings.Join(routes, ","))
 }
 
-// stateCost are what a number of changes costs a core that joins or starts afterwards.
+// stateCost is the cost of a number of changes for a core that joins or starts afterwards.
 type stateCost struct {
 	changes     int
-	copyBytes   int           // of state sent to a core that joins the group
-	copyChunks  int           // messages of them
+	copyBytes   int           // bytes of state sent to a core that joins the group
+	copyChunks  int           // messages with these bytes
 	joinedAfter clock.Micros  // simulated time from the loss of a replica
-	diskBytes   int64         // on the primary's disk: snapshot and changes since
-	diskFiles   int           // files of them
-	startedIn   time.Duration // reading them back and making the core of them
-	heap        int64         // held by that core
-	mapBytes    int           // of updates to every daemon
+	diskBytes   int64         // bytes on the primary's disk: snapshot and later changes
+	diskFiles   int           // files with these bytes
+	startedIn   time.Duration // time to read the files and create the core from them
+	heap        int64         // heap bytes used by that core
+	mapBytes    int           // bytes of the map update to every daemon
 }
 
 func (f stateCost) String() string {
@@ -88,8 +88,8 @@
 		f.changes, f.copyBytes, f.copyChunks, float64(f.joinedAfter)/float64(clock.Second), f.diskBytes, f.diskFiles, float64(f.startedIn.Microseconds())/1000, f.heap/1024, f.mapBytes)
 }
 
-// measureStateCost puts a number of configurations, has another core take the place of the
-// replica that is lost, and starts a core from the primary's disk.
+// measureStateCost puts a number of configurations, removes the replica so that another core
+// replaces it, and starts a core from the primary's disk.
 func measureStateCost(t *testing.T, changes int) stateCost {
 	t.Helper()
 	b := newTestCluster(smallSettings())
@@ -107,7 +107,7 @@
 	return out
 }
 
-// replaceReplica takes the replica's machine away and waits until another core is replica.
+// replaceReplica removes the replica and waits until another core is replica.
 func (b *testCluster) replaceReplica(t *testing.T, primary *Core, out *stateCost) clock.Micros {
 	t.Helper()
 	for peer, core := range b.cores {
@@ -133,7 +133,7 @@
 			}
 		}
 	}
-	t.Fatal("no other core became replica")
+	t.Fatal("no other core became replica within 20 s")
 	return 0
 }
 
@@ -160,7 +160,7 @@
 	f.heap = int64(after.HeapAlloc) - int64(before.HeapAlloc)
 	latest, _ := core.state.Latest()
 	if core.BadRecord != nil || f.changes > 0 && latest.Number != uint64(f.changes) {
-		t.Fatalf("started with version %d, %v", latest.Number, core.BadRecord)
+		t.Fatalf("started with version %d, error %v", latest.Number, core.BadRecord)
 	}
 	mapUpdate, err := json.Marshal(core.state.Map())
 	if err != nil {
@@ -169,14 +169,14 @@
 	f.mapBytes = len(mapUpdate)
 }
 
-// collectGarbage frees what is no longer used.
+// collectGarbage frees unreachable memory, so that the heap can be measured.
 func collectGarbage() {
 	runtime.GC()
 	runtime.GC()
 }
 
-// Neither what a joining core is sent nor what a core holds on disk grows with the
-// number of changes, from 1,000 on. Run with -v for the figures.
+// From 1,000 changes on, neither the state sent to a joining core nor the data on a core's disk
+// grows with the number of changes. Run with -v for the figures.
 func TestStateSizeDoesNotGrowWithChanges(t *testing.T) {
 	var at1000 stateCost
 	for _, changes := range []int{10, 100, 1_000, 10_000} {
@@ -192,13 +192,13 @@
 			at1000 = f
 		}
 		if limit := at1000.copyBytes + at1000.copyBytes/20; f.copyBytes > limit {
-			t.Errorf("%d changes: a copy of %d bytes, more than %d", changes, f.copyBytes, limit)
+			t.Errorf("%d changes: a copy of %d bytes, limit %d", changes, f.copyBytes, limit)
 		}
 		if f.copyChunks > at1000.copyChunks || f.mapBytes > at1000.mapBytes+16 {
-			t.Errorf("%d changes: %d chunks, a map of %d bytes", changes, f.copyChunks, f.mapBytes)
+			t.Errorf("%d changes: %d chunks and a map of %d bytes, more than after 1,000 changes", changes, f.copyChunks, f.mapBytes)
 		}
 		if limit := int64(at1000.copyBytes*2 + 2*compactAfterBytes); f.diskBytes > limit || f.diskFiles > Defaults().CompactAfter+1 {
-			t.Errorf("%d changes: %d bytes in %d files on disk, more than %d", changes, f.diskBytes, f.diskFiles, limit)
+			t.Errorf("%d changes: %d bytes in %d files on disk, limit %d bytes", changes, f.diskBytes, f.diskFiles, limit)
 		}
 	}
 }
--- a/internal/controlplane/stores.go
+++ b/internal/controlplane/stores.go
@@ -8,8 +8,8 @@
 	"tuliprudder/internal/machine"
 )
 
-// handleStoreHeartbeat takes a store's heartbeat in; the primary registers the store and tells it
-// its writer id (DESIGN §6.6, §8.4).
+// handleStoreHeartbeat handles a store's heartbeat; the primary registers the store and sends it its
+// writer ID (DESIGN §6.6, §8.4).
 func (c *Core) handleStoreHeartbeat(from string, heartbeat registration.Heartbeat, now clock.Micros) {
 	if reason := c.stores.Objection(heartbeat, c.joinRules(heartbeat.ID), now); reason != "" {
 		c.rejectStore(from, heartbeat, reason)
@@ -38,8 +38,8 @@
 	c.commitCompletedShards(heartbeat, now)
 }
 
-// joinRules are what a store's heartbeat is held against. Only the primary's state is sure
-// to be the newest.
+// joinRules returns the rules that a store's heartbeat is checked against. Only the primary's state
+// is certain to be the newest.
 func (c *Core) joinRules(id string) stores.JoinRules {
 	rules := stores.JoinRules{Fleet: c.Vote().Fleet}
 	if c.IsServing() {
@@ -62,7 +62,7 @@
 	}})
 }
 
-// commitCompletedShards writes down which groups are complete.
+// commitCompletedShards proposes to mark the groups that became complete.
 func (c *Core) commitCompletedShards(heartbeat registration.Heartbeat, now clock.Micros) {
 	if len(heartbeat.Ready) == 0 || c.queue.HasEntry(assignsShards) {
 		return
@@ -72,7 +72,8 @@
 	}
 }
 
-// evictUnreachableStores writes down which stores no longer count as voters for updates.
+// evictUnreachableStores proposes to evict unreachable stores, which then no longer count as voters
+// for updates.
 func (c *Core) evictUnreachableStores(now clock.Micros) {
 	if c.faults.SkipStoreEviction {
 		return
--- a/internal/controlplane/voters_test.go
+++ b/internal/controlplane/voters_test.go
@@ -10,7 +10,8 @@
 	"tuliprudder/internal/replication"
 )
 
-// clusterWithCores is a fleet of so many cores in zones by turns, bootstrapped by the first three.
+// clusterWithCores returns a fleet of cores, assigned to the zones in rotation and bootstrapped by the
+// first three.
 func clusterWithCores(t *testing.T, settings Settings, cores int, zones ...string) *testCluster {
 	t.Helper()
 	b := newTestCluster(settings)
@@ -28,7 +29,7 @@
 	return b
 }
 
-// await lets time go by until something holds.
+// await advances the time until a condition holds, and returns the time that this took.
 func (b *testCluster) await(t *testing.T, what string, holds func() bool) clock.Micros {
 	t.Helper()
 	began := b.now
@@ -38,12 +39,12 @@
 		}
 		b.advance(50 * clock.Millisecond)
 	}
-	t.Fatalf("never: %s (voters %v)", what, b.voters())
+	t.Fatalf("not within 30 s: %s (voters %v)", what, b.voters())
 	return 0
 }
 
-// leaseHolder is the core that is primary and holds its lease; nil when none does. Two are
-// a failure.
+// leaseHolder returns the core that is primary and holds its lease; nil if none does. It fails the
+// test if two do.
 func (b *testCluster) leaseHolder(t *testing.T) *Core {
 	t.Helper()
 	var found *Core
@@ -59,10 +60,10 @@
 	return found
 }
 
-// kill takes a core away for good.
+// kill removes a core permanently.
 func (b *testCluster) kill(core *Core) { delete(b.cores, core.self.Peer) }
 
-// groupMember is the core at a place of the primary's group.
+// groupMember returns the core at an index of the primary's group.
 func (b *testCluster) groupMember(t *testing.T, at int) *Core {
 	t.Helper()
 	ids := b.leaseHolder(t).Vote().Committed.IDs()
@@ -71,11 +72,11 @@
 			return core
 		}
 	}
-	t.Fatalf("member %d of %v is gone", at, ids)
+	t.Fatalf("member %d of %v no longer exists", at, ids)
 	return nil
 }
 
-// partition drops the messages between two sides, for as long as it is set.
+// partition drops the messages between the given cores and all others.
 func partition(side ...*Core) func(l envelope) bool {
 	within := func(peer string) bool {
 		return slices.ContainsFunc(side, func(core *Core) bool { return core.self.Peer == peer })
@@ -83,8 +84,8 @@
 	return func(l envelope) bool { return within(l.from) != within(l.to) }
 }
 
-// A fleet of any number of cores is bootstrapped once, whatever number is there at first:
-// by those at the seeds; the others are given votes. Its group covers every majority.
+// The cores at the seed addresses bootstrap exactly one fleet, and the others become voters,
+// whatever the number of cores. The group has a member in every majority.
 func TestAnyNumberOfCoresBootstrapOneFleet(t *testing.T) {
 	for cores, replicas := range map[int]int{1: 1, 2: 2, 3: 2, 4: 2, 5: 3, 6: 3, 7: 4} {
 		b := clusterWithCores(t, smallSettings(), cores, "zone-1", "zone-2", "zone-3")
@@ -102,7 +103,8 @@
 	}
 }
 
-// Only a first start bootstraps: empty cores that start later stand by, however many.
+// Only a first start bootstraps a fleet: empty cores that start later wait, however many they
+// are.
 func TestOnlyTheFirstStartBootstraps(t *testing.T) {
 	settings := smallSettings()
 	settings.Bootstrap = false
@@ -118,8 +120,8 @@
 	}
 }
 
-// Three empty cores that hear each other before those with a vote do not bootstrap a second
-// fleet: what likely happened in the Ghent site's trouble-1.
+// Three empty cores that find each other before any voter do not bootstrap a second fleet. This
+// is the likely cause of what happened in the Ghent site's trouble-1.
 func TestEmptyCoresDoNotBootstrapASecondFleet(t *testing.T) {
 	settings := smallSettings()
 	settings.Tolerance = 2
@@ -136,13 +138,13 @@
 	b.advance(10 * clock.Second)
 	for _, core := range b.cores {
 		if got := core.Vote().Fleet; got != "" && got != fleet {
-			t.Fatalf("%s is of a second fleet %s", core.self.ID, got)
+			t.Fatalf("%s belongs to a second fleet %s", core.self.ID, got)
 		}
 	}
 }
 
-// Two cores of one zone are a majority of three: the loss of the third, alone in its
-// zone, leaves them a group.
+// Two cores in one zone are a majority of three: after the loss of the third core, which is alone
+// in its zone, they form a group. The spread over zones is only a preference.
 func TestGroupFormsWithinOneZoneIfNeeded(t *testing.T) {
 	for _, cutOnly := range []bool{true, false} {
 		b := clusterWithCores(t, smallSettings(), 3, "zone-1", "zone-1", "zone-2")
@@ -156,16 +158,16 @@
 		} else {
 			b.kill(lone)
 		}
-		b.await(t, "the two of zone-1 lead", func() bool {
+		b.await(t, "a core of zone-1 leads", func() bool {
 			lead := b.leaseHolder(t)
 			return lead != nil && lead != lone
 		})
 	}
 }
 
-// A primary that is cut off for twenty seconds, alone or with one other core, neither
-// acknowledges nor reads back once its lease is over; the others go on within three
-// seconds, and it follows them afterwards.
+// A primary that is partitioned for 20 s, alone or with a minority of the cores, neither
+// acknowledges nor reads once its lease has ended. The other cores elect a primary within 3 s,
+// and the old primary follows it after the partition.
 func TestIsolatedPrimaryNeitherConfirmsNorReads(t *testing.T) {
 	for _, shape := range []struct{ cores, tolerance, with int }{{3, 1, 0}, {5, 2, 0}, {5, 2, 1}, {5, 1, 1}, {7, 1, 2}} {
 		settings := smallSettings()
@@ -181,7 +183,7 @@
 		stale := b.call(old, putRequest(2, 1, `{"stale":true}`))
 		took := b.await(t, "the majority leads", func() bool { lead := b.leaseHolder(t); return lead != nil && lead != old })
 		if took > 3*clock.Second {
-			t.Errorf("%+v: the majority led after %d us", shape, took)
+			t.Errorf("%+v: the majority elected a primary after %d us, want at most 3 s", shape, took)
 		}
 		lead := b.leaseHolder(t)
 		call := b.call(lead, putRequest(3, 1, `{"a":3}`))
@@ -193,40 +195,40 @@
 			b.advance(clock.Second)
 			for _, core := range side {
 				if answer := b.reply(t, b.call(core, ConfigurationsRequest{Latest: true})); answer.Err == nil {
-					t.Fatalf("%+v: %s read back %v while cut off", shape, core.self.ID, answer.Body)
+					t.Fatalf("%+v: %s read %v while partitioned", shape, core.self.ID, answer.Body)
 				}
 			}
 		}
 		if answer := b.reply(t, stale); answer.Err == nil {
-			t.Fatalf("%+v: the cut off primary confirmed %v", shape, answer.Body)
+			t.Fatalf("%+v: the partitioned primary confirmed %v", shape, answer.Body)
 		}
 		b.drop = nil
 		b.advance(3 * clock.Second)
 		for _, core := range b.cores {
 			if slices.Contains(lead.Vote().Committed.IDs(), core.self.ID) && latestVersion(core) != 3 {
-				t.Errorf("%+v: %s holds version %d after the cut", shape, core.self.ID, latestVersion(core))
+				t.Errorf("%+v: %s holds version %d after the partition, want 3", shape, core.self.ID, latestVersion(core))
 			}
 			if core.Vote().Committed.Epoch != lead.Vote().Committed.Epoch {
-				t.Errorf("%+v: %s knows term %d after the cut, not %d", shape, core.self.ID, core.Vote().Committed.Epoch, lead.Vote().Committed.Epoch)
+				t.Errorf("%+v: %s knows term %d after the partition, want %d", shape, core.self.ID, core.Vote().Committed.Epoch, lead.Vote().Committed.Epoch)
 			}
 		}
 	}
 }
 
-// A primary that is heard but hears nobody (a cut in one direction) gives way.
+// A primary whose messages arrive but that receives none (a one-way partition) is replaced.
 func TestPrimaryThatReceivesNothingIsReplaced(t *testing.T) {
 	for _, cores := range []int{3, 5} {
 		b := clusterWithCores(t, smallSettings(), cores, "zone-1", "zone-2", "zone-3")
 		old := b.leaseHolder(t)
 		b.drop = func(l envelope) bool { return l.to == old.self.Peer }
 		if took := b.await(t, "another leads", func() bool { lead := b.leaseHolder(t); return lead != nil && lead != old }); took > 4*clock.Second {
-			t.Errorf("%d cores: another led after %d us", cores, took)
+			t.Errorf("%d cores: another core became primary after %d us, want at most 4 s", cores, took)
 		}
 	}
 }
 
-// A planned replacement: the new core has its vote before the old one has stopped, so that
-// the next loss, right then, finds a majority.
+// In a planned replacement the new core becomes a voter before the old one stops, so that a loss
+// right afterwards still leaves a majority.
 func TestLossRightAfterAPlannedReplacement(t *testing.T) {
 	settings := smallSettings()
 	settings.ReplaceSoonAfter = 2300 * clock.Millisecond
@@ -237,11 +239,11 @@
 		b.core(fmt.Sprint("new-", round), fmt.Sprint("n", round), departing.self.Zone, sortedKeys(b.cores)...)
 		b.advance(3 * clock.Second)
 		b.applyEffects(departing.self.Peer, departing.Do(Drain{}, b.now))
-		b.await(t, "nobody depends on the core that drains", func() bool { return !departing.IsNeeded(b.now) })
+		b.await(t, "no core depends on the draining core", func() bool { return !departing.IsNeeded(b.now) })
 		b.kill(departing)
 		lost := b.leaseHolder(t)
 		if lost == nil {
-			t.Fatalf("round %d: nobody leads right after the planned replacement", round)
+			t.Fatalf("round %d: no core is primary right after the planned replacement", round)
 		}
 		b.kill(lost)
 		b.await(t, "a majority leads after the next loss", func() bool { return b.leaseHolder(t) != nil })
@@ -251,9 +253,8 @@
 	}
 }
 
-// Losses one after the other, each replaced by an empty core: every one finds a
-// majority, and a copy, as long as it comes after the time that the deployment allows
-// for the last one's successor.
+// Successive losses, each replaced by an empty core, leave a majority and a copy of the state, if
+// the time between them is at least what the deployment allows for the previous replacement.
 func TestSuccessiveLossesWithReplacements(t *testing.T) {
 	const syncTime = 4600 * clock.Millisecond
 	for _, shape := range []struct{ cores, tolerance int }{{3, 1}, {5, 2}} {
@@ -267,7 +268,7 @@
 				lost := b.groupMember(t, 0)
 				b.kill(lost)
 				b.core(fmt.Sprintf("new-%d-%d", round, at), fmt.Sprintf("n%d.%d", round, at), lost.self.Zone, sortedKeys(b.cores)...)
-				b.await(t, "somebody leads after the loss", func() bool { return b.leaseHolder(t) != nil })
+				b.await(t, "a core leads after the loss", func() bool { return b.leaseHolder(t) != nil })
 			}
 			b.advance(syncTime)
 			if got := latestVersion(b.leaseHolder(t)); got != uint64(round) {
@@ -278,8 +279,8 @@
 	}
 }
 
-// The voters change by majorities of both: a new set of voters that only its own
-// majority wrote down is no base for anybody, and the old ones go on without it.
+// A change of voters needs majorities of the old and the new set: a new set that only its own
+// majority persisted has no effect, and the old voters continue without it.
 func TestVoterChangeNeedsMajoritiesOfBothSets(t *testing.T) {
 	b := clusterWithCores(t, smallSettings(), 3, "zone-1", "zone-2", "zone-3")
 	lead, replica := b.leaseHolder(t), b.groupMember(t, 1)
@@ -289,9 +290,9 @@
 			third = core
 		}
 	}
-	// The third is cut off for long, and a new core is to have its vote. Right when the
-	// replica has the copy of that term, the primary and the new core are alone: only they
-	// write down that it is complete.
+	// The third core is isolated, and a new core is to become a voter in its place. As soon as the
+	// replica has the copy for that term, the primary and the new core are partitioned from it:
+	// only these two persist that the copy is complete.
 	fresh := b.core("core-9", "c9", "zone-9", "c1", "c2", "c3")
 	partitioned := false
 	dropAcross := partition(lead, fresh)
@@ -303,11 +304,11 @@
 		partitioned = copied && ack.SnapshotInstalled && hasVote(lead.Vote().PendingVoters, "core-9")
 		return l.from == third.self.Peer || l.to == third.self.Peer
 	}
-	b.await(t, "the new core writes its voters down", func() bool { return hasVote(fresh.Vote().Voters, "core-9") })
+	b.await(t, "the new core persists its voters", func() bool { return hasVote(fresh.Vote().Voters, "core-9") })
 	if b.leaseHolder(t) == lead && hasVote(lead.Vote().Voters, "core-9") {
-		t.Fatal("the primary leads under voters that the old ones have not committed")
+		t.Fatal("the primary leads with voters that the old voters have not committed")
 	}
-	// The old majority leads, and the other two don't, though they are one of the new voters.
+	// The old majority leads, and the other two don't, though they are a majority of the new voters.
 	b.await(t, "the old majority leads", func() bool {
 		now := b.leaseHolder(t)
 		return now != nil && now != lead && now != fresh
@@ -320,8 +321,8 @@
 	}
 }
 
-// A core that lost its disk comes back under another identity: what its former one
-// granted and held counts for nothing, and it leads nobody before it was sent the state.
+// A core that lost its disk returns with another identity: votes and state of its former identity
+// don't count, and it can't become primary before it receives the state.
 func TestCoreThatLostItsDiskHasANewIdentity(t *testing.T) {
 	b := clusterWithCores(t, smallSettings(), 3, "zone-1", "zone-2", "zone-3")
 	b.settings.Bootstrap = false
@@ -332,31 +333,31 @@
 	request := election.VoteRequest{Fleet: again.Vote().Fleet, Assignment: replication.Assignment{Epoch: 99}, Voters: b.leaseHolder(t).Vote().Voters, Candidate: wiped.self}
 	again.Do(Message{wiped.self.Peer, request}, b.now)
 	if again.Vote().Term != 0 {
-		t.Fatal("an empty core granted a term to voters that it is none of")
+		t.Fatal("an empty core granted a term to voters that it does not belong to")
 	}
 	b.kill(b.leaseHolder(t))
 	b.advance(3 * clock.Second)
 	if lead := b.leaseHolder(t); lead == again {
-		t.Fatal("an empty core leads")
+		t.Fatal("an empty core is primary")
 	}
 }
 
-// A core that drains waits for others to take its duties over, and only where there are
-// any: the only one stops at once.
+// A draining core waits until other cores take over its roles, but only if there are others: the
+// only core stops at once.
 func TestOnlyCoreStopsAtOnce(t *testing.T) {
 	for cores, waits := range map[int]bool{1: false, 2: true, 3: true} {
 		b := clusterWithCores(t, smallSettings(), cores, "zone-1", "zone-2", "zone-3")
 		lead := b.leaseHolder(t)
 		b.applyEffects(lead.self.Peer, lead.Do(Drain{}, b.now))
 		if got := lead.IsNeeded(b.now); got != waits {
-			t.Errorf("%d cores: needed %v", cores, got)
+			t.Errorf("%d cores: still needed: %v", cores, got)
 		}
-		b.await(t, "nobody depends on it", func() bool { return !lead.IsNeeded(b.now) })
+		b.await(t, "no core depends on it", func() bool { return !lead.IsNeeded(b.now) })
 	}
 }
 
-// The vote of a core that is lost passes to an empty core sooner than to one that
-// had a vote; without the setting both wait equally long.
+// The vote of a lost core passes to an empty core sooner than to one that had a vote before;
+// without the setting both wait equally long.
 func TestEmptyCoreReplacesALostVoterSooner(t *testing.T) {
 	for _, soon := range []clock.Micros{0, 2 * clock.Second, 60 * clock.Second} {
 		settings := smallSettings()
@@ -378,20 +379,20 @@
 		b.advance(5 * clock.Second)
 		given := !slices.Contains(b.voters(), lost) && slices.Contains(b.voters(), "core-9")
 		if given != (soon == 2*clock.Second) {
-			t.Errorf("soon %d: after 5 s the voters are %v", soon, b.voters())
+			t.Errorf("ReplaceSoonAfter %d: after 5 s the voters are %v", soon, b.voters())
 		}
 		b.advance(20 * clock.Second)
 		if !slices.Contains(b.voters(), "core-9") {
-			t.Errorf("soon %d: after 25 s the voters are %v", soon, b.voters())
+			t.Errorf("ReplaceSoonAfter %d: after 25 s the voters are %v", soon, b.voters())
 		}
-		// The old one is back without a vote at the moment when another is lost.
+		// The old core returns, without a vote, when another core is lost.
 		lose()
 		b.cores[old.self.Peer] = old
 		if b.advance(10 * clock.Second); slices.Contains(b.voters(), lost) {
-			t.Errorf("soon %d: one that had a vote has one again after 10 s", soon)
+			t.Errorf("ReplaceSoonAfter %d: a core that had a vote has one again after 10 s", soon)
 		}
 		if b.advance(20 * clock.Second); !slices.Contains(b.voters(), lost) {
-			t.Errorf("soon %d: one that had a vote has none after 30 s: %v", soon, b.voters())
+			t.Errorf("ReplaceSoonAfter %d: a core that had a vote has none after 30 s, voters %v", soon, b.voters())
 		}
 	}
 }
