--- a/internal/batchstore/disk_test.go
+++ b/internal/batchstore/disk_test.go
@@ -13,7 +13,7 @@
 var diskFull = DiskStateChanged{machine.DiskState{Reason: "the disk is full"}}
 var diskWritable = DiskStateChanged{machine.DiskState{Writable: true}}
 
-func TestDiskIsStalledByAnOldWriteUntilAfterTheProbation(t *testing.T) {
+func TestSlowWriteStallsDiskUntilProbationEnds(t *testing.T) {
 	const timeout, probation = 10, 100
 	d := newDiskMonitor(timeout, probation)
 	d.writeStarted(1, 1000)
@@ -23,94 +23,94 @@
 		stalled bool
 	}{{1000 + timeout, false}, {1000 + timeout + 1, true}} {
 		if got := d.checkStalled(step.now); got != step.stalled {
-			t.Fatalf("at %d: stalled %v", step.now, got)
+			t.Fatalf("at %d the disk is stalled: %v", step.now, got)
 		}
 	}
 	d.writeCompleted(1)
 	d.writeCompleted(2)
 	if got := d.oldestWrite(1011); got != 0 {
-		t.Fatalf("without writes the oldest is %d old", got)
+		t.Fatalf("the age of the oldest write is %d without any writes", got)
 	}
 	if !d.checkStalled(1011+probation-1) || d.checkStalled(1011+probation) {
-		t.Fatal("the probation does not end in time")
+		t.Fatal("the disk is not stalled for exactly the probation")
 	}
 }
 
-// A store whose disk is full tells the cores at once that its shards should move, and takes
-// shards again once the disk has kept up for the probation.
-func TestAFullDiskIsReportedAtOnce(t *testing.T) {
+// A store whose disk is full immediately reports itself as stalled to the cores, so that its shards move.
+// It is no longer stalled once the disk has kept up for the probation.
+func TestFullDiskIsReportedImmediately(t *testing.T) {
 	s := newStore(Self{ID: "s", Zone: "z", Peer: "p", Incarnation: 1})
 	s.Do(CorePeers{Peers: []string{"c"}}, clock.Second)
 	expect := func(when string, effects []machine.Effect, stalled bool) {
 		t.Helper()
 		heartbeat := lastHeartbeat(effects)
 		if heartbeat == nil || heartbeat.Stalled != stalled {
-			t.Fatalf("%s the heartbeat is %+v", when, heartbeat)
+			t.Fatalf("%s: the heartbeat is %+v", when, heartbeat)
 		}
 	}
 	now := clock.Micros(2 * clock.Second)
-	expect("at once", s.Do(diskFull, now), true)
+	expect("when the disk becomes full", s.Do(diskFull, now), true)
 	now += 60 * clock.Second
 	expect("a minute later", s.Do(Tick{}, now), true)
-	expect("as soon as the disk is writable", s.Do(diskWritable, now), true)
+	expect("when the disk becomes writable", s.Do(diskWritable, now), true)
 	now += Defaults().DiskProbation + 1
 	expect("after the probation", s.Do(Tick{}, now), false)
 }
 
-// What would have to be written is rejected at once, and what is durable is still read;
-// once the disk is writable the same request is accepted.
-func TestAFullDiskAcceptsNothingNew(t *testing.T) {
+// While the disk is full, calls that require a write are rejected immediately and durable data can still be
+// read. Once the disk is writable, the same calls are accepted.
+func TestFullDiskRejectsWritesAndServesReads(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 1))
 	c.do("a", diskFull)
-	for _, request := range []any{forwardedBatch("two", 1), EndRequest{Batch: "one", By: byID, Timeout: clock.Second}} {
+	for _, request := range []any{forwardedBatch("two", 1), EndRequest{Batch: "one", By: accessByID, Timeout: clock.Second}} {
 		c.mustReject(errs.NotReady, request)
 	}
 	if c.stores["a"].shard(Unit(0)).state.Batches["two"] != nil {
-		t.Fatal("a batch that was rejected is there")
+		t.Fatal("the rejected batch is in the state")
 	}
-	if status := c.mustCall(BatchStatusRequest{Batch: "one", By: byID}).(BatchStatus); status.Items != 1 {
+	if status := c.mustCall(BatchStatusRequest{Batch: "one", By: accessByID}).(BatchStatus); status.Items != 1 {
 		t.Fatalf("the status is %+v", status)
 	}
 	c.do("a", diskWritable)
 	c.mustCall(forwardedBatch("two", 1))
 }
 
-// A replica whose disk is full takes no entry and acknowledges none: it would only wait in
-// memory. The primary repeats it, and it is taken once the disk is writable.
-func TestAReplicaWithAFullDiskTakesNoEntries(t *testing.T) {
+// A replica whose disk is full neither applies nor acknowledges entries, because they could only wait in
+// memory. The primary retransmits them, and they are applied once the disk is writable.
+func TestReplicaWithFullDiskIgnoresEntries(t *testing.T) {
 	c := newCluster(t)
 	replica := c.stores["b"].groups.Group(Unit(0))
 	before := replica.Seq
 	c.do("b", diskFull)
 	if response, err := c.call(forwardedBatch("one", 1)); response != nil || err != nil {
-		t.Fatalf("replied %v %v while one member has it", response, err)
+		t.Fatalf("replied %v %v while only the primary has the entry", response, err)
 	}
 	if replica.Seq != before {
-		t.Fatal("the entry was taken")
+		t.Fatal("the replica applied the entry")
 	}
 	c.do("b", diskWritable)
 	c.advance(clock.Second)
 	if c.replies[c.lastCall].Body == nil || replica.Seq == before {
-		t.Fatalf("once the disk is writable: %+v", c.replies[c.lastCall])
+		t.Fatalf("after the disk became writable, the reply is %+v", c.replies[c.lastCall])
 	}
 }
 
-// A snapshot is not taken either.
-func TestNoSnapshotIsTakenByAFullDisk(t *testing.T) {
+// A store whose disk is full ignores snapshots: it neither writes nor acknowledges them.
+func TestFullDiskIgnoresSnapshots(t *testing.T) {
 	s := newStore(Self{ID: "s", Zone: "z", Peer: "p", Incarnation: 1})
 	s.Do(diskFull, clock.Second)
 	chunk := replication.SnapshotChunk{Unit: Unit(0), Epoch: 3, Seq: 1, Count: 1, Parts: shard.New().LocalParts()}
 	for _, effect := range s.Do(Message{From: "o", Body: chunk}, 2*clock.Second) {
 		switch effect.(type) {
 		case machine.Persist, machine.Send:
-			t.Fatalf("it has the effect %T", effect)
+			t.Fatalf("the snapshot has the effect %T", effect)
 		}
 	}
 }
 
-// A compaction that could not be written is made anew when the event loop asks for it.
-func TestACompactionIsMadeAgain(t *testing.T) {
+// A compaction that could not be written is repeated when the event loop requests it.
+func TestFailedCompactionIsRetried(t *testing.T) {
 	c := newCluster(t)
 	compactions := 0
 	for _, effect := range c.stores["a"].Do(CompactAgain{}, c.now) {
@@ -119,6 +119,6 @@
 		}
 	}
 	if compactions != 1 {
-		t.Fatalf("%d compactions", compactions)
+		t.Fatalf("%d compactions, want 1", compactions)
 	}
 }
--- a/internal/dataplane/decisionlog/decisionlog_test.go
+++ b/internal/dataplane/decisionlog/decisionlog_test.go
@@ -5,19 +5,19 @@
 	"testing"
 )
 
-func TestTheOldestEntryIsForgotten(t *testing.T) {
+func TestOldestEntryIsEvicted(t *testing.T) {
 	l := New(2)
 	for _, id := range []string{"a", "b", "a", "c"} {
 		l.Begin(Entry{RequestID: id, Route: "r"})
 	}
 	for id, want := range map[string]bool{"a": false, "b": true, "c": true} {
 		if _, ok := l.Find(id); ok != want {
-			t.Errorf("%s is kept: %v", id, ok)
+			t.Errorf("entry %s found: %v", id, ok)
 		}
 	}
 }
 
-func TestAnEntryGathersItsAttempts(t *testing.T) {
+func TestEntryRecordsAttemptsAndOutcome(t *testing.T) {
 	l := New(2)
 	l.Begin(Entry{RequestID: "a", Tenant: "t"})
 	for i := range maxAttempts + 3 {
@@ -32,7 +32,7 @@
 	}
 	got.Attempts[0].Server = "changed"
 	if again, _ := l.Find("a"); again.Attempts[0].Server != "s0" {
-		t.Error("what Find returned shares memory with the log")
+		t.Error("the entry returned by Find shares memory with the log")
 	}
 }
 
@@ -50,7 +50,7 @@
 			ids = append(ids, e.RequestID)
 		}
 		if fmt.Sprint(ids) != want {
-			t.Errorf("the slowest %d are %v, not %s", count, ids, want)
+			t.Errorf("the slowest %d entries are %v, want %s", count, ids, want)
 		}
 	}
 }
--- a/internal/dataplane/proxy/harness_test.go
+++ b/internal/dataplane/proxy/harness_test.go
@@ -14,8 +14,8 @@
 
 const millisecond = clock.Millisecond
 
-// bench is a proxy with a scheduler and servers, in virtual time.
-type bench struct {
+// testBench runs a proxy with a scheduler and servers in virtual time.
+type testBench struct {
 	*Proxy
 	t            *testing.T
 	scheduler    *scheduler.Scheduler
@@ -25,13 +25,13 @@
 	replies      map[uint64]machine.Reply
 }
 
-// newBench has one server for each given pool, a or b; it has a configuration only if
-// routes are given.
-func newBench(t *testing.T, servers []string, routes ...config.Route) *bench {
+// newTestBench makes a test bench with one server per element of servers, which names its pool, a or b.
+// It has a configuration only if routes are given.
+func newTestBench(t *testing.T, servers []string, routes ...config.Route) *testBench {
 	t.Helper()
 	settings := scheduler.Defaults()
 	settings.MaxStaleness = scheduler.UnlimitedStaleness
-	b := &bench{t: t, scheduler: scheduler.New(settings, 7), machineCalls: machine.NewCalls(), now: 10 * clock.Second, replies: map[uint64]machine.Reply{}}
+	b := &testBench{t: t, scheduler: scheduler.New(settings, 7), machineCalls: machine.NewCalls(), now: 10 * clock.Second, replies: map[uint64]machine.Reply{}}
 	b.Proxy = New(Defaults(), b.machineCalls, b.scheduler, 7)
 	if len(routes) > 0 {
 		configuration := &config.Configuration{Version: 1, ScorerWeights: map[string]float64{"fullness": 1, "spread": 1}, Routes: routes}
@@ -47,18 +47,18 @@
 	return b
 }
 
-func (b *bench) addServer(name, pool string, slots int) {
+func (b *testBench) addServer(name, pool string, slots int) {
 	b.scheduler.SetServer(endpoints.Server{Name: name, Address: "at-" + name, Slots: slots, Labels: map[string]string{"pool": pool}})
 }
 
-// newRoute is one of a kind; its host is its kind.
+// newRoute returns a route of a kind, whose host is the name of the kind.
 func newRoute(kind string, attempts int64) config.Route {
 	return config.Route{Name: "r-" + kind, Kind: kind, Pools: config.Selector{"u": {"a"}}, Timeout: 5 * clock.Second,
 		Forward: &config.Forward{Host: kind, PathPrefix: "/x/", MaxAttempts: attempts, LatencyTarget: 300 * millisecond, Priority: 5}}
 }
 
-// send passes a message to the proxy and matches the queue, as the edge's machine does.
-func (b *bench) send(body any) uint64 {
+// send passes a message to the proxy and runs the scheduler's matching, as the edge's state machine does.
+func (b *testBench) send(body any) uint64 {
 	b.lastCall++
 	if !b.Call(b.lastCall, body, b.now) {
 		b.t.Fatalf("the proxy does not handle %T", body)
@@ -67,32 +67,32 @@
 	return b.lastCall
 }
 
-func (b *bench) collectReplies() {
+func (b *testBench) collectReplies() {
 	b.scheduler.MatchUntilStable(b.now)
 	for _, effect := range b.machineCalls.Drain() {
 		response, ok := effect.(machine.Reply)
 		if !ok {
 			b.t.Fatalf("the proxy emitted %T", effect)
 		}
-		if _, twice := b.replies[response.Call]; twice {
-			b.t.Fatalf("the call %d is answered twice", response.Call)
+		if _, duplicate := b.replies[response.Call]; duplicate {
+			b.t.Fatalf("call %d got two replies", response.Call)
 		}
 		b.replies[response.Call] = response
 	}
 }
 
-func (b *bench) advance(span clock.Micros) {
+func (b *testBench) advance(span clock.Micros) {
 	b.now += span
 	b.scheduler.Match(b.now)
 	b.collectReplies()
 }
 
-func (b *bench) submit(requestID, kind string) uint64 {
+func (b *testBench) submit(requestID, kind string) uint64 {
 	return b.send(Request{ID: requestID, Host: kind, Path: "/x/y"})
 }
 
-// attempt is the attempt that the reply to a call decides on.
-func (b *bench) attempt(call uint64) Attempt {
+// attempt returns the attempt in the reply to a call.
+func (b *testBench) attempt(call uint64) Attempt {
 	b.t.Helper()
 	attempt, ok := b.replies[call].Body.(Attempt)
 	if !ok {
@@ -101,8 +101,8 @@
 	return attempt
 }
 
-// outcomeOf sums up the reply to a call: an attempt, the final answer, or none yet.
-func (b *bench) outcomeOf(call uint64) string {
+// outcomeOf summarises the reply to a call: an attempt, the final reply, or "waits" where there is none yet.
+func (b *testBench) outcomeOf(call uint64) string {
 	response, received := b.replies[call]
 	typedErr := (*errs.Error)(nil)
 	if response.Err != nil {
@@ -121,8 +121,8 @@
 	return map[bool]string{true: "attempt", false: fmt.Sprintf("%T", response.Body)}[fmt.Sprintf("%T", response.Body) == "proxy.Attempt"]
 }
 
-// checkIdle checks that nothing is in flight and no server assigned.
-func (b *bench) checkIdle(name string) {
+// checkIdle checks that no request is in flight or queued and that no server is assigned.
+func (b *testBench) checkIdle(name string) {
 	b.t.Helper()
 	if b.InFlight() != 0 || b.scheduler.QueueLength() != 0 {
 		b.t.Errorf("%s: %d requests are in flight, %d queued", name, b.InFlight(), b.scheduler.QueueLength())
@@ -130,7 +130,7 @@
 	views, _ := b.scheduler.Snapshot()
 	for _, view := range views {
 		if view.OwnRequests != 0 {
-			b.t.Errorf("%s: %s is assigned %d times", name, view.Name, view.OwnRequests)
+			b.t.Errorf("%s: server %s has %d assigned requests", name, view.Name, view.OwnRequests)
 		}
 	}
 }
