--- a/internal/controlplane/configurations_test.go
+++ b/internal/controlplane/configurations_test.go
@@ -14,8 +14,8 @@
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
 	for i, step := range []struct {
-		ask  PutConfigurationRequest
-		want any
+		request PutConfigurationRequest
+		want    any
 	}{
 		{putRequest(3, 3, `{"a":1}`), errs.StaleBase}, // no version is in force, and 3 can't be its own base
 		{putRequest(7, 0, `{"a":1}`), uint64(7)},
@@ -28,7 +28,7 @@
 		{PutConfigurationRequest{Number: 11, Body: []byte(`{"a":4}`), Timeout: clock.Second}, uint64(11)},
 		{PutConfigurationRequest{Body: []byte(`{"a":5}`), Timeout: clock.Second}, uint64(12)}, // the core assigns the number
 	} {
-		call := b.call(core, step.ask)
+		call := b.call(core, step.request)
 		b.deliverAll()
 		answer := b.reply(t, call)
 		switch want := step.want.(type) {
--- a/internal/controlplane/disk_test.go
+++ b/internal/controlplane/disk_test.go
@@ -104,11 +104,11 @@
 	if disks.sent[old.self.Peer] != 0 {
 		t.Fatalf("a core whose disk is full sent %d messages", disks.sent[old.self.Peer])
 	}
-	now := b.primary()
-	if now == nil || now == old {
+	newPrimary := b.primary()
+	if newPrimary == nil || newPrimary == old {
 		t.Fatal("no other core is primary")
 	}
-	base := latestVersion(now)
+	base := latestVersion(newPrimary)
 	b.mustPutAtPrimary(t, 8, base)
 	disks.clear(old)
 	b.advance(6 * clock.Second)
@@ -173,11 +173,11 @@
 	if disks.sent[backup.self.Peer] != 0 {
 		t.Fatalf("a core whose disk is full sent %d messages", disks.sent[backup.self.Peer])
 	}
-	now := b.primary()
-	if now == nil || slices.Contains(now.Vote().Committed.IDs(), backup.self.ID) {
+	newPrimary := b.primary()
+	if newPrimary == nil || slices.Contains(newPrimary.Vote().Committed.IDs(), backup.self.ID) {
 		t.Fatal("no group formed without the replica whose disk is full")
 	}
-	b.mustPutAtPrimary(t, 8, latestVersion(now))
+	b.mustPutAtPrimary(t, 8, latestVersion(newPrimary))
 	disks.clear(backup)
 	b.advance(3 * clock.Second)
 	b.awaitStable(t)
--- a/internal/controlplane/patches_test.go
+++ b/internal/controlplane/patches_test.go
@@ -46,7 +46,7 @@
 	const whole = `{"ver":7,"routes":[{"name":"a"}]}`
 	add, other := `{"ver":9,"upsert":{"routes":[{"name":"b"}]}}`, `{"ver":9,"upsert":{"routes":[{"name":"c"}]}}`
 	for i, step := range []struct {
-		ask      any
+		request  any
 		want     any
 		document string
 	}{
@@ -64,7 +64,7 @@
 		{patchRequest(7, ` {"ver" : 9, "upsert":{"routes":[{"name":"b"}]}}`), uint64(9), `{"routes":[{"name":"b"}],"ver":11}`}, // a repeat, after a later version
 		{putRequest(9, 7, `{"ver":9,"routes":[{"name":"a"},{"name":"c"}]}`), errs.StaleBase, `{"routes":[{"name":"b"}],"ver":11}`},
 	} {
-		call := b.call(b.primary(), step.ask)
+		call := b.call(b.primary(), step.request)
 		b.deliverAll()
 		answer := b.reply(t, call)
 		switch want := step.want.(type) {
--- a/internal/controlplane/repeated_requests_test.go
+++ b/internal/controlplane/repeated_requests_test.go
@@ -302,10 +302,10 @@
 	request := PutConfigurationRequest{HasBase: true, Body: []byte(`{"a":1}`), Timeout: clock.Second}
 	other := PutConfigurationRequest{HasBase: true, Base: 1, Body: []byte(`{"a":2}`), Timeout: clock.Second}
 	for i, step := range []struct {
-		ask  PutConfigurationRequest
-		want uint64
+		request PutConfigurationRequest
+		want    uint64
 	}{{request, 1}, {request, 1}, {other, 2}, {request, 1}, {other, 2}} {
-		call := b.call(core, step.ask)
+		call := b.call(core, step.request)
 		b.deliverAll()
 		if answer := b.reply(t, call); answer.Body != (PutConfigurationResponse{Version: step.want}) {
 			t.Errorf("step %d: reply %v, error %v, want the same version", i, answer.Body, answer.Err)
