--- a/internal/controlplane/core.go
+++ b/internal/controlplane/core.go
@@ -74,7 +74,7 @@
 	usage          *usage.Collector   // nil if usage is not reported
 	autoscale      *autoscale.Planner // nil if autoscaling is disabled
 
-	placementMemory placement.PlannerState
+	plannerState    placement.PlannerState
 	nextReconcileAt clock.Micros
 	published       published
 	disk            diskProbation
--- a/internal/controlplane/reconcile.go
+++ b/internal/controlplane/reconcile.go
@@ -29,8 +29,8 @@
 		return
 	}
 	c.evictUnreachableStores(now)
-	decision := placement.Decide(c.settings.placement(), c.stores.Cluster(c.state, now), c.placementMemory)
-	c.placementMemory = decision.NextState
+	decision := placement.Decide(c.settings.placement(), c.stores.Cluster(c.state, now), c.plannerState)
+	c.plannerState = decision.NextState
 	for _, event := range decision.Events {
 		c.Emit(machine.LogEvent{Event: event})
 	}
--- a/internal/controlplane/settings.go
+++ b/internal/controlplane/settings.go
@@ -25,7 +25,7 @@
 	ListenDelay        clock.Micros            // for which a new primary waits for heartbeats before it decides on stores; default 1.5 s
 	BalanceEvery       clock.Micros            // interval of moves that balance the shards; default 500 ms
 	BalanceAfter       clock.Micros            // for which a store must send heartbeats before shards move to it; default 4 s
-	PartitionMemory    clock.Micros            // for which two stores that lost contact share no group; default 30 s
+	PartitionCooldown  clock.Micros            // for which two stores that lost contact share no group; default 30 s
 	CompactAfter       int                     // changes on disk until a snapshot replaces them; default 500
 	MaxStaleness       clock.Micros            // maximum age of this core's updates at which it may evict a store; default 2.5 s
 	EvictAfter         clock.Micros            // after which a lost store no longer counts as a voter for updates; default 10 s
@@ -53,7 +53,7 @@
 		ListenDelay:        1500 * clock.Millisecond,
 		BalanceEvery:       500 * clock.Millisecond,
 		BalanceAfter:       4 * clock.Second,
-		PartitionMemory:    30 * clock.Second,
+		PartitionCooldown:  30 * clock.Second,
 		CompactAfter:       500,
 		MaxStaleness:       2500 * clock.Millisecond,
 		EvictAfter:         10 * clock.Second,
@@ -83,7 +83,7 @@
 	return placement.Settings{
 		Tolerance:         s.Tolerance,
 		Zones:             s.ShardZones,
-		PartitionCooldown: s.PartitionMemory,
+		PartitionCooldown: s.PartitionCooldown,
 		BalanceInterval:   s.BalanceEvery,
 		BalanceDelay:      s.BalanceAfter,
 	}
