--- a/internal/controlplane/disk_test.go
+++ b/internal/controlplane/disk_test.go
@@ -11,15 +11,14 @@
 	"tuliprudder/internal/replication"
 )
 
-// fullDisks are the disks of some cores that take no writes; what is written there
-// waits.
+// fullDisks simulates cores whose disks accept no writes; their writes wait.
 type fullDisks struct {
 	b       *testCluster
-	waiting map[string][]uint64 // by peer; a peer that is not there has a disk that takes writes
-	sent    map[string]int      // messages that a core with a full disk sent
+	waiting map[string][]uint64 // tokens by peer; the disk of a peer that is absent accepts writes
+	sent    map[string]int      // messages that cores with full disks sent, by peer
 }
 
-// withFullDisks watches the cores' disks, and what a core with a full one sends.
+// withFullDisks controls the cores' disks, and counts what a core with a full one sends.
 func withFullDisks(b *testCluster) *fullDisks {
 	d := &fullDisks{b: b, waiting: map[string][]uint64{}, sent: map[string]int{}}
 	b.blocksWrite = func(peer string, write machine.Persist) bool {
@@ -31,7 +30,7 @@
 	}
 	b.drop = func(l envelope) bool {
 		_, full := d.waiting[l.from]
-		if _, yields := l.body.(replication.LeaseRelease); full && !yields { // a lease that is released commits to nothing
+		if _, isLeaseRelease := l.body.(replication.LeaseRelease); full && !isLeaseRelease { // releasing a lease makes no commitment
 			d.sent[l.from]++
 		}
 		return false
@@ -39,7 +38,7 @@
 	return d
 }
 
-// fill fills a core's disk; before runs before the core is notified.
+// fill makes a core's disk full; before runs before the core is notified.
 func (d *fullDisks) fill(core *Core, before func()) {
 	peer := core.self.Peer
 	d.waiting[peer] = []uint64{}
@@ -48,109 +47,110 @@
 	}
 	d.b.deliverAll()
 	d.sent[peer] = 0
-	d.b.carryOut(peer, core.Do(DiskStateChanged{machine.DiskState{Reason: "the disk is full"}}, d.b.now))
+	d.b.applyEffects(peer, core.Do(DiskStateChanged{machine.DiskState{Reason: "the disk is full"}}, d.b.now))
 }
 
-// clear empties the disk again: what waited is written, in order.
+// clear makes the disk accept writes again: the waiting writes complete, in order.
 func (d *fullDisks) clear(core *Core) {
 	peer := core.self.Peer
 	tokens := d.waiting[peer]
 	delete(d.waiting, peer)
 	for _, token := range tokens {
-		d.b.carryOut(peer, core.Do(Persisted{token}, d.b.now))
+		d.b.applyEffects(peer, core.Do(Persisted{token}, d.b.now))
 	}
-	d.b.carryOut(peer, core.Do(DiskStateChanged{machine.DiskState{Writable: true}}, d.b.now))
+	d.b.applyEffects(peer, core.Do(DiskStateChanged{machine.DiskState{Writable: true}}, d.b.now))
 	d.b.deliverAll()
 }
 
-// primaryAcknowledges puts a configuration at the primary, which has to acknowledge it.
-func (b *testCluster) primaryAcknowledges(t *testing.T, number, base uint64) {
+// mustPutAtPrimary puts a configuration at the primary; it fails the test unless it is
+// acknowledged.
+func (b *testCluster) mustPutAtPrimary(t *testing.T, number, base uint64) {
 	t.Helper()
 	core := b.primary()
 	if core == nil {
-		t.Fatal("no core serves alone")
+		t.Fatal("there is no single primary")
 	}
 	call := b.call(core, putRequest(number, base, `{"a":1}`))
 	b.advance(clock.Second)
 	if answer := b.reply(t, call); answer.Body != (PutConfigurationResponse{Version: number}) {
-		t.Fatalf("%s told %v %v, not an acknowledgement", core.self.ID, answer.Body, answer.Err)
+		t.Fatalf("%s: reply %v, error %v, want an acknowledgement", core.self.ID, answer.Body, answer.Err)
 	}
 }
 
-// latest is the configuration in force at a core that serves.
-func latest(core *Core) uint64 {
+// latestVersion returns the number of the latest configuration in a core's state.
+func latestVersion(core *Core) uint64 {
 	version, _ := core.State().Latest()
 	return version.Number
 }
 
-// A primary whose disk is full answers who waits at once, sends nothing more to the other
-// cores, and another one leads. Once its disk takes writes it takes part again, and
-// brings nothing back that was not confirmed.
-func TestAFullDiskPassesTheLeadOn(t *testing.T) {
+// A primary whose disk is full answers the waiting callers at once and sends nothing more to the
+// other cores, and another core becomes primary. Once its disk accepts writes it rejoins, and
+// no unconfirmed change reappears.
+func TestFullDiskOnPrimaryCausesFailover(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
-	b.primaryAcknowledges(t, 1, 0)
+	b.mustPutAtPrimary(t, 1, 0)
 	disks, old := withFullDisks(b), b.primary()
-	var caught uint64
-	disks.fill(old, func() { caught = b.call(old, putRequest(2, 1, `{"a":2}`)) })
-	if answer := b.reply(t, caught); !errs.Is(answer.Err, errs.OutcomeUnknown) {
-		t.Fatalf("the operator who waited was told %v %v", answer.Body, answer.Err)
+	var waitingCall uint64
+	disks.fill(old, func() { waitingCall = b.call(old, putRequest(2, 1, `{"a":2}`)) })
+	if answer := b.reply(t, waitingCall); !errs.Is(answer.Err, errs.OutcomeUnknown) {
+		t.Fatalf("the waiting operator got reply %v, error %v, want an unknown outcome", answer.Body, answer.Err)
 	}
 	for _, request := range []any{putRequest(3, 1, `{"a":3}`), ConfigurationsRequest{Latest: true}, RetireRequest{ID: "store-1", Timeout: clock.Second}} {
 		if answer := b.reply(t, b.call(old, request)); !errs.Is(answer.Err, errs.NotReady) || errs.Of(answer.Err).Remedy == "" {
-			t.Fatalf("%T: told %v %v", request, answer.Body, answer.Err)
+			t.Fatalf("%T: reply %v, error %v, want not ready with a remedy", request, answer.Body, answer.Err)
 		}
 	}
 	b.advance(6 * clock.Second)
 	if disks.sent[old.self.Peer] != 0 {
 		t.Fatalf("a core whose disk is full sent %d messages", disks.sent[old.self.Peer])
 	}
-	now := b.primary()
-	if now == nil || now == old {
-		t.Fatal("no other core leads")
+	newPrimary := b.primary()
+	if newPrimary == nil || newPrimary == old {
+		t.Fatal("no other core is primary")
 	}
-	base := latest(now)
-	b.primaryAcknowledges(t, 8, base)
+	base := latestVersion(newPrimary)
+	b.mustPutAtPrimary(t, 8, base)
 	disks.clear(old)
 	b.advance(6 * clock.Second)
 	if b.primary() == nil {
-		t.Fatal("no core serves alone after the disk is well")
+		t.Fatal("there is no single primary after the disk recovered")
 	}
 	b.awaitStable(t)
-	b.primaryAcknowledges(t, 9, 8)
+	b.mustPutAtPrimary(t, 9, 8)
 	if silent := b.primary().election.Status(b.now).UnreachableVoters; silent != 0 || !hasVote(b.primary().Vote().Voters, old.self.ID) {
-		t.Fatalf("%d voters are not heard, and the core whose disk is well again should be one that is", silent)
+		t.Fatalf("%d voters are unreachable, or the core whose disk recovered is no voter; want all reachable, and it among them", silent)
 	}
 }
 
-// A disk that is full for a moment costs no term: the entry that waited is written,
-// and confirmed from then on.
-func TestADiskThatIsFullForAMoment(t *testing.T) {
+// A disk that is full only briefly costs at most one term: the waiting entry is written, and
+// then confirmed.
+func TestBrieflyFullDiskKeepsPendingWrites(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
-	b.primaryAcknowledges(t, 1, 0)
+	b.mustPutAtPrimary(t, 1, 0)
 	disks, core := withFullDisks(b), b.primary()
 	epoch := core.group().Epoch
 	disks.fill(core, func() { b.call(core, putRequest(2, 1, `{"a":2}`)) })
 	b.advance(200 * clock.Millisecond)
 	if core.group().Unconfirmed() == 0 {
-		t.Fatal("an entry was confirmed without the disk")
+		t.Fatal("an entry was confirmed before it was on disk")
 	}
 	disks.clear(core)
 	b.advance(1500 * clock.Millisecond)
 	b.awaitStable(t)
-	if got := latest(b.primary()); got != 2 {
+	if got := latestVersion(b.primary()); got != 2 {
 		t.Fatalf("version %d is in force", got)
 	}
 	if core.group().Epoch > epoch+1 {
 		t.Fatalf("the primary changed %d times", core.group().Epoch-epoch)
 	}
-	b.primaryAcknowledges(t, 3, 2)
+	b.mustPutAtPrimary(t, 3, 2)
 }
 
-// A replica whose disk is full acknowledges no entry and grants no vote; the primary
-// finds another replica.
-func TestAReplicaWithAFullDiskIsReplaced(t *testing.T) {
+// A replica whose disk is full acknowledges no entries and grants no votes; the primary
+// replaces it.
+func TestReplicaWithFullDiskIsReplaced(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
-	b.primaryAcknowledges(t, 1, 0)
+	b.mustPutAtPrimary(t, 1, 0)
 	disks, primary := withFullDisks(b), b.primary()
 	var backup *Core
 	for _, core := range b.cores {
@@ -161,32 +161,33 @@
 	disks.fill(backup, nil)
 	call := b.call(primary, putRequest(2, 1, `{"a":2}`))
 	b.deliverAll()
-	if _, arrivedEarly := b.replies[call]; arrivedEarly {
-		t.Fatal("a configuration was confirmed with one copy")
+	if _, isAnswered := b.replies[call]; isAnswered {
+		t.Fatal("a configuration was confirmed with one copy only")
 	}
 	vote := backup.Vote()
-	b.carryOut(backup.self.Peer, backup.Do(Message{"c9", election.VoteRequest{Fleet: vote.Fleet, Assignment: replication.Assignment{Epoch: vote.Term + 1}, Voters: vote.Voters, Base: vote.Committed.Epoch, Candidate: primary.self}}, b.now))
+	b.applyEffects(backup.self.Peer, backup.Do(Message{"c9", election.VoteRequest{Fleet: vote.Fleet, Assignment: replication.Assignment{Epoch: vote.Term + 1}, Voters: vote.Voters, Base: vote.Committed.Epoch, Candidate: primary.self}}, b.now))
 	if backup.Vote().Term != vote.Term || len(disks.waiting[backup.self.Peer]) != 0 {
-		t.Fatal("a vote was granted without the disk")
+		t.Fatal("a vote was granted without a write to disk")
 	}
 	b.advance(6 * clock.Second)
 	if disks.sent[backup.self.Peer] != 0 {
 		t.Fatalf("a core whose disk is full sent %d messages", disks.sent[backup.self.Peer])
 	}
-	now := b.primary()
-	if now == nil || slices.Contains(now.Vote().Committed.IDs(), backup.self.ID) {
-		t.Fatal("the group is not complete without the full disk")
+	newPrimary := b.primary()
+	if newPrimary == nil || slices.Contains(newPrimary.Vote().Committed.IDs(), backup.self.ID) {
+		t.Fatal("no group formed without the replica whose disk is full")
 	}
-	b.primaryAcknowledges(t, 8, latest(now))
+	b.mustPutAtPrimary(t, 8, latestVersion(newPrimary))
 	disks.clear(backup)
 	b.advance(3 * clock.Second)
 	b.awaitStable(t)
 }
 
-// No core can write: nothing is acknowledged, and all goes on from where it was.
-func TestAllDisksAreFull(t *testing.T) {
+// While no core can write, nothing is acknowledged; afterwards the fleet continues from its
+// previous state.
+func TestFleetResumesAfterAllDisksWereFull(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
-	b.primaryAcknowledges(t, 1, 0)
+	b.mustPutAtPrimary(t, 1, 0)
 	disks, before := withFullDisks(b), append([]replication.Assignment(nil), b.primary().State().Shards...)
 	for _, peer := range sortedKeys(b.cores) {
 		disks.fill(b.cores[peer], nil)
@@ -194,7 +195,7 @@
 	b.advance(20 * clock.Second)
 	for _, peer := range sortedKeys(b.cores) {
 		if answer := b.reply(t, b.call(b.cores[peer], putRequest(2, 1, `{"a":2}`))); !errs.Is(answer.Err, errs.NotReady) {
-			t.Fatalf("%s told %v %v", peer, answer.Body, answer.Err)
+			t.Fatalf("%s: reply %v, error %v, want not ready", peer, answer.Body, answer.Err)
 		}
 	}
 	for _, peer := range sortedKeys(b.cores) {
@@ -202,20 +203,20 @@
 	}
 	b.advance(4 * clock.Second)
 	b.awaitStable(t)
-	if got := latest(b.primary()); got != 1 {
+	if got := latestVersion(b.primary()); got != 1 {
 		t.Fatalf("version %d is in force", got)
 	}
-	b.primaryAcknowledges(t, 2, 1)
+	b.mustPutAtPrimary(t, 2, 1)
 	for shard, p := range b.primary().State().Shards {
 		if !p.Equal(before[shard]) {
-			t.Fatalf("shard %d was assigned anew, as %+v, though all stores lived: only the cores could not hear them", shard, p)
+			t.Fatalf("shard %d was reassigned, as %+v, though all stores were alive and only the cores could not receive their heartbeats", shard, p)
 		}
 	}
 }
 
-// A core that has its disk back has heard no store meanwhile: it takes none for lost before it
-// had the time to hear it, also where some are heard sooner than others.
-func TestNoStoreCountsAsLostBeforeItIsHeard(t *testing.T) {
+// A core whose disk has recovered received no store heartbeats meanwhile. It must not treat a
+// store as lost before that store had the time to send one, even if others do so sooner.
+func TestStoresAreNotLostRightAfterDiskRecovery(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	disks, before := withFullDisks(b), append([]replication.Assignment(nil), b.primary().State().Shards...)
 	for _, peer := range sortedKeys(b.cores) {
@@ -226,28 +227,28 @@
 		disks.clear(b.cores[peer])
 	}
 	b.stores[0].unreachable = true
-	b.advance(probationSpan + clock.Second)
+	b.advance(probationPeriod + clock.Second)
 	b.stores[0].unreachable = false
 	b.advance(3 * clock.Second)
 	b.awaitStable(t)
 	for shard, p := range b.primary().State().Shards {
 		if !p.Equal(before[shard]) {
-			t.Fatalf("shard %d was assigned anew, as %+v", shard, p)
+			t.Fatalf("shard %d was reassigned, as %+v", shard, p)
 		}
 	}
 }
 
-// A snapshot that could not be written is made anew when the event loop asks for it.
-func TestASnapshotIsMadeAgain(t *testing.T) {
+// A snapshot that could not be written is made again when the event loop requests it.
+func TestFailedCompactionIsRetriedOnRequest(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
-	b.primaryAcknowledges(t, 1, 0)
-	core, folds := b.primary(), 0
+	b.mustPutAtPrimary(t, 1, 0)
+	core, compactions := b.primary(), 0
 	for _, effect := range core.Do(CompactAgain{}, b.now) {
 		if _, ok := effect.(machine.Compact); ok {
-			folds++
+			compactions++
 		}
 	}
-	if folds != 1 {
-		t.Fatalf("%d snapshots", folds)
+	if compactions != 1 {
+		t.Fatalf("%d snapshots, want 1", compactions)
 	}
 }
