--- a/internal/batchstore/retention.go
+++ b/internal/batchstore/retention.go
@@ -9,14 +9,14 @@
 	"tuliprudder/internal/replication"
 )
 
-// applyRetention drops finished batches and claims whose retention has passed, in the shards
-// that this store serves, and then the archive files that nothing refers to any more.
+// applyRetention purges the finished batches and the claims whose retention has expired from the shards
+// that this store serves. It then deletes the archive files that no batch refers to any more.
 func (s *Store) applyRetention(now clock.Micros) {
 	for _, group := range s.groups.All() {
 		if group.Role != replication.Serving {
 			continue
 		}
-		entry := finishedBefore(s.shard(group.Unit).state, now-s.settings.RetainFinished)
+		entry := purgeBefore(s.shard(group.Unit).state, now-s.settings.RetainFinished)
 		if !entry.IsEmpty() {
 			s.appendEntry(group.Unit, entry, now)
 		}
@@ -24,11 +24,11 @@
 	s.deleteUnusedArchives()
 }
 
-// finishedBefore lists the finished batches that were submitted before a point in time, and the
-// claims that began before it.
-func finishedBefore(state *shard.State, before clock.Micros) shard.Purge {
+// purgeBefore returns the entry that purges the finished batches that were submitted, and the claims that
+// were made, before a point in time.
+func purgeBefore(state *shard.State, before clock.Micros) shard.Purge {
 	var entry shard.Purge
-	for _, id := range sortedBatches(state) {
+	for _, id := range sortedBatchIDs(state) {
 		batch := state.Batches[id]
 		if batch.State != shard.Open && batch.SubmittedAt < before {
 			entry.Batches = append(entry.Batches, id)
--- a/internal/batchstore/status_test.go
+++ b/internal/batchstore/status_test.go
@@ -7,27 +7,27 @@
 	"tuliprudder/internal/errs"
 )
 
-// A batch without an idempotency key is found by its ID alone; one with a key stays its
-// tenant's own.
+// A batch without an idempotency key may be used by its ID alone. A batch with a key is visible only to its
+// tenant.
 func TestBatchWithoutAKeyIsFoundByItsID(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 1))
-	mine := forwardedBatch("mine", 1)
-	mine.Batch.Tenant = "c"
-	mine.Batch.Key = "k"
-	c.mustCall(mine)
+	keyed := forwardedBatch("mine", 1)
+	keyed.Batch.Tenant = "c"
+	keyed.Batch.Key = "k"
+	c.mustCall(keyed)
 	c.mustReject(errs.NotFound, BatchStatusRequest{Batch: "one"})
-	if status := c.mustCall(BatchStatusRequest{Batch: "one", By: byID}).(BatchStatus); status.Items != 1 {
+	if status := c.mustCall(BatchStatusRequest{Batch: "one", By: accessByID}).(BatchStatus); status.Items != 1 {
 		t.Fatalf("the status is %+v", status)
 	}
-	c.mustCall(ReadRequest{Shards: map[int]uint64{0: 1}, Batch: "one", By: byID})
-	c.mustReject(errs.NotFound, BatchStatusRequest{Batch: "mine", By: byID})
-	c.mustReject(errs.NotFound, EndRequest{Batch: "mine", By: byID, Timeout: clock.Second})
-	c.mustReject(errs.NotFound, ReadRequest{Shards: map[int]uint64{0: 1}, Batch: "mine", By: byID})
+	c.mustCall(ReadRequest{Shards: map[int]uint64{0: 1}, Batch: "one", By: accessByID})
+	c.mustReject(errs.NotFound, BatchStatusRequest{Batch: "mine", By: accessByID})
+	c.mustReject(errs.NotFound, EndRequest{Batch: "mine", By: accessByID, Timeout: clock.Second})
+	c.mustReject(errs.NotFound, ReadRequest{Shards: map[int]uint64{0: 1}, Batch: "mine", By: accessByID})
 	c.mustCall(BatchStatusRequest{Batch: "mine", By: Access{Tenant: "c"}})
 }
 
-// An operator sees any tenant's batch, with its results but not their outputs.
+// An operator sees the batches of any tenant, with their results but without the outputs.
 func TestOperatorSeesResultsWithoutOutputs(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 2))
--- a/internal/controlplane/primaryreport/sender_test.go
+++ b/internal/controlplane/primaryreport/sender_test.go
@@ -10,10 +10,10 @@
 	"tuliprudder/internal/machine"
 )
 
-// figure is a part that tells one number when it differs from the acknowledged one.
-type figure struct{ value, acknowledged int64 }
+// testPart is a Part that reports one number if it differs from the acknowledged one.
+type testPart struct{ value, acknowledged int64 }
 
-func (f *figure) Add(report *Report, _ clock.Micros) bool {
+func (f *testPart) Add(report *Report, _ clock.Micros) bool {
 	if f.value == f.acknowledged {
 		return false
 	}
@@ -21,59 +21,59 @@
 	return true
 }
 
-func (f *figure) Acknowledged(report Report, _ Reply) { f.acknowledged = report.Usage[0].Counts["t"] }
-func (f *figure) Reset()                              { f.acknowledged = 0 }
+func (f *testPart) Acknowledged(report Report, _ Reply) { f.acknowledged = report.Usage[0].Counts["t"] }
+func (f *testPart) Reset()                              { f.acknowledged = 0 }
 
-// senderBench is a sender with one part, whose requests wait for their replies.
-type senderBench struct {
+// senderFixture is a sender with one part, whose requests stay outstanding until reply is called.
+type senderFixture struct {
 	*Sender
-	*figure
+	*testPart
 	t     *testing.T
 	calls *machine.Calls
 	now   clock.Micros
 }
 
-func newSenderBench(t *testing.T) *senderBench {
-	b := &senderBench{t: t, calls: machine.NewCalls(), figure: &figure{}, now: 100 * clock.Second}
+func newSenderFixture(t *testing.T) *senderFixture {
+	b := &senderFixture{t: t, calls: machine.NewCalls(), testPart: &testPart{}, now: 100 * clock.Second}
 	b.Sender = NewSender("edge-1", b.calls)
-	b.AddPart(b.figure)
+	b.AddPart(b.testPart)
 	b.SetIncarnation(7)
 	return b
 }
 
-// tick advances the time by one interval and gives the report that is sent; false for none.
-func (b *senderBench) tick() (machine.Request, bool) {
+// tick advances the time by one interval and returns the report that is sent, or false.
+func (b *senderFixture) tick() (machine.Request, bool) {
 	b.now += Interval
 	b.Tick(b.now)
 	return b.sent()
 }
 
-func (b *senderBench) sent() (machine.Request, bool) {
+func (b *senderFixture) sent() (machine.Request, bool) {
 	effects := b.calls.Drain()
 	if len(effects) == 0 {
 		return machine.Request{}, false
 	}
 	if len(effects) > 1 {
-		b.t.Fatalf("%d effects", len(effects))
+		b.t.Fatalf("got %d effects, want at most 1", len(effects))
 	}
 	return effects[0].(machine.Request), true
 }
 
-func (b *senderBench) mustTick() machine.Request {
+func (b *senderFixture) mustTick() machine.Request {
 	b.t.Helper()
 	request, ok := b.tick()
 	if !ok {
-		b.t.Fatal("nothing is sent")
+		b.t.Fatal("no report was sent")
 	}
 	return request
 }
 
-func (b *senderBench) reply(request machine.Request, reply Reply) {
+func (b *senderFixture) reply(request machine.Request, reply Reply) {
 	b.calls.ReplyReceived(request.Token, reply, nil, b.now)
 }
 
-func TestNothingIsSentWithoutNews(t *testing.T) {
-	b := newSenderBench(t)
+func TestNothingIsSentWithoutChanges(t *testing.T) {
+	b := newSenderFixture(t)
 	b.value = 1
 	if _, ok := b.tick(); ok {
 		t.Fatal("sent without a primary")
@@ -86,19 +86,19 @@
 	}
 	b.reply(request, Reply{Epoch: 3})
 	if _, ok := b.tick(); ok {
-		t.Fatal("sent what was acknowledged")
+		t.Fatal("sent again what was acknowledged")
 	}
 	b.value = 2
 	b.mustTick()
 }
 
-func TestWhatFailedIsToldAgain(t *testing.T) {
-	b := newSenderBench(t)
+func TestFailedReportIsSentAgain(t *testing.T) {
+	b := newSenderFixture(t)
 	b.SetPrimary(state.CoreUpdate{Epoch: 3, Peer: "core"})
 	b.value = 1
 	first := b.mustTick()
 	if _, ok := b.tick(); ok {
-		t.Fatal("a second report while the first one waits")
+		t.Fatal("sent a second report while the reply to the first is outstanding")
 	}
 	b.calls.ReplyReceived(first.Token, nil, errors.New("lost"), b.now)
 	b.mustTick()
@@ -107,9 +107,10 @@
 	}
 }
 
-// Acknowledgements of a former primary don't count at the next one, whichever way its term is learnt.
-func TestEverythingIsToldAnewToAnotherPrimary(t *testing.T) {
-	b := newSenderBench(t)
+// Acknowledgements of a former primary are discarded when a new term becomes known, whether by an
+// update or by a reply.
+func TestNewPrimaryGetsFullReport(t *testing.T) {
+	b := newSenderFixture(t)
 	b.SetPrimary(state.CoreUpdate{Epoch: 3, Peer: "core"})
 	b.value = 1
 	b.reply(b.mustTick(), Reply{Epoch: 3})
@@ -131,16 +132,17 @@
 	}
 }
 
-// A reply that crosses a change of the primary acknowledges nothing.
-func TestALateAcknowledgementDoesNotCount(t *testing.T) {
-	b := newSenderBench(t)
+// A reply to a report of the former term, received after a change of the primary, acknowledges
+// nothing.
+func TestLateAcknowledgementIsIgnored(t *testing.T) {
+	b := newSenderFixture(t)
 	b.SetPrimary(state.CoreUpdate{Epoch: 3, Peer: "core"})
 	b.value = 1
 	request := b.mustTick()
 	b.SetPrimary(state.CoreUpdate{Epoch: 4, Peer: "next"})
 	b.Tick(b.now)
 	if anew, ok := b.sent(); !ok || anew.To != "next" {
-		t.Fatal("the next primary has to wait")
+		t.Fatal("no report was sent to the new primary at once")
 	}
 	b.reply(request, Reply{Epoch: 3})
 	if b.acknowledged != 0 {
@@ -148,12 +150,12 @@
 	}
 }
 
-func TestAFlushEndsOnceAllIsTold(t *testing.T) {
-	b := newSenderBench(t)
+func TestFlushEndsOnceAllIsAcknowledged(t *testing.T) {
+	b := newSenderFixture(t)
 	ended := 0
 	b.Flush(b.now, func() { ended++ })
 	if ended != 1 {
-		t.Fatal("a flush without a primary waits")
+		t.Fatal("a flush without a known primary does not end at once")
 	}
 	b.SetPrimary(state.CoreUpdate{Epoch: 3, Peer: "core"})
 	b.value = 1
@@ -171,8 +173,8 @@
 	}
 }
 
-func TestAFlushEndsAfterAFewFailures(t *testing.T) {
-	b := newSenderBench(t)
+func TestFlushEndsAfterMaxAttempts(t *testing.T) {
+	b := newSenderFixture(t)
 	b.SetPrimary(state.CoreUpdate{Epoch: 3, Peer: "core"})
 	b.value = 1
 	ended := 0
@@ -187,9 +189,10 @@
 	}
 }
 
-// A report to the primary alone would be lost with it.
-func TestAFlushGoesToAllVoters(t *testing.T) {
-	b := newSenderBench(t)
+// A report that only the primary has would be lost if the primary fails, so a flush goes to all
+// voters.
+func TestFlushSendsToAllVoters(t *testing.T) {
+	b := newSenderFixture(t)
 	b.SetPrimary(state.CoreUpdate{Epoch: 3, Peer: "core", VoterPeers: []string{"a", "core", "b"}})
 	b.value = 1
 	b.reply(b.mustTick(), Reply{Epoch: 3})
@@ -207,6 +210,6 @@
 		}
 	}
 	if !slices.Equal(to, []string{"a", "core", "b", "core"}) {
-		t.Errorf("sent to %q", to)
+		t.Errorf("got reports to %q", to)
 	}
 }
--- a/internal/controlplane/repeated_requests_test.go
+++ b/internal/controlplane/repeated_requests_test.go
@@ -11,12 +11,12 @@
 	"tuliprudder/internal/replication"
 )
 
-// cutOff drops all messages from and to a core.
-func cutOff(core *Core) func(l envelope) bool {
+// isolate drops all messages from and to a core.
+func isolate(core *Core) func(l envelope) bool {
 	return func(l envelope) bool { return l.to == core.self.Peer || l.from == core.self.Peer }
 }
 
-// awaitOtherPrimary waits until a core other than one serves under its lease.
+// awaitOtherPrimary waits until a core other than old serves under its lease.
 func (b *testCluster) awaitOtherPrimary(t *testing.T, old *Core) *Core {
 	t.Helper()
 	for i := 0; i < 400; i++ {
@@ -27,11 +27,11 @@
 			}
 		}
 	}
-	t.Fatal("no other core began to serve")
+	t.Fatal("no other core became primary within 20 s")
 	return nil
 }
 
-// mustAcknowledge puts a configuration that has to be acknowledged.
+// mustAcknowledge puts a configuration; it fails the test unless it is acknowledged.
 func (b *testCluster) mustAcknowledge(t *testing.T, core *Core, request PutConfigurationRequest) {
 	t.Helper()
 	call := b.call(core, request)
@@ -41,48 +41,48 @@
 	}
 }
 
-// isRefusal tells whether a reply is a final refusal for the operator.
+// isRefusal reports whether a reply is a final refusal for the operator.
 func isRefusal(answer machine.Reply) bool {
 	return errs.Is(answer.Err, errs.StaleBase) || errs.Is(answer.Err, errs.InvalidConfiguration) || errs.Is(answer.Err, errs.BadInput) || errs.Is(answer.Err, errs.Conflict)
 }
 
-// lossPoint is how far a request came before its answer was lost.
+// lossPoint is the progress of a request before it or its reply is lost.
 type lossPoint int
 
 const (
-	neverArrived  lossPoint = iota
-	onOneDisk               // no replica has it
-	onAllDisks              // the replica's acknowledgement is lost
-	onceConfirmed           // only the answer to the operator is lost
+	beforeArrival     lossPoint = iota
+	onPrimaryDisk               // no replica has the entry
+	onAllDisks                  // the replica has the entry, but its acknowledgement is lost
+	afterConfirmation           // only the reply to the operator is lost
 )
 
-var lossPointNames = map[lossPoint]string{neverArrived: "never arrived", onOneDisk: "on one disk", onAllDisks: "on all disks", onceConfirmed: "confirmed"}
+var lossPointNames = map[lossPoint]string{beforeArrival: "never arrived", onPrimaryDisk: "on the primary's disk", onAllDisks: "on all disks", afterConfirmation: "confirmed"}
 
-// primaryFate is what became of the primary before the request is sent again.
-type primaryFate int
+// primaryFailure is the failure of the primary before the request is repeated.
+type primaryFailure int
 
 const (
-	stays primaryFate = iota
-	isCutOff
-	isKilled
+	noFailure primaryFailure = iota
+	primaryIsolated
+	primaryKilled
 )
 
-var primaryFateNames = map[primaryFate]string{stays: "stays", isCutOff: "is cut off", isKilled: "is killed"}
+var primaryFailureNames = map[primaryFailure]string{noFailure: "stays", primaryIsolated: "is isolated", primaryKilled: "is killed"}
 
-// repeatedRequest is version 10 on top of 5, sent again to every core.
+// repeatedRequest is a request for version 10 on base 5 that is repeated to every core.
 type repeatedRequest struct {
-	lost         lossPoint
-	after        primaryFate
-	newer        int // versions put since
-	healed       bool
-	injectFaults func(core *Core)
+	lost          lossPoint
+	failure       primaryFailure
+	newerVersions int // versions put before the request is repeated
+	healed        bool
+	injectFaults  func(core *Core)
 }
 
 func (r repeatedRequest) String() string {
-	return fmt.Sprintf("%s, primary %s, %d newer, healed %v", lossPointNames[r.lost], primaryFateNames[r.after], r.newer, r.healed)
+	return fmt.Sprintf("%s, primary %s, %d newer, healed %v", lossPointNames[r.lost], primaryFailureNames[r.failure], r.newerVersions, r.healed)
 }
 
-// run returns what was wrong with the replies.
+// run returns descriptions of the wrong replies.
 func (r repeatedRequest) run(t *testing.T) []string {
 	t.Helper()
 	b := bootstrappedCluster(t, smallSettings())
@@ -95,9 +95,9 @@
 	b.mustAcknowledge(t, old, putRequest(5, 0, `{"n":5}`))
 	request := putRequest(10, 5, `{"n":10}`)
 	b.submitAndLose(old, request, r.lost)
-	primary := b.applyFate(t, old, r.after)
+	primary := b.failPrimary(t, old, r.failure)
 	_, survived := primary.state.Version(10)
-	for i := 1; i <= r.newer; i++ {
+	for i := 1; i <= r.newerVersions; i++ {
 		latest, _ := primary.state.Latest()
 		number := latest.Number + 3
 		b.mustAcknowledge(t, primary, putRequest(number, latest.Number, fmt.Sprintf(`{"n":%d}`, number)))
@@ -109,29 +109,29 @@
 	return b.resendEverywhere(t, request, r, survived)
 }
 
-// submitAndLose sends a request and loses it, or its answer, at some point.
+// submitAndLose sends a request and loses it, or its reply, at the given point.
 func (b *testCluster) submitAndLose(primary *Core, request PutConfigurationRequest, lost lossPoint) {
 	switch lost {
-	case neverArrived:
+	case beforeArrival:
 		return
-	case onOneDisk:
+	case onPrimaryDisk:
 		b.drop = isAppend
 	case onAllDisks:
 		b.drop = func(l envelope) bool { _, ack := l.body.(replication.AppendAck); return ack }
-	case onceConfirmed:
+	case afterConfirmation:
 	}
 	b.call(primary, request)
 	b.deliverAll()
 	b.drop = nil
 }
 
-func (b *testCluster) applyFate(t *testing.T, old *Core, after primaryFate) *Core {
+func (b *testCluster) failPrimary(t *testing.T, old *Core, failure primaryFailure) *Core {
 	t.Helper()
-	switch after {
-	case isCutOff:
-		b.drop = cutOff(old)
+	switch failure {
+	case primaryIsolated:
+		b.drop = isolate(old)
 		return b.awaitOtherPrimary(t, old)
-	case isKilled:
+	case primaryKilled:
 		delete(b.cores, old.self.Peer)
 		return b.awaitOtherPrimary(t, old)
 	}
@@ -139,12 +139,12 @@
 	return old
 }
 
-// resendEverywhere sends the request to every core, twice at once, and checks the replies.
+// resendEverywhere repeats the request to every core, two at the same time, and checks the replies.
 func (b *testCluster) resendEverywhere(t *testing.T, request PutConfigurationRequest, r repeatedRequest, survived bool) []string {
 	t.Helper()
 	var wrong []string
 	var acknowledgements, refusals int
-	mayRefuse := !survived && r.newer > 0 // its base was passed, and it was never taken
+	mayRefuse := !survived && r.newerVersions > 0 // its base is no longer in force, and it was never applied
 	for _, peer := range sortedKeys(b.cores) {
 		calls := []uint64{b.call(b.cores[peer], request), b.call(b.cores[peer], request)}
 		b.advance(request.Timeout + clock.Second)
@@ -156,7 +156,7 @@
 			case isRefusal(answer):
 				refusals++
 				if !mayRefuse {
-					wrong = append(wrong, fmt.Sprintf("%s refuses: %v", peer, answer.Err))
+					wrong = append(wrong, fmt.Sprintf("%s refused the request: %v", peer, answer.Err))
 				}
 			}
 		}
@@ -170,15 +170,15 @@
 	return wrong
 }
 
-// A request whose answer was lost is sent again, as it was, to every core: it is
-// acknowledged, or its outcome is unknown. It is refused only where it was never applied and
-// another version is built on its base.
-func TestOrdersThatAreSentAgain(t *testing.T) {
+// A request whose reply was lost is repeated unchanged to every core: it is acknowledged, or its
+// outcome is unknown. It is refused only if it was never applied and another version was built
+// on its base.
+func TestRepeatedRequestIsAcknowledgedOrUnknown(t *testing.T) {
 	for lost := range lossPointNames {
-		for after := range primaryFateNames {
+		for failure := range primaryFailureNames {
 			for _, newer := range []int{0, 1, 20} {
 				for _, healed := range []bool{false, true} {
-					r := repeatedRequest{lost: lost, after: after, newer: newer, healed: healed}
+					r := repeatedRequest{lost: lost, failure: failure, newerVersions: newer, healed: healed}
 					t.Run(r.String(), func(t *testing.T) {
 						for _, wrong := range r.run(t) {
 							t.Error(wrong)
@@ -190,37 +190,37 @@
 	}
 }
 
-// A snapshot without the table of requests is caught: a planted fault.
-func TestASnapshotWithoutTheOrdersIsCaught(t *testing.T) {
-	r := repeatedRequest{lost: onceConfirmed, after: isKilled, newer: 1, injectFaults: func(core *Core) { core.InjectFaults(InjectedFaults{SkipRequestTable: true}) }}
-	// The new primary fills its own replica by a snapshot; that one takes over next.
+// The checks detect an injected fault: snapshots without the table of requests.
+func TestSnapshotWithoutRequestTableIsDetected(t *testing.T) {
+	r := repeatedRequest{lost: afterConfirmation, failure: primaryKilled, newerVersions: 1, injectFaults: func(core *Core) { core.InjectFaults(InjectedFaults{SkipRequestTable: true}) }}
+	// The second primary sends its replica a snapshot; that replica becomes primary next.
 	b := bootstrappedCluster(t, smallSettings())
 	for _, core := range b.cores {
 		r.injectFaults(core)
 	}
 	b.mustAcknowledge(t, b.primary(), putRequest(5, 0, `{"n":5}`))
 	old := b.primary()
-	b.drop = cutOff(old)
+	b.drop = isolate(old)
 	second := b.awaitOtherPrimary(t, old)
 	b.drop = nil
 	b.advance(5 * clock.Second)
 	b.mustAcknowledge(t, second, putRequest(7, 5, `{"n":7}`))
-	b.drop = cutOff(second)
+	b.drop = isolate(second)
 	b.awaitOtherPrimary(t, second)
 	wrong := b.resendEverywhere(t, putRequest(5, 0, `{"n":5}`), r, true)
 	if len(wrong) == 0 {
-		t.Fatal("the planted fault was not caught")
+		t.Fatal("the injected fault was not detected")
 	}
 	t.Log(wrong[0])
 }
 
-// A primary that was deposed without knowing refuses nothing: what it takes for
-// stale may have been applied by the new one.
-func TestADeposedPrimaryRefusesNothing(t *testing.T) {
+// A primary that was deposed without noticing refuses no request: the new primary may have
+// applied a request that the old one considers stale.
+func TestDeposedPrimaryGivesNoFinalRefusal(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	old := b.primary()
 	b.mustAcknowledge(t, old, putRequest(5, 0, `{"n":5}`))
-	b.drop = cutOff(old)
+	b.drop = isolate(old)
 	primary := b.awaitOtherPrimary(t, old)
 	b.mustAcknowledge(t, primary, putRequest(8, 5, `{"n":8}`))
 	b.mustAcknowledge(t, primary, putRequest(9, 8, `{"n":9}`))
@@ -228,24 +228,24 @@
 		call := b.call(old, request)
 		b.advance(4 * clock.Second)
 		if answer := b.reply(t, call); answer.Err == nil || isRefusal(answer) {
-			t.Errorf("version %d on %d: told %v %v", request.Number, request.Base, answer.Body, answer.Err)
+			t.Errorf("version %d on %d: reply %v, error %v, want neither an acknowledgement nor a refusal", request.Number, request.Base, answer.Body, answer.Err)
 		}
 	}
 	for _, request := range []ConfigurationsRequest{{Latest: true}, {}, {Version: 9}} {
 		if answer := b.reply(t, b.call(old, request)); !errs.Is(answer.Err, errs.NotReady) {
-			t.Errorf("%+v: told %v %v", request, answer.Body, answer.Err)
+			t.Errorf("%+v: reply %v, error %v, want not ready", request, answer.Body, answer.Err)
 		}
 	}
 }
 
-// Two documents under one number, through a change of primary: the second one is
-// confirmed, and the first one never.
-func TestOneNumberIsConfirmedOnce(t *testing.T) {
+// Two documents are put under one number, before and after a change of primary: once the second
+// is confirmed, the first must never be.
+func TestVersionNumberIsConfirmedForOneDocumentOnly(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	old := b.primary()
 	first, second := putRequest(5, 0, `{"by":"first"}`), putRequest(5, 0, `{"by":"second"}`)
-	b.submitAndLose(old, first, onOneDisk)
-	b.drop = cutOff(old)
+	b.submitAndLose(old, first, onPrimaryDisk)
+	b.drop = isolate(old)
 	primary := b.awaitOtherPrimary(t, old)
 	b.mustAcknowledge(t, primary, second)
 	b.drop = nil
@@ -255,27 +255,27 @@
 			call := b.call(b.cores[peer], first)
 			b.advance(4 * clock.Second)
 			if answer := b.reply(t, call); answer.Err == nil {
-				t.Fatalf("round %d, %s: both documents are confirmed under one number", round, peer)
+				t.Fatalf("round %d, %s: both documents were confirmed under one number", round, peer)
 			}
 		}
 		again := b.primary()
-		b.drop = cutOff(again)
+		b.drop = isolate(again)
 		b.awaitOtherPrimary(t, again)
 		b.drop = nil
 		b.advance(5 * clock.Second)
 	}
 	if version, ok := b.primary().state.Version(5); !ok || string(version.Body) != `{"by":"second"}` {
-		t.Fatalf("in force is %s", version.Body)
+		t.Fatalf("the configuration in force is %s", version.Body)
 	}
 }
 
-// Eight requests are under way at once, each built on the one before, and arrive in any
-// order: all are applied.
-func TestEightOrdersAtOnce(t *testing.T) {
+// Eight requests are in flight at the same time, each based on the previous one. They are all
+// applied, in whichever order they arrive.
+func TestDependentRequestsArriveInAnyOrder(t *testing.T) {
 	for turn := 0; turn < 8; turn++ {
 		b := bootstrappedCluster(t, smallSettings())
 		core := b.primary()
-		b.drop = isAppend // what comes first is still on its way when the others come
+		b.drop = isAppend // the first request is still in flight when the others arrive
 		b.call(core, putRequest(1, 0, `{}`))
 		var calls []uint64
 		for i := 0; i < 8; i++ {
@@ -286,41 +286,41 @@
 		b.advance(2 * clock.Second)
 		for _, call := range calls {
 			if answer := b.reply(t, call); answer.Err != nil {
-				t.Errorf("turn %d: told %v", turn, answer.Err)
+				t.Errorf("order %d: error %v", turn, answer.Err)
 			}
 		}
 		if latest, _ := core.state.Latest(); latest.Number != 9 {
-			t.Errorf("turn %d: version %d is in force", turn, latest.Number)
+			t.Errorf("order %d: version %d is in force, want 9", turn, latest.Number)
 		}
 	}
 }
 
-// A request that the core numbers is recognised by its base and document.
-func TestAnOrderThatTheCoreNumbersIsRecognised(t *testing.T) {
+// A repeated request without a number is recognised by its base and document.
+func TestRepeatedRequestWithoutNumberIsRecognised(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
 	request := PutConfigurationRequest{HasBase: true, Body: []byte(`{"a":1}`), Timeout: clock.Second}
 	other := PutConfigurationRequest{HasBase: true, Base: 1, Body: []byte(`{"a":2}`), Timeout: clock.Second}
 	for i, step := range []struct {
-		ask  PutConfigurationRequest
-		want uint64
+		request PutConfigurationRequest
+		want    uint64
 	}{{request, 1}, {request, 1}, {other, 2}, {request, 1}, {other, 2}} {
-		call := b.call(core, step.ask)
+		call := b.call(core, step.request)
 		b.deliverAll()
 		if answer := b.reply(t, call); answer.Body != (PutConfigurationResponse{Version: step.want}) {
-			t.Errorf("step %d: told %v %v", i, answer.Body, answer.Err)
+			t.Errorf("step %d: reply %v, error %v, want the same version", i, answer.Body, answer.Err)
 		}
 	}
 	call := b.call(core, PutConfigurationRequest{HasBase: true, Body: []byte(`{"a":3}`), Timeout: clock.Second})
 	b.deliverAll()
 	if answer := b.reply(t, call); !errs.Is(answer.Err, errs.StaleBase) {
-		t.Errorf("another document on the same base: told %v %v", answer.Body, answer.Err)
+		t.Errorf("another document on the same base: reply %v, error %v, want a stale base", answer.Body, answer.Err)
 	}
 }
 
-// Of a request that is older than all that is recognised the outcome is unknown: it is not
-// refused, and not applied a second time.
-func TestAForgottenOrderIsLeftUnclear(t *testing.T) {
+// The outcome of a request that is older than every recognised one is unknown: it is neither
+// refused nor applied a second time.
+func TestOutcomeOfForgottenRequestIsUnknown(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
 	for n := uint64(1); n <= state.MaxRequests+3; n++ {
@@ -330,21 +330,22 @@
 		call := b.call(core, putRequest(n, n-1, fmt.Sprintf(`{"n":%d}`, n)))
 		b.deliverAll()
 		if answer := b.reply(t, call); want != (answer.Err == nil) || !want && !errs.Is(answer.Err, errs.OutcomeUnknown) {
-			t.Errorf("version %d again: told %v %v", n, answer.Body, answer.Err)
+			t.Errorf("repeated version %d: reply %v, error %v", n, answer.Body, answer.Err)
 		}
 	}
 	call := b.call(core, PutConfigurationRequest{HasBase: true, Base: 2, Body: []byte(`{"n":3}`), Timeout: clock.Second})
 	b.deliverAll()
 	if answer := b.reply(t, call); !errs.Is(answer.Err, errs.OutcomeUnknown) {
-		t.Errorf("numbered by the core: told %v %v", answer.Body, answer.Err)
+		t.Errorf("a repeat without a number: reply %v, error %v, want an unknown outcome", answer.Body, answer.Err)
 	}
 	if latest, _ := core.state.Latest(); latest.Number != state.MaxRequests+3 {
-		t.Errorf("version %d is in force", latest.Number)
+		t.Errorf("version %d is in force, want the last one", latest.Number)
 	}
 }
 
-// Old documents are dropped; a request for one says so, and the list has their digests.
-func TestAnOldDocumentGaveWay(t *testing.T) {
+// Old documents are dropped; a read of one returns a specific error, and the list has their
+// digests.
+func TestOldDocumentIsDroppedAndItsDigestKept(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
 	for n := uint64(1); n <= 20; n++ {
@@ -352,21 +353,20 @@
 	}
 	answer := b.reply(t, b.call(core, ConfigurationsRequest{Version: 1}))
 	if !errs.Is(answer.Err, errs.NotFound) || errs.Of(answer.Err).Remedy == "" {
-		t.Errorf("an old version: told %v %v", answer.Body, answer.Err)
+		t.Errorf("an old version: reply %v, error %v, want not found", answer.Body, answer.Err)
 	}
 	if answer = b.reply(t, b.call(core, ConfigurationsRequest{Version: 19})); answer.Err != nil || string(answer.Body.(ConfigurationsResponse).Versions[0].Body) != `{"n":19}` {
-		t.Errorf("the one before the newest: told %v %v", answer.Body, answer.Err)
+		t.Errorf("the version before the newest: reply %v, error %v", answer.Body, answer.Err)
 	}
 	list := b.reply(t, b.call(core, ConfigurationsRequest{})).Body.(ConfigurationsResponse)
 	digest, _ := state.DigestOf([]byte(`{ "n" : 1 }`))
 	if len(list.Requests) != 20 || list.Requests[0] != (state.AppliedRequest{Number: 1, Digest: digest}) || len(list.Versions) == 0 || list.Versions[0].Body != nil {
-		t.Errorf("the list is %+v", list)
+		t.Errorf("list %+v", list)
 	}
 }
 
-// A snapshot that is damaged, or of another form, ends the core: what it holds on
-// disk stays as it is, and nothing is acknowledged.
-func TestADamagedSnapshotEndsTheCore(t *testing.T) {
+// A damaged snapshot halts the core: its state stays unchanged, and nothing is acknowledged.
+func TestDamagedSnapshotHaltsTheCore(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
 	b.mustAcknowledge(t, core, putRequest(1, 0, `{}`))
@@ -374,41 +374,42 @@
 	parts[0][len(parts[0])-2] ^= 1
 	core.Restore("", parts)
 	if !errs.Is(core.BadRecord, errs.Corrupt) || errs.Of(core.BadRecord).Remedy == "" {
-		t.Fatalf("told %v", core.BadRecord)
+		t.Fatalf("error %v, want corrupt with a remedy", core.BadRecord)
 	}
 	if latest, _ := core.state.Latest(); latest.Number != 1 {
-		t.Error("what was held is lost")
+		t.Error("the previous state was lost")
 	}
 	effects := core.Drain()
 	if halt, ok := effects[len(effects)-1].(machine.Halt); !ok || !errs.Is(halt.Err, errs.Corrupt) {
-		t.Errorf("the core goes on: %v", effects)
+		t.Errorf("the core does not halt: %v", effects)
 	}
 }
 
-// A request that overtook the one it is built on is not refused: that decision would not be
-// final, as it is valid once its base is in force (found on real processes).
-func TestARequestThatOvertookItsBaseIsNotRefused(t *testing.T) {
+// A request that arrives before the one it is based on is not refused: a refusal would not be
+// final, as the request is valid once its base is in force. The fault was found on real
+// processes.
+func TestRequestThatPrecedesItsBaseIsNotRefused(t *testing.T) {
 	b := bootstrappedCluster(t, smallSettings())
 	core := b.primary()
 	b.mustAcknowledge(t, core, putRequest(1, 0, `{"n":1}`))
-	arrivedEarly := b.call(core, putRequest(3, 2, `{"n":3}`))
+	early := b.call(core, putRequest(3, 2, `{"n":3}`))
 	b.advance(clock.Second)
-	if answer, notified := b.replies[arrivedEarly]; notified {
-		t.Fatalf("told %v %v before its base came", answer.Body, answer.Err)
+	if answer, isAnswered := b.replies[early]; isAnswered {
+		t.Fatalf("reply %v, error %v before the base arrived", answer.Body, answer.Err)
 	}
 	b.mustAcknowledge(t, core, putRequest(2, 1, `{"n":2}`))
 	b.advance(clock.Second)
-	if answer := b.reply(t, arrivedEarly); answer.Err != nil {
-		t.Fatalf("its base is in force, and it is told %v", answer.Err)
+	if answer := b.reply(t, early); answer.Err != nil {
+		t.Fatalf("its base is in force, and it got error %v", answer.Err)
 	}
 	lost := b.call(core, putRequest(9, 8, `{"n":9}`))
 	b.advance(5 * clock.Second)
 	if answer := b.reply(t, lost); !errs.Is(answer.Err, errs.NotReady) {
-		t.Fatalf("its base never came, and it is told %v %v", answer.Body, answer.Err)
+		t.Fatalf("its base never arrived: reply %v, error %v, want not ready", answer.Body, answer.Err)
 	}
-	senseless := b.call(core, putRequest(9, 9, `{"n":9}`))
+	ownBase := b.call(core, putRequest(9, 9, `{"n":9}`))
 	b.advance(clock.Second)
-	if answer := b.reply(t, senseless); !isRefusal(answer) {
-		t.Fatalf("a request under its own base's number is told %v %v", answer.Body, answer.Err)
+	if answer := b.reply(t, ownBase); !isRefusal(answer) {
+		t.Fatalf("a request with the number of its own base: reply %v, error %v, want a refusal", answer.Body, answer.Err)
 	}
 }
--- a/internal/dataplane/scheduler/batch_allotment.go
+++ b/internal/dataplane/scheduler/batch_allotment.go
@@ -23,7 +23,7 @@
 	ItemTokens int
 	// Connections counts the daemons that share the servers' connections. A daemon runs no more items
 	// on a server than it may have connections there. The zero value means no limit.
-	Connections connections.Shares
+	Connections connections.DaemonCounts
 }
 
 // selectSlots returns the slots that belong to the allotment.
@@ -44,7 +44,7 @@
 	otherItems map[string]int // known running items of other daemons, by server
 	itemTokens int            // average per item; 0: unknown
 	// connections counts the daemons that share the servers' connections.
-	connections connections.Shares
+	connections connections.DaemonCounts
 	// itemDuration is the moving average of a batch item's duration.
 	itemDuration clock.Micros
 }
@@ -67,10 +67,10 @@
 // connectionLimit returns how many connections a store may have to a server, which must be known.
 func (sc *Scheduler) connectionLimit(server endpoints.Server) int {
 	total := sc.servers[server.Name].maxConnections
-	if total == 0 || sc.batch.connections == (connections.Shares{}) || sc.IsDisabled(mechanism.BatchConnections) {
+	if total == 0 || sc.batch.connections == (connections.DaemonCounts{}) || sc.IsDisabled(mechanism.BatchConnections) {
 		return math.MaxInt
 	}
-	return sc.batch.connections.Of(membership.Store, total, server.Slots)
+	return sc.batch.connections.LimitFor(membership.Store, total, server.Slots)
 }
 
 func (sc *Scheduler) ownSlots(allotment BatchAllotment) []string {
