--- a/internal/dataplane/execution/retention.go
+++ b/internal/dataplane/execution/retention.go
@@ -7,11 +7,11 @@
 	"tuliprudder/internal/config"
 )
 
-// retentionCheckInterval is the time between two searches for items that exceed their route's
-// retention.
+// retentionCheckInterval is the time between two searches for items that can no longer run, such
+// as those that exceed their route's retention.
 const retentionCheckInterval = clock.Second
 
-// failureReason is why an item can't run any more, as the output of its result; "" if it can.
+// failureReason returns why an item can no longer run, as the output of its result; "" if it can.
 func (j *job) failureReason(route *config.Route, now clock.Micros) string {
 	switch {
 	case !j.isAcceptedBy(route):
@@ -24,7 +24,7 @@
 	return ""
 }
 
-// exceedsRetention tells whether an opaque item has waited for longer than its route keeps it.
+// exceedsRetention reports whether an opaque item is older than its route's retention.
 func (j *job) exceedsRetention(route *config.Route, now clock.Micros) bool {
 	if !j.isOpaque() || route.Forward.ItemRetention <= 0 {
 		return false
@@ -32,8 +32,8 @@
 	return now > j.item.SubmittedAt+route.Forward.ItemRetention
 }
 
-// Tick submits deferred items that may start now, and fails opaque items that exceed their route's
-// retention or have no route any more. Items on a server are left to it.
+// Tick submits deferred items that may start now, and fails waiting opaque items that can no longer
+// run, for example because they exceed their route's retention. Items on a server are not affected.
 func (r *Runner) Tick(now clock.Micros) {
 	configuration := r.scheduler.Configuration()
 	if configuration == nil {
@@ -44,25 +44,25 @@
 		return
 	}
 	r.nextRetentionCheck = now + retentionCheckInterval
-	for _, one := range r.expiredItems(configuration, now) {
-		if r.takeDeferred(one.job.name) == nil {
-			r.scheduler.Cancel(one.job.schedulerRequest)
+	for _, item := range r.unrunnableItems(configuration, now) {
+		if r.takeDeferred(item.job.name) == nil {
+			r.scheduler.Cancel(item.job.schedulerRequest)
 		}
-		r.failItem(one.job, one.reason, "", now)
+		r.failItem(item.job, item.reason, "", now)
 	}
 }
 
-// expiredItem is an item that can't run any more.
-type expiredItem struct {
+// unrunnableItem is an item that can no longer run.
+type unrunnableItem struct {
 	job    *job
 	reason string
 }
 
-// expiredItems lists the opaque items that wait and can't run any more, in the order of their names.
-func (r *Runner) expiredItems(configuration *config.Configuration, now clock.Micros) []expiredItem {
+// unrunnableItems returns the waiting opaque items that can no longer run, in the order of their names.
+func (r *Runner) unrunnableItems(configuration *config.Configuration, now clock.Micros) []unrunnableItem {
 	waiting := maps.Clone(r.jobs)
 	maps.Copy(waiting, r.deferred)
-	var expired []expiredItem
+	var unrunnable []unrunnableItem
 	for _, name := range sortedNames(waiting) {
 		j := waiting[name]
 		if j.assignment != nil || !j.isOpaque() || configuration.Version < j.item.ConfigurationVersion {
@@ -70,8 +70,8 @@
 		}
 		route, _ := configuration.Route(j.item.Route)
 		if reason := j.failureReason(route, now); reason != "" {
-			expired = append(expired, expiredItem{job: j, reason: reason})
+			unrunnable = append(unrunnable, unrunnableItem{job: j, reason: reason})
 		}
 	}
-	return expired
+	return unrunnable
 }
--- a/internal/dataplane/retryafter/retryafter_test.go
+++ b/internal/dataplane/retryafter/retryafter_test.go
@@ -6,7 +6,7 @@
 	"tuliprudder/internal/clock"
 )
 
-func TestEstimateFollowsTheRateOfDepartures(t *testing.T) {
+func TestEstimateFollowsDepartureRate(t *testing.T) {
 	for name, c := range map[string]struct {
 		interval   clock.Micros
 		departures int
@@ -31,18 +31,18 @@
 				now += c.interval
 			}
 			if got := e.Estimate(c.count, now); got != c.want {
-				t.Errorf("come back after %d us, not %d", got, c.want)
+				t.Errorf("estimate is %d us, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-func TestOldDeparturesAreForgotten(t *testing.T) {
+func TestOldDeparturesAreDropped(t *testing.T) {
 	e := Estimator{MaxSamples: 3}
 	for _, at := range []clock.Micros{1, 2, 10 * clock.Second, 11 * clock.Second, 12 * clock.Second} {
 		e.Record(at)
 	}
 	if got := e.Estimate(1, 13*clock.Second); got != clock.Second {
-		t.Errorf("come back after %d us, not 1 s", got)
+		t.Errorf("estimate is %d us, want 1 s", got)
 	}
 }
