--- a/internal/dataplane/reader/fetch.go
+++ b/internal/dataplane/reader/fetch.go
@@ -11,10 +11,11 @@
 	"tuliprudder/internal/machine"
 )
 
-// tokenScope is what a token is valid for: the results of one batch, or a tenant's feed.
+// tokenScope returns the scope for which a token is valid: the results of one batch, or a
+// tenant's feed.
 func tokenScope(fleet, subject string) string { return fleet + "/" + subject }
 
-// fetchPage fetches one page from the stores. The timeout is for each store's answer.
+// fetchPage fetches one page from the stores. The timeout applies to each store's response.
 func (r *Reader) fetchPage(request Request, timeout, now clock.Micros, callback func(Page, error, clock.Micros)) {
 	if request.BatchID != "" {
 		r.fetchBatch(request, timeout, now, callback)
@@ -23,12 +24,12 @@
 	r.fetchFeed(request, timeout, now, callback)
 }
 
-// fetchBatch reads one batch's results, after a token or from an index on. Where there are none as
-// far as this daemon knows the writer's position, and the store tells a later one, it reads once
-// more.
+// fetchBatch reads one batch's results, after a token or from an index on. If there are none up to
+// the writer's position known to this daemon, and the store's response contains a higher position, it
+// reads a second time.
 func (r *Reader) fetchBatch(request Request, timeout, now clock.Micros, callback func(Page, error, clock.Micros)) {
-	r.fetchBatchOnce(request, timeout, now, func(page Page, isPositionNew bool, err error, now clock.Micros) {
-		if err != nil || page.isReady() || !isPositionNew {
+	r.fetchBatchOnce(request, timeout, now, func(page Page, positionAdvanced bool, err error, now clock.Micros) {
+		if err != nil || page.isReady() || !positionAdvanced {
 			callback(page, err, now)
 			return
 		}
@@ -36,9 +37,9 @@
 	})
 }
 
-// fetchBatchOnce asks the batch's store once, and tells whether that told a later position than was
-// known.
-func (r *Reader) fetchBatchOnce(request Request, timeout, now clock.Micros, callback func(page Page, isPositionNew bool, err error, now clock.Micros)) {
+// fetchBatchOnce sends one request to the batch's store. The callback also receives whether the
+// response contained a higher position of the writer than the known one.
+func (r *Reader) fetchBatchOnce(request Request, timeout, now clock.Micros, callback func(page Page, positionAdvanced bool, err error, now clock.Micros)) {
 	shardIndex, owner, err := r.Locate(request.BatchID)
 	if err != nil {
 		callback(Page{}, false, err, now)
@@ -53,7 +54,7 @@
 	after := from.Vector()
 	read := r.batchReadRequest(request, shardIndex, owner, after)
 	r.calls.Request(owner.Peer, read, timeout, func(body any, err error, now clock.Micros) {
-		response, err := readResponse(body, err)
+		response, err := toReadResponse(body, err)
 		if err != nil {
 			callback(Page{}, false, err, now)
 			return
@@ -71,7 +72,7 @@
 	return batchstore.ReadRequest{
 		Shards:   map[int]uint64{shardIndex: owner.Epoch},
 		Batch:    request.BatchID,
-		By:       request.By,
+		By:       request.Access,
 		After:    after,
 		Bound:    map[int]token.Vector{shardIndex: r.positions.ReadableInShard(shardIndex)},
 		Limit:    request.Limit,
@@ -91,18 +92,18 @@
 	}
 }
 
-// readResponse is a store's response, or what went wrong. Reading changes nothing, so a
-// read with an unknown outcome may be retried like any other.
-func readResponse(body any, err error) (batchstore.ReadResponse, error) {
+// toReadResponse returns the response of a store's reply, or an error. Reading changes nothing,
+// so a read with an unknown outcome may be retried and its error becomes errs.NotReady.
+func toReadResponse(body any, err error) (batchstore.ReadResponse, error) {
 	if errs.Is(err, errs.OutcomeUnknown) {
-		return batchstore.ReadResponse{}, errs.NewWithRetry(errs.NotReady, clock.Second, "retry with the same token", "the store gave no answer: %v", err)
+		return batchstore.ReadResponse{}, errs.NewWithRetry(errs.NotReady, clock.Second, "retry with the same token", "no response from the store: %v", err)
 	}
 	if err != nil {
 		return batchstore.ReadResponse{}, err
 	}
 	response, ok := body.(batchstore.ReadResponse)
 	if !ok {
-		return response, errs.New(errs.ServerFault, "run the same release on all daemons", "the store answered %T", body)
+		return response, errs.New(errs.ServerFault, "run the same release on all daemons", "store sent a response of unexpected type %T", body)
 	}
 	return response, nil
 }
@@ -110,18 +111,18 @@
 // feedRead collects the stores' responses for one page of a feed.
 type feedRead struct {
 	page        Page
-	err         error // of a store
-	outstanding int   // responses still to come
+	err         error // the last error of a store
+	outstanding int   // responses not received yet
 }
 
-// fetchFeed reads all of a tenant's batches after a token. Each store is asked for the
-// shards that it serves.
+// fetchFeed reads the results of all of a tenant's batches after a token. It requests from each
+// store the shards that the store owns.
 func (r *Reader) fetchFeed(request Request, timeout, now clock.Micros, callback func(Page, error, clock.Micros)) {
 	if r.shardMap.Fleet == "" {
-		callback(Page{}, errNoMap(), now)
+		callback(Page{}, noClusterMapError(), now)
 		return
 	}
-	scope := tokenScope(r.shardMap.Fleet, feedPrefix+request.By.Tenant)
+	scope := tokenScope(r.shardMap.Fleet, feedPrefix+request.Access.Tenant)
 	from, err := token.Parse(scope, request.Token)
 	if err != nil {
 		callback(Page{}, err, now)
@@ -129,7 +130,7 @@
 	}
 	upTo, complete := r.positions.ReadableUpTo()
 	if !complete {
-		callback(Page{}, errs.NewWithRetry(errs.NotReady, clock.Second, "retry with the same token", "a shard moves to another store; the feed goes on when it has"), now)
+		callback(Page{}, errs.NewWithRetry(errs.NotReady, clock.Second, "retry with the same token", "a shard is moving to another store; the feed continues after the move"), now)
 		return
 	}
 	after := from.Vector()
@@ -148,10 +149,11 @@
 	}
 }
 
-// collect takes one store's response; done is called with the last.
+// collect returns a callback that adds one store's response to the page. The callback for the
+// last response calls done.
 func (f *feedRead) collect(done func(now clock.Micros)) machine.Callback {
 	return func(body any, err error, now clock.Micros) {
-		response, err := readResponse(body, err)
+		response, err := toReadResponse(body, err)
 		if err != nil {
 			f.err = err
 		}
@@ -164,7 +166,7 @@
 	}
 }
 
-// feedRequests are the requests for one page of a feed, by the stores' addresses.
+// feedRequests returns the requests for one page of a feed, by the stores' addresses.
 func (r *Reader) feedRequests(request Request, after, upTo token.Vector) map[string]batchstore.ReadRequest {
 	requests := map[string]batchstore.ReadRequest{}
 	for shardIndex := range r.shardMap.Shards {
@@ -176,7 +178,7 @@
 		if !known {
 			read = batchstore.ReadRequest{
 				Shards: map[int]uint64{},
-				By:     request.By,
+				By:     request.Access,
 				After:  after,
 				Bound:  map[int]token.Vector{},
 				Limit:  request.Limit,
