--- a/internal/daemon/eventloop/calls.go
+++ b/internal/daemon/eventloop/calls.go
@@ -22,7 +22,7 @@
 
 // errRingFull is returned for a call that was rejected because a ring is full.
 func errRingFull() error {
-	return errs.NewWithRetry(errs.Busy, clock.Second, "retry after the given time", "the daemon's work queue is full")
+	return errs.NewWithRetry(errs.Busy, clock.Second, "retry after the time given", "the daemon's work queue is full")
 }
 
 // Deliver enqueues a one-way message that the transport received (transport.Receiver). If the
--- a/internal/daemon/eventloop/disk_health.go
+++ b/internal/daemon/eventloop/disk_health.go
@@ -120,7 +120,7 @@
 	case DiskStalled:
 		return fmt.Sprintf("the disk is stalled: a write has not returned for over %.1f s", float64(stalledWriteThreshold)/float64(clock.Second))
 	case DiskFull:
-		return "the disk is full: pending writes go on once space is freed"
+		return "the disk is full: free space, then the pending writes continue"
 	case DiskFailing:
 		return fmt.Sprintf("disk writes fail: %v", h.lastErr)
 	}
