--- a/internal/daemon/eventloop/thread_test.go
+++ b/internal/daemon/eventloop/thread_test.go
@@ -10,7 +10,7 @@
 
 func noEffects(clock.Micros) []machine.Effect { return nil }
 
-// runAll runs what is on a thread's ring, and gives the bodies that were sent, in order.
+// runAll runs the steps on a thread's ring and returns the bodies that were sent, in order.
 func runAll(t *thread) (sent []any) {
 	t.steps.Close()
 	t.run(func() clock.Micros { return 1 }, func(effects []machine.Effect) {
@@ -25,7 +25,7 @@
 	return func(clock.Micros) []machine.Effect { return []machine.Effect{machine.Send{Body: body}} }
 }
 
-func TestStepsRunInOrderAfterWhatGoesBefore(t *testing.T) {
+func TestStepsRunInOrderEachAfterBeforeStep(t *testing.T) {
 	thread := newThread()
 	thread.beforeStep = sendStep("before")
 	thread.enqueue(sendStep("first"))
@@ -40,14 +40,14 @@
 	thread.enqueueTick(sendStep("tick"))
 	thread.enqueueTick(sendStep("tick"))
 	if thread.steps.Len() != 1 {
-		t.Fatalf("%d ticks wait", thread.steps.Len())
+		t.Fatalf("%d ticks are on the ring", thread.steps.Len())
 	}
 	if got := runAll(thread); len(got) != 1 || thread.tickPending.Load() {
 		t.Errorf("executed %v, still pending: %v", got, thread.tickPending.Load())
 	}
 }
 
-func TestATickThatFindsNoRoomIsNotPending(t *testing.T) {
+func TestADroppedTickIsNotPending(t *testing.T) {
 	thread := newThread()
 	thread.steps.Close()
 	thread.enqueueTick(noEffects)
