--- a/internal/daemon/admin/endpoint_validation.go
+++ b/internal/daemon/admin/endpoint_validation.go
@@ -29,11 +29,11 @@
 }
 
 // serverFaults names the faults of one server of the list, whose name may stand there before.
-func serverFaults(path string, server endpoints.Server, nameTaken bool) (faults []string) {
+func serverFaults(path string, server endpoints.Server, isDuplicateName bool) (faults []string) {
 	if server.Name == "" || strings.ContainsAny(server.Name, "/ ") {
 		faults = append(faults, path+".name: must be a text without spaces and slashes")
 	}
-	if nameTaken {
+	if isDuplicateName {
 		faults = append(faults, path+".name: is there twice; give each server its own")
 	}
 	if _, err := netip.ParseAddrPort(server.Address); err != nil {
--- a/internal/daemon/admin/endpoint_validation_test.go
+++ b/internal/daemon/admin/endpoint_validation_test.go
@@ -9,7 +9,7 @@
 )
 
 // An endpoint list is rejected with all its faults at once.
-func TestEveryFaultOfAnEndpointListIsNamed(t *testing.T) {
+func TestEndpointListValidationReportsEveryFault(t *testing.T) {
 	_, err := validateServers([]endpoints.Server{
 		{Name: "a", Address: "127.0.0.1:9", Slots: 1},
 		{Name: "a", Address: "somewhere", Slots: maxSlots + 1},
--- a/internal/daemon/admin/endpoints_test.go
+++ b/internal/daemon/admin/endpoints_test.go
@@ -10,7 +10,7 @@
 
 // The response to a new endpoint list needs contact with other daemons; its form is checked
 // by itself.
-func TestResponseToANewEndpointList(t *testing.T) {
+func TestPutEndpointsResponseJSON(t *testing.T) {
 	data, err := json.Marshal(putEndpointsResponse{Servers: 2})
 	if err != nil || string(data) != `{"servers":2}` {
 		t.Errorf("%s %v", data, err)
@@ -18,7 +18,7 @@
 }
 
 // Without contact with a majority of the voters a daemon changes no endpoints.
-func TestEndpointsAreNotChangedWithoutContact(t *testing.T) {
+func TestEndpointChangeWithoutQuorumContactIsRejected(t *testing.T) {
 	primary := newFakePrimary()
 	a := newAdmin(t, primary, nil)
 	server := endpoints.Server{Name: "server-1", Address: "127.0.0.1:9", Slots: 2}
--- a/internal/daemon/admin/explain.go
+++ b/internal/daemon/admin/explain.go
@@ -61,7 +61,7 @@
 		return err
 	}
 	request := batchstore.BatchStatusRequest{Shard: shard, Batch: id, Operator: true}
-	status, err := expect[batchstore.BatchStatus](a.Loop.Transport.Call(owner.Peer, request, statusTimeout))
+	status, err := responseAs[batchstore.BatchStatus](a.Loop.Transport.Call(owner.Peer, request, statusTimeout))
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/admin/harness_test.go
+++ b/internal/daemon/admin/harness_test.go
@@ -27,14 +27,14 @@
 // fakePrimary is the machine of a primary core that answers every request with one
 // response, and writes a record when it is notified of one.
 type fakePrimary struct {
-	response   any
-	err        error
-	known      chan string            // keys of updates that have arrived
-	diskStates chan machine.DiskState // states of the disk that were reported
+	response     any
+	err          error
+	receivedKeys chan string            // keys of updates that have arrived
+	diskStates   chan machine.DiskState // states of the disk that were reported
 }
 
 func newFakePrimary() *fakePrimary {
-	return &fakePrimary{known: make(chan string, 64), diskStates: make(chan machine.DiskState, 64)}
+	return &fakePrimary{receivedKeys: make(chan string, 64), diskStates: make(chan machine.DiskState, 64)}
 }
 
 func (p *fakePrimary) Call(number uint64, body any, _ clock.Micros) []machine.Effect {
@@ -45,7 +45,7 @@
 }
 
 func (p *fakePrimary) UpdateReceived(update machine.Update, _ clock.Micros) []machine.Effect {
-	p.known <- update.Key
+	p.receivedKeys <- update.Key
 	return nil
 }
 
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	loop.Publish(machine.Update{Key: key, Epoch: 1, Seq: 1, Value: data})
-	for got := range p.known {
+	for got := range p.receivedKeys {
 		if got == key {
 			return
 		}
--- a/internal/daemon/admin/primary.go
+++ b/internal/daemon/admin/primary.go
@@ -21,12 +21,12 @@
 
 // callPrimary calls the primary core and expects a response of the type T.
 func callPrimary[T any](a *Admin, request any, timeout clock.Micros) (T, error) {
-	return expect[T](a.CallPrimary(request, timeout))
+	return responseAs[T](a.CallPrimary(request, timeout))
 }
 
-// expect gives the response of a call as the type T. One of another type comes from a
+// responseAs gives the response of a call as the type T. One of another type comes from a
 // daemon of another release: errs.ServerFault.
-func expect[T any](response any, err error) (T, error) {
+func responseAs[T any](response any, err error) (T, error) {
 	typed, ok := response.(T)
 	if err == nil && !ok {
 		err = errs.New(errs.ServerFault, "run the same release on all daemons", "the other daemon responded with the type %T", response)
--- a/internal/daemon/admin/responses_test.go
+++ b/internal/daemon/admin/responses_test.go
@@ -21,8 +21,8 @@
 	"tuliprudder/test/goldenjson"
 )
 
-// changing is what differs from run to run in the responses.
-var changing = regexp.MustCompile(`("now_us"|"disk"):("[^"]*"|\d+)`)
+// volatileFields is what differs from run to run in the responses.
+var volatileFields = regexp.MustCompile(`("now_us"|"disk"):("[^"]*"|\d+)`)
 
 func checkGolden(t *testing.T, name string, a *Admin, c call) {
 	t.Helper()
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatalf("%s: %v %q", c.route, err, errs.Of(err).Faults)
 	}
-	got := changing.ReplaceAll(bytes.TrimSuffix(recorder.Body.Bytes(), []byte("\n")), []byte("$1:0"))
+	got := volatileFields.ReplaceAll(bytes.TrimSuffix(recorder.Body.Bytes(), []byte("\n")), []byte("$1:0"))
 	if err := goldenjson.CheckBytes(filepath.Join("testdata", "golden", name+".json"), got); err != nil {
 		t.Error(err)
 	}
@@ -113,7 +113,7 @@
 }
 
 // A daemon whose disk fails writes says so, and why.
-func TestHealthOfAFailingDisk(t *testing.T) {
+func TestHealthReportsFailingDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "records")
 	folder, _, err := storage.Open(path)
 	if err != nil {
@@ -132,7 +132,7 @@
 }
 
 // A core of another release that answers with another type is an error, not a response.
-func TestAnUnexpectedResponseIsAnError(t *testing.T) {
+func TestUnexpectedResponseTypeIsAnError(t *testing.T) {
 	primary := newFakePrimary()
 	a := newAdmin(t, primary, nil)
 	primary.publish(t, a.Loop, state.CoreKey, state.CoreUpdate{Fleet: "f", Epoch: 1, Primary: testDaemonID, Peer: testPeer})
--- a/internal/daemon/admin/stores.go
+++ b/internal/daemon/admin/stores.go
@@ -46,9 +46,9 @@
 
 func (a *Admin) storeStatus(store membership.Member) (batchstore.StatusResponse, error) {
 	if store.ID == a.Loop.Identity.ID {
-		return expect[batchstore.StatusResponse](a.Loop.CallLocal(batchstore.StatusRequest{}))
+		return responseAs[batchstore.StatusResponse](a.Loop.CallLocal(batchstore.StatusRequest{}))
 	}
-	return expect[batchstore.StatusResponse](a.Loop.Transport.Call(store.Peer, batchstore.StatusRequest{}, statusTimeout))
+	return responseAs[batchstore.StatusResponse](a.Loop.Transport.Call(store.Peer, batchstore.StatusRequest{}, statusTimeout))
 }
 
 // retireStore has the primary move a store's shards to others and retire it, or cancels
--- a/internal/daemon/discovery/discovery.go
+++ b/internal/daemon/discovery/discovery.go
@@ -58,16 +58,16 @@
 	Read func(ctx context.Context) ([]endpoints.Server, error)
 
 	// The fields below belong to the goroutine that Start starts.
-	lastReadSeq     uint64       // sequence of the latest LastRead that was received
-	lastReadHeardAt clock.Micros // when it was received
-	nextReadAt      clock.Micros
-	missedReads     map[string]int // readings in a row without a server, by name
+	lastReadSeq        uint64       // sequence of the latest LastRead that was received
+	lastReadReceivedAt clock.Micros // when it was received
+	nextReadAt         clock.Micros
+	missedReads        map[string]int // readings in a row without a server, by name
 }
 
 // Start starts the goroutine that polls; the clean-up that it pushes ends it.
 func (p *Poller) Start(_ *services.Registry, cleanups *cleanup.Stack) error {
 	p.missedReads = map[string]int{}
-	p.lastReadHeardAt = p.Loop.Now()
+	p.lastReadReceivedAt = p.Loop.Now()
 	cleanup.Every(cleanups, checkInterval, p.poll)
 	return nil
 }
@@ -79,7 +79,7 @@
 	if now < p.nextReadAt {
 		return
 	}
-	if !IsDue(p.Loop.Identity.ID, lastReader, p.Loop.Members(), now-p.lastReadHeardAt, p.Settings) {
+	if !IsDue(p.Loop.Identity.ID, lastReader, p.Loop.Members(), now-p.lastReadReceivedAt, p.Settings) {
 		return
 	}
 	p.nextReadAt = now + p.Settings.Interval
@@ -101,7 +101,7 @@
 		return ""
 	}
 	if update.Seq > p.lastReadSeq {
-		p.lastReadSeq, p.lastReadHeardAt = update.Seq, now
+		p.lastReadSeq, p.lastReadReceivedAt = update.Seq, now
 	}
 	var lastRead LastRead
 	if json.Unmarshal(update.Value, &lastRead) != nil {
@@ -119,7 +119,7 @@
 	now := p.Loop.Now()
 	value, _ := json.Marshal(LastRead{By: p.Loop.Identity.ID, At: now})
 	p.lastReadSeq = max(p.lastReadSeq+1, uint64(now))
-	p.lastReadHeardAt = now
+	p.lastReadReceivedAt = now
 	p.Loop.Publish(machine.Update{Key: LastReadKey, Seq: p.lastReadSeq, Value: value})
 }
 
@@ -144,7 +144,7 @@
 // A server's state moves in one direction: a name stands for one incarnation of a server.
 // The numbers are the epochs of the updates; they never change.
 const (
-	stateUp uint64 = iota
+	stateActive uint64 = iota
 	stateDraining
 	stateRemoved
 )
@@ -155,7 +155,7 @@
 // instead, so that they can take a state back (endpoints.ServerUpdate).
 func ServerUpdate(server endpoints.Server, now clock.Micros) machine.Update {
 	value, _ := json.Marshal(server)
-	state := stateUp
+	state := stateActive
 	switch {
 	case server.Removed:
 		state = stateRemoved
--- a/internal/daemon/discovery/discovery_test.go
+++ b/internal/daemon/discovery/discovery_test.go
@@ -8,7 +8,7 @@
 	"tuliprudder/internal/membership"
 )
 
-func names(servers []endpoints.Server) (out string) {
+func formatServers(servers []endpoints.Server) (out string) {
 	for _, s := range servers {
 		out += s.Name
 		if s.Draining {
@@ -27,25 +27,25 @@
 func TestDiff(t *testing.T) {
 	missedReads := map[string]int{}
 	a, b := endpoints.Server{Name: "a", Address: "1"}, endpoints.Server{Name: "b", Address: "2"}
-	if got := names(Diff(nil, []endpoints.Server{a, b}, missedReads)); got != "a b " {
+	if got := formatServers(Diff(nil, []endpoints.Server{a, b}, missedReads)); got != "a b " {
 		t.Fatalf("new ones: %q", got)
 	}
 	draining := a
 	draining.Draining = true
-	if got := names(Diff([]endpoints.Server{a, b}, []endpoints.Server{draining}, missedReads)); got != "a- " {
+	if got := formatServers(Diff([]endpoints.Server{a, b}, []endpoints.Server{draining}, missedReads)); got != "a- " {
 		t.Fatalf("one drains, one is missing once: %q", got)
 	}
-	if got := names(Diff([]endpoints.Server{draining, b}, []endpoints.Server{a, b}, missedReads)); got != "" {
+	if got := formatServers(Diff([]endpoints.Server{draining, b}, []endpoints.Server{a, b}, missedReads)); got != "" {
 		t.Fatalf("an older list takes nothing back: %q", got)
 	}
 	Diff([]endpoints.Server{draining, b}, []endpoints.Server{draining}, missedReads)
-	if got := names(Diff([]endpoints.Server{draining, b}, []endpoints.Server{draining}, missedReads)); got != "b! " {
+	if got := formatServers(Diff([]endpoints.Server{draining, b}, []endpoints.Server{draining}, missedReads)); got != "b! " {
 		t.Fatalf("missing twice in a row: %q", got)
 	}
 }
 
 // The states of one incarnation of a server go one way, whatever the time of the reading.
-func TestStateNeverGoesBack(t *testing.T) {
+func TestServerStateIsMonotonic(t *testing.T) {
 	up, removed := endpoints.Server{Name: "a"}, endpoints.Server{Name: "a", Removed: true}
 	draining := endpoints.Server{Name: "a", Draining: true}
 	if ServerUpdate(up, 900).Newer(ServerUpdate(draining, 100)) || ServerUpdate(draining, 900).Newer(ServerUpdate(removed, 100)) {
--- a/internal/daemon/host/drain_test.go
+++ b/internal/daemon/host/drain_test.go
@@ -23,7 +23,7 @@
 }
 
 // Who interrupts a daemon that drains doesn't want to wait.
-func TestAnInterruptEndsTheDraining(_ *testing.T) {
+func TestInterruptEndsDraining(_ *testing.T) {
 	interrupts := make(chan os.Signal)
 	finish, drained := startDraining(interrupts)
 	defer finish()
@@ -32,7 +32,7 @@
 }
 
 // A daemon has drained once each of its functions has ended.
-func TestDrainingEndsWithItsFunctions(t *testing.T) {
+func TestDrainingEndsWhenAllDrainFunctionsReturn(t *testing.T) {
 	finish, drained := startDraining(make(chan os.Signal))
 	select {
 	case <-drained:
--- a/internal/daemon/host/host.go
+++ b/internal/daemon/host/host.go
@@ -60,9 +60,9 @@
 
 const (
 	defaultDrainTimeout = 8 * clock.Second
-	// announcementDelay is how long a daemon that stops waits for its last announcement to
+	// leaveAnnouncementDelay is how long a daemon that stops waits for its last announcement to
 	// be sent.
-	announcementDelay = 100 * time.Millisecond
+	leaveAnnouncementDelay = 100 * time.Millisecond
 )
 
 // New makes a daemon: its log, identity, event loop and HTTP server. program is its name in
@@ -170,7 +170,7 @@
 	d.Loop.AnnounceDraining()
 	d.drain(interrupts())
 	d.Loop.AnnounceLeft()
-	time.Sleep(announcementDelay)
+	time.Sleep(leaveAnnouncementDelay)
 	d.Services.Stop()
 	logging.Write(d.Log, DaemonStopped{})
 	return nil
--- a/internal/daemon/host/saved_peers.go
+++ b/internal/daemon/host/saved_peers.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	maxSavedPeers    = 64
-	savePeersEvery   = 5 * time.Second
-	retrySavingPeers = "none: it is retried; see the disk's condition"
+	maxSavedPeers         = 64
+	savePeersInterval     = 5 * time.Second
+	peersNotWrittenRemedy = "none: it is retried; see the disk's condition"
 )
 
 // loadPeers reads the addresses of other daemons that an earlier run saved: the seeds may be
@@ -47,7 +47,7 @@
 	}
 	var saved []byte
 	failed := false
-	cleanup.Every(cleanups, savePeersEvery, func() {
+	cleanup.Every(cleanups, savePeersInterval, func() {
 		peers := s.livePeers()
 		data, _ := json.Marshal(peers)
 		if len(peers) == 0 || bytes.Equal(data, saved) {
@@ -55,7 +55,7 @@
 		}
 		err := storage.WriteFileAtomically(s.d.DataPath(peersFile), data)
 		if err != nil && !failed {
-			logging.Write(s.d.Log, SavedPeersNotWritten{Reason: err.Error(), Remedy: retrySavingPeers})
+			logging.Write(s.d.Log, SavedPeersNotWritten{Reason: err.Error(), Remedy: peersNotWrittenRemedy})
 		}
 		if failed = err != nil; !failed {
 			saved = data
--- a/internal/daemon/host/saved_peers_test.go
+++ b/internal/daemon/host/saved_peers_test.go
@@ -9,7 +9,7 @@
 )
 
 // The addresses that an earlier release saved are read.
-func TestSavedPeersOfAnEarlierRelease(t *testing.T) {
+func TestPeersSavedByEarlierReleaseAreRead(t *testing.T) {
 	folder := t.TempDir()
 	if err := os.CopyFS(folder, os.DirFS("../../../test/storedformat/testdata/folders/after-snapshot/core")); err != nil {
 		t.Fatal(err)
--- a/internal/daemon/metrics/metrics_test.go
+++ b/internal/daemon/metrics/metrics_test.go
@@ -32,7 +32,7 @@
 	},
 }
 
-func TestOneTableServesBothForms(t *testing.T) {
+func TestTableServesJSONAndTextFormat(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		sample   sample
@@ -71,14 +71,14 @@
 	}
 }
 
-func TestTheLaterModuleCountsWhereTwoHaveOneKey(t *testing.T) {
+func TestLaterModuleWinsForDuplicateKey(t *testing.T) {
 	registry := NewRegistry()
-	one := func(name string, value int64) *Module[sample] {
+	newSingleMetricModule := func(name string, value int64) *Module[sample] {
 		metric := Metric[sample]{Key: "k", Name: name, Type: prometheus.GaugeValue, Help: "One.", Value: func(sample) int64 { return value }}
 		return NewModule([]Metric[sample]{metric}, func() sample { return sample{} })
 	}
-	registry.Register(one("test_first", 1))
-	registry.Register(one("test_second", 2))
+	registry.Register(newSingleMetricModule("test_first", 1))
+	registry.Register(newSingleMetricModule("test_second", 2))
 	if got := registry.Counters(); got["k"] != 2 {
 		t.Errorf("counters %v", got)
 	}
--- a/internal/daemon/program/program_test.go
+++ b/internal/daemon/program/program_test.go
@@ -62,7 +62,7 @@
 }
 
 // What is set reaches the settings that the role is assembled with.
-func TestSettingsAreKept(t *testing.T) {
+func TestParsedSettingsReachTheRole(t *testing.T) {
 	edge := NewEdge()
 	if err := parse(edge, "-scout-every-us", "100000", "-most-waiting", "7"); err != nil {
 		t.Fatal(err)
--- a/internal/daemon/roles/caller_metrics.go
+++ b/internal/daemon/roles/caller_metrics.go
@@ -9,16 +9,16 @@
 	"tuliprudder/internal/logging"
 )
 
-// WatchCallers exposes how callers' connections at a server end, and logs each that this daemon
+// MonitorCallerConnections exposes how callers' connections at a server end, and logs each that this daemon
 // closed without an answer. It is called before the server starts.
-func WatchCallers(d *host.Daemon, server *httpserver.RawServer) {
+func MonitorCallerConnections(d *host.Daemon, server *httpserver.RawServer) {
 	stats := &server.Unanswered
 	d.Admin.Metrics.Register(metrics.NewModule(callerMetrics, func() callerSample {
 		return callerSample{
-			closedIdle:       stats.ClosedIdle.Load(),
-			closedUnanswered: stats.ClosedHere.Load(),
-			callersLeft:      stats.CallersLeft.Load(),
-			longestWait:      stats.LongestWait.Load(),
+			closedIdle:          stats.ClosedIdle.Load(),
+			closedUnanswered:    stats.ClosedHere.Load(),
+			callersDisconnected: stats.CallersLeft.Load(),
+			longestWait:         stats.LongestWait.Load(),
 		}
 	}))
 	server.OnUnanswered = func(ended httpserver.Unanswered) {
@@ -31,7 +31,7 @@
 }
 
 // callerSample is how callers' connections have ended since the start.
-type callerSample struct{ closedIdle, closedUnanswered, callersLeft, longestWait int64 }
+type callerSample struct{ closedIdle, closedUnanswered, callersDisconnected, longestWait int64 }
 
 // callerMetrics is the table of the metrics of callers' connections (docs/OPERATORS.md).
 var callerMetrics = []metrics.Metric[callerSample]{
@@ -48,7 +48,7 @@
 	{
 		Key: "callers_left", Name: "tuliprudder_callers_left_total", Type: prometheus.CounterValue,
 		Help:  "Callers that left, or were lost, before anything of the response was written.",
-		Value: func(s callerSample) int64 { return s.callersLeft },
+		Value: func(s callerSample) int64 { return s.callersDisconnected },
 	},
 	{
 		Key: "callers_left_longest_us", Name: "tuliprudder_callers_left_longest_wait_seconds", Type: prometheus.GaugeValue, Unit: metrics.Microseconds,
--- a/internal/daemon/roles/connections.go
+++ b/internal/daemon/roles/connections.go
@@ -25,23 +25,23 @@
 	Scheduling *machines.Scheduling
 	Client     *upstream.Client
 
-	forgotten map[string]bool // removed servers that the client was told of, by name
+	removedServers map[string]bool // removed servers that the client was told of, by name
 }
 
 // Start starts the goroutine that adjusts the limits; the clean-up that it pushes ends it.
 func (c *ConnectionLimiter) Start(_ *services.Registry, cleanups *cleanup.Stack) error {
-	c.forgotten = map[string]bool{}
-	cleanup.Every(cleanups, limitInterval, c.adjust)
+	c.removedServers = map[string]bool{}
+	cleanup.Every(cleanups, limitInterval, c.adjustLimits)
 	return nil
 }
 
-// adjust sets the limit of each server, and forgets removed ones.
-func (c *ConnectionLimiter) adjust() {
+// adjustLimits sets the limit of each server, and forgets removed ones.
+func (c *ConnectionLimiter) adjustLimits() {
 	c.Client.CloseExpired()
 	snapshot := c.snapshot()
 	for _, server := range snapshot.servers {
 		if server.Removed {
-			c.forget(server)
+			c.removeServer(server)
 			continue
 		}
 		if limit := snapshot.limits[server.Name]; limit > 0 {
@@ -50,10 +50,10 @@
 	}
 }
 
-// forget closes the connections to a removed server, once.
-func (c *ConnectionLimiter) forget(server endpoints.Server) {
-	if !c.forgotten[server.Name] {
-		c.forgotten[server.Name] = true
+// removeServer closes the connections to a removed server, once.
+func (c *ConnectionLimiter) removeServer(server endpoints.Server) {
+	if !c.removedServers[server.Name] {
+		c.removedServers[server.Name] = true
 		c.Client.RemoveServer(server.Address)
 	}
 }
--- a/internal/daemon/roles/core.go
+++ b/internal/daemon/roles/core.go
@@ -52,7 +52,7 @@
 		enableActs(d, coreMachine, acts)
 	}
 	d.Loop.SetMachine(coreMachine, folder)
-	d.Admin.Ready = func() string { return coreFault(d.Loop, core) }
+	d.Admin.Ready = func() string { return coreNotReadyReason(d.Loop, core) }
 	d.Admin.Metrics.Register(metrics.NewModule(coreMetrics, func() coreSample { return sampleCore(d.Loop, core) }))
 	return core, nil
 }
@@ -65,8 +65,8 @@
 	d.Loop.SetExecutor(executor.Execute)
 }
 
-// coreFault tells why a core is not ready; "" when it is.
-func coreFault(loop *eventloop.Loop, core *controlplane.Core) (reason string) {
+// coreNotReadyReason tells why a core is not ready; "" when it is.
+func coreNotReadyReason(loop *eventloop.Loop, core *controlplane.Core) (reason string) {
 	if fault := loop.DiskFault(); fault != "" {
 		return fault
 	}
--- a/internal/daemon/roles/metrics_test.go
+++ b/internal/daemon/roles/metrics_test.go
@@ -65,9 +65,9 @@
 	return d, core
 }
 
-// bootstrapAlone lets a core that is the whole fleet found it and lead, up to the daemon's
+// bootstrapSingleCore lets a core that is the whole fleet found it and lead, up to the daemon's
 // own time; writes are durable at once.
-func bootstrapAlone(t *testing.T, d *host.Daemon, core *controlplane.Core) {
+func bootstrapSingleCore(t *testing.T, d *host.Daemon, core *controlplane.Core) {
 	t.Helper()
 	now := d.Loop.Now() - 30*clock.Second
 	var execute func(effects []machine.Effect)
@@ -137,7 +137,7 @@
 		},
 		"primary_core": func(t *testing.T) *host.Daemon {
 			d, core := newCoreDaemon(t)
-			bootstrapAlone(t, d, core)
+			bootstrapSingleCore(t, d, core)
 			return d
 		},
 	} {
@@ -151,9 +151,9 @@
 
 // Both forms have the same metrics, and the names of the text format follow Prometheus'
 // conventions. The golden files show which key has which name.
-func TestMetricsInTheTextFormat(t *testing.T) {
+func TestPrometheusMetricsPerRole(t *testing.T) {
 	primary, core := newCoreDaemon(t)
-	bootstrapAlone(t, primary, core)
+	bootstrapSingleCore(t, primary, core)
 	for role, d := range map[string]*host.Daemon{"edge": newEdgeDaemon(t), "store": newStoreDaemon(t), "primary_core": primary} {
 		t.Run(role, func(t *testing.T) {
 			text := get(t, d, "/metrics").Body.String()
--- a/internal/daemon/roles/store.go
+++ b/internal/daemon/roles/store.go
@@ -54,7 +54,7 @@
 	d.Loop.SetMachine(store, data.folder)
 	d.Loop.SetExecutor(executor.Execute)
 	d.SetRequestPath(store.Scheduling, nil, store.Runner.Decisions)
-	d.Admin.Ready = func() string { return storeFault(d.Loop, batches) }
+	d.Admin.Ready = func() string { return storeNotReadyReason(d.Loop, batches) }
 	d.Admin.Metrics.Register(metrics.NewModule(storeMetrics, func() storeSample { return sampleStore(d.Loop, store) }))
 	return &Store{Store: store, Executor: executor, Folder: data.folder}, nil
 }
@@ -77,8 +77,8 @@
 	return data, err
 }
 
-// storeFault tells why a store is not ready; "" when it is.
-func storeFault(loop *eventloop.Loop, batches *batchstore.Store) (reason string) {
+// storeNotReadyReason tells why a store is not ready; "" when it is.
+func storeNotReadyReason(loop *eventloop.Loop, batches *batchstore.Store) (reason string) {
 	if fault := loop.DiskFault(); fault != "" {
 		return fault
 	}
--- a/internal/daemon/roles/store_metrics.go
+++ b/internal/daemon/roles/store_metrics.go
@@ -17,7 +17,7 @@
 	oldestUnannounced, oldestWrite                                              clock.Micros
 	entriesConfirmed, reads, batchesArchived                                    int64
 	itemsInFlight, visibleResults, batchesSubmitted, unknownOutcomes, takeovers int64
-	finishedInMemory, snapshotsInMemory                                         int64 // bytes
+	finishedBytesInMemory, snapshotBytesInMemory                                int64 // bytes
 }
 
 func sampleStore(loop *eventloop.Loop, store *machines.Store) (s storeSample) {
@@ -35,8 +35,8 @@
 			unknownOutcomes:  store.Batches.UnknownOutcomes,
 			takeovers:        store.Batches.Takeovers,
 
-			finishedInMemory:  store.Batches.FinishedBytesInMemory(),
-			snapshotsInMemory: store.Batches.Groups().SnapshotBytes(),
+			finishedBytesInMemory: store.Batches.FinishedBytesInMemory(),
+			snapshotBytesInMemory: store.Batches.Groups().SnapshotBytes(),
 		}
 		s.underReplicated, s.oldestUnannounced = store.Batches.UnderReplicated(now)
 	})
@@ -73,12 +73,12 @@
 	{
 		Key: "finished_in_memory_bytes", Name: "tuliprudder_store_finished_in_memory_bytes", Type: prometheus.GaugeValue, Unit: metrics.Bytes,
 		Help:  "Outputs of finished batches that are not in the archive yet.",
-		Value: func(s storeSample) int64 { return s.finishedInMemory },
+		Value: func(s storeSample) int64 { return s.finishedBytesInMemory },
 	},
 	{
 		Key: "snapshots_in_memory_bytes", Name: "tuliprudder_store_snapshots_in_memory_bytes", Type: prometheus.GaugeValue, Unit: metrics.Bytes,
 		Help:  "Snapshots of shards on their way to or from other stores.",
-		Value: func(s storeSample) int64 { return s.snapshotsInMemory },
+		Value: func(s storeSample) int64 { return s.snapshotBytesInMemory },
 	},
 	{
 		Key: "disk_wait_us", Name: "tuliprudder_store_oldest_write_seconds", Type: prometheus.GaugeValue, Unit: metrics.Microseconds,
