--- a/internal/daemon/admin/acts.go
+++ b/internal/daemon/admin/acts.go
@@ -8,12 +8,12 @@
 	"tuliprudder/internal/httpserver"
 )
 
-// actsResponse lists the subjects of acts on outside systems.
+// actsResponse lists the subjects of acts on external systems (package exclusive).
 type actsResponse struct {
 	Subjects []exclusive.SubjectStatus `json:"subjects"`
 }
 
-// listActs writes who performs acts on which subject, and which acts are open.
+// listActs writes the holder and the open acts of each subject.
 func (a *Admin) listActs(w http.ResponseWriter, _ *http.Request) error {
 	response, err := callPrimary[controlplane.ActsResponse](a, controlplane.ActsRequest{}, statusTimeout)
 	if err != nil {
@@ -21,7 +21,7 @@
 	}
 	body := actsResponse{Subjects: response.Subjects}
 	if body.Subjects == nil {
-		body.Subjects = []exclusive.SubjectStatus{} // gob leaves an empty list out
+		body.Subjects = []exclusive.SubjectStatus{} // gob decodes an empty list as nil, which JSON would write as null
 	}
 	for i := range body.Subjects {
 		if body.Subjects[i].Open == nil {
--- a/internal/daemon/admin/admin.go
+++ b/internal/daemon/admin/admin.go
@@ -1,11 +1,11 @@
-// Package admin is the administration API of every daemon (DESIGN §8): health and
-// readiness, metrics, configurations, the endpoint list, and the state of the fleet. Each
-// group of endpoints has a file. It reads what the daemon's state machines know, through the
-// event loop, and sends changes to the primary core or to a majority of the voters; it keeps
-// no state of its own. docs/OPERATORS.md describes it for its users.
+// Package admin implements the administration API of every daemon (DESIGN §8): health and
+// readiness, metrics, configurations, the endpoint list, and the state of the cluster. Each
+// group of routes has a file. The API reads the daemon's state machines through the event
+// loop, and sends changes to the primary core or to a majority of the voters; it has no state
+// of its own. docs/OPERATORS.md describes it for its users.
 //
-// The responses' JSON keys, their order and the paths are those of the first release: they
-// stand in tags and in the table of routes, and never change.
+// The paths and the JSON keys of the responses, with their order, are those of the first
+// release. They are defined in struct tags and in Routes, and must never change.
 package admin
 
 import (
@@ -19,24 +19,25 @@
 	"tuliprudder/internal/httpserver"
 )
 
-// Admin serves the administration API of one daemon. Its fields are set before the daemon
-// starts; the handlers may be called by several goroutines.
+// Admin serves the administration API of one daemon. Its fields must be set before the daemon
+// starts. The handlers are safe for concurrent use.
 type Admin struct {
 	Loop       *eventloop.Loop
 	Metrics    *metrics.Registry
-	Scheduling *machines.Scheduling // nil on cores; its machine is read within Loop.WithMachine
-	Reader     *reader.Reader       // nil but on edges; likewise
+	Scheduling *machines.Scheduling // nil on cores; must only be read within Loop.WithMachine
+	Reader     *reader.Reader       // nil except on edges; must only be read within Loop.WithMachine
 	Decisions  *decisionlog.Log     // nil on cores
-	// Ready tells why the daemon is not ready; "" when it is.
+	// Ready returns why the daemon is not ready, or "" if it is ready.
 	Ready func() string
 }
 
-// Router is where the API registers its routes; paths use go-zero's :name for parts.
+// Router is what the API registers its routes at. Paths name their parameters as go-zero does
+// (:name).
 type Router interface {
 	Handle(method, path string, handle httpserver.Handler)
 }
 
-// Routes registers the API's routes.
+// Routes registers the routes of the API.
 func (a *Admin) Routes(r Router) {
 	r.Handle(http.MethodGet, "/soundness", a.getHealth)
 	r.Handle(http.MethodGet, "/ready", a.getReadiness)
--- a/internal/daemon/admin/cluster.go
+++ b/internal/daemon/admin/cluster.go
@@ -12,7 +12,7 @@
 	"tuliprudder/internal/httpserver"
 )
 
-// memberListResponse lists the members as this daemon knows them, by id.
+// memberListResponse lists the members known to this daemon, sorted by id.
 type memberListResponse struct {
 	Members []memberResponse `json:"daemons"`
 }
@@ -45,7 +45,7 @@
 	return httpserver.WriteJSON(w, http.StatusOK, response)
 }
 
-// getShardMap writes which stores hold each shard.
+// getShardMap writes the map of the shards to the stores that hold them.
 func (a *Admin) getShardMap(w http.ResponseWriter, _ *http.Request) error {
 	shardMap, err := readUpdate[state.Map](a, state.MapKey, "map of the shards")
 	if err != nil {
@@ -54,7 +54,7 @@
 	return httpserver.WriteJSON(w, http.StatusOK, shardMap)
 }
 
-// getCoreUpdate writes which cores vote, and which is primary.
+// getCoreUpdate writes the voting cores and the primary.
 func (a *Admin) getCoreUpdate(w http.ResponseWriter, _ *http.Request) error {
 	update, err := a.coreUpdate()
 	if err != nil {
@@ -67,13 +67,13 @@
 	return readUpdate[state.CoreUpdate](a, state.CoreKey, "update of the primary core")
 }
 
-// readUpdate reads the value of the update known under a key; the error is errs.NotReady
-// while there is none.
+// readUpdate returns the value of the update known under a key. The error is errs.NotReady
+// if there is none yet.
 func readUpdate[T any](a *Admin, key, description string) (T, error) {
 	var value T
 	update, ok := a.Loop.Update(key)
 	if !ok {
-		return value, errs.NewWithRetry(errs.NotReady, clock.Second, "retry; the daemon has just started, or none was ever put", "no %s has arrived yet", description)
+		return value, errs.NewWithRetry(errs.NotReady, clock.Second, "retry if the daemon has just started; otherwise none has been put yet", "no %s has arrived yet", description)
 	}
 	err := json.Unmarshal(update.Value, &value)
 	return value, errors.Wrapf(err, "reading the %s", description)
--- a/internal/daemon/admin/configurations.go
+++ b/internal/daemon/admin/configurations.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// changeTimeout is how long the primary has for a change of the control state; later its
-	// outcome is unknown.
+	// changeTimeout is how long the primary may take to change the control state. After that
+	// the outcome of the change is unknown.
 	changeTimeout = 5 * clock.Second
-	// readTimeout is how long a reading of the control state may take.
+	// readTimeout is how long a read of the control state may take.
 	readTimeout = 3 * clock.Second
-	// networkMargin is how much longer a call waits than the primary does.
+	// networkMargin is how much longer than the primary's own time-out a call to it waits.
 	networkMargin = clock.Second
 )
 
-// putConfigurationResponse is the version that a configuration got.
+// putConfigurationResponse holds the version number assigned to a configuration.
 type putConfigurationResponse struct {
 	Version uint64 `json:"version"`
 }
 
-// configurationListResponse lists the versions that can be read back, and the requests that
-// are still recognised when they are sent again, by the digest of their documents.
+// configurationListResponse lists the versions that can be read back, and the applied requests
+// that are still recognised, by the digest of their documents, when they are sent again.
 type configurationListResponse struct {
 	Requests []appliedRequestResponse       `json:"orders"`
 	Versions []configurationVersionResponse `json:"plans"`
@@ -49,7 +49,7 @@
 	Version uint64       `json:"version"`
 }
 
-// getConfiguration writes the configuration in force as this daemon knows it.
+// getConfiguration writes the configuration in force, as known to this daemon.
 func (a *Admin) getConfiguration(w http.ResponseWriter, _ *http.Request) error {
 	version, err := readUpdate[state.Version](a, state.ConfigurationKey, "configuration")
 	if err != nil {
@@ -58,8 +58,8 @@
 	return httpserver.WriteJSON(w, http.StatusOK, version)
 }
 
-// putConfiguration replaces the configuration. Where the query has a base, it is replaced
-// only if that version is in force.
+// putConfiguration replaces the configuration. If the query has a base, the configuration is
+// replaced only if that version is in force.
 func (a *Admin) putConfiguration(w http.ResponseWriter, r *http.Request) error {
 	document, err := httpserver.ReadBody(r)
 	if err != nil {
@@ -77,7 +77,7 @@
 	})
 }
 
-// patchConfiguration changes named entries of the configuration in force. Where the query has a
+// patchConfiguration changes named entries of the configuration in force. If the query has a
 // base, they are changed only if that version is in force.
 func (a *Admin) patchConfiguration(w http.ResponseWriter, r *http.Request) error {
 	patch, err := httpserver.ReadBody(r)
@@ -93,7 +93,8 @@
 	})
 }
 
-// baseVersion reads the version that a change is based on from the query; false where it names none.
+// baseVersion reads the version that a change is based on from the query; hasBase is false if there
+// is none.
 func baseVersion(r *http.Request) (base uint64, hasBase bool, err error) {
 	text := r.URL.Query().Get("base")
 	if text == "" {
@@ -101,12 +102,12 @@
 	}
 	base, err = strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, false, errs.New(errs.BadInput, "give the version that the configuration is based on, or leave base out", "base=%q is no version", text)
+		return 0, false, errs.New(errs.BadInput, "give the number of the version that the configuration is based on, or omit base", "base=%q is not a version number", text)
 	}
 	return base, true, nil
 }
 
-// changeConfiguration has the primary change the configuration, and writes the version that it got.
+// changeConfiguration sends a change to the primary core and writes the number of the new version.
 func (a *Admin) changeConfiguration(w http.ResponseWriter, request any) error {
 	response, err := callPrimary[controlplane.PutConfigurationResponse](a, request, changeTimeout+networkMargin)
 	if err != nil {
@@ -115,7 +116,7 @@
 	return httpserver.WriteJSON(w, http.StatusOK, putConfigurationResponse{Version: response.Version})
 }
 
-// listConfigurations lists the versions that the primary keeps.
+// listConfigurations writes the versions that the primary core keeps.
 func (a *Admin) listConfigurations(w http.ResponseWriter, _ *http.Request) error {
 	response, err := callPrimary[controlplane.ConfigurationsResponse](a, controlplane.ConfigurationsRequest{}, readTimeout)
 	if err != nil {
@@ -124,12 +125,12 @@
 	return httpserver.WriteJSON(w, http.StatusOK, newConfigurationList(response))
 }
 
-// getConfigurationVersion writes one version, with its document.
+// getConfigurationVersion writes one version with its document.
 func (a *Admin) getConfigurationVersion(w http.ResponseWriter, r *http.Request) error {
 	text := pathvar.Vars(r)["version"]
 	version, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || version == 0 {
-		return errs.New(errs.BadInput, "give a version from the list of configurations", "%q is no version", text)
+		return errs.New(errs.BadInput, "give a version number from the list of configurations", "%q is not a version number", text)
 	}
 	response, err := callPrimary[controlplane.ConfigurationsResponse](a, controlplane.ConfigurationsRequest{Version: version}, readTimeout)
 	if err != nil {
--- a/internal/daemon/admin/endpoints.go
+++ b/internal/daemon/admin/endpoints.go
@@ -14,43 +14,43 @@
 	"tuliprudder/internal/httpserver"
 )
 
-// endpointListResponse is the model servers as this daemon's scheduler sees them, and what
-// waits for them.
+// endpointListResponse lists the model servers as known to this daemon's scheduler, and the
+// requests queued for them.
 type endpointListResponse struct {
 	Servers []scheduler.ServerSnapshot `json:"servers"`
-	Waiting map[string]int             `json:"waiting"` // weight of the queued requests, by tenant
+	Waiting map[string]int             `json:"waiting"` // total weight of the queued requests by tenant
 }
 
-// ServersRequest is the body of a request to replace the endpoint list. Its JSON keys never
+// ServersRequest is the body of a request to replace the endpoint list. Its JSON keys must never
 // change.
 type ServersRequest struct {
 	Servers []endpoints.Server `json:"servers"`
 }
 
-// putEndpointsResponse is how many servers the list in force has.
+// putEndpointsResponse holds the number of servers on the new endpoint list.
 type putEndpointsResponse struct {
 	Servers int `json:"servers"`
 }
 
-// drainingRequest is the body of a request to drain a server; it may be left out.
+// drainingRequest is the optional body of a request to drain a server.
 type drainingRequest struct {
-	Draining bool `json:"leaving"` // false: the server is put back
+	Draining bool `json:"leaving"` // false makes the server active again
 }
 
-// broadcastTimeout is how long a change of the endpoint list may take until a majority of
-// the voters have acknowledged it.
+// broadcastTimeout is how long it may take until a majority of the voters have acknowledged a
+// change of the endpoint list.
 const broadcastTimeout = 2 * clock.Second
 
 func (a *Admin) listEndpoints(w http.ResponseWriter, _ *http.Request) error {
 	if a.Scheduling == nil {
-		return errs.New(errs.NotFound, "send it to an edge or a store", "this daemon assigns no requests")
+		return errs.New(errs.NotFound, "send this to an edge or a store", "this daemon assigns no requests")
 	}
 	var response endpointListResponse
 	a.Loop.WithMachine(func(clock.Micros) { response.Servers, response.Waiting = a.Scheduling.Scheduler.Snapshot() })
 	return httpserver.WriteJSON(w, http.StatusOK, response)
 }
 
-// putEndpoints replaces the endpoint list: a server that is not on it is removed.
+// putEndpoints replaces the endpoint list. Known servers that are not on the new list are removed.
 func (a *Admin) putEndpoints(w http.ResponseWriter, r *http.Request) error {
 	data, err := httpserver.ReadBody(r)
 	if err != nil {
@@ -86,7 +86,7 @@
 	name := pathvar.Vars(r)["name"]
 	update, ok := a.Loop.Update(endpoints.ServerKey(name))
 	if !ok {
-		return errs.New(errs.NotFound, "list the servers to see the names there are", "no server %q is on the endpoint list", name)
+		return errs.New(errs.NotFound, "list the servers to see their names", "no server %q is on the endpoint list", name)
 	}
 	var server endpoints.Server
 	if err := json.Unmarshal(update.Value, &server); err != nil {
@@ -99,8 +99,8 @@
 	return httpserver.WriteJSON(w, http.StatusOK, server)
 }
 
-// broadcastServers broadcasts the servers' new states, all at once, and waits until a
-// majority of the voters have acknowledged each: from then on every daemon follows them.
+// broadcastServers broadcasts the servers' new states concurrently and waits until a majority of
+// the voters have acknowledged each of them, after which every daemon will apply them.
 func (a *Admin) broadcastServers(servers []endpoints.Server) error {
 	if err := a.Loop.CheckQuorumContact(); err != nil {
 		return err
--- a/internal/daemon/admin/endpoints_test.go
+++ b/internal/daemon/admin/endpoints_test.go
@@ -8,8 +8,8 @@
 	"tuliprudder/internal/errs"
 )
 
-// The response to a new endpoint list needs contact with other daemons; its form is checked
-// by itself.
+// Checks only the JSON form of the response: putting an endpoint list would need contact with
+// other daemons.
 func TestPutEndpointsResponseJSON(t *testing.T) {
 	data, err := json.Marshal(putEndpointsResponse{Servers: 2})
 	if err != nil || string(data) != `{"servers":2}` {
@@ -17,7 +17,7 @@
 	}
 }
 
-// Without contact with a majority of the voters a daemon changes no endpoints.
+// A daemon without contact with a majority of the voters rejects changes of the endpoint list.
 func TestEndpointChangeWithoutQuorumContactIsRejected(t *testing.T) {
 	primary := newFakePrimary()
 	a := newAdmin(t, primary, nil)
--- a/internal/daemon/admin/explain.go
+++ b/internal/daemon/admin/explain.go
@@ -14,27 +14,28 @@
 	"tuliprudder/internal/httpserver"
 )
 
-// maxSlowest is how many of the slowest requests may be listed at once.
+// maxSlowest is the maximum number of slowest requests in one response.
 const maxSlowest = 1000
 
-// slowestRequestsResponse lists the slowest of the remembered requests, slowest first.
+// slowestRequestsResponse lists the slowest requests in the decision log, slowest first.
 type slowestRequestsResponse struct {
 	Requests []decisionlog.Entry `json:"orders"`
 }
 
-// explainRequests explains a request that this daemon assigned, or the slowest ones.
+// explainRequests writes the decision log entry of the request that the query names, or those of
+// the slowest requests.
 func (a *Admin) explainRequests(w http.ResponseWriter, r *http.Request) error {
 	query := r.URL.Query()
 	id, slowest := query.Get("order"), query.Get("slowest")
 	switch {
 	case a.Decisions == nil || id == "" && slowest == "":
-		return errs.New(errs.NotFound, "send it to an edge or a store, with ?order=NAME", "this daemon assigns no requests, or the query names none")
+		return errs.New(errs.NotFound, "send this to an edge or a store, with ?order=ID or ?slowest=COUNT", "this daemon assigns no requests, or the query names none")
 	case slowest != "":
 		return a.listSlowest(w, slowest)
 	}
 	entry, ok := a.Decisions.Find(id)
 	if !ok {
-		return errs.New(errs.NotFound, "send it to the daemon that served the request; each remembers its latest ones", "no request %q is remembered here", id)
+		return errs.New(errs.NotFound, "send this to the daemon that served the request; each daemon keeps only its latest requests", "request %q is not in the decision log of this daemon", id)
 	}
 	return httpserver.WriteJSON(w, http.StatusOK, entry)
 }
@@ -47,10 +48,11 @@
 	return httpserver.WriteJSON(w, http.StatusOK, slowestRequestsResponse{Requests: a.Decisions.Slowest(count)})
 }
 
-// explainBatch writes which store owns a batch, and which server ran which item.
+// explainBatch writes the status of a batch: the store that owns it and the server that ran each
+// item.
 func (a *Admin) explainBatch(w http.ResponseWriter, r *http.Request) error {
 	if a.Reader == nil {
-		return errs.New(errs.NotFound, "send it to an edge", "this daemon reads no batches")
+		return errs.New(errs.NotFound, "send this to an edge", "this daemon reads no batches")
 	}
 	id := pathvar.Vars(r)["bundle"]
 	var shard int
--- a/internal/daemon/admin/harness_test.go
+++ b/internal/daemon/admin/harness_test.go
@@ -21,16 +21,16 @@
 
 const (
 	testDaemonID = "core-1"
-	testPeer     = "127.0.0.1:0" // nobody's: the tests send nothing to other daemons
+	testPeer     = "127.0.0.1:0" // nothing listens there: the tests send nothing to other daemons
 )
 
-// fakePrimary is the machine of a primary core that answers every request with one
-// response, and writes a record when it is notified of one.
+// fakePrimary is the state machine of a primary core that answers every call with the same
+// response, and persists each record that it is called with.
 type fakePrimary struct {
 	response     any
 	err          error
-	receivedKeys chan string            // keys of updates that have arrived
-	diskStates   chan machine.DiskState // states of the disk that were reported
+	receivedKeys chan string            // keys of the updates received
+	diskStates   chan machine.DiskState // disk states reported to the machine
 }
 
 func newFakePrimary() *fakePrimary {
@@ -61,7 +61,7 @@
 func (p *fakePrimary) Tick(clock.Micros) []machine.Effect                              { return nil }
 func (p *fakePrimary) CompactAgain(clock.Micros) []machine.Effect                      { return nil }
 
-// publish publishes an update and waits until this daemon knows it.
+// publish publishes an update and waits until the machine has received it.
 func (p *fakePrimary) publish(t *testing.T, loop *eventloop.Loop, key string, value any) {
 	t.Helper()
 	data, err := json.Marshal(value)
@@ -76,8 +76,7 @@
 	}
 }
 
-// newAdmin is the administration API of a daemon that runs alone, with a folder on disk
-// where one is given.
+// newAdmin returns the administration API of a running daemon without peers. folder may be nil.
 func newAdmin(t *testing.T, primary *fakePrimary, folder *storage.Folder) *Admin {
 	t.Helper()
 	self := eventloop.Identity{ID: testDaemonID, Incarnation: 3}
@@ -92,7 +91,7 @@
 	return &Admin{Loop: loop, Metrics: metrics.NewRegistry(), Ready: func() string { return "" }}
 }
 
-// routes are the API's handlers, by method and path.
+// routes holds the API's handlers, by method and path.
 type routes map[string]httpserver.Handler
 
 func (r routes) Handle(method, path string, handle httpserver.Handler) { r[method+" "+path] = handle }
@@ -101,7 +100,7 @@
 type call struct {
 	route string // method and path as registered
 	query string
-	vars  map[string]string // the parts of the path that are named
+	vars  map[string]string // path parameters
 	body  string
 }
 
--- a/internal/daemon/admin/health.go
+++ b/internal/daemon/admin/health.go
@@ -8,9 +8,9 @@
 	"tuliprudder/internal/httpserver"
 )
 
-// healthResponse is who the daemon is and whether its disk takes writes.
+// healthResponse holds the daemon's identity and whether its disk accepts writes.
 type healthResponse struct {
-	DiskFault   string       `json:"disk,omitempty"` // why the disk takes no writes
+	DiskFault   string       `json:"disk,omitempty"` // why the disk accepts no writes
 	ID          string       `json:"id"`
 	Incarnation uint64       `json:"life"`
 	Now         clock.Micros `json:"now_us"`
@@ -18,7 +18,7 @@
 	Zone        string       `json:"zone"`
 }
 
-// readinessResponse says that the daemon is ready; one that is not answers with an error.
+// readinessResponse is the response of a daemon that is ready; otherwise it responds with an error.
 type readinessResponse struct {
 	Ready bool `json:"ready"`
 }
@@ -37,7 +37,7 @@
 
 func (a *Admin) getReadiness(w http.ResponseWriter, _ *http.Request) error {
 	if reason := a.Ready(); reason != "" {
-		return errs.NewWithRetry(errs.NotReady, clock.Second, "wait; it becomes ready by itself", "%s", reason)
+		return errs.NewWithRetry(errs.NotReady, clock.Second, "retry; the daemon becomes ready without intervention", "%s", reason)
 	}
 	return httpserver.WriteJSON(w, http.StatusOK, readinessResponse{Ready: true})
 }
--- a/internal/daemon/admin/primary.go
+++ b/internal/daemon/admin/primary.go
@@ -5,8 +5,8 @@
 	"tuliprudder/internal/errs"
 )
 
-// CallPrimary sends a request to the primary core, or to this daemon's own machine if that
-// is primary, and waits for the response until the time-out. The error is errs.NotReady
+// CallPrimary sends a request to the primary core, or to this daemon's own state machine if it
+// is the primary, and waits for the response until the time-out. The error is errs.NotReady
 // while this daemon does not know the primary.
 func (a *Admin) CallPrimary(request any, timeout clock.Micros) (any, error) {
 	core, err := a.coreUpdate()
@@ -19,13 +19,13 @@
 	return a.Loop.Transport.Call(core.Peer, request, timeout)
 }
 
-// callPrimary calls the primary core and expects a response of the type T.
+// callPrimary calls the primary core and returns its response as a T.
 func callPrimary[T any](a *Admin, request any, timeout clock.Micros) (T, error) {
 	return responseAs[T](a.CallPrimary(request, timeout))
 }
 
-// responseAs gives the response of a call as the type T. One of another type comes from a
-// daemon of another release: errs.ServerFault.
+// responseAs returns the response of a call as a T. A response of another type comes from a
+// daemon of another release; the error is then errs.ServerFault.
 func responseAs[T any](response any, err error) (T, error) {
 	typed, ok := response.(T)
 	if err == nil && !ok {
--- a/internal/daemon/admin/quota.go
+++ b/internal/daemon/admin/quota.go
@@ -9,10 +9,10 @@
 	"tuliprudder/internal/httpserver"
 )
 
-// getQuota writes the shares that this daemon holds, and the accounts that it owns.
+// getQuota writes the quota shares that this daemon holds and the quota accounts that it owns.
 func (a *Admin) getQuota(w http.ResponseWriter, _ *http.Request) error {
 	if a.Scheduling == nil {
-		return errs.New(errs.NotFound, "send it to an edge or a store", "this daemon holds no quota shares")
+		return errs.New(errs.NotFound, "send this to an edge or a store", "this daemon holds no quota shares")
 	}
 	var snapshot quota.Snapshot
 	a.Loop.WithMachine(func(now clock.Micros) { snapshot = a.Scheduling.Quota.Snapshot(now) })
--- a/internal/daemon/admin/responses_test.go
+++ b/internal/daemon/admin/responses_test.go
@@ -21,7 +21,7 @@
 	"tuliprudder/test/goldenjson"
 )
 
-// volatileFields is what differs from run to run in the responses.
+// volatileFields matches the fields of the responses that differ from run to run.
 var volatileFields = regexp.MustCompile(`("now_us"|"disk"):("[^"]*"|\d+)`)
 
 func checkGolden(t *testing.T, name string, a *Admin, c call) {
@@ -41,7 +41,7 @@
 
 var testVersion = state.Version{Number: 7, Base: 6, Body: json.RawMessage(`{"a":1}`), By: "someone", At: 5}
 
-// The responses of every daemon keep their keys and forms.
+// The JSON of the responses that every daemon gives must not change.
 func TestResponsesOfEveryDaemon(t *testing.T) {
 	primary := newFakePrimary()
 	a := newAdmin(t, primary, nil)
@@ -60,7 +60,7 @@
 	}
 }
 
-// The responses that the primary core gives keep their keys and forms.
+// The JSON of the responses that the primary core gives must not change.
 func TestResponsesOfThePrimary(t *testing.T) {
 	primary := newFakePrimary()
 	a := newAdmin(t, primary, nil)
@@ -89,7 +89,7 @@
 	}
 }
 
-// The responses of a daemon on the request path keep their keys and forms.
+// The JSON of the responses of a daemon on the request path must not change.
 func TestResponsesOfTheRequestPath(t *testing.T) {
 	primary := newFakePrimary()
 	a := newAdmin(t, primary, nil)
@@ -112,7 +112,7 @@
 	}
 }
 
-// A daemon whose disk fails writes says so, and why.
+// A daemon whose disk fails to write reports that, and the reason.
 func TestHealthReportsFailingDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "records")
 	folder, _, err := storage.Open(path)
@@ -126,12 +126,12 @@
 	}
 	a.Loop.Notify(machine.Record{Unit: "u", Kind: "k"})
 	if diskState := <-primary.diskStates; diskState.Writable || diskState.Reason == "" {
-		t.Fatalf("reported %+v", diskState)
+		t.Fatalf("reported disk state %+v; want one that is not writable, with a reason", diskState)
 	}
 	checkGolden(t, "health_failing_disk", a, call{route: "GET /soundness"})
 }
 
-// A core of another release that answers with another type is an error, not a response.
+// A response of an unexpected type, which a core of another release may send, leads to an error.
 func TestUnexpectedResponseTypeIsAnError(t *testing.T) {
 	primary := newFakePrimary()
 	a := newAdmin(t, primary, nil)
--- a/internal/daemon/admin/stores.go
+++ b/internal/daemon/admin/stores.go
@@ -14,28 +14,28 @@
 	"tuliprudder/internal/membership"
 )
 
-// statusTimeout is how long another daemon may take to answer with its status.
+// statusTimeout is how long another daemon may take to return its status.
 const statusTimeout = 2 * clock.Second
 
-// retireRequest is the body of a request to retire a store; it may be left out.
+// retireRequest is the optional body of a request to retire a store.
 type retireRequest struct {
 	Cancel bool `json:"back"`
 }
 
-// retireResponse tells how far a store is from being retired.
+// retireResponse reports whether a store is retired, and how many shards it still holds.
 type retireResponse struct {
 	Retired    bool   `json:"retired"`
 	ShardsLeft int    `json:"slots_left"`
 	Store      string `json:"store"`
 }
 
-// getStore writes a store's own status.
+// getStore writes the status that a store reports of itself.
 func (a *Admin) getStore(w http.ResponseWriter, r *http.Request) error {
 	id := pathvar.Vars(r)["id"]
 	members := a.Loop.Members()
 	at := slices.IndexFunc(members, func(member membership.Member) bool { return member.ID == id })
 	if at < 0 {
-		return errs.New(errs.NotFound, "list the daemons to see the ids there are", "no daemon %q is known here", id)
+		return errs.New(errs.NotFound, "list the daemons to see their ids", "no daemon %q is known here", id)
 	}
 	status, err := a.storeStatus(members[at])
 	if err != nil {
@@ -51,8 +51,8 @@
 	return responseAs[batchstore.StatusResponse](a.Loop.Transport.Call(store.Peer, batchstore.StatusRequest{}, statusTimeout))
 }
 
-// retireStore has the primary move a store's shards to others and retire it, or cancels
-// that; sent again it tells how far that is.
+// retireStore asks the primary core to move a store's shards to other stores and retire it, or
+// cancels that. A repeated request returns the current progress.
 func (a *Admin) retireStore(w http.ResponseWriter, r *http.Request) error {
 	var body retireRequest
 	if err := readOptionalBody(r, &body); err != nil {
@@ -66,7 +66,7 @@
 	return httpserver.WriteJSON(w, http.StatusOK, retireResponse{Retired: response.Done, ShardsLeft: response.ShardsLeft, Store: response.ID})
 }
 
-// readOptionalBody reads a JSON body, strictly; without one, into stays as it is.
+// readOptionalBody decodes a JSON body strictly. If there is no body, into is unchanged.
 func readOptionalBody(r *http.Request, into any) error {
 	data, err := httpserver.ReadBody(r)
 	if err != nil || len(data) == 0 {
--- a/internal/daemon/discovery/discovery.go
+++ b/internal/daemon/discovery/discovery.go
@@ -1,7 +1,7 @@
 // Package discovery polls the platform's endpoint list (service discovery; DESIGN §12.4). It
-// is a singleton role of the cores: one of them reads the list and publishes what changed;
-// the next one by id takes over when it has published nothing for a while. Two may read at
-// once during a take-over, which is harmless: a server's state only moves forward.
+// is a singleton role of the cores: one core reads the list and publishes the changes. If it
+// publishes nothing for the take-over time-out, the next core by id takes over. Two cores may
+// read at once during a take-over, which is harmless: a server's state only moves forward.
 package discovery
 
 import (
@@ -21,15 +21,15 @@
 	"tuliprudder/internal/services"
 )
 
-// Settings are the poller's intervals.
+// Settings are the poller's intervals and time-outs.
 type Settings struct {
-	Interval        clock.Micros // between two readings
-	TakeoverTimeout clock.Micros // without a reading, after which the next one by id reads
-	TakeoverStagger clock.Micros // how much longer each one after it waits
-	ReadTimeout     clock.Micros // for one reading
+	Interval        clock.Micros // between two reads
+	TakeoverTimeout clock.Micros // time without a read after which the next core by id takes over
+	TakeoverStagger clock.Micros // additional wait of each further core
+	ReadTimeout     clock.Micros // of one read
 }
 
-// Defaults are the values used where nothing is set.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
 		Interval:        clock.Second,
@@ -39,17 +39,17 @@
 	}
 }
 
-// checkInterval is how often a poller checks whether a reading is due.
+// checkInterval is how often a poller checks whether a read is due.
 const checkInterval = 50 * time.Millisecond
 
-// LastRead is the update that says when the list was read last, and by which core. Its JSON
-// is gossiped; the keys never change.
+// LastRead is the value of the update that says when the list was last read, and by which
+// core. Its JSON is gossiped between releases; the keys must never change.
 type LastRead struct {
 	By string       `json:"by"`
 	At clock.Micros `json:"at"`
 }
 
-// Poller reads the list while this daemon has the role. Its exported fields are set before
+// Poller reads the list while this daemon has the role. Its exported fields must be set before
 // Start.
 type Poller struct {
 	Settings Settings
@@ -58,13 +58,13 @@
 	Read func(ctx context.Context) ([]endpoints.Server, error)
 
 	// The fields below belong to the goroutine that Start starts.
-	lastReadSeq        uint64       // sequence of the latest LastRead that was received
-	lastReadReceivedAt clock.Micros // when it was received
+	lastReadSeq        uint64       // sequence number of the latest LastRead update known here
+	lastReadReceivedAt clock.Micros // local time at which it was received
 	nextReadAt         clock.Micros
-	missedReads        map[string]int // readings in a row without a server, by name
+	missedReads        map[string]int // consecutive reads that lacked a known server, by its name
 }
 
-// Start starts the goroutine that polls; the clean-up that it pushes ends it.
+// Start starts the polling goroutine. The clean-up function that it pushes stops it.
 func (p *Poller) Start(_ *services.Registry, cleanups *cleanup.Stack) error {
 	p.missedReads = map[string]int{}
 	p.lastReadReceivedAt = p.Loop.Now()
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// poll reads the list if this daemon has the role and a reading is due.
+// poll reads the list if this daemon has the role and a read is due.
 func (p *Poller) poll() {
 	now := p.Loop.Now()
 	lastReader := p.receiveLastRead(now)
@@ -87,14 +87,14 @@
 	defer cancel()
 	current, err := p.Read(ctx)
 	if err != nil {
-		logging.Write(p.Loop.Log, EndpointListUnreadable{Reason: err.Error(), Remedy: "none at once: the known endpoints stay in use; check the platform's list"})
+		logging.Write(p.Loop.Log, EndpointListUnreadable{Reason: err.Error(), Remedy: "no immediate action: the known endpoints stay in use; check that the platform's endpoint list can be read"})
 		return
 	}
 	p.publish(current)
 }
 
-// receiveLastRead notes the latest reading that this daemon knows of, and tells whose it was;
-// "" before the first.
+// receiveLastRead records the latest LastRead update known to this daemon, and returns the id of
+// the core that published it, or "" if there is none yet.
 func (p *Poller) receiveLastRead(now clock.Micros) (reader string) {
 	update, known := p.Loop.Update(LastReadKey)
 	if !known {
@@ -105,12 +105,12 @@
 	}
 	var lastRead LastRead
 	if json.Unmarshal(update.Value, &lastRead) != nil {
-		return "" // of a later release; the role passes on after the time-out
+		return "" // written by a later release; another core takes over after the time-out
 	}
 	return lastRead.By
 }
 
-// publish publishes what changed on the list, and that it was read.
+// publish publishes the changes of the list, and a new LastRead update.
 func (p *Poller) publish(current []endpoints.Server) {
 	known := endpoints.DecodeServers(p.Loop.UpdatesWithPrefix(endpoints.ServerPrefix))
 	for _, server := range Diff(known, current, p.missedReads) {
@@ -123,9 +123,9 @@
 	p.Loop.Publish(machine.Update{Key: LastReadKey, Seq: p.lastReadSeq, Value: value})
 }
 
-// IsDue tells whether a daemon is to read the list: the last reader goes on; when nothing
-// has been received of it for the take-over time-out, the first of the other live cores by
-// id takes over, each one after it a little later.
+// IsDue reports whether this daemon has to read the list. The last reader continues to read. If
+// nothing has been received from it for the take-over time-out, the first of the other live
+// cores by id takes over; each further core waits longer by TakeoverStagger.
 func IsDue(self, lastReader string, members []membership.Member, sinceLastRead clock.Micros, settings Settings) bool {
 	if lastReader == self {
 		return true
@@ -141,18 +141,20 @@
 	return sinceLastRead >= settings.TakeoverTimeout+clock.Micros(position)*settings.TakeoverStagger
 }
 
-// A server's state moves in one direction: a name stands for one incarnation of a server.
-// The numbers are the epochs of the updates; they never change.
+// The states of a server, in the only order in which it passes through them: a name stands for
+// one incarnation of a server. The values are the epochs of the gossiped updates and must never
+// change.
 const (
 	stateActive uint64 = iota
 	stateDraining
 	stateRemoved
 )
 
-// ServerUpdate is the update of a server's state as the platform lists it. A draining or
-// removed server never comes back, also where another core reads an older list later: the
-// state counts before the time. Lists that operators put themselves are updated by sequence
-// instead, so that they can take a state back (endpoints.ServerUpdate).
+// ServerUpdate returns the update that publishes a server's state on the platform's list. A
+// draining or removed server never becomes active again, even if another core reads an older
+// list later: updates are ordered by state first, then by time. Lists that operators put are
+// ordered by sequence number instead, so that operators can revert a state
+// (endpoints.ServerUpdate).
 func ServerUpdate(server endpoints.Server, now clock.Micros) machine.Update {
 	value, _ := json.Marshal(server)
 	state := stateActive
@@ -165,13 +167,14 @@
 	return machine.Update{Key: endpoints.ServerKey(server.Name), Epoch: state, Seq: uint64(now), Value: value}
 }
 
-// removeAfterMisses is how many readings in a row have to lack a server before it counts as
-// removed: a list that is read in pages may lack one by chance.
+// removeAfterMisses is the number of consecutive reads that must lack a server before it counts
+// as removed: a list that is read in pages may lack one by chance.
 const removeAfterMisses = 2
 
-// Diff gives the servers whose states have to be published, by name: those that are new,
-// drain since this reading or have another address, and those that are removed. missedReads
-// counts the readings without each known server from call to call.
+// Diff returns the servers whose states have to be published, sorted by name: those that are
+// new, have started to drain, have another address, or are removed. missedReads holds the number
+// of consecutive reads that lacked each known server; Diff updates it, and the caller passes it
+// to the next call.
 func Diff(known, current []endpoints.Server, missedReads map[string]int) []endpoints.Server {
 	previous := map[string]endpoints.Server{}
 	for _, server := range known {
@@ -201,8 +204,8 @@
 	return out
 }
 
-// hasChanged tells whether a listed server's state has to be published again. A removed one
-// stays removed, and a draining one draining.
+// hasChanged reports whether the state of a listed server has to be published again. A removed
+// server stays removed, and a draining one draining.
 func hasChanged(old, current endpoints.Server) bool {
 	if old.Removed {
 		return false
--- a/internal/daemon/discovery/stored_names.go
+++ b/internal/daemon/discovery/stored_names.go
@@ -1,5 +1,5 @@
 package discovery
 
-// LastReadKey is the update key of the latest reading. This spelling is gossiped; it never
-// changes.
+// LastReadKey is the key of the LastRead update. It is gossiped between releases and must never
+// change.
 const LastReadKey = "lookout"
--- a/internal/daemon/host/drain_test.go
+++ b/internal/daemon/host/drain_test.go
@@ -9,7 +9,8 @@
 	"tuliprudder/internal/clock"
 )
 
-// startDraining has a daemon drain; finish ends the one function that drains it.
+// startDraining starts to drain a daemon with one drain function, which returns when finish is
+// called. drained is closed when the daemon has drained.
 func startDraining(interrupts chan os.Signal) (finish func(), drained chan struct{}) {
 	d := &Daemon{Log: zerolog.Nop(), DrainTimeout: 60 * clock.Second}
 	finished := make(chan struct{})
@@ -22,7 +23,7 @@
 	return func() { close(finished) }, drained
 }
 
-// Who interrupts a daemon that drains doesn't want to wait.
+// An interrupt ends the draining although a drain function still runs.
 func TestInterruptEndsDraining(_ *testing.T) {
 	interrupts := make(chan os.Signal)
 	finish, drained := startDraining(interrupts)
@@ -31,12 +32,12 @@
 	<-drained
 }
 
-// A daemon has drained once each of its functions has ended.
+// Draining ends when every drain function has returned, and not before.
 func TestDrainingEndsWhenAllDrainFunctionsReturn(t *testing.T) {
 	finish, drained := startDraining(make(chan os.Signal))
 	select {
 	case <-drained:
-		t.Fatal("it ended with requests open")
+		t.Fatal("draining ended while a drain function was still running")
 	default:
 	}
 	finish()
--- a/internal/daemon/host/events.go
+++ b/internal/daemon/host/events.go
@@ -5,9 +5,9 @@
 	"tuliprudder/internal/machine"
 )
 
-// The log events of every daemon's life.
+// The log events of the life cycle of every daemon.
 type (
-	// DaemonStarted tells that all services run.
+	// DaemonStarted is logged when all services are running.
 	DaemonStarted struct {
 		machine.Info
 		Zone        string `json:"zone"`
@@ -15,26 +15,26 @@
 		HTTP        string `json:"http"`
 		Incarnation uint64 `json:"incarnation"`
 	}
-	// DrainStarted tells that the daemon was asked to stop.
+	// DrainStarted is logged when the daemon was told to stop and starts to drain.
 	DrainStarted struct {
 		machine.Info
 		TimeoutUS clock.Micros `json:"timeout_us"`
 	}
-	// DrainTimedOut tells that the daemon stops before it is drained.
+	// DrainTimedOut is logged when the drain time-out has passed and the daemon stops before it has drained.
 	DrainTimedOut struct {
 		machine.Warning
 		TimeoutUS clock.Micros `json:"timeout_us"`
 	}
-	// DaemonStopped is the last line of a daemon that was asked to stop.
+	// DaemonStopped is the last event that a daemon logs when it was told to stop.
 	DaemonStopped struct{ machine.Info }
-	// SavedPeersUnreadable tells that the file of saved addresses is damaged.
+	// SavedPeersUnreadable is logged when the file of saved peer addresses is damaged.
 	SavedPeersUnreadable struct {
 		machine.Warning
 		Reason string `json:"reason"`
 		Remedy string `json:"remedy"`
 	}
-	// SavedPeersNotWritten tells that the addresses could not be saved; logged once until
-	// they are.
+	// SavedPeersNotWritten is logged when the peer addresses could not be saved. Further
+	// failures are not logged until a write has succeeded.
 	SavedPeersNotWritten struct {
 		machine.Warning
 		Reason string `json:"reason"`
--- a/internal/daemon/host/host.go
+++ b/internal/daemon/host/host.go
@@ -1,6 +1,6 @@
-// Package host puts together and runs the services that every daemon has (DESIGN §2): event
-// loop, HTTP server, administration API, saved peers. Package roles adds what a role has; the
-// programs call New, a function of roles, and Run.
+// Package host assembles and runs the services that every daemon has (DESIGN §2): event loop,
+// HTTP server, administration API and saved peers. Package roles adds the parts of a role. A
+// program calls New, then a function of roles, then Run.
 package host
 
 import (
@@ -32,18 +32,17 @@
 
 // Limits are the limits of a daemon's HTTP server.
 type Limits struct {
-	MaxOpenRequests int64 // requests open at once; default 4096
-	MaxBodyBytes    int64 // of one request's body; default 8 MiB
+	MaxOpenRequests int64 // concurrent requests; default 4096
+	MaxBodyBytes    int64 // size of one request body; default 8 MiB
 }
 
-// Settings adds the limits to a reader of settings.
+// Settings adds the limits to a settings reader.
 func (l *Limits) Settings(r *settings.Reader) {
-	r.Int(&l.MaxOpenRequests, "most-open", 4096, 1, 1_000_000, "most requests open at once")
-	r.Int(&l.MaxBodyBytes, "most-bytes", 8<<20, 1024, 256<<20, "largest body of a request, in bytes")
+	r.Int(&l.MaxOpenRequests, "most-open", 4096, 1, 1_000_000, "maximum number of concurrent requests")
+	r.Int(&l.MaxBodyBytes, "most-bytes", 8<<20, 1024, 256<<20, "maximum size of a request body, in bytes")
 }
 
-// Daemon is the parts that every daemon has. They are put together by one goroutine before
-// Run.
+// Daemon holds the parts that every daemon has. One goroutine assembles them before Run.
 type Daemon struct {
 	Services *services.Registry
 	Log      zerolog.Logger
@@ -60,14 +59,14 @@
 
 const (
 	defaultDrainTimeout = 8 * clock.Second
-	// leaveAnnouncementDelay is how long a daemon that stops waits for its last announcement to
-	// be sent.
+	// leaveAnnouncementDelay is how long a stopping daemon waits for the announcement that it has
+	// left to be sent.
 	leaveAnnouncementDelay = 100 * time.Millisecond
 )
 
-// New makes a daemon: its log, identity, event loop and HTTP server. program is its name in
-// the log; kind is one of the kinds of package membership. A daemon with a data folder waits
-// here until its disk takes writes.
+// New makes a daemon with its log, identity, event loop, HTTP server and administration API.
+// program is its name in the log; kind is one of the kinds of package membership. If the daemon
+// has a data folder, New blocks until the disk accepts writes.
 func New(program, kind string, common settings.Common, limits Limits) (*Daemon, error) {
 	out, err := openLog(common.LogFile)
 	if err != nil {
@@ -101,21 +100,21 @@
 	return d, nil
 }
 
-// openLog opens the file that the log is appended to; without a name it is the standard
-// error. It stays open as long as the process.
+// openLog opens the file that the log is appended to, or returns standard error if name is
+// empty. The file stays open for the life of the process.
 func openLog(name string) (io.Writer, error) {
 	if name == "" {
 		return os.Stderr, nil
 	}
 	file, err := os.OpenFile(name, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil, errors.Wrap(err, "opening the log")
+		return nil, errors.Wrap(err, "opening the log file")
 	}
 	return file, nil
 }
 
-// loadIdentity reads the identity from the data folder once the disk takes writes; a daemon
-// without a data folder gets a new one.
+// loadIdentity reads the identity from the data folder, once the disk accepts writes. A daemon
+// without a data folder gets a new identity.
 func loadIdentity(log zerolog.Logger, kind, dataDir string) (self eventloop.Identity, err error) {
 	if dataDir == "" {
 		return eventloop.NewIdentity(kind, time.Now().UnixMicro()), nil
@@ -127,7 +126,7 @@
 	return self, err
 }
 
-// member is what the daemon tells the others of itself.
+// member returns the daemon's own entry in the member list, which it gossips to the others.
 func (d *Daemon) member() membership.Member {
 	return membership.Member{
 		ID:          d.Identity.ID,
@@ -142,21 +141,22 @@
 }
 
 // OnDrain adds a function that drains a part of the daemon. It is called in a goroutine of
-// its own when the daemon is asked to stop, and is given up after DrainTimeout.
+// its own when the daemon is told to stop; after DrainTimeout the daemon stops without waiting
+// for it any longer.
 func (d *Daemon) OnDrain(f func()) { d.drainFuncs = append(d.drainFuncs, f) }
 
-// httpService is the HTTP server as a service.
+// httpService implements services.Service for the HTTP server and its administration API.
 type httpService struct{ d *Daemon }
 
-// Start serves the administration API until the clean-ups run.
+// Start serves the administration API until the clean-up functions run.
 func (h httpService) Start(_ *services.Registry, cleanups *cleanup.Stack) error {
 	h.d.Admin.Routes(h.d.HTTP)
 	return h.d.HTTP.Start(cleanups)
 }
 
-// Run starts the services and waits for SIGTERM or SIGINT; then it drains, announces that
-// the daemon leaves, and stops the services. SIGINT ends the draining; a second SIGTERM doesn't.
-// A daemon that is told to stop before its services run ends at once.
+// Run starts the services and waits for SIGTERM or SIGINT. Then it drains the daemon, announces
+// that the daemon has left, and stops the services. A SIGINT ends the draining; a second SIGTERM
+// doesn't. If the signal arrives before the services run, the process exits at once.
 func (d *Daemon) Run() error {
 	d.Services.Register(eventloop.Name, d.Loop)
 	d.Services.Register("http", httpService{d})
@@ -176,8 +176,8 @@
 	return nil
 }
 
-// drain calls the functions that drain the daemon, at once, and waits until all are done, the
-// time-out has passed, or the daemon is interrupted.
+// drain runs the drain functions concurrently and waits until all have returned, the time-out has
+// passed, or an interrupt arrives.
 func (d *Daemon) drain(interrupts <-chan os.Signal) {
 	var draining sync.WaitGroup
 	for _, f := range d.drainFuncs {
@@ -196,19 +196,19 @@
 	}
 }
 
-// SetRequestPath gives the administration API the parts of the request path that it shows.
+// SetRequestPath gives the administration API the parts of the request path whose state it
+// reports.
 func (d *Daemon) SetRequestPath(scheduling *machines.Scheduling, resultReader *reader.Reader, decisions *decisionlog.Log) {
 	d.Admin.Scheduling, d.Admin.Reader, d.Admin.Decisions = scheduling, resultReader, decisions
 }
 
-// DataPath is the path of a file or folder in the data folder.
+// DataPath returns the path of a file or folder in the data folder.
 func (d *Daemon) DataPath(name string) string { return filepath.Join(d.Common.DataDir, name) }
 
-// pollInterval is the time between two checks of WaitUntil.
+// pollInterval is the time between two checks of the condition in WaitUntil.
 const pollInterval = 10 * time.Millisecond
 
-// WaitUntil waits until a condition holds, which it checks again and again; false when the
-// time-out passed first.
+// WaitUntil polls a condition until it holds, and reports whether it did before the time-out.
 func WaitUntil(timeout clock.Micros, condition func() bool) bool {
 	deadline := time.Now().Add(clock.Duration(timeout))
 	for !condition() {
--- a/internal/daemon/host/saved_peers.go
+++ b/internal/daemon/host/saved_peers.go
@@ -16,11 +16,11 @@
 const (
 	maxSavedPeers         = 64
 	savePeersInterval     = 5 * time.Second
-	peersNotWrittenRemedy = "none: it is retried; see the disk's condition"
+	peersNotWrittenRemedy = "none: the write is retried; check the state of the disk"
 )
 
-// loadPeers reads the addresses of other daemons that an earlier run saved: the seeds may be
-// dead by now. Without them the seeds have to do.
+// loadPeers reads the addresses of other daemons that an earlier run saved, since the seeds may
+// no longer be alive. If there are none, the daemon joins through the seeds alone.
 func (d *Daemon) loadPeers() []string {
 	if d.Common.DataDir == "" {
 		return nil
@@ -31,16 +31,17 @@
 	}
 	var peers []string
 	if err := json.Unmarshal(data, &peers); err != nil {
-		logging.Write(d.Log, SavedPeersUnreadable{Reason: err.Error(), Remedy: "none: the daemon starts from its seeds alone, and saves the peers anew"})
+		logging.Write(d.Log, SavedPeersUnreadable{Reason: err.Error(), Remedy: "none: the daemon joins through its seeds alone, and writes the file again"})
 		return nil
 	}
 	return peers
 }
 
-// peerSaver writes the addresses of live daemons to the data folder whenever they changed.
+// peerSaver writes the addresses of live daemons to the data folder when they have changed.
 type peerSaver struct{ d *Daemon }
 
-// Start starts the goroutine that saves; the clean-up that it pushes ends it.
+// Start starts the goroutine that saves the addresses. The clean-up function that it pushes stops
+// it.
 func (s peerSaver) Start(_ *services.Registry, cleanups *cleanup.Stack) error {
 	if s.d.Common.DataDir == "" {
 		return nil
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// livePeers lists the addresses of other daemons that are alive, a bounded number of them.
+// livePeers returns the addresses of at most maxSavedPeers other daemons that are alive.
 func (s peerSaver) livePeers() (peers []string) {
 	for _, member := range s.d.Loop.Members() {
 		isOther := member.ID != s.d.Identity.ID
--- a/internal/daemon/host/saved_peers_test.go
+++ b/internal/daemon/host/saved_peers_test.go
@@ -8,7 +8,7 @@
 	"tuliprudder/internal/settings"
 )
 
-// The addresses that an earlier release saved are read.
+// The daemon must be able to read the peer addresses that an earlier release saved.
 func TestPeersSavedByEarlierReleaseAreRead(t *testing.T) {
 	folder := t.TempDir()
 	if err := os.CopyFS(folder, os.DirFS("../../../test/storedformat/testdata/folders/after-snapshot/core")); err != nil {
@@ -16,6 +16,6 @@
 	}
 	d := &Daemon{Common: settings.Common{DataDir: folder}}
 	if got, want := d.loadPeers(), []string{"10.0.0.2:7000", "10.0.1.1:7100"}; !slices.Equal(got, want) {
-		t.Errorf("read %q, not %q", got, want)
+		t.Errorf("loaded peers %q, want %q", got, want)
 	}
 }
--- a/internal/daemon/host/stop.go
+++ b/internal/daemon/host/stop.go
@@ -10,21 +10,21 @@
 	"github.com/zeromicro/go-zero/core/proc"
 )
 
-// go-zero takes SIGTERM and SIGINT from the moment at which the process begins, before anything here
-// can: a signal that comes while a daemon starts reaches proc.Done alone. So that is what tells a
-// daemon to stop, and this package keeps the signals that follow from ending the process.
+// go-zero handles SIGTERM and SIGINT from the start of the process, before any code here can: a signal
+// that arrives while a daemon starts is visible through proc.Done only. A daemon therefore stops when
+// proc.Done is closed, and this package prevents later signals from ending the process.
 
-// stopListener hears when the daemon is told to stop.
+// stopListener waits for the signal to stop the daemon.
 type stopListener struct {
 	isServing atomic.Bool
 }
 
-// newStopListener listens from now on. Until wait is called the daemon has nothing to drain, and a
+// newStopListener starts to listen. Until wait is called the daemon has nothing to drain, and a
 // signal ends the process.
 func newStopListener() *stopListener {
-	proc.SetTimeToForceQuit(time.Hour) // this package drains; go-zero must not end the process first
-	// Nothing is read from the channel: go-zero stops listening with the first signal, and the next
-	// one would end the process.
+	proc.SetTimeToForceQuit(time.Hour) // go-zero must not end the process while this package drains
+	// go-zero stops listening after the first signal, and the next one would end the process by
+	// default. Registering a channel prevents that; nothing reads from it.
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGTERM, syscall.SIGINT)
 	l := &stopListener{}
 	go func() {
@@ -36,13 +36,13 @@
 	return l
 }
 
-// wait returns once the daemon is told to stop.
+// wait blocks until the daemon is told to stop.
 func (l *stopListener) wait() {
 	l.isServing.Store(true)
 	<-proc.Done()
 }
 
-// interrupts gives the SIGINTs that come from now on.
+// interrupts returns a channel that receives the SIGINTs from now on.
 func interrupts() <-chan os.Signal {
 	out := make(chan os.Signal, 1)
 	signal.Notify(out, os.Interrupt)
--- a/internal/daemon/host/stored_names.go
+++ b/internal/daemon/host/stored_names.go
@@ -1,5 +1,5 @@
 package host
 
-// peersFile is the file of saved addresses in a data folder. This spelling is on disk; it
-// never changes.
+// peersFile is the name of the file of saved peer addresses in a data folder. It must never
+// change: data folders of earlier releases have it.
 const peersFile = "peers.json"
--- a/internal/daemon/metrics/metrics.go
+++ b/internal/daemon/metrics/metrics.go
@@ -1,28 +1,28 @@
-// Package metrics exposes what a daemon counts (DESIGN §10). Each module of a daemon has one
-// table that says of each metric its key, name, type, unit and help. The same table serves
-// both forms: the JSON document of counters, whose keys and units are those of the first
-// release and never change, and Prometheus' text format, whose names follow Prometheus'
-// conventions (base units, _total for counters).
+// Package metrics exposes a daemon's metrics (DESIGN §10). Each module of a daemon has one
+// table that defines the key, name, type, unit and help text of each metric. Both output
+// formats are made from it: the JSON document of counters, whose keys and units are those of
+// the first release and never change, and the Prometheus text format, whose names follow the
+// Prometheus conventions (base units, _total for counters).
 //
-// A module's values are sampled together, under the module's own lock, each time either
-// form is asked for; nothing is kept between two samples. All functions may be called by
-// several goroutines.
+// A module's values are sampled together, under the module's own lock, on each request for
+// either format; nothing is kept between two samples. All functions are safe for concurrent
+// use.
 package metrics
 
 import (
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Unit is the unit of a metric's value as the module samples it and as JSON has it.
+// Unit is the unit of a metric's value in the module's samples and in the JSON document.
 type Unit int
 
 // The units.
 const (
-	// Count is a number of things; it is the same in both forms.
+	// Count is a plain number; it is the same in both formats.
 	Count Unit = iota
-	// Bytes is the same in both forms.
+	// Bytes is the same in both formats.
 	Bytes
-	// Microseconds is the unit of times in JSON; the text format has seconds.
+	// Microseconds is the unit of times in JSON; the text format uses seconds.
 	Microseconds
 )
 
@@ -40,28 +40,28 @@
 	Key string
 	// Name is the name in the text format.
 	Name string
-	// Type says whether the value only rises until the daemon ends (a counter) or not (a
-	// gauge).
+	// Type is a counter if the value never falls while the daemon runs, and a gauge
+	// otherwise.
 	Type prometheus.ValueType
 	Unit Unit
-	// Help is one line that says what is counted.
+	// Help is a one-line description of the metric.
 	Help string
 	// Value reads the metric from a sample.
 	Value func(sample S) int64
-	// IsPresent tells whether a sample has the metric; nil: each has.
+	// IsPresent reports whether a sample has the metric; nil means that every sample has it.
 	IsPresent func(sample S) bool
 }
 
 func (m Metric[S]) isPresent(sample S) bool { return m.IsPresent == nil || m.IsPresent(sample) }
 
-// Module is the metrics of one module. It is a prometheus.Collector.
+// Module holds the metrics of one module. It implements prometheus.Collector.
 type Module[S any] struct {
 	table        []Metric[S]
-	descriptions []*prometheus.Desc // by the order of the table
+	descriptions []*prometheus.Desc // in the order of the table
 	sample       func() S
 }
 
-// NewModule makes a module of a table; sample reads all its values at one moment.
+// NewModule makes a module from a table; sample reads all values at one point in time.
 func NewModule[S any](table []Metric[S], sample func() S) *Module[S] {
 	m := &Module[S]{table: table, sample: sample}
 	for _, metric := range table {
@@ -70,14 +70,14 @@
 	return m
 }
 
-// Describe sends the descriptions of all metrics that the module may have.
+// Describe sends the descriptions of all metrics of the table.
 func (m *Module[S]) Describe(descriptions chan<- *prometheus.Desc) {
 	for _, description := range m.descriptions {
 		descriptions <- description
 	}
 }
 
-// Collect samples the module and sends the metrics that it has now, in base units.
+// Collect samples the module and sends the metrics that are present, in base units.
 func (m *Module[S]) Collect(collected chan<- prometheus.Metric) {
 	sample := m.sample()
 	for i, metric := range m.table {
@@ -89,7 +89,7 @@
 	}
 }
 
-// Counters samples the module and gives the values that it has now, by JSON key.
+// Counters samples the module and returns the values that are present, by JSON key.
 func (m *Module[S]) Counters() map[string]int64 {
 	sample := m.sample()
 	out := map[string]int64{}
--- a/internal/daemon/metrics/metrics_test.go
+++ b/internal/daemon/metrics/metrics_test.go
@@ -46,7 +46,7 @@
 				"# HELP test_writes_total Writes.\n# TYPE test_writes_total counter\ntest_writes_total 3\n",
 		},
 		{
-			"a metric that is not always there", sample{hasQueue: true, queued: 7},
+			"a metric that only some samples have", sample{hasQueue: true, queued: 7},
 			map[string]int64{"writes": 0, "wait_us": 0, "queue": 7},
 			"# HELP test_queue_bytes Queued.\n# TYPE test_queue_bytes gauge\ntest_queue_bytes 7\n" +
 				"# HELP test_wait_seconds Wait.\n# TYPE test_wait_seconds gauge\ntest_wait_seconds 0\n" +
@@ -57,7 +57,7 @@
 			registry := NewRegistry()
 			registry.Register(NewModule(table, func() sample { return test.sample }))
 			if got := registry.Counters(); !maps.Equal(got, test.counters) {
-				t.Errorf("counters %v, not %v", got, test.counters)
+				t.Errorf("counters %v, want %v", got, test.counters)
 			}
 			recorder := httptest.NewRecorder()
 			registry.Handler().ServeHTTP(recorder, httptest.NewRequest("GET", "/metrics", nil))
@@ -80,6 +80,6 @@
 	registry.Register(newSingleMetricModule("test_first", 1))
 	registry.Register(newSingleMetricModule("test_second", 2))
 	if got := registry.Counters(); got["k"] != 2 {
-		t.Errorf("counters %v", got)
+		t.Errorf("counters %v, without the value of the later module", got)
 	}
 }
--- a/internal/daemon/metrics/process.go
+++ b/internal/daemon/metrics/process.go
@@ -6,10 +6,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// processSample is the Go runtime's metrics at one moment.
+// processSample holds the values of the Go runtime's metrics at one point in time.
 type processSample struct{ heapBytes, goroutines int64 }
 
-// Process are the metrics of the daemon's process.
+// Process returns the metrics of the daemon's process.
 func Process() Source {
 	return NewModule(processMetrics, func() processSample {
 		var memory runtime.MemStats
--- a/internal/daemon/metrics/registry.go
+++ b/internal/daemon/metrics/registry.go
@@ -8,31 +8,32 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Source is a module as the registry sees it (Module).
+// Source is a set of metrics that can be registered; Module implements it.
 type Source interface {
 	prometheus.Collector
 	Counters() map[string]int64
 }
 
-// Registry holds the modules of one daemon. Modules are registered while the daemon is put
-// together, before it serves.
+// Registry holds the modules of one daemon. All modules must be registered before the daemon
+// serves requests.
 type Registry struct {
 	sources    []Source
 	prometheus *prometheus.Registry
 }
 
-// NewRegistry makes an empty registry. It is no part of Prometheus' global one: that has
-// metrics of libraries that are not the daemon's.
+// NewRegistry makes an empty registry. It is separate from the global Prometheus registry, which
+// has metrics of libraries that are not the daemon's own.
 func NewRegistry() *Registry { return &Registry{prometheus: prometheus.NewRegistry()} }
 
-// Register adds a module. Two metrics of one name are a fault of the program: it panics.
+// Register adds a module. It panics if a metric name is already registered, which is a programming
+// error.
 func (r *Registry) Register(source Source) {
 	r.prometheus.MustRegister(source)
 	r.sources = append(r.sources, source)
 }
 
-// Counters are the values of all modules by JSON key. Where two modules have one key (a
-// store's own disk_wait_us and its event loop's), the one registered later counts.
+// Counters returns the values of all modules by JSON key. If two modules have the same key (a
+// store's own disk_wait_us and that of its event loop), the module registered later wins.
 func (r *Registry) Counters() map[string]int64 {
 	out := map[string]int64{}
 	for _, source := range r.sources {
@@ -41,7 +42,7 @@
 	return out
 }
 
-// Handler serves all modules in Prometheus' text format.
+// Handler returns a handler that serves all modules in the Prometheus text format.
 func (r *Registry) Handler() http.Handler {
 	return promhttp.HandlerFor(r.prometheus, promhttp.HandlerOpts{})
 }
--- a/internal/daemon/program/disable.go
+++ b/internal/daemon/program/disable.go
@@ -5,9 +5,9 @@
 	"tuliprudder/internal/settings"
 )
 
-// addDisable adds the setting that switches mechanisms off.
+// addDisable adds the setting that disables mechanisms.
 func addDisable(reader *settings.Reader, target *mechanism.Set) {
-	list := reader.Flags.String("disable", "", "mechanisms to switch off, by comma: only to measure what they are worth")
+	list := reader.Flags.String("disable", "", "comma-separated list of mechanisms to disable; only for measuring their effect")
 	reader.AddCheck(func() {
 		set, err := mechanism.Parse(*list)
 		if err != nil {
--- a/internal/daemon/program/edge.go
+++ b/internal/daemon/program/edge.go
@@ -10,7 +10,7 @@
 	"tuliprudder/internal/settings"
 )
 
-// edgeDrainTimeout is how long an edge that is told to stop waits for open requests.
+// edgeDrainTimeout is how long a stopping edge waits for open requests to finish.
 const edgeDrainTimeout = 6 * clock.Second
 
 // Edge is the program of an edge daemon, which carries callers' traffic (DESIGN §7).
@@ -19,19 +19,19 @@
 	maxQueued int64
 }
 
-// NewEdge is an edge with the default settings.
+// NewEdge returns an edge with the default settings.
 func NewEdge() *Edge { return &Edge{settings: machines.EdgeDefaults()} }
 
-// Name is edge.
+// Name returns the name of the program.
 func (*Edge) Name() string { return "edge" }
 
-// Kind is that of an edge.
+// Kind returns the kind of an edge.
 func (*Edge) Kind() string { return membership.Edge }
 
-// NeedsDisk is false: an edge keeps nothing.
+// NeedsDisk returns false: an edge stores no data.
 func (*Edge) NeedsDisk() bool { return false }
 
-// AddSettings adds the settings of an edge.
+// AddSettings adds the settings of an edge to reader.
 func (e *Edge) AddSettings(reader *settings.Reader, common *settings.Common) {
 	s := &e.settings
 	e.maxQueued = int64(s.Scheduler.MaxQueued)
@@ -42,12 +42,12 @@
 	addDisable(reader, &s.Scheduler.Disabled)
 	reader.AddCheck(func() {
 		if common.DataDir != "" {
-			reader.Faultf("-data %q: an edge keeps nothing on disk; leave it out", common.DataDir)
+			reader.Faultf("-data %q: an edge stores nothing on disk; omit this setting", common.DataDir)
 		}
 	})
 }
 
-// Assemble makes the daemon an edge.
+// Assemble adds the parts of an edge to the daemon.
 func (e *Edge) Assemble(daemon *host.Daemon) error {
 	e.settings.Scheduler.MaxQueued = int(e.maxQueued)
 	edge := roles.NewEdge(daemon, e.settings)
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// notReadyReason says why an edge can't serve callers, or "".
+// notReadyReason returns why an edge can't serve callers, or "" if it can.
 func notReadyReason(daemon *host.Daemon, edge *roles.Edge) (reason string) {
 	daemon.Loop.WithMachine(func(now clock.Micros) {
 		switch {
--- a/internal/daemon/program/program.go
+++ b/internal/daemon/program/program.go
@@ -1,6 +1,6 @@
-// Package program runs the daemons' programs: it reads the settings that every daemon
-// has and those of its kind, makes the daemon, and runs it until it is told to stop
-// (DESIGN §2, §10). Programs under cmd call Main; adapters to other platforms have
+// Package program implements the main functions of the daemons: it reads the settings that
+// all daemons share and those of the role, makes the daemon, and runs it until it is
+// stopped (DESIGN §2, §10). Programs under cmd call Main. Platform adapters have
 // settings of their own and share only how a daemon drains.
 package program
 
@@ -12,25 +12,26 @@
 	"tuliprudder/internal/settings"
 )
 
-// exitFailed is the exit code of a daemon that ended with a fault; bad settings end a
-// program with 2 (settings.Reader.MustParse).
+// exitFailed is the exit code of a daemon that ended with an error. Invalid settings give
+// exit code 2 (settings.Reader.MustParse).
 const exitFailed = 1
 
-// Role is one kind of daemon: its own settings, and what it is made of.
+// Role is one kind of daemon: its settings and how it is assembled.
 type Role interface {
-	// Name is the program's name in the log and before its messages.
+	// Name is the program's name in the log and in error messages.
 	Name() string
 	// Kind is the daemon's kind, as in package membership.
 	Kind() string
-	// NeedsDisk reports whether the daemon keeps data in a folder.
+	// NeedsDisk reports whether the daemon stores data and needs a data folder.
 	NeedsDisk() bool
-	// AddSettings adds the role's own settings to those of every daemon.
+	// AddSettings adds the role's own settings to those that all daemons share.
 	AddSettings(reader *settings.Reader, common *settings.Common)
-	// Assemble gives a daemon the role's parts; the settings have been read.
+	// Assemble adds the role's parts to a daemon. It is called after the settings are read.
 	Assemble(daemon *host.Daemon) error
 }
 
-// Main is the main function of a role's program.
+// Main reads the settings from the command line and runs a daemon of the role. It is the main
+// function of the role's program.
 func Main(role Role) {
 	var common settings.Common
 	var limits host.Limits
--- a/internal/daemon/program/store.go
+++ b/internal/daemon/program/store.go
@@ -11,33 +11,33 @@
 	"tuliprudder/internal/settings"
 )
 
-// storeDrainTimeout is how long a store that is told to stop waits for its shards' new
-// owners.
+// storeDrainTimeout is how long a stopping store waits for other stores to take over its
+// shards.
 const storeDrainTimeout = 7 * clock.Second
 
-// Store is the program of a store daemon, which keeps batches and runs their items
+// Store is the program of a store daemon, which stores batches and runs their items
 // (DESIGN §6).
 type Store struct {
-	// Prepare is called with the assembled role; nil: nothing.
+	// Prepare, if not nil, is called with the assembled role.
 	Prepare  func(store *roles.Store, dataDir string)
 	settings batchstore.Settings
 	disabled mechanism.Set
 	maxItems int64
 }
 
-// NewStore is a store with the default settings.
+// NewStore returns a store with the default settings.
 func NewStore() *Store { return &Store{settings: batchstore.Defaults()} }
 
-// Name is store.
+// Name returns the name of the program.
 func (*Store) Name() string { return "store" }
 
-// Kind is that of a store.
+// Kind returns the kind of a store.
 func (*Store) Kind() string { return membership.Store }
 
-// NeedsDisk is true: a store keeps batches.
+// NeedsDisk returns true: a store stores batches.
 func (*Store) NeedsDisk() bool { return true }
 
-// AddSettings adds the settings of a store.
+// AddSettings adds the settings of a store to reader.
 func (s *Store) AddSettings(reader *settings.Reader, _ *settings.Common) {
 	s.maxItems = int64(s.settings.MaxItems)
 	reader.Int(&s.maxItems, "most-items", s.maxItems, 1, 10_000_000, "items of batches that may wait here; more are rejected")
@@ -45,7 +45,7 @@
 	addDisable(reader, &s.disabled)
 }
 
-// Assemble makes the daemon a store.
+// Assemble adds the parts of a store to the daemon.
 func (s *Store) Assemble(daemon *host.Daemon) error {
 	s.settings.MaxItems = int(s.maxItems)
 	store, err := roles.NewStore(daemon, s.settings)
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// DrainStore has a store's shards pass to other stores, and waits until it owns none, at
-// most for timeout.
+// DrainStore makes a store hand its shards over to other stores, and waits until it owns none,
+// for at most timeout.
 func DrainStore(daemon *host.Daemon, store *roles.Store, timeout clock.Micros) {
 	daemon.Loop.Notify(batchstore.Drain{})
 	host.WaitUntil(timeout, func() (released bool) {
--- a/internal/daemon/roles/caller_metrics.go
+++ b/internal/daemon/roles/caller_metrics.go
@@ -9,8 +9,9 @@
 	"tuliprudder/internal/logging"
 )
 
-// MonitorCallerConnections exposes how callers' connections at a server end, and logs each that this daemon
-// closed without an answer. It is called before the server starts.
+// MonitorCallerConnections registers the metrics of how callers' connections to a server end, and
+// logs each connection that this daemon closed without a response. It must be called before the
+// server starts.
 func MonitorCallerConnections(d *host.Daemon, server *httpserver.RawServer) {
 	stats := &server.Unanswered
 	d.Admin.Metrics.Register(metrics.NewModule(callerMetrics, func() callerSample {
@@ -30,10 +31,10 @@
 	}
 }
 
-// callerSample is how callers' connections have ended since the start.
+// callerSample counts how callers' connections have ended since the daemon started.
 type callerSample struct{ closedIdle, closedUnanswered, callersDisconnected, longestWait int64 }
 
-// callerMetrics is the table of the metrics of callers' connections (docs/OPERATORS.md).
+// callerMetrics defines the metrics of callers' connections (docs/OPERATORS.md).
 var callerMetrics = []metrics.Metric[callerSample]{
 	{
 		Key: "connections_closed_idle", Name: "tuliprudder_caller_connections_closed_idle_total", Type: prometheus.CounterValue,
--- a/internal/daemon/roles/connections.go
+++ b/internal/daemon/roles/connections.go
@@ -14,28 +14,30 @@
 	"tuliprudder/internal/services"
 )
 
-// limitInterval is the time between two adjustments of the limits.
+// limitInterval is the interval at which the connection limits are recomputed.
 const limitInterval = time.Second
 
 // ConnectionLimiter limits the connections to each model server to this daemon's share of
-// the server's limit, and closes those to servers that are removed (DESIGN §12.3). Its
-// exported fields are set before Start.
+// the server's limit, and closes connections to removed servers (DESIGN §12.3). Its
+// exported fields must be set before Start.
 type ConnectionLimiter struct {
 	Daemon     *host.Daemon
 	Scheduling *machines.Scheduling
 	Client     *upstream.Client
 
-	removedServers map[string]bool // removed servers that the client was told of, by name
+	removedServers map[string]bool // by name; those whose connections have been closed
 }
 
-// Start starts the goroutine that adjusts the limits; the clean-up that it pushes ends it.
+// Start starts the goroutine that adjusts the limits. The clean-up function that it pushes stops
+// the goroutine.
 func (c *ConnectionLimiter) Start(_ *services.Registry, cleanups *cleanup.Stack) error {
 	c.removedServers = map[string]bool{}
 	cleanup.Every(cleanups, limitInterval, c.adjustLimits)
 	return nil
 }
 
-// adjustLimits sets the limit of each server, and forgets removed ones.
+// adjustLimits sets the connection limit of each server, and closes the connections to removed
+// servers.
 func (c *ConnectionLimiter) adjustLimits() {
 	c.Client.CloseExpired()
 	snapshot := c.snapshot()
@@ -50,7 +52,8 @@
 	}
 }
 
-// removeServer closes the connections to a removed server, once.
+// removeServer has the client close its connections to a removed server, the first time it is
+// called for that server.
 func (c *ConnectionLimiter) removeServer(server endpoints.Server) {
 	if !c.removedServers[server.Name] {
 		c.removedServers[server.Name] = true
@@ -58,11 +61,11 @@
 	}
 }
 
-// connectionSnapshot is what the limits depend on, at one moment.
+// connectionSnapshot holds the inputs of the limits, read at one point in time.
 type connectionSnapshot struct {
 	servers []endpoints.Server
-	limits  map[string]int64 // of connections to a server, by its name; 0: none
-	kind    string           // of this daemon; "" while it does not know itself
+	limits  map[string]int64 // maximum connections by server name; 0 if none is configured
+	kind    string           // of this daemon; "" until it is in its own member list
 	shares  connections.DaemonCounts
 }
 
--- a/internal/daemon/roles/core.go
+++ b/internal/daemon/roles/core.go
@@ -19,16 +19,16 @@
 	"tuliprudder/internal/storage"
 )
 
-// Acts is a core's part in acts on an outside system.
+// Acts configures how a core performs acts on an external system (package exclusive).
 type Acts struct {
 	Settings exclusive.PerformerSettings
 	// Perform performs an act; see effects.ActExecutor.
 	Perform func(ctx context.Context, permit exclusive.Permit) exclusive.Result
 }
 
-// NewCore puts a core daemon together from what its data folder holds; acts is nil where it performs none.
-// It waits until the disk takes writes; the error is one of a folder that can't be read. The core is read
-// within Loop.WithMachine only.
+// NewCore makes a core daemon from the contents of its data folder; acts is nil if the core performs no
+// acts. It blocks until the disk accepts writes, and returns an error if the folder can't be read. The
+// returned core must only be read within Loop.WithMachine.
 func NewCore(d *host.Daemon, settings controlplane.Settings, acts *Acts) (*controlplane.Core, error) {
 	var folder *storage.Folder
 	var records []machine.Record
@@ -57,7 +57,7 @@
 	return core, nil
 }
 
-// enableActs has a core perform acts. Each start of the process is another holder.
+// enableActs lets a core perform acts. Each start of the process counts as a holder of its own.
 func enableActs(d *host.Daemon, core *machines.Core, acts *Acts) {
 	instance := fmt.Sprintf("%s/%d", d.Identity.ID, d.Identity.Incarnation)
 	core.EnablePerformer(exclusive.Holder{Name: d.Common.Name, Instance: instance}, acts.Settings)
@@ -65,14 +65,14 @@
 	d.Loop.SetExecutor(executor.Execute)
 }
 
-// coreNotReadyReason tells why a core is not ready; "" when it is.
+// coreNotReadyReason returns why a core is not ready, or "" if it is ready.
 func coreNotReadyReason(loop *eventloop.Loop, core *controlplane.Core) (reason string) {
 	if fault := loop.DiskFault(); fault != "" {
 		return fault
 	}
 	loop.WithMachine(func(clock.Micros) {
 		if core.Vote().Committed.IsZero() {
-			reason = "the cores have not founded the cluster yet"
+			reason = "the cores have not formed the cluster yet"
 		}
 	})
 	return reason
--- a/internal/daemon/roles/core_metrics.go
+++ b/internal/daemon/roles/core_metrics.go
@@ -9,8 +9,8 @@
 	"tuliprudder/internal/daemon/metrics"
 )
 
-// coreSample is a core's metrics at one moment, by their JSON key (controlplane.Counters).
-// Some are there only while the core leads.
+// coreSample holds the values of a core's metrics at one point in time, by JSON key
+// (controlplane.Counters). Some are present only while the core is primary or holds the lease.
 type coreSample map[string]int64
 
 func sampleCore(loop *eventloop.Loop, core *controlplane.Core) (s coreSample) {
@@ -18,7 +18,7 @@
 	return s
 }
 
-// coreMetric completes a row of the table with how its value is read from a sample.
+// coreMetric adds to a metric the functions that read it from a sample by its key.
 func coreMetric(metric metrics.Metric[coreSample]) metrics.Metric[coreSample] {
 	metric.Value = func(s coreSample) int64 { return s[metric.Key] }
 	metric.IsPresent = func(s coreSample) bool {
@@ -28,7 +28,7 @@
 	return metric
 }
 
-// coreMetrics is the table of a core's metrics (docs/OPERATORS.md).
+// coreMetrics defines a core's metrics (docs/OPERATORS.md).
 var coreMetrics = []metrics.Metric[coreSample]{
 	coreMetric(metrics.Metric[coreSample]{
 		Key: "core_term", Name: "tuliprudder_core_term", Type: prometheus.GaugeValue,
--- a/internal/daemon/roles/doc.go
+++ b/internal/daemon/roles/doc.go
@@ -1,6 +1,6 @@
-// Package roles puts together the daemon of each role (DESIGN §2): edge, store and core. A
-// function New… takes what every daemon has (package host), makes the role's state machine
-// from what the data folder holds, and connects the two; it also registers the role's
-// metrics and its readiness. The programs and the platform's adapter only choose settings
-// and listeners.
+// Package roles assembles the daemon of each role (DESIGN §2): edge, store and core. Each
+// New… function takes the parts that all daemons share (package host), makes the role's
+// state machine from the contents of the data folder, and connects the two. It also
+// registers the role's metrics and its readiness check. The programs and the platform
+// adapter only choose settings and listeners.
 package roles
--- a/internal/daemon/roles/edge.go
+++ b/internal/daemon/roles/edge.go
@@ -7,13 +7,14 @@
 	"tuliprudder/internal/daemon/metrics"
 )
 
-// Edge is the parts of an edge daemon. Its machine is read within Loop.WithMachine only.
+// Edge holds the parts of an edge daemon. The state machine must only be read within
+// Loop.WithMachine.
 type Edge struct {
 	*machines.Edge
 	Executor *effects.Executor
 }
 
-// NewEdge puts an edge daemon together.
+// NewEdge makes an edge daemon.
 func NewEdge(d *host.Daemon, settings machines.EdgeSettings) *Edge {
 	edge := machines.NewEdge(d.Identity.ID, settings, int64(d.Identity.Incarnation))
 	executor := effects.New(d.Loop.Now, d.Loop.Notify)
--- a/internal/daemon/roles/edge_metrics.go
+++ b/internal/daemon/roles/edge_metrics.go
@@ -9,7 +9,7 @@
 	"tuliprudder/internal/daemon/metrics"
 )
 
-// edgeSample is an edge's metrics at one moment.
+// edgeSample holds the values of an edge's metrics at one point in time.
 type edgeSample struct {
 	quota                              quotaSample
 	scheduler                          schedulerSample
@@ -45,7 +45,7 @@
 	return s
 }
 
-// edgeMetrics is the table of an edge's metrics (docs/OPERATORS.md).
+// edgeMetrics defines an edge's metrics (docs/OPERATORS.md).
 var edgeMetrics = []metrics.Metric[edgeSample]{
 	{
 		Key: "shares_held", Name: "tuliprudder_quota_in_use", Type: prometheus.GaugeValue,
--- a/internal/daemon/roles/events.go
+++ b/internal/daemon/roles/events.go
@@ -2,19 +2,19 @@
 
 import "tuliprudder/internal/machine"
 
-// ArchivedBatchUnreadable is the log event of an archived batch that is damaged; the store
-// ends, so that its shards' other replicas serve.
+// ArchivedBatchUnreadable is logged when an archived batch is damaged. The store then exits, so
+// that the other replicas of its shards take over.
 type ArchivedBatchUnreadable struct {
 	machine.Error
 	Reason string `json:"reason"`
 	Remedy string `json:"remedy"`
 }
 
-// EventName is the event's key in the log.
+// EventName returns the event's key in the log.
 func (ArchivedBatchUnreadable) EventName() string { return "archived_batch_unreadable" }
 
-// ConnectionClosedUnanswered is the log event of a caller's connection that this daemon closed
-// after it had read something of a request and before it wrote anything of the response.
+// ConnectionClosedUnanswered is logged when this daemon closed a caller's connection after it had
+// read part of a request and before it wrote any part of the response.
 type ConnectionClosedUnanswered struct {
 	machine.Warning
 	Caller       string `json:"caller"`
@@ -22,5 +22,5 @@
 	AgeUS        int64  `json:"age_us"` // since the request's first byte was read
 }
 
-// EventName is the event's key in the log.
+// EventName returns the event's key in the log.
 func (ConnectionClosedUnanswered) EventName() string { return "connection_closed_unanswered" }
--- a/internal/daemon/roles/metrics_test.go
+++ b/internal/daemon/roles/metrics_test.go
@@ -23,7 +23,7 @@
 	"tuliprudder/test/goldenjson"
 )
 
-// testPeer is an address that nothing listens on: the daemons of these tests are not started.
+// testPeer is an address that nothing listens on: these tests make daemons but don't start them.
 const testPeer = "127.0.0.1:1"
 
 func newDaemon(t *testing.T, kind, dataDir string) *host.Daemon {
@@ -65,8 +65,8 @@
 	return d, core
 }
 
-// bootstrapSingleCore lets a core that is the whole fleet found it and lead, up to the daemon's
-// own time; writes are durable at once.
+// bootstrapSingleCore lets the only core of a cluster form it and become primary, in simulated
+// time that ends at the daemon's current time. Writes are durable at once.
 func bootstrapSingleCore(t *testing.T, d *host.Daemon, core *controlplane.Core) {
 	t.Helper()
 	now := d.Loop.Now() - 30*clock.Second
@@ -88,11 +88,11 @@
 		execute(core.Do(controlplane.Tick{}, now))
 	}
 	if !core.IsServing() {
-		t.Fatal("the only core does not serve")
+		t.Fatal("the only core did not become primary")
 	}
 }
 
-// handlers are the routes of a daemon, by method and path.
+// handlers holds the handlers of a daemon, by method and path.
 type handlers map[string]httpserver.Handler
 
 func (h handlers) Handle(method, path string, handle httpserver.Handler) {
@@ -110,7 +110,7 @@
 	return recorder
 }
 
-// counterKeys are the keys of a daemon's JSON document of counters, one a line.
+// counterKeys returns the sorted keys of a daemon's JSON document of counters, one per line.
 func counterKeys(t *testing.T, d *host.Daemon) []byte {
 	t.Helper()
 	var counters map[string]int64
@@ -125,8 +125,8 @@
 	return []byte(strings.Join(keys, "\n"))
 }
 
-// The keys of each role's counters are those that operators' tools know from earlier
-// releases.
+// The counter keys of each role must stay the same from release to release: operators' tools
+// read them.
 func TestCounterKeysPerRole(t *testing.T) {
 	for role, newRole := range map[string]func(t *testing.T) *host.Daemon{
 		"edge":  newEdgeDaemon,
@@ -149,8 +149,8 @@
 	}
 }
 
-// Both forms have the same metrics, and the names of the text format follow Prometheus'
-// conventions. The golden files show which key has which name.
+// The names in the text format must follow the Prometheus conventions, and the names and types
+// of each role must be those of the golden files.
 func TestPrometheusMetricsPerRole(t *testing.T) {
 	primary, core := newCoreDaemon(t)
 	bootstrapSingleCore(t, primary, core)
@@ -159,7 +159,7 @@
 			text := get(t, d, "/metrics").Body.String()
 			problems, err := promlint.New(strings.NewReader(text)).Lint()
 			if err != nil || len(problems) > 0 {
-				t.Errorf("%v %v", err, problems)
+				t.Errorf("lint: error %v, problems %v", err, problems)
 			}
 			var types []string
 			for _, line := range strings.Split(text, "\n") {
--- a/internal/daemon/roles/store.go
+++ b/internal/daemon/roles/store.go
@@ -16,18 +16,19 @@
 	"tuliprudder/internal/storage"
 )
 
-// Store is the parts of a store daemon. Its machine is read within Loop.WithMachine only.
+// Store holds the parts of a store daemon. The state machine must only be read within
+// Loop.WithMachine.
 type Store struct {
 	*machines.Store
 	Executor *effects.Executor
 	Folder   *storage.Folder
 }
 
-// damagedArchiveExitCode is the exit status of a store that can't read a batch it archived.
+// damagedArchiveExitCode is the exit status of a store that can't read a batch from its archive.
 const damagedArchiveExitCode = 3
 
-// NewStore puts a store daemon together from what its data folder holds. It waits until the
-// disk takes writes; the error is one of a folder that can't be read.
+// NewStore makes a store daemon from the contents of its data folder. It blocks until the
+// disk accepts writes, and returns an error if the folder can't be read.
 func NewStore(d *host.Daemon, settings batchstore.Settings) (*Store, error) {
 	data, err := openStoreData(d)
 	if err != nil {
@@ -44,7 +45,7 @@
 		return nil, batches.BadRecord
 	}
 	batches.OnDamage = func(err error) {
-		logging.Write(d.Log, ArchivedBatchUnreadable{Reason: err.Error(), Remedy: "move the data folder away and start empty: the other replicas serve, and copy its contents back"})
+		logging.Write(d.Log, ArchivedBatchUnreadable{Reason: err.Error(), Remedy: "move the data folder away and start the store with an empty one: the other replicas serve its shards, and it copies the contents back from them"})
 		os.Exit(damagedArchiveExitCode)
 	}
 	store := machines.NewStore(d.Identity.ID, batches, settings.MaxItems, int64(d.Identity.Incarnation))
@@ -59,7 +60,7 @@
 	return &Store{Store: store, Executor: executor, Folder: data.folder}, nil
 }
 
-// storeData is a store's opened data folder.
+// storeData holds the opened parts of a store's data folder.
 type storeData struct {
 	folder  *storage.Folder
 	records []machine.Record
@@ -77,14 +78,14 @@
 	return data, err
 }
 
-// storeNotReadyReason tells why a store is not ready; "" when it is.
+// storeNotReadyReason returns why a store is not ready, or "" if it is ready.
 func storeNotReadyReason(loop *eventloop.Loop, batches *batchstore.Store) (reason string) {
 	if fault := loop.DiskFault(); fault != "" {
 		return fault
 	}
 	loop.WithMachine(func(clock.Micros) {
 		if batches.Writer() == 0 {
-			reason = "the primary core has not given this store a writer id yet"
+			reason = "the primary core has not assigned a writer id to this store yet"
 		}
 	})
 	return reason
--- a/internal/daemon/roles/store_metrics.go
+++ b/internal/daemon/roles/store_metrics.go
@@ -9,7 +9,7 @@
 	"tuliprudder/internal/daemon/metrics"
 )
 
-// storeSample is a store's metrics at one moment.
+// storeSample holds the values of a store's metrics at one point in time.
 type storeSample struct {
 	quota                                                                       quotaSample
 	scheduler                                                                   schedulerSample
@@ -43,7 +43,7 @@
 	return s
 }
 
-// storeMetrics is the table of a store's metrics (docs/OPERATORS.md).
+// storeMetrics defines a store's metrics (docs/OPERATORS.md).
 var storeMetrics = []metrics.Metric[storeSample]{
 	{
 		Key: "copies_missing", Name: "tuliprudder_store_under_replicated_entries", Type: prometheus.GaugeValue,
