--- a/internal/daemon/program/program_test.go
+++ b/internal/daemon/program/program_test.go
@@ -40,9 +40,9 @@
 		{"edge with defaults", NewEdge(), nil, ""},
 		{"edge with the former name of a setting", NewEdge(), []string{"-scout-every-us", "100000"}, ""},
 		{"edge with a data folder", NewEdge(), []string{"-data", "/data"}, "an edge stores nothing on disk"},
-		{"edge with an unknown mechanism disabled", NewEdge(), []string{"-disable", "memory"}, `no mechanism "memory"`},
+		{"edge with an unknown mechanism disabled", NewEdge(), []string{"-disable", "memory"}, `unknown mechanism "memory"`},
 		{"store with defaults", NewStore(), nil, ""},
-		{"store with an unknown mechanism disabled", NewStore(), []string{"-disable", "batch-memory,"}, `no mechanism ""`},
+		{"store with an unknown mechanism disabled", NewStore(), []string{"-disable", "batch-memory,"}, `unknown mechanism ""`},
 		{"store with zero items", NewStore(), []string{"-most-items", "0"}, "-most-items 0"},
 	}
 	for _, c := range cases {
