--- a/internal/exclusive/model_control_test.go
+++ b/internal/exclusive/model_control_test.go
@@ -9,32 +9,32 @@
 
 var errNoResponse = errors.New("no response in time")
 
-// modelTerm is one primary. It stands for the control state's replication group: at most one update is in
-// flight, and it is durable on every replica when it is confirmed.
+// modelTerm is one term of a primary. It models the control state's replication group: at most one update
+// is in flight, and a confirmed update is durable on every replica.
 type modelTerm struct {
 	model      *model
 	node       *modelNode
 	arbiter    *Arbiter
 	confirmed  Table
-	table      Table // with what is in flight
+	table      Table // includes the update in flight
 	leaseUntil clock.Micros
-	isDeposed  bool // nothing is confirmed any more; the lease may still run for a moment
+	isDeposed  bool // confirms nothing more; the lease may still be valid for a moment
 	inFlight   func()
 	waiting    []func()
-	proposals  int // each proposal of an act has another content
+	proposals  int // makes the content of every proposal different
 }
 
-// startTerm has a node serve as primary.
+// startTerm makes a random node primary of a new term.
 func (m *model) startTerm(table Table) {
 	m.epoch++
 	var running []*modelNode
 	for _, node := range m.nodes {
-		if !node.isFrozen && !node.isCut {
+		if !node.isPaused && !node.isPartitioned {
 			running = append(running, node)
 		}
 	}
 	if len(running) == 0 {
-		m.after(clock.Second, func() { m.startTerm(table) })
+		m.schedule(clock.Second, func() { m.startTerm(table) })
 		return
 	}
 	if m.faults.tableLost {
@@ -46,24 +46,24 @@
 	term.arbiter.SetSelf(Holder{term.node.name, term.node.instance})
 	term.arbiter.Start(m.epoch, term.node.now())
 	m.term = term
-	m.logf("%s serves as primary of term %d", term.node.name, m.epoch)
+	m.logf("%s is primary of term %d", term.node.name, m.epoch)
 }
 
-// changePrimary has the primary succeeded once the lease that it may still hold has ended. What it had
-// in flight is lost, or found by its successor.
+// changePrimary replaces the primary once any lease that it still holds has ended. The update that it had
+// in flight is either lost or part of its successor's table.
 func (m *model) changePrimary() {
 	old := m.term
 	if old == nil || old.isDeposed {
 		return
 	}
 	old.isDeposed = true
-	old.leaseUntil = m.now + m.upTo(clock.Second)
+	old.leaseUntil = m.now + m.randomDuration(clock.Second)
 	m.logf("%s is deposed", old.node.name)
 	table := old.confirmed
 	if m.chance(0.5) {
 		table = old.table
 	}
-	m.after(old.leaseUntil-m.now+m.upTo(2*clock.Second), func() {
+	m.schedule(old.leaseUntil-m.now+m.randomDuration(2*clock.Second), func() {
 		m.term = nil
 		m.startTerm(table)
 	})
@@ -71,7 +71,7 @@
 
 func (t *modelTerm) holdsLease() bool { return !t.isDeposed || t.model.now < t.leaseUntil }
 
-// receive takes a request; it is decided when nothing is in flight.
+// receive processes a request once no update is in flight.
 func (t *modelTerm) receive(from *modelNode, request Request, reply func(Response)) {
 	decide := func() { t.decide(from, request, reply) }
 	if t.inFlight != nil {
@@ -87,14 +87,14 @@
 	}
 	now := t.node.now()
 	due := t.due()
-	if IsIdle(&t.table, request, due) {
+	if IsNoOp(&t.table, request, due) {
 		t.arbiter.RequestReceived(request, now)
 		reply(t.arbiter.Response(nil))
 		return
 	}
 	decision := t.arbiter.Decide(&t.table, request, due, now)
 	if len(decision.Permits) > 0 {
-		t.model.ambush(from)
+		t.model.maybeInjectStepFault(from)
 	}
 	answer := func() { reply(t.arbiter.Response(decision.Permits)) }
 	if decision.Update.IsEmpty() {
@@ -102,16 +102,16 @@
 		return
 	}
 	t.table.Apply(decision.Update)
-	t.model.ambush(t.node)
+	t.model.maybeInjectStepFault(t.node)
 	t.inFlight = answer
 	if t.model.faults.answerBeforeDurable {
 		answer()
 		t.inFlight = func() {}
 	}
-	t.model.after(t.model.delay(), func() { t.node.do(t.confirm) })
+	t.model.schedule(t.model.delay(), func() { t.node.runStep(t.confirm) })
 }
 
-// confirm ends the update in flight.
+// confirm marks the update in flight as durable, and continues with the waiting requests.
 func (t *modelTerm) confirm() {
 	if t.isDeposed {
 		return
@@ -131,8 +131,8 @@
 	}
 }
 
-// due proposes acts: a window is proposed again and again, with another content each time; a target
-// replaces the one before.
+// due proposes acts: each window is proposed repeatedly, with different content each time; a new target
+// supersedes the previous one.
 func (t *modelTerm) due() []Act {
 	t.proposals++
 	content := fmt.Appendf(nil, "term %d, proposal %d", t.model.epoch, t.proposals)
@@ -142,7 +142,7 @@
 		due = append(due, Act{Subject: "windows", Number: number, Content: content})
 	}
 	for _, subject := range []Subject{"target/a", "target/b"} {
-		desired := fmt.Appendf(nil, "%d", t.model.outside.desired(subject))
+		desired := fmt.Appendf(nil, "%d", t.model.external.desired(subject))
 		record := t.table.Record(subject)
 		if record.LastNumber == 0 || string(record.LastContent) != string(desired) {
 			due = append(due, Act{Subject: subject, Number: record.LastNumber + 1, Content: desired, Supersedes: true})
