--- a/internal/daemon/roles/caller_metrics.go
+++ b/internal/daemon/roles/caller_metrics.go
@@ -9,16 +9,17 @@
 	"tuliprudder/internal/logging"
 )
 
-// WatchCallers exposes how callers' connections at a server end, and logs each that this daemon
-// closed without an answer. It is called before the server starts.
-func WatchCallers(d *host.Daemon, server *httpserver.RawServer) {
+// MonitorCallerConnections registers the metrics of how callers' connections to a server end, and
+// logs each connection that this daemon closed without a response. It must be called before the
+// server starts.
+func MonitorCallerConnections(d *host.Daemon, server *httpserver.RawServer) {
 	stats := &server.Unanswered
 	d.Admin.Metrics.Register(metrics.NewModule(callerMetrics, func() callerSample {
 		return callerSample{
-			closedIdle:       stats.ClosedIdle.Load(),
-			closedUnanswered: stats.ClosedHere.Load(),
-			callersLeft:      stats.CallersLeft.Load(),
-			longestWait:      stats.LongestWait.Load(),
+			closedIdle:          stats.ClosedIdle.Load(),
+			closedUnanswered:    stats.ClosedHere.Load(),
+			callersDisconnected: stats.CallersLeft.Load(),
+			longestWait:         stats.LongestWait.Load(),
 		}
 	}))
 	server.OnUnanswered = func(ended httpserver.Unanswered) {
@@ -30,10 +31,10 @@
 	}
 }
 
-// callerSample is how callers' connections have ended since the start.
-type callerSample struct{ closedIdle, closedUnanswered, callersLeft, longestWait int64 }
+// callerSample counts how callers' connections have ended since the daemon started.
+type callerSample struct{ closedIdle, closedUnanswered, callersDisconnected, longestWait int64 }
 
-// callerMetrics is the table of the metrics of callers' connections (docs/OPERATORS.md).
+// callerMetrics defines the metrics of callers' connections (docs/OPERATORS.md).
 var callerMetrics = []metrics.Metric[callerSample]{
 	{
 		Key: "connections_closed_idle", Name: "tuliprudder_caller_connections_closed_idle_total", Type: prometheus.CounterValue,
@@ -48,7 +49,7 @@
 	{
 		Key: "callers_left", Name: "tuliprudder_callers_left_total", Type: prometheus.CounterValue,
 		Help:  "Callers that left, or were lost, before anything of the response was written.",
-		Value: func(s callerSample) int64 { return s.callersLeft },
+		Value: func(s callerSample) int64 { return s.callersDisconnected },
 	},
 	{
 		Key: "callers_left_longest_us", Name: "tuliprudder_callers_left_longest_wait_seconds", Type: prometheus.GaugeValue, Unit: metrics.Microseconds,
