--- a/internal/dataplane/gateway/batches_test.go
+++ b/internal/dataplane/gateway/batches_test.go
@@ -11,7 +11,7 @@
 
 // The JSON that callers get keeps its keys and their order.
 func TestResponseJSON(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		body any
 		want string
 	}{
@@ -35,8 +35,8 @@
 			`{"error":{"kind":"busy","message":"m","remedy":"r"}}`,
 		},
 	} {
-		if got, err := json.Marshal(one.body); err != nil || string(got) != one.want {
-			t.Errorf("%s: %s (%v)\nnot %s", name, got, err, one.want)
+		if got, err := json.Marshal(testCase.body); err != nil || string(got) != testCase.want {
+			t.Errorf("%s: %s (%v)\nnot %s", name, got, err, testCase.want)
 		}
 	}
 }
--- a/internal/dataplane/gateway/begin_test.go
+++ b/internal/dataplane/gateway/execution_started_test.go
@@ -13,7 +13,7 @@
 
 // A request began at a server where the first event of its stream came, or another response that is a
 // success.
-func TestWhatShowsThatARequestBegan(t *testing.T) {
+func TestWhichResponsesReportExecutionStarted(t *testing.T) {
 	text := func(status int) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			setResponseHead(w, r, "stamp", "text/plain")
@@ -33,8 +33,8 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	var mu sync.Mutex
-	var asked []string
-	resumed := twoEventsPerAttempt(&mu, &asked, "a")
+	var requestsSeen []string
+	resumed := twoEventsPerAttempt(&mu, &requestsSeen, "a")
 	for name, c := range map[string]struct {
 		path     string
 		handlers []http.HandlerFunc
@@ -50,9 +50,9 @@
 		"a request without tenant": {"/brief/x", []http.HandlerFunc{text(200)}, []string{""}},
 	} {
 		cluster := newConfiguredCluster(t, authenticatedConfiguration, c.handlers...)
-		var list []string
+		var startedTenants []string
 		cluster.loop.apply(func(clock.Micros) []machine.Effect {
-			cluster.loop.edge.Proxy.OnExecutionStarted = func(tenant string, _ clock.Micros) { list = append(list, tenant) }
+			cluster.loop.edge.Proxy.OnExecutionStarted = func(tenant string, _ clock.Micros) { startedTenants = append(startedTenants, tenant) }
 			return nil
 		})
 		header := []string{headerNames.Authorization, "Token k1"}
@@ -61,8 +61,8 @@
 		}
 		cluster.do("POST", c.path, "y", header...)
 		cluster.waitIdle()
-		if !slices.Equal(list, c.want) {
-			t.Errorf("%s: counted %q, not %q", name, list, c.want)
+		if !slices.Equal(startedTenants, c.want) {
+			t.Errorf("%s: counted %q, not %q", name, startedTenants, c.want)
 		}
 	}
 }
--- a/internal/dataplane/gateway/failure_table_linux_test.go
+++ b/internal/dataplane/gateway/failure_table_linux_test.go
@@ -141,7 +141,7 @@
 
 // Each kind of request meets each mode of failure at each point, through the real server and
 // client: how often it is sent, what its caller gets, and whether the connection is kept.
-func TestAnswersAtEachFailure(t *testing.T) {
+func TestResponsesAtEachFailure(t *testing.T) {
 	for name, difference := range runTable(t, responseTable, upstream.InjectedFaults{}) {
 		t.Errorf("%s: %s", name, difference)
 	}
@@ -177,9 +177,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			differences := runTable(t, responseTable, injected.faults)
-			for _, one := range injected.found {
-				if differences[one] == "" {
-					t.Errorf("not found at %q", one)
+			for _, cell := range injected.found {
+				if differences[cell] == "" {
+					t.Errorf("not found at %q", cell)
 				}
 			}
 			t.Logf("%s: found in %d of %d cells", name, len(differences), len(responseTable)*len(kinds))
@@ -221,16 +221,16 @@
 				name := fmt.Sprintf("%s, %s, %s", kind, c.at, c.mode)
 				t.Run(name, func(t *testing.T) {
 					t.Parallel()
-					got, wrong := runCase(t, c, kind, faults)
+					got, problems := runCase(t, c, kind, faults)
 					if got.String() != c.want(kind) {
-						wrong = append(wrong, fmt.Sprintf("%s, not %s", got, c.want(kind)))
+						problems = append(problems, fmt.Sprintf("%s, not %s", got, c.want(kind)))
 					}
 					if got.reused != c.reused {
-						wrong = append(wrong, fmt.Sprintf("connection reused: %v", got.reused))
+						problems = append(problems, fmt.Sprintf("connection reused: %v", got.reused))
 					}
-					if len(wrong) > 0 {
+					if len(problems) > 0 {
 						mu.Lock()
-						differences[name] = strings.Join(wrong, "; ")
+						differences[name] = strings.Join(problems, "; ")
 						mu.Unlock()
 					}
 				})
@@ -263,49 +263,49 @@
 	client := upstream.New(headerNames, upstream.Settings{DialTimeout: 300 * time.Millisecond, TCPUserTimeout: slowReadTimeout})
 	client.InjectedFaults = faults
 	edge := newTestCluster(t, responseTableConfiguration, client)
-	script := newScriptedServers(t, c.at, c.mode)
-	first, second := script.listen("s0"), script.listen("s1")
+	servers := newScriptedServers(t, c.at, c.mode)
+	first, second := servers.listen("s0"), servers.listen("s1")
 	edge.setServer("s0", first)
 	edge.setServer("s1", second)
-	var wrong []string
+	var problems []string
 	if result := edge.send(firstID, kindOnce, "y", ""); result != completeResponse {
-		wrong = append(wrong, "the first request: "+result)
+		problems = append(problems, "the first request: "+result)
 	}
-	body, wait := "y", ""
+	body, timeoutMS := "y", ""
 	switch {
 	case c.at == beforeFirstByte && c.mode == noResponse:
 		edge.setServer("s0", blackHole(t))
 	case c.at == beforeFirstByte:
-		script.failIdleConnection()
+		servers.failIdleConnection()
 	case c.mode == noResponse && c.at != afterResponse:
-		wait = noResponseTimeoutMS
+		timeoutMS = noResponseTimeoutMS
 	}
 	if c.at == midRequest {
 		body = strings.Repeat("0123456789abcdef", largeBodyBytes/16)
 	}
-	got := caseOutcome{callerSaw: edge.send(testedID, kind, body, wait)}
+	got := caseOutcome{callerSaw: edge.send(testedID, kind, body, timeoutMS)}
 	if c.at == afterResponse && c.mode != noResponse {
-		script.waitNoticed()
+		servers.waitFaultDetected()
 	}
 	edge.setServer("s0", first)
 	edge.clearRejections()
 	if result := edge.send(nextID, kindOnce, "y", ""); result != completeResponse {
-		wrong = append(wrong, "the next request: "+result)
+		problems = append(problems, "the next request: "+result)
 	}
-	var tampered bool
-	got.attempts, got.executions, got.reused, tampered = script.tally(len(body))
-	if tampered {
-		wrong = append(wrong, "a server got another body than was sent")
+	var bodyAltered bool
+	got.attempts, got.executions, got.reused, bodyAltered = servers.tally(len(body))
+	if bodyAltered {
+		problems = append(problems, "a server got another body than was sent")
 	}
-	return got, wrong
+	return got, problems
 }
 
 // send sends a request, waits until the edge is done with it, and sums up what its caller got.
-func (c *testCluster) send(id, kind, body, wait string) string {
+func (c *testCluster) send(id, kind, body, timeoutMS string) string {
 	request := c.newRequest(c.t.Context(), "POST", "/"+kind+"/x", body)
 	request.Header.Set(headerNames.RequestID, id)
-	if wait != "" {
-		request.Header.Set(headerNames.Deadline, wait)
+	if timeoutMS != "" {
+		request.Header.Set(headerNames.Deadline, timeoutMS)
 	}
 	response, err := http.DefaultTransport.RoundTrip(request)
 	if err != nil {
--- a/internal/dataplane/gateway/forwarder_test.go
+++ b/internal/dataplane/gateway/forwarder_test.go
@@ -13,7 +13,7 @@
 
 // A new configuration interrupts no request in flight: not when its route is removed, nor
 // when its server is removed and its connections are to be closed.
-func TestAConfigurationCutsNothing(t *testing.T) {
+func TestConfigurationChangeInterruptsNoRequest(t *testing.T) {
 	for _, kind := range []string{"once", "flow"} {
 		reached, proceed := make(chan string, 1), make(chan struct{})
 		c := newClusterWithServers(t, func(w http.ResponseWriter, r *http.Request) {
@@ -24,8 +24,8 @@
 			<-proceed
 			writeAndFlush(w, eventText(2))
 		})
-		answered := make(chan callerResponse, 1)
-		go func() { answered <- c.do("POST", "/"+kind+"/x", "y") }()
+		responses := make(chan callerResponse, 1)
+		go func() { responses <- c.do("POST", "/"+kind+"/x", "y") }()
 		<-reached
 		c.loop.apply(func(now clock.Micros) []machine.Effect {
 			configuration, err := config.Parse([]byte(strings.NewReplacer(`"/once/"`, `"/now/"`, `"/flow/"`, `"/then/"`, `"once"`, `"now"`, `"flow"`, `"then"`).Replace(forwardConfiguration)))
@@ -46,7 +46,7 @@
 			t.Errorf("%s: the new configuration is not in force: %+v", kind, response)
 		}
 		close(proceed)
-		if response := <-answered; response.err != nil || response.status != 200 || response.body != eventTexts(1, 2) {
+		if response := <-responses; response.err != nil || response.status != 200 || response.body != eventTexts(1, 2) {
 			t.Errorf("%s: %+v", kind, response)
 		}
 		c.waitIdle()
@@ -55,7 +55,7 @@
 
 // Requests of batch routes go to SubmitBatch, those without a route are rejected, by the
 // machine's configuration; neither reaches a server.
-func TestBatchesAndUnknownRoutes(t *testing.T) {
+func TestBatchAndUnknownRoutesReachNoServer(t *testing.T) {
 	c := newClusterWithServers(t, func(http.ResponseWriter, *http.Request) { t.Error("a server got a request") })
 	if response := c.do("POST", "/many/x", "the batch"); response.status != 200 || response.body != "batch many the batch" {
 		t.Errorf("%+v", response)
--- a/internal/dataplane/gateway/handler_test.go
+++ b/internal/dataplane/gateway/handler_test.go
@@ -54,13 +54,13 @@
 
 func submitHandler(h *Handler, _ *stubLoop) httpserver.Handler { return h.SubmitRequest }
 
-func serve(handle httpserver.Handler, method, target, key, idem, body string, vars map[string]string) *httptest.ResponseRecorder {
+func serve(handle httpserver.Handler, method, target, key, idempotencyKey, body string, vars map[string]string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(method, target, strings.NewReader(body))
 	if key != "" {
 		request.Header.Set("Authorization", "Bearer "+key)
 	}
-	if idem != "" {
-		request.Header.Set("Idempotency-Key", idem)
+	if idempotencyKey != "" {
+		request.Header.Set("Idempotency-Key", idempotencyKey)
 	}
 	recorder := httptest.NewRecorder()
 	request.Body = http.MaxBytesReader(recorder, request.Body, 2000)
@@ -82,7 +82,7 @@
 }
 
 // Each bad input has its typed error and reaches neither a server nor a store.
-func TestBadInput(t *testing.T) {
+func TestBadInputReachesNoServerOrStore(t *testing.T) {
 	var executions atomic.Int64
 	h, _ := newTestHandler(t, func(http.ResponseWriter, *http.Request) { executions.Add(1) }, func(any) (any, error) {
 		executions.Add(1)
@@ -90,9 +90,9 @@
 	})
 	route := func(name string) map[string]string { return map[string]string{"route": name} }
 	item := `{"id":"%d","input":"x"}`
-	four := []string{}
+	fourItems := []string{}
 	for i := 0; i < 4; i++ {
-		four = append(four, fmt.Sprintf(item, i))
+		fourItems = append(fourItems, fmt.Sprintf(item, i))
 	}
 	for name, c := range map[string]struct {
 		got  *httptest.ResponseRecorder
@@ -112,7 +112,7 @@
 		"live to bundle":   {serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"x"}`, route("many")), errs.BadInput},
 		"bundle to live":   {serve(h.SubmitBatch, "POST", "/", "key-c", "", `{"items":[]}`, route("once")), errs.BadInput},
 		"empty bundle":     {serve(h.SubmitBatch, "POST", "/", "key-c", "", `{"items":[]}`, route("many")), errs.BadInput},
-		"oversize bundle":  {serve(h.SubmitBatch, "POST", "/", "key-c", "", `{"items":[`+strings.Join(four, ",")+`]}`, route("many")), errs.TooLarge},
+		"oversize bundle":  {serve(h.SubmitBatch, "POST", "/", "key-c", "", `{"items":[`+strings.Join(fourItems, ",")+`]}`, route("many")), errs.TooLarge},
 		"one bad item":     {serve(h.SubmitBatch, "POST", "/", "key-c", "", `{"items":[{"id":"a","input":"x"},{"id":"b","input":""}]}`, route("many")), errs.BadInput},
 		"an id twice":      {serve(h.SubmitBatch, "POST", "/", "key-c", "", `{"items":[{"id":"a","input":"x"},{"id":"a","input":"y"}]}`, route("many")), errs.BadInput},
 		"bad token":        {serve(h.BatchResults, "GET", "/?after=AAAA", "key-c", "", "", map[string]string{"bundle": "b"}), errs.BadToken},
--- a/internal/dataplane/gateway/harness_test.go
+++ b/internal/dataplane/gateway/harness_test.go
@@ -30,25 +30,25 @@
 
 // stubLoop runs an edge's machine for a test, as the event loop does.
 type stubLoop struct {
-	mu        sync.Mutex // guards all below, and the machine
-	edge      *machines.Edge
-	start     time.Time
-	waiting   map[uint64]chan machine.Reply
-	lastCall  uint64
-	callStore storeStub
+	mu             sync.Mutex // guards all below, and the machine
+	edge           *machines.Edge
+	start          time.Time
+	pendingReplies map[uint64]chan machine.Reply
+	lastCall       uint64
+	callStore      storeStub
 }
 
 func (s *stubLoop) now() clock.Micros { return 1_000_000 + time.Since(s.start).Microseconds() }
 
 // apply takes one step of the machine and carries out its effects.
-func (s *stubLoop) apply(do func(now clock.Micros) []machine.Effect) {
+func (s *stubLoop) apply(step func(now clock.Micros) []machine.Effect) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, effect := range do(s.now()) {
+	for _, effect := range step(s.now()) {
 		switch e := effect.(type) {
 		case machine.Reply:
-			if waits := s.waiting[e.Call]; waits != nil {
-				waits <- e
+			if replies := s.pendingReplies[e.Call]; replies != nil {
+				replies <- e
 			}
 		case machine.Request:
 			go func() {
@@ -63,10 +63,10 @@
 func newStubLoop(t *testing.T, settings machines.EdgeSettings, configurationText string, callStore storeStub, updates ...machine.Update) *stubLoop {
 	t.Helper()
 	s := &stubLoop{
-		edge:      machines.NewEdge("edge", settings, 1),
-		start:     time.Now(),
-		waiting:   map[uint64]chan machine.Reply{},
-		callStore: callStore,
+		edge:           machines.NewEdge("edge", settings, 1),
+		start:          time.Now(),
+		pendingReplies: map[uint64]chan machine.Reply{},
+		callStore:      callStore,
 	}
 	configuration, err := config.Parse([]byte(configurationText))
 	if err != nil {
@@ -82,9 +82,9 @@
 		s.edge.Scheduler.SetConfiguration(configuration, now)
 		return s.edge.FreshnessAdvanced(now, now)
 	})
-	var ends cleanup.Stack
-	t.Cleanup(ends.Run)
-	cleanup.Every(&ends, 10*time.Millisecond, func() { s.apply(s.edge.Tick) })
+	var cleanups cleanup.Stack
+	t.Cleanup(cleanups.Run)
+	cleanup.Every(&cleanups, 10*time.Millisecond, func() { s.apply(s.edge.Tick) })
 	return s
 }
 
@@ -94,12 +94,12 @@
 }
 
 func (s *stubLoop) callMachine(_ context.Context, body, _ any, _ time.Duration) (any, error) {
-	response := make(chan machine.Reply, 1)
+	replies := make(chan machine.Reply, 1)
 	s.apply(func(now clock.Micros) []machine.Effect {
 		s.lastCall++
-		s.waiting[s.lastCall] = response
+		s.pendingReplies[s.lastCall] = replies
 		return s.edge.Call(s.lastCall, body, now)
 	})
-	got := <-response
+	got := <-replies
 	return got.Body, got.Err
 }
--- a/internal/dataplane/gateway/headers_test.go
+++ b/internal/dataplane/gateway/headers_test.go
@@ -13,15 +13,15 @@
 
 // Method, path, query, host, end-to-end headers and body reach the server unchanged, and its
 // response the caller; hop-by-hop headers do not.
-func TestRequestIsPassedOnUnchanged(t *testing.T) {
-	type seen struct {
+func TestRequestAndResponseAreForwardedUnchanged(t *testing.T) {
+	type serverRequest struct {
 		line, host, body string
 		header           http.Header
 	}
-	reached := make(chan seen, 4)
+	received := make(chan serverRequest, 4)
 	c := newClusterWithServers(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		reached <- seen{r.Method + " " + r.RequestURI, r.Host, string(body), r.Header.Clone()}
+		received <- serverRequest{r.Method + " " + r.RequestURI, r.Host, string(body), r.Header.Clone()}
 		setResponseHead(w, r, "stamp-1", "application/x-thing")
 		w.Header()["X-Twice"] = []string{"1", "2"}
 		w.Header().Set("Connection", "X-Hop")
@@ -42,26 +42,26 @@
 			!reflect.DeepEqual(h["X-Twice"], []string{"1", "2"}) || h.Get("Content-Length") != strconv.Itoa(len(body)) || h.Get(headerNames.RequestID) != "id-1" {
 			t.Errorf("%s: the caller got %v", name, h)
 		}
-		at := <-reached
-		if at.line != "PUT /once/a//b/../%2e%7E?q=%zz&&x=+" || at.host != "h.example" || at.body != body {
-			t.Errorf("%s: the server got %q at %q and %d bytes", name, at.line, at.host, len(at.body))
+		got := <-received
+		if got.line != "PUT /once/a//b/../%2e%7E?q=%zz&&x=+" || got.host != "h.example" || got.body != body {
+			t.Errorf("%s: the server got %q at %q and %d bytes", name, got.line, got.host, len(got.body))
 		}
-		left, err := strconv.Atoi(at.header.Get(headerNames.Deadline))
-		if err != nil || left > 15000 || left < 1 {
-			t.Errorf("%s: the server has %q ms left", name, at.header.Get(headerNames.Deadline))
+		remainingMS, err := strconv.Atoi(got.header.Get(headerNames.Deadline))
+		if err != nil || remainingMS > 15000 || remainingMS < 1 {
+			t.Errorf("%s: the server has %q ms left", name, got.header.Get(headerNames.Deadline))
 		}
 		for _, name := range []string{headerNames.Deadline, "Content-Length", "Accept-Encoding"} {
-			at.header.Del(name)
+			got.header.Del(name)
 		}
-		if want := (http.Header{"X-Request-Id": {"id-1"}, "X-Other": {"1", "2"}, "X-Instance": {"s0"}, "User-Agent": {"the caller"}}); !reflect.DeepEqual(at.header, want) {
-			t.Errorf("%s: the server got the headers %v", name, at.header)
+		if want := (http.Header{"X-Request-Id": {"id-1"}, "X-Other": {"1", "2"}, "X-Instance": {"s0"}, "User-Agent": {"the caller"}}); !reflect.DeepEqual(got.header, want) {
+			t.Errorf("%s: the server got the headers %v", name, got.header)
 		}
 	}
 	c.waitIdle()
 }
 
 // A chunked body is sent to the server with its length.
-func TestChunkedBody(t *testing.T) {
+func TestChunkedBodyIsForwardedWithItsLength(t *testing.T) {
 	c := newClusterWithServers(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		setResponseHead(w, r, "stamp", "text/plain")
--- a/internal/dataplane/gateway/identity_test.go
+++ b/internal/dataplane/gateway/identity_test.go
@@ -49,7 +49,7 @@
 }
 
 // A server gets the tenant of the caller's key and no key, whatever the caller sends and however it spells it.
-func TestAServerGetsTheTenantAndNoKey(t *testing.T) {
+func TestServerReceivesTenantButNoKey(t *testing.T) {
 	c := newConfiguredCluster(t, authenticatedConfiguration, respondWithIdentity)
 	const end = "\r\nX-Request-Id: id-1\r\nConnection: close\r\n"
 	for request, want := range map[string]string{
@@ -70,7 +70,7 @@
 }
 
 // A configuration that doesn't tell callers apart passes their headers on as they came.
-func TestIdentityIsPassedOnWithoutAuthentication(t *testing.T) {
+func TestIdentityHeadersAreForwardedWithoutAuthentication(t *testing.T) {
 	c := newClusterWithServers(t, respondWithIdentity)
 	got := c.do("POST", "/once/x", "y", "Authorization", "Token k1", "X-Tenant", "a", "X-Tenant", "b")
 	if got.status != 200 || got.body != "[Token k1] [a b]" {
@@ -80,7 +80,7 @@
 }
 
 // Each attempt carries the tenant, also one that resumes a stream at another server.
-func TestRetriesKeepTheTenant(t *testing.T) {
+func TestRetriesCarryTheTenant(t *testing.T) {
 	seen := make(chan string, 8)
 	interrupts := func(w http.ResponseWriter, r *http.Request) {
 		seen <- identityHeaders(r)
@@ -143,13 +143,13 @@
 
 // A key that a newer configuration lacks is refused at the next request on an open connection; what was
 // let in before gets its whole answer.
-func TestARemovedKeyIsRefusedOnAnOpenConnection(t *testing.T) {
-	begun, goOn := make(chan bool, 8), make(chan bool)
+func TestRemovedKeyIsRejectedOnOpenConnection(t *testing.T) {
+	started, proceed := make(chan bool, 8), make(chan bool)
 	c := newConfiguredCluster(t, authenticatedConfiguration, func(w http.ResponseWriter, r *http.Request) {
 		setResponseHead(w, r, "stamp", eventStream)
 		writeAndFlush(w, eventText(1))
-		begun <- true
-		<-goOn
+		started <- true
+		<-proceed
 		writeAndFlush(w, eventText(2))
 	})
 	transport := &http.Transport{MaxConnsPerHost: 1}
@@ -167,18 +167,18 @@
 		}
 		return response.StatusCode, string(data)
 	}
-	type answer struct {
+	type result struct {
 		status int
 		body   string
 	}
-	first := make(chan answer, 1)
+	first := make(chan result, 1)
 	go func() {
 		status, body := send("k1")
-		first <- answer{status, body}
+		first <- result{status, body}
 	}()
-	<-begun
+	<-started
 	c.setConfiguration(withTenants(`{"name":"t","keys":["k2"],"class":"c"}`), 2)
-	close(goOn)
+	close(proceed)
 	if got := <-first; got.status != 200 || got.body != eventTexts(1, 2) {
 		t.Errorf("the request under way: %d %q", got.status, got.body)
 	}
--- a/internal/dataplane/gateway/live_test.go
+++ b/internal/dataplane/gateway/live_test.go
@@ -26,7 +26,7 @@
 
 // Only a stream with its finish reason and its end marker looks complete to the caller; a
 // one-shot request that may have run is never run again.
-func TestCutShortNeverLooksComplete(t *testing.T) {
+func TestTruncatedCompletionNeverLooksComplete(t *testing.T) {
 	for name, body := range map[string]string{
 		"no end mark": sseChunks("a", "b") + finishEvent, "no finish": sseChunks("a", "b") + doneEvent, "half": sseChunks("a"),
 		"not an event": sseChunks("a") + "data: {oops\n\n" + finishEvent + doneEvent, "an error": sseChunks("a") + "data: {\"error\":{\"message\":\"out of memory\"}}\n\n",
@@ -49,32 +49,32 @@
 		}
 	}
 	h, _ := newTestHandler(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, sseChunks("a", "b")+finishEvent+doneEvent) }, nil)
-	whole := serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"x"}`, map[string]string{"route": "flow"}).Body.String()
-	if !strings.Contains(whole, "event: end") || strings.Contains(whole, "event: error") {
-		t.Fatalf("a complete stream reads %q", whole)
+	complete := serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"x"}`, map[string]string{"route": "flow"}).Body.String()
+	if !strings.Contains(complete, "event: end") || strings.Contains(complete, "event: error") {
+		t.Fatalf("a complete stream reads %q", complete)
 	}
 }
 
 // A server that rejects a request has not run it: it is attempted elsewhere, and the caller
 // gets the time after which to retry if none accepts it.
-func TestRejectedByEveryServer(t *testing.T) {
-	var asked atomic.Int64
+func TestRequestRejectedByEveryServerGetsRetryAfter(t *testing.T) {
+	var attempts atomic.Int64
 	h, _ := newTestHandler(t, func(w http.ResponseWriter, _ *http.Request) {
-		asked.Add(1)
+		attempts.Add(1)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}, nil)
 	got := serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"x"}`, map[string]string{"route": "once"})
 	if kind := errorKind(t, got); kind != errs.Busy && kind != errs.DeadlineExceeded {
 		t.Fatalf("answered %s", kind)
 	}
-	if got.Header().Get("Retry-After") == "" || asked.Load() == 0 {
-		t.Fatalf("Retry-After %q after %d attempts", got.Header().Get("Retry-After"), asked.Load())
+	if got.Header().Get("Retry-After") == "" || attempts.Load() == 0 {
+		t.Fatalf("Retry-After %q after %d attempts", got.Header().Get("Retry-After"), attempts.Load())
 	}
 }
 
 // A claimed key is voided before the request is rejected; where that can't be confirmed, the
 // outcome is unknown.
-func TestAClaimIsVoidedBeforeTheRequestIsRejected(t *testing.T) {
+func TestClaimIsVoidedBeforeTheRequestIsRejected(t *testing.T) {
 	for _, confirmed := range []bool{true, false} {
 		var states []string
 		h, _ := newTestHandler(t, nil, func(body any) (any, error) {
@@ -101,10 +101,10 @@
 }
 
 // A stream whose first attempt may have run, and whose others were rejected, is not rejected.
-func TestAnAttemptThatMayHaveRunIsNeverRejected(t *testing.T) {
-	var asked atomic.Int64
+func TestRequestThatMayHaveRunIsNeverRejected(t *testing.T) {
+	var attempts atomic.Int64
 	h, s := newTestHandler(t, func(w http.ResponseWriter, _ *http.Request) {
-		if asked.Add(1) > 1 {
+		if attempts.Add(1) > 1 {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	}, nil)
@@ -112,7 +112,7 @@
 	s.edge.Scheduler.SetServer(endpoints.Server{Name: "t", Address: s.edge.Scheduler.Servers()[0].Address, Slots: 4, Labels: map[string]string{"fleet": "main"}})
 	s.mu.Unlock()
 	got := serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"x"}`, map[string]string{"route": "flow"})
-	if kind := errorKind(t, got); kind != errs.OutcomeUnknown || asked.Load() < 2 {
-		t.Fatalf("answered %s after %d attempts, of which the first may have run", kind, asked.Load())
+	if kind := errorKind(t, got); kind != errs.OutcomeUnknown || attempts.Load() < 2 {
+		t.Fatalf("answered %s after %d attempts, of which the first may have run", kind, attempts.Load())
 	}
 }
--- a/internal/dataplane/gateway/proxied_request.go
+++ b/internal/dataplane/gateway/proxied_request.go
@@ -25,7 +25,7 @@
 	responseStarted bool   // the head of a response has gone to the caller
 	lastEventID     string // of the last event that was forwarded, or that the caller has
 	lastEventAt     clock.Micros
-	longestPause    clock.Micros // between two events that were forwarded
+	longestEventGap clock.Micros // between two events that were forwarded
 }
 
 // serve carries out the machine's decisions on the request until one ends it.
@@ -89,19 +89,19 @@
 	}
 	if err := p.forwardResponse(response); err != nil {
 		result := p.result(proxy.Interrupted, err.Error())
-		result.ExecutionStarted = showsBegin(response)
+		result.ExecutionStarted = impliesExecutionStarted(response)
 		result.ContextDone = ctx.Err() != nil
 		return result
 	}
 	result := p.result(proxy.Complete, "")
-	result.ExecutionStarted = showsBegin(response)
+	result.ExecutionStarted = impliesExecutionStarted(response)
 	result.WeightVersion = response.WeightVersion
 	return result
 }
 
-// showsBegin tells whether a response shows by itself that the server began to run the request. Of an event
+// impliesExecutionStarted tells whether a response shows by itself that the server began to run the request. Of an event
 // stream its first event does (proxy.AttemptStarted).
-func showsBegin(response *upstream.Response) bool {
+func impliesExecutionStarted(response *upstream.Response) bool {
 	isSuccess := response.Status >= http.StatusOK && response.Status < http.StatusMultipleChoices
 	return isSuccess && !isEventStream(response)
 }
@@ -111,7 +111,7 @@
 		RequestID:       p.requestID,
 		Outcome:         outcome,
 		ResponseStarted: p.responseStarted,
-		LongestEventGap: p.longestPause,
+		LongestEventGap: p.longestEventGap,
 		Reason:          reason,
 	}
 }
@@ -150,13 +150,13 @@
 // then. A server's own failure is forwarded only if no other attempt can follow.
 func (p *proxiedRequest) withhold(response *upstream.Response, attempt proxy.Attempt) (outcome proxy.Outcome, reason string, withheld bool) {
 	idempotent := proxy.IsIdempotent(attempt.Route)
-	unprovenRejection := impliesNotRun(response.Status) && !idempotent && !p.responseStarted
+	unconfirmedRejection := impliesNotRun(response.Status) && !idempotent && !p.responseStarted
 	retriableFailure := response.Status >= http.StatusInternalServerError && !attempt.IsLast && idempotent
 	cannotContinue := p.responseStarted && response.Status != http.StatusOK
 	switch {
 	case response.NotRun:
 		return proxy.NotRun, fmt.Sprintf("the server did not run it: status %d", response.Status), true
-	case unprovenRejection:
+	case unconfirmedRejection:
 		return proxy.Failed, fmt.Sprintf("the server answered %d without stating that it did not run the request", response.Status), true
 	case retriableFailure, cannotContinue:
 		return proxy.Failed, fmt.Sprintf("the server failed: status %d", response.Status), true
--- a/internal/dataplane/gateway/proxied_request_test.go
+++ b/internal/dataplane/gateway/proxied_request_test.go
@@ -18,7 +18,7 @@
 )
 
 // A server's own failure is forwarded where no other attempt may follow.
-func TestFailuresOfServers(t *testing.T) {
+func TestServerErrorIsForwardedWhenNoAttemptFollows(t *testing.T) {
 	var mu sync.Mutex
 	runs := 0
 	c := newClusterWithServers(t, func(w http.ResponseWriter, r *http.Request) {
@@ -49,7 +49,7 @@
 
 // A response with a server's stamp has that server's status and body; the edge's own has no
 // stamp, whatever the servers answered before it.
-func TestOnlyAServersAnswerBearsItsStamp(t *testing.T) {
+func TestOnlyServerResponsesCarryServerHeaders(t *testing.T) {
 	rejects := func(w http.ResponseWriter, r *http.Request) {
 		setResponseHead(w, r, "rejects", "text/plain")
 		w.Header().Set(headerNames.NotRun, "1")
@@ -61,7 +61,7 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		io.WriteString(w, "it failed")
 	}
-	interruptsAFailure := func(w http.ResponseWriter, r *http.Request) {
+	interruptsErrorResponse := func(w http.ResponseWriter, r *http.Request) {
 		setResponseHead(w, r, "interrupts a failure", "text/plain")
 		w.Header().Set("Content-Length", "1000")
 		w.WriteHeader(http.StatusInternalServerError)
@@ -71,10 +71,10 @@
 	for name, handlers := range map[string][]http.HandlerFunc{
 		"all reject":                   {rejects, rejects, rejects},
 		"all fail":                     {fails, fails, fails},
-		"all interrupt their failures": {interruptsAFailure, interruptsAFailure, interruptsAFailure},
+		"all interrupt their failures": {interruptsErrorResponse, interruptsErrorResponse, interruptsErrorResponse},
 		"rejected, then failed":        {rejects, fails},
 		"failed, then rejected":        {fails, rejects, rejects},
-		"each differently":             {interruptsAFailure, rejects, fails},
+		"each differently":             {interruptsErrorResponse, rejects, fails},
 	} {
 		c := newClusterWithServers(t, handlers...)
 		for _, kind := range []string{"once", "again", "flow", "resume"} {
@@ -96,7 +96,7 @@
 
 // No request runs on more servers than its route's attempts, whatever happens: neither an
 // idempotent one nor a resumed stream.
-func TestNoMoreServersRunARequestThanItsAttempts(t *testing.T) {
+func TestExecutionsNeverExceedTheRoutesAttempts(t *testing.T) {
 	var runs atomic.Int64
 	abortsAtOnce := func(http.ResponseWriter, *http.Request) {
 		runs.Add(1)
@@ -144,7 +144,7 @@
 // not run the request: the caller of a request that may run only once gets a 502, and no other
 // attempt follows. An idempotent one gets the server's response as it is, but for a 5xx: attempts
 // follow until no server is left, and the final response is the edge's own.
-func TestBareRefusalIsNoPromise(t *testing.T) {
+func TestRejectionStatusWithoutNotRunHeader(t *testing.T) {
 	for _, status := range []int{http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable} {
 		var runs atomic.Int64
 		handler := func(w http.ResponseWriter, r *http.Request) {
@@ -179,7 +179,7 @@
 
 // A request whose server states that it did not run it is attempted elsewhere, whatever its
 // kind; with no server left it is rejected.
-func TestNotRunGoesElsewhere(t *testing.T) {
+func TestRequestNotRunIsRetriedOnAnotherServer(t *testing.T) {
 	var mu sync.Mutex
 	rejections, full := 0, true
 	reject := func(w http.ResponseWriter, r *http.Request) {
@@ -192,9 +192,9 @@
 	}
 	c := newClusterWithServers(t, reject, func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		is := full
+		isFull := full
 		mu.Unlock()
-		if is {
+		if isFull {
 			reject(w, r)
 			return
 		}
@@ -223,7 +223,7 @@
 
 // A caller's headers reach each server that a request is sent to byte for byte, those that the
 // platform reads of a prompt among them, whatever they look like.
-func TestHeadersReachEachServerAsTheyCame(t *testing.T) {
+func TestHeadersAreForwardedUnchangedOnEachAttempt(t *testing.T) {
 	sent := []string{
 		"X-Model", "m, M;q=\"1\"",
 		"X-Sizes", "1460, 80 ,\t0012",
@@ -262,7 +262,7 @@
 }
 
 // A server that accepts no connection has run nothing: the request is attempted elsewhere.
-func TestDeadServerIsPassedOver(t *testing.T) {
+func TestRequestIsRetriedWhenAServerRefusesConnections(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -283,7 +283,7 @@
 
 // Of an attempt that was interrupted before anything was forwarded nothing reaches the caller,
 // the head neither.
-func TestNothingIsLeftOfAFailedAttempt(t *testing.T) {
+func TestNothingOfAnInterruptedAttemptIsForwarded(t *testing.T) {
 	var mu sync.Mutex
 	attempts := 0
 	handler := func(w http.ResponseWriter, r *http.Request) {
@@ -322,27 +322,27 @@
 
 // The deadline header gives the server the remaining time: of the caller's time-out or the
 // route's, whichever is shorter.
-func TestDeadlineIsWhatIsLeft(t *testing.T) {
+func TestDeadlineHeaderIsTheRemainingTime(t *testing.T) {
 	reached := make(chan string, 1)
 	c := newClusterWithServers(t, func(w http.ResponseWriter, r *http.Request) {
 		reached <- r.Header.Get(headerNames.Deadline)
 		setResponseHead(w, r, "stamp", "text/plain")
 	})
-	for _, one := range []struct {
+	for _, testCase := range []struct {
 		path, timeoutHeader string
 		maxMS               int
 	}{{"/once/x", "5000", 5000}, {"/once/x", "60000", 20000}, {"/once/x", "", 20000}, {"/brief/x", "5000", 300}} {
-		headers := []string{headerNames.Deadline, one.timeoutHeader}
-		if one.timeoutHeader == "" {
+		headers := []string{headerNames.Deadline, testCase.timeoutHeader}
+		if testCase.timeoutHeader == "" {
 			headers = nil
 		}
-		response := c.do("POST", one.path, "y", headers...)
-		if response.status == http.StatusServiceUnavailable && one.maxMS == 300 {
+		response := c.do("POST", testCase.path, "y", headers...)
+		if response.status == http.StatusServiceUnavailable && testCase.maxMS == 300 {
 			continue // a slow machine: its deadline passed before it was sent
 		}
-		left, err := strconv.Atoi(<-reached)
-		if err != nil || left > one.maxMS || left < 1 || one.maxMS > 1000 && left < one.maxMS-4000 {
-			t.Errorf("%s with %q: the server has %d ms left: %v", one.path, one.timeoutHeader, left, err)
+		remainingMS, err := strconv.Atoi(<-reached)
+		if err != nil || remainingMS > testCase.maxMS || remainingMS < 1 || testCase.maxMS > 1000 && remainingMS < testCase.maxMS-4000 {
+			t.Errorf("%s with %q: the server has %d ms left: %v", testCase.path, testCase.timeoutHeader, remainingMS, err)
 		}
 	}
 	c.waitIdle()
@@ -350,28 +350,28 @@
 
 // Once its deadline has passed, a request ends and its connection to the server is closed; one
 // that may have run is not rejected.
-func TestRequestWhoseTimeIsOver(t *testing.T) {
-	gone := make(chan struct{}, 1)
+func TestRequestEndsAtItsDeadline(t *testing.T) {
+	cancelled := make(chan struct{}, 1)
 	c := newClusterWithServers(t, func(_ http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
-		gone <- struct{}{}
+		cancelled <- struct{}{}
 	})
 	if response := c.do("POST", "/once/x", "y", headerNames.Deadline, "200"); response.status != http.StatusBadGateway {
 		t.Errorf("%+v", response)
 	}
-	<-gone
+	<-cancelled
 	c.waitIdle()
 }
 
 // When the caller disconnects, before the response or in the middle of it, the connection to the
 // server is closed and no other attempt follows.
-func TestCallerLeaves(t *testing.T) {
+func TestCallerDisconnectCancelsTheRequest(t *testing.T) {
 	// A server may work on for half a second, and no longer, after the caller has left.
-	const maxWorkAfterLeaving = 500 * time.Millisecond
+	const maxWorkAfterDisconnect = 500 * time.Millisecond
 	for _, kind := range []string{"once", "again", "flow", "resume"} {
 		for _, started := range []bool{false, true} {
-			reached, gone := make(chan struct{}, 4), make(chan struct{}, 4)
+			reached, cancelled := make(chan struct{}, 4), make(chan struct{}, 4)
 			handler := func(w http.ResponseWriter, r *http.Request) {
 				io.Copy(io.Discard, r.Body)
 				if started {
@@ -380,13 +380,13 @@
 				}
 				reached <- struct{}{}
 				<-r.Context().Done()
-				gone <- struct{}{}
+				cancelled <- struct{}{}
 			}
 			c := newClusterWithServers(t, handler, handler)
-			ctx, leave := context.WithCancel(t.Context())
-			left := make(chan struct{})
+			ctx, disconnect := context.WithCancel(t.Context())
+			callerDone := make(chan struct{})
 			go func() {
-				defer close(left)
+				defer close(callerDone)
 				response, err := http.DefaultTransport.RoundTrip(c.newRequest(ctx, "POST", "/"+kind+"/x", "y"))
 				if err == nil {
 					io.Copy(io.Discard, response.Body)
@@ -394,13 +394,13 @@
 				}
 			}()
 			<-reached
-			leftAt := time.Now()
-			leave()
-			<-gone
-			if span := time.Since(leftAt); span > maxWorkAfterLeaving {
+			disconnectedAt := time.Now()
+			disconnect()
+			<-cancelled
+			if span := time.Since(disconnectedAt); span > maxWorkAfterDisconnect {
 				t.Errorf("%s, response started %v: the server worked on for %v", kind, started, span)
 			}
-			<-left
+			<-callerDone
 			c.waitIdle()
 			if len(reached) > 0 {
 				t.Errorf("%s, response started %v: another attempt followed", kind, started)
@@ -411,7 +411,7 @@
 
 // A caller that leaves while its request waits in the queue is forgotten: when a server has room
 // again after the edge has seen that, it gets nothing of the request.
-func TestCallerLeavesTheQueue(t *testing.T) {
+func TestCallerDisconnectRemovesAQueuedRequest(t *testing.T) {
 	for _, kind := range []string{"once", "again", "flow", "resume"} {
 		reached, release := make(chan string, 4), make(chan struct{})
 		c := newClusterWithServers(t, func(w http.ResponseWriter, r *http.Request) {
@@ -421,22 +421,22 @@
 			setResponseHead(w, r, "stamp", "text/plain")
 			io.WriteString(w, "done")
 		})
-		c.limitSlots(1)
+		c.setSlots(1)
 		served := make(chan callerResponse, 1)
 		go func() { served <- c.do("POST", "/"+kind+"/x", "runs") }()
 		<-reached
-		ctx, leave := context.WithCancel(t.Context())
-		left := make(chan error, 1)
+		ctx, disconnect := context.WithCancel(t.Context())
+		callerError := make(chan error, 1)
 		go func() {
 			_, err := http.DefaultTransport.RoundTrip(c.newRequest(ctx, "POST", "/"+kind+"/x", "waits"))
-			left <- err
+			callerError <- err
 		}()
 		waitFor(t, "the request to wait", func() bool { return c.queueLength() == 1 })
-		leave()
-		if err := <-left; err == nil {
+		disconnect()
+		if err := <-callerError; err == nil {
 			t.Fatalf("%s: the request was answered", kind)
 		}
-		<-c.callersLeft // the edge may take up to half a second to see it
+		<-c.callerDisconnects // the edge may take up to half a second to see it
 		close(release)
 		if response := <-served; response.status != http.StatusOK {
 			t.Errorf("%s: %+v", kind, response)
--- a/internal/dataplane/gateway/response.go
+++ b/internal/dataplane/gateway/response.go
@@ -97,17 +97,17 @@
 	if err := http.NewResponseController(p.w).Flush(); err != nil {
 		return err
 	}
-	p.observePause(p.forwarder.Now())
+	p.observeEventGap(p.forwarder.Now())
 	if event.ID != "" {
 		p.lastEventID = event.ID
 	}
 	return nil
 }
 
-// observePause notes that an event was forwarded.
-func (p *proxiedRequest) observePause(now clock.Micros) {
+// observeEventGap notes that an event was forwarded.
+func (p *proxiedRequest) observeEventGap(now clock.Micros) {
 	if p.lastEventAt > 0 {
-		p.longestPause = max(p.longestPause, now-p.lastEventAt)
+		p.longestEventGap = max(p.longestEventGap, now-p.lastEventAt)
 	}
 	p.lastEventAt = now
 }
--- a/internal/dataplane/gateway/response_test.go
+++ b/internal/dataplane/gateway/response_test.go
@@ -12,14 +12,14 @@
 )
 
 // Events are forwarded as they arrive, byte for byte, whatever they contain.
-func TestStreamIsPassedOnAsItComes(t *testing.T) {
+func TestEventsAreForwardedAsTheyArrive(t *testing.T) {
 	chunks := []string{": note\n\n", "id: 1\ndata: a\ndata: b\n\n", "id: 2\r\nx-new: 5\r\ndata:\r\n\r\n", "\n\nid: 3\rdata: c\r\r", "event: e\nid: 4\n\n"}
-	read := make(chan struct{})
+	chunkRead := make(chan struct{})
 	c := newClusterWithServers(t, func(w http.ResponseWriter, r *http.Request) {
 		setResponseHead(w, r, "stamp", eventStream)
 		for _, chunk := range chunks {
 			writeAndFlush(w, chunk)
-			<-read // the next one only once this one has come
+			<-chunkRead // the next one only once this one has come
 		}
 	})
 	for _, kind := range []string{"flow", "resume"} {
@@ -35,7 +35,7 @@
 			if _, err := io.ReadFull(response.Body, text); err != nil || string(text) != chunk {
 				t.Fatalf("%s: %q came instead of %q: %v", kind, text, chunk, err)
 			}
-			read <- struct{}{}
+			chunkRead <- struct{}{}
 		}
 		if rest, err := io.ReadAll(response.Body); err != nil || len(rest) > 0 {
 			t.Errorf("%s: %q and %v follow", kind, rest, err)
@@ -47,7 +47,7 @@
 
 // An interrupted response never looks complete: neither a stream, whose last chunk is missing
 // then, nor a body, of which nothing is forwarded.
-func TestCutAnswerNeverLooksComplete(t *testing.T) {
+func TestInterruptedResponseNeverLooksComplete(t *testing.T) {
 	for name, handler := range map[string]http.HandlerFunc{
 		"after an event": func(w http.ResponseWriter, r *http.Request) {
 			setResponseHead(w, r, "stamp", eventStream)
@@ -97,7 +97,7 @@
 			abortConnection()
 		},
 		"a body without a length that is reset": func(w http.ResponseWriter, r *http.Request) {
-			reset(respondWithoutLength(w, r, "text/plain", "half"))
+			closeWithReset(respondWithoutLength(w, r, "text/plain", "half"))
 		},
 		"a head without a length and nothing else": func(w http.ResponseWriter, r *http.Request) {
 			respondWithoutLength(w, r, "text/plain", "").Close()
@@ -132,8 +132,8 @@
 	return conn.(*net.TCPConn)
 }
 
-// reset closes a connection with a reset.
-func reset(conn *net.TCPConn) {
+// closeWithReset closes a connection with a closeWithReset.
+func closeWithReset(conn *net.TCPConn) {
 	conn.SetLinger(0)
 	conn.Close()
 }
@@ -163,11 +163,11 @@
 
 // A stream without a length that is reset after whole events is interrupted, however much of it came.
 func TestResetStreamWithoutLengthNeverLooksComplete(t *testing.T) {
-	read := make(chan struct{})
+	eventsRead := make(chan struct{})
 	c := newClusterWithServers(t, func(w http.ResponseWriter, r *http.Request) {
 		conn := respondWithoutLength(w, r, eventStream, eventTexts(1, 2))
-		<-read // the reset would drop what hasn't been read
-		reset(conn)
+		<-eventsRead // the reset would drop what hasn't been read
+		closeWithReset(conn)
 	})
 	response, err := http.DefaultTransport.RoundTrip(c.newRequest(t.Context(), "POST", "/flow/x", "y"))
 	if err != nil {
@@ -178,7 +178,7 @@
 	if _, err := io.ReadFull(response.Body, events); err != nil || string(events) != eventTexts(1, 2) {
 		t.Fatalf("%q came: %v", events, err)
 	}
-	close(read)
+	close(eventsRead)
 	if rest, err := io.ReadAll(response.Body); err == nil || len(rest) > 0 {
 		t.Errorf("it looks complete: %q", rest)
 	}
@@ -186,7 +186,7 @@
 }
 
 // An interrupted stream ends there, unless it may be resumed.
-func TestOnlyResumableStreamsGoOn(t *testing.T) {
+func TestOnlyResumableStreamsAreResumed(t *testing.T) {
 	var mu sync.Mutex
 	runs := 0
 	handler := func(w http.ResponseWriter, r *http.Request) {
@@ -209,36 +209,36 @@
 
 // A resumable stream continues at another server within one response: the events come once and
 // in order, and the head is the first server's.
-func TestResumableStreamGoesOnElsewhere(t *testing.T) {
+func TestResumableStreamIsResumedByAnotherServer(t *testing.T) {
 	var mu sync.Mutex
-	var asked []string
-	c := newClusterWithServers(t, twoEventsPerAttempt(&mu, &asked, "a"), twoEventsPerAttempt(&mu, &asked, "b"), twoEventsPerAttempt(&mu, &asked, "c"))
+	var requestsSeen []string
+	c := newClusterWithServers(t, twoEventsPerAttempt(&mu, &requestsSeen, "a"), twoEventsPerAttempt(&mu, &requestsSeen, "b"), twoEventsPerAttempt(&mu, &requestsSeen, "c"))
 	response := c.do("POST", "/resume/x", "the body")
 	if response.err != nil || response.status != 200 || response.body != eventTexts(1, 6) {
 		t.Fatalf("%d %q %v", response.status, response.body, response.err)
 	}
-	if len(asked) != 3 || response.header.Get("X-Stamp") != asked[0][:1] || response.header.Get("X-Later") != "" {
-		t.Errorf("the head %v after %v", response.header, asked)
+	if len(requestsSeen) != 3 || response.header.Get("X-Stamp") != requestsSeen[0][:1] || response.header.Get("X-Later") != "" {
+		t.Errorf("the head %v after %v", response.header, requestsSeen)
 	}
 	for i, want := range []string{" after  the body", " after 2 the body", " after 4 the body"} {
-		if i < len(asked) && asked[i][1:] != want {
-			t.Errorf("attempt %d: %q", i, asked[i])
+		if i < len(requestsSeen) && requestsSeen[i][1:] != want {
+			t.Errorf("attempt %d: %q", i, requestsSeen[i])
 		}
 	}
 	// A caller that resumes a stream itself: its last event ID reaches the server.
-	asked = nil
-	if response := c.do("POST", "/resume/x", "z", headerNames.LastEventID, "4"); response.body != eventTexts(5, 6) || response.err != nil || asked[0][1:] != " after 4 z" {
-		t.Errorf("%q %v after %q", response.body, response.err, asked)
+	requestsSeen = nil
+	if response := c.do("POST", "/resume/x", "z", headerNames.LastEventID, "4"); response.body != eventTexts(5, 6) || response.err != nil || requestsSeen[0][1:] != " after 4 z" {
+		t.Errorf("%q %v after %q", response.body, response.err, requestsSeen)
 	}
 	c.waitIdle()
 }
 
 // twoEventsPerAttempt is a server that sends two events for each attempt and aborts all but the last.
-func twoEventsPerAttempt(mu *sync.Mutex, asked *[]string, name string) http.HandlerFunc {
+func twoEventsPerAttempt(mu *sync.Mutex, requestsSeen *[]string, name string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		mu.Lock()
-		*asked = append(*asked, name+" after "+r.Header.Get(headerNames.LastEventID)+" "+string(body))
+		*requestsSeen = append(*requestsSeen, name+" after "+r.Header.Get(headerNames.LastEventID)+" "+string(body))
 		mu.Unlock()
 		from, _ := strconv.Atoi(r.Header.Get(headerNames.LastEventID))
 		setResponseHead(w, r, name, eventStream)
@@ -253,12 +253,12 @@
 	}
 }
 
-// interruptedThen is a server that aborts a stream after two events, and serves requests that
+// interruptThenServe is a server that aborts a stream after two events, and serves requests that
 // resume it with another handler.
-func interruptedThen(resumed http.HandlerFunc) http.HandlerFunc {
+func interruptThenServe(resume http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get(headerNames.LastEventID) != "" {
-			resumed(w, r)
+			resume(w, r)
 			return
 		}
 		setResponseHead(w, r, "stamp", eventStream)
@@ -269,8 +269,8 @@
 
 // A resumed stream that every other server rejects or fails is broken off and does not look
 // complete.
-func TestResumedStreamThatNobodyGoesOnWith(t *testing.T) {
-	for name, later := range map[string]http.HandlerFunc{
+func TestStreamThatNoServerResumesIsInterrupted(t *testing.T) {
+	for name, resume := range map[string]http.HandlerFunc{
 		"rejected": func(w http.ResponseWriter, r *http.Request) {
 			setResponseHead(w, r, "", "text/plain")
 			w.Header().Set(headerNames.NotRun, "1")
@@ -284,7 +284,7 @@
 		},
 		"cut before the head": func(http.ResponseWriter, *http.Request) { abortConnection() },
 	} {
-		handler := interruptedThen(later)
+		handler := interruptThenServe(resume)
 		c := newClusterWithServers(t, handler, handler, handler)
 		if response := c.do("POST", "/resume/x", "y"); response.status != 200 || response.body != eventTexts(1, 2) || response.err == nil {
 			t.Errorf("%s: %+v", name, response)
@@ -294,7 +294,7 @@
 }
 
 // Blank lines after the last event are forwarded as well.
-func TestBlankLinesAtTheEnd(t *testing.T) {
+func TestTrailingBlankLinesAreForwarded(t *testing.T) {
 	for _, end := range []string{"\n", "\r\n\r\n", "\n\n\n"} {
 		c := newClusterWithServers(t, func(w http.ResponseWriter, r *http.Request) {
 			setResponseHead(w, r, "stamp", eventStream)
@@ -309,8 +309,8 @@
 }
 
 // A server that answers with something else than the rest of the stream has not resumed it.
-func TestResumedByAnotherKindOfAnswer(t *testing.T) {
-	for name, later := range map[string]http.HandlerFunc{
+func TestInvalidResumptionIsNotForwarded(t *testing.T) {
+	for name, resume := range map[string]http.HandlerFunc{
 		"no stream": func(w http.ResponseWriter, r *http.Request) {
 			setResponseHead(w, r, "", "text/plain")
 			io.WriteString(w, "hello")
@@ -325,7 +325,7 @@
 			writeAndFlush(w, eventTexts(4, 6))
 		},
 	} {
-		handler := interruptedThen(later)
+		handler := interruptThenServe(resume)
 		c := newClusterWithServers(t, handler, handler, handler)
 		if response := c.do("POST", "/resume/x", "y"); response.status != 200 || response.body != eventTexts(1, 2) || response.err == nil {
 			t.Errorf("%s: %+v", name, response)
--- a/internal/dataplane/gateway/scripted_servers_linux_test.go
+++ b/internal/dataplane/gateway/scripted_servers_linux_test.go
@@ -50,7 +50,7 @@
 // scriptedConn is a server's side of one connection.
 type scriptedConn struct {
 	*net.TCPConn
-	in      *bufio.Reader
+	reader  *bufio.Reader
 	server  string
 	pending string // of a response, withheld until the client sends once more
 }
@@ -79,7 +79,7 @@
 			if err != nil {
 				return
 			}
-			c := &scriptedConn{TCPConn: conn.(*net.TCPConn), in: bufio.NewReader(conn), server: name}
+			c := &scriptedConn{TCPConn: conn.(*net.TCPConn), reader: bufio.NewReader(conn), server: name}
 			go s.serve(c)
 		}
 	}()
@@ -98,22 +98,22 @@
 		c.Close()
 	}()
 	for {
-		request, err := http.ReadRequest(c.in)
+		request, err := http.ReadRequest(c.reader)
 		if err != nil {
 			return
 		}
-		one, fails := s.recordRequest(c, request)
+		received, fails := s.recordRequest(c, request)
 		switch {
 		case s.isReplaced(c.server):
-			s.discardBody(one, request)
-			c.send(fmt.Sprintf("HTTP/1.1 421 Misdirected Request\r\nX-Request-Id: %s\r\nContent-Length: 0\r\n\r\n", one.id))
+			s.discardBody(received, request)
+			c.send(fmt.Sprintf("HTTP/1.1 421 Misdirected Request\r\nX-Request-Id: %s\r\nContent-Length: 0\r\n\r\n", received.id))
 		case fails:
-			if !s.fail(c, one, request) {
+			if !s.fail(c, received, request) {
 				return
 			}
 		default:
-			s.execute(one, request)
-			c.send(c.pending + s.response(c, one.id, request, false).text())
+			s.execute(received, request)
+			c.send(c.pending + s.response(c, received.id, request, false).text())
 			c.pending = ""
 		}
 	}
@@ -122,14 +122,14 @@
 func (s *scriptedServers) recordRequest(c *scriptedConn, request *http.Request) (*receivedRequest, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	one := &receivedRequest{id: request.Header.Get(headerNames.RequestID), conn: c}
-	s.received = append(s.received, one)
-	if one.id == firstID {
+	received := &receivedRequest{id: request.Header.Get(headerNames.RequestID), conn: c}
+	s.received = append(s.received, received)
+	if received.id == firstID {
 		s.idleConn = c
 	}
-	fails := one.id == testedID && s.at != beforeFirstByte && !s.faultInjected
+	fails := received.id == testedID && s.at != beforeFirstByte && !s.faultInjected
 	s.faultInjected = s.faultInjected || fails
-	return one, fails
+	return received, fails
 }
 
 func (s *scriptedServers) isReplaced(server string) bool {
@@ -145,53 +145,53 @@
 }
 
 // discardBody reads the rest of a request that is not executed.
-func (s *scriptedServers) discardBody(one *receivedRequest, request *http.Request) {
+func (s *scriptedServers) discardBody(received *receivedRequest, request *http.Request) {
 	io.Copy(io.Discard, request.Body)
-	s.markDone(one)
+	s.markDone(received)
 }
 
 // markDone records that no more of a request is read.
-func (s *scriptedServers) markDone(one *receivedRequest) {
+func (s *scriptedServers) markDone(received *receivedRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	one.done = true
+	received.done = true
 }
 
 // execute begins to execute a request, once all of it has arrived.
-func (s *scriptedServers) execute(one *receivedRequest, request *http.Request) {
+func (s *scriptedServers) execute(received *receivedRequest, request *http.Request) {
 	n, err := io.Copy(io.Discard, request.Body)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	one.bodyBytes, one.executed, one.done = int(n), err == nil, true
+	received.bodyBytes, received.executed, received.done = int(n), err == nil, true
 }
 
 // tally counts the tested request's arrivals and executions, and tells whether the connection
 // of the first request carried the last one as well, and whether a server executed another
 // body than the one that was sent.
-func (s *scriptedServers) tally(size int) (attempts, executions int, reused, tampered bool) {
+func (s *scriptedServers) tally(size int) (attempts, executions int, reused, bodyAltered bool) {
 	waitFor(s.t, "the servers to be done with what they got", s.allDone)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, one := range s.received {
-		if one.id == nextID {
-			reused = reused || one.conn == s.idleConn
+	for _, received := range s.received {
+		if received.id == nextID {
+			reused = reused || received.conn == s.idleConn
 		}
-		if one.id != testedID {
+		if received.id != testedID {
 			continue
 		}
 		attempts++
-		if one.executed {
+		if received.executed {
 			executions++
-			tampered = tampered || one.bodyBytes != size
+			bodyAltered = bodyAltered || received.bodyBytes != size
 		}
 	}
-	return attempts, executions, reused, tampered
+	return attempts, executions, reused, bodyAltered
 }
 
 func (s *scriptedServers) allDone() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !slices.ContainsFunc(s.received, func(one *receivedRequest) bool { return !one.done })
+	return !slices.ContainsFunc(s.received, func(received *receivedRequest) bool { return !received.done })
 }
 
 // responseParts are the parts of a response, to be interrupted between any two of them.
@@ -232,34 +232,34 @@
 const garbage = "zz\x00 spoilt\r\n\r\n"
 
 // fail injects the fault; false: the connection is closed.
-func (s *scriptedServers) fail(c *scriptedConn, one *receivedRequest, request *http.Request) bool {
+func (s *scriptedServers) fail(c *scriptedConn, received *receivedRequest, request *http.Request) bool {
 	if s.at != midRequest {
-		s.execute(one, request)
+		s.execute(received, request)
 	}
-	ownResponse := s.response(c, one.id, request, s.at == inResponseBody)
+	ownResponse := s.response(c, received.id, request, s.at == inResponseBody)
 	before, after := s.splitAtFault(ownResponse)
 	c.send(before)
 	switch s.mode {
 	case surplusResponse, wrongID, corruptBytes:
 		c.send(s.faultyBytes(c, request))
 		if s.at == midRequest && s.mode != corruptBytes {
-			s.execute(one, request)
+			s.execute(received, request)
 		}
-		s.discardBody(one, request)
+		s.discardBody(received, request)
 		if s.mode == surplusResponse {
 			c.send(after)
 		}
 		return true
 	case noResponse:
 		if s.at == midRequest {
-			s.markDone(one)
+			s.markDone(received)
 			<-s.testDone
 			return false
 		}
 		c.pending = after
 		return true
 	}
-	return s.breakConnection(c, one, request)
+	return s.breakConnection(c, received, request)
 }
 
 // splitAtFault splits a response at the point of the fault.
@@ -298,11 +298,11 @@
 }
 
 // breakConnection ends the connection, and replaces the server if another takes its address.
-func (s *scriptedServers) breakConnection(c *scriptedConn, one *receivedRequest, request *http.Request) bool {
+func (s *scriptedServers) breakConnection(c *scriptedConn, received *receivedRequest, request *http.Request) bool {
 	switch s.mode {
 	case connectionClosed:
 		c.CloseWrite()
-		s.discardBody(one, request)
+		s.discardBody(received, request)
 		return true
 	case idleConnectionDropped:
 		c.CloseWrite()
@@ -310,7 +310,7 @@
 		s.replace(c.server)
 	}
 	c.abort()
-	s.markDone(one)
+	s.markDone(received)
 	return false
 }
 
@@ -347,23 +347,23 @@
 	default:
 		s.breakConnection(c, &receivedRequest{}, &http.Request{Body: http.NoBody})
 	}
-	s.waitNoticed()
+	s.waitFaultDetected()
 }
 
-// waitNoticed waits until the client's end of the first connection has something to read
+// waitFaultDetected waits until the client's end of the first connection has something to read
 // or is gone.
-func (s *scriptedServers) waitNoticed() {
+func (s *scriptedServers) waitFaultDetected() {
 	s.mu.Lock()
 	c := s.idleConn
 	s.mu.Unlock()
 	waitFor(s.t, "the client's end to notice the fault", func() bool {
-		return !isSocketQuiet(s.t, c.RemoteAddr(), c.LocalAddr())
+		return !isSocketIdle(s.t, c.RemoteAddr(), c.LocalAddr())
 	})
 }
 
-// isSocketQuiet tells whether the kernel has a socket between two addresses of this
+// isSocketIdle tells whether the kernel has a socket between two addresses of this
 // machine that is open with nothing to read.
-func isSocketQuiet(t *testing.T, local, remote net.Addr) bool {
+func isSocketIdle(t *testing.T, local, remote net.Addr) bool {
 	table, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
 		t.Error(err)
--- a/internal/dataplane/gateway/test_cluster_test.go
+++ b/internal/dataplane/gateway/test_cluster_test.go
@@ -41,8 +41,8 @@
 	loop      *stubLoop
 	front     *httptest.Server
 	forwarder *Forwarder
-	// callersLeft has a token for each caller that the edge has seen leave before its answer.
-	callersLeft chan struct{}
+	// callerDisconnects has a token for each caller that the edge has seen leave before its answer.
+	callerDisconnects chan struct{}
 }
 
 // newClusterWithServers is an edge with these servers; their names are s0, s1, ...
@@ -70,7 +70,7 @@
 	settings.Scheduler.MaxStaleness = scheduler.UnlimitedStaleness
 	settings.PollInterval = 0
 	s := newStubLoop(t, settings, configurationText, nil)
-	c := &testCluster{t: t, loop: s, callersLeft: make(chan struct{}, 16)}
+	c := &testCluster{t: t, loop: s, callerDisconnects: make(chan struct{}, 16)}
 	c.forwarder = &Forwarder{
 		CallMachine: s.callMachine,
 		Notify:      s.notify,
@@ -87,17 +87,17 @@
 		if err != nil {
 			t.Error(err)
 		}
-		wait, _ := strconv.ParseInt(r.Header.Get(headerNames.Deadline), 10, 64)
+		timeoutMS, _ := strconv.ParseInt(r.Header.Get(headerNames.Deadline), 10, 64)
 		stop := context.AfterFunc(r.Context(), func() {
 			select {
-			case c.callersLeft <- struct{}{}:
+			case c.callerDisconnects <- struct{}{}:
 			default:
 			}
 		})
 		defer stop()
-		wanted, _ := strconv.ParseInt(r.Header.Get(headerNames.WantedWeights), 10, 64)
+		wantedWeights, _ := strconv.ParseInt(r.Header.Get(headerNames.WantedWeights), 10, 64)
 		key := strings.TrimPrefix(r.Header.Get(headerNames.Authorization), "Token ")
-		c.forwarder.Forward(w, r, proxy.Request{Host: r.Host, Path: r.URL.EscapedPath(), APIKey: key, CallerTimeout: wait * clock.Millisecond, WantedWeights: wanted}, body)
+		c.forwarder.Forward(w, r, proxy.Request{Host: r.Host, Path: r.URL.EscapedPath(), APIKey: key, CallerTimeout: timeoutMS * clock.Millisecond, WantedWeights: wantedWeights}, body)
 	}))
 	t.Cleanup(c.front.Close)
 	return c
@@ -110,8 +110,8 @@
 	})
 }
 
-// limitSlots has each server run so many requests at a time.
-func (c *testCluster) limitSlots(slots int) {
+// setSlots has each server run so many requests at a time.
+func (c *testCluster) setSlots(slots int) {
 	c.loop.apply(func(_ clock.Micros) []machine.Effect {
 		for _, server := range c.loop.edge.Scheduler.Servers() {
 			server.Slots = slots
@@ -153,10 +153,10 @@
 }
 
 // waitFor polls until a condition holds.
-func waitFor(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
-	for !holds() {
+	for !condition() {
 		if time.Now().After(deadline) {
 			t.Fatal("timed out waiting for ", what)
 		}
--- a/internal/dataplane/gateway/weights_test.go
+++ b/internal/dataplane/gateway/weights_test.go
@@ -13,7 +13,7 @@
 type weightsServer struct {
 	mu               sync.Mutex
 	version          string
-	changesTo        string // tells in an event that it has this version from there on; "": it doesn't
+	nextVersion      string // tells in an event that it has this version from there on; "": it doesn't
 	served, rejected int
 }
 
@@ -29,9 +29,9 @@
 		return
 	}
 	s.served++
-	if s.changesTo != "" {
-		s.version = s.changesTo
-		s.changesTo = ""
+	if s.nextVersion != "" {
+		s.version = s.nextVersion
+		s.nextVersion = ""
 		fmt.Fprintf(w, "x-weights: %s\n", s.version)
 	}
 	writeAndFlush(w, eventTexts(1, 2))
@@ -45,7 +45,7 @@
 
 // Servers' versions of their weights are known from their answers: a request that wants one is sent to
 // a server of another one once at most, and that server goes on serving all others.
-func TestServersOfTwoWeightVersions(t *testing.T) {
+func TestRequestsAreRoutedByWeightVersion(t *testing.T) {
 	for _, kind := range []string{"once", "flow", "resume", "again"} {
 		one, two := &weightsServer{version: "1"}, &weightsServer{version: "2"}
 		c := newClusterWithServers(t, one.serve, two.serve)
@@ -71,8 +71,8 @@
 
 // A version that changes within a stream is known from the event that tells it.
 func TestWeightVersionChangesWithinAStream(t *testing.T) {
-	one := &weightsServer{version: "1", changesTo: "2"}
-	c := newClusterWithServers(t, one.serve)
+	server := &weightsServer{version: "1", nextVersion: "2"}
+	c := newClusterWithServers(t, server.serve)
 	if response := c.do("POST", "/flow/x", "y"); response.body != "x-weights: 2\n"+eventTexts(1, 2) {
 		t.Fatalf("%+v", response)
 	}
@@ -82,7 +82,7 @@
 	if response := c.do("POST", "/flow/x", "y", headerNames.WantedWeights, "1"); response.status != http.StatusServiceUnavailable {
 		t.Errorf("the version before it: %+v", response)
 	}
-	if _, rejected := one.counts(); rejected != 0 {
+	if _, rejected := server.counts(); rejected != 0 {
 		t.Errorf("%d requests were sent there for the version before it", rejected)
 	}
 	c.waitIdle()
