--- a/internal/dataplane/gateway/batches.go
+++ b/internal/dataplane/gateway/batches.go
@@ -11,15 +11,15 @@
 	"tuliprudder/internal/httpserver"
 )
 
-// SubmitBatchBody is the JSON body of a batch.
+// SubmitBatchBody is the JSON body of a batch submission.
 type SubmitBatchBody struct {
 	Items []shard.Item `json:"items"`
 }
 
-// The JSON keys of the responses below are the callers' wire form (DESIGN §7). They go in
-// alphabetical order.
+// The JSON keys of the responses below are part of the public API (DESIGN §7). The fields are
+// declared in the alphabetical order of their keys, which is the order on the wire.
 
-// submitBatchResponse acknowledges a batch.
+// submitBatchResponse acknowledges a submitted batch.
 type submitBatchResponse struct {
 	Batch          string `json:"bundle"`
 	IdempotencyKey string `json:"idempotency_key"`
@@ -49,9 +49,9 @@
 	Writer   int      `json:"writer"`
 }
 
-// SubmitBatch submits a batch. It is acknowledged once all of it is durable on two disks;
-// otherwise nothing of it runs, but for errs.OutcomeUnknown: the response then carries the
-// idempotency key with which to submit the batch again.
+// SubmitBatch submits a batch. The batch is acknowledged once all of it is durable on two disks. On
+// an error none of its items run, unless the error is errs.OutcomeUnknown: that response carries the
+// idempotency key with which the caller can submit the batch again.
 func (h *Handler) SubmitBatch(w http.ResponseWriter, r *http.Request) error {
 	data, err := httpserver.ReadBody(r)
 	if err != nil {
@@ -92,12 +92,12 @@
 	})
 }
 
-// BatchStatus answers with the state of a batch.
+// BatchStatus responds with the state of a batch.
 func (h *Handler) BatchStatus(w http.ResponseWriter, r *http.Request) error {
 	return h.writeBatchStatus(w, r, false)
 }
 
-// CancelBatch cancels a batch and answers with its state, once that is durable.
+// CancelBatch cancels a batch and responds with its state, once the cancellation is durable.
 func (h *Handler) CancelBatch(w http.ResponseWriter, r *http.Request) error {
 	return h.writeBatchStatus(w, r, true)
 }
--- a/internal/dataplane/gateway/batches_test.go
+++ b/internal/dataplane/gateway/batches_test.go
@@ -9,7 +9,7 @@
 	"tuliprudder/internal/errs"
 )
 
-// The JSON that callers get keeps its keys and their order.
+// The JSON of the responses keeps its keys and their order, which callers rely on.
 func TestResponseJSON(t *testing.T) {
 	for name, testCase := range map[string]struct {
 		body any
@@ -36,7 +36,7 @@
 		},
 	} {
 		if got, err := json.Marshal(testCase.body); err != nil || string(got) != testCase.want {
-			t.Errorf("%s: %s (%v)\nnot %s", name, got, err, testCase.want)
+			t.Errorf("%s: got %s (%v)\nwant %s", name, got, err, testCase.want)
 		}
 	}
 }
--- a/internal/dataplane/gateway/body.go
+++ b/internal/dataplane/gateway/body.go
@@ -6,7 +6,8 @@
 	"tuliprudder/internal/httpserver"
 )
 
-// ReadBody reads the complete body of a request, up to a limit in bytes; errs.TooLarge beyond.
+// ReadBody reads the complete body of a request. It returns errs.TooLarge if the body exceeds limit
+// bytes.
 func ReadBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
--- a/internal/dataplane/gateway/chunk_writer.go
+++ b/internal/dataplane/gateway/chunk_writer.go
@@ -11,20 +11,20 @@
 	"tuliprudder/internal/httpserver"
 )
 
-// chunkWriter takes the chunks of a live request's output: it streams them to the caller as
+// chunkWriter receives the output of a live request in chunks. It streams them to the caller as
 // events, or collects them for a one-shot response.
 type chunkWriter struct {
 	w          http.ResponseWriter
 	requestID  string
 	streaming  bool
-	started    bool // the stream's head has gone to the caller
-	maxBytes   int  // of the output
+	started    bool // the response head of the stream has been sent to the caller
+	maxBytes   int  // limit of the output over all attempts
 	chunkCount int
-	text       strings.Builder // all chunks, over all attempts
+	text       strings.Builder // all chunks of all attempts
 }
 
-// The events of a stream (DESIGN §7). Their names and JSON keys are the callers' wire form,
-// and the keys go in alphabetical order.
+// The events of a stream (DESIGN §7). Their names and JSON keys are part of the public API, and the
+// fields are declared in the alphabetical order of their keys.
 const (
 	eventChunk = "piece"
 	eventError = "error"
@@ -46,10 +46,10 @@
 	Server     string `json:"server"`
 }
 
-// writeChunk takes the next chunk; errs.TooLarge once the output is over its bound.
+// writeChunk adds the next chunk. It returns errs.TooLarge if the output would exceed maxBytes.
 func (c *chunkWriter) writeChunk(text string) error {
 	if c.text.Len()+len(text) > c.maxBytes {
-		return errs.New(errs.TooLarge, "lower max_tokens", "the output is over %d bytes", c.maxBytes)
+		return errs.New(errs.TooLarge, "lower max_tokens", "the output exceeds %d bytes", c.maxBytes)
 	}
 	c.text.WriteString(text)
 	c.chunkCount++
@@ -82,7 +82,7 @@
 	return http.NewResponseController(c.w).Flush()
 }
 
-// complete writes the complete response, or the end event, which only a complete stream has.
+// complete writes the one-shot response, or the end event, which only a complete stream has.
 func (c *chunkWriter) complete(response requests.Response) error {
 	if response.Replayed {
 		c.w.Header().Set(headerReplayed, "true")
@@ -99,13 +99,14 @@
 	})
 }
 
-// writeError tells the caller of a stream that it is not complete. Before the first chunk it
-// returns the error, to be answered as any other.
+// writeError ends a stream that has started with an error event, which tells the caller that the
+// stream is incomplete. Before the first chunk it returns the error, so that the caller gets an
+// ordinary error response.
 func (c *chunkWriter) writeError(cause error) error {
 	if !c.started {
 		return cause
 	}
-	// If the caller has left, nobody is there to read the event.
+	// A write error means that the caller has disconnected and cannot get the event anyway.
 	_ = c.writeEvent(eventError, errorEvent{Error: errs.Of(cause)})
 	return nil
 }
--- a/internal/dataplane/gateway/execution_started_test.go
+++ b/internal/dataplane/gateway/execution_started_test.go
@@ -11,8 +11,8 @@
 	"tuliprudder/internal/machine"
 )
 
-// A request began at a server where the first event of its stream came, or another response that is a
-// success.
+// Execution counts as started at the first event of a stream, or at a success response that is not a
+// stream. It is reported once for each request, however many servers resume its stream.
 func TestWhichResponsesReportExecutionStarted(t *testing.T) {
 	text := func(status int) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
@@ -41,8 +41,8 @@
 		want     []string
 	}{
 		"a response":               {"/once/x", []http.HandlerFunc{text(200)}, []string{"t"}},
-		"a client's fault":         {"/once/x", []http.HandlerFunc{text(404)}, nil},
-		"a server's fault":         {"/once/x", []http.HandlerFunc{text(500)}, nil},
+		"a client error":           {"/once/x", []http.HandlerFunc{text(404)}, nil},
+		"a server error":           {"/once/x", []http.HandlerFunc{text(500)}, nil},
 		"a rejection":              {"/once/x", []http.HandlerFunc{rejected}, nil},
 		"a stream":                 {"/flow/x", []http.HandlerFunc{events(eventTexts(1, 3))}, []string{"t"}},
 		"a stream without events":  {"/flow/x", []http.HandlerFunc{events("")}, nil},
@@ -62,7 +62,7 @@
 		cluster.do("POST", c.path, "y", header...)
 		cluster.waitIdle()
 		if !slices.Equal(startedTenants, c.want) {
-			t.Errorf("%s: counted %q, not %q", name, startedTenants, c.want)
+			t.Errorf("%s: execution started for the tenants %q, want %q", name, startedTenants, c.want)
 		}
 	}
 }
--- a/internal/dataplane/gateway/failure_table_linux_test.go
+++ b/internal/dataplane/gateway/failure_table_linux_test.go
@@ -14,7 +14,7 @@
 	"tuliprudder/internal/dataplane/upstream"
 )
 
-// failurePoint is when a server fails, as seen from the request.
+// failurePoint is the point in a request's life at which a server fails.
 type failurePoint string
 
 const (
@@ -46,19 +46,19 @@
 
 var kinds = []string{kindOnce, kindIdempotent, kindStream, kindResumable}
 
-// caseOutcome is the outcome of one request: how many times it was sent to a server, how many
-// servers executed it, what its caller got, and whether the connection that the fault was on
-// carried the next request.
+// caseOutcome is the outcome of one request: how many times it was sent to a server, how many servers
+// executed it, what its caller got, and whether the connection with the fault was reused for the next
+// request.
 type caseOutcome struct {
 	attempts, executions int
 	callerSaw            string
 	reused               bool
 }
 
-// What a caller may get. The strings stand in the table of docs/ANSWERS.md.
+// What a caller may get. The strings appear in the table of docs/ANSWERS.md.
 const (
 	completeResponse  = "complete"    // a server's response, to its last byte
-	truncatedResponse = "interrupted" // the beginning of a server's response, visibly broken off
+	truncatedResponse = "interrupted" // the beginning of a server's response, visibly truncated
 	rejected          = "rejected"    // the edge's own 503: the request has not run and never will
 	unknownOutcome    = "unknown"     // the edge's own 502, which guarantees nothing
 )
@@ -67,8 +67,8 @@
 	return fmt.Sprintf("%d/%d %s", c.attempts, c.executions, c.callerSaw)
 }
 
-// failureCase is one point and mode of failure with the outcome for each kind of request,
-// written by hand.
+// failureCase is one point and mode of failure with the expected outcome for each kind of request. The
+// expectations are written by hand, not generated.
 type failureCase struct {
 	at                                  failurePoint
 	mode                                failureMode
@@ -85,7 +85,7 @@
 var responseTable = []failureCase{
 	{beforeFirstByte, connectionReset, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", false},
 	{beforeFirstByte, connectionClosed, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", false},
-	// No connection is established: the idle one leads to the server that works.
+	// The fault is that no connection can be established; the idle one, to the working server, is kept.
 	{beforeFirstByte, noResponse, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", true},
 	{beforeFirstByte, surplusResponse, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", false},
 	{beforeFirstByte, wrongID, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", false},
@@ -139,15 +139,16 @@
 	{afterResponse, addressReused, "1/1 complete", "1/1 complete", "1/1 complete", "1/1 complete", false},
 }
 
-// Each kind of request meets each mode of failure at each point, through the real server and
-// client: how often it is sent, what its caller gets, and whether the connection is kept.
+// For each kind of request, mode of failure and point of failure, the number of attempts and executions,
+// the caller's response and the reuse of the connection are as in responseTable. The requests go
+// through the real HTTP server and client of the edge.
 func TestResponsesAtEachFailure(t *testing.T) {
 	for name, difference := range runTable(t, responseTable, upstream.InjectedFaults{}) {
 		t.Errorf("%s: %s", name, difference)
 	}
 }
 
-// The table has each mode at each point, once.
+// The table has each combination of a point and a mode exactly once.
 func TestResponseTableIsComplete(t *testing.T) {
 	seen := map[string]int{}
 	for _, c := range responseTable {
@@ -156,13 +157,13 @@
 	for _, at := range []failurePoint{beforeFirstByte, midRequest, requestSent, inResponseHead, inResponseBody, afterResponse} {
 		for _, mode := range []failureMode{connectionReset, connectionClosed, noResponse, surplusResponse, wrongID, corruptBytes, idleConnectionDropped, addressReused} {
 			if seen[string(at)+string(mode)] != 1 {
-				t.Errorf("%s, %s: %d times in the table", at, mode, seen[string(at)+string(mode)])
+				t.Errorf("%s, %s: %d times in the table, want once", at, mode, seen[string(at)+string(mode)])
 			}
 		}
 	}
 }
 
-// Faults injected into the client are detected by the table, in cells that are about them.
+// Running the table detects faults that are injected into the client, in the cells that cover them.
 func TestResponseTableCatchesInjectedFaults(t *testing.T) {
 	for name, injected := range map[string]struct {
 		faults upstream.InjectedFaults
@@ -179,15 +180,15 @@
 			differences := runTable(t, responseTable, injected.faults)
 			for _, cell := range injected.found {
 				if differences[cell] == "" {
-					t.Errorf("not found at %q", cell)
+					t.Errorf("the injected fault was not detected in the cell %q", cell)
 				}
 			}
-			t.Logf("%s: found in %d of %d cells", name, len(differences), len(responseTable)*len(kinds))
+			t.Logf("%s: detected in %d of %d cells", name, len(differences), len(responseTable)*len(kinds))
 		})
 	}
 }
 
-// The page shows the table that is tested.
+// docs/ANSWERS.md shows the table that is tested.
 func TestAnswersPage(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/ANSWERS.md")
 	if err != nil {
@@ -211,7 +212,8 @@
 	return out.String()
 }
 
-// runTable runs each cell with each kind and returns the cells that differ.
+// runTable runs each case of the table with each kind of request and returns the differences from the
+// table, by the name of the cell.
 func runTable(t *testing.T, cells []failureCase, faults upstream.InjectedFaults) map[string]string {
 	var mu sync.Mutex
 	differences := map[string]string{}
@@ -223,7 +225,7 @@
 					t.Parallel()
 					got, problems := runCase(t, c, kind, faults)
 					if got.String() != c.want(kind) {
-						problems = append(problems, fmt.Sprintf("%s, not %s", got, c.want(kind)))
+						problems = append(problems, fmt.Sprintf("got %s, want %s", got, c.want(kind)))
 					}
 					if got.reused != c.reused {
 						problems = append(problems, fmt.Sprintf("connection reused: %v", got.reused))
@@ -240,25 +242,25 @@
 	return differences
 }
 
-// responseTableConfiguration has one route of each kind; servers are chosen in the order of
-// their names.
+// responseTableConfiguration has one route of each kind, and servers are chosen in the order of their
+// names.
 var responseTableConfiguration = strings.Replace(forwardConfiguration, `{"classes"`, `{"judges":{"fullness":0,"prefix":0,"speed":0,"spread":0,"turn":1},"classes"`, 1)
 
 const (
 	firstID, testedID, nextID, foreignID = "id-0", "id-1", "id-2", "id-9"
 
-	// noResponseTimeoutMS is the caller's time-out where a server does not respond.
+	// noResponseTimeoutMS is the caller's time-out in cases in which a server does not respond.
 	noResponseTimeoutMS = "500"
-	// slowReadTimeout is how long a server may take to read on a busy machine: all cells run
-	// at once, and a pause in reading is not a fault of the table.
+	// slowReadTimeout is how long a server may take to read a request. It is long because all cells run
+	// in parallel: on a busy machine a server may be slow to read, which is not one of the tested faults.
 	slowReadTimeout = 20 * time.Second
 	// largeBodyBytes is more than the socket buffers of both ends hold.
 	largeBodyBytes = 7 << 20
 )
 
-// runCase runs one cell with a request of one kind: a first request leaves an idle connection
-// to the first server, the tested one meets the fault on it, and a next one shows whether that
-// connection is still used. It returns the outcome, and what else was wrong.
+// runCase runs one case of the table with a request of one kind. A first request leaves an idle
+// connection to the first server, the tested request meets the fault on it, and a next request shows
+// whether that connection is still used. It returns the outcome and any other problems.
 func runCase(t *testing.T, c failureCase, kind string, faults upstream.InjectedFaults) (caseOutcome, []string) {
 	client := upstream.New(headerNames, upstream.Settings{DialTimeout: 300 * time.Millisecond, TCPUserTimeout: slowReadTimeout})
 	client.InjectedFaults = faults
@@ -269,7 +271,7 @@
 	edge.setServer("s1", second)
 	var problems []string
 	if result := edge.send(firstID, kindOnce, "y", ""); result != completeResponse {
-		problems = append(problems, "the first request: "+result)
+		problems = append(problems, "the first request got "+result)
 	}
 	body, timeoutMS := "y", ""
 	switch {
@@ -290,17 +292,17 @@
 	edge.setServer("s0", first)
 	edge.clearRejections()
 	if result := edge.send(nextID, kindOnce, "y", ""); result != completeResponse {
-		problems = append(problems, "the next request: "+result)
+		problems = append(problems, "the next request got "+result)
 	}
 	var bodyAltered bool
 	got.attempts, got.executions, got.reused, bodyAltered = servers.tally(len(body))
 	if bodyAltered {
-		problems = append(problems, "a server got another body than was sent")
+		problems = append(problems, "a server executed a body that differs from the one that was sent")
 	}
 	return got, problems
 }
 
-// send sends a request, waits until the edge is done with it, and sums up what its caller got.
+// send sends a request, waits until the edge has finished it, and classifies what its caller got.
 func (c *testCluster) send(id, kind, body, timeoutMS string) string {
 	request := c.newRequest(c.t.Context(), "POST", "/"+kind+"/x", body)
 	request.Header.Set(headerNames.RequestID, id)
--- a/internal/dataplane/gateway/forwarder_test.go
+++ b/internal/dataplane/gateway/forwarder_test.go
@@ -11,8 +11,8 @@
 	"tuliprudder/internal/machine"
 )
 
-// A new configuration interrupts no request in flight: not when its route is removed, nor
-// when its server is removed and its connections are to be closed.
+// A new configuration interrupts no request in flight, even if it removes the request's route, or if
+// the server is removed and its connections are to be closed.
 func TestConfigurationChangeInterruptsNoRequest(t *testing.T) {
 	for _, kind := range []string{"once", "flow"} {
 		reached, proceed := make(chan string, 1), make(chan struct{})
@@ -43,18 +43,18 @@
 			return c.loop.edge.Tick(now)
 		})
 		if response := c.do("POST", "/"+kind+"/x", "y"); response.status != http.StatusNotFound {
-			t.Errorf("%s: the new configuration is not in force: %+v", kind, response)
+			t.Errorf("%s: the new configuration is not in effect: got %+v", kind, response)
 		}
 		close(proceed)
 		if response := <-responses; response.err != nil || response.status != 200 || response.body != eventTexts(1, 2) {
-			t.Errorf("%s: %+v", kind, response)
+			t.Errorf("%s: the request in flight got %+v", kind, response)
 		}
 		c.waitIdle()
 	}
 }
 
-// Requests of batch routes go to SubmitBatch, those without a route are rejected, by the
-// machine's configuration; neither reaches a server.
+// Requests of batch routes are passed to SubmitBatch, and requests without a route are rejected, as the
+// state machine's configuration says. Neither reaches a server.
 func TestBatchAndUnknownRoutesReachNoServer(t *testing.T) {
 	c := newClusterWithServers(t, func(http.ResponseWriter, *http.Request) { t.Error("a server got a request") })
 	if response := c.do("POST", "/many/x", "the batch"); response.status != 200 || response.body != "batch many the batch" {
--- a/internal/dataplane/gateway/handler.go
+++ b/internal/dataplane/gateway/handler.go
@@ -1,11 +1,11 @@
-// Package gateway serves callers' HTTP requests at an edge (DESIGN §7, §12.2). It holds the
-// sockets; the edge's state machine decides, through the packages requests and proxy.
+// Package gateway serves callers' HTTP requests at an edge (DESIGN §7, §12.2). It does the network
+// I/O; the decisions are made by the edge's state machine, in the packages requests and proxy.
 //
 // Handler serves the product's own API (live requests, batches, results). Forwarder forwards
-// opaque requests to servers unchanged. Both loop over the machine's decisions until one ends
-// the request; machine.go is where typed messages enter and leave the event loop.
+// opaque requests to servers unchanged. Both carry out the state machine's decisions in a loop until
+// one ends the request. machine.go exchanges typed messages with the daemon's event loop.
 //
-// All methods are called by one goroutine for each HTTP request, many at a time.
+// Each HTTP request is served by one goroutine, and many requests are served concurrently.
 package gateway
 
 import (
@@ -20,28 +20,28 @@
 	"tuliprudder/internal/httpserver"
 )
 
-// Settings bound what one request may take; Defaults has the usual values.
+// Settings limit the resources of one request. Defaults returns the default values.
 type Settings struct {
 	MaxOutputBytes int          // largest output of a live request, in bytes; default 256 KiB
-	MaxLongPoll    clock.Micros // longest wait that a reader of results may ask for; default 30 s
+	MaxLongPoll    clock.Micros // longest wait that a request for results may specify; default 30 s
 }
 
-// Defaults are the values used where nothing is set.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{MaxOutputBytes: 256 << 10, MaxLongPoll: 30 * clock.Second}
 }
 
-// Handler serves the callers' API (DESIGN §7). Its fields are set before the first request.
+// Handler serves the callers' API (DESIGN §7). The fields must be set before the first request.
 type Handler struct {
 	Settings    Settings
 	CallMachine MachineCaller
-	// Notify sends the machine a message that has no reply.
+	// Notify sends the state machine a message without waiting for a reply.
 	Notify func(message any)
-	// Now is the daemon's time.
+	// Now returns the daemon's time.
 	Now func() clock.Micros
 }
 
-// RegisterRoutes registers the API's paths with a server.
+// RegisterRoutes registers the API's handlers with a server.
 func (h *Handler) RegisterRoutes(server *httpserver.Server) {
 	server.Handle(http.MethodPost, "/v1/routes/:route/orders", h.SubmitRequest)
 	server.Handle(http.MethodPost, "/v1/routes/:route/bundles", h.SubmitBatch)
@@ -51,7 +51,7 @@
 	server.Handle(http.MethodGet, "/v1/results", h.Feed)
 }
 
-// The path parameters of the API, as RegisterRoutes spells them.
+// The path parameters of the API, as used by RegisterRoutes.
 const (
 	parameterRoute = "route"
 	parameterBatch = "bundle"
@@ -66,13 +66,13 @@
 	headerRequestID      = "X-Order"
 )
 
-// apiKey is the key that authenticates the caller; "" when the request carries none.
+// apiKey returns the bearer token that authenticates the caller, or "" if the request carries none.
 func apiKey(r *http.Request) string {
 	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	return key
 }
 
-// NewID makes an ID that no other request has, at any edge.
+// NewID returns a random request ID, unique across all edges.
 func NewID() string {
 	var random [8]byte
 	rand.Read(random[:])
--- a/internal/dataplane/gateway/handler_test.go
+++ b/internal/dataplane/gateway/handler_test.go
@@ -30,7 +30,8 @@
   {"name":"flow","kind":"stream","classes":{"t":"gold"},"pools":{"u":"all"},"model":"m","expiry_us":400000},
   {"name":"many","kind":"bundle","classes":{"t":"gold"},"pools":{"u":"all"},"model":"m","most_items":3}]}`
 
-// newTestHandler is a handler whose one server responds by f and whose store by callStore.
+// newTestHandler returns a handler whose only server responds with f (nil: no server) and whose store
+// responds with callStore.
 func newTestHandler(t *testing.T, f http.HandlerFunc, callStore storeStub) (*Handler, *stubLoop) {
 	t.Helper()
 	settings := machines.EdgeDefaults()
@@ -76,12 +77,12 @@
 		Error errs.Error `json:"error"`
 	}
 	if err := json.Unmarshal(r.Body.Bytes(), &body); err != nil || body.Error.Remedy == "" {
-		t.Fatalf("not a typed error with a remedy: %d %s", r.Code, r.Body)
+		t.Fatalf("the response is not a typed error with a remedy: %d %s", r.Code, r.Body)
 	}
 	return body.Error.Kind
 }
 
-// Each bad input has its typed error and reaches neither a server nor a store.
+// Each kind of bad input gets its typed error and reaches neither a server nor a store.
 func TestBadInputReachesNoServerOrStore(t *testing.T) {
 	var executions atomic.Int64
 	h, _ := newTestHandler(t, func(http.ResponseWriter, *http.Request) { executions.Add(1) }, func(any) (any, error) {
@@ -98,29 +99,29 @@
 		got  *httptest.ResponseRecorder
 		want errs.Kind
 	}{
-		"no key":           {serve(h.SubmitRequest, "POST", "/", "", "", `{"input":"x"}`, route("once")), errs.Unauthorised},
-		"unknown customer": {serve(h.SubmitRequest, "POST", "/", "nobody", "", `{"input":"x"}`, route("once")), errs.Unauthorised},
-		"unknown route":    {serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"x"}`, route("nowhere")), errs.UnknownRoute},
-		"malformed":        {serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":`, route("once")), errs.BadInput},
-		"unknown field":    {serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"x","colour":1}`, route("once")), errs.BadInput},
-		"two values":       {serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"x"}{}`, route("once")), errs.BadInput},
-		"empty input":      {serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":""}`, route("once")), errs.BadInput},
-		"oversize":         {serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"`+strings.Repeat("x", 3000)+`"}`, route("once")), errs.TooLarge},
-		"too many tokens":  {serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"x","max_tokens":9}`, route("once")), errs.BadInput},
-		"expired":          {serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"x","expiry_us":-1}`, route("once")), errs.DeadlineExceeded},
-		"key on a stream":  {serve(h.SubmitRequest, "POST", "/", "key-c", "k", `{"input":"x"}`, route("flow")), errs.BadInput},
-		"live to bundle":   {serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"x"}`, route("many")), errs.BadInput},
-		"bundle to live":   {serve(h.SubmitBatch, "POST", "/", "key-c", "", `{"items":[]}`, route("once")), errs.BadInput},
-		"empty bundle":     {serve(h.SubmitBatch, "POST", "/", "key-c", "", `{"items":[]}`, route("many")), errs.BadInput},
-		"oversize bundle":  {serve(h.SubmitBatch, "POST", "/", "key-c", "", `{"items":[`+strings.Join(fourItems, ",")+`]}`, route("many")), errs.TooLarge},
-		"one bad item":     {serve(h.SubmitBatch, "POST", "/", "key-c", "", `{"items":[{"id":"a","input":"x"},{"id":"b","input":""}]}`, route("many")), errs.BadInput},
-		"an id twice":      {serve(h.SubmitBatch, "POST", "/", "key-c", "", `{"items":[{"id":"a","input":"x"},{"id":"a","input":"y"}]}`, route("many")), errs.BadInput},
-		"bad token":        {serve(h.BatchResults, "GET", "/?after=AAAA", "key-c", "", "", map[string]string{"bundle": "b"}), errs.BadToken},
-		"bad limit":        {serve(h.BatchResults, "GET", "/?limit=x", "key-c", "", "", map[string]string{"bundle": "b"}), errs.BadInput},
-		"bad parameter":    {serve(h.Feed, "GET", "/?since=1", "key-c", "", "", nil), errs.BadInput},
+		"no key":                {serve(h.SubmitRequest, "POST", "/", "", "", `{"input":"x"}`, route("once")), errs.Unauthorised},
+		"unknown customer":      {serve(h.SubmitRequest, "POST", "/", "nobody", "", `{"input":"x"}`, route("once")), errs.Unauthorised},
+		"unknown route":         {serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"x"}`, route("nowhere")), errs.UnknownRoute},
+		"malformed":             {serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":`, route("once")), errs.BadInput},
+		"unknown field":         {serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"x","colour":1}`, route("once")), errs.BadInput},
+		"two values":            {serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"x"}{}`, route("once")), errs.BadInput},
+		"empty input":           {serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":""}`, route("once")), errs.BadInput},
+		"oversize":              {serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"`+strings.Repeat("x", 3000)+`"}`, route("once")), errs.TooLarge},
+		"too many tokens":       {serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"x","max_tokens":9}`, route("once")), errs.BadInput},
+		"expired":               {serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"x","expiry_us":-1}`, route("once")), errs.DeadlineExceeded},
+		"key on a stream":       {serve(h.SubmitRequest, "POST", "/", "key-c", "k", `{"input":"x"}`, route("flow")), errs.BadInput},
+		"live on a batch route": {serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"x"}`, route("many")), errs.BadInput},
+		"batch on a live route": {serve(h.SubmitBatch, "POST", "/", "key-c", "", `{"items":[]}`, route("once")), errs.BadInput},
+		"empty batch":           {serve(h.SubmitBatch, "POST", "/", "key-c", "", `{"items":[]}`, route("many")), errs.BadInput},
+		"oversize batch":        {serve(h.SubmitBatch, "POST", "/", "key-c", "", `{"items":[`+strings.Join(fourItems, ",")+`]}`, route("many")), errs.TooLarge},
+		"one bad item":          {serve(h.SubmitBatch, "POST", "/", "key-c", "", `{"items":[{"id":"a","input":"x"},{"id":"b","input":""}]}`, route("many")), errs.BadInput},
+		"duplicate item ID":     {serve(h.SubmitBatch, "POST", "/", "key-c", "", `{"items":[{"id":"a","input":"x"},{"id":"a","input":"y"}]}`, route("many")), errs.BadInput},
+		"bad token":             {serve(h.BatchResults, "GET", "/?after=AAAA", "key-c", "", "", map[string]string{"bundle": "b"}), errs.BadToken},
+		"bad limit":             {serve(h.BatchResults, "GET", "/?limit=x", "key-c", "", "", map[string]string{"bundle": "b"}), errs.BadInput},
+		"bad parameter":         {serve(h.Feed, "GET", "/?since=1", "key-c", "", "", nil), errs.BadInput},
 	} {
 		if got := errorKind(t, c.got); got != c.want {
-			t.Errorf("%s: %s, not %s (%s)", name, got, c.want, c.got.Body)
+			t.Errorf("%s: got the error %s, want %s (%s)", name, got, c.want, c.got.Body)
 		}
 	}
 	if executions.Load() != 0 {
--- a/internal/dataplane/gateway/harness_test.go
+++ b/internal/dataplane/gateway/harness_test.go
@@ -25,12 +25,12 @@
 	os.Exit(m.Run())
 }
 
-// storeStub answers the requests that the machine sends to other daemons.
+// storeStub responds to the requests that the state machine sends to other daemons.
 type storeStub func(body any) (any, error)
 
-// stubLoop runs an edge's machine for a test, as the event loop does.
+// stubLoop runs an edge's state machine in a test, in place of the daemon's event loop.
 type stubLoop struct {
-	mu             sync.Mutex // guards all below, and the machine
+	mu             sync.Mutex // guards all fields below, and the state machine
 	edge           *machines.Edge
 	start          time.Time
 	pendingReplies map[uint64]chan machine.Reply
@@ -40,7 +40,7 @@
 
 func (s *stubLoop) now() clock.Micros { return 1_000_000 + time.Since(s.start).Microseconds() }
 
-// apply takes one step of the machine and carries out its effects.
+// apply runs one step of the state machine and carries out its effects.
 func (s *stubLoop) apply(step func(now clock.Micros) []machine.Effect) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,7 +59,8 @@
 	}
 }
 
-// newStubLoop runs an edge's machine that knows itself, the configuration and the updates.
+// newStubLoop starts an edge's state machine that has received its own membership, the configuration
+// and the updates.
 func newStubLoop(t *testing.T, settings machines.EdgeSettings, configurationText string, callStore storeStub, updates ...machine.Update) *stubLoop {
 	t.Helper()
 	s := &stubLoop{
@@ -88,7 +89,7 @@
 	return s
 }
 
-// notify sends the machine a message whose reply nobody waits for.
+// notify sends the state machine a message without waiting for a reply.
 func (s *stubLoop) notify(message any) {
 	s.apply(func(now clock.Micros) []machine.Effect { return s.edge.Call(0, message, now) })
 }
--- a/internal/dataplane/gateway/headers.go
+++ b/internal/dataplane/gateway/headers.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// hopByHopHeaders are the headers that concern one connection only (RFC 9110, 7.6.1).
+// hopByHopHeaders are the headers that apply to a single connection (RFC 9110, 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// endToEndHeaders copies the headers that are forwarded: neither hop-by-hop ones, nor those
-// that a Connection header names, nor Content-Length, which is set anew.
+// endToEndHeaders returns a copy of the headers to forward. It leaves out hop-by-hop headers, those
+// that a Connection header names, and Content-Length, which is set anew.
 func endToEndHeaders(from http.Header) http.Header {
 	out := make(http.Header, len(from))
 	for name, values := range from {
--- a/internal/dataplane/gateway/headers_test.go
+++ b/internal/dataplane/gateway/headers_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// Method, path, query, host, end-to-end headers and body reach the server unchanged, and its
-// response the caller; hop-by-hop headers do not.
+// Method, path, query, host, end-to-end headers and body reach the server unchanged, and its response
+// reaches the caller unchanged. Hop-by-hop headers are not forwarded in either direction.
 func TestRequestAndResponseAreForwardedUnchanged(t *testing.T) {
 	type serverRequest struct {
 		line, host, body string
@@ -36,11 +36,11 @@
 		response := c.do("PUT", "/once/a//b/../%2e%7E?q=%zz&&x=+", body, "X-Other", "1", "X-Other", "2", "Accept-Encoding", "", "User-Agent", "the caller",
 			"Connection", "X-Mine, close", "X-Mine", "hop", "Te", "trailers", "Proxy-Authorization", "secret", "X-Instance", "forged", headerNames.Deadline, "15000")
 		if response.err != nil || response.status != http.StatusCreated || response.body != strings.ToUpper(body) {
-			t.Fatalf("%s: %d, %d bytes, %v", name, response.status, len(response.body), response.err)
+			t.Fatalf("%s: got status %d, %d bytes, error %v", name, response.status, len(response.body), response.err)
 		}
 		if h := response.header; h.Get("X-Stamp") != "stamp-1" || h.Get("Content-Type") != "application/x-thing" || h.Get("X-Hop") != "" || h.Get("Keep-Alive") != "" ||
 			!reflect.DeepEqual(h["X-Twice"], []string{"1", "2"}) || h.Get("Content-Length") != strconv.Itoa(len(body)) || h.Get(headerNames.RequestID) != "id-1" {
-			t.Errorf("%s: the caller got %v", name, h)
+			t.Errorf("%s: the caller got the headers %v", name, h)
 		}
 		got := <-received
 		if got.line != "PUT /once/a//b/../%2e%7E?q=%zz&&x=+" || got.host != "h.example" || got.body != body {
@@ -60,7 +60,7 @@
 	c.waitIdle()
 }
 
-// A chunked body is sent to the server with its length.
+// A chunked request body is sent to the server with a Content-Length.
 func TestChunkedBodyIsForwardedWithItsLength(t *testing.T) {
 	c := newClusterWithServers(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
--- a/internal/dataplane/gateway/identity_test.go
+++ b/internal/dataplane/gateway/identity_test.go
@@ -13,8 +13,8 @@
 	"tuliprudder/internal/machine"
 )
 
-// authenticatedConfiguration has tenants with keys; once, again, flow, resume and many require one, brief
-// is public.
+// authenticatedConfiguration has tenants with keys. The routes once, again, flow, resume and many require
+// a key; the route brief is public.
 var authenticatedConfiguration = withTenants(`{"name":"t","keys":["k1","k2"],"class":"c"},{"name":"u","keys":["k3"],"class":"c"}`)
 
 func withTenants(tenants string) string {
@@ -24,8 +24,8 @@
 	return strings.Replace(text, `"required","host":"h.example","path_prefix":"/brief/"`, `"optional","host":"h.example","path_prefix":"/brief/"`, 1)
 }
 
-// identityHeaders are the values that a server got of the headers with the key and the tenant, in its
-// header and in its trailer.
+// identityHeaders returns the keys and the tenants that a server received in the request's headers and
+// trailers.
 func identityHeaders(r *http.Request) string {
 	io.Copy(io.Discard, r.Body)
 	var keys, tenants []string
@@ -48,7 +48,8 @@
 	io.WriteString(w, identity)
 }
 
-// A server gets the tenant of the caller's key and no key, whatever the caller sends and however it spells it.
+// A server gets the tenant of the caller's key but no key, whichever header lines the caller sends and
+// however their names are spelled.
 func TestServerReceivesTenantButNoKey(t *testing.T) {
 	c := newConfiguredCluster(t, authenticatedConfiguration, respondWithIdentity)
 	const end = "\r\nX-Request-Id: id-1\r\nConnection: close\r\n"
@@ -63,23 +64,23 @@
 		"POST /once/x HTTP/1.1\r\nHost: h.example\r\nAuthorization: Token k1\r\nTransfer-Encoding: chunked\r\nTrailer: X-Tenant, Authorization" + end + "\r\n1\r\na\r\n0\r\nX-Tenant: u\r\nAuthorization: Token k3\r\n\r\n": "[] [t]",
 	} {
 		if raw := c.doRaw(request); !strings.HasPrefix(raw, "HTTP/1.1 200") || !strings.HasSuffix(raw, "\r\n\r\n"+want) {
-			t.Errorf("%q: answered %q, not with %q", request, raw, want)
+			t.Errorf("%q: got %q, want a response that ends in %q", request, raw, want)
 		}
 	}
 	c.waitIdle()
 }
 
-// A configuration that doesn't tell callers apart passes their headers on as they came.
+// Under a configuration without authentication, the callers' identity headers are forwarded unchanged.
 func TestIdentityHeadersAreForwardedWithoutAuthentication(t *testing.T) {
 	c := newClusterWithServers(t, respondWithIdentity)
 	got := c.do("POST", "/once/x", "y", "Authorization", "Token k1", "X-Tenant", "a", "X-Tenant", "b")
 	if got.status != 200 || got.body != "[Token k1] [a b]" {
-		t.Errorf("answered %d %s", got.status, got.body)
+		t.Errorf("got %d %s", got.status, got.body)
 	}
 	c.waitIdle()
 }
 
-// Each attempt carries the tenant, also one that resumes a stream at another server.
+// Each attempt carries the tenant, including one that resumes a stream at another server.
 func TestRetriesCarryTheTenant(t *testing.T) {
 	seen := make(chan string, 8)
 	interrupts := func(w http.ResponseWriter, r *http.Request) {
@@ -104,7 +105,8 @@
 	c.waitIdle()
 }
 
-// Who may call, by route and key. Nothing that is refused reaches a server.
+// The route's authentication setting and the caller's key decide whether a request is accepted. No
+// rejected request reaches a server, and no error response contains the key.
 func TestUnauthorisedRequestsReachNoServer(t *testing.T) {
 	reached := make(chan string, 64)
 	c := newConfiguredCluster(t, authenticatedConfiguration, func(w http.ResponseWriter, r *http.Request) {
@@ -129,10 +131,10 @@
 		}
 		response := c.do("POST", "/"+row.route+"/x", "y", headers...)
 		if response.status != row.status || strings.Contains(response.body, "wrong") {
-			t.Errorf("%s with %q: answered %d %s", row.route, row.authorization, response.status, response.body)
+			t.Errorf("%s with %q: got %d %s", row.route, row.authorization, response.status, response.body)
 		}
 		if isForwarded := row.status == 200 && row.route != "many"; len(reached) > 0 != isForwarded {
-			t.Errorf("%s with %q: reached a server: %v", row.route, row.authorization, !isForwarded)
+			t.Errorf("%s with %q: request reached a server: %v", row.route, row.authorization, !isForwarded)
 		}
 		for len(reached) > 0 {
 			<-reached
@@ -141,8 +143,8 @@
 	c.waitIdle()
 }
 
-// A key that a newer configuration lacks is refused at the next request on an open connection; what was
-// let in before gets its whole answer.
+// After a new configuration removes a key, the next request with it is rejected, even on an open
+// connection. A request that was accepted before gets its complete response.
 func TestRemovedKeyIsRejectedOnOpenConnection(t *testing.T) {
 	started, proceed := make(chan bool, 8), make(chan bool)
 	c := newConfiguredCluster(t, authenticatedConfiguration, func(w http.ResponseWriter, r *http.Request) {
@@ -180,18 +182,18 @@
 	c.setConfiguration(withTenants(`{"name":"t","keys":["k2"],"class":"c"}`), 2)
 	close(proceed)
 	if got := <-first; got.status != 200 || got.body != eventTexts(1, 2) {
-		t.Errorf("the request under way: %d %q", got.status, got.body)
+		t.Errorf("the request in flight got %d %q", got.status, got.body)
 	}
 	if status, _ := send("k1"); status != 401 {
-		t.Errorf("the next one with the removed key: %d", status)
+		t.Errorf("the next request with the removed key got %d", status)
 	}
 	if status, body := send("k2"); status != 200 || body != eventTexts(1, 2) {
-		t.Errorf("one with the key that stays: %d %q", status, body)
+		t.Errorf("a request with the remaining key got %d %q", status, body)
 	}
 	c.waitIdle()
 }
 
-// setConfiguration puts a configuration in force.
+// setConfiguration puts a configuration into effect.
 func (c *testCluster) setConfiguration(text string, version uint64) {
 	c.t.Helper()
 	configuration, err := config.Parse([]byte(text))
--- a/internal/dataplane/gateway/live.go
+++ b/internal/dataplane/gateway/live.go
@@ -15,11 +15,12 @@
 type SubmitRequestBody struct {
 	Input     string `json:"input"`
 	MaxTokens int64  `json:"max_tokens"` // 0: the route's limit
-	TimeoutUS int64  `json:"expiry_us"`  // microseconds from now; 0: the route's
+	TimeoutUS int64  `json:"expiry_us"`  // microseconds from now; 0: the route's time-out
 }
 
-// SubmitRequest serves a live request of any kind: it carries the machine's decisions out,
-// attempt by attempt, until one completes the request. An error is the caller's final answer.
+// SubmitRequest serves a live request of any kind: it carries out the state machine's decisions,
+// attempt by attempt, until one completes the request. A returned error is the caller's final
+// response.
 func (h *Handler) SubmitRequest(w http.ResponseWriter, r *http.Request) error {
 	data, err := httpserver.ReadBody(r)
 	if err != nil {
@@ -62,7 +63,7 @@
 	}
 }
 
-// runAttempt runs one attempt on its server and reports how it went.
+// runAttempt runs one attempt on its server and returns the result.
 func (h *Handler) runAttempt(ctx context.Context, attempt requests.Attempt, out *chunkWriter) requests.AttemptResult {
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(attempt.Deadline-h.Now()))
 	defer cancel()
--- a/internal/dataplane/gateway/live_test.go
+++ b/internal/dataplane/gateway/live_test.go
@@ -24,11 +24,11 @@
 
 const doneEvent = "data: [DONE]\n\n"
 
-// Only a stream with its finish reason and its end marker looks complete to the caller; a
-// one-shot request that may have run is never run again.
+// A stream looks complete to the caller only if the server sent its finish reason and its end marker.
+// A one-shot request that may have run is never run again.
 func TestTruncatedCompletionNeverLooksComplete(t *testing.T) {
 	for name, body := range map[string]string{
-		"no end mark": sseChunks("a", "b") + finishEvent, "no finish": sseChunks("a", "b") + doneEvent, "half": sseChunks("a"),
+		"no end marker": sseChunks("a", "b") + finishEvent, "no finish reason": sseChunks("a", "b") + doneEvent, "half": sseChunks("a"),
 		"not an event": sseChunks("a") + "data: {oops\n\n" + finishEvent + doneEvent, "an error": sseChunks("a") + "data: {\"error\":{\"message\":\"out of memory\"}}\n\n",
 	} {
 		var runs atomic.Int64
@@ -38,7 +38,7 @@
 		}
 		once := serve(submitHandler(newTestHandler(t, handler, nil)), "POST", "/", "key-c", "", `{"input":"x"}`, map[string]string{"route": "once"})
 		if got := errorKind(t, once); got != errs.OutcomeUnknown {
-			t.Errorf("%s: a one-shot request is answered %s", name, got)
+			t.Errorf("%s: a one-shot request got the error %s", name, got)
 		}
 		if runs.Load() != 1 {
 			t.Errorf("%s: a one-shot request ran %d times", name, runs.Load())
@@ -55,8 +55,8 @@
 	}
 }
 
-// A server that rejects a request has not run it: it is attempted elsewhere, and the caller
-// gets the time after which to retry if none accepts it.
+// A server that rejects a request has not run it, so the request is attempted on other servers. If
+// every server rejects it, the caller gets a Retry-After header.
 func TestRequestRejectedByEveryServerGetsRetryAfter(t *testing.T) {
 	var attempts atomic.Int64
 	h, _ := newTestHandler(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -65,15 +65,15 @@
 	}, nil)
 	got := serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"x"}`, map[string]string{"route": "once"})
 	if kind := errorKind(t, got); kind != errs.Busy && kind != errs.DeadlineExceeded {
-		t.Fatalf("answered %s", kind)
+		t.Fatalf("got the error %s", kind)
 	}
 	if got.Header().Get("Retry-After") == "" || attempts.Load() == 0 {
 		t.Fatalf("Retry-After %q after %d attempts", got.Header().Get("Retry-After"), attempts.Load())
 	}
 }
 
-// A claimed key is voided before the request is rejected; where that can't be confirmed, the
-// outcome is unknown.
+// The claim of an idempotency key is voided before the request is rejected. If the store does not
+// confirm that, the caller is told that the outcome is unknown.
 func TestClaimIsVoidedBeforeTheRequestIsRejected(t *testing.T) {
 	for _, confirmed := range []bool{true, false} {
 		var states []string
@@ -87,7 +87,7 @@
 					return batchstore.CompleteClaimResponse{}, nil
 				}
 			}
-			return nil, errs.New(errs.OutcomeUnknown, "ask again", "no answer")
+			return nil, errs.New(errs.OutcomeUnknown, "send the request again", "the store did not respond")
 		})
 		got := errorKind(t, serve(h.SubmitRequest, "POST", "/", "key-c", "k1", `{"input":"x"}`, map[string]string{"route": "once"}))
 		want := errs.DeadlineExceeded
@@ -95,12 +95,13 @@
 			want = errs.OutcomeUnknown
 		}
 		if got != want || fmt.Sprint(states) != "[turned-away]" {
-			t.Fatalf("confirmed %v: answered %s after completing the claim as %v", confirmed, got, states)
+			t.Fatalf("confirmed %v: got the error %s after completing the claim as %v", confirmed, got, states)
 		}
 	}
 }
 
-// A stream whose first attempt may have run, and whose others were rejected, is not rejected.
+// A stream whose first attempt may have run is not reported as rejected, even if all later attempts
+// were rejected.
 func TestRequestThatMayHaveRunIsNeverRejected(t *testing.T) {
 	var attempts atomic.Int64
 	h, s := newTestHandler(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -113,6 +114,6 @@
 	s.mu.Unlock()
 	got := serve(h.SubmitRequest, "POST", "/", "key-c", "", `{"input":"x"}`, map[string]string{"route": "flow"})
 	if kind := errorKind(t, got); kind != errs.OutcomeUnknown || attempts.Load() < 2 {
-		t.Fatalf("answered %s after %d attempts, of which the first may have run", kind, attempts.Load())
+		t.Fatalf("got the error %s after %d attempts, of which the first may have run", kind, attempts.Load())
 	}
 }
--- a/internal/dataplane/gateway/proxied_request.go
+++ b/internal/dataplane/gateway/proxied_request.go
@@ -13,22 +13,22 @@
 	"tuliprudder/internal/errs"
 )
 
-// proxiedRequest is one request that is being forwarded; one goroutine has it.
+// proxiedRequest is a request that is being forwarded. Only one goroutine uses it.
 type proxiedRequest struct {
 	forwarder *Forwarder
 	w         http.ResponseWriter
 	r         *http.Request
-	requestID string // the edge's own, not the caller's
+	requestID string // assigned by the edge, not by the caller
 	body      []byte
-	header    http.Header // end to end
+	header    http.Header // end-to-end headers of the request
 
-	responseStarted bool   // the head of a response has gone to the caller
-	lastEventID     string // of the last event that was forwarded, or that the caller has
+	responseStarted bool   // the head of a response has been sent to the caller
+	lastEventID     string // of the last forwarded event; initially the one that the caller named
 	lastEventAt     clock.Micros
-	longestEventGap clock.Micros // between two events that were forwarded
+	longestEventGap clock.Micros // between two forwarded events, over all attempts
 }
 
-// serve carries out the machine's decisions on the request until one ends it.
+// serve carries out the state machine's decisions on the request until one ends it.
 func (p *proxiedRequest) serve(request proxy.Request) {
 	var input proxy.Input = request
 	for {
@@ -52,8 +52,8 @@
 	}
 }
 
-// fail gives the edge's own final response. A response that has started is broken off
-// instead, so that it can't look complete.
+// fail responds with an error of the edge itself. A response that has already started is aborted
+// instead, so that it does not look complete.
 func (p *proxiedRequest) fail(err error) {
 	if p.responseStarted {
 		panic(http.ErrAbortHandler)
@@ -65,8 +65,8 @@
 	p.forwarder.WriteError(p.w, err)
 }
 
-// runAttempt sends the request to one server, forwards its response if the caller may have
-// it, and reports how that went.
+// runAttempt sends the request to one server, forwards the response unless it must be withheld, and
+// returns the result.
 func (p *proxiedRequest) runAttempt(attempt proxy.Attempt) proxy.AttemptResult {
 	remaining := clock.Duration(attempt.Deadline - p.forwarder.Now())
 	ctx, cancel := context.WithTimeout(p.r.Context(), remaining)
@@ -99,8 +99,8 @@
 	return result
 }
 
-// impliesExecutionStarted tells whether a response shows by itself that the server began to run the request. Of an event
-// stream its first event does (proxy.AttemptStarted).
+// impliesExecutionStarted reports whether the head of a response alone shows that the server started to
+// run the request. For an event stream, the first event shows it (proxy.AttemptStarted).
 func impliesExecutionStarted(response *upstream.Response) bool {
 	isSuccess := response.Status >= http.StatusOK && response.Status < http.StatusMultipleChoices
 	return isSuccess && !isEventStream(response)
@@ -116,8 +116,8 @@
 	}
 }
 
-// upstreamRequest is the request as this attempt sends it: a stream is resumed after the last
-// event that the caller has.
+// upstreamRequest returns the request to send in an attempt. A stream is resumed after the last event
+// that the caller has.
 func (p *proxiedRequest) upstreamRequest(attempt proxy.Attempt, remaining time.Duration) upstream.Request {
 	return upstream.Request{
 		Address:         attempt.Address,
@@ -135,7 +135,7 @@
 	}
 }
 
-// outcomeOf is the outcome of an attempt that brought no response.
+// outcomeOf returns the outcome of an attempt that ended with an error instead of a response.
 func outcomeOf(err error) proxy.Outcome {
 	switch {
 	case errs.Is(err, errs.BadInput):
@@ -146,8 +146,9 @@
 	return proxy.Interrupted
 }
 
-// withhold tells whether a response is kept from the caller, and the outcome of the attempt
-// then. A server's own failure is forwarded only if no other attempt can follow.
+// withhold reports whether a response must not be forwarded to the caller, and if so, the outcome of
+// the attempt and the reason. A server's error response is forwarded only if no other attempt can
+// follow.
 func (p *proxiedRequest) withhold(response *upstream.Response, attempt proxy.Attempt) (outcome proxy.Outcome, reason string, withheld bool) {
 	idempotent := proxy.IsIdempotent(attempt.Route)
 	unconfirmedRejection := impliesNotRun(response.Status) && !idempotent && !p.responseStarted
@@ -155,7 +156,7 @@
 	cannotContinue := p.responseStarted && response.Status != http.StatusOK
 	switch {
 	case response.NotRun:
-		return proxy.NotRun, fmt.Sprintf("the server did not run it: status %d", response.Status), true
+		return proxy.NotRun, fmt.Sprintf("the server did not run the request: status %d", response.Status), true
 	case unconfirmedRejection:
 		return proxy.Failed, fmt.Sprintf("the server answered %d without stating that it did not run the request", response.Status), true
 	case retriableFailure, cannotContinue:
@@ -164,10 +165,10 @@
 	return proxy.Complete, "", false
 }
 
-// impliesNotRun tells whether callers take a status as a guarantee that the request has not
-// run and never will. A server's status alone is none: without its statement that it did not
-// run the request (upstream.Response.NotRun), the caller of a request that may run only once
-// gets a response of the edge's own, which guarantees nothing.
+// impliesNotRun reports whether callers take a status as a guarantee that the request has not run and
+// never will. A server's status alone is no such guarantee. Unless the server states that it did not
+// run the request (upstream.Response.NotRun), the caller of a request that may run only once gets an
+// error of the edge, which guarantees nothing.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -176,11 +177,11 @@
 	return false
 }
 
-// maxDrainBytes is how much of a withheld response is read so that its connection can be used
-// again; the connection of a longer one is closed.
+// maxDrainBytes is how much of a withheld response is read so that its connection can be reused. The
+// connection is closed if the rest of the response is longer.
 const maxDrainBytes = 64 << 10
 
 func drain(response *upstream.Response) {
-	// An error shows in the state of the connection, which Response.Close looks at.
+	// Response.Close detects a read error from the state of the connection.
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxDrainBytes))
 }
--- a/internal/dataplane/gateway/proxied_request_test.go
+++ b/internal/dataplane/gateway/proxied_request_test.go
@@ -17,7 +17,8 @@
 	"tuliprudder/internal/dataplane/upstream"
 )
 
-// A server's own failure is forwarded where no other attempt may follow.
+// A server's error response is forwarded if no other attempt may follow. An idempotent request is
+// attempted again instead.
 func TestServerErrorIsForwardedWhenNoAttemptFollows(t *testing.T) {
 	var mu sync.Mutex
 	runs := 0
@@ -35,20 +36,20 @@
 	})
 	for _, kind := range []string{"once", "flow"} {
 		if response := c.do("POST", "/"+kind+"/x", "y"); !(response.status == 500 && response.body == "it failed" || response.status == 404 && response.body == "no such thing") {
-			t.Errorf("%s: %+v", kind, response)
+			t.Errorf("%s: unexpected response %+v", kind, response)
 		}
 	}
-	// An idempotent request is attempted on the other server, whose 404 is a response.
+	// An idempotent request is attempted on the other server, whose 404 is forwarded.
 	for _, kind := range []string{"again", "resume"} {
 		if response := c.do("POST", "/"+kind+"/x", "y"); response.status != 404 || response.body != "no such thing" {
-			t.Errorf("%s: %+v", kind, response)
+			t.Errorf("%s: unexpected response %+v", kind, response)
 		}
 	}
 	c.waitIdle()
 }
 
-// A response with a server's stamp has that server's status and body; the edge's own has no
-// stamp, whatever the servers answered before it.
+// A response with a server's X-Stamp header has that server's status and body. The edge's own error
+// responses carry no headers of a server, however the servers responded before.
 func TestOnlyServerResponsesCarryServerHeaders(t *testing.T) {
 	rejects := func(w http.ResponseWriter, r *http.Request) {
 		setResponseHead(w, r, "rejects", "text/plain")
@@ -94,8 +95,8 @@
 	}
 }
 
-// No request runs on more servers than its route's attempts, whatever happens: neither an
-// idempotent one nor a resumed stream.
+// No request runs on more servers than its route allows attempts, however the servers fail. This holds
+// for idempotent requests and resumed streams too.
 func TestExecutionsNeverExceedTheRoutesAttempts(t *testing.T) {
 	var runs atomic.Int64
 	abortsAtOnce := func(http.ResponseWriter, *http.Request) {
@@ -133,17 +134,17 @@
 			runs.Store(0)
 			c.do("POST", "/"+kind+"/x", "y")
 			if got := runs.Load(); got != want {
-				t.Errorf("%s with %d attempts ran on %d servers", kind, attempts, got)
+				t.Errorf("%s with at most %d attempts ran on %d servers", kind, attempts, got)
 			}
 		}
 		c.waitIdle()
 	}
 }
 
-// A status that callers take for a guarantee is none without the server's statement that it did
-// not run the request: the caller of a request that may run only once gets a 502, and no other
-// attempt follows. An idempotent one gets the server's response as it is, but for a 5xx: attempts
-// follow until no server is left, and the final response is the edge's own.
+// Callers take 408, 429 and 503 as a guarantee that the request did not run. Without the server's
+// statement that it did not run the request, the caller of a request that may run only once gets a
+// 502, and no other attempt follows. For an idempotent request, the server's response is forwarded as
+// it is, except a 5xx: it is attempted until no server is left, and the edge responds itself.
 func TestRejectionStatusWithoutNotRunHeader(t *testing.T) {
 	for _, status := range []int{http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable} {
 		var runs atomic.Int64
@@ -157,7 +158,7 @@
 		for _, kind := range []string{"once", "flow"} {
 			runs.Store(0)
 			if response := c.do("POST", "/"+kind+"/x", "y"); response.status != http.StatusBadGateway || response.header.Get("X-Stamp") != "" || runs.Load() != 1 {
-				t.Errorf("%s: a bare %d was forwarded as %d with the stamp %q after %d runs", kind, status, response.status, response.header.Get("X-Stamp"), runs.Load())
+				t.Errorf("%s: a %d without the NotRun header was forwarded as %d with the stamp %q after %d runs", kind, status, response.status, response.header.Get("X-Stamp"), runs.Load())
 			}
 		}
 		for _, kind := range []string{"again", "resume"} {
@@ -165,20 +166,20 @@
 			response := c.do("POST", "/"+kind+"/x", "y")
 			if status >= 500 {
 				if response.status != http.StatusBadGateway || response.header.Get("X-Stamp") != "" || runs.Load() != 2 {
-					t.Errorf("%s: a bare %d of both servers was forwarded as %+v after %d runs", kind, status, response, runs.Load())
+					t.Errorf("%s: a %d without the NotRun header from both servers was forwarded as %+v after %d runs", kind, status, response, runs.Load())
 				}
 				continue
 			}
 			if response.status != status || response.body != "not now" || response.header.Get("X-Stamp") != "stamp" {
-				t.Errorf("%s: a bare %d was forwarded as %+v", kind, status, response)
+				t.Errorf("%s: a %d without the NotRun header was forwarded as %+v", kind, status, response)
 			}
 		}
 		c.waitIdle()
 	}
 }
 
-// A request whose server states that it did not run it is attempted elsewhere, whatever its
-// kind; with no server left it is rejected.
+// A request of any kind that a server states it did not run is attempted on another server. If no
+// server is left, the request is rejected.
 func TestRequestNotRunIsRetriedOnAnotherServer(t *testing.T) {
 	var mu sync.Mutex
 	rejections, full := 0, true
@@ -203,26 +204,26 @@
 	})
 	for _, kind := range []string{"once", "again", "flow", "resume"} {
 		if response := c.do("POST", "/"+kind+"/x", "y"); response.status != http.StatusServiceUnavailable {
-			t.Errorf("%s: every server rejected it, and the response is %+v", kind, response)
+			t.Errorf("%s: every server rejected the request, but the response is %+v", kind, response)
 		}
 		c.clearRejections()
 	}
 	mu.Lock()
 	if rejections != 8 {
-		t.Errorf("four requests were rejected %d times by two servers", rejections)
+		t.Errorf("four requests were rejected %d times by two servers, want 8", rejections)
 	}
 	full = false
 	mu.Unlock()
 	for _, kind := range []string{"once", "again", "flow", "resume"} {
 		if response := c.do("POST", "/"+kind+"/x", "y"); response.status != 200 || response.body != "done" || response.header.Get("X-Stamp") != "stamp-1" {
-			t.Errorf("%s: %+v", kind, response)
+			t.Errorf("%s: unexpected response %+v", kind, response)
 		}
 	}
 	c.waitIdle()
 }
 
-// A caller's headers reach each server that a request is sent to byte for byte, those that the
-// platform reads of a prompt among them, whatever they look like.
+// A caller's headers reach each server that a request is sent to byte for byte, including those that
+// describe the prompt and are parsed by the platform, even if malformed.
 func TestHeadersAreForwardedUnchangedOnEachAttempt(t *testing.T) {
 	sent := []string{
 		"X-Model", "m, M;q=\"1\"",
@@ -237,7 +238,7 @@
 		attempts++
 		for i := 0; i < len(sent); i += 2 {
 			if got := r.Header.Values(sent[i]); len(got) != 1 || got[0] != sent[i+1] {
-				t.Errorf("attempt %d: %s is %q", attempts, sent[i], got)
+				t.Errorf("attempt %d: the server got the header %s as %q", attempts, sent[i], got)
 			}
 		}
 		setResponseHead(w, r, "", "text/plain")
@@ -251,17 +252,17 @@
 	c := newClusterWithServers(t, serve, serve)
 	for _, kind := range []string{"once", "again", "flow", "resume"} {
 		if response := c.do("POST", "/"+kind+"/x", "y", sent...); response.body != "done" {
-			t.Errorf("%s: %+v", kind, response)
+			t.Errorf("%s: unexpected response %+v", kind, response)
 		}
 		c.clearRejections()
 	}
 	if attempts != 8 {
-		t.Errorf("there were %d attempts", attempts)
+		t.Errorf("there were %d attempts, want 8", attempts)
 	}
 	c.waitIdle()
 }
 
-// A server that accepts no connection has run nothing: the request is attempted elsewhere.
+// A server that refuses the connection has not run the request, so another server is tried.
 func TestRequestIsRetriedWhenAServerRefusesConnections(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -275,14 +276,14 @@
 	c.setServer("dead", listener.Addr().String())
 	for i := range 8 {
 		if response := c.do("POST", "/once/x", "y"); response.status != 200 || response.body != "done" {
-			t.Errorf("request %d: %+v", i, response)
+			t.Errorf("request %d: unexpected response %+v", i, response)
 		}
 	}
 	c.waitIdle()
 }
 
-// Of an attempt that was interrupted before anything was forwarded nothing reaches the caller,
-// the head neither.
+// If an attempt is interrupted before anything of its response was forwarded, nothing of it reaches the
+// caller, not even the head.
 func TestNothingOfAnInterruptedAttemptIsForwarded(t *testing.T) {
 	var mu sync.Mutex
 	attempts := 0
@@ -314,14 +315,14 @@
 			want.status, want.body, stamp = http.StatusBadGateway, response.body, ""
 		}
 		if response.err != nil || response.status != want.status || response.body != want.body || response.header.Get("X-First") != "" || response.header.Get("X-Stamp") != stamp {
-			t.Errorf("%s: %+v", kind, response)
+			t.Errorf("%s: unexpected response %+v", kind, response)
 		}
 		c.waitIdle()
 	}
 }
 
-// The deadline header gives the server the remaining time: of the caller's time-out or the
-// route's, whichever is shorter.
+// The deadline header tells the server the remaining time of the caller's time-out or the route's,
+// whichever is shorter.
 func TestDeadlineHeaderIsTheRemainingTime(t *testing.T) {
 	reached := make(chan string, 1)
 	c := newClusterWithServers(t, func(w http.ResponseWriter, r *http.Request) {
@@ -338,18 +339,18 @@
 		}
 		response := c.do("POST", testCase.path, "y", headers...)
 		if response.status == http.StatusServiceUnavailable && testCase.maxMS == 300 {
-			continue // a slow machine: its deadline passed before it was sent
+			continue // on a slow machine the deadline can pass before the request is sent
 		}
 		remainingMS, err := strconv.Atoi(<-reached)
 		if err != nil || remainingMS > testCase.maxMS || remainingMS < 1 || testCase.maxMS > 1000 && remainingMS < testCase.maxMS-4000 {
-			t.Errorf("%s with %q: the server has %d ms left: %v", testCase.path, testCase.timeoutHeader, remainingMS, err)
+			t.Errorf("%s with the time-out %q: the server got %d ms as the remaining time (error %v)", testCase.path, testCase.timeoutHeader, remainingMS, err)
 		}
 	}
 	c.waitIdle()
 }
 
-// Once its deadline has passed, a request ends and its connection to the server is closed; one
-// that may have run is not rejected.
+// A request ends when its deadline passes, and its connection to the server is closed. A request that
+// may have run is not reported as rejected.
 func TestRequestEndsAtItsDeadline(t *testing.T) {
 	cancelled := make(chan struct{}, 1)
 	c := newClusterWithServers(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -364,10 +365,10 @@
 	c.waitIdle()
 }
 
-// When the caller disconnects, before the response or in the middle of it, the connection to the
-// server is closed and no other attempt follows.
+// When the caller disconnects, before the response or in the middle of it, the connection to the server
+// is closed and no other attempt follows.
 func TestCallerDisconnectCancelsTheRequest(t *testing.T) {
-	// A server may work on for half a second, and no longer, after the caller has left.
+	// A server may continue to work on the request for at most half a second after the disconnect.
 	const maxWorkAfterDisconnect = 500 * time.Millisecond
 	for _, kind := range []string{"once", "again", "flow", "resume"} {
 		for _, started := range []bool{false, true} {
@@ -398,7 +399,7 @@
 			disconnect()
 			<-cancelled
 			if span := time.Since(disconnectedAt); span > maxWorkAfterDisconnect {
-				t.Errorf("%s, response started %v: the server worked on for %v", kind, started, span)
+				t.Errorf("%s, response started %v: the server continued to work for %v", kind, started, span)
 			}
 			<-callerDone
 			c.waitIdle()
@@ -409,8 +410,8 @@
 	}
 }
 
-// A caller that leaves while its request waits in the queue is forgotten: when a server has room
-// again after the edge has seen that, it gets nothing of the request.
+// A request in the queue is removed when the edge detects that its caller has disconnected: it is not
+// sent to a server that becomes free afterwards.
 func TestCallerDisconnectRemovesAQueuedRequest(t *testing.T) {
 	for _, kind := range []string{"once", "again", "flow", "resume"} {
 		reached, release := make(chan string, 4), make(chan struct{})
@@ -431,19 +432,19 @@
 			_, err := http.DefaultTransport.RoundTrip(c.newRequest(ctx, "POST", "/"+kind+"/x", "waits"))
 			callerError <- err
 		}()
-		waitFor(t, "the request to wait", func() bool { return c.queueLength() == 1 })
+		waitFor(t, "the request to be queued", func() bool { return c.queueLength() == 1 })
 		disconnect()
 		if err := <-callerError; err == nil {
-			t.Fatalf("%s: the request was answered", kind)
+			t.Fatalf("%s: the queued request got a response", kind)
 		}
-		<-c.callerDisconnects // the edge may take up to half a second to see it
+		<-c.callerDisconnects // the edge may take up to half a second to detect the disconnect
 		close(release)
 		if response := <-served; response.status != http.StatusOK {
-			t.Errorf("%s: %+v", kind, response)
+			t.Errorf("%s: unexpected response %+v", kind, response)
 		}
 		c.waitIdle()
 		if len(reached) > 0 {
-			t.Errorf("%s: a server got a request %q", kind, <-reached)
+			t.Errorf("%s: a server got the request %q after its caller had disconnected", kind, <-reached)
 		}
 	}
 }
--- a/internal/dataplane/gateway/response.go
+++ b/internal/dataplane/gateway/response.go
@@ -14,17 +14,17 @@
 
 const contentTypeEventStream = "text/event-stream"
 
-// unknownLength stands for a response whose length is not known before its end.
+// unknownLength is the length of a response that does not state its length in advance.
 const unknownLength = -1
 
-// forwardResponse forwards a response to the caller. One that is not an event stream is read
-// completely first: of an interrupted one nothing gets out, its head neither.
+// forwardResponse forwards a response to the caller. A response that is not an event stream is read
+// completely first, so that nothing of an interrupted one is forwarded, not even its head.
 func (p *proxiedRequest) forwardResponse(response *upstream.Response) error {
 	if isEventStream(response) {
 		return p.forwardEvents(response)
 	}
 	if p.responseStarted {
-		return errs.New(errs.ServerFault, "have the server resume the stream", "the server resumes an event stream with a response of another type")
+		return errs.New(errs.ServerFault, "make the server resume the event stream", "the server answered the resumption of an event stream with a response that is not an event stream")
 	}
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -43,8 +43,8 @@
 	return response.Status == http.StatusOK && strings.HasPrefix(response.Header.Get("Content-Type"), contentTypeEventStream)
 }
 
-// startResponse sends the head of a response to the caller. A resumed stream keeps the head
-// of the first server's response.
+// startResponse sends the head of a response to the caller, unless one has been sent: a resumed stream
+// keeps the head of the first server's response.
 func (p *proxiedRequest) startResponse(response *upstream.Response, length int) {
 	if p.responseStarted {
 		return
@@ -60,8 +60,8 @@
 	p.w.WriteHeader(response.Status)
 }
 
-// forwardEvents forwards an event stream, event by event as they arrive. A server that resumes
-// a stream has to begin with the event after the last one that was forwarded.
+// forwardEvents forwards the events of a stream as they arrive. A server that resumes a stream must
+// start with the event after the last forwarded one.
 func (p *proxiedRequest) forwardEvents(response *upstream.Response) error {
 	reader := upstream.NewEventReader(response.Body)
 	resuming := p.responseStarted
@@ -74,7 +74,7 @@
 			return err
 		}
 		if resuming && !isNextEvent(p.lastEventID, event.ID) {
-			return errs.New(errs.ServerFault, "have the server resume after the event that the request names", "event %s follows event %s", event.ID, p.lastEventID)
+			return errs.New(errs.ServerFault, "make the server resume after the event that the request names", "the resumed event stream continues with event %s after event %s", event.ID, p.lastEventID)
 		}
 		if isFirst {
 			p.forwarder.reportStarted(proxy.AttemptStarted{RequestID: p.requestID, Load: response.Load, WeightVersion: response.WeightVersion})
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// observeEventGap notes that an event was forwarded.
+// observeEventGap records that an event was forwarded at a time, and updates the longest gap.
 func (p *proxiedRequest) observeEventGap(now clock.Micros) {
 	if p.lastEventAt > 0 {
 		p.longestEventGap = max(p.longestEventGap, now-p.lastEventAt)
@@ -112,15 +112,15 @@
 	p.lastEventAt = now
 }
 
-// endStream forwards what follows the last event.
+// endStream forwards the blank lines that follow the last event.
 func (p *proxiedRequest) endStream(response *upstream.Response, reader *upstream.EventReader) error {
 	p.startResponse(response, unknownLength)
 	_, err := p.w.Write(reader.Trailing())
 	return err
 }
 
-// isNextEvent tells whether an event is the one after the last that was forwarded. IDs that
-// are not numbers can't be compared: then it is taken to be.
+// isNextEvent reports whether an event directly follows the last forwarded one. IDs that are not
+// numbers cannot be compared; then it returns true.
 func isNextEvent(lastID, id string) bool {
 	last, err := strconv.ParseInt(lastID, 10, 64)
 	if err != nil || id == "" {
--- a/internal/dataplane/gateway/response_test.go
+++ b/internal/dataplane/gateway/response_test.go
@@ -19,7 +19,7 @@
 		setResponseHead(w, r, "stamp", eventStream)
 		for _, chunk := range chunks {
 			writeAndFlush(w, chunk)
-			<-chunkRead // the next one only once this one has come
+			<-chunkRead // the next chunk is sent only after the client has read this one
 		}
 	})
 	for _, kind := range []string{"flow", "resume"} {
@@ -28,25 +28,25 @@
 			t.Fatal(err)
 		}
 		if response.StatusCode != 200 || response.Header.Get("X-Stamp") != "stamp" || response.Header.Get("Content-Type") != eventStream {
-			t.Errorf("%s: %d %v", kind, response.StatusCode, response.Header)
+			t.Errorf("%s: got status %d and headers %v", kind, response.StatusCode, response.Header)
 		}
 		for _, chunk := range chunks {
 			text := make([]byte, len(chunk))
 			if _, err := io.ReadFull(response.Body, text); err != nil || string(text) != chunk {
-				t.Fatalf("%s: %q came instead of %q: %v", kind, text, chunk, err)
+				t.Fatalf("%s: got %q, want %q (error %v)", kind, text, chunk, err)
 			}
 			chunkRead <- struct{}{}
 		}
 		if rest, err := io.ReadAll(response.Body); err != nil || len(rest) > 0 {
-			t.Errorf("%s: %q and %v follow", kind, rest, err)
+			t.Errorf("%s: after the last chunk got %q and the error %v", kind, rest, err)
 		}
 		response.Body.Close()
 	}
 	c.waitIdle()
 }
 
-// An interrupted response never looks complete: neither a stream, whose last chunk is missing
-// then, nor a body, of which nothing is forwarded.
+// An interrupted response never looks complete to the caller: a stream ends without the last chunk of
+// the chunked encoding, and of any other body nothing is forwarded.
 func TestInterruptedResponseNeverLooksComplete(t *testing.T) {
 	for name, handler := range map[string]http.HandlerFunc{
 		"after an event": func(w http.ResponseWriter, r *http.Request) {
@@ -79,7 +79,7 @@
 			t.Errorf("%s: the caller got %q", name, raw)
 		}
 		if strings.HasSuffix(raw, "0\r\n\r\n") || strings.Contains(raw, "Content-Length") {
-			t.Errorf("%s: it looks complete: %q", name, raw)
+			t.Errorf("%s: the interrupted response looks complete: %q", name, raw)
 		}
 		c.waitIdle()
 	}
@@ -105,7 +105,7 @@
 		"a stream's head without a length and nothing else": func(w http.ResponseWriter, r *http.Request) {
 			respondWithoutLength(w, r, eventStream, "").Close()
 		},
-		"another request's answer": func(w http.ResponseWriter, _ *http.Request) {
+		"another request's response": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(headerNames.RequestID, "id-2")
 			io.WriteString(w, "not this one's")
 		},
@@ -121,9 +121,10 @@
 	}
 }
 
-// respondWithoutLength writes a response whose end is that of its connection, which is returned.
+// respondWithoutLength writes a response that ends with its connection. It returns the connection, still
+// open.
 func respondWithoutLength(w http.ResponseWriter, r *http.Request, contentType, body string) *net.TCPConn {
-	io.Copy(io.Discard, r.Body) // a close with unread bytes would be a reset
+	io.Copy(io.Discard, r.Body) // closing a connection with unread bytes would reset it
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(err)
@@ -132,14 +133,14 @@
 	return conn.(*net.TCPConn)
 }
 
-// closeWithReset closes a connection with a closeWithReset.
+// closeWithReset closes a connection with a TCP reset.
 func closeWithReset(conn *net.TCPConn) {
 	conn.SetLinger(0)
 	conn.Close()
 }
 
-// A response without a length is complete where its server closes the connection in order, for
-// each kind of route: it runs once, and the caller gets all of it.
+// A response without a length is complete if the server closes the connection normally. On routes of
+// each kind the request runs once, and the caller gets a complete response.
 func TestResponseThatEndsWithItsConnection(t *testing.T) {
 	for contentType, body := range map[string]string{eventStream: eventTexts(1, 2), "text/plain": "all of it"} {
 		for _, kind := range []string{"once", "again", "flow", "resume"} {
@@ -155,18 +156,19 @@
 			}
 			c.waitIdle()
 			if runs != 1 {
-				t.Errorf("%s, %s: it ran %d times", contentType, kind, runs)
+				t.Errorf("%s, %s: the request ran %d times, want 1", contentType, kind, runs)
 			}
 		}
 	}
 }
 
-// A stream without a length that is reset after whole events is interrupted, however much of it came.
+// A stream without a length whose connection is reset is interrupted, even if all received events are
+// complete.
 func TestResetStreamWithoutLengthNeverLooksComplete(t *testing.T) {
 	eventsRead := make(chan struct{})
 	c := newClusterWithServers(t, func(w http.ResponseWriter, r *http.Request) {
 		conn := respondWithoutLength(w, r, eventStream, eventTexts(1, 2))
-		<-eventsRead // the reset would drop what hasn't been read
+		<-eventsRead // a reset would discard the bytes that the client has not read
 		closeWithReset(conn)
 	})
 	response, err := http.DefaultTransport.RoundTrip(c.newRequest(t.Context(), "POST", "/flow/x", "y"))
@@ -176,16 +178,16 @@
 	defer response.Body.Close()
 	events := make([]byte, len(eventTexts(1, 2)))
 	if _, err := io.ReadFull(response.Body, events); err != nil || string(events) != eventTexts(1, 2) {
-		t.Fatalf("%q came: %v", events, err)
+		t.Fatalf("got the events %q (error %v)", events, err)
 	}
 	close(eventsRead)
 	if rest, err := io.ReadAll(response.Body); err == nil || len(rest) > 0 {
-		t.Errorf("it looks complete: %q", rest)
+		t.Errorf("the interrupted stream looks complete: got %q and no error", rest)
 	}
 	c.waitIdle()
 }
 
-// An interrupted stream ends there, unless it may be resumed.
+// An interrupted stream that is not resumable is not attempted again.
 func TestOnlyResumableStreamsAreResumed(t *testing.T) {
 	var mu sync.Mutex
 	runs := 0
@@ -202,38 +204,39 @@
 		t.Errorf("%+v", response)
 	}
 	if runs != 1 {
-		t.Errorf("it ran %d times", runs)
+		t.Errorf("the request ran %d times, want 1", runs)
 	}
 	c.waitIdle()
 }
 
-// A resumable stream continues at another server within one response: the events come once and
-// in order, and the head is the first server's.
+// A resumable stream continues at another server within the same response. The caller gets each event
+// once and in order, and the head of the first server's response.
 func TestResumableStreamIsResumedByAnotherServer(t *testing.T) {
 	var mu sync.Mutex
 	var requestsSeen []string
 	c := newClusterWithServers(t, twoEventsPerAttempt(&mu, &requestsSeen, "a"), twoEventsPerAttempt(&mu, &requestsSeen, "b"), twoEventsPerAttempt(&mu, &requestsSeen, "c"))
 	response := c.do("POST", "/resume/x", "the body")
 	if response.err != nil || response.status != 200 || response.body != eventTexts(1, 6) {
-		t.Fatalf("%d %q %v", response.status, response.body, response.err)
+		t.Fatalf("got status %d, body %q, error %v", response.status, response.body, response.err)
 	}
 	if len(requestsSeen) != 3 || response.header.Get("X-Stamp") != requestsSeen[0][:1] || response.header.Get("X-Later") != "" {
-		t.Errorf("the head %v after %v", response.header, requestsSeen)
+		t.Errorf("got the headers %v after the requests %q", response.header, requestsSeen)
 	}
 	for i, want := range []string{" after  the body", " after 2 the body", " after 4 the body"} {
 		if i < len(requestsSeen) && requestsSeen[i][1:] != want {
-			t.Errorf("attempt %d: %q", i, requestsSeen[i])
+			t.Errorf("attempt %d: the server got %q", i, requestsSeen[i])
 		}
 	}
-	// A caller that resumes a stream itself: its last event ID reaches the server.
+	// The last event ID of a caller that resumes a stream itself reaches the server.
 	requestsSeen = nil
 	if response := c.do("POST", "/resume/x", "z", headerNames.LastEventID, "4"); response.body != eventTexts(5, 6) || response.err != nil || requestsSeen[0][1:] != " after 4 z" {
-		t.Errorf("%q %v after %q", response.body, response.err, requestsSeen)
+		t.Errorf("got body %q, error %v after the requests %q", response.body, response.err, requestsSeen)
 	}
 	c.waitIdle()
 }
 
-// twoEventsPerAttempt is a server that sends two events for each attempt and aborts all but the last.
+// twoEventsPerAttempt returns a server that sends the next two events of a stream of six in each attempt
+// and aborts every attempt but the last. It records the attempts in requestsSeen.
 func twoEventsPerAttempt(mu *sync.Mutex, requestsSeen *[]string, name string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -247,14 +250,14 @@
 		}
 		writeAndFlush(w, eventTexts(from+1, from+2))
 		if from < 4 {
-			writeAndFlush(w, "id: ") // a part of an event, which is not forwarded
+			writeAndFlush(w, "id: ") // an incomplete event, which is not forwarded
 			abortConnection()
 		}
 	}
 }
 
-// interruptThenServe is a server that aborts a stream after two events, and serves requests that
-// resume it with another handler.
+// interruptThenServe returns a server that aborts a stream after two events and handles requests that
+// resume it with resume.
 func interruptThenServe(resume http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get(headerNames.LastEventID) != "" {
@@ -267,8 +270,8 @@
 	}
 }
 
-// A resumed stream that every other server rejects or fails is broken off and does not look
-// complete.
+// If every other server rejects or fails the resumption of a stream, the response is aborted and does
+// not look complete.
 func TestStreamThatNoServerResumesIsInterrupted(t *testing.T) {
 	for name, resume := range map[string]http.HandlerFunc{
 		"rejected": func(w http.ResponseWriter, r *http.Request) {
@@ -282,18 +285,18 @@
 			w.WriteHeader(http.StatusInternalServerError)
 			io.WriteString(w, "full")
 		},
-		"cut before the head": func(http.ResponseWriter, *http.Request) { abortConnection() },
+		"aborted before the head": func(http.ResponseWriter, *http.Request) { abortConnection() },
 	} {
 		handler := interruptThenServe(resume)
 		c := newClusterWithServers(t, handler, handler, handler)
 		if response := c.do("POST", "/resume/x", "y"); response.status != 200 || response.body != eventTexts(1, 2) || response.err == nil {
-			t.Errorf("%s: %+v", name, response)
+			t.Errorf("%s: unexpected response %+v", name, response)
 		}
 		c.waitIdle()
 	}
 }
 
-// Blank lines after the last event are forwarded as well.
+// Blank lines after the last event are forwarded too.
 func TestTrailingBlankLinesAreForwarded(t *testing.T) {
 	for _, end := range []string{"\n", "\r\n\r\n", "\n\n\n"} {
 		c := newClusterWithServers(t, func(w http.ResponseWriter, r *http.Request) {
@@ -302,13 +305,14 @@
 			writeAndFlush(w, end)
 		})
 		if response := c.do("POST", "/flow/x", "y"); response.err != nil || response.body != eventTexts(1, 2)+end {
-			t.Errorf("%q: %q %v", end, response.body, response.err)
+			t.Errorf("%q: got body %q, error %v", end, response.body, response.err)
 		}
 		c.waitIdle()
 	}
 }
 
-// A server that answers with something else than the rest of the stream has not resumed it.
+// A server that answers a resumption with anything but the rest of the stream has not resumed it, and
+// nothing of its response is forwarded.
 func TestInvalidResumptionIsNotForwarded(t *testing.T) {
 	for name, resume := range map[string]http.HandlerFunc{
 		"no stream": func(w http.ResponseWriter, r *http.Request) {
@@ -328,7 +332,7 @@
 		handler := interruptThenServe(resume)
 		c := newClusterWithServers(t, handler, handler, handler)
 		if response := c.do("POST", "/resume/x", "y"); response.status != 200 || response.body != eventTexts(1, 2) || response.err == nil {
-			t.Errorf("%s: %+v", name, response)
+			t.Errorf("%s: unexpected response %+v", name, response)
 		}
 		c.waitIdle()
 	}
--- a/internal/dataplane/gateway/results.go
+++ b/internal/dataplane/gateway/results.go
@@ -15,36 +15,36 @@
 
 // The query parameters of a page of results.
 const (
-	parameterAfter  = "after"   // token of the page before
-	parameterLimit  = "limit"   // most results of the page
+	parameterAfter  = "after"   // NextToken of the previous page
+	parameterLimit  = "limit"   // maximum number of results on the page
 	parameterWaitUS = "wait_us" // how long an empty page waits for results, in microseconds
 )
 
-// The number of results on a page.
+// Limits of the number of results on a page.
 const (
 	defaultPageLimit = 100
 	maxPageLimit     = 1000
 )
 
-// pageResponse is a page of results. The JSON keys are the callers' wire form and go in
-// alphabetical order; state and items are there for a page of one batch only.
+// pageResponse is a page of results. The JSON keys are part of the public API, and the fields are
+// declared in their alphabetical order. State and Items are set only for a page of one batch.
 type pageResponse struct {
-	Items     *int           `json:"items,omitempty"` // of the batch
+	Items     *int           `json:"items,omitempty"` // number of items of the batch
 	HasMore   bool           `json:"more"`
 	NextToken string         `json:"next"`
 	Results   []shard.Result `json:"results"`
 	State     string         `json:"state,omitempty"` // of the batch
 }
 
-// BatchResults reads the results of one batch.
+// BatchResults responds with a page of the results of one batch.
 func (h *Handler) BatchResults(w http.ResponseWriter, r *http.Request) error {
 	return h.writePage(w, r, pathParameter(r, parameterBatch))
 }
 
-// Feed reads the results of all of the caller's batches as one list.
+// Feed responds with a page of the results of all the caller's batches, as one list.
 func (h *Handler) Feed(w http.ResponseWriter, r *http.Request) error { return h.writePage(w, r, "") }
 
-// writePage reads a page of one batch, or of the feed if batch is "".
+// writePage writes a page of the results of one batch, or of the feed if batch is "".
 func (h *Handler) writePage(w http.ResponseWriter, r *http.Request, batch string) error {
 	read, err := parsePageRequest(r.URL.Query(), h.Settings.MaxLongPoll)
 	if err != nil {
@@ -72,12 +72,12 @@
 	return response
 }
 
-// parsePageRequest reads the query parameters of a page; errs.BadInput if one is unknown or
-// out of bounds.
+// parsePageRequest parses the query parameters of a page. It returns errs.BadInput if a parameter is
+// unknown or out of bounds.
 func parsePageRequest(query url.Values, maxWait clock.Micros) (reader.Request, error) {
 	for name := range query {
 		if name != parameterAfter && name != parameterLimit && name != parameterWaitUS {
-			return reader.Request{}, errs.New(errs.BadInput, "use after, limit and wait_us", "no such parameter: %s", name)
+			return reader.Request{}, errs.New(errs.BadInput, "use only the parameters after, limit and wait_us", "unknown query parameter: %s", name)
 		}
 	}
 	limit, err := parseBoundedInt(query, parameterLimit, defaultPageLimit, maxPageLimit)
@@ -94,7 +94,7 @@
 	return reader.Request{Token: query.Get(parameterAfter), Limit: int(limit), MaxWait: wait}, nil
 }
 
-// parseBoundedInt reads a whole number from 0 to upperBound.
+// parseBoundedInt parses a query parameter that is a whole number from 0 to upperBound.
 func parseBoundedInt(query url.Values, name string, defaultValue, upperBound int64) (int64, error) {
 	text := query.Get(name)
 	if text == "" {
@@ -102,7 +102,7 @@
 	}
 	value, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || value < 0 || value > upperBound {
-		return 0, errs.New(errs.BadInput, "give a whole number within the bounds", "%s=%q is not within 0 to %d", name, text, upperBound)
+		return 0, errs.New(errs.BadInput, "give a whole number within the bounds", "%s=%q is not a whole number from 0 to %d", name, text, upperBound)
 	}
 	return value, nil
 }
--- a/internal/dataplane/gateway/scripted_servers_linux_test.go
+++ b/internal/dataplane/gateway/scripted_servers_linux_test.go
@@ -19,11 +19,11 @@
 	"time"
 )
 
-// lastEventID is the id of the last event of each scripted stream.
+// lastEventID is the ID of the last event of each scripted stream.
 const lastEventID = 3
 
-// scriptedServers are TCP servers that respond correctly but for one fault: at one point of the
-// first exchange that carries the tested ID, in one mode.
+// scriptedServers are TCP servers that respond correctly except for one injected fault. The fault happens
+// once, at one point of the first exchange with the tested ID and in one mode.
 type scriptedServers struct {
 	t    *testing.T
 	at   failurePoint
@@ -34,25 +34,25 @@
 	mu            sync.Mutex
 	faultInjected bool // the fault has happened
 	received      []*receivedRequest
-	idleConn      *scriptedConn   // the one that the first request came on
-	replaced      map[string]bool // servers whose address another server has now
+	idleConn      *scriptedConn   // the connection that carried the first request
+	replaced      map[string]bool // servers whose address has been taken over by another server
 }
 
-// receivedRequest is one request as a server got it.
+// receivedRequest is a request as a server received it.
 type receivedRequest struct {
 	id        string
 	conn      *scriptedConn
-	bodyBytes int  // bytes of it that were read
-	executed  bool // the server began to execute it
+	bodyBytes int  // bytes of the body that were read
+	executed  bool // the server received all of it and started to execute it
 	done      bool // the server reads no more of it
 }
 
-// scriptedConn is a server's side of one connection.
+// scriptedConn is the server's end of a connection.
 type scriptedConn struct {
 	*net.TCPConn
 	reader  *bufio.Reader
 	server  string
-	pending string // of a response, withheld until the client sends once more
+	pending string // part of a response that is withheld until the next request on the connection
 }
 
 func newScriptedServers(t *testing.T, at failurePoint, mode failureMode) *scriptedServers {
@@ -61,8 +61,8 @@
 	return s
 }
 
-// listen starts a server and gives its address. Its receive buffer is small, so that
-// a client is still writing when a server fails partway through a large request.
+// listen starts a server and returns its address. Its receive buffer is small, so that the client is
+// still writing when the server fails partway through a large request.
 func (s *scriptedServers) listen(name string) string {
 	s.t.Helper()
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -86,7 +86,7 @@
 	return listener.Addr().String()
 }
 
-// serve answers the requests of one connection.
+// serve responds to the requests of one connection.
 func (s *scriptedServers) serve(c *scriptedConn) {
 	ended := make(chan struct{})
 	defer close(ended)
@@ -144,7 +144,7 @@
 	s.replaced[server] = true
 }
 
-// discardBody reads the rest of a request that is not executed.
+// discardBody reads and discards the rest of a request's body without executing the request.
 func (s *scriptedServers) discardBody(received *receivedRequest, request *http.Request) {
 	io.Copy(io.Discard, request.Body)
 	s.markDone(received)
@@ -157,7 +157,7 @@
 	received.done = true
 }
 
-// execute begins to execute a request, once all of it has arrived.
+// execute reads the body of a request and records the request as executed if the body is complete.
 func (s *scriptedServers) execute(received *receivedRequest, request *http.Request) {
 	n, err := io.Copy(io.Discard, request.Body)
 	s.mu.Lock()
@@ -165,11 +165,11 @@
 	received.bodyBytes, received.executed, received.done = int(n), err == nil, true
 }
 
-// tally counts the tested request's arrivals and executions, and tells whether the connection
-// of the first request carried the last one as well, and whether a server executed another
-// body than the one that was sent.
+// tally counts how many times the tested request was received and executed. It also reports whether the
+// next request reused the connection of the first one, and whether a server executed a body whose size
+// differs from that of the body that was sent.
 func (s *scriptedServers) tally(size int) (attempts, executions int, reused, bodyAltered bool) {
-	waitFor(s.t, "the servers to be done with what they got", s.allDone)
+	waitFor(s.t, "the servers to finish the received requests", s.allDone)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, received := range s.received {
@@ -194,7 +194,7 @@
 	return !slices.ContainsFunc(s.received, func(received *receivedRequest) bool { return !received.done })
 }
 
-// responseParts are the parts of a response, to be interrupted between any two of them.
+// responseParts are the parts of a response, which can be interrupted between any two of them.
 type responseParts struct{ status, head, first, rest, end string }
 
 func (p responseParts) text() string { return p.status + p.head + p.first + p.rest + p.end }
@@ -206,7 +206,7 @@
 	return fmt.Sprintf("%x\r\n%s\r\n", len(text), text)
 }
 
-// response is a server's complete response to a request, under an ID.
+// response returns a server's complete response to a request, with the given request ID.
 func (s *scriptedServers) response(c *scriptedConn, id string, request *http.Request, chunked bool) responseParts {
 	p := responseParts{status: "HTTP/1.1 200 OK\r\nX-Be"}
 	framing := "Transfer-Encoding: chunked\r\nContent-Type: text/plain"
@@ -228,10 +228,10 @@
 	return p
 }
 
-// garbage is invalid HTTP at any point.
+// garbage is invalid HTTP at any point of a response.
 const garbage = "zz\x00 spoilt\r\n\r\n"
 
-// fail injects the fault; false: the connection is closed.
+// fail injects the fault. It returns false if the connection is closed.
 func (s *scriptedServers) fail(c *scriptedConn, received *receivedRequest, request *http.Request) bool {
 	if s.at != midRequest {
 		s.execute(received, request)
@@ -275,8 +275,8 @@
 	return ownResponse.text(), ""
 }
 
-// faultyBytes are sent at the point of the fault: another response, one with another ID, or
-// bytes that are not HTTP.
+// faultyBytes returns the bytes to send at the point of the fault: a surplus response, a response with
+// another request ID, or bytes that are not HTTP.
 func (s *scriptedServers) faultyBytes(c *scriptedConn, request *http.Request) string {
 	if s.mode == corruptBytes {
 		return garbage
@@ -286,10 +286,10 @@
 	ownResponse := s.response(c, testedID, request, s.at == inResponseBody)
 	switch {
 	case s.mode == wrongID && s.at == inResponseHead:
-		// The head has two ids.
+		// The head has two request IDs.
 		return "gun: 1\r\nX-Request-Id: " + foreignID + "\r\nX-Be" + ownResponse.head + ownResponse.first + ownResponse.rest + ownResponse.end
 	case s.mode == wrongID && s.at == inResponseBody:
-		// The trailer has another id than the head.
+		// The request ID in the trailer differs from the one in the head.
 		return ownResponse.rest + "0\r\nX-Request-Id: " + foreignID + "\r\n\r\n"
 	case s.mode == surplusResponse && s.at == afterResponse:
 		return ownResponse.text()
@@ -297,7 +297,8 @@
 	return other.text()
 }
 
-// breakConnection ends the connection, and replaces the server if another takes its address.
+// breakConnection closes or resets the connection. In the mode addressReused another server takes over
+// the address. It returns false unless the client may still send on the connection.
 func (s *scriptedServers) breakConnection(c *scriptedConn, received *receivedRequest, request *http.Request) bool {
 	switch s.mode {
 	case connectionClosed:
@@ -314,20 +315,21 @@
 	return false
 }
 
-// abort closes a connection with a reset.
+// abort closes a connection with a TCP reset.
 func (c *scriptedConn) abort() {
 	c.SetLinger(0)
 	c.Close()
 }
 
-// send writes text; that the client may have closed the connection does not matter.
+// send writes text. A write error is ignored, because the client may have closed the connection.
 func (c *scriptedConn) send(text string) {
 	if text != "" {
 		io.WriteString(c, text)
 	}
 }
 
-// failIdleConnection injects the fault on the connection that the first request left idle.
+// failIdleConnection injects the fault on the idle connection that the first request left, and waits
+// until the client's end can detect it.
 func (s *scriptedServers) failIdleConnection() {
 	s.mu.Lock()
 	c := s.idleConn
@@ -350,19 +352,19 @@
 	s.waitFaultDetected()
 }
 
-// waitFaultDetected waits until the client's end of the first connection has something to read
-// or is gone.
+// waitFaultDetected waits until the client's end of the first connection has something to read or is no
+// longer open.
 func (s *scriptedServers) waitFaultDetected() {
 	s.mu.Lock()
 	c := s.idleConn
 	s.mu.Unlock()
-	waitFor(s.t, "the client's end to notice the fault", func() bool {
+	waitFor(s.t, "the client's end of the connection to detect the fault", func() bool {
 		return !isSocketIdle(s.t, c.RemoteAddr(), c.LocalAddr())
 	})
 }
 
-// isSocketIdle tells whether the kernel has a socket between two addresses of this
-// machine that is open with nothing to read.
+// isSocketIdle reports whether the kernel has an established socket between two addresses of this
+// machine with nothing to read.
 func isSocketIdle(t *testing.T, local, remote net.Addr) bool {
 	table, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
@@ -383,13 +385,13 @@
 	return false
 }
 
-// procNetAddress is an address as the kernel's table writes it.
+// procNetAddress formats an address as in /proc/net/tcp.
 func procNetAddress(address net.Addr) string {
 	tcp := address.(*net.TCPAddr)
 	return fmt.Sprintf("%08X:%04X", binary.NativeEndian.Uint32(tcp.IP.To4()), tcp.Port)
 }
 
-// blackHole is an address that neither accepts nor refuses a connection: the queue of its
+// blackHole returns an address that neither accepts nor refuses connections, because the backlog of its
 // listener is full.
 func blackHole(t *testing.T) string {
 	t.Helper()
--- a/internal/dataplane/gateway/test_cluster_test.go
+++ b/internal/dataplane/gateway/test_cluster_test.go
@@ -35,23 +35,25 @@
 var headerNames = upstream.HeaderNames{RequestID: "X-Request-Id", Instance: "X-Instance", NotRun: "X-Unrun", LastEventID: "Last-Event-ID", Deadline: "X-Time-Left-Ms", WantedWeights: "X-Wanted-Weights", WeightVersion: "X-Weights",
 	Authorization: "Authorization", Tenant: "X-Tenant"}
 
-// testCluster is an edge that forwards requests to stand-in servers.
+// testCluster is an edge that forwards requests to test servers.
 type testCluster struct {
 	t         *testing.T
 	loop      *stubLoop
 	front     *httptest.Server
 	forwarder *Forwarder
-	// callerDisconnects has a token for each caller that the edge has seen leave before its answer.
+	// callerDisconnects receives a value for each caller that the edge has detected to disconnect before
+	// its response.
 	callerDisconnects chan struct{}
 }
 
-// newClusterWithServers is an edge with these servers; their names are s0, s1, ...
+// newClusterWithServers returns an edge with forwardConfiguration and one server for each handler, named
+// s0, s1, ...
 func newClusterWithServers(t *testing.T, handlers ...http.HandlerFunc) *testCluster {
 	t.Helper()
 	return newConfiguredCluster(t, forwardConfiguration, handlers...)
 }
 
-// newConfiguredCluster is the same with a configuration.
+// newConfiguredCluster is newClusterWithServers with another configuration.
 func newConfiguredCluster(t *testing.T, configurationText string, handlers ...http.HandlerFunc) *testCluster {
 	t.Helper()
 	c := newTestCluster(t, configurationText, upstream.New(headerNames, upstream.Settings{}))
@@ -63,7 +65,7 @@
 	return c
 }
 
-// newTestCluster is an edge with a configuration and a client, and without servers.
+// newTestCluster returns an edge with a configuration and a client, without servers.
 func newTestCluster(t *testing.T, configurationText string, client *upstream.Client) *testCluster {
 	t.Helper()
 	settings := machines.EdgeDefaults()
@@ -110,7 +112,7 @@
 	})
 }
 
-// setSlots has each server run so many requests at a time.
+// setSlots sets how many requests each server may run at a time.
 func (c *testCluster) setSlots(slots int) {
 	c.loop.apply(func(_ clock.Micros) []machine.Effect {
 		for _, server := range c.loop.edge.Scheduler.Servers() {
@@ -121,14 +123,15 @@
 	})
 }
 
-// queueLength is how many requests wait for a server.
+// queueLength returns the number of requests that wait for a server.
 func (c *testCluster) queueLength() int {
 	c.loop.mu.Lock()
 	defer c.loop.mu.Unlock()
 	return c.loop.edge.Scheduler.QueueLength()
 }
 
-// clearRejections makes the scheduler forget the servers' recent rejections.
+// clearRejections makes the scheduler forget the servers' recent rejections, by changing each server's
+// address and restoring it.
 func (c *testCluster) clearRejections() {
 	for _, server := range c.loop.edge.Scheduler.Servers() {
 		address := server.Address
@@ -178,7 +181,8 @@
 	return request
 }
 
-// callerResponse is a response as its caller got it; err is what ended its body.
+// callerResponse is a response as the caller received it. err is the error of the request or of reading
+// the body.
 type callerResponse struct {
 	status int
 	header http.Header
@@ -197,7 +201,7 @@
 	return callerResponse{response.StatusCode, response.Header, string(data), err}
 }
 
-// doRaw sends bytes and returns all that comes until the connection ends.
+// doRaw sends text on a new connection and returns everything received until the connection is closed.
 func (c *testCluster) doRaw(text string) string {
 	c.t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(c.front.URL, "http://"))
@@ -214,7 +218,8 @@
 	return string(data)
 }
 
-// setResponseHead begins a stand-in's response.
+// setResponseHead sets the headers of a test server's response. The X-Stamp header identifies the server
+// that responded; the edge's own responses lack it.
 func setResponseHead(w http.ResponseWriter, r *http.Request, stamp, kind string) {
 	w.Header().Set(headerNames.RequestID, r.Header.Get(headerNames.RequestID))
 	w.Header().Set("X-Stamp", stamp)
@@ -238,5 +243,5 @@
 	return out
 }
 
-// abortConnection aborts a stand-in's response and its connection.
+// abortConnection aborts a test server's response and closes its connection.
 func abortConnection() { panic(http.ErrAbortHandler) }
--- a/internal/dataplane/gateway/weights_test.go
+++ b/internal/dataplane/gateway/weights_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// weightsServer is a stand-in server with weights of a version, which it tells; it answers 421 to a
-// request that wants another one.
+// weightsServer is a test server that reports the version of its model weights and answers 421 to a
+// request that requires another version.
 type weightsServer struct {
 	mu               sync.Mutex
 	version          string
-	nextVersion      string // tells in an event that it has this version from there on; "": it doesn't
+	nextVersion      string // if set, the next response reports in an event that the weights change to this version
 	served, rejected int
 }
 
@@ -43,33 +43,33 @@
 	return s.served, s.rejected
 }
 
-// Servers' versions of their weights are known from their answers: a request that wants one is sent to
-// a server of another one once at most, and that server goes on serving all others.
+// The edge learns the servers' weight versions from their responses. Requests for one version are sent
+// to a server with another version at most once, and that server keeps serving all other requests.
 func TestRequestsAreRoutedByWeightVersion(t *testing.T) {
 	for _, kind := range []string{"once", "flow", "resume", "again"} {
 		one, two := &weightsServer{version: "1"}, &weightsServer{version: "2"}
 		c := newClusterWithServers(t, one.serve, two.serve)
 		for i := range 20 {
 			if response := c.do("POST", "/"+kind+"/x", "y", headerNames.WantedWeights, "2"); response.status != http.StatusOK || response.err != nil {
-				t.Fatalf("%s, request %d: %+v", kind, i, response)
+				t.Fatalf("%s, request %d: got %+v", kind, i, response)
 			}
 		}
 		if served, rejected := one.counts(); served != 0 || rejected > 1 {
-			t.Errorf("%s: the server of the other version served %d and rejected %d", kind, served, rejected)
+			t.Errorf("%s: the server with the other version served %d requests and rejected %d", kind, served, rejected)
 		}
 		for range 20 {
 			if response := c.do("POST", "/"+kind+"/x", "y", headerNames.WantedWeights, "1"); response.status != http.StatusOK {
-				t.Fatalf("%s: a server that answered 421 rests: %+v", kind, response)
+				t.Fatalf("%s: a server that answered 421 gets no more requests for its own version: %+v", kind, response)
 			}
 		}
 		if served, rejected := two.counts(); served != 20 || rejected > 1 {
-			t.Errorf("%s: the server of the wanted version served %d and rejected %d", kind, served, rejected)
+			t.Errorf("%s: the server with the required version served %d requests and rejected %d", kind, served, rejected)
 		}
 		c.waitIdle()
 	}
 }
 
-// A version that changes within a stream is known from the event that tells it.
+// A version that changes within a stream takes effect with the event that reports it.
 func TestWeightVersionChangesWithinAStream(t *testing.T) {
 	server := &weightsServer{version: "1", nextVersion: "2"}
 	c := newClusterWithServers(t, server.serve)
@@ -77,13 +77,13 @@
 		t.Fatalf("%+v", response)
 	}
 	if response := c.do("POST", "/flow/x", "y", headerNames.WantedWeights, "2"); response.status != http.StatusOK {
-		t.Errorf("the version that the event told: %+v", response)
+		t.Errorf("a request for the version that the event reported got %+v", response)
 	}
 	if response := c.do("POST", "/flow/x", "y", headerNames.WantedWeights, "1"); response.status != http.StatusServiceUnavailable {
-		t.Errorf("the version before it: %+v", response)
+		t.Errorf("a request for the previous version got %+v", response)
 	}
 	if _, rejected := server.counts(); rejected != 0 {
-		t.Errorf("%d requests were sent there for the version before it", rejected)
+		t.Errorf("%d requests for the previous version were sent to the server", rejected)
 	}
 	c.waitIdle()
 }
