--- a/internal/machine/entries.go
+++ b/internal/machine/entries.go
@@ -56,16 +56,16 @@
 
 // Decode decodes an entry.
 func (c EntryCodec[E]) Decode(data []byte) (E, error) {
-	var none E
+	var zero E
 	var encoded encodedEntry
 	if kind, body, ok := splitEntry(data); ok {
 		encoded = encodedEntry{Kind: kind, Body: body}
 	} else if err := json.Unmarshal(data, &encoded); err != nil {
-		return none, errors.Wrap(err, "decoding an entry")
+		return zero, errors.Wrap(err, "decoding an entry")
 	}
 	decode, ok := c[encoded.Kind]
 	if !ok {
-		return none, errors.Errorf("a change of an unknown kind %q: run the release that wrote it", encoded.Kind)
+		return zero, errors.Errorf("a change of an unknown kind %q: run the release that wrote it", encoded.Kind)
 	}
 	return decode(encoded.Body)
 }
--- a/internal/machine/entries_test.go
+++ b/internal/machine/entries_test.go
@@ -10,7 +10,7 @@
 
 // A neighbouring release may add a field: it is ignored. A kind of change that this release does
 // not know is never ignored.
-func TestNeighbouringReleases(t *testing.T) {
+func TestUnknownFieldIsIgnoredAndUnknownKindRejected(t *testing.T) {
 	entries := EntryCodec[change]{"old": Decoder(func(o old) change { return o })}
 	got, err := entries.Decode([]byte(`{"k":"old","b":{"Text":"x","Colour":"red"}}`))
 	if err != nil || got.text() != "x" {
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -47,8 +47,8 @@
 	defer r.mu.Unlock()
 	service, ok := r.byName[name].(T)
 	if !ok {
-		var none T
-		return none, errs.New(errs.BadSettings, "register it before the services that need it", "no service %q of type %v", name, reflect.TypeFor[T]())
+		var zero T
+		return zero, errs.New(errs.BadSettings, "register it before the services that need it", "no service %q of type %v", name, reflect.TypeFor[T]())
 	}
 	return service, nil
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,7 +19,7 @@
 }
 
 // Every fault is named at once, each with its remedy.
-func TestEveryFaultIsNamed(t *testing.T) {
+func TestAllFaultsAreReported(t *testing.T) {
 	r, _, _ := reader()
 	err := r.Parse([]string{"-peer", "localhost:1", "-seeds", "127.0.0.1:1,nonsense", "-number", "11", "stray"})
 	if !errs.Is(err, errs.BadSettings) {
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestFlagsGoBeforeTheFile(t *testing.T) {
+func TestFlagsOverrideTheSettingsFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings")
 	text := "# a comment\nzone north\npeer 127.0.0.1:1\nhttp 127.0.0.1:2\nseeds 127.0.0.1:3,127.0.0.1:4,127.0.0.1:5\ndata /tmp/x\nnumber 3\n"
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
--- a/internal/storage/archive_test.go
+++ b/internal/storage/archive_test.go
@@ -23,8 +23,8 @@
 	if err := archive.Put(7, records, counts); err != nil {
 		t.Fatal(err)
 	}
-	archive.folder.BeforeStep = cutPowerAt(stepRename)
-	if err := archive.Put(8, records, counts); !errors.Is(err, errPower) {
+	archive.folder.BeforeStep = failAtStep(stepRename)
+	if err := archive.Put(8, records, counts); !errors.Is(err, errInjected) {
 		t.Fatalf("the write did not fail with the cut: %v", err)
 	}
 	again, err := OpenArchive(folder)
--- a/internal/storage/atomic_write.go
+++ b/internal/storage/atomic_write.go
@@ -43,7 +43,7 @@
 		_ = files.Remove(temporary)
 		return newWriteError(stepRename, err)
 	}
-	return newWriteError(stepFolder, syncFolder(files, filepath.Dir(name), hook))
+	return newWriteError(stepSyncFolder, syncFolder(files, filepath.Dir(name), hook))
 }
 
 func rename(files FileSystem, from, to string, hook StepHook) error {
@@ -54,7 +54,7 @@
 }
 
 func syncFolder(files FileSystem, folder string, hook StepHook) error {
-	if err := hook.before(stepFolder); err != nil {
+	if err := hook.before(stepSyncFolder); err != nil {
 		return err
 	}
 	return files.SyncFolder(folder)
@@ -111,5 +111,5 @@
 	if err := files.SyncFolder(filepath.Dir(folder)); err != nil {
 		return newWriteError(stepMakeFolder, err)
 	}
-	return newWriteError(stepFolder, files.SyncFolder(folder))
+	return newWriteError(stepSyncFolder, files.SyncFolder(folder))
 }
--- a/internal/storage/file_format_test.go
+++ b/internal/storage/file_format_test.go
@@ -34,7 +34,7 @@
 
 // A version that was durable and does not match its checksum is damage: Open reports it and
 // guesses nothing.
-func TestDamageIsNotGuessedAway(t *testing.T) {
+func TestDamagedFileIsReportedAsCorrupt(t *testing.T) {
 	for name, damage := range map[string]func(data []byte) []byte{
 		"a bit":     func(data []byte) []byte { data[len(data)/2] ^= 1; return data },
 		"cut short": func(data []byte) []byte { return data[:len(data)-3] },
@@ -51,7 +51,7 @@
 }
 
 // A file of another release's format is not taken for damage, nor read.
-func TestAnotherReleasesFile(t *testing.T) {
+func TestFileOfAnotherReleaseIsRejected(t *testing.T) {
 	folder := changeGroup(t, func(data []byte) []byte { data[formatSize-1] = '9'; return data })
 	if _, _, err := Open(folder); !errs.Is(err, errs.WrongFolder) {
 		t.Fatalf("got %v", err)
@@ -59,7 +59,7 @@
 }
 
 // A folder that the first release wrote is read, and goes on in the new format.
-func TestTheFirstFormatIsRead(t *testing.T) {
+func TestFormatV1IsRead(t *testing.T) {
 	folder := t.TempDir()
 	want := []machine.Record{{Unit: "u", Kind: "k", Epoch: 3, Seq: 4, Body: []byte("old")}}
 	body, _ := json.Marshal(want)
--- a/internal/storage/folder_test.go
+++ b/internal/storage/folder_test.go
@@ -25,13 +25,13 @@
 	return opened, records
 }
 
-var errPower = errors.New("power cut")
+var errInjected = errors.New("power cut")
 
-// cutPowerAt fails one step of a write.
-func cutPowerAt(step string) StepHook {
+// failAtStep fails one step of a write.
+func failAtStep(step string) StepHook {
 	return func(now string) error {
 		if now == step {
-			return errPower
+			return errInjected
 		}
 		return nil
 	}
@@ -39,7 +39,7 @@
 
 // The power fails at each step of a write: what was durable before is there, and of the new
 // version all or nothing.
-func TestPowerCutAtEachStep(t *testing.T) {
+func TestFailureAtEachWriteStep(t *testing.T) {
 	write := func(f *Folder) error { return f.Write(entry(4)) }
 	compact := func(f *Folder) error { return f.Compact(entry(3)) }
 	for _, test := range []struct {
@@ -51,11 +51,11 @@
 		{stepWrite, "Write", write, 3},
 		{stepSync, "Write", write, 3},
 		{stepRename, "Write", write, 3},
-		{stepFolder, "Write", write, 4}, // the rename is there, though not acknowledged
+		{stepSyncFolder, "Write", write, 4}, // the rename is there, though not acknowledged
 		{stepWrite, "Compact", compact, 3},
 		{stepSync, "Compact", compact, 3},
 		{stepRename, "Compact", compact, 3},
-		{stepFolder, "Compact", compact, 1}, // the snapshot, which replaces the three
+		{stepSyncFolder, "Compact", compact, 1}, // the snapshot, which replaces the three
 	} {
 		t.Run(test.name+" at "+test.step, func(t *testing.T) {
 			folder := t.TempDir()
@@ -65,8 +65,8 @@
 					t.Fatal(err)
 				}
 			}
-			opened.BeforeStep = cutPowerAt(test.step)
-			if err := test.attempt(opened); !errors.Is(err, errPower) {
+			opened.BeforeStep = failAtStep(test.step)
+			if err := test.attempt(opened); !errors.Is(err, errInjected) {
 				t.Fatalf("the write did not fail with the cut: %v", err)
 			}
 			again, records := open(t, folder)
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestCompactReplacesWhatWasBefore(t *testing.T) {
+func TestCompactReplacesEarlierVersions(t *testing.T) {
 	folder := t.TempDir()
 	opened, _ := open(t, folder)
 	for seq := uint64(1); seq <= 20; seq++ {
@@ -110,7 +110,7 @@
 }
 
 // A version that is gone from the middle was acknowledged: that is damage.
-func TestAMissingVersionIsDamage(t *testing.T) {
+func TestMissingVersionIsCorrupt(t *testing.T) {
 	disk := newMemoryDisk()
 	folder, _, err := OpenOn(disk, dataFolder)
 	if err != nil {
@@ -131,7 +131,7 @@
 
 // The disk fails each operation of a write: the write is one that may be retried, leaves no
 // temporary file, and the retry is complete.
-func TestNoRoomAtEachOperation(t *testing.T) {
+func TestDiskErrorAtEachOperation(t *testing.T) {
 	for _, cause := range []error{syscall.ENOSPC, syscall.EIO} {
 		for _, operation := range []string{"create", "write", "sync", "close", "rename", "sync folder"} {
 			for _, compact := range []bool{false, true} {
@@ -186,13 +186,13 @@
 }
 
 // A write that takes only some of the bytes, and reports no error, is not taken for complete.
-func TestAShortWriteIsNoWrite(t *testing.T) {
+func TestShortWriteIsAnError(t *testing.T) {
 	disk := newMemoryDisk()
 	folder, _, err := OpenOn(disk, dataFolder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	disk.short = true
+	disk.shortWrite = true
 	if err := folder.Write(versionRecord("entry", 1)); !IsWriteError(err) {
 		t.Fatalf("got %v", err)
 	}
@@ -203,7 +203,7 @@
 
 // What can't be read back is damage and never an error to be retried; what can't be prepared for
 // writing is no damage.
-func TestDamageAndRefusalAreToldApart(t *testing.T) {
+func TestReadErrorIsCorruptAndWriteErrorIsRetryable(t *testing.T) {
 	for operation, isDamage := range map[string]bool{"list": true, "read": true, "make folder": false, "sync folder": false} {
 		t.Run(operation, func(t *testing.T) {
 			disk, _ := diskWithOneEntry(t)
--- a/internal/storage/memory_disk_test.go
+++ b/internal/storage/memory_disk_test.go
@@ -17,8 +17,8 @@
 	pending []nameChange      // not durable yet, oldest first
 	// before, where set, is called before each operation; an error fails it.
 	before func(operation, name string) error
-	// short, when set, has the next write take only half of its bytes.
-	short bool
+	// shortWrite, when set, has the next write take only half of its bytes.
+	shortWrite bool
 }
 
 // inode is a file or, with folder set, a folder.
@@ -35,10 +35,10 @@
 
 func newMemoryDisk() *memoryDisk {
 	root := map[string]*inode{"/": {folder: true}, "/data": {folder: true}}
-	return &memoryDisk{names: root, durable: copied(root)}
+	return &memoryDisk{names: root, durable: copyNames(root)}
 }
 
-func copied(names map[string]*inode) map[string]*inode {
+func copyNames(names map[string]*inode) map[string]*inode {
 	out := map[string]*inode{}
 	for name, file := range names {
 		out[name] = file
@@ -178,8 +178,8 @@
 		f.inode.data = append(f.inode.data, data[:len(data)/2]...) // some of it was written
 		return len(data) / 2, err
 	}
-	if f.disk.short {
-		f.disk.short = false
+	if f.disk.shortWrite {
+		f.disk.shortWrite = false
 		data = data[:len(data)/2]
 	}
 	f.inode.data = append(f.inode.data, data...)
@@ -206,7 +206,7 @@
 func (d *memoryDisk) afterPowerLoss() []*memoryDisk {
 	var out []*memoryDisk
 	for kept := 0; kept < 1<<len(d.pending); kept++ {
-		names := copied(d.durable)
+		names := copyNames(d.durable)
 		for i, change := range d.pending {
 			if kept&(1<<i) != 0 {
 				change.apply(names)
@@ -237,12 +237,12 @@
 		}
 		disk.names[name] = &inode{folder: file.folder, data: bytes.Clone(data), synced: bytes.Clone(data)}
 	}
-	disk.durable = copied(disk.names)
+	disk.durable = copyNames(disk.names)
 	return disk
 }
 
 // afterKill is the disk as the next start of a killed program sees it: nothing is
 // lost, and nothing more is durable. The receiver is left as it is.
 func (d *memoryDisk) afterKill() *memoryDisk {
-	return &memoryDisk{names: copied(d.names), durable: copied(d.durable), pending: append([]nameChange(nil), d.pending...)}
+	return &memoryDisk{names: copyNames(d.names), durable: copyNames(d.durable), pending: append([]nameChange(nil), d.pending...)}
 }
--- a/internal/storage/power_loss_test.go
+++ b/internal/storage/power_loss_test.go
@@ -30,9 +30,9 @@
 	return last, nil
 }
 
-// diskProgram writes entries and compacts them, as a daemon's disk writer does: a write that fails
+// diskWorkload writes entries and compacts them, as a daemon's disk writer does: a write that fails
 // is retried, a snapshot that fails is given up.
-type diskProgram struct {
+type diskWorkload struct {
 	steps        string // w writes an entry, c compacts
 	folder       *Folder
 	acknowledged uint64 // the last entry whose write returned
@@ -42,26 +42,26 @@
 const dataFolder = "/data/records"
 
 // run runs the program on a disk until it ends or the power is cut.
-func (p *diskProgram) run(disk *memoryDisk) (err error) {
-	if p.folder, _, err = OpenOn(disk, dataFolder); err != nil {
+func (w *diskWorkload) run(disk *memoryDisk) (err error) {
+	if w.folder, _, err = OpenOn(disk, dataFolder); err != nil {
 		return err
 	}
-	for _, step := range p.steps {
+	for _, step := range w.steps {
 		if step == 'c' {
-			_ = p.folder.Compact(versionRecord("view", p.attempted))
+			_ = w.folder.Compact(versionRecord("view", w.attempted))
 			continue
 		}
-		p.attempted++
+		w.attempted++
 		for attempt := 0; ; attempt++ {
-			err := p.folder.Write(versionRecord("entry", p.attempted))
+			err := w.folder.Write(versionRecord("entry", w.attempted))
 			if err == nil {
 				break
 			}
 			if !IsWriteError(err) || attempt > 3 {
-				return fmt.Errorf("entry %d: %w", p.attempted, err)
+				return fmt.Errorf("entry %d: %w", w.attempted, err)
 			}
 		}
-		p.acknowledged = p.attempted
+		w.acknowledged = w.attempted
 	}
 	return nil
 }
@@ -71,9 +71,9 @@
 
 // runUntil runs the program up to an operation, where the power is cut or the process killed; the
 // disk refuses the failing operation. It reports whether the program ran to its end.
-func runUntil(t *testing.T, steps string, cut, failing int, cause error) (disk *memoryDisk, program *diskProgram, completed bool) {
+func runUntil(t *testing.T, steps string, cut, failing int, cause error) (disk *memoryDisk, workload *diskWorkload, completed bool) {
 	t.Helper()
-	disk, program = newMemoryDisk(), &diskProgram{steps: steps}
+	disk, workload = newMemoryDisk(), &diskWorkload{steps: steps}
 	count := 0
 	disk.before = func(string, string) error {
 		count++
@@ -93,10 +93,10 @@
 			}
 		}
 	}()
-	if err := program.run(disk); err != nil && failing > openOperations {
+	if err := workload.run(disk); err != nil && failing > openOperations {
 		t.Fatalf("operation %d failed, and the program did not go on: %v", failing, err)
 	}
-	return disk, program, true
+	return disk, workload, true
 }
 
 // openOperations is the number of operations of the first Open, which its caller retries.
@@ -111,47 +111,47 @@
 	return lastEntry(records)
 }
 
-// checkEveryLoss reads a disk back after every loss of power there may be, and after
+// checkEveryPowerLoss reads a disk back after every loss of power there may be, and after
 // a kill; and a second time after each of those, for what a start has read back and
 // acted on must never be lost again.
-func checkEveryLoss(t *testing.T, what string, disk *memoryDisk, program *diskProgram) (looked int) {
+func checkEveryPowerLoss(t *testing.T, what string, disk *memoryDisk, workload *diskWorkload) (checked int) {
 	t.Helper()
 	starts := append(disk.afterPowerLoss(), disk.afterKill())
 	for at, first := range starts {
 		found, err := readBack(first)
-		if err != nil || found < program.acknowledged || found > program.attempted {
-			t.Fatalf("%s, loss %d of %d: entries up to %d were acknowledged and up to %d attempted; read back %d, %v", what, at, len(starts), program.acknowledged, program.attempted, found, err)
+		if err != nil || found < workload.acknowledged || found > workload.attempted {
+			t.Fatalf("%s, loss %d of %d: entries up to %d were acknowledged and up to %d attempted; read back %d, %v", what, at, len(starts), workload.acknowledged, workload.attempted, found, err)
 		}
 		for _, second := range first.afterPowerLoss() {
-			looked++
+			checked++
 			if again, err := readBack(second); err != nil || again != found {
 				t.Fatalf("%s, loss %d: a start read back up to %d; after a second loss it is %d, %v", what, at, found, again, err)
 			}
 		}
 	}
-	return looked
+	return checked
 }
 
 // The power is cut before every operation, and each name that was not made durable is kept or
 // lost by itself, in every combination: what was acknowledged is read back, without a gap, and
 // what a start has read back stays.
-func TestEveryLossOfNamesIsReadBack(t *testing.T) {
-	looked := 0
+func TestRecoveryAfterEveryPowerLoss(t *testing.T) {
+	checked := 0
 	for cut := 1; ; cut++ {
-		disk, program, completed := runUntil(t, "wwwcwwcwcw", cut, 0, nil)
-		looked += checkEveryLoss(t, fmt.Sprintf("cut before operation %d", cut), disk, program)
+		disk, workload, completed := runUntil(t, "wwwcwwcwcw", cut, 0, nil)
+		checked += checkEveryPowerLoss(t, fmt.Sprintf("cut before operation %d", cut), disk, workload)
 		if completed {
 			break
 		}
 	}
-	t.Logf("%d disks read back", looked)
+	t.Logf("%d disks read back", checked)
 }
 
 // The same, with each single operation refused once before the power is cut: a write is retried
 // and a snapshot given up, and neither leaves anything that a later start would misread.
-func TestEveryLossAfterEveryRefusal(t *testing.T) {
+func TestPowerLossAfterEachFailedOperation(t *testing.T) {
 	const steps = "wwcwcw"
-	looked, limit := 0, 0
+	checked, limit := 0, 0
 	for cut := 1; ; cut++ {
 		if _, _, completed := runUntil(t, steps, cut, 0, nil); completed {
 			limit = cut
@@ -162,12 +162,12 @@
 		// The operations right after the refused one retry it or clean up: cuts beyond those
 		// leave disks that TestEveryLossOfNamesIsReadBack has read back.
 		for cut := failing + 1; cut < failing+18; cut++ {
-			disk, program, completed := runUntil(t, steps, cut, failing, syscall.ENOSPC)
-			looked += checkEveryLoss(t, fmt.Sprintf("operation %d refused, cut before %d", failing, cut), disk, program)
+			disk, workload, completed := runUntil(t, steps, cut, failing, syscall.ENOSPC)
+			checked += checkEveryPowerLoss(t, fmt.Sprintf("operation %d refused, cut before %d", failing, cut), disk, workload)
 			if completed {
 				break
 			}
 		}
 	}
-	t.Logf("%d disks read back", looked)
+	t.Logf("%d disks read back", checked)
 }
--- a/internal/storage/write_error.go
+++ b/internal/storage/write_error.go
@@ -20,7 +20,7 @@
 	stepWrite      = "write"
 	stepSync       = "sync"
 	stepRename     = "rename"
-	stepFolder     = "folder" // the sync of the folder
+	stepSyncFolder = "folder" // the sync of the folder
 )
 
 // Error names the step and what the operating system reported.
--- a/internal/transport/call_test.go
+++ b/internal/transport/call_test.go
@@ -25,7 +25,7 @@
 }
 
 // A daemon that can't be reached certainly did not receive the call.
-func TestUnreachableIsNotUnknown(t *testing.T) {
+func TestUnreachablePeerIsNotReady(t *testing.T) {
 	_, _, local := listen(t)
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/transport/outbox.go
+++ b/internal/transport/outbox.go
@@ -46,7 +46,7 @@
 		return box
 	}
 	if len(t.outboxes) >= maxOutboxes {
-		t.closeAnEmptyOutbox()
+		t.evictEmptyOutbox()
 	}
 	box = &outbox{transport: t, to: to, queue: ring.New[Envelope](outboxSize)}
 	t.outboxes[to] = box
@@ -54,9 +54,9 @@
 	return box
 }
 
-// closeAnEmptyOutbox makes room for another peer: addresses that are gone for good would
+// evictEmptyOutbox makes room for another peer: addresses that are gone for good would
 // accumulate otherwise. t.mu is held.
-func (t *Transport) closeAnEmptyOutbox() {
+func (t *Transport) evictEmptyOutbox() {
 	for address, box := range t.outboxes {
 		if box.queue.Len() == 0 {
 			box.queue.Close()
--- a/internal/transport/outbox_test.go
+++ b/internal/transport/outbox_test.go
@@ -11,7 +11,7 @@
 
 // A peer that accepts connections and never answers delays neither messages to others nor, past
 // the timeout, a caller.
-func TestUnresponsivePeerDelaysNobody(t *testing.T) {
+func TestUnresponsivePeerDoesNotDelayOthers(t *testing.T) {
 	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
