--- a/internal/cleanup/cleanup.go
+++ b/internal/cleanup/cleanup.go
@@ -1,5 +1,5 @@
-// Package cleanup has the stack of clean-up functions that a daemon's parts push as they start,
-// and that run in reverse when it ends (docs/DESIGN.md, section 2).
+// Package cleanup provides the stack of clean-up functions that a daemon's parts push as they start,
+// and that run in reverse order when the daemon stops (docs/DESIGN.md, section 2).
 package cleanup
 
 import "sync"
@@ -7,13 +7,13 @@
 // Stack is a stack of clean-up functions; the zero value is ready. Its methods may be called from
 // any goroutine.
 type Stack struct {
-	mu        sync.Mutex // guards what follows; it is not held while a function runs
+	mu        sync.Mutex // guards the fields below; it is not held while a function runs
 	functions []func()
 	done      bool
 }
 
-// Push adds a function. On a stack that has run, it is called at once: what started late is
-// cleaned up all the same.
+// Push adds a function. If the stack has already run, the function is called at once, so that what
+// was started late is cleaned up too.
 func (s *Stack) Push(function func()) {
 	if !s.add(function) {
 		function()
--- a/internal/cleanup/every.go
+++ b/internal/cleanup/every.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Every starts a goroutine that calls action at every interval until the stack runs. The stack
-// does not wait for a call that is under way.
+// does not wait for a call in progress.
 func Every(cleanups *Stack, interval time.Duration, action func()) {
 	done := make(chan struct{})
 	cleanups.Push(func() { close(done) })
--- a/internal/errs/errs.go
+++ b/internal/errs/errs.go
@@ -1,6 +1,6 @@
-// Package errs has the typed error of the whole project. Its kind is stable for callers and logs,
-// its message says what happened, and its remedy what to do (docs/DESIGN.md, section 10.1). The
-// error travels unchanged between daemons and, as JSON, to callers and operators.
+// Package errs defines the typed error that the whole project uses. Its kind is stable for callers
+// and logs, its message says what happened, and its remedy what to do (docs/DESIGN.md, section
+// 10.1). The error is passed unchanged between daemons and, as JSON, to callers and operators.
 package errs
 
 import (
@@ -13,15 +13,15 @@
 // Kind is the type of an error.
 type Kind string
 
-// The kinds. Their spellings are in callers' and operators' JSON and in messages between daemons;
-// they never change. OutcomeUnknown is the only one for a request that may have run; each other
-// kind guarantees that nothing ran and nothing will.
+// The kinds. Their values appear in callers' and operators' JSON and in messages between daemons, and
+// must not change. OutcomeUnknown is the only one for a request that may have run; each other kind
+// guarantees that nothing ran and nothing will.
 const (
 	// BadInput: the request is malformed.
 	BadInput Kind = "bad_input"
 	// TooLarge: the request exceeds a limit in bytes.
 	TooLarge Kind = "too_large"
-	// Unauthorised: the credentials are those of no tenant.
+	// Unauthorised: the credentials belong to no tenant.
 	Unauthorised Kind = "unknown_customer"
 	// UnknownRoute: the configuration has no such route.
 	UnknownRoute Kind = "unknown_route"
@@ -31,7 +31,7 @@
 	BadToken Kind = "bad_token"
 	// Conflict: the idempotency key was used for another request.
 	Conflict Kind = "conflict"
-	// StaleBase: a change builds on a version that is no longer the latest.
+	// StaleBase: a change is based on a version that is no longer the latest.
 	StaleBase Kind = "stale_base"
 	// InvalidConfiguration: a configuration has faults, which Error.Faults lists.
 	InvalidConfiguration Kind = "bad_plan"
@@ -39,7 +39,7 @@
 	BadSettings Kind = "bad_settings"
 	// OverQuota: the tenant's quota is used up.
 	OverQuota Kind = "over_allowance"
-	// Busy: a queue or a bound is full.
+	// Busy: a queue is full or a limit is reached.
 	Busy Kind = "busy"
 	// NotReady: this daemon, or the one that it needs, can't serve the request now.
 	NotReady Kind = "not_ready"
@@ -53,7 +53,7 @@
 	WrongFolder Kind = "wrong_folder"
 	// Corrupt: data on disk is damaged.
 	Corrupt Kind = "corrupt"
-	// Rejected: the request is well-formed, and the state of the fleet forbids it.
+	// Rejected: the request is well-formed, but the state of the fleet does not allow it.
 	Rejected Kind = "turned_away"
 )
 
@@ -77,24 +77,24 @@
 	Rejected:             http.StatusConflict,
 }
 
-// Error is an error with its kind, what happened and the remedy. Its JSON is given to callers and
-// operators; the keys never change.
+// Error is an error with its kind, a message that says what happened, and the remedy. Its JSON is
+// returned to callers and operators, so the keys must not change.
 type Error struct {
 	Kind    Kind   `json:"kind"`
 	Message string `json:"message"`
 	Remedy  string `json:"remedy"`
-	// Faults are the single faults of a document or of settings.
+	// Faults lists the individual faults of a document or of settings.
 	Faults []string `json:"faults,omitempty"`
-	// RetryAfterUS is when to try again, in microseconds from now; 0 where it does not help.
+	// RetryAfterUS is when to retry, in microseconds from now; 0 if a retry does not help.
 	RetryAfterUS int64 `json:"retry_after_us,omitempty"`
 }
 
-// Error names the kind, what happened and the remedy.
+// Error returns the kind, the message and the remedy.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s: %s; remedy: %s", e.Kind, e.Message, e.Remedy)
 }
 
-// Status is the HTTP status of the kind; 500 for a kind that is never given to callers.
+// Status returns the HTTP status of the kind, or 500 for a kind that is never returned to callers.
 func (e *Error) Status() int {
 	if status, ok := statuses[e.Kind]; ok {
 		return status
@@ -102,12 +102,12 @@
 	return http.StatusInternalServerError
 }
 
-// New makes an *Error with a stack. The format is that of the message.
+// New returns an *Error with a stack trace. format and args give its message.
 func New(kind Kind, remedy, format string, args ...any) error {
 	return NewWithRetry(kind, 0, remedy, format, args...)
 }
 
-// NewWithRetry makes an *Error with a stack that says when to try again, in microseconds from
+// NewWithRetry returns an *Error with a stack trace that says when to retry, in microseconds from
 // now.
 func NewWithRetry(kind Kind, retryAfterUS int64, remedy, format string, args ...any) error {
 	return errors.WithStack(&Error{
@@ -118,10 +118,10 @@
 	})
 }
 
-// untypedRetryAfterUS is when to try again after an error without a kind.
+// untypedRetryAfterUS is when to retry after an error without a kind, in microseconds from now.
 const untypedRetryAfterUS = 1_000_000
 
-// Count is a number of things for people: "1 fault", "2 faults".
+// Count formats a number of things for display: "1 fault", "2 faults".
 func Count(n int, noun string) string {
 	if n == 1 {
 		return "1 " + noun
@@ -129,8 +129,8 @@
 	return fmt.Sprintf("%d %ss", n, noun)
 }
 
-// Of finds the *Error in an error's chain. An error without one becomes an OutcomeUnknown: it may
-// have occurred at any step of the request.
+// Of returns the *Error in an error's chain. An error without one becomes an OutcomeUnknown, because
+// it may have occurred at any step of the request.
 func Of(err error) *Error {
 	var typed *Error
 	if errors.As(err, &typed) {
@@ -139,10 +139,10 @@
 	return &Error{
 		Kind:         OutcomeUnknown,
 		Message:      err.Error(),
-		Remedy:       "ask again with the same idempotency key",
+		Remedy:       "retry with the same idempotency key",
 		RetryAfterUS: untypedRetryAfterUS,
 	}
 }
 
-// Is reports whether an error is of a kind, as Of gives it.
+// Is reports whether an error is of a kind, as determined by Of.
 func Is(err error, kind Kind) bool { return err != nil && Of(err).Kind == kind }
--- a/internal/errs/errs_test.go
+++ b/internal/errs/errs_test.go
@@ -9,13 +9,13 @@
 
 // A typed error is found through wrapping, and has its kind's status.
 func TestATypedErrorIsFoundThroughWrapping(t *testing.T) {
-	err := fmt.Errorf("submitting: %w", NewWithRetry(Busy, 5, "come back", "%d batches wait", 3))
+	err := fmt.Errorf("submitting: %w", NewWithRetry(Busy, 5, "retry later", "%d batches wait", 3))
 	got := Of(err)
 	if got.Kind != Busy || got.Message != "3 batches wait" || got.RetryAfterUS != 5 || got.Status() != http.StatusTooManyRequests {
 		t.Errorf("found %+v with status %d", got, got.Status())
 	}
 	if !Is(err, Busy) || Is(err, NotReady) || Is(nil, Busy) {
-		t.Error("the error is not of its kind alone")
+		t.Error("the error matches another kind, or not its own")
 	}
 }
 
@@ -23,11 +23,11 @@
 func TestAnUntypedErrorLeavesTheOutcomeUnknown(t *testing.T) {
 	got := Of(errors.New("connection reset"))
 	if got.Kind != OutcomeUnknown || got.RetryAfterUS == 0 || got.Status() != http.StatusGatewayTimeout {
-		t.Errorf("taken for %+v with status %d", got, got.Status())
+		t.Errorf("converted to %+v with status %d", got, got.Status())
 	}
 }
 
-// A kind that is for operators of a machine alone is an internal error to callers.
+// A kind that only the operators of a machine see is an internal error (500) for callers.
 func TestAKindWithoutStatusIsAnInternalError(t *testing.T) {
 	if got := Of(New(Corrupt, "start empty", "damaged")).Status(); got != http.StatusInternalServerError {
 		t.Errorf("status %d", got)
--- a/internal/logging/event.go
+++ b/internal/logging/event.go
@@ -9,10 +9,10 @@
 	"tuliprudder/internal/machine"
 )
 
-// eventKey is the key under which a line has the name of its event.
+// eventKey is the key of the event's name in a log line.
 const eventKey = "event"
 
-// levels are the log's levels of the severities.
+// levels maps severities to log levels.
 var levels = map[machine.Severity]zerolog.Level{
 	machine.SeverityInfo:    zerolog.InfoLevel,
 	machine.SeverityWarning: zerolog.WarnLevel,
--- a/internal/logging/event_test.go
+++ b/internal/logging/event_test.go
@@ -38,8 +38,8 @@
 		event machine.Event
 		want  string
 	}{
-		{"a zero field that may be left out", testEvent{Term: 3, Group: []string{"a", "b"}}, `{"level":"info","event":"term_won","term":3,"group":["a","b"]}`},
-		{"a field that may be left out", testEvent{Missing: 1}, `{"level":"info","event":"term_won","term":0,"group":null,"missing":1}`},
+		{"an omitempty field that is zero", testEvent{Term: 3, Group: []string{"a", "b"}}, `{"level":"info","event":"term_won","term":3,"group":["a","b"]}`},
+		{"an omitempty field that is not zero", testEvent{Missing: 1}, `{"level":"info","event":"term_won","term":0,"group":null,"missing":1}`},
 		{"a warning", testWarning{Reason: "full"}, `{"level":"warn","event":"disk_unwritable","reason":"full"}`},
 		{"a fault", testFault{Reason: "damaged"}, `{"level":"error","event":"halted","reason":"damaged"}`},
 	} {
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
 // Package logging writes a daemon's log: one JSON object a line (docs/DESIGN.md, section 10.3).
-// What a daemon decides is logged once, as a typed event (Write).
+// Each decision of a daemon is logged once, as a typed event (Write).
 package logging
 
 import (
@@ -10,8 +10,9 @@
 	"github.com/zeromicro/go-zero/core/logx"
 )
 
-// New makes the log of a daemon, to standard error where out is nil. It also silences the log of
-// go-zero, which would log requests a second time. The logger may be used from any goroutine.
+// New returns the logger of a daemon. It writes to out, or to standard error if out is nil. New also
+// disables go-zero's own log, which would log requests a second time. The logger may be used from
+// any goroutine.
 func New(out io.Writer, program, id string) zerolog.Logger {
 	logx.Disable()
 	logx.DisableStat()
--- a/internal/machine/calls.go
+++ b/internal/machine/calls.go
@@ -2,22 +2,22 @@
 
 import "tuliprudder/internal/clock"
 
-// Callback handles the response to a request, or the error that there was none. It is called
-// within a step of the machine.
+// Callback handles the response to a request, or the error if there was none. It is called within
+// a step of the machine.
 type Callback func(body any, err error, now clock.Micros)
 
-// Calls is shared by the parts of one daemon's machine: they emit their effects to it, and it
-// calls them back with the responses to their requests.
+// Calls collects the effects and tracks the pending requests of one daemon's machine. The parts of
+// the machine share it: they emit their effects to it, and it calls them back with the responses.
 type Calls struct {
 	Effects
 	lastToken uint64
 	pending   map[uint64]Callback // by token
 }
 
-// NewCalls makes Calls without pending requests.
+// NewCalls returns a Calls without pending requests.
 func NewCalls() *Calls { return &Calls{pending: map[uint64]Callback{}} }
 
-// Token returns a number that was not returned before.
+// Token returns a number that it has not returned before.
 func (c *Calls) Token() uint64 {
 	c.lastToken++
 	return c.lastToken
@@ -30,7 +30,8 @@
 	c.Emit(Request{Token: token, To: to, Body: body, Timeout: timeout})
 }
 
-// ReplyReceived calls the callback of a request. A second response to it is dropped.
+// ReplyReceived calls the callback of the request with the given token. A second response to it,
+// or one with an unknown token, is dropped.
 func (c *Calls) ReplyReceived(token uint64, body any, err error, now clock.Micros) {
 	if callback := c.pending[token]; callback != nil {
 		delete(c.pending, token)
@@ -38,5 +39,5 @@
 	}
 }
 
-// Pending is the number of requests whose responses are still to come.
+// Pending returns the number of requests that have not been answered yet.
 func (c *Calls) Pending() int { return len(c.pending) }
--- a/internal/machine/calls_test.go
+++ b/internal/machine/calls_test.go
@@ -6,7 +6,7 @@
 	"tuliprudder/internal/clock"
 )
 
-// A request's callback is called once; a second response, and one to no request, are dropped.
+// A request's callback is called once; a second response, or one with an unknown token, is dropped.
 func TestACallbackIsCalledOnce(t *testing.T) {
 	calls := NewCalls()
 	var got []any
@@ -16,7 +16,7 @@
 	if !ok || len(effects) != 1 || request.To != "peer" || calls.Pending() != 1 {
 		t.Fatalf("emitted %+v, %d pending", effects, calls.Pending())
 	}
-	calls.ReplyReceived(request.Token+1, "to no request", nil, 1)
+	calls.ReplyReceived(request.Token+1, "unknown token", nil, 1)
 	calls.ReplyReceived(request.Token, "first", nil, 1)
 	calls.ReplyReceived(request.Token, "second", nil, 2)
 	if len(got) != 1 || got[0] != "first" || calls.Pending() != 0 {
--- a/internal/machine/effects_disk.go
+++ b/internal/machine/effects_disk.go
@@ -1,10 +1,10 @@
 package machine
 
-// The disk's effects are executed by the disk writer, in the order in which they were emitted. A
-// write that the disk refuses is retried until the disk takes it; what was emitted after it waits.
+// Disk effects are executed by the disk writer, in the order in which they were emitted. A write
+// that the disk refuses is retried until it succeeds; the effects emitted after it wait.
 
-// Record is one durable entry. It belongs to a unit and is read back in the order of writing. Its
-// JSON is on disk; the keys never change.
+// Record is one durable entry. It belongs to a unit, and records are read back in the order in which
+// they were written. Its JSON is stored on disk, so the keys must not change.
 type Record struct {
 	Unit  string `json:"unit"`
 	Kind  string `json:"kind"`
@@ -13,34 +13,34 @@
 	Body  []byte `json:"body,omitempty"`
 }
 
-// Persist makes records durable. The answer is Persisted with the token, once they are synced;
-// records that are emitted close together may share a sync.
+// Persist makes records durable. Once they are synced, the answer is Persisted with the token.
+// Records that are emitted close together may share a sync.
 type Persist struct {
 	Token   uint64
 	Records []Record
 }
 
-// Compact replaces all records that were persisted so far by these, which have the same contents.
-// It has no answer: where the disk has no room the old records remain, and the event loop asks the
-// machine for another Compact later (CompactAgain).
+// Compact replaces all records persisted so far by Records, which represent the same state. It has
+// no answer: if the disk is full, the old records remain, and the event loop later asks the machine
+// for another Compact (CompactAgain).
 type Compact struct{ Records []Record }
 
-// Archive writes finished records to a file of their own, from which they are read one by one.
-// The answer is Persisted with the token, once the file is synced.
+// Archive writes finished records to a separate file, from which they are read individually. Once
+// the file is synced, the answer is Persisted with the token.
 type Archive struct {
 	Token   uint64
 	File    uint64
 	Records []Record
 }
 
-// DeleteArchive removes archive files that nothing refers to any more. It has no answer: a file
-// that remains is found unused at the next start.
+// DeleteArchive removes archive files that are no longer referenced. It has no answer: a file that
+// could not be removed is found to be unused at the next start.
 type DeleteArchive struct{ Files []uint64 }
 
 // DiskState is the state of the daemon's disk; the event loop calls the machine's
 // DiskStateChanged with it whenever it changes.
 // While the disk is not writable, Persist effects are neither lost nor answered: they wait, in
-// order, until the disk takes them.
+// order, until they can be written.
 type DiskState struct {
 	Writable bool
 	Reason   string // why it is not writable; "" when it is
--- a/internal/machine/effects_gossip.go
+++ b/internal/machine/effects_gossip.go
@@ -2,8 +2,9 @@
 
 import "tuliprudder/internal/clock"
 
-// Update is one versioned value that gossip spreads: of a key the highest (Epoch, Seq) wins. Its
-// JSON is on the disks of the cores; the keys never change.
+// Update is one versioned value that gossip distributes. Of the updates of one key, the one with the
+// highest (Epoch, Seq) wins. Its JSON is stored on the disks of the cores, so the keys must not
+// change.
 type Update struct {
 	Key   string `json:"Key"`
 	Epoch uint64 `json:"Epoch"`
@@ -19,12 +20,12 @@
 	return u.Seq > other.Seq
 }
 
-// Publish hands an update to the daemon's gossip node, which spreads it. It has no answer.
+// Publish passes an update to the daemon's gossip node, which distributes it. It has no answer.
 type Publish struct{ Update Update }
 
-// Broadcast hands an update to the daemon's gossip node, which pushes it to the voters. The node
-// answers the call, with Body once a majority of the voters know the update, or with
-// errs.OutcomeUnknown after Timeout.
+// Broadcast passes an update to the daemon's gossip node, which pushes it to the voters. The node
+// answers the call with the number Call: with Body once a majority of the voters have the update, or
+// with errs.OutcomeUnknown after Timeout.
 type Broadcast struct {
 	Update  Update
 	Call    uint64
@@ -32,12 +33,12 @@
 	Timeout clock.Micros // microseconds
 }
 
-// UpdateReceived is emitted by the gossip node, and tells the daemon's other machine of an update
-// that is new here.
+// UpdateReceived is emitted by the gossip node, and tells the daemon's other machine about an update
+// that this daemon did not have yet.
 type UpdateReceived struct{ Update Update }
 
-// Freshness is emitted by the gossip node, and tells the daemon's other machine up to when its
-// updates are complete: they include what a majority of the voters knew then.
+// Freshness is emitted by the gossip node, and tells the daemon's other machine the time up to which
+// its updates are complete: they include all that a majority of the voters had at that time.
 type Freshness struct{ At clock.Micros }
 
 func (Publish) effect()        {}
--- a/internal/machine/effects_network.go
+++ b/internal/machine/effects_network.go
@@ -3,7 +3,7 @@
 import "tuliprudder/internal/clock"
 
 // Send sends a message to the daemon at an address, over the transport. It may be lost, and has no
-// answer: where one is needed the protocol has a message for it and sends again.
+// answer: a protocol that needs an acknowledgement has a message for it, and retransmits.
 type Send struct {
 	To   string
 	Body any
--- a/internal/machine/entries.go
+++ b/internal/machine/entries.go
@@ -7,19 +7,19 @@
 	"github.com/pkg/errors"
 )
 
-// EntryCodec encodes the entries of one replicated state: it has a decoder for each kind of
-// change. A kind that this release does not know is an error and never skipped: the state would
-// be another one than its other replicas have.
+// EntryCodec encodes and decodes the entries of one replicated state: it maps each kind of change to
+// its decoder. A kind that this release does not know is an error and is never skipped, because the
+// state would then diverge from that of the other replicas.
 type EntryCodec[E any] map[string]func(json.RawMessage) (E, error)
 
-// encodedEntry is the JSON of an entry. Its keys are on disk; they never change.
+// encodedEntry is the JSON of an entry. Its keys are stored on disk and must not change.
 type encodedEntry struct {
 	Kind string          `json:"k"`
 	Body json.RawMessage `json:"b"`
 }
 
-// Decoder makes the decoder of changes of type T. A field that T does not have is ignored: a
-// neighbouring release may have added it.
+// Decoder returns the decoder of changes of type T. A field that T does not have is ignored, because
+// the next release may have added it and the previous one may still write it.
 func Decoder[E any, T any](convert func(T) E) func(json.RawMessage) (E, error) {
 	return func(data json.RawMessage) (E, error) {
 		var change T
@@ -28,8 +28,8 @@
 	}
 }
 
-// Encode encodes a change under its kind. The changes are types of this program that can always
-// be encoded.
+// Encode encodes a change of the given kind. Marshalling can't fail, because all changes are types
+// of this program that can be encoded.
 func (EntryCodec[E]) Encode(kind string, change E) []byte {
 	body, _ := json.Marshal(change)
 	data := make([]byte, 0, len(entryPrefix)+len(kind)+len(entryBodyPrefix)+len(body)+1)
@@ -40,8 +40,8 @@
 	return append(data, '}')
 }
 
-// splitEntry splits an entry that is in the very form of Encode, without a pass over its body;
-// false for any other.
+// splitEntry splits an entry that has exactly the form that Encode writes, without scanning its body.
+// ok is false for any other form.
 func splitEntry(data []byte) (kind string, body []byte, ok bool) {
 	rest, ok := bytes.CutPrefix(data, []byte(entryPrefix))
 	if !ok {
@@ -65,7 +65,7 @@
 	}
 	decode, ok := c[encoded.Kind]
 	if !ok {
-		return zero, errors.Errorf("a change of an unknown kind %q: run the release that wrote it", encoded.Kind)
+		return zero, errors.Errorf("unknown kind of change %q: run the release that wrote it", encoded.Kind)
 	}
 	return decode(encoded.Body)
 }
--- a/internal/machine/machine.go
+++ b/internal/machine/machine.go
@@ -1,12 +1,12 @@
-// Package machine has the inputs and outputs that all state machines of a daemon share
-// (docs/DESIGN.md, section 2). A machine is given commands and the time, and hands out effects:
-// it touches no goroutine, socket, file or clock, so that the simulator and the model checker run
-// the same code as a daemon.
+// Package machine defines the inputs and outputs that all state machines of a daemon share
+// (docs/DESIGN.md, section 2). A machine takes commands and the time, and returns effects. It uses
+// no goroutine, socket, file or clock, so that the simulator and the model checker run the same code
+// as a daemon.
 //
 // The event loop (internal/daemon/eventloop) executes the effects in the order in which they were
-// emitted, after the step that emitted them, and outside of the machine's lock. Where an effect
-// has an answer, it comes back as a later step, never within the emitting one. The effects are
-// grouped by who executes them: effects_disk.go, effects_network.go, effects_gossip.go, and
+// emitted, after the step that emitted them, and outside of the machine's lock. The answer to an
+// effect, if it has one, arrives as a later step, never within the emitting one. The effects are
+// grouped by what executes them: effects_disk.go, effects_network.go, effects_gossip.go, and
 // effects.go for the event loop itself.
 package machine
 
@@ -17,7 +17,7 @@
 	Apply(machine M, now clock.Micros)
 }
 
-// Effect is one thing that a machine asks the event loop to do.
+// Effect is one action that a machine requests of the event loop.
 type Effect interface{ effect() }
 
 // Effects collects the effects of one step. Machines embed it.
--- a/internal/machine/stored_names.go
+++ b/internal/machine/stored_names.go
@@ -1,8 +1,8 @@
 package machine
 
-// An entry is encoded as {"k":KIND,"b":BODY}. One in just this form is decoded without a second
-// pass over its body. These spellings are on disk, as are the keys of encodedEntry; they never
-// change.
+// An entry is encoded as {"k":KIND,"b":BODY}. An entry in exactly this form is decoded without a
+// second pass over its body. These strings are stored on disk, as are the keys of encodedEntry, and
+// must not change.
 const (
 	entryPrefix     = `{"k":"`
 	entryBodyPrefix = `","b":`
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -1,6 +1,6 @@
 // Package services is the registry of a daemon's services: they are registered by name, find each
-// other by name, start in the order of registration and end in reverse (docs/DESIGN.md, section
-// 2).
+// other by name, start in the order of registration and stop in reverse order (docs/DESIGN.md,
+// section 2).
 package services
 
 import (
@@ -12,13 +12,13 @@
 	"tuliprudder/internal/errs"
 )
 
-// Service is a part of a daemon. Start must not block; what it starts is ended by the clean-up
-// functions that it pushes. After an error of Start those that it pushed run too.
+// Service is a part of a daemon. Start must not block; the clean-up functions that it pushes stop
+// what it started. They also run if Start returns an error.
 type Service interface {
 	Start(registry *Registry, cleanups *cleanup.Stack) error
 }
 
-// Registry has a daemon's services. Services are registered before Start, by one goroutine; Find
+// Registry holds a daemon's services. Services are registered before Start, by one goroutine; Find
 // may be called from any.
 type Registry struct {
 	mu       sync.Mutex // guards names and byName
@@ -27,10 +27,10 @@
 	cleanups cleanup.Stack
 }
 
-// New makes an empty registry.
+// New returns an empty registry.
 func New() *Registry { return &Registry{byName: map[string]Service{}} }
 
-// Register adds a service. It panics where the name is taken: that is a mistake in the program.
+// Register adds a service. It panics if the name is taken, because that is a programming error.
 func (r *Registry) Register(name string, service Service) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -41,7 +41,7 @@
 	r.byName[name] = service
 }
 
-// Find finds the service of a name and type. The error is an errs.BadSettings.
+// Find returns the service of a name and type. The error is an errs.BadSettings.
 func Find[T any](r *Registry, name string) (T, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,7 +53,7 @@
 	return service, nil
 }
 
-// Start starts all services. After an error it ends those that were started.
+// Start starts all services. After an error it stops those that were started.
 func (r *Registry) Start() error {
 	for _, name := range r.names {
 		if err := r.byName[name].Start(r, &r.cleanups); err != nil {
@@ -64,5 +64,5 @@
 	return nil
 }
 
-// Stop ends all services.
+// Stop stops all services.
 func (r *Registry) Stop() { r.cleanups.Run() }
--- a/internal/services/services_test.go
+++ b/internal/services/services_test.go
@@ -9,7 +9,7 @@
 	"tuliprudder/internal/errs"
 )
 
-// testService notes its start and end in a log.
+// testService records its start and end in a log.
 type testService struct {
 	name string
 	log  *[]string
@@ -42,7 +42,7 @@
 			registry.Register("b", testService{"b", &log, nil})
 			registry.Register("c", testService{"c", &log, test.third})
 			if err := registry.Start(); !errors.Is(err, test.third) {
-				t.Errorf("started with %v", err)
+				t.Errorf("Start returned %v", err)
 			}
 			registry.Stop()
 			if fmt.Sprint(log) != test.want {
--- a/internal/settings/common.go
+++ b/internal/settings/common.go
@@ -2,30 +2,30 @@
 
 import "strings"
 
-// seedCount is the number of seeds that every daemon is given.
+// seedCount is the number of seed addresses that every daemon requires.
 const seedCount = 3
 
 // Common are the settings that every daemon has.
 type Common struct {
-	Name       string   // the operators' name of the machine; "" where it has none
+	Name       string   // the operators' name for the machine; "" if it has none
 	Zone       string   // the zone that the daemon runs in
 	Peer       string   // address for other daemons, IP:port
 	PeerListen string   // address to listen on for other daemons; that of Peer by default
 	HTTP       string   // address for callers and operators, IP:port
-	Seeds      []string // addresses of other daemons to join by
+	Seeds      []string // addresses of other daemons through which to join the fleet
 	DataDir    string   // data folder; "" for a daemon without a disk
 	LogFile    string   // "" for standard error
-	seedList   string   // Seeds as they are written in the settings
+	seedList   string   // Seeds as written in the settings
 }
 
 // Common adds the settings that every daemon has. needsDisk makes the data folder mandatory.
 func (r *Reader) Common(c *Common, needsDisk bool) {
-	r.Flags.StringVar(&c.Name, "name", "", "the operators' name of this machine")
+	r.Flags.StringVar(&c.Name, "name", "", "the operators' name for this machine")
 	r.Flags.StringVar(&c.Zone, "zone", "", "the zone this daemon runs in")
 	r.Flags.StringVar(&c.Peer, "peer", "", "address for the fleet's own traffic, IP:port")
 	r.Flags.StringVar(&c.PeerListen, "peer-listen", "", "address to listen on where it differs from -peer")
 	r.Flags.StringVar(&c.HTTP, "http", "", "address for callers and operators, IP:port")
-	r.Flags.StringVar(&c.seedList, "seeds", "", "three addresses of other daemons, by comma")
+	r.Flags.StringVar(&c.seedList, "seeds", "", "three addresses of other daemons, separated by commas")
 	r.Flags.StringVar(&c.DataDir, "data", "", "the data folder (daemons with a disk)")
 	r.Flags.StringVar(&c.LogFile, "log", "", "log file; standard error when empty")
 	r.AddCheck(func() {
@@ -58,6 +58,6 @@
 		}
 	}
 	if len(c.Seeds) != seedCount {
-		r.Faultf("-seeds names %d addresses; give exactly three, by comma", len(c.Seeds))
+		r.Faultf("-seeds names %d addresses; give exactly three, separated by commas", len(c.Seeds))
 	}
 }
--- a/internal/settings/deprecated.go
+++ b/internal/settings/deprecated.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Deprecated reads a setting also under its former name, with a warning. Former names are read
+// Deprecated also accepts a setting under its former name, with a warning. Former names are accepted
 // for one release.
 func (r *Reader) Deprecated(deprecated, current string) {
 	r.Flags.Var(deprecatedValue{r, deprecated, current}, deprecated, "former name of -"+current)
@@ -14,7 +14,7 @@
 	deprecated, current string
 }
 
-// String is empty: the value is kept under the current name.
+// String returns an empty string, because the value is stored under the current name.
 func (deprecatedValue) String() string { return "" }
 
 // Set sets the setting under its current name.
--- a/internal/settings/deprecated_test.go
+++ b/internal/settings/deprecated_test.go
@@ -7,8 +7,7 @@
 	"testing"
 )
 
-// A setting is read under its former name, from the arguments and from a file, and
-// the reader says so.
+// A setting is accepted under its former name, in the arguments and in a file, with a warning.
 func TestAFormerNameIsReadWithAWarning(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings")
 	if err := os.WriteFile(file, []byte("old 5\n"), 0o644); err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,7 @@
-// Package settings reads a program's settings: flags first, then the settings file that a flag
-// names (docs/DESIGN.md, section 10.2). Every fault is reported at once with its remedy; none is
-// replaced by a guess. A Reader is used by one goroutine, once.
+// Package settings reads a program's settings from flags and from the settings file that a flag
+// names; flags take precedence (docs/DESIGN.md, section 10.2). All faults are reported together,
+// each with its remedy; an invalid value is never replaced by a guess. A Reader is used once, by one
+// goroutine.
 package settings
 
 import (
@@ -19,7 +20,7 @@
 // exitCodeBadSettings is the exit code of a program whose settings have faults.
 const exitCodeBadSettings = 2
 
-// Reader reads settings and gathers their faults.
+// Reader reads settings and collects their faults.
 type Reader struct {
 	Flags *flag.FlagSet
 	// Warnings is where the use of a setting's former name is reported; standard error by default.
@@ -28,7 +29,7 @@
 	checks   []func()
 }
 
-// New makes a reader for a program.
+// New returns a reader for a program.
 func New(program string) *Reader {
 	flags := flag.NewFlagSet(program, flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
@@ -36,22 +37,22 @@
 	return &Reader{Flags: flags, Warnings: os.Stderr}
 }
 
-// Faultf reports a fault in the settings. The text names the setting and the remedy.
+// Faultf reports a fault in the settings. The text must name the setting and the remedy.
 func (r *Reader) Faultf(format string, args ...any) {
 	r.faults = append(r.faults, fmt.Sprintf(format, args...))
 }
 
-// AddCheck adds a check that runs once all settings are read, and reports faults by Faultf.
+// AddCheck adds a check that runs once all settings are read, and reports faults with Faultf.
 func (r *Reader) AddCheck(check func()) { r.checks = append(r.checks, check) }
 
-// CheckAddress reports a setting that is no IP address with a port.
+// CheckAddress reports a setting that is not an IP address with a port.
 func (r *Reader) CheckAddress(name, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		r.Faultf("-%s %q: not an IP number with a port; write for example 127.0.0.1:7100", name, value)
 	}
 }
 
-// Int adds a whole number with its default value and its bounds.
+// Int adds a whole number with its default value and its inclusive bounds.
 func (r *Reader) Int(target *int64, name string, value, lowest, highest int64, usage string) {
 	r.Flags.Int64Var(target, name, value, usage)
 	r.AddCheck(func() {
@@ -66,14 +67,14 @@
 func (r *Reader) Parse(args []string) error {
 	err := ff.Parse(r.Flags, args, ff.WithConfigFileFlag("settings"), ff.WithConfigFileParser(ff.PlainParser))
 	if err != nil {
-		r.Faultf("%v; see -help for the settings there are", err)
+		r.Faultf("%v; see -help for the available settings", err)
 	} else {
 		for _, check := range r.checks {
 			check()
 		}
 	}
 	if unexpected := r.Flags.Args(); len(unexpected) > 0 {
-		r.Faultf("arguments that are no settings: %s; remove them", strings.Join(unexpected, " "))
+		r.Faultf("unexpected arguments: %s; remove them", strings.Join(unexpected, " "))
 	}
 	if len(r.faults) == 0 {
 		return nil
@@ -86,8 +87,8 @@
 	}
 }
 
-// MustParse is Parse for a program: it prints the settings where help is asked for, and otherwise
-// ends the program with every fault on standard error.
+// MustParse is Parse for a program's main function. If help is requested, it prints the settings and
+// exits; if the settings have faults, it prints them all on standard error and exits.
 func (r *Reader) MustParse(args []string) {
 	if isHelpRequested(args) {
 		r.printHelp(os.Stdout)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -18,7 +18,7 @@
 	return r, &c, &number
 }
 
-// Every fault is named at once, each with its remedy.
+// All faults are reported together, each with its remedy.
 func TestAllFaultsAreReported(t *testing.T) {
 	r, _, _ := reader()
 	err := r.Parse([]string{"-peer", "localhost:1", "-seeds", "127.0.0.1:1,nonsense", "-number", "11", "stray"})
@@ -28,7 +28,7 @@
 	all := strings.Join(errs.Of(err).Faults, "\n")
 	for _, word := range []string{"-zone is missing", "-peer \"localhost:1\"", "-http", "-seeds \"nonsense\"", "names 2 addresses", "-data is missing", "-number 11", "stray"} {
 		if !strings.Contains(all, word) {
-			t.Errorf("no fault says %q in:\n%s", word, all)
+			t.Errorf("no fault contains %q in:\n%s", word, all)
 		}
 	}
 }
--- a/internal/storage/archive.go
+++ b/internal/storage/archive.go
@@ -8,23 +8,23 @@
 	"tuliprudder/internal/machine"
 )
 
-// Archive holds files of finished records beside a Folder, to be read back one by one. Put is
-// called from the goroutine that writes the Folder; Get and Delete may be called from any.
+// Archive stores finished records in files beside a Folder, from which they are read individually.
+// Put is called from the goroutine that writes the Folder; Get and Delete may be called from any.
 type Archive struct {
-	folder *Folder // gives paths and reads files; it has no versions of its own
-	// initialFiles are the files that were there at the start.
+	folder *Folder // builds paths and reads files; it has no versions of its own
+	// initialFiles are the files that existed at the start.
 	initialFiles []uint64
 	lastFile     uint64
 
-	mu sync.Mutex // guards what follows
-	// The file that was read last stays decoded, for readers page through the records of one file.
-	// cachedRecords are its records' bodies by unit; nil where none is cached.
+	mu sync.Mutex // guards the fields below
+	// The file that was read last stays decoded, because readers page through the records of one
+	// file. cachedRecords are its records' bodies by unit; nil if no file is cached.
 	cachedFile    uint64
 	cachedRecords map[string][]byte
 }
 
-// OpenArchive opens an archive and removes files that were never completed. It makes the folder
-// where there is none. The error is a WriteError or an errs.Corrupt.
+// OpenArchive opens an archive and removes files that were never completed. It creates the folder if
+// there is none. The error is a WriteError or an errs.Corrupt.
 func OpenArchive(folder string) (*Archive, error) { return OpenArchiveOn(localFiles{}, folder) }
 
 // OpenArchiveOn is OpenArchive on another file system.
@@ -34,12 +34,12 @@
 	}
 	names, err := files.List(folder)
 	if err != nil {
-		return nil, errs.New(errs.Corrupt, damagedDiskRemedy, "the archive's folder can't be listed: %v", err)
+		return nil, errs.New(errs.Corrupt, damagedDiskRemedy, "the archive folder can't be listed: %v", err)
 	}
 	archive := &Archive{folder: &Folder{files: files, folder: folder}}
 	for _, name := range names {
 		if filepath.Ext(name) == temporarySuffix {
-			_ = files.Remove(filepath.Join(folder, name)) // no reader opens one that remains
+			_ = files.Remove(filepath.Join(folder, name)) // if it remains, no reader opens it
 			continue
 		}
 		file, err := versionOfName(name)
@@ -52,14 +52,14 @@
 	return archive, nil
 }
 
-// Files lists the numbers of the files that were there at the start.
+// Files returns the numbers of the files that existed at the start.
 func (a *Archive) Files() []uint64 { return a.initialFiles }
 
-// LastFile is the highest of Files, 0 where there were none.
+// LastFile returns the highest of Files, or 0 if there were none.
 func (a *Archive) LastFile() uint64 { return a.lastFile }
 
-// Put makes a file of records durable; each record has a unit of its own. The write is counted by
-// counts. The error is a WriteError where the disk refused it.
+// Put writes records to a durable file; each record must have a different unit. The write is counted
+// in counts. The error is a WriteError if the disk refused the write.
 func (a *Archive) Put(file uint64, records []machine.Record, counts *Folder) error {
 	data, err := encodeFile(records)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// Get reads the body of one record. The error is an errs.Corrupt.
+// Get returns the body of one record. The error is an errs.Corrupt.
 func (a *Archive) Get(file uint64, unit string) ([]byte, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -81,12 +81,12 @@
 	}
 	body, ok := a.cachedRecords[unit]
 	if !ok {
-		return nil, errs.New(errs.Corrupt, damagedDiskRemedy, "the archive's file %d does not have %s", file, unit)
+		return nil, errs.New(errs.Corrupt, damagedDiskRemedy, "archive file %d does not contain %s", file, unit)
 	}
 	return body, nil
 }
 
-// load decodes a file into the cache. a.mu is held.
+// load decodes a file into the cache. a.mu must be held.
 func (a *Archive) load(file uint64) error {
 	if a.cachedRecords != nil && a.cachedFile == file {
 		return nil
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// Delete removes files. Those that remain are found unused at the next start.
+// Delete removes files. One that can't be removed is found to be unused at the next start.
 func (a *Archive) Delete(files []uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/storage/archive_test.go
+++ b/internal/storage/archive_test.go
@@ -11,7 +11,8 @@
 
 const archiveFolder = "/data/shelf"
 
-// An archive gives back what was put into it, after a restart as well, and reports damage.
+// After a failed write and a restart, an archive has exactly the records that were put completely. A
+// record that it does not have is reported as damage.
 func TestArchiveIsReadBack(t *testing.T) {
 	folder := t.TempDir()
 	counts, _ := open(t, t.TempDir())
@@ -25,17 +26,17 @@
 	}
 	archive.folder.BeforeStep = failAtStep(stepRename)
 	if err := archive.Put(8, records, counts); !errors.Is(err, errInjected) {
-		t.Fatalf("the write did not fail with the cut: %v", err)
+		t.Fatalf("the write did not return the injected error: %v", err)
 	}
 	again, err := OpenArchive(folder)
 	if err != nil || again.LastFile() != 7 || len(again.Files()) != 1 {
-		t.Fatalf("after the cut it has %v: %v", again.Files(), err)
+		t.Fatalf("after the failed write it has %v: %v", again.Files(), err)
 	}
 	if body, err := again.Get(7, "b-2"); err != nil || string(body) != "two" {
 		t.Fatalf("read back %q: %v", body, err)
 	}
 	if _, err := again.Get(7, "b-3"); !errs.Is(err, errs.Corrupt) {
-		t.Fatalf("a record that is not there: %v", err)
+		t.Fatalf("reading a record that does not exist: %v", err)
 	}
 	again.Delete([]uint64{7})
 	if _, err := again.Get(7, "b-1"); err == nil {
@@ -43,8 +44,8 @@
 	}
 }
 
-// An archive after every loss of power: a file that was acknowledged is there, complete, and one
-// that was not is there complete or not at all.
+// After every possible power loss, a file that was acknowledged exists and is complete, and one that
+// was not acknowledged is complete or absent.
 func TestArchiveAfterEveryPowerLoss(t *testing.T) {
 	for cut, completed := 1, false; !completed; cut++ {
 		disk, put, all := putUntilPowerCut(t, cut)
@@ -57,7 +58,7 @@
 
 var archivedRecords = []machine.Record{{Unit: "b-1", Body: []byte("one")}}
 
-// putUntilPowerCut puts two files; the power is cut before an operation.
+// putUntilPowerCut puts two files; the power is cut before the operation with the number cut.
 func putUntilPowerCut(t *testing.T, cut int) (disk *memoryDisk, put []uint64, completed bool) {
 	t.Helper()
 	disk = newMemoryDisk()
@@ -90,7 +91,7 @@
 		t.Fatalf("%s: %v", what, err)
 	}
 	if len(archive.Files()) < len(put) {
-		t.Fatalf("%s: %v were acknowledged, %v are there", what, put, archive.Files())
+		t.Fatalf("%s: %v were acknowledged, %v exist", what, put, archive.Files())
 	}
 	for _, file := range archive.Files() {
 		if body, err := archive.Get(file, "b-1"); err != nil || string(body) != "one" {
--- a/internal/storage/atomic_write.go
+++ b/internal/storage/atomic_write.go
@@ -5,8 +5,8 @@
 	"path/filepath"
 )
 
-// StepHook is called before each step of a write with the step's name (see WriteError.Step); an
-// error of it fails the step.
+// StepHook is called before each step of a write with the step's name (see WriteError.Step). If it
+// returns an error, the step fails.
 type StepHook func(step string) error
 
 func (h StepHook) before(step string) error {
@@ -16,23 +16,23 @@
 	return h(step)
 }
 
-// WriteFileAtomically makes a file durable, or leaves the one of that name as it was. The error is
-// a WriteError.
+// WriteFileAtomically writes a file durably, or leaves an existing file of that name unchanged. The
+// error is a WriteError; if its step is the sync of the folder, the new file may already be in place.
 func WriteFileAtomically(name string, data []byte) error {
 	return writeFileAtomically(localFiles{}, name, data, nil)
 }
 
-// writeFileAtomically makes a file durable in four steps:
+// writeFileAtomically writes a file durably in four steps:
 //
-//  1. Write the contents under a temporary name. The file of the final name stays as it was.
-//  2. Sync the temporary file, so that its contents are on disk before its name is final: a loss
-//     of power could otherwise leave the final name with no or partial contents.
-//  3. Rename it. The final name means the old file or the new one, never a mixture.
-//  4. Sync the folder. Until then a loss of power may take the rename back.
+//  1. Write the contents under a temporary name. The file with the final name is unchanged.
+//  2. Sync the temporary file, so that its contents are on disk before its name is final: a power
+//     loss could otherwise leave the final name with no or partial contents.
+//  3. Rename it. The final name refers to the old file or the new one, never to a mixture.
+//  4. Sync the folder. Until then a power loss may undo the rename.
 //
-// When a step up to the rename fails, the temporary file is removed, so that it takes no room on
-// a disk that may be full, and the name means what it meant before. When the sync of the folder
-// fails the new file may be there already; it is complete, and a retry writes it again.
+// If a step up to the rename fails, the temporary file is removed, so that it takes no space on a
+// disk that may be full, and the file with the final name is unchanged. If the sync of the folder
+// fails, the new file may already be in place; it is complete, and a retry writes it again.
 func writeFileAtomically(files FileSystem, name string, data []byte, hook StepHook) error {
 	temporary := name + temporarySuffix
 	if err := writeSynced(files, temporary, data, hook); err != nil {
@@ -84,7 +84,7 @@
 	return err
 }
 
-// syncAndClose syncs a file and closes it in any case.
+// syncAndClose syncs a file and closes it, even if the sync fails.
 func syncAndClose(file File, hook StepHook) error {
 	err := hook.before(stepSync)
 	if err == nil {
@@ -96,14 +96,15 @@
 	return err
 }
 
-// MakeFolder makes a folder, and those above it. The error is a WriteError.
+// MakeFolder creates a folder and its parents. The error is a WriteError.
 func MakeFolder(name string) error {
 	return newWriteError(stepMakeFolder, localFiles{}.MakeFolder(name))
 }
 
-// syncFolderNames makes a folder durable, and all names in it. An earlier process that was killed
-// may have left names that a loss of power would still take back, one by one: a file that is read
-// now might be gone later, or one that is removed now might come back alone.
+// syncFolderNames creates a folder if there is none, and makes it and all names in it durable. An
+// earlier process that was killed may have left changes of names that a power loss can still undo,
+// each independently of the others: a file that is read now might be gone later, or one that is
+// removed now might reappear without the others.
 func syncFolderNames(files FileSystem, folder string) error {
 	if err := files.MakeFolder(folder); err != nil {
 		return newWriteError(stepMakeFolder, err)
--- a/internal/storage/file_format.go
+++ b/internal/storage/file_format.go
@@ -14,16 +14,16 @@
 
 // A file is a header and a body. The header has the format, the CRC-32 (IEEE) of the body and the
 // body's length, four bytes each, big-endian. In formatV2 the body has for each record its head,
-// the JSON of the record without its Body, and then the Body as it is; each with its length
-// before it as an unsigned varint. In formatV1 the body is the JSON of all records.
+// which is the JSON of the record without its Body, and then the raw Body; each is preceded by its
+// length as an unsigned varint. In formatV1 the body is the JSON of all records.
 const (
 	formatSize   = 4
 	checksumEnd  = formatSize + 4
 	headerSize   = checksumEnd + 4
-	formatFamily = "TRV" // begins the format of every release
+	formatFamily = "TRV" // the prefix of every release's format
 )
 
-// typicalHeadSize is about what a record's head takes, in bytes.
+// typicalHeadSize is the approximate size of a record's head, in bytes.
 const typicalHeadSize = 128
 
 // encodeFile writes records as a file of formatV2.
@@ -53,7 +53,7 @@
 	return append(binary.AppendUvarint(out, uint64(len(data))), data...)
 }
 
-// decodeFile reads the records of a file in either format. A file of another release's format is
+// decodeFile decodes the records of a file in either format. A file in another release's format is
 // an errs.WrongFolder; any other deviation is an errs.Corrupt.
 func decodeFile(name string, data []byte) ([]machine.Record, error) {
 	if len(data) < headerSize {
@@ -62,10 +62,10 @@
 	format := string(data[:formatSize])
 	isKnown := slices.Contains([]string{formatV1, formatV2}, format)
 	if !isKnown && format[:len(formatFamily)] == formatFamily {
-		return nil, errs.New(errs.WrongFolder, "run the release that wrote it, or its neighbour", "file %s is of format %s, this release reads %s", name, format, formatV2)
+		return nil, errs.New(errs.WrongFolder, "run the release that wrote it, or the one before or after it", "file %s has format %s; this release reads %s", name, format, formatV2)
 	}
 	if !isKnown {
-		return nil, errs.New(errs.Corrupt, damagedDiskRemedy, "file %s is no record file", name)
+		return nil, errs.New(errs.Corrupt, damagedDiskRemedy, "file %s is not a record file", name)
 	}
 	body := data[headerSize:]
 	checksum := binary.BigEndian.Uint32(data[formatSize:checksumEnd])
@@ -109,11 +109,11 @@
 	return records, nil
 }
 
-// splitWithLength splits off the first part of some data that has its length before it.
+// splitWithLength splits off the first part of data, which is preceded by its length.
 func splitWithLength(data []byte) (part, rest []byte, err error) {
 	size, n := binary.Uvarint(data)
 	if n <= 0 || size > uint64(len(data)-n) {
-		return nil, nil, errors.New("a record is cut short")
+		return nil, nil, errors.New("a record is truncated")
 	}
 	end := n + int(size)
 	return data[n:end:end], data[end:], nil
--- a/internal/storage/file_format_test.go
+++ b/internal/storage/file_format_test.go
@@ -32,11 +32,11 @@
 	return folder
 }
 
-// A version that was durable and does not match its checksum is damage: Open reports it and
-// guesses nothing.
+// A file that was durable and is damaged in any way is reported as corrupt; Open does not skip or
+// repair it.
 func TestDamagedFileIsReportedAsCorrupt(t *testing.T) {
 	for name, damage := range map[string]func(data []byte) []byte{
-		"a bit":     func(data []byte) []byte { data[len(data)/2] ^= 1; return data },
+		"one bit":   func(data []byte) []byte { data[len(data)/2] ^= 1; return data },
 		"cut short": func(data []byte) []byte { return data[:len(data)-3] },
 		"emptied":   func([]byte) []byte { return nil },
 		"foreign":   func([]byte) []byte { return []byte("something else altogether") },
@@ -50,7 +50,7 @@
 	}
 }
 
-// A file of another release's format is not taken for damage, nor read.
+// A file in another release's format is neither read nor reported as damaged.
 func TestFileOfAnotherReleaseIsRejected(t *testing.T) {
 	folder := changeGroup(t, func(data []byte) []byte { data[formatSize-1] = '9'; return data })
 	if _, _, err := Open(folder); !errs.Is(err, errs.WrongFolder) {
@@ -58,7 +58,8 @@
 	}
 }
 
-// A folder that the first release wrote is read, and goes on in the new format.
+// A folder that the first release wrote, in formatV1, is read, and new versions are written to it in
+// formatV2.
 func TestFormatV1IsRead(t *testing.T) {
 	folder := t.TempDir()
 	want := []machine.Record{{Unit: "u", Kind: "k", Epoch: 3, Seq: 4, Body: []byte("old")}}
--- a/internal/storage/filesystem.go
+++ b/internal/storage/filesystem.go
@@ -7,24 +7,24 @@
 	"github.com/pkg/errors"
 )
 
-// FileSystem is all that this package asks of a disk. Tests give one that fails any operation,
-// and that loses its power between any two.
+// FileSystem has the file operations that this package needs. Tests use an implementation that fails
+// any operation, and that simulates a power loss between any two.
 type FileSystem interface {
-	// MakeFolder makes a folder and those above it; one that is there is no error.
+	// MakeFolder creates a folder and its parents; it is no error if the folder exists.
 	MakeFolder(name string) error
-	// List gives the names in a folder.
+	// List returns the names in a folder.
 	List(folder string) ([]string, error)
 	Read(name string) ([]byte, error)
-	// Create makes a file, or empties the one that is there.
+	// Create creates a file, or truncates an existing one.
 	Create(name string) (File, error)
-	// Rename renames a file atomically, in place of one that has the new name.
+	// Rename renames a file atomically, and replaces a file that has the new name.
 	Rename(from, to string) error
 	Remove(name string) error
-	// SyncFolder makes the names in a folder durable: those made, renamed and removed before.
+	// SyncFolder makes all earlier creations, renames and removals of names in a folder durable.
 	SyncFolder(name string) error
 }
 
-// File is a file that is being written.
+// File is a file that is open for writing.
 type File interface {
 	io.Writer
 	// Sync makes the contents durable.
@@ -32,7 +32,7 @@
 	Close() error
 }
 
-// localFiles is the machine's own file system.
+// localFiles is the local file system.
 type localFiles struct{}
 
 func (localFiles) MakeFolder(name string) error         { return os.MkdirAll(name, 0o755) }
--- a/internal/storage/folder.go
+++ b/internal/storage/folder.go
@@ -12,19 +12,19 @@
 	"tuliprudder/internal/machine"
 )
 
-// Folder is the log of one data folder: versions with increasing numbers, each of them the file
-// of a commit group or of a snapshot. All methods are called from one goroutine; the counters may
-// be read from any.
+// Folder is the log of one data folder: versions with increasing numbers, each of them the file of a
+// commit group or of a snapshot. All methods must be called from one goroutine; the counters may be
+// read from any.
 type Folder struct {
 	files       FileSystem
 	folder      string
 	nextVersion uint64
 	// covered are the paths of the files that the next snapshot replaces.
 	covered []string
-	// Syncs and Bytes count the syncs and the written bytes that the disk was asked for.
+	// Syncs and Bytes count the syncs and the bytes of the writes that succeeded.
 	Syncs, Bytes atomic.Int64
-	// BeforeStep, where set, is called before each step of a write, and an error of it fails the
-	// step. It is set by tests only.
+	// BeforeStep, if set, is called before each step of a write; if it returns an error, the step
+	// fails. Only tests and builds with planted faults (cmd/store) set it.
 	BeforeStep StepHook
 }
 
@@ -32,8 +32,8 @@
 // missing, and only the other replicas have the data.
 const damagedDiskRemedy = "this disk is damaged: move the whole data folder away and start with an empty one; the data is copied from the other replicas"
 
-// Open reads a folder back: the records of the newest snapshot and then of the commit groups
-// after it. It makes the folder where there is none. The error is a WriteError where the folder
+// Open reads the records of a folder: those of the newest snapshot and then those of the commit
+// groups after it. It creates the folder if there is none. The error is a WriteError if the folder
 // can't be prepared, and otherwise errs.Corrupt or errs.WrongFolder.
 func Open(folder string) (*Folder, []machine.Record, error) {
 	return OpenOn(localFiles{}, folder)
@@ -41,7 +41,7 @@
 
 // OpenOn is Open on another file system.
 func OpenOn(files FileSystem, folder string) (*Folder, []machine.Record, error) {
-	// The versions that a snapshot replaces must not be removed for good while the snapshot's own
+	// The versions that a snapshot replaces must not be removed durably while the snapshot's own
 	// name may still be lost.
 	if err := syncFolderNames(files, folder); err != nil {
 		return nil, nil, err
@@ -62,8 +62,8 @@
 	return f, append(records, appended...), nil
 }
 
-// readSnapshot reads the newest snapshot and removes the older ones, which it replaces. base is
-// its version, 0 where there is none.
+// readSnapshot reads the newest snapshot and removes the older ones, which it replaces. base is its
+// version, or 0 if there is none.
 func (f *Folder) readSnapshot(snapshots []uint64) (records []machine.Record, base uint64, err error) {
 	if len(snapshots) == 0 {
 		return nil, 0, nil
@@ -79,18 +79,18 @@
 	return records, base, nil
 }
 
-// readGroups reads the commit groups after the snapshot of version base, and removes those
-// before, which it replaces.
+// readGroups reads the commit groups after the snapshot of version base, and removes the earlier
+// ones, which the snapshot replaces.
 func (f *Folder) readGroups(groups []uint64, base uint64) ([]machine.Record, error) {
 	first := sort.Search(len(groups), func(i int) bool { return groups[i] >= base })
 	f.remove(groups[:first], groupSuffix)
 	var records []machine.Record
 	for _, version := range groups[first:] {
-		// Where the sync of the folder failed after a snapshot's rename, the snapshot is there
-		// and the commit group after it was given the same version.
+		// If the sync of the folder failed after a snapshot's rename, the snapshot exists and the
+		// commit group after it has the same version.
 		isNext := version == f.nextVersion || version == base
 		if !isNext {
-			return nil, errs.New(errs.Corrupt, damagedDiskRemedy, "version %016x is missing: %016x is the next one there", f.nextVersion, version)
+			return nil, errs.New(errs.Corrupt, damagedDiskRemedy, "version %016x is missing: %016x is the next one that exists", f.nextVersion, version)
 		}
 		group, err := f.read(version, groupSuffix)
 		if err != nil {
@@ -103,11 +103,11 @@
 	return records, nil
 }
 
-// versionList has the versions of a folder's files, in order.
+// versionList has the versions of a folder's files, in ascending order.
 type versionList struct{ groups, snapshots []uint64 }
 
-// listVersions lists the versions that are there, and removes temporary files. Files of other
-// suffixes are left alone.
+// listVersions lists the versions that exist, and removes temporary files. Files with other suffixes
+// are ignored.
 func listVersions(files FileSystem, folder string) (versions versionList, err error) {
 	names, err := files.List(folder)
 	if err != nil {
@@ -117,7 +117,7 @@
 		var list *[]uint64
 		switch filepath.Ext(name) {
 		case temporarySuffix:
-			_ = files.Remove(filepath.Join(folder, name)) // no reader opens one that remains
+			_ = files.Remove(filepath.Join(folder, name)) // if it remains, no reader opens it
 			continue
 		case groupSuffix:
 			list = &versions.groups
@@ -137,10 +137,10 @@
 	return versions, nil
 }
 
-// versionOfName reads the version in a file's name.
+// versionOfName parses the version in a file's name.
 func versionOfName(name string) (version uint64, err error) {
 	if _, err := fmt.Sscanf(strings.TrimSuffix(name, filepath.Ext(name)), "%016x", &version); err != nil {
-		return 0, errs.New(errs.Corrupt, "move the file out of the data folder", "the name of file %s is no version", name)
+		return 0, errs.New(errs.Corrupt, "move the file out of the data folder", "the name of file %s is not a version", name)
 	}
 	return version, nil
 }
@@ -149,7 +149,8 @@
 	return filepath.Join(f.folder, fmt.Sprintf("%016x%s", version, suffix))
 }
 
-// remove removes files that a snapshot replaces. One that remains is removed at the next start.
+// remove removes files that a snapshot replaces. One that can't be removed now is removed at the next
+// start.
 func (f *Folder) remove(versions []uint64, suffix string) {
 	for _, version := range versions {
 		_ = f.files.Remove(f.path(version, suffix))
@@ -166,12 +167,12 @@
 	return decodeFile(filepath.Base(path), data)
 }
 
-// Write makes the records of one commit group durable. After a WriteError the same or another
-// write may be tried: it takes the same version.
+// Write makes the records of one commit group durable. After a WriteError the same or another write
+// may be tried; it gets the same version.
 func (f *Folder) Write(records []machine.Record) error { return f.write(records, groupSuffix) }
 
 // Compact writes a snapshot that replaces all versions so far, and then removes them. After a
-// WriteError all versions remain; a snapshot of the records of a later time may be tried then.
+// WriteError all versions remain, and a snapshot of this or a later state may be tried.
 func (f *Folder) Compact(records []machine.Record) error {
 	replaced := f.covered
 	if err := f.write(records, snapshotSuffix); err != nil {
@@ -187,8 +188,8 @@
 	return nil
 }
 
-// write makes the next version durable. The version only advances when it is: where the sync of
-// the folder failed the file may be there, and the next write replaces it under the same name.
+// write makes the next version durable. nextVersion advances only on success: if the sync of the
+// folder failed, the file may exist, and the next write replaces it under the same name.
 func (f *Folder) write(records []machine.Record, suffix string) error {
 	data, err := encodeFile(records)
 	if err != nil {
--- a/internal/storage/folder_test.go
+++ b/internal/storage/folder_test.go
@@ -25,9 +25,9 @@
 	return opened, records
 }
 
-var errInjected = errors.New("power cut")
+var errInjected = errors.New("injected failure")
 
-// failAtStep fails one step of a write.
+// failAtStep returns a hook that fails one step of a write.
 func failAtStep(step string) StepHook {
 	return func(now string) error {
 		if now == step {
@@ -37,8 +37,8 @@
 	}
 }
 
-// The power fails at each step of a write: what was durable before is there, and of the new
-// version all or nothing.
+// A write fails at each of its steps: the versions that were durable before are read back, and the
+// new version is read back completely or not at all.
 func TestFailureAtEachWriteStep(t *testing.T) {
 	write := func(f *Folder) error { return f.Write(entry(4)) }
 	compact := func(f *Folder) error { return f.Compact(entry(3)) }
@@ -51,7 +51,7 @@
 		{stepWrite, "Write", write, 3},
 		{stepSync, "Write", write, 3},
 		{stepRename, "Write", write, 3},
-		{stepSyncFolder, "Write", write, 4}, // the rename is there, though not acknowledged
+		{stepSyncFolder, "Write", write, 4}, // the rename took effect, but was not acknowledged
 		{stepWrite, "Compact", compact, 3},
 		{stepSync, "Compact", compact, 3},
 		{stepRename, "Compact", compact, 3},
@@ -67,7 +67,7 @@
 			}
 			opened.BeforeStep = failAtStep(test.step)
 			if err := test.attempt(opened); !errors.Is(err, errInjected) {
-				t.Fatalf("the write did not fail with the cut: %v", err)
+				t.Fatalf("the write did not return the injected error: %v", err)
 			}
 			again, records := open(t, folder)
 			if len(records) != test.want {
@@ -77,10 +77,10 @@
 				t.Fatalf("temporary files remain: %v", files)
 			}
 			if err := again.Write(entry(5)); err != nil {
-				t.Fatalf("no write after the cut: %v", err)
+				t.Fatalf("the write after the failed one: %v", err)
 			}
 			if _, more := open(t, folder); len(more) != len(records)+1 {
-				t.Fatal("the write after the cut is not read back")
+				t.Fatal("the write after the failed one is not read back")
 			}
 		})
 	}
@@ -109,7 +109,7 @@
 	}
 }
 
-// A version that is gone from the middle was acknowledged: that is damage.
+// A version that is missing before a later one had been acknowledged, so the folder is damaged.
 func TestMissingVersionIsCorrupt(t *testing.T) {
 	disk := newMemoryDisk()
 	folder, _, err := OpenOn(disk, dataFolder)
@@ -129,8 +129,8 @@
 	}
 }
 
-// The disk fails each operation of a write: the write is one that may be retried, leaves no
-// temporary file, and the retry is complete.
+// The disk fails each operation of a write: the write returns a WriteError and leaves no temporary
+// file, and a retry succeeds.
 func TestDiskErrorAtEachOperation(t *testing.T) {
 	for _, cause := range []error{syscall.ENOSPC, syscall.EIO} {
 		for _, operation := range []string{"create", "write", "sync", "close", "rename", "sync folder"} {
@@ -143,7 +143,7 @@
 	}
 }
 
-// diskWithOneEntry is a disk with a folder that has one commit group.
+// diskWithOneEntry returns a disk with a folder that has one commit group.
 func diskWithOneEntry(t *testing.T) (*memoryDisk, *Folder) {
 	t.Helper()
 	disk := newMemoryDisk()
@@ -171,7 +171,7 @@
 	disk.before = nil
 	for name := range disk.names {
 		if filepath.Ext(name) == temporarySuffix {
-			t.Fatalf("%s takes room that is needed", name)
+			t.Fatalf("%s remains and takes disk space", name)
 		}
 	}
 	if found, err := readBack(disk.afterKill()); err != nil || found < 1 {
@@ -185,7 +185,7 @@
 	}
 }
 
-// A write that takes only some of the bytes, and reports no error, is not taken for complete.
+// A write that writes only some of the bytes, and reports no error, is not treated as complete.
 func TestShortWriteIsAnError(t *testing.T) {
 	disk := newMemoryDisk()
 	folder, _, err := OpenOn(disk, dataFolder)
@@ -201,8 +201,8 @@
 	}
 }
 
-// What can't be read back is damage and never an error to be retried; what can't be prepared for
-// writing is no damage.
+// A failure to read the folder is reported as damage and not as a retryable write error; a failure
+// to prepare it for writing is a write error and not damage.
 func TestReadErrorIsCorruptAndWriteErrorIsRetryable(t *testing.T) {
 	for operation, isDamage := range map[string]bool{"list": true, "read": true, "make folder": false, "sync folder": false} {
 		t.Run(operation, func(t *testing.T) {
--- a/internal/storage/memory_disk_test.go
+++ b/internal/storage/memory_disk_test.go
@@ -7,17 +7,16 @@
 	"sort"
 )
 
-// memoryDisk is a file system in memory that knows what a loss of power takes:
-// each name that was made, renamed or removed is kept or lost by itself until its
-// folder is synced, and what was written to a file after its last sync is there,
-// missing or torn.
+// memoryDisk is an in-memory file system that simulates power loss: until its folder is synced, each
+// creation, rename and removal of a name is kept or lost independently, and data written to a file
+// after its last sync is present, missing or torn.
 type memoryDisk struct {
 	names   map[string]*inode // as a running program sees it
-	durable map[string]*inode // as it is after a loss of power that takes all it can
+	durable map[string]*inode // as it is after a power loss that undoes all pending changes
 	pending []nameChange      // not durable yet, oldest first
-	// before, where set, is called before each operation; an error fails it.
+	// before, if set, is called before each operation; an error fails the operation.
 	before func(operation, name string) error
-	// shortWrite, when set, has the next write take only half of its bytes.
+	// shortWrite, when set, makes the next write write only half of its bytes.
 	shortWrite bool
 }
 
@@ -27,7 +26,7 @@
 	data, synced []byte
 }
 
-// nameChange is one operation on a name, which a loss of power keeps or takes back.
+// nameChange is one operation on a name, which a power loss keeps or undoes.
 type nameChange struct {
 	folder string
 	apply  func(names map[string]*inode)
@@ -175,7 +174,7 @@
 
 func (f *memoryFile) Write(data []byte) (int, error) {
 	if err := f.disk.beforeOperation("write", f.name); err != nil {
-		f.inode.data = append(f.inode.data, data[:len(data)/2]...) // some of it was written
+		f.inode.data = append(f.inode.data, data[:len(data)/2]...) // a partial write
 		return len(data) / 2, err
 	}
 	if f.disk.shortWrite {
@@ -186,7 +185,7 @@
 	return len(data), nil
 }
 
-// Sync makes the file durable; a new file's name lasts through its own sync.
+// Sync makes the file durable, and with it the name of a new file.
 func (f *memoryFile) Sync() error {
 	if err := f.disk.beforeOperation("sync", f.name); err != nil {
 		return err
@@ -200,9 +199,9 @@
 
 func (f *memoryFile) Close() error { return f.disk.beforeOperation("close", f.name) }
 
-// afterPowerLoss lists all disks that a loss of power may leave: each change of a
-// name that was not made durable is kept or lost by itself, and each file that was
-// not synced holds what was synced, all that was written, or a torn half of it.
+// afterPowerLoss returns all disks that a power loss may leave: each change of a name that was not
+// made durable is kept or lost independently, and the files that were not synced contain what was
+// synced, all that was written, or a torn half of it.
 func (d *memoryDisk) afterPowerLoss() []*memoryDisk {
 	var out []*memoryDisk
 	for kept := 0; kept < 1<<len(d.pending); kept++ {
@@ -223,8 +222,7 @@
 	return out
 }
 
-// diskOf makes a disk of names that are all durable. Of a folder that is lost all
-// files are lost.
+// diskOf returns a disk on which all names are durable. The files of a lost folder are lost too.
 func diskOf(names map[string]*inode, contents func(unsynced *inode) []byte) *memoryDisk {
 	disk := &memoryDisk{names: map[string]*inode{}}
 	for name, file := range names {
@@ -241,8 +239,8 @@
 	return disk
 }
 
-// afterKill is the disk as the next start of a killed program sees it: nothing is
-// lost, and nothing more is durable. The receiver is left as it is.
+// afterKill returns the disk as the next start of a killed program sees it: nothing is lost, and
+// nothing more is durable. The receiver is not changed.
 func (d *memoryDisk) afterKill() *memoryDisk {
 	return &memoryDisk{names: copyNames(d.names), durable: copyNames(d.durable), pending: append([]nameChange(nil), d.pending...)}
 }
--- a/internal/storage/power_loss_test.go
+++ b/internal/storage/power_loss_test.go
@@ -8,14 +8,14 @@
 	"tuliprudder/internal/machine"
 )
 
-// versionRecord is the record of a version that has entry n; a snapshot, of kind "view", has all
+// versionRecord returns the record of a version with entry n; a snapshot, of kind "view", has all
 // entries up to n.
 func versionRecord(kind string, n uint64) []machine.Record {
 	return []machine.Record{{Unit: "u", Kind: kind, Seq: n, Body: []byte(fmt.Sprint("body of ", n))}}
 }
 
-// lastEntry is the last entry of the records that were read back; there must be no gap, and nothing
-// twice but what a snapshot replaces.
+// lastEntry returns the last entry of the records that were read back. A gap is an error, and so is
+// a duplicate, except of entries that a snapshot replaces.
 func lastEntry(records []machine.Record) (last uint64, err error) {
 	for _, record := range records {
 		switch {
@@ -31,7 +31,7 @@
 }
 
 // diskWorkload writes entries and compacts them, as a daemon's disk writer does: a write that fails
-// is retried, a snapshot that fails is given up.
+// is retried, a snapshot that fails is abandoned.
 type diskWorkload struct {
 	steps        string // w writes an entry, c compacts
 	folder       *Folder
@@ -41,7 +41,7 @@
 
 const dataFolder = "/data/records"
 
-// run runs the program on a disk until it ends or the power is cut.
+// run runs the workload on a disk until it ends or the power is cut.
 func (w *diskWorkload) run(disk *memoryDisk) (err error) {
 	if w.folder, _, err = OpenOn(disk, dataFolder); err != nil {
 		return err
@@ -66,11 +66,12 @@
 	return nil
 }
 
-// powerCut is the panic that stops a program in the middle.
+// powerCut is the panic value that stops a workload at an operation.
 type powerCut struct{}
 
-// runUntil runs the program up to an operation, where the power is cut or the process killed; the
-// disk refuses the failing operation. It reports whether the program ran to its end.
+// runUntil runs the workload until the operation with the number cut, where the power is cut or the
+// process killed. The operation with the number failing returns cause. completed is whether the
+// workload ran to its end.
 func runUntil(t *testing.T, steps string, cut, failing int, cause error) (disk *memoryDisk, workload *diskWorkload, completed bool) {
 	t.Helper()
 	disk, workload = newMemoryDisk(), &diskWorkload{steps: steps}
@@ -94,7 +95,7 @@
 		}
 	}()
 	if err := workload.run(disk); err != nil && failing > openOperations {
-		t.Fatalf("operation %d failed, and the program did not go on: %v", failing, err)
+		t.Fatalf("operation %d failed, and the workload did not continue: %v", failing, err)
 	}
 	return disk, workload, true
 }
@@ -102,7 +103,7 @@
 // openOperations is the number of operations of the first Open, which its caller retries.
 const openOperations = 4
 
-// readBack opens a disk and gives the last entry of its records.
+// readBack opens a disk and returns the last entry of its records.
 func readBack(disk *memoryDisk) (uint64, error) {
 	_, records, err := OpenOn(disk, dataFolder)
 	if err != nil {
@@ -111,9 +112,9 @@
 	return lastEntry(records)
 }
 
-// checkEveryPowerLoss reads a disk back after every loss of power there may be, and after
-// a kill; and a second time after each of those, for what a start has read back and
-// acted on must never be lost again.
+// checkEveryPowerLoss reads a disk back after every possible power loss and after a kill, and again
+// after every possible second loss, because what a start has read back and acted on must never be
+// lost. It returns the number of disks read after a second loss.
 func checkEveryPowerLoss(t *testing.T, what string, disk *memoryDisk, workload *diskWorkload) (checked int) {
 	t.Helper()
 	starts := append(disk.afterPowerLoss(), disk.afterKill())
@@ -132,9 +133,9 @@
 	return checked
 }
 
-// The power is cut before every operation, and each name that was not made durable is kept or
-// lost by itself, in every combination: what was acknowledged is read back, without a gap, and
-// what a start has read back stays.
+// The power is cut before every operation, and each change of a name that was not made durable is
+// kept or lost independently, in every combination: all acknowledged entries are read back without a
+// gap, and what a start has read back is not lost later.
 func TestRecoveryAfterEveryPowerLoss(t *testing.T) {
 	checked := 0
 	for cut := 1; ; cut++ {
@@ -147,8 +148,8 @@
 	t.Logf("%d disks read back", checked)
 }
 
-// The same, with each single operation refused once before the power is cut: a write is retried
-// and a snapshot given up, and neither leaves anything that a later start would misread.
+// The same, with each single operation failing once before the power is cut: a write is retried and
+// a snapshot abandoned, and neither leaves anything that a later start would misread.
 func TestPowerLossAfterEachFailedOperation(t *testing.T) {
 	const steps = "wwcwcw"
 	checked, limit := 0, 0
@@ -159,11 +160,11 @@
 		}
 	}
 	for failing := openOperations + 1; failing < limit; failing++ {
-		// The operations right after the refused one retry it or clean up: cuts beyond those
-		// leave disks that TestEveryLossOfNamesIsReadBack has read back.
+		// The operations right after the failed one retry it or clean up: cuts beyond those leave
+		// disks that TestRecoveryAfterEveryPowerLoss has read back.
 		for cut := failing + 1; cut < failing+18; cut++ {
 			disk, workload, completed := runUntil(t, steps, cut, failing, syscall.ENOSPC)
-			checked += checkEveryPowerLoss(t, fmt.Sprintf("operation %d refused, cut before %d", failing, cut), disk, workload)
+			checked += checkEveryPowerLoss(t, fmt.Sprintf("operation %d failed, cut before %d", failing, cut), disk, workload)
 			if completed {
 				break
 			}
--- a/internal/storage/stored_names.go
+++ b/internal/storage/stored_names.go
@@ -1,6 +1,6 @@
 package storage
 
-// The suffixes of files in a data folder. These spellings are on disk; they never change.
+// The suffixes of files in a data folder. They are stored on disk and must not change.
 const (
 	groupSuffix     = ".group" // a commit group
 	snapshotSuffix  = ".view"
@@ -8,7 +8,7 @@
 	archiveSuffix   = ".shelf"
 )
 
-// The formats that a file begins with. These spellings are on disk; they never change.
+// The formats that a file begins with. They are stored on disk and must not change.
 const (
 	formatV1 = "TRV1"
 	formatV2 = "TRV2"
--- a/internal/storage/write_error.go
+++ b/internal/storage/write_error.go
@@ -7,11 +7,11 @@
 	"github.com/pkg/errors"
 )
 
-// WriteError says that the disk refused a write. What was durable before still is, and the same
-// write may be tried again.
+// WriteError means that the disk refused a write. Data that was durable before still is, and the
+// same write may be retried.
 type WriteError struct {
 	Step string // one of the steps of a write
-	Err  error  // what the operating system reported
+	Err  error  // the error that the operating system reported
 }
 
 // The steps of a write, in their order.
@@ -23,15 +23,15 @@
 	stepSyncFolder = "folder" // the sync of the folder
 )
 
-// Error names the step and what the operating system reported.
+// Error returns the step and the error that the operating system reported.
 func (e *WriteError) Error() string {
-	return fmt.Sprintf("the disk refused a write (step: %s): %v", e.Step, e.Err)
+	return fmt.Sprintf("write to disk failed (step: %s): %v", e.Step, e.Err)
 }
 
-// Unwrap gives what the operating system reported.
+// Unwrap returns the error that the operating system reported.
 func (e *WriteError) Unwrap() error { return e.Err }
 
-// newWriteError makes a WriteError with a stack; nil where err is nil.
+// newWriteError returns a WriteError with a stack trace, or nil if err is nil.
 func newWriteError(step string, err error) error {
 	if err == nil {
 		return nil
@@ -39,14 +39,14 @@
 	return errors.WithStack(&WriteError{Step: step, Err: err})
 }
 
-// IsWriteError reports whether an error is the disk's refusal of a write, which may be tried
-// again, and not damage.
+// IsWriteError reports whether an error is a write that the disk refused, which may be retried, as
+// opposed to damage.
 func IsWriteError(err error) bool {
 	var writeError *WriteError
 	return errors.As(err, &writeError)
 }
 
-// IsDiskFull reports whether an error says that there is no room on the disk, or in its quota.
+// IsDiskFull reports whether an error says that the disk is full, or its quota used up.
 func IsDiskFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
--- a/internal/transport/call.go
+++ b/internal/transport/call.go
@@ -12,18 +12,18 @@
 
 // callConnection is the connection that the calls to one peer share.
 type callConnection struct {
-	mu     sync.Mutex  // guards client; held while dialling, so that calls at a time dial once
-	client *rpc.Client // nil while there is none
+	mu     sync.Mutex  // guards client; held while dialling, so that concurrent calls dial only once
+	client *rpc.Client // nil if not connected
 }
 
-// Call calls another daemon and waits for the response, at most for timeout, in microseconds. An
-// errs.NotReady says that the peer could not be reached and did not receive the call; any other
+// Call calls another daemon and waits for the response for at most timeout, in microseconds. An
+// errs.NotReady means that the peer could not be reached and did not receive the call; any other
 // *errs.Error is the peer's answer. An error of another type means that the outcome is unknown.
 func (t *Transport) Call(to string, body any, timeout clock.Micros) (any, error) {
 	connection := t.connectionTo(to)
 	client, err := connection.dialOnce(func() (*rpc.Client, error) { return t.dial(to) })
 	if err != nil {
-		return nil, errs.NewWithRetry(errs.NotReady, clock.Second, "ask again; another daemon may serve it by then", "daemon at %s can't be reached: %v", to, err)
+		return nil, errs.NewWithRetry(errs.NotReady, clock.Second, "retry; another daemon may serve the request by then", "daemon at %s can't be reached: %v", to, err)
 	}
 	var reply CallReply
 	request := Envelope{From: t.self, Body: body}
@@ -37,7 +37,8 @@
 	return reply.Body, nil
 }
 
-// connectionTo finds or makes the connection of the calls to a peer; it is not dialled yet.
+// connectionTo returns the connection for calls to a peer, and adds one if there is none. It does
+// not dial.
 func (t *Transport) connectionTo(to string) *callConnection {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -49,7 +50,7 @@
 	return connection
 }
 
-// dialOnce gives the client, and dials where there is none.
+// dialOnce returns the client, and dials if there is none.
 func (c *callConnection) dialOnce(dial func() (*rpc.Client, error)) (*rpc.Client, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -73,7 +74,7 @@
 	}
 }
 
-// close closes the client where there is one.
+// close closes the client if there is one.
 func (c *callConnection) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/transport/call_test.go
+++ b/internal/transport/call_test.go
@@ -20,11 +20,12 @@
 		t.Fatalf("the next call: %v %v", got, err)
 	}
 	if _, err := local.Call(remote, testMessage{failingText}, 20*clock.Second); !errs.Is(err, errs.Busy) {
-		t.Fatalf("a typed error arrived as %v", err)
+		t.Fatalf("a typed error was returned as %v", err)
 	}
 }
 
-// A daemon that can't be reached certainly did not receive the call.
+// A call to a daemon that can't be reached fails with errs.NotReady and not errs.OutcomeUnknown: the
+// daemon did not receive it.
 func TestUnreachablePeerIsNotReady(t *testing.T) {
 	_, _, local := listen(t)
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/transport/messages.go
+++ b/internal/transport/messages.go
@@ -10,10 +10,10 @@
 )
 
 // serviceName is the service's name on the wire. It ends with the version of the protocol: gob
-// ignores a field that it does not know, without an error, so a message of a build whose fields
-// have other names would be misread. Daemons of two versions therefore find no service at each
-// other, and their messages count as lost (docs/DESIGN.md, section 3). Raise the version with
-// every change of a message's type or field; "Post" was the name of versions 1 and 2.
+// ignores unknown fields without an error, so a message from a build whose fields have other names
+// would be misread. Daemons of different versions therefore do not find each other's service, and
+// their messages count as lost (docs/DESIGN.md, section 3). Increment the version with every change
+// of a message's type or field; "Post" was the name of versions 1 and 2.
 const serviceName = "tuliprudder.6"
 
 // The methods of the service, as net/rpc calls them.
@@ -31,10 +31,10 @@
 // MessageBatch is the argument of DeliverMethod.
 type MessageBatch struct{ Messages []Envelope }
 
-// DeliverReply is the result of DeliverMethod: how many messages were taken.
+// DeliverReply is the result of DeliverMethod: the number of messages accepted.
 type DeliverReply struct{ Count int }
 
-// CallReply is the result of CallMethod: the response, or the typed error that there is none.
+// CallReply is the result of CallMethod: the response, or a typed error.
 type CallReply struct {
 	Body any // of a registered type
 	Err  *errs.Error
@@ -45,9 +45,9 @@
 	kinds   []string
 )
 
-// Register makes the types of messages known to the encoder. Each package does so for its own in
-// init. On the wire a type is named by the last element of its package's path and its own name,
-// so that a package may be moved but not renamed.
+// Register registers message types with the encoder. Each package registers its own in init. On the
+// wire a type is identified by the last element of its package's path and its own name, so that a
+// package may be moved but not renamed.
 func Register(bodies ...any) {
 	kindsMu.Lock()
 	defer kindsMu.Unlock()
@@ -58,7 +58,7 @@
 	}
 }
 
-// Kinds lists the names of all registered types.
+// Kinds returns the names of all registered types.
 func Kinds() []string {
 	kindsMu.Lock()
 	defer kindsMu.Unlock()
--- a/internal/transport/outbox.go
+++ b/internal/transport/outbox.go
@@ -8,27 +8,26 @@
 )
 
 const (
-	// outboxSize is the number of messages that wait for one peer; further ones are lost.
+	// outboxSize is the maximum number of messages queued for one peer; further ones are dropped.
 	outboxSize = 4096
-	// maxBatchSize is the number of messages in one call of DeliverMethod.
+	// maxBatchSize is the maximum number of messages in one call of DeliverMethod.
 	maxBatchSize = 256
-	// maxOutboxes is the number of peers from which on an outbox that is empty is closed for each
-	// new one.
+	// maxOutboxes is the number of outboxes from which on an empty one is closed for each new one.
 	maxOutboxes    = 256
 	deliverTimeout = time.Second
 )
 
-// outbox has the messages that wait for one peer.
+// outbox queues and sends the messages to one peer.
 type outbox struct {
 	transport *Transport
 	to        string
 	queue     *ring.Ring[Envelope]
-	// client is the connection, nil while there is none. Only run uses it.
+	// client is the connection, or nil if there is none. Only run uses it.
 	client *rpc.Client
 }
 
-// Send queues a message. Where the peer's queue is full, or the transport is closed, it is dropped
-// and counted.
+// Send queues a message. If the peer's queue is full, or the transport is closed, the message is
+// dropped and counted as lost.
 func (t *Transport) Send(to string, body any) {
 	box := t.outboxTo(to)
 	if box == nil || !box.queue.Put(Envelope{From: t.self, Body: body}) {
@@ -36,8 +35,8 @@
 	}
 }
 
-// outboxTo finds or starts the outbox of a peer; nil when the transport is closed and there is
-// none.
+// outboxTo returns the outbox of a peer, and starts one if there is none. It returns nil if there is
+// none and the transport is closed.
 func (t *Transport) outboxTo(to string) *outbox {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,8 +53,8 @@
 	return box
 }
 
-// evictEmptyOutbox makes room for another peer: addresses that are gone for good would
-// accumulate otherwise. t.mu is held.
+// evictEmptyOutbox closes one empty outbox, if any, to make room for another peer. Without it, the
+// outboxes of addresses that are no longer in use would accumulate. t.mu must be held.
 func (t *Transport) evictEmptyOutbox() {
 	for address, box := range t.outboxes {
 		if box.queue.Len() == 0 {
@@ -66,8 +65,8 @@
 	}
 }
 
-// run sends what is queued until the queue is closed and empty. Messages that wait at the same
-// time share a call, and so a round trip. It owns the connection and closes it.
+// run sends the queued messages until the queue is closed and empty. Messages that are queued at the
+// same time share a call, and so a round trip. run owns the connection and closes it.
 func (o *outbox) run() {
 	defer o.disconnect()
 	for {
@@ -85,8 +84,8 @@
 	}
 }
 
-// deliver sends messages in one call. After an error the connection is closed and the messages
-// are lost: they are not sent again, for they may have arrived.
+// deliver sends messages in one call. After an error the connection is closed and the messages are
+// lost: they are not retransmitted, because they may have arrived.
 func (o *outbox) deliver(messages []Envelope) error {
 	if o.client == nil {
 		client, err := o.transport.dial(o.to)
--- a/internal/transport/outbox_test.go
+++ b/internal/transport/outbox_test.go
@@ -9,7 +9,7 @@
 	"tuliprudder/internal/errs"
 )
 
-// A peer that accepts connections and never answers delays neither messages to others nor, past
+// A peer that accepts connections but never answers delays neither messages to other peers nor, past
 // the timeout, a caller.
 func TestUnresponsivePeerDoesNotDelayOthers(t *testing.T) {
 	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,6 +32,6 @@
 		t.Fatal("an unresponsive peer delayed the message to another")
 	}
 	if _, err := local.Call(unresponsive.Addr().String(), testMessage{"anyone"}, 50*clock.Millisecond); !errs.Is(err, errs.OutcomeUnknown) {
-		t.Fatalf("a call that timed out gave %v", err)
+		t.Fatalf("a call that timed out returned %v", err)
 	}
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -10,19 +10,19 @@
 	"tuliprudder/internal/errs"
 )
 
-// Receiver handles what other daemons send. Its methods are called from many goroutines.
+// Receiver handles messages and calls from other daemons. Its methods are called concurrently.
 type Receiver interface {
-	// Deliver takes a message. It must not block: the messages after it wait.
+	// Deliver handles a message. It must not block, because the messages after it wait.
 	Deliver(message Envelope)
-	// HandleCall answers a call. It may block for as long as the timeout that the caller put into
-	// the body; the caller's own timeout is longer.
+	// HandleCall answers a call. It may block for as long as the timeout that the caller put in the
+	// body; the caller's own timeout is longer.
 	HandleCall(message Envelope) (any, error)
 }
 
 // Service has the methods that net/rpc serves.
 type Service struct{ transport *Transport }
 
-// Deliver takes a batch of messages.
+// Deliver handles a batch of messages.
 func (s *Service) Deliver(batch MessageBatch, delivered *DeliverReply) error {
 	for _, message := range batch.Messages {
 		s.transport.receiver.Deliver(message)
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// Ask answers one call. The method's name is on the wire.
+// Ask answers one call. The method's name is part of the wire protocol.
 func (s *Service) Ask(message Envelope, reply *CallReply) error {
 	body, err := s.transport.receiver.HandleCall(message)
 	if err != nil {
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// Listen serves other daemons on an address until stop is called, which also closes the
-// connections that this transport dialled. It does not wait for calls that are being handled.
+// Listen serves other daemons on an address until stop is called. stop also closes the connections
+// that this transport dialled; it does not wait for calls that are being handled.
 func (t *Transport) Listen(address string) (stop func(), err error) {
 	rpcServer := rpc.NewServer()
 	if err := rpcServer.RegisterName(serviceName, &Service{transport: t}); err != nil {
@@ -67,12 +67,12 @@
 	listener net.Listener
 	rpc      *rpc.Server
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	open   map[net.Conn]bool
 	closed bool
 }
 
-// accept runs until the listener is closed.
+// accept accepts connections until the listener is closed.
 func (s *server) accept() {
 	for {
 		conn, err := s.listener.Accept()
@@ -87,7 +87,7 @@
 	}
 }
 
-// register notes an open connection; false when the server was closed meanwhile.
+// register adds an open connection. It returns false if the server has been closed meanwhile.
 func (s *server) register(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -12,12 +12,13 @@
 	"github.com/pkg/errors"
 )
 
-// Transport is one daemon's end of its connections. Its methods may be called from any goroutine.
+// Transport sends one daemon's messages and calls and serves those of other daemons. Its methods may
+// be called from any goroutine.
 type Transport struct {
 	self     string // the daemon's own address
 	receiver Receiver
 
-	mu          sync.Mutex // guards what follows; it is not held while dialling or calling
+	mu          sync.Mutex // guards the fields below; it is not held while dialling or calling
 	outboxes    map[string]*outbox
 	connections map[string]*callConnection
 	closed      bool
@@ -25,7 +26,7 @@
 	Counters
 }
 
-// Counters count since the start, for the operators. They may be read from any goroutine.
+// Counters counts the traffic since the start, for operators. It may be read from any goroutine.
 type Counters struct {
 	MessagesSent atomic.Int64 // messages that were delivered
 	MessagesLost atomic.Int64 // messages that were dropped, or whose delivery failed
@@ -33,7 +34,7 @@
 	BytesOut     atomic.Int64 // bytes written to connections that this daemon dialled
 }
 
-// New makes the transport of a daemon with the given address.
+// New returns the transport of a daemon with the given address.
 func New(self string, receiver Receiver) *Transport {
 	return &Transport{
 		self:        self,
@@ -43,7 +44,7 @@
 	}
 }
 
-// close ends the outboxes and the connections of calls. What is queued is still sent.
+// close closes the outboxes and the connections for calls. Messages already queued are still sent.
 func (t *Transport) close() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -58,8 +59,8 @@
 
 const dialTimeout = 500 * time.Millisecond
 
-// dial connects from the daemon's own address, so that a network in between sees which daemon
-// speaks.
+// dial connects from the daemon's own address, so that the network in between can tell which daemon
+// opened the connection.
 func (t *Transport) dial(to string) (*rpc.Client, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	if self, err := netip.ParseAddrPort(t.self); err == nil {
@@ -84,11 +85,11 @@
 	return n, err
 }
 
-// errTimeout is the error of a call without a result in time. Whether it was executed is unknown.
+// errTimeout is the error of a call that got no result in time. Whether it was executed is unknown.
 var errTimeout = errors.New("the call timed out; its connection was closed")
 
 // callWithTimeout calls a method and waits for its result. A call that times out closes the
-// client: net/rpc can't abandon one call.
+// client, because net/rpc can't cancel a single call.
 func callWithTimeout(client *rpc.Client, method string, args, reply any, timeout time.Duration) error {
 	call := client.Go(method, args, reply, make(chan *rpc.Call, 1))
 	timer := time.NewTimer(timeout)
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -11,13 +11,13 @@
 
 func init() { Register(testMessage{}) }
 
-// The texts of calls that a testReceiver answers in another way.
+// The texts of calls that a testReceiver does not answer with an immediate response.
 const (
-	blockingText = "block" // once release is closed
-	failingText  = "fail"  // with an errs.Busy
+	blockingText = "block" // answered once release is closed
+	failingText  = "fail"  // answered with an errs.Busy
 )
 
-// testReceiver notes the texts of messages and answers calls.
+// testReceiver records the texts of messages and answers calls.
 type testReceiver struct {
 	received chan string
 	release  chan struct{}
@@ -30,12 +30,12 @@
 	case blockingText:
 		<-r.release
 	case failingText:
-		return nil, errs.New(errs.Busy, "come back", "no room")
+		return nil, errs.New(errs.Busy, "retry later", "no room")
 	}
 	return testMessage{"response to " + text}, nil
 }
 
-// listen starts a transport on a free port of this machine.
+// listen starts a transport on a free local port.
 func listen(t *testing.T) (string, *testReceiver, *Transport) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
