--- a/internal/dataplane/upstream/pool_test.go
+++ b/internal/dataplane/upstream/pool_test.go
@@ -9,7 +9,7 @@
 	"tuliprudder/internal/errs"
 )
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	address := startServer(t, echo)
 	c := New(testHeaderNames, Settings{})
 	for i := range 5 {
@@ -21,12 +21,12 @@
 	large := newPost(address, "large")
 	large.Body = bytes.Repeat([]byte("0123456789"), 1<<18)
 	if got := readBody(t, do(t, c, large)); got != string(large.Body) {
-		t.Fatalf("%d bytes came back", len(got))
+		t.Fatalf("echoed body of %d bytes differs from the request body", len(got))
 	}
 	checkCounters(t, c, 1, 5, 0, 0)
 }
 
-func TestServerClosesIdleConnection(t *testing.T) {
+func TestIdleConnectionClosedByServerIsReplaced(t *testing.T) {
 	address := startServer(t, respondAndClose(responseText("a", "", "x")), echo)
 	c := New(testHeaderNames, Settings{})
 	readBody(t, do(t, c, newPost(address, "a")))
@@ -35,22 +35,22 @@
 	checkCounters(t, c, 2, 0, 0, 1)
 }
 
-func TestKeptConnectionThatTakesNothingIsReplaced(t *testing.T) {
+func TestIdleConnectionThatCannotBeWrittenIsReplaced(t *testing.T) {
 	address := startServer(t, respondOnce(responseText("a", "", "x")), echo)
 	c := New(testHeaderNames, Settings{})
 	readBody(t, do(t, c, newPost(address, "a")))
 	if err := c.pools[address].idle[0].tcpConn.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	// The peer closes on the end it reads; whether that is seen before the
-	// write or the write fails, another connection is taken.
+	// Writing to the connection now fails before the first byte. The client has to take another
+	// connection then, as it does if it notices before the write that the server closed its side.
 	readBody(t, do(t, c, newPost(address, "b")))
 	if c.Dialled.Load() != 2 {
-		t.Fatal("no new connection")
+		t.Fatal("the client opened no new connection")
 	}
 }
 
-func TestSurplusBytesAfterACompleteResponse(t *testing.T) {
+func TestSurplusBytesAfterResponseCloseConnection(t *testing.T) {
 	address := startServer(t, respondOnce(responseText("a", "", "x")+responseText("z", "", "y")), echo)
 	c := New(testHeaderNames, Settings{})
 	if got := readBody(t, do(t, c, newPost(address, "a"))); got != "x" {
@@ -61,7 +61,7 @@
 	checkCounters(t, c, 2, 0, 0, 1)
 }
 
-func TestLateSurplusResponse(t *testing.T) {
+func TestLateSurplusResponseIsNotAccepted(t *testing.T) {
 	late := make(chan struct{})
 	address := startServer(t, func(p *peer) {
 		p.readRequest()
@@ -104,7 +104,7 @@
 	requireError(t, err, NotWritten)
 }
 
-func TestRemovedServer(t *testing.T) {
+func TestRemovedServerConnectionsAreClosed(t *testing.T) {
 	address := startServer(t, echo, echo)
 	c := New(testHeaderNames, Settings{})
 	inUse := do(t, c, newPost(address, "a"))
@@ -115,11 +115,11 @@
 	}
 	readBody(t, inUse)
 	if len(c.pools) != 0 {
-		t.Fatal("the server is still known")
+		t.Fatal("the removed server still has a pool")
 	}
 }
 
-func TestDialFails(t *testing.T) {
+func TestFailedDialReleasesSlot(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -130,6 +130,6 @@
 	_, err = c.Do(t.Context(), newPost(address, "a"))
 	requireError(t, err, NotWritten)
 	if len(c.pools) != 0 {
-		t.Fatal("a failed dial still counts")
+		t.Fatal("a failed dial still counts in the pool")
 	}
 }
