--- a/internal/storage/folder_test.go
+++ b/internal/storage/folder_test.go
@@ -25,21 +25,21 @@
 	return opened, records
 }
 
-var errPower = errors.New("power cut")
+var errInjected = errors.New("injected failure")
 
-// cutPowerAt fails one step of a write.
-func cutPowerAt(step string) StepHook {
+// failAtStep returns a hook that fails one step of a write.
+func failAtStep(step string) StepHook {
 	return func(now string) error {
 		if now == step {
-			return errPower
+			return errInjected
 		}
 		return nil
 	}
 }
 
-// The power fails at each step of a write: what was durable before is there, and of the new
-// version all or nothing.
-func TestPowerCutAtEachStep(t *testing.T) {
+// A write fails at each of its steps: the versions that were durable before are read back, and the
+// new version is read back completely or not at all.
+func TestFailureAtEachWriteStep(t *testing.T) {
 	write := func(f *Folder) error { return f.Write(entry(4)) }
 	compact := func(f *Folder) error { return f.Compact(entry(3)) }
 	for _, test := range []struct {
@@ -51,11 +51,11 @@
 		{stepWrite, "Write", write, 3},
 		{stepSync, "Write", write, 3},
 		{stepRename, "Write", write, 3},
-		{stepFolder, "Write", write, 4}, // the rename is there, though not acknowledged
+		{stepSyncFolder, "Write", write, 4}, // the rename took effect, but was not acknowledged
 		{stepWrite, "Compact", compact, 3},
 		{stepSync, "Compact", compact, 3},
 		{stepRename, "Compact", compact, 3},
-		{stepFolder, "Compact", compact, 1}, // the snapshot, which replaces the three
+		{stepSyncFolder, "Compact", compact, 1}, // the snapshot, which replaces the three
 	} {
 		t.Run(test.name+" at "+test.step, func(t *testing.T) {
 			folder := t.TempDir()
@@ -65,9 +65,9 @@
 					t.Fatal(err)
 				}
 			}
-			opened.BeforeStep = cutPowerAt(test.step)
-			if err := test.attempt(opened); !errors.Is(err, errPower) {
-				t.Fatalf("the write did not fail with the cut: %v", err)
+			opened.BeforeStep = failAtStep(test.step)
+			if err := test.attempt(opened); !errors.Is(err, errInjected) {
+				t.Fatalf("the write did not return the injected error: %v", err)
 			}
 			again, records := open(t, folder)
 			if len(records) != test.want {
@@ -77,16 +77,16 @@
 				t.Fatalf("temporary files remain: %v", files)
 			}
 			if err := again.Write(entry(5)); err != nil {
-				t.Fatalf("no write after the cut: %v", err)
+				t.Fatalf("the write after the failed one: %v", err)
 			}
 			if _, more := open(t, folder); len(more) != len(records)+1 {
-				t.Fatal("the write after the cut is not read back")
+				t.Fatal("the write after the failed one is not read back")
 			}
 		})
 	}
 }
 
-func TestCompactReplacesWhatWasBefore(t *testing.T) {
+func TestCompactReplacesEarlierVersions(t *testing.T) {
 	folder := t.TempDir()
 	opened, _ := open(t, folder)
 	for seq := uint64(1); seq <= 20; seq++ {
@@ -109,8 +109,8 @@
 	}
 }
 
-// A version that is gone from the middle was acknowledged: that is damage.
-func TestAMissingVersionIsDamage(t *testing.T) {
+// A version that is missing before a later one had been acknowledged, so the folder is damaged.
+func TestMissingVersionIsCorrupt(t *testing.T) {
 	disk := newMemoryDisk()
 	folder, _, err := OpenOn(disk, dataFolder)
 	if err != nil {
@@ -129,9 +129,9 @@
 	}
 }
 
-// The disk fails each operation of a write: the write is one that may be retried, leaves no
-// temporary file, and the retry is complete.
-func TestNoRoomAtEachOperation(t *testing.T) {
+// The disk fails each operation of a write: the write returns a WriteError and leaves no temporary
+// file, and a retry succeeds.
+func TestDiskErrorAtEachOperation(t *testing.T) {
 	for _, cause := range []error{syscall.ENOSPC, syscall.EIO} {
 		for _, operation := range []string{"create", "write", "sync", "close", "rename", "sync folder"} {
 			for _, compact := range []bool{false, true} {
@@ -143,7 +143,7 @@
 	}
 }
 
-// diskWithOneEntry is a disk with a folder that has one commit group.
+// diskWithOneEntry returns a disk with a folder that has one commit group.
 func diskWithOneEntry(t *testing.T) (*memoryDisk, *Folder) {
 	t.Helper()
 	disk := newMemoryDisk()
@@ -171,7 +171,7 @@
 	disk.before = nil
 	for name := range disk.names {
 		if filepath.Ext(name) == temporarySuffix {
-			t.Fatalf("%s takes room that is needed", name)
+			t.Fatalf("%s remains and takes disk space", name)
 		}
 	}
 	if found, err := readBack(disk.afterKill()); err != nil || found < 1 {
@@ -185,14 +185,14 @@
 	}
 }
 
-// A write that takes only some of the bytes, and reports no error, is not taken for complete.
-func TestAShortWriteIsNoWrite(t *testing.T) {
+// A write that writes only some of the bytes, and reports no error, is not treated as complete.
+func TestShortWriteIsAnError(t *testing.T) {
 	disk := newMemoryDisk()
 	folder, _, err := OpenOn(disk, dataFolder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	disk.short = true
+	disk.shortWrite = true
 	if err := folder.Write(versionRecord("entry", 1)); !IsWriteError(err) {
 		t.Fatalf("got %v", err)
 	}
@@ -201,9 +201,9 @@
 	}
 }
 
-// What can't be read back is damage and never an error to be retried; what can't be prepared for
-// writing is no damage.
-func TestDamageAndRefusalAreToldApart(t *testing.T) {
+// A failure to read the folder is reported as damage and not as a retryable write error; a failure
+// to prepare it for writing is a write error and not damage.
+func TestReadErrorIsCorruptAndWriteErrorIsRetryable(t *testing.T) {
 	for operation, isDamage := range map[string]bool{"list": true, "read": true, "make folder": false, "sync folder": false} {
 		t.Run(operation, func(t *testing.T) {
 			disk, _ := diskWithOneEntry(t)
