--- a/cmd/modelserver/slot_queue_test.go
+++ b/cmd/modelserver/slot_queue_test.go
@@ -28,7 +28,7 @@
 				q.release()
 			}
 		}()
-		waitForWaiting(t, q, i+1)
+		waitForQueueLength(t, q, i+1)
 	}
 	q.release()
 	workers.Wait()
@@ -41,13 +41,13 @@
 }
 
 // A request that leaves the queue takes no slot with it.
-func TestLeavingTheQueue(t *testing.T) {
+func TestCancelledWaiterTakesNoSlot(t *testing.T) {
 	q := newSlotQueue(1)
 	q.acquire(t.Context(), 0)
 	ctx, cancel := context.WithCancel(t.Context())
 	result := make(chan bool)
 	go func() { result <- q.acquire(ctx, 0) }()
-	waitForWaiting(t, q, 1)
+	waitForQueueLength(t, q, 1)
 	cancel()
 	if <-result {
 		t.Error("a slot was granted to a request that had left")
@@ -58,8 +58,8 @@
 	}
 }
 
-// waitForWaiting waits until so many requests wait.
-func waitForWaiting(t *testing.T, q *slotQueue, count int) {
+// waitForQueueLength waits until so many requests wait.
+func waitForQueueLength(t *testing.T, q *slotQueue, count int) {
 	t.Helper()
 	ticker := time.NewTicker(time.Millisecond)
 	defer ticker.Stop()
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -9,6 +9,6 @@
 
 func main() {
 	store := program.NewStore()
-	store.Prepare = func(role *roles.Store, dataDir string) { plant(role.Batches, role.Folder, dataDir) }
+	store.Prepare = func(role *roles.Store, dataDir string) { injectFault(role.Batches, role.Folder, dataDir) }
 	program.Main(store)
 }
--- a/cmd/store/no_planted_fault.go
+++ b/cmd/store/no_planted_fault.go
@@ -7,5 +7,5 @@
 	"tuliprudder/internal/storage"
 )
 
-// plant does nothing in the daemons that serve.
-func plant(*batchstore.Store, *storage.Folder, string) {}
+// injectFault does nothing in the daemons that serve.
+func injectFault(*batchstore.Store, *storage.Folder, string) {}
--- a/cmd/store/planted_fault.go
+++ b/cmd/store/planted_fault.go
@@ -11,9 +11,9 @@
 	"tuliprudder/internal/storage"
 )
 
-// plant puts a fault into a store on purpose: only builds for the proof of the
+// injectFault puts a fault into a store on purpose: only builds for the proof of the
 // checkers have it (DESIGN §9).
-func plant(store *batchstore.Store, dataFolder *storage.Folder, folder string) {
+func injectFault(store *batchstore.Store, dataFolder *storage.Folder, folder string) {
 	switch os.Getenv("TULIPRUDDER_PLANT") {
 	case "one-disk":
 		store.Groups().InjectedFaults.SkipReplicas = true
--- a/cmd/tuliprudderctl/commands_test.go
+++ b/cmd/tuliprudderctl/commands_test.go
@@ -107,7 +107,7 @@
 }
 
 // A list of model servers is put as the file has it.
-func TestEndpointsArePut(t *testing.T) {
+func TestPutEndpointsSendsFileUnchanged(t *testing.T) {
 	daemon := newFakeDaemon(t)
 	writeExampleFiles(t)
 	result := runAgainst(daemon, "endpoints", "put", "servers.json")
--- a/cmd/tuliprudderctl/default_address_test.go
+++ b/cmd/tuliprudderctl/default_address_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-func TestTheOldAddressVariableIsReadWithAWarning(t *testing.T) {
+func TestDefaultAddressReadsFormerVariableWithWarning(t *testing.T) {
 	for _, c := range []struct {
-		name, current, old, want string
-		warned                   bool
+		name, current, former, want string
+		warned                      bool
 	}{
 		{"neither", "", "", "", false},
 		{"the new one", "1.2.3.4:1", "", "1.2.3.4:1", false},
@@ -16,7 +16,7 @@
 		{"both", "1.2.3.4:1", "1.2.3.4:2", "1.2.3.4:1", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			environment := map[string]string{addressVariable: c.current, oldAddressVariable: c.old}
+			environment := map[string]string{addressVariable: c.current, formerAddressVariable: c.former}
 			var warnings strings.Builder
 			got := defaultAddress(&warnings, func(name string) string { return environment[name] })
 			if got != c.want || (warnings.Len() > 0) != c.warned {
--- a/cmd/tuliprudderctl/diff.go
+++ b/cmd/tuliprudderctl/diff.go
@@ -24,7 +24,7 @@
 	var lines []string
 	for _, section := range entrySections {
 		before, after := entriesByName(from[section]), entriesByName(to[section])
-		for _, name := range keysOfBoth(before, after) {
+		for _, name := range unionOfKeys(before, after) {
 			lines = append(lines, diffEntries(section+" "+name, before[name], after[name])...)
 		}
 	}
@@ -48,7 +48,7 @@
 		return nil
 	}
 	lines := []string{"~ " + name}
-	for _, field := range keysOfBoth(before, after) {
+	for _, field := range unionOfKeys(before, after) {
 		if reflect.DeepEqual(before[field], after[field]) {
 			continue
 		}
@@ -76,8 +76,8 @@
 	return entries
 }
 
-// keysOfBoth is the keys of two maps, sorted.
-func keysOfBoth[V any](a, b map[string]V) []string {
+// unionOfKeys is the keys of two maps, sorted.
+func unionOfKeys[V any](a, b map[string]V) []string {
 	keys := slices.AppendSeq(slices.Collect(maps.Keys(a)), maps.Keys(b))
 	slices.Sort(keys)
 	return slices.Compact(keys)
--- a/cmd/tuliprudderctl/diff_test.go
+++ b/cmd/tuliprudderctl/diff_test.go
@@ -17,7 +17,7 @@
 }
 
 // A difference tells that a tenant's keys change, and never shows one.
-func TestDiffShowsNoKey(t *testing.T) {
+func TestDiffNeverPrintsTenantKeys(t *testing.T) {
 	from := mustDecode(t, `{"customers":[{"name":"a","key":"secret-1"},{"name":"b","keys":["secret-2"]},{"name":"c","keys":["secret-3"]}]}`)
 	to := mustDecode(t, `{"customers":[{"name":"a","keys":["secret-1","secret-4"]},{"name":"b","keys":["secret-5"],"class":"x"},{"name":"d","keys":["secret-6"]}]}`)
 	got := diffDocuments(from, to)
--- a/cmd/tuliprudderctl/former_spellings.go
+++ b/cmd/tuliprudderctl/former_spellings.go
@@ -57,17 +57,17 @@
 // addressVariable is the environment variable that names a daemon's address where -at is
 // left out; its former spelling is read for this release, with a warning.
 const (
-	addressVariable    = "TULIPRUDDERCTL_AT"
-	oldAddressVariable = "WAYMARK_AT"
+	addressVariable       = "TULIPRUDDERCTL_AT"
+	formerAddressVariable = "WAYMARK_AT"
 )
 
 func defaultAddress(warnings io.Writer, getenv func(string) string) string {
 	if address := getenv(addressVariable); address != "" {
 		return address
 	}
-	address := getenv(oldAddressVariable)
+	address := getenv(formerAddressVariable)
 	if address != "" {
-		fmt.Fprintf(warnings, "%s: %s is now %s; the old name is read for one release\n", programName, oldAddressVariable, addressVariable)
+		fmt.Fprintf(warnings, "%s: %s is now %s; the old name is read for one release\n", programName, formerAddressVariable, addressVariable)
 	}
 	return address
 }
--- a/cmd/tuliprudderctl/patch_test.go
+++ b/cmd/tuliprudderctl/patch_test.go
@@ -8,7 +8,7 @@
 )
 
 // A patch is shown before it is put, and put on the version that was shown.
-func TestPatchIsShownBeforeItIsPut(t *testing.T) {
+func TestPatchPrintsDifferencesBeforePut(t *testing.T) {
 	for name, c := range map[string]struct {
 		patch    string
 		args     []string
--- a/cmd/tuliprudderctl/tree.go
+++ b/cmd/tuliprudderctl/tree.go
@@ -65,7 +65,7 @@
 		return command.Apply(ctx, s)
 	}
 	if existing := find(parent, name); existing != nil {
-		existing.Exec = withHelpForNone(exec)
+		existing.Exec = helpWithoutArguments(exec)
 		return
 	}
 	parent.Subcommands = append(parent.Subcommands, &ffcli.Command{
@@ -76,7 +76,7 @@
 	})
 }
 
-func withHelpForNone(exec func(context.Context, []string) error) func(context.Context, []string) error {
+func helpWithoutArguments(exec func(context.Context, []string) error) func(context.Context, []string) error {
 	return func(ctx context.Context, args []string) error {
 		if len(args) == 0 {
 			return flag.ErrHelp
--- a/cmd/zonedrill/main.go
+++ b/cmd/zonedrill/main.go
@@ -23,14 +23,14 @@
 
 const readyTimeout = 60 * time.Second
 
-// faultsByWay are the faults of package faultinject for each -way.
-var faultsByWay = map[string]string{"kill": "zone", "cut": "zone-cut", "wipe": "zone-wipe"}
+// faultsByFailureMode are the faults of package faultinject for each -way.
+var faultsByFailureMode = map[string]string{"kill": "zone", "cut": "zone-cut", "wipe": "zone-wipe"}
 
 // drill is one drill's settings.
 type drill struct {
 	faultinject.Settings
-	way          string
-	plantedFault string // what the stores do wrong on purpose; "" nothing
+	failureMode   string
+	injectedFault string // what the stores do wrong on purpose; "" nothing
 }
 
 func main() {
@@ -47,16 +47,16 @@
 	var d drill
 	r := settings.New("zonedrill")
 	d.Flags(r)
-	r.Flags.StringVar(&d.way, "way", "kill", "how the zone fails: kill, cut (a partition; its daemons run on) or wipe (its stores lose their disks, too)")
-	r.Flags.StringVar(&d.plantedFault, "planted", "", "build the stores with this fault, to see that the drill finds it: one-disk or early")
+	r.Flags.StringVar(&d.failureMode, "way", "kill", "how the zone fails: kill, cut (a partition; its daemons run on) or wipe (its stores lose their disks, too)")
+	r.Flags.StringVar(&d.injectedFault, "planted", "", "build the stores with this fault, to see that the drill finds it: one-disk or early")
 	r.Flags.StringVar(&d.Zone, "zone", "zone-1", "the zone that fails")
 	r.AddCheck(func() {
-		if faultsByWay[d.way] == "" {
-			r.Faultf("-way %q: no such way; give kill, cut or wipe", d.way)
+		if faultsByFailureMode[d.failureMode] == "" {
+			r.Faultf("-way %q: no such way; give kill, cut or wipe", d.failureMode)
 		}
 	})
 	r.MustParse(args)
-	d.Fault = faultsByWay[d.way]
+	d.Fault = faultsByFailureMode[d.failureMode]
 	return d
 }
 
@@ -66,9 +66,9 @@
 		return err
 	}
 	buildArgs := d.BuildArgs()
-	if d.plantedFault != "" {
+	if d.injectedFault != "" {
 		buildArgs = append(buildArgs, "-tags", "planted")
-		os.Setenv("TULIPRUDDER_PLANT", d.plantedFault)
+		os.Setenv("TULIPRUDDER_PLANT", d.injectedFault)
 	}
 	fleet, _, err := localrun.Start(ctx, d.Settings, folder, readyTimeout, buildArgs...)
 	if err != nil {
@@ -79,7 +79,7 @@
 	if len(daemons) == 0 {
 		return fmt.Errorf("no daemon is in %s; the zones are zone-1 to zone-%d", d.Zone, d.Zones)
 	}
-	fmt.Printf("%s: %s fails (%s): %v\n", d.Name, d.Zone, d.way, daemons)
+	fmt.Printf("%s: %s fails (%s): %v\n", d.Name, d.Zone, d.failureMode, daemons)
 	verdict, err := faultinject.Run(ctx, fleet, d.Settings)
 	if err != nil {
 		return err
