--- a/cmd/core/main.go
+++ b/cmd/core/main.go
@@ -1,4 +1,4 @@
-// Program core is the core daemon: it elects a primary, which owns the control state
+// Program core is the core daemon. The cores elect a primary, which owns the control state
 // (DESIGN §5). `core -help` lists the settings.
 package main
 
--- a/cmd/edge/main.go
+++ b/cmd/edge/main.go
@@ -1,5 +1,5 @@
-// Program edge is the edge daemon: it carries callers' traffic (DESIGN §7). `edge -help`
-// lists the settings.
+// Program edge is the edge daemon, which serves callers' requests (DESIGN §7). `edge -help` lists
+// the settings.
 package main
 
 import "tuliprudder/internal/daemon/program"
--- a/cmd/internal/localrun/localrun.go
+++ b/cmd/internal/localrun/localrun.go
@@ -1,6 +1,6 @@
-// Package localrun starts whole deployments on this machine for the programs that try
-// them out: it builds the daemons from the working tree, starts them, and waits until
-// they serve. One goroutine uses it.
+// Package localrun starts complete deployments on the local machine for test programs. It builds
+// the daemons from the working tree, starts them, and waits until they serve requests. It is not
+// safe for concurrent use.
 package localrun
 
 import (
@@ -15,13 +15,13 @@
 	"tuliprudder/test/localfleet"
 )
 
-// ErrGuaranteeBroken is the error of a program whose checkers saw a guarantee broken.
+// ErrGuaranteeBroken is returned by a program whose checkers found a guarantee violated.
 var ErrGuaranteeBroken = errors.New("a guarantee was broken")
 
-// Start builds the daemons into a folder and starts the deployment that the settings
-// describe below it; ctx ends it before the deployment is started. It returns once the
-// deployment serves, with the time that this took from its start, or after timeout. Where
-// it fails nothing is left running; otherwise the caller stops the fleet.
+// Start builds the daemons in folder and starts the deployment described by cfg, with its files
+// below folder. It returns once the deployment serves requests, with the time from its start until
+// then, or with an error after timeout. ctx is checked only between the build and the start. On
+// error no process is left running; otherwise the caller must stop the fleet.
 func Start(ctx context.Context, cfg faultinject.Settings, folder string, timeout time.Duration, buildArgs ...string) (*localfleet.Fleet, time.Duration, error) {
 	root, err := os.Getwd()
 	if err != nil {
--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -1,6 +1,6 @@
-// Program loadgen sends the load of stand-in callers to a deployment that is running, and
-// checks what they see (DESIGN §9). It prints for each guarantee whether it held, and ends
-// with 1 when one was broken.
+// Program loadgen sends load from simulated callers to a running deployment and checks the responses
+// (DESIGN §9). It prints for each guarantee whether it held. The exit code is 1 if a guarantee was
+// violated or the run failed.
 //
 //	loadgen -at 127.0.0.1:7201,127.0.0.1:7202 -starts server-1.starts,server-2.starts
 package main
@@ -42,8 +42,8 @@
 	var opts options
 	r := settings.New("loadgen")
 	opts.load.Flags(r)
-	edges := r.Flags.String("at", "", "HTTP addresses of edges, IP:port, by comma")
-	startLogs := r.Flags.String("starts", "", "the model servers' files of starts (modelserver -starts), by comma")
+	edges := r.Flags.String("at", "", "HTTP addresses of edges, IP:port, comma-separated")
+	startLogs := r.Flags.String("starts", "", "start logs of the model servers (modelserver -starts), comma-separated")
 	r.AddCheck(func() {
 		opts.edges = strings.Split(*edges, ",")
 		opts.startLogs = strings.Split(*startLogs, ",")
@@ -55,7 +55,7 @@
 	return opts
 }
 
-// run sends the load and reports whether a guarantee was broken.
+// run sends the load and reports whether a guarantee was violated.
 func run(ctx context.Context, opts options) (broken bool, err error) {
 	workload := opts.load.Workload(func() []string { return opts.edges })
 	workload.Run(ctx)
--- a/cmd/localfleet/main.go
+++ b/cmd/localfleet/main.go
@@ -1,9 +1,9 @@
-// Program localfleet runs a whole deployment on this machine with callers, may cause a
-// fault meanwhile, and prints for each guarantee whether it held (DESIGN §11). It is run
-// at the root of the repository and ends with 1 when a guarantee was broken.
+// Program localfleet runs a complete deployment on the local machine under load, optionally injects
+// a fault, and prints for each guarantee whether it held (DESIGN §11). It must be run at the root of
+// the repository. The exit code is 1 if a guarantee was violated or the run failed.
 //
 //	localfleet -fault kill-writer
-//	localfleet -stay          # a deployment to try things out on, until interrupted
+//	localfleet -stay          # a deployment without load, until interrupted
 package main
 
 import (
@@ -26,7 +26,7 @@
 	var cfg faultinject.Settings
 	r := settings.New("localfleet")
 	cfg.Flags(r)
-	stay := r.Flags.Bool("stay", false, "start, put the configuration, and run until interrupted; no callers")
+	stay := r.Flags.Bool("stay", false, "start the deployment, put the configuration, and run until interrupted, without load")
 	r.MustParse(os.Args[1:])
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
--- a/cmd/modelserver/fault_mode.go
+++ b/cmd/modelserver/fault_mode.go
@@ -8,19 +8,19 @@
 	"tuliprudder/internal/httpserver"
 )
 
-// faultMode is what the server does wrong; the words are those of /control.
+// faultMode is a fault that the server simulates; the values are those of POST /control.
 type faultMode string
 
 const (
 	faultNone         faultMode = ""
-	faultUnresponsive faultMode = "dark"   // nothing is answered, connections stay open
-	faultInterrupt    faultMode = "cut"    // streams break off half way
+	faultUnresponsive faultMode = "dark"   // no request is answered, connections stay open
+	faultInterrupt    faultMode = "cut"    // streams are disconnected half-way
 	faultReject       faultMode = "refuse" // new requests are rejected
 )
 
 const unresponsivePollInterval = 20 * time.Millisecond
 
-// currentFault is the fault in force; the zero value is none.
+// currentFault holds the active fault; the zero value means none.
 type currentFault struct{ mode atomic.Value }
 
 func (f *currentFault) is(mode faultMode) bool {
@@ -28,19 +28,19 @@
 	return current == mode
 }
 
-// awaitResponsive waits for as long as the server is unresponsive and the caller waits.
+// awaitResponsive blocks until the server is no longer unresponsive or the request is cancelled.
 func (f *currentFault) awaitResponsive(r *http.Request) {
 	for f.is(faultUnresponsive) && r.Context().Err() == nil {
 		time.Sleep(unresponsivePollInterval)
 	}
 }
 
-// faultChange is the body of POST /control and its response.
+// faultChange is the request and response body of POST /control.
 type faultChange struct {
 	Mode faultMode `json:"mode"`
 }
 
-// setFault sets the fault, or ends it.
+// setFault handles POST /control: it sets the active fault, or clears it if the mode is empty.
 func (s *server) setFault(w http.ResponseWriter, r *http.Request) error {
 	data, err := httpserver.ReadBody(r)
 	if err != nil {
--- a/cmd/modelserver/main.go
+++ b/cmd/modelserver/main.go
@@ -1,8 +1,7 @@
-// Program modelserver is a stand-in model server for tests and drills (DESIGN §9). It
-// answers chat completions with text that follows from the input, in chunks with a pause
-// between them, on a limited number of slots, with a prefix cache, and with faults that
-// are set while it runs. It logs every start and end of a run, so that checkers can count
-// them.
+// Program modelserver is a fake model server for tests and fault drills (DESIGN §9). It answers chat
+// completions with text derived deterministically from the input, streamed in chunks with a delay
+// before each. It has a limited number of concurrency slots, a prefix cache, and faults that can be
+// set at run time. It logs the start and end of every run so that checkers can count them.
 //
 // HTTP: POST /v1/chat/completions (a stream of events), GET /health, GET /metrics, and
 // POST /control, which sets a fault.
@@ -26,7 +25,7 @@
 	maxBodyBytes    = 16 << 20
 )
 
-// options are the program's settings; times are in microseconds.
+// options are the program's settings; durations are in microseconds.
 type options struct {
 	listen, name, startLogPath   string
 	slots, queueLimit            int64
@@ -38,14 +37,14 @@
 	var opts options
 	r := settings.New("modelserver")
 	r.Flags.StringVar(&opts.listen, "listen", "", "address to serve on, IP:port")
-	r.Flags.StringVar(&opts.name, "name", "modelserver", "name of the server in its logs")
-	r.Flags.StringVar(&opts.startLogPath, "starts", "", "file that every start and end of a run is appended to; none when empty")
-	r.Int(&opts.slots, "slots", 8, 1, 10_000, "requests that run at once")
-	r.Int(&opts.queueLimit, "queue", 64, 0, 100_000, "requests that wait for a slot; more are rejected")
-	r.Int(&opts.chunkUS, "piece-us", 4000, 0, 10_000_000, "microseconds for each chunk of an output")
-	r.Int(&opts.prefillUS, "prefill-us", 20_000, 0, 10_000_000, "microseconds before the first chunk of a prompt whose prefix is not cached")
-	r.Int(&opts.maxCachedPrefixes, "prefixes", 4, 0, 10_000, "prefixes in the cache; the least recently used one goes first")
-	r.Int(&opts.maxChunks, "pieces", 6, 1, 10_000, "chunks of an output, at most")
+	r.Flags.StringVar(&opts.name, "name", "modelserver", "server name in the logs")
+	r.Flags.StringVar(&opts.startLogPath, "starts", "", "file to append the start and end of every run to; empty: no file")
+	r.Int(&opts.slots, "slots", 8, 1, 10_000, "maximum number of concurrent requests")
+	r.Int(&opts.queueLimit, "queue", 64, 0, 100_000, "requests that may wait for a slot, in addition to as many as there are slots; further ones are rejected")
+	r.Int(&opts.chunkUS, "piece-us", 4000, 0, 10_000_000, "microseconds per output chunk")
+	r.Int(&opts.prefillUS, "prefill-us", 20_000, 0, 10_000_000, "microseconds before the first chunk if the prompt's prefix is not cached")
+	r.Int(&opts.maxCachedPrefixes, "prefixes", 4, 0, 10_000, "capacity of the prefix cache; the least recently used prefix is evicted first")
+	r.Int(&opts.maxChunks, "pieces", 6, 1, 10_000, "maximum number of chunks in an output")
 	r.AddCheck(func() { r.CheckAddress("listen", opts.listen) })
 	r.MustParse(args)
 	return opts
--- a/cmd/modelserver/prefix_cache.go
+++ b/cmd/modelserver/prefix_cache.go
@@ -5,14 +5,14 @@
 	"sync"
 )
 
-// prefixCache is which prefixes of prompts need no prefill.
+// prefixCache is an LRU cache of the prompt prefixes that need no prefill.
 type prefixCache struct {
 	limit    int
 	mu       sync.Mutex
-	prefixes []string // the least recently used one first; guarded by mu
+	prefixes []string // least recently used first; guarded by mu
 }
 
-// use reports whether a prefix was cached, and makes it the most recently used one.
+// use reports whether a prefix was cached, adds it if not, and marks it as most recently used.
 func (c *prefixCache) use(prefix string) (hit bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/cmd/modelserver/server.go
+++ b/cmd/modelserver/server.go
@@ -14,7 +14,7 @@
 	"tuliprudder/test/modelcontent"
 )
 
-// server is the model server; its handlers are called by many goroutines at once.
+// server is the model server. Its handlers are safe for concurrent use.
 type server struct {
 	options    options
 	slots      *slotQueue
@@ -40,7 +40,7 @@
 	return httpserver.WriteJSON(w, http.StatusOK, map[string]string{"status": "ok"})
 }
 
-// metrics writes the gauges of the servers' published page that schedulers read.
+// metrics writes the gauges that schedulers read, in the format of vLLM's metrics page.
 func (s *server) metrics(w http.ResponseWriter, r *http.Request) error {
 	s.fault.awaitResponsive(r)
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
@@ -62,8 +62,8 @@
 	Priority  int    `json:"priority"`
 }
 
-// splitByRole are the messages by role: the prefix, the input, and the partial output of
-// an earlier run.
+// splitByRole returns the content of the system, user and assistant messages: the prompt prefix,
+// the input, and the partial output of an earlier run.
 func (r chatRequest) splitByRole() (prefix, input, partial string) {
 	for _, m := range r.Messages {
 		switch m.Role {
@@ -99,13 +99,13 @@
 		return err
 	}
 	if s.fault.is(faultReject) || s.waiting.Load() >= s.options.queueLimit+s.options.slots {
-		return errs.NewWithRetry(errs.NotReady, clock.Second, "come back", "the queue is full")
+		return errs.NewWithRetry(errs.NotReady, clock.Second, "retry after the time given", "the request queue is full")
 	}
 	s.waiting.Add(1)
 	acquired := s.slots.acquire(r.Context(), body.Priority)
 	s.waiting.Add(-1)
 	if !acquired {
-		return nil // the caller has left
+		return nil // the caller has disconnected
 	}
 	defer s.slots.release()
 	s.running.Add(1)
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// prefill takes its time where the prefix is not cached.
+// prefill sleeps for the prefill time if the prefix is not cached.
 func (s *server) prefill(prefix string) {
 	if s.prefixes.use(prefix) {
 		s.prefixHits.Add(1)
@@ -132,7 +132,7 @@
 	time.Sleep(time.Duration(s.options.prefillUS) * time.Microsecond)
 }
 
-// The event of one chunk, as OpenAI's API has it.
+// Types of the streamed event for one chunk, as in OpenAI's API.
 type (
 	chunkEvent struct {
 		Choices []chunkChoice `json:"choices"`
@@ -147,8 +147,8 @@
 	}
 )
 
-// stream sends the chunks that are not in partial; false when it was cut, or the caller
-// has left.
+// stream sends the chunks that partial does not contain yet. It returns false if the stream was
+// interrupted by a fault or the caller disconnected.
 func (s *server) stream(w http.ResponseWriter, r *http.Request, chunks []string, partial string) bool {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
--- a/cmd/modelserver/server_test.go
+++ b/cmd/modelserver/server_test.go
@@ -25,8 +25,8 @@
 	return recorder, err
 }
 
-// An output comes in chunks that follow from the input, its run is logged, and a partial
-// output is gone on with.
+// The output is streamed in the chunks derived from the input, the run's start and end are logged,
+// and a request with a partial output gets only the remaining chunks.
 func TestChatCompletion(t *testing.T) {
 	var log bytes.Buffer
 	s := newTestServer(&log)
@@ -36,35 +36,36 @@
 		t.Fatal(err, got.Code)
 	}
 	if events := strings.Count(got.Body.String(), `"object":"chat.completion.chunk"`); events != len(chunks) || !strings.HasSuffix(got.Body.String(), "data: [DONE]\n\n") {
-		t.Errorf("%d events of %d chunks:\n%s", events, len(chunks), got.Body)
+		t.Errorf("got %d events for %d chunks, or no final [DONE]:\n%s", events, len(chunks), got.Body)
 	}
 	if lines := strings.Count(log.String(), "\n"); lines != 2 {
-		t.Errorf("the log of starts has %d lines, not a start and an end:\n%s", lines, &log)
+		t.Errorf("start log has %d lines, want 2 (start and end):\n%s", lines, &log)
 	}
 	got, err = s.complete(`{"role":"user","content":"hello"},{"role":"assistant","content":"` + chunks[0] + `"}`)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if events := strings.Count(got.Body.String(), `"object":"chat.completion.chunk"`); events != len(chunks)-1 {
-		t.Errorf("%d events after the first of %d chunks", events, len(chunks))
+		t.Errorf("got %d events when resuming after the first of %d chunks", events, len(chunks))
 	}
 }
 
-// A server that rejects says when to come back; requests without an input are invalid.
+// With the reject fault the server returns a retry delay; a request without a user message is
+// invalid input. Neither is logged as a start.
 func TestRejections(t *testing.T) {
 	var log bytes.Buffer
 	s := newTestServer(&log)
 	if _, err := s.complete(`{"role":"system","content":"p"}`); !errs.Is(err, errs.BadInput) {
-		t.Errorf("without an input: %v", err)
+		t.Errorf("no user message: got error %v", err)
 	}
 	recorder := httptest.NewRecorder()
 	if err := s.setFault(recorder, httptest.NewRequest(http.MethodPost, "/control", strings.NewReader(`{"mode":"refuse"}`))); err != nil || strings.TrimSpace(recorder.Body.String()) != `{"mode":"refuse"}` {
-		t.Fatalf("%v, answered %s", err, recorder.Body)
+		t.Fatalf("setting the fault: error %v, response %s", err, recorder.Body)
 	}
 	if _, err := s.complete(`{"role":"user","content":"hello"}`); !errs.Is(err, errs.NotReady) || errs.Of(err).RetryAfterUS != 1_000_000 {
-		t.Errorf("while it rejects: %v", err)
+		t.Errorf("with the reject fault: got error %v", err)
 	}
 	if log.Len() > 0 {
-		t.Errorf("a start was logged: %s", &log)
+		t.Errorf("start log is not empty: %s", &log)
 	}
 }
--- a/cmd/modelserver/slot_queue.go
+++ b/cmd/modelserver/slot_queue.go
@@ -6,23 +6,23 @@
 	"sync"
 )
 
-// slotQueue hands out the concurrency slots: the lowest priority number first, and among
-// equals the one that came first, as the servers' published scheduling by priority does.
+// slotQueue grants concurrency slots to requests in order of priority number, lowest first, and in
+// order of arrival among equals, as the documented priority scheduling of real model servers does.
 type slotQueue struct {
-	mu           sync.Mutex // guards all below
+	mu           sync.Mutex // guards the fields below
 	freeSlots    int
 	waiting      waiterHeap
 	lastSequence int
 }
 
-// waiter is a request that waits for a slot.
+// waiter is a request waiting for a slot.
 type waiter struct {
 	priority, sequence int
-	heapIndex          int           // -1: not in the queue any more
-	granted            chan struct{} // closed with the slot
+	heapIndex          int           // -1 once removed from the queue
+	granted            chan struct{} // closed when the slot is granted
 }
 
-// waiterHeap is the waiting requests as a heap (container/heap).
+// waiterHeap implements heap.Interface.
 type waiterHeap []*waiter
 
 func (h waiterHeap) Len() int { return len(h) }
@@ -56,7 +56,7 @@
 
 func newSlotQueue(slots int) *slotQueue { return &slotQueue{freeSlots: slots} }
 
-// acquire waits for a slot; false when the context ended first.
+// acquire waits for a slot. It returns false if ctx is done first.
 func (q *slotQueue) acquire(ctx context.Context, priority int) bool {
 	q.mu.Lock()
 	if q.freeSlots > 0 {
@@ -80,11 +80,11 @@
 		return false
 	}
 	q.mu.Unlock()
-	q.release() // the slot was granted at the same moment: it goes to the next
+	q.release() // granted concurrently with the cancellation: pass it on
 	return false
 }
 
-// release gives a slot to the next waiting request.
+// release passes a slot to the next waiting request, or marks it as free if none waits.
 func (q *slotQueue) release() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/cmd/modelserver/slot_queue_test.go
+++ b/cmd/modelserver/slot_queue_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Slots go to the lowest priority number first, and among equals to the first that came.
+// Slots are granted to the lowest priority number first, and in order of arrival among equals.
 func TestSlotsAreGrantedByPriority(t *testing.T) {
 	q := newSlotQueue(1)
 	if !q.acquire(t.Context(), 0) {
-		t.Fatal("a free slot was not granted")
+		t.Fatal("free slot was not granted")
 	}
 	var mu sync.Mutex
 	var granted []int
@@ -33,14 +33,14 @@
 	q.release()
 	workers.Wait()
 	if want := []int{3, 1, 0, 2}; !slices.Equal(granted, want) {
-		t.Errorf("granted in the order %v, not %v", granted, want)
+		t.Errorf("got grant order %v, want %v", granted, want)
 	}
 	if q.freeSlots != 1 {
-		t.Errorf("%d slots are free at the end", q.freeSlots)
+		t.Errorf("got %d free slots at the end, want 1", q.freeSlots)
 	}
 }
 
-// A request that leaves the queue takes no slot with it.
+// A request that is cancelled while waiting is removed from the queue and does not leak a slot.
 func TestCancelledWaiterTakesNoSlot(t *testing.T) {
 	q := newSlotQueue(1)
 	q.acquire(t.Context(), 0)
@@ -50,15 +50,15 @@
 	waitForQueueLength(t, q, 1)
 	cancel()
 	if <-result {
-		t.Error("a slot was granted to a request that had left")
+		t.Error("slot was granted to a cancelled request")
 	}
 	q.release()
 	if q.freeSlots != 1 || len(q.waiting) != 0 {
-		t.Errorf("%d slots are free, %d requests wait", q.freeSlots, len(q.waiting))
+		t.Errorf("got %d free slots and %d waiting requests, want 1 and 0", q.freeSlots, len(q.waiting))
 	}
 }
 
-// waitForQueueLength waits until so many requests wait.
+// waitForQueueLength waits until count requests are queued and fails the test after 10 s.
 func waitForQueueLength(t *testing.T, q *slotQueue, count int) {
 	t.Helper()
 	ticker := time.NewTicker(time.Millisecond)
@@ -74,7 +74,7 @@
 		select {
 		case <-ticker.C:
 		case <-timeout:
-			t.Fatalf("%d requests wait, not %d", waiting, count)
+			t.Fatalf("got %d waiting requests, want %d", waiting, count)
 		}
 	}
 }
--- a/cmd/modelserver/start_log.go
+++ b/cmd/modelserver/start_log.go
@@ -10,20 +10,19 @@
 	"tuliprudder/test/modelcontent"
 )
 
-// startLog is the file of starts and ends of runs, one JSON object a line.
+// startLog writes the starts and ends of runs, one JSON object per line.
 type startLog struct {
 	server string
-	mu     sync.Mutex // one line after the other
-	out    io.Writer  // nil: none
+	mu     sync.Mutex // serializes writes to out
+	out    io.Writer  // nil: nothing is logged
 }
 
-// started logs that a request's run began; resumed says that it goes on with a partial
-// output.
+// started logs the start of a request's run; resumed means that the run continues a partial output.
 func (l *startLog) started(r *http.Request, input string, resumed bool) {
 	l.write(modelcontent.Start{At: time.Now().UnixMicro(), Server: l.server, RequestID: r.Header.Get("X-Request-Id"), Input: input, Resume: resumed})
 }
 
-// ended logs that a request's output is complete.
+// ended logs that a request's output was sent completely.
 func (l *startLog) ended(r *http.Request, input string) {
 	l.write(modelcontent.Start{At: time.Now().UnixMicro(), Server: l.server, RequestID: r.Header.Get("X-Request-Id"), Input: input, End: true})
 }
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -1,4 +1,4 @@
-// Program store is the store daemon: it keeps batches and runs their items (DESIGN §6).
+// Program store is the store daemon, which stores batches and runs their items (DESIGN §6).
 // `store -help` lists the settings.
 package main
 
--- a/cmd/store/no_planted_fault.go
+++ b/cmd/store/no_planted_fault.go
@@ -7,5 +7,5 @@
 	"tuliprudder/internal/storage"
 )
 
-// injectFault does nothing in the daemons that serve.
+// injectFault does nothing in production builds.
 func injectFault(*batchstore.Store, *storage.Folder, string) {}
--- a/cmd/store/planted_fault.go
+++ b/cmd/store/planted_fault.go
@@ -11,8 +11,8 @@
 	"tuliprudder/internal/storage"
 )
 
-// injectFault puts a fault into a store on purpose: only builds for the proof of the
-// checkers have it (DESIGN §9).
+// injectFault injects the fault named by TULIPRUDDER_PLANT into a store. It is only in builds with
+// the planted tag, which verify that the checkers detect such faults (DESIGN §9).
 func injectFault(store *batchstore.Store, dataFolder *storage.Folder, folder string) {
 	switch os.Getenv("TULIPRUDDER_PLANT") {
 	case "one-disk":
@@ -20,7 +20,7 @@
 	case "early":
 		store.InjectedFaults.SkipDurability = true
 	case "stall":
-		// The disk holds a write back for as long as a file named STALL is there.
+		// Blocks every sync while a file named STALL exists in the data folder.
 		dataFolder.BeforeStep = func(step string) error {
 			for step == "sync" {
 				if _, err := os.Stat(filepath.Join(folder, "STALL")); err != nil {
--- a/cmd/tuliprudderctl/acts.go
+++ b/cmd/tuliprudderctl/acts.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// actSubject is what acts on an outside system are about, as the primary core describes it.
+// actSubject is one subject of acts on outside systems, as reported by the primary core.
 type actSubject struct {
 	Subject    string `json:"subject"`
 	Holder     string `json:"holder"`
@@ -18,10 +18,10 @@
 	} `json:"open"`
 }
 
-// listActs lists who performs acts on outside systems, and the acts that are open.
+// listActs lists which daemon performs the acts on each subject, and the open acts.
 type listActs struct{}
 
-// Apply prints a line a subject, and one for each further open act.
+// Apply prints one row per open act, or a single row for a subject that has none.
 func (listActs) Apply(ctx context.Context, s *session) error {
 	response, err := get[struct {
 		Subjects []actSubject `json:"subjects"`
--- a/cmd/tuliprudderctl/acts_test.go
+++ b/cmd/tuliprudderctl/acts_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Each open act has a line, and a subject without one, too.
+// Each open act gets a row, and so does a subject without open acts.
 func TestActsAreListed(t *testing.T) {
 	want := "SUBJECT      HOLDER    FENCE  LAST RESULT  OPEN ACT  AGE   STATE\n" +
 		"scale/big/a  core-a-1  7      done         -               \n" +
--- a/cmd/tuliprudderctl/client.go
+++ b/cmd/tuliprudderctl/client.go
@@ -10,8 +10,8 @@
 	"tuliprudder/internal/errs"
 )
 
-// The paths of the administration API. Those that name a plan, a purse, orders, bundles
-// and leaving keep the spelling of the first release.
+// Paths of the administration API. The plan, purse, orders, bundles and leaving paths keep the
+// spelling of the first release.
 const (
 	pathCounters       = "/counters"
 	pathMembers        = "/v1/operator/daemons"
@@ -29,19 +29,19 @@
 	suffixRetire       = "/retire"
 )
 
-// client calls daemons' administration API.
+// client calls the administration API of daemons.
 type client struct {
-	address  string // of the daemon that -at names, IP:port
-	operator string // who calls, for the record of a configuration
+	address  string // IP:port of the daemon given by -at
+	operator string // caller's name, stored with a configuration version
 	http     *http.Client
 }
 
-// get reads a path of the daemon that -at names into a value.
+// get fetches a path from the daemon given by -at and decodes the response.
 func get[T any](ctx context.Context, c *client, path string) (T, error) {
 	return getFrom[T](ctx, c, c.address, path)
 }
 
-// getFrom reads a path of any daemon.
+// getFrom fetches a path from the daemon at address and decodes the response.
 func getFrom[T any](ctx context.Context, c *client, address, path string) (value T, err error) {
 	data, err := c.call(ctx, address, http.MethodGet, path, nil)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return value, decodeResponse(address, data, &value)
 }
 
-// send sends a body to the daemon that -at names and reads the response into a value.
+// send sends a body to the daemon given by -at and decodes the response.
 func send[T any](ctx context.Context, c *client, method, path string, body []byte) (value T, err error) {
 	data, err := c.call(ctx, c.address, method, path, body)
 	if err != nil {
@@ -61,7 +61,7 @@
 
 func decodeResponse(address string, data []byte, into any) error {
 	if raw, ok := into.(*json.RawMessage); ok {
-		*raw = data // printed as it is; printJSON finds out what is no JSON
+		*raw = data // printed unparsed; printJSON reports invalid JSON
 		return nil
 	}
 	if err := json.Unmarshal(data, into); err != nil {
@@ -74,9 +74,9 @@
 	return errs.New(errs.ServerFault, "check that -at names a daemon's http address", "the response of %s can't be read: %v", address, err)
 }
 
-// call makes one call and returns the response's body. A typed error of the daemon is
-// returned as it is; without a response the error is an errs.NotReady, and where the
-// response broke off an errs.OutcomeUnknown.
+// call makes one HTTP call and returns the response body. A typed error from the daemon is
+// returned unchanged. The error is errs.NotReady if there was no response, and
+// errs.OutcomeUnknown if the connection failed while the response was read.
 func (c *client) call(ctx context.Context, address, method, path string, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
--- a/cmd/tuliprudderctl/commands.go
+++ b/cmd/tuliprudderctl/commands.go
@@ -7,13 +7,13 @@
 	"net/netip"
 )
 
-// command is one command with its arguments.
+// command is a command with its parsed arguments.
 type command interface {
-	// Apply makes the command's calls and prints what came of them.
+	// Apply makes the command's calls and prints their results.
 	Apply(ctx context.Context, s *session) error
 }
 
-// session is what a command runs with.
+// session holds the client, output and environment of one run.
 type session struct {
 	client  *client
 	out     io.Writer
@@ -21,21 +21,21 @@
 	env     environment
 }
 
-// argumentParser makes a command of the arguments after its name and flags.
+// argumentParser builds a command from the arguments that follow its name and flags.
 type argumentParser func(args []string) (command, error)
 
-// subcommand is one entry of the table of commands.
+// subcommand is an entry in the command table.
 type subcommand struct {
-	name      string // one word, or that of a group and one
-	former    string // its spelling in the release before, read for this one; "" where it is the same or new
+	name      string // a single word, or a group's name and a word
+	former    string // spelling in the previous release, still accepted; "" if unchanged or new
 	arguments string
 	summary   string
-	example   string // a command line without the program, -at and its address
-	offline   bool   // no daemon is called
+	example   string // command line without the program name and -at ADDRESS
+	offline   bool   // calls no daemon
 	define    func(flags *flag.FlagSet) argumentParser
 }
 
-// groups are the first words of the commands of two, with what they are about.
+// groups maps the first word of each two-word command to a description of its group.
 var groups = map[string]string{
 	"config":    "the cluster's configuration: routes, pools, tenants and priority classes",
 	"endpoints": "the model servers that requests are sent to",
@@ -44,7 +44,7 @@
 	"batch":     "callers' batches",
 }
 
-// subcommands are all commands, in the order of the help.
+// subcommands lists all commands in the order in which the help shows them.
 var subcommands = []subcommand{
 	{name: "config put", former: "plan put", arguments: "[-base VERSION] FILE", summary: "check a configuration and put it in force",
 		example: "config put -base 7 configuration.json", define: definePutConfiguration},
@@ -102,14 +102,14 @@
 		example: "batch status b-1", define: withArgument("batch", batchStatus)},
 }
 
-// withoutArguments is the definition of a command that takes none.
+// withoutArguments defines a command that ignores its arguments.
 func withoutArguments(c command) func(*flag.FlagSet) argumentParser {
 	return func(*flag.FlagSet) argumentParser {
 		return func([]string) (command, error) { return c, nil }
 	}
 }
 
-// withArgument is the definition of a command that takes one argument.
+// withArgument defines a command that takes exactly one argument; what names it in the error.
 func withArgument(what string, newCommand func(argument string) command) func(*flag.FlagSet) argumentParser {
 	return func(*flag.FlagSet) argumentParser {
 		return func(args []string) (command, error) {
@@ -129,7 +129,7 @@
 	return args[0], nil
 }
 
-// checkAddress checks the address that -at gave.
+// checkAddress reports a usage error if the -at address is not IP:port.
 func (c *client) checkAddress() error {
 	if _, err := netip.ParseAddrPort(c.address); err != nil {
 		return usageError("-at %q is not an IP number with a port; name any daemon's http address", c.address)
--- a/cmd/tuliprudderctl/commands_test.go
+++ b/cmd/tuliprudderctl/commands_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// examplePatch renames nothing and removes nothing: it gives a tenant of the example configuration
-// another key.
+// examplePatch only changes the key of one tenant in the example configuration.
 const examplePatch = `{"upsert":{"customers":[{"name":"buyers","key":"another-key","class":"platinum"}]}}`
 
-// writeExampleFiles makes a folder with the files that the examples name the current one.
+// writeExampleFiles writes the files that the examples name to a temporary directory and makes it
+// the working directory.
 func writeExampleFiles(t *testing.T) {
 	t.Helper()
 	folder := t.TempDir()
@@ -29,7 +29,7 @@
 	t.Chdir(folder)
 }
 
-// Each command's example runs, and its help shows it.
+// Each command's example runs without errors, and the command's help contains it.
 func TestExamplesRun(t *testing.T) {
 	for _, entry := range subcommands {
 		t.Run(entry.name, func(t *testing.T) {
@@ -40,22 +40,23 @@
 				t.Errorf("%q: exit code %d\n%s%s", entry.example, result.exitCode, result.stdout, result.stderr)
 			}
 			if !entry.offline && len(daemon.calls) == 0 {
-				t.Errorf("%q: no daemon was called", entry.example)
+				t.Errorf("%q: got no call to a daemon, want at least one", entry.example)
 			}
 			if !strings.HasPrefix(entry.example, entry.name) {
-				t.Errorf("%q is an example of another command", entry.example)
+				t.Errorf("example %q does not start with its command's name", entry.example)
 			}
 			help := runAgainst(daemon, append(strings.Fields(entry.name), "-help")...)
 			for _, want := range []string{entry.summary, entry.arguments, entry.example} {
 				if !strings.Contains(help.stderr, want) {
-					t.Errorf("the help has no %q:\n%s", want, help.stderr)
+					t.Errorf("help does not contain %q:\n%s", want, help.stderr)
 				}
 			}
 		})
 	}
 }
 
-// A command and its former spelling make the same calls; the former one says so.
+// A command and its former spelling make the same calls, and the former spelling prints a
+// deprecation warning.
 func TestFormerSpellingsMakeTheSameCalls(t *testing.T) {
 	for _, entry := range subcommands {
 		if entry.former == "" {
@@ -71,21 +72,21 @@
 				t.Fatalf("%q: exit code %d\n%s", formerLine, result.exitCode, result.stderr)
 			}
 			if warning := entry.former + " is now " + entry.name; !strings.Contains(result.stderr, warning) {
-				t.Errorf("no warning %q in %q", warning, result.stderr)
+				t.Errorf("warning %q not found in standard error %q", warning, result.stderr)
 			}
 			if len(current.calls) != len(former.calls) {
-				t.Fatalf("%d calls, and %d in the former spelling", len(current.calls), len(former.calls))
+				t.Fatalf("%d calls with the current spelling, %d with the former one", len(current.calls), len(former.calls))
 			}
 			for i := range current.calls {
 				if current.calls[i] != former.calls[i] {
-					t.Errorf("call %+v, and %+v in the former spelling", current.calls[i], former.calls[i])
+					t.Errorf("call %+v with the current spelling, %+v with the former one", current.calls[i], former.calls[i])
 				}
 			}
 		})
 	}
 }
 
-// The output of the commands with new names uses the current words only.
+// Commands run under their current names print the current terms and none of the former ones.
 func TestCurrentWording(t *testing.T) {
 	cases := []struct{ line, want, former string }{
 		{"members", "alive", "sound"},
@@ -100,20 +101,20 @@
 		t.Run(c.line, func(t *testing.T) {
 			result := runAgainst(newFakeDaemon(t), strings.Fields(c.line)...)
 			if !strings.Contains(result.stdout, c.want) || strings.Contains(result.stdout, c.former) {
-				t.Errorf("%q is missing, or %q is there:\n%s", c.want, c.former, result.stdout)
+				t.Errorf("want %q and not %q in the output:\n%s", c.want, c.former, result.stdout)
 			}
 		})
 	}
 }
 
-// A list of model servers is put as the file has it.
+// endpoints put sends the file's bytes unchanged.
 func TestPutEndpointsSendsFileUnchanged(t *testing.T) {
 	daemon := newFakeDaemon(t)
 	writeExampleFiles(t)
 	result := runAgainst(daemon, "endpoints", "put", "servers.json")
 	want := receivedCall{Method: "PUT", Path: pathServers, Body: readTestFile(t, "servers.json"), Operator: "anna"}
 	if result.exitCode != exitDone || len(daemon.calls) != 1 || daemon.calls[0] != want {
-		t.Errorf("exit code %d, calls %+v, not %+v", result.exitCode, daemon.calls, want)
+		t.Errorf("exit code %d, got calls %+v, want %+v", result.exitCode, daemon.calls, want)
 	}
 	if result.stdout != "1 model servers are listed\n" {
 		t.Errorf("printed %q", result.stdout)
--- a/cmd/tuliprudderctl/configurations.go
+++ b/cmd/tuliprudderctl/configurations.go
@@ -15,7 +15,7 @@
 	"tuliprudder/internal/errs"
 )
 
-// configurationVersion is one version of the configuration as daemons give it.
+// configurationVersion is a version of the configuration as daemons return it.
 type configurationVersion struct {
 	Version       uint64          `json:"version"`
 	Configuration json.RawMessage `json:"plan"`
@@ -23,8 +23,8 @@
 	AtUS          int64           `json:"at_us"`
 }
 
-// putConfiguration puts a configuration file in force. With a base, another version in
-// force rejects it (errs.StaleBase).
+// putConfiguration puts a configuration file in force. If base is set and is not the version in
+// force, the call is rejected with errs.StaleBase.
 type putConfiguration struct{ file, base string }
 
 func definePutConfiguration(flags *flag.FlagSet) argumentParser {
@@ -35,7 +35,7 @@
 	}
 }
 
-// Apply checks the file here, and puts it.
+// Apply validates the file locally before sending it.
 func (p putConfiguration) Apply(ctx context.Context, s *session) error {
 	data, err := readFile(p.file)
 	if err != nil {
@@ -47,7 +47,8 @@
 	return s.putConfiguration(ctx, data, p.base)
 }
 
-// putConfiguration puts a checked configuration; an empty base is none.
+// putConfiguration puts a validated configuration in force. An empty base disables the check of
+// the version in force.
 func (s *session) putConfiguration(ctx context.Context, document []byte, base string) error {
 	if base != "" {
 		if _, err := strconv.ParseUint(base, 10, 64); err != nil {
@@ -57,7 +58,8 @@
 	return s.changeConfiguration(ctx, http.MethodPut, document, base)
 }
 
-// changeConfiguration sends a configuration (PUT) or a patch of it (PATCH); an empty base is none.
+// changeConfiguration sends a configuration (PUT) or a patch to it (PATCH). An empty base disables
+// the check of the version in force.
 func (s *session) changeConfiguration(ctx context.Context, method string, body []byte, base string) error {
 	path := pathConfiguration
 	if base != "" {
@@ -87,8 +89,8 @@
 	}
 }
 
-// Apply prints what the patch changes, and sends it where the command says so. The cluster applies
-// it only to the version whose changes were printed.
+// Apply prints what the patch changes and, with -put, sends it. The printed version is sent as the
+// base, so the cluster rejects the patch if another version has come into force since.
 func (p patchConfiguration) Apply(ctx context.Context, s *session) error {
 	data, err := readFile(p.file)
 	if err != nil {
@@ -119,8 +121,8 @@
 	return s.changeConfiguration(ctx, http.MethodPatch, data, fmt.Sprint(current.Version))
 }
 
-// printDifferences prints a line for each entry that differs between two documents, and one for
-// each field of it.
+// printDifferences prints a line for each entry that differs between two documents, followed by
+// one for each of its fields that differ.
 func (s *session) printDifferences(from, to []byte) error {
 	var before, after document
 	if err := json.Unmarshal(from, &before); err != nil {
@@ -135,7 +137,7 @@
 	return nil
 }
 
-// getConfiguration prints a version, or the one in force where none is named.
+// getConfiguration prints the given version, or the one in force if version is empty.
 type getConfiguration struct{ version string }
 
 func defineGetConfiguration(*flag.FlagSet) argumentParser {
@@ -147,7 +149,7 @@
 	}
 }
 
-// Apply prints the document alone, so that it can be edited and put.
+// Apply prints only the document, without its metadata, so that it can be edited and put again.
 func (g getConfiguration) Apply(ctx context.Context, s *session) error {
 	version, err := s.fetchConfiguration(ctx, g.version)
 	if err != nil {
@@ -156,7 +158,7 @@
 	return s.printJSON(version.Configuration)
 }
 
-// fetchConfiguration reads a version, or the one in force where version is empty.
+// fetchConfiguration fetches the given version, or the one in force if version is empty.
 func (s *session) fetchConfiguration(ctx context.Context, version string) (configurationVersion, error) {
 	if version == "" {
 		return get[configurationVersion](ctx, s.client, pathConfiguration)
@@ -168,10 +170,10 @@
 	return get[configurationVersion](ctx, s.client, fmt.Sprintf("%s/%d", pathConfigurations, number))
 }
 
-// listConfigurations lists the versions that are kept.
+// listConfigurations lists the retained versions.
 type listConfigurations struct{}
 
-// Apply prints a line a version.
+// Apply prints one row per version.
 func (listConfigurations) Apply(ctx context.Context, s *session) error {
 	response, err := get[struct {
 		Versions []configurationVersion `json:"plans"`
@@ -187,7 +189,7 @@
 	return nil
 }
 
-// formatTime is a time for people, in UTC to the millisecond; microseconds counts since 1970.
+// formatTime formats a Unix time in microseconds as UTC with millisecond precision.
 func formatTime(microseconds int64) string {
 	return time.UnixMicro(microseconds).UTC().Format("2006-01-02T15:04:05.000Z")
 }
@@ -204,7 +206,8 @@
 	}
 }
 
-// Apply prints a line for each entry that differs, and one for each field of it.
+// Apply prints a line for each entry that differs, followed by one for each of its fields that
+// differ.
 func (d diffConfigurations) Apply(ctx context.Context, s *session) error {
 	from, err := s.readDocument(ctx, d.from)
 	if err != nil {
@@ -224,7 +227,8 @@
 	return nil
 }
 
-// readDocument reads a configuration from a file of that name, or else by its version.
+// readDocument reads a configuration from the named file; if it can't be read, name is taken as a
+// version and fetched from the daemon.
 func (s *session) readDocument(ctx context.Context, name string) (document, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -255,8 +259,8 @@
 	}
 }
 
-// Apply prints what is not carried over and what changes, and puts the configuration
-// where the command says so.
+// Apply prints the parts of the file that are not imported and the resulting changes and, with
+// -put, puts the configuration in force.
 func (i importConfiguration) Apply(ctx context.Context, s *session) error {
 	data, err := readFile(i.file)
 	if err != nil {
@@ -287,10 +291,10 @@
 	return s.putConfiguration(ctx, body, fmt.Sprint(current.Version))
 }
 
-// checkConfiguration checks a file without a daemon.
+// checkConfiguration validates a file without calling a daemon.
 type checkConfiguration struct{ file string }
 
-// Apply prints that the file is valid, or returns each of its faults.
+// Apply prints that the file is valid, or returns an error that lists all its faults.
 func (c checkConfiguration) Apply(_ context.Context, s *session) error {
 	data, err := readFile(c.file)
 	if err != nil {
@@ -303,7 +307,7 @@
 	return nil
 }
 
-// readFile reads a file that the command line names.
+// readFile reads a file named on the command line; a failure is a usage error.
 func readFile(name string) ([]byte, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
--- a/cmd/tuliprudderctl/default_address_test.go
+++ b/cmd/tuliprudderctl/default_address_test.go
@@ -11,8 +11,8 @@
 		warned                      bool
 	}{
 		{"neither", "", "", "", false},
-		{"the new one", "1.2.3.4:1", "", "1.2.3.4:1", false},
-		{"the old one", "", "1.2.3.4:2", "1.2.3.4:2", true},
+		{"the current one", "1.2.3.4:1", "", "1.2.3.4:1", false},
+		{"the former one", "", "1.2.3.4:2", "1.2.3.4:2", true},
 		{"both", "1.2.3.4:1", "1.2.3.4:2", "1.2.3.4:1", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/cmd/tuliprudderctl/diff.go
+++ b/cmd/tuliprudderctl/diff.go
@@ -8,18 +8,18 @@
 	"slices"
 )
 
-// document is a configuration as decoded JSON: it is compared field by field, also those
-// that this release does not know.
+// document is a configuration decoded as generic JSON, so that fields unknown to this release are
+// compared, too.
 type document = map[string]any
 
-// entrySections are the parts of a configuration that are lists of entries with names;
-// sectionScorers is compared as one. The keys are those of the first release.
+// entrySections are the configuration sections that are lists of named entries; sectionScorers is
+// compared as a whole. The keys are those of the first release.
 var entrySections = []string{"classes", "customers", "pools", "routes"}
 
 const sectionScorers = "judges"
 
-// diffDocuments lists what changes from one configuration to another: + added, - removed,
-// ~ changed, with a line for each field.
+// diffDocuments lists the differences between two configurations: + added, - removed, ~ changed,
+// the last followed by a line for each changed field.
 func diffDocuments(from, to document) []string {
 	var lines []string
 	for _, section := range entrySections {
@@ -34,10 +34,10 @@
 	return lines
 }
 
-// keyFields are the fields with a tenant's keys, which no list or diff shows.
+// keyFields are the fields that hold a tenant's API keys, whose values are never printed.
 var keyFields = []string{"key", "keys"}
 
-// diffEntries compares two entries of one name; nil is none.
+// diffEntries compares two entries of the same name; nil means that the entry does not exist.
 func diffEntries(name string, before, after document) []string {
 	switch {
 	case before == nil:
@@ -63,7 +63,7 @@
 	return lines
 }
 
-// entriesByName gives the entries of a section by name; what is no entry is left out.
+// entriesByName indexes the entries of a section by name and skips values that are not objects.
 func entriesByName(section any) map[string]document {
 	entries := map[string]document{}
 	list, _ := section.([]any)
@@ -76,7 +76,7 @@
 	return entries
 }
 
-// unionOfKeys is the keys of two maps, sorted.
+// unionOfKeys returns the keys that are in either map, sorted and without duplicates.
 func unionOfKeys[V any](a, b map[string]V) []string {
 	keys := slices.AppendSeq(slices.Collect(maps.Keys(a)), maps.Keys(b))
 	slices.Sort(keys)
--- a/cmd/tuliprudderctl/endpoints.go
+++ b/cmd/tuliprudderctl/endpoints.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// endpoint is one model server as a daemon sees it.
+// endpoint is a model server as a daemon reports it.
 type endpoint struct {
 	Name        string            `json:"name"`
 	Address     string            `json:"address"`
@@ -17,7 +17,7 @@
 	Slots       int               `json:"slots"`
 	Draining    bool              `json:"leaving"`
 	Removed     bool              `json:"gone"`
-	OwnInFlight int               `json:"own"` // requests that the daemon has there
+	OwnInFlight int               `json:"own"` // requests that this daemon has running on the server
 	LatencyUS   int64             `json:"latency_us"`
 	Load        struct {
 		Running int    `json:"running"`
@@ -27,7 +27,7 @@
 	} `json:"load"`
 }
 
-// status names the endpoint's state in a command's wording.
+// status returns the endpoint's state in the given wording.
 func (e endpoint) status(words wording) string {
 	switch {
 	case e.Removed:
@@ -43,7 +43,7 @@
 // listEndpoints lists the model servers.
 type listEndpoints struct{}
 
-// Apply prints a line a server.
+// Apply prints one row per server.
 func (listEndpoints) Apply(ctx context.Context, s *session) error {
 	response, err := get[struct {
 		Servers []endpoint `json:"servers"`
@@ -68,11 +68,11 @@
 	return strings.Join(pairs, ",")
 }
 
-// putEndpoints replaces the list of model servers by that of a file, as docs/OPERATORS.md
-// gives its form. The daemon checks it.
+// putEndpoints replaces the list of model servers with the one in a file, whose format is described
+// in docs/OPERATORS.md. The daemon validates it.
 type putEndpoints struct{ file string }
 
-// Apply puts the file as it is.
+// Apply sends the file unchanged.
 func (p putEndpoints) Apply(ctx context.Context, s *session) error {
 	data, err := readFile(p.file)
 	if err != nil {
@@ -94,12 +94,12 @@
 	draining bool
 }
 
-// drainingChange is the body of that call.
+// drainingChange is the request body of setDraining.
 type drainingChange struct {
 	Draining bool `json:"leaving"`
 }
 
-// Apply returns once a majority of the voters know the change.
+// Apply returns once a majority of the voters have the change.
 func (d setDraining) Apply(ctx context.Context, s *session) error {
 	body, err := json.Marshal(drainingChange{Draining: d.draining})
 	if err != nil {
--- a/cmd/tuliprudderctl/fake_daemon_test.go
+++ b/cmd/tuliprudderctl/fake_daemon_test.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-// addressPlaceholder stands for the fake daemon's address in recordings and responses.
+// addressPlaceholder replaces the fake daemon's address in recordings and responses.
 const addressPlaceholder = "ADDRESS"
 
-// receivedCall is one HTTP call as the fake daemon received it.
+// receivedCall is an HTTP call received by the fake daemon.
 type receivedCall struct {
 	Method   string `json:"method"`
 	Path     string `json:"path"`
@@ -22,14 +22,14 @@
 	Operator string `json:"operator"`
 }
 
-// cannedResponse is what the fake daemon answers with.
+// cannedResponse is a predefined response of the fake daemon.
 type cannedResponse struct {
 	status int
 	body   string
 }
 
-// fakeDaemon answers operators' calls with canned responses, one after the other where
-// a call has several, and keeps the calls.
+// fakeDaemon answers administration calls with canned responses and records the calls. If a call
+// has several responses they are returned in order, and the last one repeats.
 type fakeDaemon struct {
 	address   string
 	calls     []receivedCall
@@ -45,7 +45,7 @@
 	return f
 }
 
-// ServeHTTP keeps the call and answers it.
+// ServeHTTP records the call and sends its canned response.
 func (f *fakeDaemon) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	f.calls = append(f.calls, receivedCall{Method: r.Method, Path: r.URL.RequestURI(), Body: string(body), Operator: r.Header.Get("X-Operator")})
@@ -62,7 +62,7 @@
 	fmt.Fprint(w, strings.ReplaceAll(queue[0].body, addressPlaceholder, f.address))
 }
 
-// readTestFile reads a file of the repository.
+// readTestFile returns the contents of a file and fails the test if it can't be read.
 func readTestFile(t *testing.T, path string) string {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -80,7 +80,7 @@
 	return []cannedResponse{{status, fmt.Sprintf(`{"error":{"kind":%q,"message":%q,"remedy":"do as the test says"}}`, kind, message)}}
 }
 
-// cannedResponses are a small cluster's responses to every call there is.
+// cannedResponses returns a small cluster's responses to all calls that the tests make.
 func cannedResponses(t *testing.T) map[string][]cannedResponse {
 	t.Helper()
 	configuration := readTestFile(t, "../../deploy/ghent.plan.json")
--- a/cmd/tuliprudderctl/former_spellings.go
+++ b/cmd/tuliprudderctl/former_spellings.go
@@ -5,21 +5,21 @@
 	"io"
 )
 
-// wording is the words of the output that differ between a command's name and its former
-// spelling, whose output is what it was: scripts may read it. The formats take what
-// their commands print.
+// wording holds the output texts that depend on whether a command was called by its current name or
+// by its former spelling. The former spelling keeps its former output because scripts may parse it.
+// The comments name the arguments of the format strings.
 type wording struct {
 	isFormer bool
 
 	memberAlive string
 
 	healthy, unhealthy, draining, removed string
-	drainingSet                           string // server's name, whether it drains
+	drainingSet                           string // server name, whether it is draining
 
 	shardHeader     string
-	dependentShards string // store's ID, how many
+	dependentShards string // store ID, number of shards
 
-	answeredBy         string // daemon's ID
+	answeredBy         string // daemon ID
 	configurationValid string
 	nothingPut         string
 }
@@ -38,7 +38,7 @@
 	nothingPut:         "nothing was put; give -put to put it",
 }
 
-// formerWording goes with the former spellings, in the next release.
+// formerWording will be removed together with the former spellings in the next release.
 var formerWording = wording{
 	isFormer:           true,
 	memberAlive:        "sound",
@@ -54,8 +54,8 @@
 	nothingPut:         "nothing was put; say -put to put it",
 }
 
-// addressVariable is the environment variable that names a daemon's address where -at is
-// left out; its former spelling is read for this release, with a warning.
+// addressVariable is the environment variable with the daemon address to use if -at is not given.
+// Its former name is still read in this release, with a deprecation warning.
 const (
 	addressVariable       = "TULIPRUDDERCTL_AT"
 	formerAddressVariable = "WAYMARK_AT"
--- a/cmd/tuliprudderctl/former_spellings_test.go
+++ b/cmd/tuliprudderctl/former_spellings_test.go
@@ -12,13 +12,14 @@
 	"testing"
 )
 
-// recordWith names a build of the former release: its calls, output and exit codes are
-// then recorded anew, as `go test -run TestFormerSpellings -record-with PROGRAM`.
-var recordWith = flag.String("record-with", "", "program of the former release to record the expected output with")
+// recordWith is the path of a binary of the previous release. If it is set, the test records that
+// binary's calls, output and exit codes again:
+// `go test -run TestFormerSpellings -record-with PROGRAM`.
+var recordWith = flag.String("record-with", "", "binary of the previous release to record the expected output with")
 
 const recordingsPath = "testdata/former/recordings.json"
 
-// recording is what one command line of the former release did.
+// recording is the observed behaviour of one command line of the previous release.
 type recording struct {
 	Args     []string       `json:"args"`
 	ExitCode int            `json:"exit_code"`
@@ -32,8 +33,8 @@
 	invalidFile       = "testdata/former/invalid.json"
 )
 
-// formerCommandLines are command lines in the spellings of the former release; each
-// runs with -at and the fake daemon's address before it.
+// formerCommandLines are command lines in the spellings of the previous release. Each is run with
+// -at and the fake daemon's address prepended.
 var formerCommandLines = [][]string{
 	{"plan", "put", configurationFile},
 	{"plan", "put", "-base", "7", configurationFile},
@@ -94,8 +95,8 @@
 	{"-by", "ben", "plan", "put", configurationFile},
 }
 
-// A command line of the former release makes the same calls, prints the same and ends
-// with the same exit code.
+// Command lines of the previous release make the same calls, print the same output and return the
+// same exit code as they did in that release.
 func TestFormerSpellings(t *testing.T) {
 	if *recordWith != "" {
 		record(t)
@@ -105,16 +106,16 @@
 		t.Fatal(err)
 	}
 	if len(recordings) != len(formerCommandLines) {
-		t.Fatalf("%d recordings of %d command lines", len(recordings), len(formerCommandLines))
+		t.Fatalf("got %d recordings for %d command lines", len(recordings), len(formerCommandLines))
 	}
 	for i, want := range recordings {
 		if !reflect.DeepEqual(append([]string{}, want.Args...), append([]string{}, formerCommandLines[i]...)) {
-			t.Fatalf("recording %d is of %q, not of %q", i, want.Args, formerCommandLines[i])
+			t.Fatalf("recording %d is of %q, want %q", i, want.Args, formerCommandLines[i])
 		}
 		t.Run(strings.Join(want.Args, " "), func(t *testing.T) {
 			got := runRecorded(t, want.Args)
 			if got.ExitCode != want.ExitCode {
-				t.Errorf("exit code %d, not %d", got.ExitCode, want.ExitCode)
+				t.Errorf("got exit code %d, want %d", got.ExitCode, want.ExitCode)
 			}
 			if got.Stdout != want.Stdout {
 				t.Errorf("printed\n%s\nnot\n%s", got.Stdout, want.Stdout)
@@ -126,7 +127,7 @@
 	}
 }
 
-// record runs the program of the former release and writes the recordings.
+// record runs all command lines with the binary of the previous release and writes the recordings.
 func record(t *testing.T) {
 	t.Helper()
 	var recordings []recording
@@ -162,7 +163,8 @@
 	}
 }
 
-// runRecorded runs a command line here as record ran the former release's program.
+// runRecorded runs a command line in this process under the conditions in which record ran the
+// previous release's binary.
 func runRecorded(t *testing.T, args []string) recording {
 	t.Helper()
 	daemon := newFakeDaemon(t)
--- a/cmd/tuliprudderctl/golden_test.go
+++ b/cmd/tuliprudderctl/golden_test.go
@@ -6,7 +6,7 @@
 	"tuliprudder/test/goldenjson"
 )
 
-// The answers of the daemons are read by the keys that they are written under.
+// Decoding uses the JSON keys under which the daemons write their responses.
 func TestGoldenJSON(t *testing.T) {
 	for name, pointer := range map[string]any{
 		"daemon.json":            &member{},
--- a/cmd/tuliprudderctl/help.go
+++ b/cmd/tuliprudderctl/help.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// rootHelp is the help of the program.
+// rootHelp returns the help text of the program.
 func rootHelp(flags *flag.FlagSet) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s calls the administration API of a tuliprudder cluster's daemons.\n\n", programName)
@@ -22,7 +22,8 @@
 	return b.String()
 }
 
-// groupHelp is the help of the commands that begin with a word.
+// groupHelp returns the help text of the commands whose current or former name begins with the
+// group's word.
 func groupHelp(group string) string {
 	var members []subcommand
 	for _, entry := range subcommands {
@@ -40,7 +41,7 @@
 	return b.String()
 }
 
-// subcommandHelp is the help of one command.
+// subcommandHelp returns the help text of one command.
 func subcommandHelp(entry subcommand, flags *flag.FlagSet) string {
 	at := " -at ADDRESS"
 	if entry.offline {
--- a/cmd/tuliprudderctl/main.go
+++ b/cmd/tuliprudderctl/main.go
@@ -1,10 +1,10 @@
-// Program tuliprudderctl is the operators' command line (DESIGN §8, docs/OPERATORS.md).
-// Each command is one or a few HTTP calls to a daemon's administration API; which daemon
-// is asked matters only where a command says so.
+// Program tuliprudderctl is the command-line tool for operators (DESIGN §8, docs/OPERATORS.md).
+// Each command makes one or a few HTTP calls to a daemon's administration API. Any daemon of the
+// cluster can be used unless a command's help says otherwise.
 //
-// Exit codes: 0 the command did what it says; 1 a daemon rejected the call, could not be
-// reached, or its outcome is unknown; 2 the command line is wrong, or help was asked for.
-// Results go to standard output, errors and warnings to standard error.
+// Exit codes: 0 the command succeeded; 1 a daemon rejected the call, could not be reached, or the
+// outcome is unknown; 2 the command line is invalid, or help was requested. Results go to standard
+// output, errors and warnings to standard error.
 package main
 
 import (
@@ -22,10 +22,10 @@
 
 const programName = "tuliprudderctl"
 
-// The exit codes.
+// Exit codes of the program.
 const (
 	exitDone   = 0
-	exitFailed = 1 // rejected by a daemon, no daemon reached, or the outcome is unknown
+	exitFailed = 1 // rejected by a daemon, daemon unreachable, or outcome unknown
 	exitUsage  = 2
 )
 
@@ -36,14 +36,14 @@
 	os.Exit(run(context.Background(), os.Args[1:], environment))
 }
 
-// environment is what a run of the program has from its surroundings.
+// environment holds what the program takes from the process, so that tests can replace it.
 type environment struct {
 	stdout, stderr io.Writer
 	getenv         func(name string) string
-	retireInterval time.Duration // between two calls for a store's retirement
+	retireInterval time.Duration // between two polls of a store's retirement
 }
 
-// run runs one command line and returns the exit code.
+// run executes one command line and returns the exit code.
 func run(ctx context.Context, args []string, env environment) int {
 	session := &session{
 		client: &client{http: &http.Client{Timeout: callTimeout}},
@@ -71,7 +71,7 @@
 	return exitFailed
 }
 
-// printError names the error, each fault that it lists, and the remedy.
+// printError prints the error's kind and message, each fault that it lists, and the remedy.
 func printError(w io.Writer, err error) {
 	typed := errs.Of(err)
 	fmt.Fprintf(w, "%s: %s: %s\n", programName, typed.Kind, typed.Message)
@@ -81,7 +81,7 @@
 	fmt.Fprintf(w, "  remedy: %s\n", typed.Remedy)
 }
 
-// usageError is an error in the command line.
+// usageError returns an error for an invalid command line; run maps it to exitUsage.
 func usageError(format string, args ...any) error {
 	return errs.New(errs.BadSettings, "see "+programName+" -help", format, args...)
 }
--- a/cmd/tuliprudderctl/members.go
+++ b/cmd/tuliprudderctl/members.go
@@ -10,7 +10,7 @@
 	"tuliprudder/internal/membership"
 )
 
-// member is one daemon as the directory of daemons gives it.
+// member is a daemon as the cluster's member list reports it.
 type member struct {
 	ID       string `json:"id"`
 	Kind     string `json:"kind"`
@@ -32,7 +32,7 @@
 // listMembers lists the daemons.
 type listMembers struct{}
 
-// Apply prints a line a daemon.
+// Apply prints one row per daemon.
 func (listMembers) Apply(ctx context.Context, s *session) error {
 	members, err := s.fetchMembers(ctx)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// printDocument prints what the daemon that -at names answers at a path.
+// printDocument prints the response of the daemon given by -at to a GET of path.
 type printDocument struct{ path string }
 
 // Apply prints the JSON document, indented.
@@ -65,14 +65,14 @@
 	return s.printJSON(data)
 }
 
-// printFromFirst prints what the first daemon of some kinds that knows it answers at a
-// path: which one does is not known beforehand.
+// printFromFirst prints the first successful response to a GET of path among the daemons of the
+// given kinds. It is for data of which it is not known in advance which daemon has it.
 type printFromFirst struct {
 	path  string
 	kinds []string
 }
 
-// Apply calls the daemons that are alive one after the other.
+// Apply calls the live daemons in turn until one succeeds. If all fail it returns the last error.
 func (p printFromFirst) Apply(ctx context.Context, s *session) error {
 	members, err := s.fetchMembers(ctx)
 	if err != nil {
--- a/cmd/tuliprudderctl/output.go
+++ b/cmd/tuliprudderctl/output.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// table is a table's rows of cells; the first is the header.
+// table holds rows of cells; the first row is the header.
 type table [][]string
 
 func (t *table) add(cells ...any) {
@@ -19,7 +19,7 @@
 	*t = append(*t, row)
 }
 
-// printTable aligns the columns.
+// printTable prints a table with aligned columns.
 func (s *session) printTable(t table) {
 	w := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
 	for _, row := range t {
@@ -28,7 +28,7 @@
 	w.Flush()
 }
 
-// printJSON prints a JSON document, indented; its keys stay as the daemon wrote them.
+// printJSON prints an indented JSON document and leaves its keys and their order unchanged.
 func (s *session) printJSON(data json.RawMessage) error {
 	var pretty bytes.Buffer
 	if err := json.Indent(&pretty, data, "", "  "); err != nil {
--- a/cmd/tuliprudderctl/patch_test.go
+++ b/cmd/tuliprudderctl/patch_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// A patch is shown before it is put, and put on the version that was shown.
+// A patch's differences are printed before it is sent, and it is sent with the printed version as
+// its base. A patch that is invalid, or that makes the configuration invalid, is not sent.
 func TestPatchPrintsDifferencesBeforePut(t *testing.T) {
 	for name, c := range map[string]struct {
 		patch    string
@@ -21,7 +22,7 @@
 		"an unknown entry":  {`{"remove":{"routes":["none"]}}`, []string{"-put"}, exitFailed, `names "none", which is not there`, []string{"GET /v1/operator/plan"}},
 		"an unknown list":   {`{"upsert":{"servers":[]}}`, []string{"-put"}, exitFailed, "unknown list", nil},
 		"an invalid result": {`{"remove":{"classes":["platinum"]}}`, []string{"-put"}, exitFailed, "platinum", []string{"GET /v1/operator/plan"}},
-		"no JSON":           {`{`, nil, exitFailed, "can't be read", nil},
+		"not JSON":          {`{`, nil, exitFailed, "can't be read", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			daemon := newFakeDaemon(t)
@@ -38,7 +39,7 @@
 				calls = append(calls, call.Method+" "+call.Path)
 			}
 			if strings.Join(calls, ", ") != strings.Join(c.calls, ", ") {
-				t.Errorf("the calls are %q", calls)
+				t.Errorf("got calls %q", calls)
 			}
 		})
 	}
--- a/cmd/tuliprudderctl/requests.go
+++ b/cmd/tuliprudderctl/requests.go
@@ -6,8 +6,8 @@
 	"tuliprudder/internal/membership"
 )
 
-// explainRequest reads how a request was scheduled from the daemon that scheduled it; an
-// item of a batch is BATCH/INDEX.
+// explainRequest prints how a request was scheduled, as recorded by the daemon that scheduled it.
+// The ID of a batch item is BATCH/INDEX.
 func explainRequest(id string) command {
 	return printFromFirst{
 		path:  pathRequests + "?order=" + url.QueryEscape(id),
@@ -15,7 +15,8 @@
 	}
 }
 
-// batchStatus reads a batch's store and the servers of its items; any edge knows the store.
+// batchStatus prints a batch's store and the servers that ran its items. Any edge can locate the
+// store.
 func batchStatus(id string) command {
 	return printFromFirst{
 		path:  pathBatches + url.PathEscape(id),
--- a/cmd/tuliprudderctl/risks.go
+++ b/cmd/tuliprudderctl/risks.go
@@ -6,12 +6,12 @@
 	"tuliprudder/internal/errs"
 )
 
-// diskConditionSlow is the disk_condition of a disk that is only slow; those above it
-// take no writes.
+// diskConditionSlow is the disk_condition of a disk that is slow but still accepts writes; disks
+// with higher values do not accept them.
 const diskConditionSlow = 1
 
-// riskCounters are the counters that say that a guarantee is at risk once they are above
-// a threshold; docs/OPERATORS.md says what to do about each.
+// riskCounters are the counters that indicate a guarantee at risk when they exceed a threshold.
+// docs/OPERATORS.md says what to do about each.
 var riskCounters = []struct {
 	name      string
 	threshold int64
@@ -28,10 +28,11 @@
 	{"act_oldest_us", 30_000_000},
 }
 
-// listRisks gathers what puts guarantees at risk from all daemons.
+// listRisks lists the risks to guarantees that the counters of all daemons indicate.
 type listRisks struct{}
 
-// Apply prints a line a risk. A daemon that can't be called is one.
+// Apply prints one row per risk. A daemon that is not alive or does not return its counters is a
+// risk, too.
 func (listRisks) Apply(ctx context.Context, s *session) error {
 	members, err := s.fetchMembers(ctx)
 	if err != nil {
@@ -55,7 +56,7 @@
 		}
 	}
 	if len(t) == 1 {
-		s.printf("no promise is at risk\n") // as in the release before: the command kept its name
+		s.printf("no promise is at risk\n") // text of the previous release, kept because the command kept its name
 		return nil
 	}
 	s.printTable(t)
--- a/cmd/tuliprudderctl/risks_test.go
+++ b/cmd/tuliprudderctl/risks_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Without a counter above its threshold, and with all daemons alive, nothing is at risk.
+// No risk is reported if all daemons are alive and no counter exceeds its threshold.
 func TestNoRisks(t *testing.T) {
 	daemon := newFakeDaemon(t)
 	daemon.responses["GET "+pathMembers] = ok(`{"daemons":[{"id":"core-1","kind":"cairn","http":"ADDRESS","standing":"sound"}]}`)
@@ -12,7 +12,7 @@
 	}
 }
 
-// A daemon that can't be called is a risk itself.
+// A daemon that does not return its counters is reported as a risk.
 func TestUnreachableDaemonIsARisk(t *testing.T) {
 	daemon := newFakeDaemon(t)
 	daemon.responses["GET "+pathCounters] = rejected(503, "not_ready", "starting")
--- a/cmd/tuliprudderctl/run_test.go
+++ b/cmd/tuliprudderctl/run_test.go
@@ -5,13 +5,13 @@
 	"context"
 )
 
-// runResult is what a run of the program left.
+// runResult is the exit code and output of one run.
 type runResult struct {
 	exitCode       int
 	stdout, stderr string
 }
 
-// runAgainst runs a command line with -at and a fake daemon's address before it.
+// runAgainst runs a command line with -at and the fake daemon's address prepended.
 func runAgainst(daemon *fakeDaemon, args ...string) runResult {
 	var stdout, stderr bytes.Buffer
 	variables := map[string]string{"USER": "anna"}
--- a/cmd/tuliprudderctl/shards.go
+++ b/cmd/tuliprudderctl/shards.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// clusterMap is the control state's map of stores and shards.
+// clusterMap is the control state's assignment of shards to stores.
 type clusterMap struct {
 	Fleet  string                 `json:"fleet"`
 	Seq    uint64                 `json:"seq"`
@@ -39,7 +39,7 @@
 // listShards lists the shards.
 type listShards struct{}
 
-// Apply prints a line a shard.
+// Apply prints one row per shard.
 func (listShards) Apply(ctx context.Context, s *session) error {
 	m, err := get[clusterMap](ctx, s.client, pathClusterMap)
 	if err != nil {
@@ -61,16 +61,17 @@
 	return nil
 }
 
-// The command stores kept its name, so that its output keeps these words, too.
+// The stores command kept its name, so it has no former spelling, and its output keeps the terms of
+// the previous release.
 const (
-	headerReplicates = "BACKS" // shards of which a store is a replica
+	headerReplicates = "BACKS" // number of shards that the store replicates
 	statusRegistered = "enrolled"
 )
 
 // listStores lists the stores.
 type listStores struct{}
 
-// Apply prints a line a store.
+// Apply prints one row per store.
 func (listStores) Apply(ctx context.Context, s *session) error {
 	m, err := get[clusterMap](ctx, s.client, pathClusterMap)
 	if err != nil {
--- a/cmd/tuliprudderctl/stores.go
+++ b/cmd/tuliprudderctl/stores.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// showStore prints what a store says of itself.
+// showStore prints a store's own description of its state.
 func showStore(id string) command { return printDocument{path: pathStores + url.PathEscape(id)} }
 
-// retirement is the body and the response of a call on a store's retirement.
+// retirementChange is the request body, and retirement the response, of a call to start, poll or
+// cancel a store's retirement.
 type (
 	retirementChange struct {
 		Cancel bool `json:"back"`
@@ -22,10 +23,11 @@
 	}
 )
 
-// retireStore has a store's shards moved to others, and waits for the end of it.
+// retireStore starts moving a store's shards to other stores and waits until that is done.
 type retireStore struct{ id string }
 
-// Apply repeats the call, which starts the retirement or reports how far it is.
+// Apply repeats the call until the store is retired; the first call starts the retirement, and
+// later ones return its progress.
 func (r retireStore) Apply(ctx context.Context, s *session) error {
 	for last := -1; ; {
 		state, err := s.callRetirement(ctx, r.id, retirementChange{})
@@ -48,10 +50,10 @@
 	}
 }
 
-// cancelRetirement ends a retirement that is under way.
+// cancelRetirement cancels a retirement that is in progress.
 type cancelRetirement struct{ id string }
 
-// Apply prints how many shards depend on the store now.
+// Apply prints how many shards still depend on the store.
 func (c cancelRetirement) Apply(ctx context.Context, s *session) error {
 	state, err := s.callRetirement(ctx, c.id, retirementChange{Cancel: true})
 	if err != nil {
--- a/cmd/tuliprudderctl/tree.go
+++ b/cmd/tuliprudderctl/tree.go
@@ -9,8 +9,8 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// newRootCommand makes the tree of commands that parses a command line, from the table of
-// commands and their former spellings.
+// newRootCommand builds the ffcli command tree from the command table, under current names and
+// former spellings.
 func newRootCommand(s *session) *ffcli.Command {
 	flags := newFlagSet(s, programName)
 	flags.StringVar(&s.client.address, "at", defaultAddress(s.env.stderr, s.env.getenv), "HTTP `address` of a daemon, IP:port; without the flag that of "+addressVariable)
@@ -36,8 +36,9 @@
 
 func showHelp(context.Context, []string) error { return flag.ErrHelp }
 
-// addSubcommand adds an entry under one of its spellings. A former spelling that is a
-// group's name now (store) becomes what the group does with arguments of no command.
+// addSubcommand adds an entry to the tree under one of its spellings. If a former spelling is now
+// the name of a group (store), the entry runs when the group is given arguments that match none of
+// its commands.
 func addSubcommand(root *ffcli.Command, s *session, entry subcommand, spelling string, words wording) {
 	parent := root
 	group, name, isGrouped := strings.Cut(spelling, " ")
--- a/cmd/zonedrill/main.go
+++ b/cmd/zonedrill/main.go
@@ -1,7 +1,7 @@
-// Program zonedrill is the zone drill (DESIGN §9): it takes a zone out of a running
-// deployment while callers call, brings it back, and checks every guarantee. It is run at
-// the root of the repository and ends with 1 when a guarantee was broken; its files then
-// stay.
+// Program zonedrill is the zone failure drill (DESIGN §9): it makes a zone of a running deployment
+// fail under load, restores it, and checks every guarantee. It must be run at the root of the
+// repository. The exit code is 1 if a guarantee was violated or the run failed; the files are then
+// kept.
 //
 //	zonedrill -way wipe -zone zone-2
 package main
@@ -23,14 +23,14 @@
 
 const readyTimeout = 60 * time.Second
 
-// faultsByFailureMode are the faults of package faultinject for each -way.
+// faultsByFailureMode maps each value of -way to a fault of package faultinject.
 var faultsByFailureMode = map[string]string{"kill": "zone", "cut": "zone-cut", "wipe": "zone-wipe"}
 
-// drill is one drill's settings.
+// drill holds the settings of one drill.
 type drill struct {
 	faultinject.Settings
 	failureMode   string
-	injectedFault string // what the stores do wrong on purpose; "" nothing
+	injectedFault string // fault built into the stores; "" for none
 }
 
 func main() {
@@ -47,12 +47,12 @@
 	var d drill
 	r := settings.New("zonedrill")
 	d.Flags(r)
-	r.Flags.StringVar(&d.failureMode, "way", "kill", "how the zone fails: kill, cut (a partition; its daemons run on) or wipe (its stores lose their disks, too)")
-	r.Flags.StringVar(&d.injectedFault, "planted", "", "build the stores with this fault, to see that the drill finds it: one-disk or early")
+	r.Flags.StringVar(&d.failureMode, "way", "kill", "how the zone fails: kill, cut (network partition; its daemons keep running) or wipe (killed, and its stores lose their disks)")
+	r.Flags.StringVar(&d.injectedFault, "planted", "", "build the stores with this fault, to verify that the drill detects it: one-disk or early")
 	r.Flags.StringVar(&d.Zone, "zone", "zone-1", "the zone that fails")
 	r.AddCheck(func() {
 		if faultsByFailureMode[d.failureMode] == "" {
-			r.Faultf("-way %q: no such way; give kill, cut or wipe", d.failureMode)
+			r.Faultf("-way %q: unknown failure mode; give kill, cut or wipe", d.failureMode)
 		}
 	})
 	r.MustParse(args)
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// daemonsInZone are the names of a zone's daemons, sorted.
+// daemonsInZone returns the names of a zone's daemons, sorted.
 func daemonsInZone(fleet *localfleet.Fleet, zone string) []string {
 	var names []string
 	for _, name := range fleet.Names("") {
