--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -1,4 +1,4 @@
-// Program store is the store daemon: it keeps batches and runs their items (DESIGN §6).
+// Program store is the store daemon, which stores batches and runs their items (DESIGN §6).
 // `store -help` lists the settings.
 package main
 
@@ -9,6 +9,6 @@
 
 func main() {
 	store := program.NewStore()
-	store.Prepare = func(role *roles.Store, dataDir string) { plant(role.Batches, role.Folder, dataDir) }
+	store.Prepare = func(role *roles.Store, dataDir string) { injectFault(role.Batches, role.Folder, dataDir) }
 	program.Main(store)
 }
