--- a/test/localfleet/daemon.go
+++ b/test/localfleet/daemon.go
@@ -43,7 +43,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.nextAddress++
-	return fmt.Sprintf("127.%d.%d.%d", f.octet, 1+f.nextAddress/addressesPerOctet, 1+f.nextAddress%addressesPerOctet)
+	return fmt.Sprintf("127.%d.%d.%d", f.addressOctet, 1+f.nextAddress/addressesPerOctet, 1+f.nextAddress%addressesPerOctet)
 }
 
 // Ports of daemons are below those that the kernel gives to clients' sockets (from 32768 on by default).
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	if kind != kindModelServer {
-		if err := f.prepareArgs(d); err != nil {
+		if err := f.prepareNetworkAndArgs(d); err != nil {
 			return nil, err
 		}
 	}
@@ -91,8 +91,8 @@
 	return d, nil
 }
 
-// prepareArgs puts a daemon behind the network and gives it its folder.
-func (f *Fleet) prepareArgs(d *Daemon) error {
+// prepareNetworkAndArgs puts a daemon behind the network and gives it its folder.
+func (f *Fleet) prepareNetworkAndArgs(d *Daemon) error {
 	listen, err := freeAddress(d.IP, d.Peer, d.HTTP)
 	if err != nil {
 		return err
--- a/test/localfleet/daemon_test.go
+++ b/test/localfleet/daemon_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestADaemonsAddressesDiffer(t *testing.T) {
+func TestFreeAddressSkipsTakenAddresses(t *testing.T) {
 	const draws = 2000
 	var taken []string
 	for range draws {
--- a/test/localfleet/fleet.go
+++ b/test/localfleet/fleet.go
@@ -39,7 +39,7 @@
 	Bin     string // of the programs
 	Network *netproxy.Network
 
-	octet int // second one of all addresses, so that fleets of several processes don't meet
+	addressOctet int // second one of all addresses, so that fleets of several processes don't meet
 
 	mu          sync.Mutex // guards what follows, and the processes of the daemons
 	daemons     map[string]*Daemon
@@ -48,7 +48,7 @@
 
 // New makes a fleet in a folder, with the programs in bin. It has no daemons before Start.
 func New(spec Spec, dir, bin string) *Fleet {
-	return &Fleet{Spec: spec, Dir: dir, Bin: bin, Network: netproxy.New(), daemons: map[string]*Daemon{}, octet: 1 + os.Getpid()%250}
+	return &Fleet{Spec: spec, Dir: dir, Bin: bin, Network: netproxy.New(), daemons: map[string]*Daemon{}, addressOctet: 1 + os.Getpid()%250}
 }
 
 // Build builds all programs into a folder, with further arguments of go build.
--- a/test/localfleet/localfleet_test.go
+++ b/test/localfleet/localfleet_test.go
@@ -71,12 +71,12 @@
 // A small real fleet of processes, with a fault; every guarantee is checked by what callers
 // and servers recorded. Bounds on time are left out: the verdict does not depend on the
 // machine's speed.
-func TestASmallFleet(t *testing.T) {
+func TestGuaranteesHoldUnderEachFault(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
 	root, bin := build(t)
-	checkBadSettings(t, bin)
+	checkInvalidSettingsRejected(t, bin)
 	for _, fault := range []string{"kill-writer", "wipe-writer", "freeze-store", "kill-primary", "restart-edge", "leave-server", "retire-store"} {
 		t.Run(fault, func(t *testing.T) {
 			set := testSettings(root, fault)
@@ -99,9 +99,9 @@
 	}
 }
 
-// checkBadSettings starts daemons with invalid settings: each names every fault and exits with
+// checkInvalidSettingsRejected starts daemons with invalid settings: each names every fault and exits with
 // code 2.
-func checkBadSettings(t *testing.T, bin string) {
+func checkInvalidSettingsRejected(t *testing.T, bin string) {
 	t.Helper()
 	for _, program := range []string{"edge", "store", "core"} {
 		out, err := exec.Command(filepath.Join(bin, program), "-zone", "z", "-peer", "nowhere", "-colour", "red").CombinedOutput()
@@ -118,7 +118,7 @@
 
 // The zone drill catches a bug planted on purpose: stores that take one disk for two lose what
 // they accepted when their zone is wiped.
-func TestTheZoneDrillCatchesAPlantedViolation(t *testing.T) {
+func TestZoneWipeDetectsPlantedDataLoss(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
 	}
--- a/test/memstorage/archive_test.go
+++ b/test/memstorage/archive_test.go
@@ -8,7 +8,7 @@
 	"tuliprudder/internal/machine"
 )
 
-func TestArchive(t *testing.T) {
+func TestArchiveStoresAndDeletesRecordsByFile(t *testing.T) {
 	a := Archive{}
 	if a.LastFile() != 0 || len(a.Files()) != 0 {
 		t.Fatalf("an empty archive has files %v, the last %d", a.Files(), a.LastFile())
--- a/test/netproxy/netproxy.go
+++ b/test/netproxy/netproxy.go
@@ -39,8 +39,8 @@
 	n.changed.Broadcast()
 }
 
-// waitUntilOpen waits while a link is blocked; false once the network is closed.
-func (n *Network) waitUntilOpen(l link) bool {
+// waitWhileBlocked waits while a link is blocked; false once the network is closed.
+func (n *Network) waitWhileBlocked(l link) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for n.blocked[l] && !n.closed {
@@ -76,7 +76,7 @@
 func (n *Network) relayConnection(in net.Conn, to netip.Addr, target string) {
 	defer in.Close()
 	from := in.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
-	if !n.waitUntilOpen(link{from, to}) {
+	if !n.waitWhileBlocked(link{from, to}) {
 		return
 	}
 	out, err := net.Dial("tcp", target)
@@ -99,7 +99,7 @@
 	for {
 		count, err := from.Read(buffer)
 		if count > 0 {
-			if !n.waitUntilOpen(l) {
+			if !n.waitWhileBlocked(l) {
 				return
 			}
 			if _, err := to.Write(buffer[:count]); err != nil {
--- a/test/netproxy/netproxy_test.go
+++ b/test/netproxy/netproxy_test.go
@@ -15,8 +15,8 @@
 	daemonIP = "127.9.0.2"
 )
 
-// startEcho starts a server that sends back what it receives, behind a relay.
-func startEcho(t *testing.T, n *Network) (address string) {
+// startEchoServer starts a server that sends back what it receives, behind a relay.
+func startEchoServer(t *testing.T, n *Network) (address string) {
 	t.Helper()
 	server, err := net.Listen("tcp", daemonIP+":0")
 	if err != nil {
@@ -73,7 +73,7 @@
 	return string(buffer), err
 }
 
-func TestABlockedLinkDelaysUntilItIsHealed(t *testing.T) {
+func TestBlockedLinkDelaysDataUntilHealed(t *testing.T) {
 	for name, link := range map[string]struct{ from, to string }{
 		"to the daemon":   {callerIP, daemonIP},
 		"from the daemon": {daemonIP, callerIP},
@@ -81,7 +81,7 @@
 		t.Run(name, func(t *testing.T) {
 			n := New()
 			t.Cleanup(n.Close)
-			conn := dial(t, startEcho(t, n))
+			conn := dial(t, startEchoServer(t, n))
 			send(t, conn, "one")
 			if got, err := receive(conn, 3, time.Minute); err != nil || got != "one" {
 				t.Fatalf("an open link brings %q, %v", got, err)
@@ -99,9 +99,9 @@
 	}
 }
 
-func TestClosingEndsWhatWaitsAtABlockedLink(t *testing.T) {
+func TestCloseEndsConnectionsOnBlockedLinks(t *testing.T) {
 	n := New()
-	conn := dial(t, startEcho(t, n))
+	conn := dial(t, startEchoServer(t, n))
 	n.SetBlocked(callerIP, daemonIP, true)
 	send(t, conn, "one")
 	n.Close()
--- a/test/verify/batches.go
+++ b/test/verify/batches.go
@@ -34,7 +34,7 @@
 
 // newBatch makes a batch and its items; an invalid one has an item without input.
 func (t *Workload) newBatch(invalid bool) (*Batch, []item) {
-	b := &Batch{Key: t.newName("bundle"), IsInvalid: invalid, SentAt: nowMicros()}
+	b := &Batch{Key: t.uniqueName("bundle"), IsInvalid: invalid, SentAt: nowMicros()}
 	var items []item
 	for n := range t.Items {
 		input := fmt.Sprintf("%s/item-%d", b.Key, n)
@@ -115,7 +115,7 @@
 // that have nothing to do with it.
 func (t *Workload) recordRejected(b *Batch, kind string) {
 	if b.IsInvalid && kind != "not_ready" && kind != "over_allowance" {
-		t.addViolation(guaranteeTyped, "an invalid batch was rejected as %q", kind)
+		t.addViolation(guaranteeErrorsTyped, "an invalid batch was rejected as %q", kind)
 	}
 	t.addCount("batches rejected: "+kind, 1)
 }
--- a/test/verify/call.go
+++ b/test/verify/call.go
@@ -92,11 +92,11 @@
 // checkErrorResponse checks that an error has a kind, and one that may be sent again says when.
 func (t *Workload) checkErrorResponse(c apiCall, response *http.Response, result callResult) {
 	if result.errorKind == "" {
-		t.addViolation(guaranteeTyped, "an error without a kind: %s %s: %d %.200s", c.method, c.path, result.status, result.body)
+		t.addViolation(guaranteeErrorsTyped, "an error without a kind: %s %s: %d %.200s", c.method, c.path, result.status, result.body)
 	}
 	mayRetry := result.status == http.StatusTooManyRequests || result.status == http.StatusServiceUnavailable
 	if mayRetry && response.Header.Get("Retry-After") == "" {
-		t.addViolation(guaranteeTyped, "rejected without Retry-After: %s %s: %s", c.method, c.path, result.errorKind)
+		t.addViolation(guaranteeErrorsTyped, "rejected without Retry-After: %s %s: %s", c.method, c.path, result.errorKind)
 	}
 }
 
--- a/test/verify/check_batches.go
+++ b/test/verify/check_batches.go
@@ -39,7 +39,7 @@
 		c.checkRejected(b)
 		return
 	}
-	c.accepted++
+	c.acceptedBatches++
 	c.rejectedNeverRuns.check(!b.IsInvalid, "batch %s with an invalid item was accepted", b.Key)
 	if b.CancelledAt > 0 {
 		c.checkCancelled(b)
@@ -79,7 +79,7 @@
 func (c *checker) checkCancelled(b *Batch) {
 	for _, input := range b.Inputs {
 		for _, start := range c.byInput[input] {
-			c.cancelledStops.check(start.At <= b.CancelledAt+drainGraceUS, "batch %s was cancelled, and %s started %d us later", b.ID, input, start.At-b.CancelledAt)
+			c.cancelledStops.check(start.At <= b.CancelledAt+stopGraceUS, "batch %s was cancelled, and %s started %d us later", b.ID, input, start.At-b.CancelledAt)
 		}
 	}
 	c.cancelledStops.Checked++
@@ -112,7 +112,7 @@
 func (c *checker) checkReadDelay(b *Batch) {
 	bound := int64(recoveryBoundUS)
 	if c.NoFaults {
-		bound = readBoundUS
+		bound = readDelayBoundUS
 	}
 	for i, result := range b.Results {
 		if !b.hasItem(result.ItemIndex) || i >= len(b.SeenAt) {
@@ -124,7 +124,7 @@
 		}
 		// No caller can wait for results before the acknowledgement.
 		lag := b.SeenAt[i] - max(b.AnsweredAt, completedAt)
-		c.slowestResult = max(c.slowestResult, lag)
+		c.slowestReadDelay = max(c.slowestReadDelay, lag)
 		c.readableInTime.check(lag <= bound, "batch %s item %d was complete %d us before a waiting reader had it", b.ID, result.ItemIndex, lag)
 	}
 }
--- a/test/verify/check_times.go
+++ b/test/verify/check_times.go
@@ -21,7 +21,7 @@
 	slices.Sort(served)
 	for i := 1; i < len(served); i++ {
 		gap := served[i] - served[i-1]
-		c.longestGap = max(c.longestGap, gap)
+		c.longestServingGap = max(c.longestServingGap, gap)
 		c.recoversInTime.check(gap <= recoveryBoundUS, "no live request was served for %d us", gap)
 	}
 }
@@ -33,7 +33,7 @@
 			if start.Server != span.Server {
 				continue
 			}
-			isBefore := start.At <= span.From+drainGraceUS
+			isBefore := start.At <= span.From+stopGraceUS
 			isAfter := span.To > 0 && start.At >= span.To
 			c.drainingIdle.check(isBefore || isAfter, "%s was draining and got %s %d us later", span.Server, start.Input, start.At-span.From)
 		}
--- a/test/verify/checker.go
+++ b/test/verify/checker.go
@@ -21,10 +21,10 @@
 	feedSeen         map[string]int // results in the feed, by batch and item
 	positionContents map[position]string
 
-	outcomeCounts                                map[string]int
-	durations                                    map[string][]int64 // by kind of request, in microseconds
-	accepted                                     int                // batches
-	slowestResult, slowestAcceptance, longestGap int64              // microseconds
+	outcomeCounts                                          map[string]int
+	durations                                              map[string][]int64 // by kind of request, in microseconds
+	acceptedBatches                                        int                // batches
+	slowestReadDelay, slowestAcceptance, longestServingGap int64              // microseconds
 }
 
 // DrainingGuarantee is the name of the guarantee that only runs with draining servers check.
@@ -49,9 +49,9 @@
 		c.byInput[start.Input] = append(c.byInput[start.Input], start)
 	}
 	c.addGuarantees()
-	seen := map[guaranteeID]*Guarantee{guaranteeKept: c.neverLost, guaranteeExact: c.exactlyOnce, guaranteeOnce: c.runsAtMostOnce, guaranteeTyped: c.errorsTyped}
+	byID := map[guaranteeID]*Guarantee{guaranteeNeverLost: c.neverLost, guaranteeExactlyOnce: c.exactlyOnce, guaranteeRunsAtMostOnce: c.runsAtMostOnce, guaranteeErrorsTyped: c.errorsTyped}
 	for _, violation := range t.violations {
-		seen[violation.guarantee].Violations = append(seen[violation.guarantee].Violations, violation.text)
+		byID[violation.guarantee].Violations = append(byID[violation.guarantee].Violations, violation.text)
 	}
 	return c
 }
@@ -89,12 +89,12 @@
 	for name, count := range c.outcomeCounts {
 		v.Counts["live: "+name] = count
 	}
-	v.Counts["batches accepted"] = c.accepted
+	v.Counts["batches accepted"] = c.acceptedBatches
 	v.Counts["requests that started on servers"] = len(c.starts)
 	v.Counts["results in the feed"] = len(c.Workload.feed)
-	v.Counts["slowest result us"] = int(c.slowestResult)
+	v.Counts["slowest result us"] = int(c.slowestReadDelay)
 	v.Counts["slowest acknowledgement us"] = int(c.slowestAcceptance)
-	v.Counts["longest time without a live answer us"] = int(c.longestGap)
+	v.Counts["longest time without a live answer us"] = int(c.longestServingGap)
 	for name, durations := range c.durations {
 		slices.Sort(durations)
 		v.Counts[name+" median us"] = int(durations[len(durations)/2])
--- a/test/verify/live.go
+++ b/test/verify/live.go
@@ -83,7 +83,7 @@
 
 // sendOneShot sends a one-shot request, one in three with an idempotency key.
 func (t *Workload) sendOneShot(ctx context.Context, rng *rand.Rand, key string) {
-	l := &LiveRequest{Input: t.newName("once"), Route: oneShotRoute, SentAt: nowMicros(), AtMostOnce: true, Key: key}
+	l := &LiveRequest{Input: t.uniqueName("once"), Route: oneShotRoute, SentAt: nowMicros(), AtMostOnce: true, Key: key}
 	t.addLive(l)
 	request := liveCall(l.Route, key, l.Input)
 	if rng.Intn(3) == 0 {
@@ -100,13 +100,13 @@
 // resend sends a request with the same key to another edge: it never runs a second time, and
 // has the first one's answer.
 func (t *Workload) resend(ctx context.Context, rng *rand.Rand, request apiCall, l *LiveRequest, first *liveResult) {
-	repeated, err := t.call(ctx, t.randomEdge(rng), request)
-	second := repeated.outcome(err)
-	if first.outcome == OK && second == OK && readOutput(repeated) != first.output {
-		t.addViolation(guaranteeOnce, "a repeated key got another answer: %s", l.Input)
+	response, err := t.call(ctx, t.randomEdge(rng), request)
+	second := response.outcome(err)
+	if first.outcome == OK && second == OK && readOutput(response) != first.output {
+		t.addViolation(guaranteeRunsAtMostOnce, "a repeated key got another answer: %s", l.Input)
 	}
 	if second == OK {
-		first.outcome, first.output = OK, readOutput(repeated)
+		first.outcome, first.output = OK, readOutput(response)
 	}
 	if first.outcome == Rejected && second != Rejected {
 		first.outcome = second
@@ -124,7 +124,7 @@
 
 // sendStream sends a request whose answer is a stream.
 func (t *Workload) sendStream(ctx context.Context, rng *rand.Rand, key string) {
-	l := &LiveRequest{Input: t.newName("stream"), Route: streamRoute, SentAt: nowMicros(), Key: key}
+	l := &LiveRequest{Input: t.uniqueName("stream"), Route: streamRoute, SentAt: nowMicros(), Key: key}
 	t.addLive(l)
 	request, err := liveCall(l.Route, key, l.Input).newRequest(ctx, t.randomEdge(rng))
 	if err != nil {
--- a/test/verify/rereads.go
+++ b/test/verify/rereads.go
@@ -35,7 +35,7 @@
 			continue
 		}
 		if !p.isPrefixOf(b.Results) {
-			t.addViolation(guaranteeExact, "batch %s: read again it differs (%d results, %d before)", b.ID, len(p.Results), len(b.Results))
+			t.addViolation(guaranteeExactlyOnce, "batch %s: read again it differs (%d results, %d before)", b.ID, len(p.Results), len(b.Results))
 			return
 		}
 		if len(p.Results) == len(b.Results) {
@@ -47,7 +47,7 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.addViolation(guaranteeExact, "batch %s: read again it stays shorter", b.ID)
+	t.addViolation(guaranteeExactlyOnce, "batch %s: read again it stays shorter", b.ID)
 }
 
 // readSlowly reads all results of a batch over a connection that takes a few bytes at a time:
@@ -67,7 +67,7 @@
 		return // the edge stopped meanwhile
 	}
 	if !p.isPrefixOf(b.Results) {
-		t.addViolation(guaranteeExact, "batch %s: read again slowly it differs", b.ID)
+		t.addViolation(guaranteeExactlyOnce, "batch %s: read again slowly it differs", b.ID)
 	}
 	t.addCount("batches read slowly", 1)
 }
@@ -114,7 +114,7 @@
 	count := 0
 	for count < len(b.Results) {
 		if ctx.Err() != nil || time.Now().After(deadline) {
-			t.addViolation(guaranteeKept, "batch %s: only %d of %d results at the end of the run", b.ID, count, len(b.Results))
+			t.addViolation(guaranteeNeverLost, "batch %s: only %d of %d results at the end of the run", b.ID, count, len(b.Results))
 			return
 		}
 		p, ok := t.readPage(ctx, rng, pageRequest{path: b.resultsPath(), limit: rereadLimit})
@@ -122,7 +122,7 @@
 			continue
 		}
 		if !p.isPrefixOf(b.Results) {
-			t.addViolation(guaranteeExact, "batch %s: read again at the end of the run it differs", b.ID)
+			t.addViolation(guaranteeExactlyOnce, "batch %s: read again at the end of the run it differs", b.ID)
 			return
 		}
 		count = len(p.Results)
--- a/test/verify/results.go
+++ b/test/verify/results.go
@@ -41,14 +41,14 @@
 	got, err := t.call(ctx, t.randomEdge(rng), apiCall{method: http.MethodGet, path: path, apiKey: t.BatchKey})
 	if got.outcome(err) != OK {
 		if err == nil && got.errorKind != "not_ready" {
-			t.addViolation(guaranteeTyped, "reading %s: %s: %.200s", r.path, got.errorKind, got.body)
+			t.addViolation(guaranteeErrorsTyped, "reading %s: %s: %.200s", r.path, got.errorKind, got.body)
 		}
 		time.Sleep(50 * time.Millisecond)
 		return resultPage{}, false
 	}
 	var p resultPage
 	if err := json.Unmarshal(got.body, &p); err != nil {
-		t.addViolation(guaranteeTyped, "a page that can't be read: %.200s", got.body)
+		t.addViolation(guaranteeErrorsTyped, "a page that can't be read: %.200s", got.body)
 		return resultPage{}, false
 	}
 	return p, true
@@ -66,7 +66,7 @@
 	var seenAt []int64
 	for len(results) < len(b.Inputs) {
 		if ctx.Err() != nil || time.Now().After(deadline) {
-			t.addViolation(guaranteeKept, "batch %s (%s): only %d of %d results after %v", b.ID, b.Key, len(results), len(b.Inputs), t.ReadTimeout)
+			t.addViolation(guaranteeNeverLost, "batch %s (%s): only %d of %d results after %v", b.ID, b.Key, len(results), len(b.Inputs), t.ReadTimeout)
 			break
 		}
 		p, ok := t.readPage(ctx, rng, pageRequest{b.resultsPath(), token, 1 + rng.Intn(16)})
@@ -80,7 +80,7 @@
 		token = p.Next
 		isAtEnd := p.State == "done" && !p.More && len(p.Results) == 0
 		if isAtEnd && len(results) < len(b.Inputs) {
-			t.addViolation(guaranteeKept, "batch %s: done with %d of %d results", b.ID, len(results), len(b.Inputs))
+			t.addViolation(guaranteeNeverLost, "batch %s: done with %d of %d results", b.ID, len(results), len(b.Inputs))
 			break
 		}
 	}
--- a/test/verify/verdict.go
+++ b/test/verify/verdict.go
@@ -96,9 +96,9 @@
 
 // Bounds of the guarantees, in microseconds.
 const (
-	drainGraceUS    = 3_300_000  // "about 3 seconds"
-	recoveryBoundUS = 12_500_000 // "about 12 seconds"
-	readBoundUS     = 1_200_000  // "about a second"
+	stopGraceUS      = 3_300_000  // "about 3 seconds"
+	recoveryBoundUS  = 12_500_000 // "about 12 seconds"
+	readDelayBoundUS = 1_200_000  // "about a second"
 )
 
 // Verdict checks every guarantee by the records of the callers and the logs of the servers.
--- a/test/verify/verdict_test.go
+++ b/test/verify/verdict_test.go
@@ -25,8 +25,8 @@
 	}
 	complete := &Batch{ID: "w", Key: "w", Inputs: []string{"wa", "wb"}, Accepted: true, SentAt: 1, AnsweredAt: 1000, CompleteAt: 2000, Results: results("w", 5)}
 	rejected := &Batch{ID: "r", Key: "r", Inputs: []string{"ra", "rb"}}
-	ended := &Batch{ID: "e", Key: "e", Inputs: []string{"ea", "eb"}, Accepted: true, SentAt: 1, AnsweredAt: 1000, CancelledAt: 5_000_000}
-	t.batches = []*Batch{complete, rejected, ended}
+	cancelled := &Batch{ID: "e", Key: "e", Inputs: []string{"ea", "eb"}, Accepted: true, SentAt: 1, AnsweredAt: 1000, CancelledAt: 5_000_000}
+	t.batches = []*Batch{complete, rejected, cancelled}
 	t.feed = append([]Result(nil), complete.Results...)
 	starts := []modelcontent.Start{{At: 10, Server: "s", Input: "once"}, {At: 10, Server: "s", Input: "flow"}, {At: 20, Server: "s", Input: "wa"}, {At: 20, Server: "s", Input: "wb"}, {At: 5_500_000, Server: "s", Input: "ea"}}
 	return t, starts
@@ -34,14 +34,14 @@
 
 // The checker finds nothing in a history that keeps every guarantee, and each violation that
 // is put into it, under the guarantee that it violates.
-func TestTheCheckerCanFail(t *testing.T) {
+func TestCheckerReportsEachViolation(t *testing.T) {
 	workload, starts := validHistory()
 	if v := workload.Verdict(starts, []DrainingSpan{{Server: "s", From: 6_000_000}}); v.IsBroken() {
 		t.Fatalf("a valid history:\n%s", v)
 	}
 	for name, c := range map[string]struct {
-		guaranteeID string
-		spoil       func(t *Workload, starts *[]modelcontent.Start)
+		guaranteeName   string
+		injectViolation func(t *Workload, starts *[]modelcontent.Start)
 	}{
 		"an item is not listed":    {"never lost", func(t *Workload, _ *[]modelcontent.Start) { t.batches[0].Results = t.batches[0].Results[:1] }},
 		"an item is listed twice":  {"exactly once", func(t *Workload, _ *[]modelcontent.Start) { t.batches[0].Results[1].ItemIndex = 0 }},
@@ -78,16 +78,16 @@
 		}},
 		"a caller saw results missing": {"never lost", func(t *Workload, _ *[]modelcontent.Start) {
 			t.counts = map[string]int{}
-			t.addViolation(guaranteeKept, "missing")
+			t.addViolation(guaranteeNeverLost, "missing")
 		}},
 		"an acknowledgement came late": {"within 12 s", func(t *Workload, _ *[]modelcontent.Start) { t.batches[0].AnsweredAt = 13_000_000 }},
 	} {
 		workload, starts := validHistory()
-		c.spoil(workload, &starts)
+		c.injectViolation(workload, &starts)
 		v := workload.Verdict(starts, []DrainingSpan{{Server: "s", From: 6_000_000}})
 		found := false
 		for _, p := range v.Guarantees {
-			found = found || strings.Contains(p.Name, c.guaranteeID) && len(p.Violations) > 0
+			found = found || strings.Contains(p.Name, c.guaranteeName) && len(p.Violations) > 0
 		}
 		if !found {
 			t.Errorf("%s: not found\n%s", name, v)
--- a/test/verify/workload.go
+++ b/test/verify/workload.go
@@ -21,10 +21,10 @@
 // The guarantees that callers see violated themselves; the others are checked on all records
 // together.
 const (
-	guaranteeKept  guaranteeID = "kept"
-	guaranteeExact guaranteeID = "exact"
-	guaranteeOnce  guaranteeID = "once"
-	guaranteeTyped guaranteeID = "typed"
+	guaranteeNeverLost      guaranteeID = "kept"
+	guaranteeExactlyOnce    guaranteeID = "exact"
+	guaranteeRunsAtMostOnce guaranteeID = "once"
+	guaranteeErrorsTyped    guaranteeID = "typed"
 )
 
 // observedViolation is a violation that a caller saw.
@@ -52,13 +52,13 @@
 	client    *http.Client
 	feedToken string // where the feed's reader is; only its goroutine uses it
 
-	mu           sync.Mutex // guards what follows while Run runs
-	liveRequests []*LiveRequest
-	batches      []*Batch
-	feed         []Result
-	violations   []observedViolation
-	counts       map[string]int
-	lastNumber   int
+	mu             sync.Mutex // guards what follows while Run runs
+	liveRequests   []*LiveRequest
+	batches        []*Batch
+	feed           []Result
+	violations     []observedViolation
+	counts         map[string]int
+	lastNameNumber int
 }
 
 const (
@@ -86,12 +86,12 @@
 	t.counts[name] += by
 }
 
-// newName is a name that no other request of the run has.
-func (t *Workload) newName(prefix string) string {
+// uniqueName is a name that no other request of the run has.
+func (t *Workload) uniqueName(prefix string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lastNumber++
-	return fmt.Sprintf("%s-%d-%d", prefix, t.Seed, t.lastNumber)
+	t.lastNameNumber++
+	return fmt.Sprintf("%s-%d-%d", prefix, t.Seed, t.lastNameNumber)
 }
 
 // Run runs the workload: live callers go on until all batches are read or ctx ends.
--- a/test/virtualtime/queue.go
+++ b/test/virtualtime/queue.go
@@ -28,16 +28,16 @@
 }
 
 // After has something happen later. Events of one time happen in the order they were added.
-func (q *Queue) After(span clock.Micros, do func()) {
+func (q *Queue) After(delay clock.Micros, do func()) {
 	q.lastSeq++
-	q.events = append(q.events, event{at: q.Now + span, seq: q.lastSeq, do: do})
+	q.events = append(q.events, event{at: q.Now + delay, seq: q.lastSeq, do: do})
 	q.siftUp(len(q.events) - 1)
 }
 
 // RunFor runs the events of a span of time, those that they add included, and returns how
 // many there were. Now is the end of the span then.
-func (q *Queue) RunFor(span clock.Micros) int {
-	end := q.Now + span
+func (q *Queue) RunFor(duration clock.Micros) int {
+	end := q.Now + duration
 	count := 0
 	for len(q.events) > 0 && q.events[0].at <= end {
 		next := q.pop()
--- a/test/virtualtime/queue_test.go
+++ b/test/virtualtime/queue_test.go
@@ -8,21 +8,21 @@
 	"tuliprudder/internal/clock"
 )
 
-func TestEventsRunInTheOrderOfTimeAndOfAdding(t *testing.T) {
-	type ran struct {
+func TestEventsRunByTimeThenInsertionOrder(t *testing.T) {
+	type execution struct {
 		at     clock.Micros
 		number int
 	}
 	var q Queue
-	var got []ran
+	var got []execution
 	rng := rand.New(rand.NewSource(1))
 	for number := range 1000 {
-		q.After(rng.Int63n(50), func() { got = append(got, ran{q.Now, number}) })
+		q.After(rng.Int63n(50), func() { got = append(got, execution{q.Now, number}) })
 	}
 	if count := q.RunFor(100); count != 1000 || len(got) != 1000 || q.Now != 100 {
 		t.Fatalf("%d events ran, %d by count, until %d", len(got), count, q.Now)
 	}
-	inOrder := slices.IsSortedFunc(got, func(a, b ran) int {
+	inOrder := slices.IsSortedFunc(got, func(a, b execution) int {
 		if a.at != b.at {
 			return int(a.at - b.at)
 		}
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestEventsThatAreAddedOnTheWayRunInTheSpan(t *testing.T) {
+func TestRunForIncludesEventsAddedDuringTheRun(t *testing.T) {
 	var q Queue
 	ticks := 0
 	var tick func()
