--- a/test/localfleet/call.go
+++ b/test/localfleet/call.go
@@ -10,27 +10,28 @@
 	"github.com/pkg/errors"
 )
 
-// callTimeout is how long a daemon may take to answer a call of Call.
+// callTimeout bounds each HTTP request of Call.
 const callTimeout = 8 * time.Second
 
 var httpClient = &http.Client{Timeout: callTimeout}
 
-// Call calls a daemon's HTTP server: see the function Call.
+// Call sends a request to the HTTP server of a daemon; see the function Call.
 func (f *Fleet) Call(name, method, path string, body, into any) error {
 	return Call(f.Get(name).HTTP, method, path, body, into)
 }
 
-// Call calls an HTTP server by address. The body is sent as it is where it is []byte, and else
-// as JSON; nil: none. The response is decoded into what `into` points to, if it is not nil. A
-// status other than 2xx is an error with the response's text.
+// Call sends a request to the HTTP server at an address. A []byte body is sent unchanged, and
+// any other body as JSON; nil means none. Unless into is nil, the JSON response is decoded into
+// the value that it points to. A status other than 2xx is returned as an error with the text of
+// the response.
 func Call(address, method, path string, body, into any) error {
 	data, err := encodeBody(body)
 	if err != nil {
-		return errors.Wrap(err, "encoding a request")
+		return errors.Wrap(err, "encoding the request body")
 	}
 	request, err := http.NewRequest(method, "http://"+address+path, bytes.NewReader(data))
 	if err != nil {
-		return errors.Wrap(err, "making a request")
+		return errors.Wrap(err, "creating the request")
 	}
 	response, err := httpClient.Do(request)
 	if err != nil {
@@ -47,7 +48,7 @@
 	if into == nil {
 		return nil
 	}
-	return errors.Wrap(json.Unmarshal(text, into), "reading the response")
+	return errors.Wrap(json.Unmarshal(text, into), "decoding the response")
 }
 
 func encodeBody(body any) ([]byte, error) {
@@ -60,10 +61,11 @@
 	return json.Marshal(body)
 }
 
-// retryInterval is the time between two attempts of WaitUntil.
+// retryInterval is the pause between attempts of WaitUntil.
 const retryInterval = 30 * time.Millisecond
 
-// WaitUntil repeats an attempt until it succeeds; its last error where the timeout passed.
+// WaitUntil calls attempt until it succeeds, and returns its last error once the timeout has
+// passed.
 func WaitUntil(timeout time.Duration, attempt func() error) error {
 	deadline := time.Now().Add(timeout)
 	for {
@@ -72,7 +74,7 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return errors.Wrapf(err, "not within %v", timeout)
+			return errors.Wrapf(err, "no success within %v", timeout)
 		}
 		time.Sleep(retryInterval)
 	}
--- a/test/localfleet/daemon.go
+++ b/test/localfleet/daemon.go
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 )
 
-// Kinds of daemon: the names of their programs.
+// Kinds of daemon, which are the names of their programs.
 const (
 	kindCore        = "core"
 	kindStore       = "store"
@@ -22,23 +22,23 @@
 	kindModelServer = "modelserver"
 )
 
-// Daemon is one process and how it is started.
+// Daemon is a process of the fleet with its addresses and arguments.
 type Daemon struct {
 	Name, Kind, Zone string
 	IP               string
-	Peer             string // address for other daemons; they reach it through the network
-	HTTP             string // address for callers and operators
-	Data             string // folder; "" where it has none
+	Peer             string // address of the relay (test/netproxy) through which other daemons connect
+	HTTP             string // HTTP address for callers and operators
+	Data             string // data directory; "" if it has none
 
 	args   []string
-	cmd    *exec.Cmd     // guarded by the fleet's mu
-	exited chan struct{} // closed once the process has ended; guarded by the fleet's mu
+	cmd    *exec.Cmd     // guarded by Fleet.mu
+	exited chan struct{} // closed once the process has exited; guarded by Fleet.mu
 }
 
-// addressesPerOctet is how many addresses are used of each last octet.
+// addressesPerOctet is the number of addresses used in each /24 network.
 const addressesPerOctet = 200
 
-// newAddress gives each process an address of its own on the loopback network.
+// newAddress allocates a loopback address that no other process of the fleet has.
 func (f *Fleet) newAddress() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -46,14 +46,16 @@
 	return fmt.Sprintf("127.%d.%d.%d", f.addressOctet, 1+f.nextAddress/addressesPerOctet, 1+f.nextAddress%addressesPerOctet)
 }
 
-// Ports of daemons are below those that the kernel gives to clients' sockets (from 32768 on by default).
+// Ports of daemons are below the ephemeral ports that the kernel assigns to outgoing connections
+// (from 32768 on by default).
 const (
 	firstDaemonPort = 10_000
 	endDaemonPort   = 32_000
 	portAttempts    = 100
 )
 
-// freeAddress is an address whose port is free and none of the taken ones, which needn't be listened on yet.
+// freeAddress returns an address with a free port. It never returns one of the taken addresses,
+// which may be reserved without being listened on yet.
 func freeAddress(ip string, taken ...string) (string, error) {
 	var err error
 	for range portAttempts {
@@ -70,7 +72,7 @@
 	return "", errors.Wrap(err, "finding a free port")
 }
 
-// prepare lays a daemon out without starting it.
+// prepare allocates the addresses and arguments of a daemon without starting it.
 func (f *Fleet) prepare(kind, name, zone string) (*Daemon, error) {
 	d := &Daemon{Name: name, Kind: kind, Zone: zone, IP: f.newAddress()}
 	var err error
@@ -91,7 +93,7 @@
 	return d, nil
 }
 
-// prepareNetworkAndArgs puts a daemon behind the network and gives it its folder.
+// prepareNetworkAndArgs starts the relay of a daemon and sets its arguments and data directory.
 func (f *Fleet) prepareNetworkAndArgs(d *Daemon) error {
 	listen, err := freeAddress(d.IP, d.Peer, d.HTTP)
 	if err != nil {
@@ -108,13 +110,13 @@
 	return nil
 }
 
-// StartDaemon starts a daemon's process. It is killed when this process ends.
+// StartDaemon starts the process of a daemon. The kernel kills it when this process dies.
 func (f *Fleet) StartDaemon(name string) error {
 	d := f.Get(name)
 	cmd := exec.Command(filepath.Join(f.Bin, d.Kind), d.args...)
 	stderr, err := os.OpenFile(filepath.Join(f.Dir, name+".stderr"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return errors.Wrap(err, "opening the error file")
+		return errors.Wrap(err, "opening the stderr file")
 	}
 	cmd.Stdout, cmd.Stderr = stderr, stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -126,7 +128,7 @@
 	go func() {
 		defer close(exited)
 		defer stderr.Close()
-		cmd.Wait() // most processes end by a signal: their status says nothing
+		cmd.Wait() // most processes are ended by a signal, so that the exit status carries no information
 	}()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -145,19 +147,19 @@
 	}
 }
 
-// Kill kills a process and waits for its end.
+// Kill kills a process and waits for it to exit.
 func (f *Fleet) Kill(name string) {
 	f.signal(name, killSignal)
 	f.Wait(name)
 }
 
-// Drain requests a graceful shutdown and waits for the end of the process.
+// Drain requests a graceful shutdown and waits for the process to exit.
 func (f *Fleet) Drain(name string) {
 	f.signal(name, syscall.SIGTERM)
 	f.Wait(name)
 }
 
-// Wait waits for a process to end.
+// Wait waits for a process to exit.
 func (f *Fleet) Wait(name string) {
 	f.mu.Lock()
 	var exited chan struct{}
@@ -170,13 +172,13 @@
 	}
 }
 
-// Pause stops a process without ending it.
+// Pause suspends a process.
 func (f *Fleet) Pause(name string) { f.signal(name, syscall.SIGSTOP) }
 
-// Resume lets a paused process go on.
+// Resume continues a paused process.
 func (f *Fleet) Resume(name string) { f.signal(name, syscall.SIGCONT) }
 
-// Wipe empties a daemon's data folder; its process has to have ended.
+// Wipe deletes the data directory of a daemon, whose process must have exited.
 func (f *Fleet) Wipe(name string) error {
-	return errors.Wrap(os.RemoveAll(f.Get(name).Data), "wiping a data folder")
+	return errors.Wrap(os.RemoveAll(f.Get(name).Data), "deleting a data directory")
 }
--- a/test/localfleet/daemon_test.go
+++ b/test/localfleet/daemon_test.go
@@ -14,7 +14,7 @@
 			t.Fatal(err)
 		}
 		if slices.Contains(taken, address) {
-			t.Fatalf("%s is given twice", address)
+			t.Fatalf("freeAddress returned %s twice", address)
 		}
 		taken = append(taken, address)
 	}
--- a/test/localfleet/fleet.go
+++ b/test/localfleet/fleet.go
@@ -1,9 +1,9 @@
-// Package localfleet runs a deployment on one machine (DESIGN §9): every daemon a process with
-// a loopback address of its own, every link between daemons through a proxy (test/netproxy).
-// Tests and commands kill, pause, wipe, replace and partition the daemons.
+// Package localfleet runs a deployment on one machine (DESIGN §9). Each daemon is a process with
+// its own loopback address, and all connections between daemons pass through a proxy
+// (test/netproxy). Tests and commands can kill, pause, wipe, replace and partition the daemons.
 //
-// Methods of a Fleet may be called from several goroutines. Stop ends every process that the
-// fleet started.
+// The methods of a Fleet are safe for concurrent use. Stop ends every process that the fleet
+// started.
 package localfleet
 
 import (
@@ -21,37 +21,40 @@
 	"tuliprudder/test/netproxy"
 )
 
-// Spec is a deployment: its sizes, and the file of its configuration.
+// Spec describes a deployment: its sizes and its configuration file.
 type Spec struct {
 	Name                                 string
 	Zones, Edges, Stores, Cores, Servers int
-	ServerSlots                          int   // concurrency slots of a server
-	Items                                int   // of a batch
-	Chunks                               int   // of an answer
-	ChunkUS                              int64 // time to make a chunk, in µs
+	ServerSlots                          int   // concurrency slots per server
+	Items                                int   // per batch
+	Chunks                               int   // per answer
+	ChunkUS                              int64 // time to generate a chunk, in µs
 	ConfigurationFile                    string
 }
 
 // Fleet is the daemons and model servers of a deployment.
 type Fleet struct {
 	Spec    Spec
-	Dir     string // of data, logs and records of servers
-	Bin     string // of the programs
+	Dir     string // data, logs and the start logs of servers
+	Bin     string // directory of the programs
 	Network *netproxy.Network
 
-	addressOctet int // second one of all addresses, so that fleets of several processes don't meet
+	// addressOctet is the second octet of all addresses. It is derived from the process ID, so that
+	// fleets of concurrent processes usually have different addresses.
+	addressOctet int
 
-	mu          sync.Mutex // guards what follows, and the processes of the daemons
+	mu          sync.Mutex // guards the fields below, and cmd and exited of the daemons
 	daemons     map[string]*Daemon
 	nextAddress int
 }
 
-// New makes a fleet in a folder, with the programs in bin. It has no daemons before Start.
+// New creates a fleet that uses the directory dir and the programs in bin. It has no daemons
+// before Start.
 func New(spec Spec, dir, bin string) *Fleet {
 	return &Fleet{Spec: spec, Dir: dir, Bin: bin, Network: netproxy.New(), daemons: map[string]*Daemon{}, addressOctet: 1 + os.Getpid()%250}
 }
 
-// Build builds all programs into a folder, with further arguments of go build.
+// Build builds all programs into the directory bin, with extra arguments for go build.
 func Build(root, bin string, extraArgs ...string) error {
 	args := append([]string{"build"}, extraArgs...)
 	args = append(args, "-o", bin+"/", "./cmd/...")
@@ -61,13 +64,13 @@
 	return errors.Wrapf(err, "building: %s", out)
 }
 
-// seedCount is how many seeds a daemon is started with.
+// seedCount is the number of seed addresses that a daemon is started with.
 const seedCount = 3
 
-// Start lays the fleet out and starts all processes.
+// Start prepares all daemons and model servers and starts their processes.
 func (f *Fleet) Start() error {
 	if err := os.MkdirAll(f.Dir, 0o755); err != nil {
-		return errors.Wrap(err, "making the fleet's folder")
+		return errors.Wrap(err, "creating the directory of the fleet")
 	}
 	all, err := f.prepareAll()
 	if err != nil {
@@ -89,13 +92,13 @@
 		if err := f.StartDaemon(d.Name); err != nil {
 			return err
 		}
-		// A fleet is bootstrapped at its first start only.
+		// Only the first start bootstraps the fleet; a restarted daemon must not.
 		d.args = slices.DeleteFunc(d.args, func(arg string) bool { return arg == "-bootstrap" })
 	}
 	return nil
 }
 
-// prepareAll lays all daemons and servers out, the cores first.
+// prepareAll prepares all daemons and model servers, the cores first.
 func (f *Fleet) prepareAll() ([]*Daemon, error) {
 	var all []*Daemon
 	for _, group := range []struct {
@@ -120,7 +123,8 @@
 
 func (f *Fleet) zoneOf(i int) string { return fmt.Sprintf("zone-%d", 1+i%f.Spec.Zones) }
 
-// modelServerArgs makes servers uneven in speed.
+// modelServerArgs returns the arguments of model server i. The speed differs between servers, with
+// a chunk taking 2/3, 1 or 4/3 of ChunkUS.
 func (f *Fleet) modelServerArgs(d *Daemon, i int) []string {
 	return []string{
 		"-listen", d.HTTP,
@@ -133,17 +137,17 @@
 	}
 }
 
-// StartsFile is a server's log of the requests that started there.
+// StartsFile returns the path of the start log of a model server.
 func (f *Fleet) StartsFile(name string) string { return filepath.Join(f.Dir, name+".starts") }
 
-// Get finds a daemon by name; nil where there is none.
+// Get returns the daemon with a name, or nil if there is none.
 func (f *Fleet) Get(name string) *Daemon {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.daemons[name]
 }
 
-// Names lists the daemons of a kind in order; all for "".
+// Names returns the sorted names of the daemons of a kind, or of all kinds for "".
 func (f *Fleet) Names(kind string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -157,8 +161,8 @@
 	return out
 }
 
-// Replace replaces a daemon whose process has ended by an empty one at a new address, under a
-// new name; its seeds are the cores that there are now.
+// Replace replaces a daemon whose process has exited with an empty one that has a new name and
+// address. Its seeds are the current cores.
 func (f *Fleet) Replace(name, newName string) (*Daemon, error) {
 	old := f.Get(name)
 	d, err := f.prepare(old.Kind, newName, old.Zone)
@@ -173,8 +177,8 @@
 	return d, f.StartDaemon(newName)
 }
 
-// Add starts one more daemon of a kind in a zone; its seeds are daemons that need not be
-// cores.
+// Add starts an additional daemon of a kind in a zone. Its seeds are names of daemons, which
+// need not be cores.
 func (f *Fleet) Add(kind, name, zone string, seeds []string) error {
 	d, err := f.prepare(kind, name, zone)
 	if err != nil {
@@ -184,7 +188,8 @@
 	return f.StartDaemon(name)
 }
 
-// SetSeeds gives a daemon other seeds for its next start: the first of some daemons.
+// SetSeeds sets the seeds for the next start of a daemon to the first seedCount of the named
+// daemons.
 func (f *Fleet) SetSeeds(name string, seeds []string) {
 	d := f.Get(name)
 	for i, arg := range d.args {
@@ -202,7 +207,7 @@
 	return peers
 }
 
-// SetIsolated blocks or heals all links between a daemon and the others.
+// SetIsolated blocks or heals all links between a daemon and the others, in both directions.
 func (f *Fleet) SetIsolated(name string, blocked bool) {
 	for _, other := range f.Names("") {
 		if other != name {
@@ -211,14 +216,14 @@
 	}
 }
 
-// SetPartitioned blocks or heals the links between two daemons, both ways.
+// SetPartitioned blocks or heals the links between two daemons, in both directions.
 func (f *Fleet) SetPartitioned(one, other string, blocked bool) {
 	a, b := f.Get(one), f.Get(other)
 	f.Network.SetBlocked(a.IP, b.IP, blocked)
 	f.Network.SetBlocked(b.IP, a.IP, blocked)
 }
 
-// Stop kills every process that this fleet started, and ends the network.
+// Stop kills every process that the fleet started, and closes the network.
 func (f *Fleet) Stop() {
 	for _, name := range f.Names("") {
 		f.Resume(name)
--- a/test/localfleet/localfleet_test.go
+++ b/test/localfleet/localfleet_test.go
@@ -15,7 +15,7 @@
 	"tuliprudder/test/localfleet"
 )
 
-// testSettings are those of a small fleet.
+// testSettings returns the settings of a small fleet.
 func testSettings(root, fault string) faultinject.Settings {
 	return faultinject.Settings{
 		Name:              fault,
@@ -40,7 +40,7 @@
 	}
 }
 
-// build builds the programs and returns the repository's root and their folder.
+// build builds the programs and returns the root of the repository and the programs' directory.
 func build(t *testing.T, args ...string) (root, bin string) {
 	t.Helper()
 	root, err := filepath.Abs("../..")
@@ -54,7 +54,7 @@
 	return root, bin
 }
 
-// startFleet starts a fleet that is ready to serve, until the test ends.
+// startFleet starts a fleet, waits until it is ready to serve, and stops it when the test ends.
 func startFleet(t *testing.T, set faultinject.Settings, bin string) *localfleet.Fleet {
 	t.Helper()
 	f := localfleet.New(set.Spec(), filepath.Join(t.TempDir(), "fleet"), bin)
@@ -68,9 +68,9 @@
 	return f
 }
 
-// A small real fleet of processes, with a fault; every guarantee is checked by what callers
-// and servers recorded. Bounds on time are left out: the verdict does not depend on the
-// machine's speed.
+// Runs a small fleet of processes under each fault, and checks every guarantee against the records
+// of callers and servers. Time-bound guarantees are excluded, so that the result does not depend
+// on the speed of the machine.
 func TestGuaranteesHoldUnderEachFault(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -92,15 +92,15 @@
 			}
 			for _, guarantee := range verdict.Guarantees[:4] {
 				if guarantee.Checked == 0 {
-					t.Errorf("nothing was checked of: %s", guarantee.Name)
+					t.Errorf("guarantee was not checked: %s", guarantee.Name)
 				}
 			}
 		})
 	}
 }
 
-// checkInvalidSettingsRejected starts daemons with invalid settings: each names every fault and exits with
-// code 2.
+// checkInvalidSettingsRejected starts daemons with invalid settings. Each must report every invalid
+// setting and exit with code 2.
 func checkInvalidSettingsRejected(t *testing.T, bin string) {
 	t.Helper()
 	for _, program := range []string{"edge", "store", "core"} {
@@ -111,13 +111,14 @@
 		}
 		out, err = exec.Command(filepath.Join(bin, program), "-zone", "z", "-peer", "nowhere", "-seeds", "127.0.0.1:1").CombinedOutput()
 		if !errors.As(err, &exit) || exit.ExitCode() != 2 || !strings.Contains(string(out), "-peer \"nowhere\"") || !strings.Contains(string(out), "exactly three") {
-			t.Errorf("%s with bad addresses: %v %s", program, err, out)
+			t.Errorf("%s with invalid addresses: %v %s", program, err, out)
 		}
 	}
 }
 
-// The zone drill catches a bug planted on purpose: stores that take one disk for two lose what
-// they accepted when their zone is wiped.
+// Guards against a zone-wipe check that can't fail. The build tag adds a deliberate bug: stores
+// count one disk as two, and so lose accepted data when their zone is wiped. The run must detect
+// the loss in at least one zone.
 func TestZoneWipeDetectsPlantedDataLoss(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes")
@@ -139,11 +140,11 @@
 		})
 	}
 	if !caught {
-		t.Fatal("the planted bug was not caught in any zone")
+		t.Fatal("the deliberate bug was not detected in any zone")
 	}
 }
 
-// logTails collects the last lines of the logs, for a failure.
+// logTails returns the ends of all log files, for failure messages.
 func logTails(f *localfleet.Fleet) string {
 	out := ""
 	for _, name := range f.Names("") {
--- a/test/localfleet/memory.go
+++ b/test/localfleet/memory.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// ResidentBytes is how much memory a daemon's process has resident, in bytes; 0 where it has
-// ended.
+// ResidentBytes returns the resident set size of the process of a daemon, in bytes, or 0 if the
+// process has exited.
 func (f *Fleet) ResidentBytes(name string) int64 {
 	pid, started := f.pid(name)
 	if !started {
--- a/test/localfleet/setup.go
+++ b/test/localfleet/setup.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// endpoint is a server of the endpoint list, as operators write it.
+// endpoint is a model server in the endpoint list, in the JSON form of the operators' API.
 type endpoint struct {
 	Name    string            `json:"name"`
 	Address string            `json:"address"`
@@ -17,12 +17,12 @@
 	Labels  map[string]string `json:"labels"`
 }
 
-// endpointList is the endpoint list as operators write it.
+// endpointList is the list of model servers, in the JSON form of the operators' API.
 type endpointList struct {
 	Servers []endpoint `json:"servers"`
 }
 
-// endpoints is the endpoint list of this fleet.
+// endpoints returns the endpoint list of the fleet.
 func (f *Fleet) endpoints() endpointList {
 	out := endpointList{Servers: []endpoint{}}
 	for i, name := range f.Names(kindModelServer) {
@@ -36,7 +36,7 @@
 	return out
 }
 
-// MakeReady puts the configuration and the endpoint list, and waits until every edge is ready
+// MakeReady uploads the configuration and the endpoint list, and waits until every edge is ready
 // to serve.
 func (f *Fleet) MakeReady(timeout time.Duration) error {
 	configuration, err := os.ReadFile(f.Spec.ConfigurationFile)
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// checkServing checks that an edge is ready and knows all servers.
+// checkServing checks that an edge is ready and lists all model servers.
 func (f *Fleet) checkServing(edge string) error {
 	if err := f.Call(edge, http.MethodGet, "/ready", nil, nil); err != nil {
 		return err
@@ -75,7 +75,7 @@
 		return err
 	}
 	if len(got.Servers) != f.Spec.Servers {
-		return errors.Errorf("%s knows %d of %d servers", edge, len(got.Servers), f.Spec.Servers)
+		return errors.Errorf("%s lists %d of %d model servers", edge, len(got.Servers), f.Spec.Servers)
 	}
 	return nil
 }
--- a/test/modelcontent/content.go
+++ b/test/modelcontent/content.go
@@ -1,6 +1,6 @@
-// Package modelcontent computes what a stand-in model server answers. The answer follows from the
-// input alone, so that a caller can tell an answer that is mixed up, joined or interrupted from
-// a complete one (DESIGN §9).
+// Package modelcontent computes the answers of the simulated model server. An answer depends on the
+// input alone, so that a caller can detect answers that are swapped, spliced or truncated
+// (DESIGN §9).
 package modelcontent
 
 import (
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// Chunks is the answer to an input, as so many chunks.
+// Chunks returns the answer to an input, divided into count chunks.
 func Chunks(input string, count int) []string {
 	out := make([]string, count)
 	for i := range out {
@@ -20,13 +20,13 @@
 	return out
 }
 
-// Answer is the complete answer to an input, of so many chunks.
+// Answer returns the complete answer to an input, which consists of count chunks.
 func Answer(input string, count int) string { return strings.Join(Chunks(input, count), "") }
 
-// Start is one line of a server's log: a request has started to run, or with End its answer is
-// complete.
+// Start is an entry of the start log of a model server. It records that a request started to run
+// or, if End is set, that its answer is complete.
 type Start struct {
-	At        int64  `json:"at_us"` // microseconds since 1970
+	At        int64  `json:"at_us"` // microseconds since the Unix epoch
 	Server    string `json:"server"`
 	RequestID string `json:"order"`
 	Input     string `json:"input"`
--- a/test/netproxy/netproxy.go
+++ b/test/netproxy/netproxy.go
@@ -1,7 +1,7 @@
-// Package netproxy stands in for the network between daemons (DESIGN §9): each daemon is
-// reached through a relay, which knows the sender by the address that its connection comes
-// from. A blocked link delays what is sent until it is healed, and closes nothing. Methods may
-// be called from several goroutines; Close ends all of the network's own.
+// Package netproxy simulates the network between daemons with TCP relays (DESIGN §9). Other
+// daemons connect to each daemon through a relay, which identifies the sender by the source
+// address of the connection. A blocked link delays data until the link is healed, and closes no
+// connections. The methods are safe for concurrent use. Close ends all relays.
 package netproxy
 
 import (
@@ -12,19 +12,19 @@
 	"github.com/pkg/errors"
 )
 
-// link is one direction between two addresses.
+// link is one direction of the traffic between two IP addresses.
 type link struct{ from, to netip.Addr }
 
-// Network is all links of a fleet.
+// Network holds the relays and the blocked links of a fleet.
 type Network struct {
-	mu        sync.Mutex // guards what follows
-	changed   *sync.Cond // a link was blocked or healed, or the network closed
+	mu        sync.Mutex // guards the fields below
+	changed   *sync.Cond // signals that a link was blocked or healed, or that the network was closed
 	blocked   map[link]bool
 	listeners []net.Listener
 	closed    bool
 }
 
-// New makes a network without blocked links.
+// New creates a network without blocked links.
 func New() *Network {
 	n := &Network{blocked: map[link]bool{}}
 	n.changed = sync.NewCond(&n.mu)
@@ -39,7 +39,7 @@
 	n.changed.Broadcast()
 }
 
-// waitWhileBlocked waits while a link is blocked; false once the network is closed.
+// waitWhileBlocked waits while a link is blocked. It reports false if the network is closed.
 func (n *Network) waitWhileBlocked(l link) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -49,12 +49,12 @@
 	return !n.closed
 }
 
-// Relay listens at a daemon's address and forwards connections to where the daemon itself
-// listens.
+// Relay listens on the public address of a daemon and forwards connections to target, where the
+// daemon itself listens.
 func (n *Network) Relay(listen, target string) error {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
-		return errors.Wrap(err, "listening for a relay")
+		return errors.Wrap(err, "opening the listener of a relay")
 	}
 	n.mu.Lock()
 	n.listeners = append(n.listeners, listener)
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// relayConnection forwards one connection, both ways, until one side closes it.
+// relayConnection forwards a connection in both directions until one side closes it.
 func (n *Network) relayConnection(in net.Conn, to netip.Addr, target string) {
 	defer in.Close()
 	from := in.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
@@ -90,10 +90,10 @@
 	<-done // closing both connections ends the other direction
 }
 
-// bufferSize is how many bytes of a direction are in the relay at the most.
+// bufferSize is the maximum number of bytes that the relay buffers per direction of a connection.
 const bufferSize = 32 << 10
 
-// forward forwards one direction of a connection, for as long as its link is open.
+// forward copies one direction of a connection, and pauses while its link is blocked.
 func (n *Network) forward(to, from net.Conn, l link) {
 	buffer := make([]byte, bufferSize)
 	for {
@@ -112,7 +112,7 @@
 	}
 }
 
-// Close ends all relays; what waits at blocked links is dropped.
+// Close closes all relays. Data that waits on blocked links is dropped.
 func (n *Network) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/test/netproxy/netproxy_test.go
+++ b/test/netproxy/netproxy_test.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// loopback are two addresses of the loopback network: a caller's and a daemon's.
+// Loopback addresses of a caller and a daemon.
 const (
 	callerIP = "127.9.0.1"
 	daemonIP = "127.9.0.2"
 )
 
-// startEchoServer starts a server that sends back what it receives, behind a relay.
+// startEchoServer starts an echo server behind a relay and returns the address of the relay.
 func startEchoServer(t *testing.T, n *Network) (address string) {
 	t.Helper()
 	server, err := net.Listen("tcp", daemonIP+":0")
@@ -65,7 +65,7 @@
 	}
 }
 
-// receive reads a text of some length, for a time at the most.
+// receive reads length bytes, or fails after the timeout.
 func receive(conn net.Conn, length int, timeout time.Duration) (string, error) {
 	buffer := make([]byte, length)
 	conn.SetReadDeadline(time.Now().Add(timeout))
@@ -84,16 +84,16 @@
 			conn := dial(t, startEchoServer(t, n))
 			send(t, conn, "one")
 			if got, err := receive(conn, 3, time.Minute); err != nil || got != "one" {
-				t.Fatalf("an open link brings %q, %v", got, err)
+				t.Fatalf("over an open link: received %q, %v", got, err)
 			}
 			n.SetBlocked(link.from, link.to, true)
 			send(t, conn, "two")
 			if got, err := receive(conn, 3, 50*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Fatalf("a blocked link brings %q, %v", got, err)
+				t.Fatalf("over a blocked link: received %q, %v; expected a time-out", got, err)
 			}
 			n.SetBlocked(link.from, link.to, false)
 			if got, err := receive(conn, 3, time.Minute); err != nil || got != "two" {
-				t.Fatalf("a healed link brings %q, %v", got, err)
+				t.Fatalf("over a healed link: received %q, %v", got, err)
 			}
 		})
 	}
@@ -106,6 +106,6 @@
 	send(t, conn, "one")
 	n.Close()
 	if got, err := receive(conn, 3, time.Minute); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a closed network brings %q, %v", got, err)
+		t.Errorf("after Close: received %q, %v; expected a closed connection", got, err)
 	}
 }
--- a/test/verify/batches.go
+++ b/test/verify/batches.go
@@ -10,29 +10,29 @@
 	"time"
 )
 
-// Batch is one batch as its caller saw it.
+// Batch records one batch as its caller observed it.
 type Batch struct {
 	ID, Key        string
 	Inputs         []string
 	Accepted       bool
-	OutcomeUnknown bool     // some attempt was of unknown outcome
-	IsInvalid      bool     // submitted with an invalid item: must be rejected
-	Results        []Result // as the caller read them, in the order of the list
-	// Times in microseconds since 1970; 0: not yet.
+	OutcomeUnknown bool     // at least one submission attempt had an unknown outcome
+	IsInvalid      bool     // submitted with an invalid item; must be rejected
+	Results        []Result // in the order in which the caller read them
+	// Times are in microseconds since the Unix epoch; 0 until the event has happened.
 	SentAt      int64
 	AnsweredAt  int64
 	CancelledAt int64
 	CompleteAt  int64   // when the last result was read
-	SeenAt      []int64 // when each result was first read by the reader who waited for it
+	SeenAt      []int64 // when each of Results was first read by the waiting reader
 }
 
-// item is an item of a batch as a caller submits it.
+// item is one batch item in the JSON form of the submission API.
 type item struct {
 	ID    string `json:"id"`
 	Input string `json:"input"`
 }
 
-// newBatch makes a batch and its items; an invalid one has an item without input.
+// newBatch creates a batch and its items. The last item of an invalid batch has no input.
 func (t *Workload) newBatch(invalid bool) (*Batch, []item) {
 	b := &Batch{Key: t.uniqueName("bundle"), IsInvalid: invalid, SentAt: nowMicros()}
 	var items []item
@@ -47,8 +47,8 @@
 	return b, items
 }
 
-// runBatch submits a batch and reads its results; every seventh one is invalid, and every
-// ninth is cancelled.
+// runBatch submits batch number i and reads its results. Every seventh batch is invalid, and
+// every ninth is cancelled instead of read.
 func (t *Workload) runBatch(ctx context.Context, rng *rand.Rand, i int) {
 	b, items := t.newBatch(i%7 == 6)
 	t.mu.Lock()
@@ -64,7 +64,7 @@
 	t.readBatch(ctx, rng, b)
 }
 
-// submitBatch submits a batch until it is accepted; false where it was not.
+// submitBatch submits a batch, with retries, and reports whether it was accepted.
 func (t *Workload) submitBatch(ctx context.Context, rng *rand.Rand, b *Batch, items []item) bool {
 	submission := apiCall{
 		method:         http.MethodPost,
@@ -96,7 +96,7 @@
 	var submitted struct {
 		Batch string `json:"bundle"`
 	}
-	json.Unmarshal(got.body, &submitted) // without an identity its results are not found, which is a violation
+	json.Unmarshal(got.body, &submitted) // without an ID, reading the results fails as a violation
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	b.Accepted = true
@@ -111,8 +111,8 @@
 	t.addCount("batches of unknown outcome sent again", 1)
 }
 
-// recordRejected counts a rejection; an invalid batch may be rejected as such, or for reasons
-// that have nothing to do with it.
+// recordRejected counts a rejection. An invalid batch may also be rejected because the edge is
+// not ready or the tenant is over its allowance; any other error kind is a violation.
 func (t *Workload) recordRejected(b *Batch, kind string) {
 	if b.IsInvalid && kind != "not_ready" && kind != "over_allowance" {
 		t.addViolation(guaranteeErrorsTyped, "an invalid batch was rejected as %q", kind)
@@ -120,7 +120,7 @@
 	t.addCount("batches rejected: "+kind, 1)
 }
 
-// cancelBatch cancels a batch, and tries again until that is acknowledged.
+// cancelBatch cancels a batch, with retries until the cancellation is acknowledged.
 func (t *Workload) cancelBatch(ctx context.Context, rng *rand.Rand, b *Batch) {
 	cancellation := apiCall{method: http.MethodDelete, path: "/v1/bundles/" + b.ID, apiKey: t.BatchKey}
 	for attempt := 0; attempt < t.MaxAttempts && ctx.Err() == nil; attempt++ {
--- a/test/verify/call.go
+++ b/test/verify/call.go
@@ -8,28 +8,28 @@
 	"net/http"
 )
 
-// Outcome is how a request ended for its caller.
+// Outcome is the result of a request as its caller sees it.
 type Outcome string
 
-// The outcomes.
+// Outcomes of a request. Unknown means that the request may or may not have been executed.
 const (
 	OK       Outcome = "ok"
 	Rejected Outcome = "turned away"
 	Unknown  Outcome = "unknown"
 )
 
-// apiCall is a call of a caller. Body is written as JSON; nil: none.
+// apiCall is an HTTP request to the API of an edge. The body is encoded as JSON; nil means none.
 type apiCall struct {
 	method, path   string
 	apiKey         string
-	idempotencyKey string // "": none
+	idempotencyKey string // "" means none
 	body           any
 }
 
-// callResult is the response to a call.
+// callResult is the response to an apiCall.
 type callResult struct {
 	status    int
-	errorKind string // "": no error
+	errorKind string // "" means no error
 	body      []byte
 }
 
@@ -53,7 +53,7 @@
 	return request, nil
 }
 
-// call calls one edge. With an error the outcome is not known.
+// call sends the request to one edge. If it returns an error, the outcome is unknown.
 func (t *Workload) call(ctx context.Context, edge string, c apiCall) (callResult, error) {
 	request, err := c.newRequest(ctx, edge)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return result, nil
 }
 
-// errorKind is the kind in an error response; "" where there is none.
+// errorKind returns the error kind in the body of an error response, or "" if it has none.
 func errorKind(body []byte) string {
 	var failure struct {
 		Error struct {
@@ -89,18 +89,19 @@
 	return failure.Error.Kind
 }
 
-// checkErrorResponse checks that an error has a kind, and one that may be sent again says when.
+// checkErrorResponse checks that an error response has a kind, and that a retryable one has a
+// Retry-After header.
 func (t *Workload) checkErrorResponse(c apiCall, response *http.Response, result callResult) {
 	if result.errorKind == "" {
-		t.addViolation(guaranteeErrorsTyped, "an error without a kind: %s %s: %d %.200s", c.method, c.path, result.status, result.body)
+		t.addViolation(guaranteeErrorsTyped, "error response without a kind: %s %s: %d %.200s", c.method, c.path, result.status, result.body)
 	}
 	mayRetry := result.status == http.StatusTooManyRequests || result.status == http.StatusServiceUnavailable
 	if mayRetry && response.Header.Get("Retry-After") == "" {
-		t.addViolation(guaranteeErrorsTyped, "rejected without Retry-After: %s %s: %s", c.method, c.path, result.errorKind)
+		t.addViolation(guaranteeErrorsTyped, "retryable rejection without Retry-After: %s %s: %s", c.method, c.path, result.errorKind)
 	}
 }
 
-// outcome is how the call ended; err is the error that it returned.
+// outcome classifies the result of a call; err is the error that the call returned.
 func (a callResult) outcome(err error) Outcome {
 	switch {
 	case err != nil || a.errorKind == "outcome_unknown":
--- a/test/verify/check_batches.go
+++ b/test/verify/check_batches.go
@@ -6,13 +6,14 @@
 	"tuliprudder/test/modelcontent"
 )
 
-// position is a position of a writer; it belongs to one result for good.
+// position identifies an entry in the result sequence of a writer. It never changes which
+// result it holds.
 type position struct {
 	writer int
 	number int64
 }
 
-// recordPosition checks that a position of a writer never holds another result.
+// recordPosition checks that a position always holds the same result.
 func (c *checker) recordPosition(result Result) {
 	key := position{result.Writer, result.Position}
 	content := fmt.Sprintf("%s/%d/%s", result.Batch, result.ItemIndex, result.Output)
@@ -22,18 +23,19 @@
 	c.positionContents[key] = content
 }
 
-// checkFeed checks that the feed never goes back within a batch.
+// checkFeed checks that the positions of each batch only increase within the feed.
 func (c *checker) checkFeed() {
 	last := map[string]int64{}
 	for _, result := range c.Workload.feed {
 		c.feedSeen[fmt.Sprintf("%s/%d", result.Batch, result.ItemIndex)]++
 		c.recordPosition(result)
-		c.feedContinues.check(result.Position > last[result.Batch], "feed: batch %s goes back from position %d to %d", result.Batch, last[result.Batch], result.Position)
+		c.feedContinues.check(result.Position > last[result.Batch], "feed: batch %s went back from position %d to %d", result.Batch, last[result.Batch], result.Position)
 		last[result.Batch] = result.Position
 	}
 }
 
-// checkBatch checks a batch by its outcome: never run, cancelled, or all results there once.
+// checkBatch checks a batch by its outcome: a rejected batch never ran, a cancelled one stopped,
+// and a complete one has each result exactly once.
 func (c *checker) checkBatch(b *Batch) {
 	if !b.Accepted {
 		c.checkRejected(b)
@@ -52,7 +54,7 @@
 		c.neverLost.check(itemCounts[i] >= 1, "batch %s item %d is not listed", b.ID, i)
 		if c.counts[feedTokenBytes] > 0 {
 			seen := c.feedSeen[fmt.Sprintf("%s/%d", b.ID, i)]
-			c.feedContinues.check(seen == 1, "feed: batch %s item %d seen %d times", b.ID, i, seen)
+			c.feedContinues.check(seen == 1, "feed: batch %s item %d was seen %d times", b.ID, i, seen)
 		}
 	}
 	if b.CompleteAt > 0 {
@@ -60,10 +62,11 @@
 	}
 }
 
-// hasItem says whether a number is that of an item.
+// hasItem reports whether index is the index of an item.
 func (b *Batch) hasItem(index int) bool { return index >= 0 && index < len(b.Inputs) }
 
-// checkRejected checks that a batch that was rejected at every attempt never ran.
+// checkRejected checks that no item of a batch that was rejected at every attempt ran. Batches
+// with an attempt of unknown outcome are exempt, as they may have been accepted.
 func (c *checker) checkRejected(b *Batch) {
 	if b.OutcomeUnknown {
 		return
@@ -75,7 +78,7 @@
 	c.rejectedNeverRuns.check(ran == 0, "batch %s was rejected at every attempt and %d of its items ran", b.Key, ran)
 }
 
-// checkCancelled checks that no item starts long after the cancellation.
+// checkCancelled checks that no item starts more than stopGraceUS after the cancellation.
 func (c *checker) checkCancelled(b *Batch) {
 	for _, input := range b.Inputs {
 		for _, start := range c.byInput[input] {
@@ -85,22 +88,22 @@
 	c.cancelledStops.Checked++
 }
 
-// checkResults checks a batch's results, and counts how often each item is among them.
+// checkResults checks the results of a batch and returns the number of results by item index.
 func (c *checker) checkResults(b *Batch) map[int]int {
 	items := map[int]int{}
 	last := int64(0)
 	for _, result := range b.Results {
 		items[result.ItemIndex]++
 		c.recordPosition(result)
-		c.exactlyOnce.check(result.Position > last, "batch %s: position %d after %d", b.ID, result.Position, last)
+		c.exactlyOnce.check(result.Position > last, "batch %s: position %d follows position %d", b.ID, result.Position, last)
 		last = result.Position
 		if !b.hasItem(result.ItemIndex) {
-			c.exactlyOnce.addViolation("batch %s: result of item %d", b.ID, result.ItemIndex)
+			c.exactlyOnce.addViolation("batch %s: result for item %d, which the batch does not have", b.ID, result.ItemIndex)
 			continue
 		}
 		if result.Status == "ok" {
 			expected := modelcontent.Answer(b.Inputs[result.ItemIndex], c.Chunks)
-			c.neverMixed.check(result.Output == expected, "batch %s item %d: %q is not its answer", b.ID, result.ItemIndex, result.Output)
+			c.neverMixed.check(result.Output == expected, "batch %s item %d: %q is not the answer to its input", b.ID, result.ItemIndex, result.Output)
 		} else {
 			c.outcomeCounts["items failed"]++
 		}
@@ -108,7 +111,8 @@
 	return items
 }
 
-// checkReadDelay checks how long after its completion each result reached its waiting reader.
+// checkReadDelay checks the delay between the completion of each result on a model server and
+// its arrival at the waiting reader. With fault injection the recovery bound applies.
 func (c *checker) checkReadDelay(b *Batch) {
 	bound := int64(recoveryBoundUS)
 	if c.NoFaults {
@@ -122,9 +126,9 @@
 		if completedAt == 0 {
 			continue
 		}
-		// No caller can wait for results before the acknowledgement.
+		// A caller can't wait for results before the submission is acknowledged.
 		lag := b.SeenAt[i] - max(b.AnsweredAt, completedAt)
 		c.slowestReadDelay = max(c.slowestReadDelay, lag)
-		c.readableInTime.check(lag <= bound, "batch %s item %d was complete %d us before a waiting reader had it", b.ID, result.ItemIndex, lag)
+		c.readableInTime.check(lag <= bound, "batch %s item %d reached its waiting reader %d us after completion", b.ID, result.ItemIndex, lag)
 	}
 }
--- a/test/verify/check_live.go
+++ b/test/verify/check_live.go
@@ -6,7 +6,7 @@
 	"tuliprudder/test/modelcontent"
 )
 
-// checkLiveRequests checks every live request by itself.
+// checkLiveRequests checks each live request on its own.
 func (c *checker) checkLiveRequests() {
 	for _, l := range c.liveRequests {
 		c.outcomeCounts[string(l.Outcome)]++
@@ -23,8 +23,8 @@
 	}
 }
 
-// checkOneShot checks that the request ran once at most, not at all where it was rejected, and
-// that its answer is its own.
+// checkOneShot checks that the request ran at most once, that it did not run if it was rejected,
+// and that its answer belongs to its input.
 func (c *checker) checkOneShot(l *LiveRequest, expected string) {
 	runs := c.byInput[l.Input]
 	c.runsAtMostOnce.check(len(runs) <= 1, "request %s ran %d times: %v", l.Input, len(runs), runs)
@@ -32,17 +32,17 @@
 		c.runsAtMostOnce.check(len(runs) == 0, "request %s was rejected (%s) and ran", l.Input, l.ErrorKind)
 	}
 	if l.Outcome == OK {
-		c.neverMixed.check(l.Output == expected, "request %s: answer %q is not its own", l.Input, l.Output)
+		c.neverMixed.check(l.Output == expected, "request %s: %q is not the answer to its input", l.Input, l.Output)
 		c.addDuration("one-shot of "+l.Key, l.AnsweredAt-l.SentAt)
 	}
 }
 
-// checkStream checks that what came is the beginning of the answer, or all of it where the end
-// event came.
+// checkStream checks that the received text is a prefix of the expected answer, and the whole
+// answer if the end event was received.
 func (c *checker) checkStream(l *LiveRequest, expected string) {
-	c.streamsIntact.check(strings.HasPrefix(expected, l.Output), "stream %s: chunks dropped, repeated or joined: %q of %q", l.Input, l.Output, expected)
+	c.streamsIntact.check(strings.HasPrefix(expected, l.Output), "stream %s: chunks dropped, repeated or joined: got %q, which is not a prefix of %q", l.Input, l.Output, expected)
 	if l.EndSeen {
-		c.neverMixed.check(l.Output == expected, "stream %s: ended with %q of %q", l.Input, l.Output, expected)
+		c.neverMixed.check(l.Output == expected, "stream %s: ended with %q, expected %q", l.Input, l.Output, expected)
 		c.addDuration("stream of "+l.Key, l.AnsweredAt-l.SentAt)
 	}
 	if l.Outcome == Rejected {
--- a/test/verify/check_times.go
+++ b/test/verify/check_times.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// checkTimes checks how long batches took to their acknowledgements, and the longest time
-// without a live answer.
+// checkTimes checks the time from the first submission of each batch to its acknowledgement, and
+// the gaps between successive successful live requests.
 func (c *checker) checkTimes() {
 	for _, b := range c.batches {
 		if b.Accepted {
 			took := b.AnsweredAt - b.SentAt
 			c.slowestAcceptance = max(c.slowestAcceptance, took)
-			c.recoversInTime.check(took <= recoveryBoundUS, "batch %s was accepted only %d us after it was first submitted", b.ID, took)
+			c.recoversInTime.check(took <= recoveryBoundUS, "batch %s was accepted %d us after it was first submitted", b.ID, took)
 		}
 	}
 	var served []int64
@@ -26,7 +26,8 @@
 	}
 }
 
-// checkDraining checks that servers get nothing while they drain.
+// checkDraining checks that no request starts on a draining server, after a grace period of
+// stopGraceUS.
 func (c *checker) checkDraining(spans []DrainingSpan) {
 	for _, span := range spans {
 		for _, start := range c.starts {
@@ -35,7 +36,7 @@
 			}
 			isBefore := start.At <= span.From+stopGraceUS
 			isAfter := span.To > 0 && start.At >= span.To
-			c.drainingIdle.check(isBefore || isAfter, "%s was draining and got %s %d us later", span.Server, start.Input, start.At-span.From)
+			c.drainingIdle.check(isBefore || isAfter, "server %s got request %s while draining, %d us after draining began", span.Server, start.Input, start.At-span.From)
 		}
 	}
 }
--- a/test/verify/checker.go
+++ b/test/verify/checker.go
@@ -6,19 +6,19 @@
 	"tuliprudder/test/modelcontent"
 )
 
-// checker checks the records of a workload and collects the verdict.
+// checker checks the records of a workload against the guarantees and builds the verdict.
 type checker struct {
 	*Workload
-	starts      []modelcontent.Start            // of the servers' logs, without the ends
-	byInput     map[string][]modelcontent.Start // the same, by input
-	completedAt map[string]int64                // when an answer was last complete on a server
+	starts      []modelcontent.Start            // from the servers' logs, without the completions
+	byInput     map[string][]modelcontent.Start // starts by input
+	completedAt map[string]int64                // when the answer to an input was last completed
 
-	guarantees []*Guarantee // all of those below
+	guarantees []*Guarantee // all guarantees below, in report order
 	neverLost, exactlyOnce, feedContinues, rejectedNeverRuns,
 	cancelledStops, runsAtMostOnce, neverMixed, streamsIntact,
 	drainingIdle, recoversInTime, readableInTime, errorsTyped *Guarantee
 
-	feedSeen         map[string]int // results in the feed, by batch and item
+	feedSeen         map[string]int // number of results in the feed, by batch and item
 	positionContents map[position]string
 
 	outcomeCounts                                          map[string]int
@@ -27,7 +27,7 @@
 	slowestReadDelay, slowestAcceptance, longestServingGap int64              // microseconds
 }
 
-// DrainingGuarantee is the name of the guarantee that only runs with draining servers check.
+// DrainingGuarantee is the name of the guarantee that is checked only in runs that drain servers.
 const DrainingGuarantee = "a draining server gets no new work after 3 s"
 
 func newChecker(t *Workload, starts []modelcontent.Start) *checker {
@@ -83,7 +83,7 @@
 	c.durations[kind] = append(c.durations[kind], duration)
 }
 
-// verdict is what the checks came to.
+// verdict summarizes the checked guarantees and the counts and durations of the run.
 func (c *checker) verdict() Verdict {
 	v := Verdict{Counts: c.counts}
 	for name, count := range c.outcomeCounts {
--- a/test/verify/feed.go
+++ b/test/verify/feed.go
@@ -5,13 +5,13 @@
 	"math/rand"
 )
 
-// feedPath is the path of the feed: the results of all batches of a tenant.
+// feedPath is the path of the results feed, which has the results of all batches of a tenant.
 const feedPath = "/v1/results"
 
-// maxFeedPages bounds the pages that are read to the feed's end.
+// maxFeedPages is the maximum number of pages that readFeedToEnd reads.
 const maxFeedPages = 200
 
-// followFeed reads the feed over changing edges until ctx ends.
+// followFeed reads the feed through a random edge for each page, until ctx is done.
 func (t *Workload) followFeed(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		p, ok := t.readPage(ctx, rng, pageRequest{path: feedPath, token: t.feedToken, limit: 1 + rng.Intn(50)})
@@ -24,7 +24,7 @@
 	t.counts[feedTokenBytes] = len(t.feedToken)
 }
 
-// feedTokenBytes is the count that says that the feed was read.
+// feedTokenBytes is the name of the count that is positive if the feed was read.
 const feedTokenBytes = "feed token bytes"
 
 func (t *Workload) recordFeedPage(p resultPage) {
@@ -34,8 +34,8 @@
 	t.feed = append(t.feed, p.Results...)
 }
 
-// readFeedToEnd reads the feed to its end, after all batches are complete: two pages in a row
-// without results.
+// readFeedToEnd reads the rest of the feed after all batches are complete. Two successive empty
+// pages mark the end.
 func (t *Workload) readFeedToEnd(ctx context.Context) {
 	rng := rand.New(rand.NewSource(t.Seed - 2))
 	emptyPages := 0
--- a/test/verify/live.go
+++ b/test/verify/live.go
@@ -11,26 +11,26 @@
 	"time"
 )
 
-// LiveRequest is one live request as its caller saw it.
+// LiveRequest records one live request as its caller observed it.
 type LiveRequest struct {
 	Input, Route string
 	Key          string // API key
-	AtMostOnce   bool   // it may run no more than once
+	AtMostOnce   bool   // must run at most once
 	Outcome      Outcome
 	Output       string
-	EndSeen      bool   // of a stream: its end event came
-	ErrorKind    string // "": no error
-	SentAt       int64  // microseconds since 1970
-	AnsweredAt   int64  // the same; 0: not yet
+	EndSeen      bool   // the end event of the stream was received
+	ErrorKind    string // "" means no error
+	SentAt       int64  // microseconds since the Unix epoch
+	AnsweredAt   int64  // microseconds since the Unix epoch; 0 until answered
 }
 
-// Routes of the live callers.
+// Routes that live callers use.
 const (
 	oneShotRoute = "verdict"
 	streamRoute  = "label"
 )
 
-// pauseAfterFailure is how long a live caller waits after a request that was not answered.
+// pauseAfterFailure is how long a live caller waits after a request that did not succeed.
 const pauseAfterFailure = 100 * time.Millisecond
 
 // addLive records a request before it is sent.
@@ -40,7 +40,7 @@
 	t.liveRequests = append(t.liveRequests, l)
 }
 
-// liveResult is how a request ended.
+// liveResult is the result of a live request.
 type liveResult struct {
 	outcome   Outcome
 	output    string
@@ -48,7 +48,8 @@
 	errorKind string
 }
 
-// recordLive records how a request ended, and pauses its caller where it was not answered.
+// recordLive records the result of a request, and pauses the caller if the request did not
+// succeed.
 func (t *Workload) recordLive(l *LiveRequest, result liveResult) {
 	t.mu.Lock()
 	l.Outcome = result.outcome
@@ -62,7 +63,7 @@
 	}
 }
 
-// sendLive sends one live request: a one-shot one or a stream.
+// sendLive sends one live request, either one-shot or streaming.
 func (t *Workload) sendLive(ctx context.Context, rng *rand.Rand) {
 	key := t.LiveKeys[rng.Intn(len(t.LiveKeys))]
 	if rng.Intn(2) == 0 {
@@ -81,7 +82,7 @@
 	}
 }
 
-// sendOneShot sends a one-shot request, one in three with an idempotency key.
+// sendOneShot sends a one-shot request; one in three has an idempotency key.
 func (t *Workload) sendOneShot(ctx context.Context, rng *rand.Rand, key string) {
 	l := &LiveRequest{Input: t.uniqueName("once"), Route: oneShotRoute, SentAt: nowMicros(), AtMostOnce: true, Key: key}
 	t.addLive(l)
@@ -97,13 +98,13 @@
 	t.recordLive(l, result)
 }
 
-// resend sends a request with the same key to another edge: it never runs a second time, and
-// has the first one's answer.
+// resend repeats a request with the same idempotency key at a random edge. The repetition must
+// not run a second time and must return the first answer.
 func (t *Workload) resend(ctx context.Context, rng *rand.Rand, request apiCall, l *LiveRequest, first *liveResult) {
 	response, err := t.call(ctx, t.randomEdge(rng), request)
 	second := response.outcome(err)
 	if first.outcome == OK && second == OK && readOutput(response) != first.output {
-		t.addViolation(guaranteeRunsAtMostOnce, "a repeated key got another answer: %s", l.Input)
+		t.addViolation(guaranteeRunsAtMostOnce, "a repeated idempotency key got a different answer: %s", l.Input)
 	}
 	if second == OK {
 		first.outcome, first.output = OK, readOutput(response)
@@ -122,7 +123,7 @@
 	return body.Output
 }
 
-// sendStream sends a request whose answer is a stream.
+// sendStream sends a request and reads its streamed answer.
 func (t *Workload) sendStream(ctx context.Context, rng *rand.Rand, key string) {
 	l := &LiveRequest{Input: t.uniqueName("stream"), Route: streamRoute, SentAt: nowMicros(), Key: key}
 	t.addLive(l)
@@ -141,7 +142,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		body, _ := io.ReadAll(response.Body) // a body that breaks off has no kind
+		body, _ := io.ReadAll(response.Body) // a truncated body has no error kind
 		result.errorKind = errorKind(body)
 		result.outcome = callResult{status: response.StatusCode, errorKind: result.errorKind}.outcome(nil)
 		return result
@@ -153,8 +154,8 @@
 	return result
 }
 
-// readStream joins the chunks of a stream; complete says whether its end event came. Events
-// are spelled as the callers' API has them.
+// readStream concatenates the chunks of a stream of server-sent events; complete reports whether
+// the end event was received. The event names are those of the HTTP API.
 func readStream(body io.Reader) (text string, complete bool) {
 	lines := bufio.NewScanner(body)
 	event := ""
--- a/test/verify/rereads.go
+++ b/test/verify/rereads.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	rereadLimit     = 1000 // results of a page
-	maxRereads      = 60   // until another edge has all results
-	slowReadBytes   = 256  // that a slow reader takes at a time
+	rereadLimit     = 1000 // results in a page
+	maxRereads      = 60   // attempts until another edge must have all results
+	slowReadBytes   = 256  // read at a time by a slow reader
 	slowReadPause   = 10 * time.Millisecond
-	slowReadBuffer  = 2048 // bytes of the connection
-	slowReaderShare = 5    // one reread in so many is a slow one as well
+	slowReadBuffer  = 2048 // receive buffer of the connection, in bytes
+	slowReaderShare = 5    // one in this many rereads is followed by a slow read
 )
 
-// isPrefixOf says whether a page shows the beginning of a list of results.
+// isPrefixOf reports whether the results of the page are a prefix of results.
 func (p resultPage) isPrefixOf(results []Result) bool {
 	return len(p.Results) <= len(results) && fmt.Sprint(p.Results) == fmt.Sprint(results[:len(p.Results)])
 }
 
-// readAgain reads a batch's results once more at some edge. That edge may receive the last
-// ones a little later, but what it shows has to be the beginning of what was read before.
+// readAgain reads the results of a batch a second time at random edges. An edge may lag behind
+// the one that was read first, but what it returns must be a prefix of the earlier results.
 func (t *Workload) readAgain(ctx context.Context, rng *rand.Rand, b *Batch) {
 	for attempt := 0; attempt < maxRereads && ctx.Err() == nil; attempt++ {
 		p, ok := t.readPage(ctx, rng, pageRequest{path: b.resultsPath(), limit: rereadLimit})
@@ -35,7 +35,7 @@
 			continue
 		}
 		if !p.isPrefixOf(b.Results) {
-			t.addViolation(guaranteeExactlyOnce, "batch %s: read again it differs (%d results, %d before)", b.ID, len(p.Results), len(b.Results))
+			t.addViolation(guaranteeExactlyOnce, "batch %s: results differ when read again (%d results, %d before)", b.ID, len(p.Results), len(b.Results))
 			return
 		}
 		if len(p.Results) == len(b.Results) {
@@ -47,11 +47,12 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.addViolation(guaranteeExactlyOnce, "batch %s: read again it stays shorter", b.ID)
+	t.addViolation(guaranteeExactlyOnce, "batch %s: results stay incomplete when read again", b.ID)
 }
 
-// readSlowly reads all results of a batch over a connection that takes a few bytes at a time:
-// it gets the same ones, and the other readers' delays are checked meanwhile.
+// readSlowly reads all results of a batch over a connection that takes a few bytes at a time. It
+// must get the same results; it also loads the edge while the delays of other readers are
+// checked.
 func (t *Workload) readSlowly(ctx context.Context, rng *rand.Rand, b *Batch) {
 	raw, err := t.slowGet(ctx, t.randomEdge(rng), fmt.Sprintf("%s?limit=%d", b.resultsPath(), rereadLimit))
 	if err != nil {
@@ -59,20 +60,20 @@
 	}
 	response, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(raw)), nil)
 	if err != nil || response.StatusCode != http.StatusOK {
-		return // the edge stopped, or a shard was being moved
+		return // the edge was stopped, or a shard was being moved
 	}
 	defer response.Body.Close()
 	var p resultPage
 	if json.NewDecoder(response.Body).Decode(&p) != nil {
-		return // the edge stopped meanwhile
+		return // the edge was stopped during the read
 	}
 	if !p.isPrefixOf(b.Results) {
-		t.addViolation(guaranteeExactlyOnce, "batch %s: read again slowly it differs", b.ID)
+		t.addViolation(guaranteeExactlyOnce, "batch %s: results differ when read again by a slow reader", b.ID)
 	}
 	t.addCount("batches read slowly", 1)
 }
 
-// slowGet reads a whole HTTP response, a few bytes at a time.
+// slowGet sends a GET request and reads the raw HTTP response a few bytes at a time.
 func (t *Workload) slowGet(ctx context.Context, edge, path string) ([]byte, error) {
 	conn, err := net.Dial("tcp", edge)
 	if err != nil {
@@ -96,7 +97,7 @@
 	return raw, nil
 }
 
-// readAllBatchesBack reads the results of every accepted batch back at the end of the run.
+// readAllBatchesBack rereads the results of every completely read batch at the end of the run.
 func (t *Workload) readAllBatchesBack(ctx context.Context) {
 	rng := rand.New(rand.NewSource(t.Seed - 3))
 	deadline := time.Now().Add(t.ReadTimeout)
@@ -109,12 +110,12 @@
 	}
 }
 
-// readBack reads a batch's results until they are all there.
+// readBack rereads the results of a batch until all are returned or the deadline passes.
 func (t *Workload) readBack(ctx context.Context, rng *rand.Rand, b *Batch, deadline time.Time) {
 	count := 0
 	for count < len(b.Results) {
 		if ctx.Err() != nil || time.Now().After(deadline) {
-			t.addViolation(guaranteeNeverLost, "batch %s: only %d of %d results at the end of the run", b.ID, count, len(b.Results))
+			t.addViolation(guaranteeNeverLost, "batch %s: only %d of %d results can be read at the end of the run", b.ID, count, len(b.Results))
 			return
 		}
 		p, ok := t.readPage(ctx, rng, pageRequest{path: b.resultsPath(), limit: rereadLimit})
@@ -122,7 +123,7 @@
 			continue
 		}
 		if !p.isPrefixOf(b.Results) {
-			t.addViolation(guaranteeExactlyOnce, "batch %s: read again at the end of the run it differs", b.ID)
+			t.addViolation(guaranteeExactlyOnce, "batch %s: results differ when read again at the end of the run", b.ID)
 			return
 		}
 		count = len(p.Results)
--- a/test/verify/start_log.go
+++ b/test/verify/start_log.go
@@ -10,8 +10,8 @@
 	"tuliprudder/test/modelcontent"
 )
 
-// ReadStarts reads the servers' logs of starts. A file that is not there is skipped, and so is
-// a line that a killed server did not finish.
+// ReadStarts reads the start logs of model servers. Missing files are skipped, and so are
+// incomplete lines, which a killed server may leave behind.
 func ReadStarts(files []string) ([]modelcontent.Start, error) {
 	var out []modelcontent.Start
 	for _, name := range files {
@@ -20,7 +20,7 @@
 			continue
 		}
 		if err != nil {
-			return nil, errors.Wrap(err, "reading a log of starts")
+			return nil, errors.Wrap(err, "reading a start log")
 		}
 		for _, line := range bytes.Split(data, []byte("\n")) {
 			var start modelcontent.Start
--- a/test/verify/verdict.go
+++ b/test/verify/verdict.go
@@ -9,22 +9,22 @@
 	"tuliprudder/test/modelcontent"
 )
 
-// Guarantee is one guarantee with what was checked of it. Its JSON keys are those of the
-// reports that are kept.
+// Guarantee is a guarantee with the results of its checks. The JSON keys are those of stored
+// reports.
 type Guarantee struct {
 	Name        string   `json:"promise"`
 	Checked     int      `json:"checked"`
 	Violations  []string `json:"breaches"`
-	IsTimeBound bool     `json:"timed"` // a bound on time: a slow machine may violate it
+	IsTimeBound bool     `json:"timed"` // bounds a duration, so that a slow machine may violate it
 }
 
-// Verdict is all guarantees, with what was counted.
+// Verdict is the result of a run: all guarantees, and counts by name.
 type Verdict struct {
 	Guarantees []Guarantee    `json:"promises"`
 	Counts     map[string]int `json:"counts"`
 }
 
-// IsBroken says whether any guarantee was violated.
+// IsBroken reports whether any guarantee was violated.
 func (v Verdict) IsBroken() bool {
 	for _, p := range v.Guarantees {
 		if len(p.Violations) > 0 {
@@ -34,7 +34,7 @@
 	return false
 }
 
-// IsBrokenUntimed says whether a guarantee was violated that is not a bound on time.
+// IsBrokenUntimed reports whether any guarantee other than the time-bound ones was violated.
 func (v Verdict) IsBrokenUntimed() bool {
 	for _, p := range v.Guarantees {
 		if len(p.Violations) > 0 && !p.IsTimeBound {
@@ -44,10 +44,10 @@
 	return false
 }
 
-// maxShownViolations is how many violations of a guarantee a report shows.
+// maxShownViolations is the maximum number of violations printed for each guarantee.
 const maxShownViolations = 12
 
-// String is the verdict guarantee by guarantee.
+// String formats the verdict, one guarantee after the other, followed by the counts.
 func (v Verdict) String() string {
 	var out strings.Builder
 	for _, p := range v.Guarantees {
@@ -66,7 +66,7 @@
 	return out.String()
 }
 
-// state is the guarantee's verdict in a word or two.
+// state returns the status of the guarantee for the report.
 func (p *Guarantee) state() string {
 	switch {
 	case len(p.Violations) > 0:
@@ -88,20 +88,21 @@
 	}
 }
 
-// DrainingSpan is when a server was listed as draining, in microseconds since 1970.
+// DrainingSpan is a period in which a server was listed as draining, in microseconds since the
+// Unix epoch.
 type DrainingSpan struct {
 	Server   string
-	From, To int64 // To 0: it drains still
+	From, To int64 // To is 0 while the server is still draining
 }
 
-// Bounds of the guarantees, in microseconds.
+// Bounds of the guarantees, in microseconds. Each is somewhat larger than the documented time.
 const (
-	stopGraceUS      = 3_300_000  // "about 3 seconds"
-	recoveryBoundUS  = 12_500_000 // "about 12 seconds"
-	readDelayBoundUS = 1_200_000  // "about a second"
+	stopGraceUS      = 3_300_000  // documented as "about 3 seconds"
+	recoveryBoundUS  = 12_500_000 // documented as "about 12 seconds"
+	readDelayBoundUS = 1_200_000  // documented as "about a second"
 )
 
-// Verdict checks every guarantee by the records of the callers and the logs of the servers.
+// Verdict checks all guarantees against the records of the callers and the logs of the servers.
 func (t *Workload) Verdict(starts []modelcontent.Start, spans []DrainingSpan) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/test/verify/verdict_test.go
+++ b/test/verify/verdict_test.go
@@ -9,6 +9,7 @@
 
 const chunkCount = 4
 
+// validHistory returns the records of a run that violates no guarantee.
 func validHistory() (*Workload, []modelcontent.Start) {
 	results := func(batch string, from int64) (out []Result) {
 		for i := 0; i < 2; i++ {
@@ -32,12 +33,12 @@
 	return t, starts
 }
 
-// The checker finds nothing in a history that keeps every guarantee, and each violation that
-// is put into it, under the guarantee that it violates.
+// The checker reports nothing for a valid history. Each violation injected into it is reported
+// under the guarantee that it violates.
 func TestCheckerReportsEachViolation(t *testing.T) {
 	workload, starts := validHistory()
 	if v := workload.Verdict(starts, []DrainingSpan{{Server: "s", From: 6_000_000}}); v.IsBroken() {
-		t.Fatalf("a valid history:\n%s", v)
+		t.Fatalf("violations reported for a valid history:\n%s", v)
 	}
 	for name, c := range map[string]struct {
 		guaranteeName   string
@@ -90,7 +91,7 @@
 			found = found || strings.Contains(p.Name, c.guaranteeName) && len(p.Violations) > 0
 		}
 		if !found {
-			t.Errorf("%s: not found\n%s", name, v)
+			t.Errorf("%s: violation not reported\n%s", name, v)
 		}
 	}
 }
--- a/test/verify/workload.go
+++ b/test/verify/workload.go
@@ -1,9 +1,9 @@
-// Package verify stands in for the callers of a running fleet, and checks every guarantee
-// that callers can see by what they and the model servers recorded (DESIGN §9).
+// Package verify simulates the callers of a running fleet, and checks every guarantee that is
+// visible to callers against the records of the callers and of the model servers (DESIGN §9).
 //
-// A Workload is one run of callers: Run sends requests and batches and reads results until
-// all batches are complete, Verdict then checks the records. Run uses many goroutines of its
-// own and ends them; a Workload runs once.
+// A Workload is a single run of callers: Run sends requests and batches and reads results until
+// all batches are complete; Verdict then checks the records. Run starts many goroutines and ends
+// them before it returns. A Workload can't be run a second time.
 package verify
 
 import (
@@ -15,11 +15,11 @@
 	"time"
 )
 
-// guaranteeID names the guarantee that a violation is of.
+// guaranteeID identifies the guarantee that a caller saw violated.
 type guaranteeID string
 
-// The guarantees that callers see violated themselves; the others are checked on all records
-// together.
+// Guarantees whose violation a single caller can detect during the run. The others are checked
+// afterwards on all records together.
 const (
 	guaranteeNeverLost      guaranteeID = "kept"
 	guaranteeExactlyOnce    guaranteeID = "exact"
@@ -27,32 +27,32 @@
 	guaranteeErrorsTyped    guaranteeID = "typed"
 )
 
-// observedViolation is a violation that a caller saw.
+// observedViolation is a violation that a caller detected during the run.
 type observedViolation struct {
 	guarantee guaranteeID
 	text      string
 }
 
-// Workload is a run of callers.
+// Workload is a single run of callers, with its settings and records.
 type Workload struct {
-	Edges         func() []string // HTTP addresses of edges
+	Edges         func() []string // returns the HTTP addresses of the edges
 	Seed          int64
 	LiveKeys      []string // API keys of live callers
-	BatchKey      string   // API key of the caller of batches
+	BatchKey      string   // API key of the caller that submits batches
 	BatchRoute    string
-	Items         int // of a batch
-	Chunks        int // of an answer
-	LiveWorkers   int // live callers at once
-	Batches       int // to submit
+	Items         int // per batch
+	Chunks        int // per answer
+	LiveWorkers   int // number of concurrent live callers
+	Batches       int // number of batches to submit
 	BatchInterval time.Duration
-	MaxAttempts   int           // to submit or cancel a batch; 0: defaultMaxAttempts
-	ReadTimeout   time.Duration // to read a complete batch; 0: defaultReadTimeout
-	NoFaults      bool          // no fault is injected: results have to be readable within a second
+	MaxAttempts   int           // to submit or cancel a batch; 0 means defaultMaxAttempts
+	ReadTimeout   time.Duration // to read a complete batch; 0 means defaultReadTimeout
+	NoFaults      bool          // no faults are injected; the stricter read bound applies
 
 	client    *http.Client
-	feedToken string // where the feed's reader is; only its goroutine uses it
+	feedToken string // continuation token of the feed; used by the goroutine that reads the feed only
 
-	mu             sync.Mutex // guards what follows while Run runs
+	mu             sync.Mutex // guards the fields below while Run runs
 	liveRequests   []*LiveRequest
 	batches        []*Batch
 	feed           []Result
@@ -65,13 +65,13 @@
 	defaultMaxAttempts = 60
 	defaultReadTimeout = 60 * time.Second
 	callTimeout        = 40 * time.Second
-	idleConnections    = 64 // to an edge
+	idleConnections    = 64 // per edge
 	maxViolations      = 500
 )
 
 func nowMicros() int64 { return time.Now().UnixMicro() }
 
-// addViolation records what a caller saw, under the guarantee that it violates.
+// addViolation records a violation that a caller detected. Only the first maxViolations are kept.
 func (t *Workload) addViolation(guarantee guaranteeID, format string, args ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,7 +86,7 @@
 	t.counts[name] += by
 }
 
-// uniqueName is a name that no other request of the run has.
+// uniqueName returns a name that no other request of the run has.
 func (t *Workload) uniqueName(prefix string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,7 +94,7 @@
 	return fmt.Sprintf("%s-%d-%d", prefix, t.Seed, t.lastNameNumber)
 }
 
-// Run runs the workload: live callers go on until all batches are read or ctx ends.
+// Run runs the workload. Live callers send requests until all batches are read or ctx is done.
 func (t *Workload) Run(ctx context.Context) {
 	t.counts = map[string]int{}
 	t.client = &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections}}
@@ -120,8 +120,8 @@
 	}
 }
 
-// startLive starts the live callers and the feed's reader. They begin nothing new once
-// liveCtx ends; what they have begun goes on for as long as ctx.
+// startLive starts the live callers and the reader of the feed. They start no further requests
+// once liveCtx is done; live requests in progress are bound to ctx instead.
 func (t *Workload) startLive(ctx, liveCtx context.Context, live *sync.WaitGroup) {
 	for i := range t.LiveWorkers {
 		live.Go(func() {
@@ -134,7 +134,7 @@
 	live.Go(func() { t.followFeed(liveCtx, rand.New(rand.NewSource(t.Seed-1))) })
 }
 
-// runBatches submits all batches, one each BatchInterval, and returns when they are read.
+// runBatches submits all batches, one every BatchInterval, and returns when all have been read.
 func (t *Workload) runBatches(ctx context.Context) {
 	var batches sync.WaitGroup
 	for i := 0; i < t.Batches && ctx.Err() == nil; i++ {
--- a/test/virtualtime/queue.go
+++ b/test/virtualtime/queue.go
@@ -1,15 +1,14 @@
-// Package virtualtime runs events in the order of a virtual clock, for the simulator
-// (test/simulator) and the capacity model (test/capacitymodel). Time passes only from one
-// event to the next, so that a run depends on nothing but its events. A Queue belongs to one
-// goroutine.
+// Package virtualtime provides an event queue with a virtual clock, for the simulator
+// (test/simulator) and the capacity model (test/capacitymodel). The clock advances only from one
+// event to the next, so that runs are deterministic. A Queue is not safe for concurrent use.
 package virtualtime
 
 import "tuliprudder/internal/clock"
 
-// event is something that happens at a point of virtual time.
+// event is a function to be called at a point in virtual time.
 type event struct {
 	at  clock.Micros
-	seq uint64 // orders events of one time as they were added
+	seq uint64 // breaks ties between events of the same time in insertion order
 	do  func()
 }
 
@@ -20,22 +19,22 @@
 	return e.seq < other.seq
 }
 
-// Queue is a virtual clock with the events that are to come.
+// Queue is a virtual clock with the pending events.
 type Queue struct {
 	Now     clock.Micros
 	events  []event // a binary heap, the earliest first
 	lastSeq uint64
 }
 
-// After has something happen later. Events of one time happen in the order they were added.
+// After schedules do to be called after a delay. Events of the same time run in insertion order.
 func (q *Queue) After(delay clock.Micros, do func()) {
 	q.lastSeq++
 	q.events = append(q.events, event{at: q.Now + delay, seq: q.lastSeq, do: do})
 	q.siftUp(len(q.events) - 1)
 }
 
-// RunFor runs the events of a span of time, those that they add included, and returns how
-// many there were. Now is the end of the span then.
+// RunFor runs all events that are due within the duration, including those added meanwhile, and
+// returns their number. It leaves Now at the end of the duration.
 func (q *Queue) RunFor(duration clock.Micros) int {
 	end := q.Now + duration
 	count := 0
@@ -49,7 +48,7 @@
 	return count
 }
 
-// Clear drops all events that are to come.
+// Clear drops all pending events.
 func (q *Queue) Clear() { q.events = nil }
 
 func (q *Queue) siftUp(i int) {
@@ -66,7 +65,7 @@
 func (q *Queue) pop() event {
 	first, last := q.events[0], len(q.events)-1
 	q.events[0] = q.events[last]
-	q.events[last] = event{} // its closure is not kept alive
+	q.events[last] = event{} // releases the closure to the garbage collector
 	q.events = q.events[:last]
 	q.siftDown(0)
 	return first
--- a/test/virtualtime/queue_test.go
+++ b/test/virtualtime/queue_test.go
@@ -20,7 +20,7 @@
 		q.After(rng.Int63n(50), func() { got = append(got, execution{q.Now, number}) })
 	}
 	if count := q.RunFor(100); count != 1000 || len(got) != 1000 || q.Now != 100 {
-		t.Fatalf("%d events ran, %d by count, until %d", len(got), count, q.Now)
+		t.Fatalf("%d events ran, RunFor returned %d, clock at %d", len(got), count, q.Now)
 	}
 	inOrder := slices.IsSortedFunc(got, func(a, b execution) int {
 		if a.at != b.at {
@@ -43,12 +43,12 @@
 	}
 	q.After(10, tick)
 	if q.RunFor(35); ticks != 3 || q.Now != 35 {
-		t.Fatalf("%d ticks until %d, not 3 until 35", ticks, q.Now)
+		t.Fatalf("%d ticks by time %d, expected 3 by time 35", ticks, q.Now)
 	}
 	if q.RunFor(5); ticks != 4 {
-		t.Errorf("%d ticks, not 4: an event at the end of a span belongs to it", ticks)
+		t.Errorf("%d ticks, expected 4: RunFor must include events at the very end of its duration", ticks)
 	}
 	if q.Clear(); q.RunFor(100) != 0 {
-		t.Error("events ran that had been dropped")
+		t.Error("events ran after Clear")
 	}
 }
