--- a/test/verify/checker.go
+++ b/test/verify/checker.go
@@ -49,7 +49,7 @@
 		c.byInput[start.Input] = append(c.byInput[start.Input], start)
 	}
 	c.addGuarantees()
-	byID := map[guaranteeID]*Guarantee{guaranteeNeverLost: c.neverLost, guaranteeExactlyOnce: c.exactlyOnce, guaranteeRunsAtMostOnce: c.runsAtMostOnce, guaranteeErrorsTyped: c.errorsTyped}
+	byID := map[guaranteeID]*Guarantee{guaranteeNeverLost: c.neverLost, guaranteeExactlyOnce: c.exactlyOnce, guaranteeSingleRun: c.runsAtMostOnce, guaranteeErrorsTyped: c.errorsTyped}
 	for _, violation := range t.violations {
 		byID[violation.guarantee].Violations = append(byID[violation.guarantee].Violations, violation.text)
 	}
--- a/test/verify/live.go
+++ b/test/verify/live.go
@@ -104,7 +104,7 @@
 	response, err := t.call(ctx, t.randomEdge(rng), request)
 	second := response.outcome(err)
 	if first.outcome == OK && second == OK && readOutput(response) != first.output {
-		t.addViolation(guaranteeRunsAtMostOnce, "a repeated idempotency key got a different answer: %s", l.Input)
+		t.addViolation(guaranteeSingleRun, "a repeated idempotency key got a different answer: %s", l.Input)
 	}
 	if second == OK {
 		first.outcome, first.output = OK, readOutput(response)
--- a/test/verify/workload.go
+++ b/test/verify/workload.go
@@ -21,10 +21,10 @@
 // Guarantees whose violation a single caller can detect during the run. The others are checked
 // afterwards on all records together.
 const (
-	guaranteeNeverLost      guaranteeID = "kept"
-	guaranteeExactlyOnce    guaranteeID = "exact"
-	guaranteeRunsAtMostOnce guaranteeID = "once"
-	guaranteeErrorsTyped    guaranteeID = "typed"
+	guaranteeNeverLost   guaranteeID = "kept"
+	guaranteeExactlyOnce guaranteeID = "exact"
+	guaranteeSingleRun   guaranteeID = "once"
+	guaranteeErrorsTyped guaranteeID = "typed"
 )
 
 // observedViolation is a violation that a caller detected during the run.
