--- a/test/netproxy/netproxy_test.go
+++ b/test/netproxy/netproxy_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// loopback are two addresses of the loopback network: a caller's and a daemon's.
+// Loopback addresses of a caller and a daemon.
 const (
 	callerIP = "127.9.0.1"
 	daemonIP = "127.9.0.2"
 )
 
-// startEcho starts a server that sends back what it receives, behind a relay.
-func startEcho(t *testing.T, n *Network) (address string) {
+// startEchoServer starts an echo server behind a relay and returns the address of the relay.
+func startEchoServer(t *testing.T, n *Network) (address string) {
 	t.Helper()
 	server, err := net.Listen("tcp", daemonIP+":0")
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 }
 
-// receive reads a text of some length, for a time at the most.
+// receive reads length bytes, or fails after the timeout.
 func receive(conn net.Conn, length int, timeout time.Duration) (string, error) {
 	buffer := make([]byte, length)
 	conn.SetReadDeadline(time.Now().Add(timeout))
@@ -73,7 +73,7 @@
 	return string(buffer), err
 }
 
-func TestABlockedLinkDelaysUntilItIsHealed(t *testing.T) {
+func TestBlockedLinkDelaysDataUntilHealed(t *testing.T) {
 	for name, link := range map[string]struct{ from, to string }{
 		"to the daemon":   {callerIP, daemonIP},
 		"from the daemon": {daemonIP, callerIP},
@@ -81,31 +81,31 @@
 		t.Run(name, func(t *testing.T) {
 			n := New()
 			t.Cleanup(n.Close)
-			conn := dial(t, startEcho(t, n))
+			conn := dial(t, startEchoServer(t, n))
 			send(t, conn, "one")
 			if got, err := receive(conn, 3, time.Minute); err != nil || got != "one" {
-				t.Fatalf("an open link brings %q, %v", got, err)
+				t.Fatalf("over an open link: received %q, %v", got, err)
 			}
 			n.SetBlocked(link.from, link.to, true)
 			send(t, conn, "two")
 			if got, err := receive(conn, 3, 50*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Fatalf("a blocked link brings %q, %v", got, err)
+				t.Fatalf("over a blocked link: received %q, %v; expected a time-out", got, err)
 			}
 			n.SetBlocked(link.from, link.to, false)
 			if got, err := receive(conn, 3, time.Minute); err != nil || got != "two" {
-				t.Fatalf("a healed link brings %q, %v", got, err)
+				t.Fatalf("over a healed link: received %q, %v", got, err)
 			}
 		})
 	}
 }
 
-func TestClosingEndsWhatWaitsAtABlockedLink(t *testing.T) {
+func TestCloseEndsConnectionsOnBlockedLinks(t *testing.T) {
 	n := New()
-	conn := dial(t, startEcho(t, n))
+	conn := dial(t, startEchoServer(t, n))
 	n.SetBlocked(callerIP, daemonIP, true)
 	send(t, conn, "one")
 	n.Close()
 	if got, err := receive(conn, 3, time.Minute); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a closed network brings %q, %v", got, err)
+		t.Errorf("after Close: received %q, %v; expected a closed connection", got, err)
 	}
 }
--- a/test/verify/checker.go
+++ b/test/verify/checker.go
@@ -6,28 +6,28 @@
 	"tuliprudder/test/modelcontent"
 )
 
-// checker checks the records of a workload and collects the verdict.
+// checker checks the records of a workload against the guarantees and builds the verdict.
 type checker struct {
 	*Workload
-	starts      []modelcontent.Start            // of the servers' logs, without the ends
-	byInput     map[string][]modelcontent.Start // the same, by input
-	completedAt map[string]int64                // when an answer was last complete on a server
+	starts      []modelcontent.Start            // from the servers' logs, without the completions
+	byInput     map[string][]modelcontent.Start // starts by input
+	completedAt map[string]int64                // when the answer to an input was last completed
 
-	guarantees []*Guarantee // all of those below
+	guarantees []*Guarantee // all guarantees below, in report order
 	neverLost, exactlyOnce, feedContinues, rejectedNeverRuns,
 	cancelledStops, runsAtMostOnce, neverMixed, streamsIntact,
 	drainingIdle, recoversInTime, readableInTime, errorsTyped *Guarantee
 
-	feedSeen         map[string]int // results in the feed, by batch and item
+	feedSeen         map[string]int // number of results in the feed, by batch and item
 	positionContents map[position]string
 
-	outcomeCounts                                map[string]int
-	durations                                    map[string][]int64 // by kind of request, in microseconds
-	accepted                                     int                // batches
-	slowestResult, slowestAcceptance, longestGap int64              // microseconds
+	outcomeCounts                                          map[string]int
+	durations                                              map[string][]int64 // by kind of request, in microseconds
+	acceptedBatches                                        int                // batches
+	slowestReadDelay, slowestAcceptance, longestServingGap int64              // microseconds
 }
 
-// DrainingGuarantee is the name of the guarantee that only runs with draining servers check.
+// DrainingGuarantee is the name of the guarantee that is checked only in runs that drain servers.
 const DrainingGuarantee = "a draining server gets no new work after 3 s"
 
 func newChecker(t *Workload, starts []modelcontent.Start) *checker {
@@ -49,9 +49,9 @@
 		c.byInput[start.Input] = append(c.byInput[start.Input], start)
 	}
 	c.addGuarantees()
-	seen := map[guaranteeID]*Guarantee{guaranteeKept: c.neverLost, guaranteeExact: c.exactlyOnce, guaranteeOnce: c.runsAtMostOnce, guaranteeTyped: c.errorsTyped}
+	byID := map[guaranteeID]*Guarantee{guaranteeNeverLost: c.neverLost, guaranteeExactlyOnce: c.exactlyOnce, guaranteeSingleRun: c.runsAtMostOnce, guaranteeErrorsTyped: c.errorsTyped}
 	for _, violation := range t.violations {
-		seen[violation.guarantee].Violations = append(seen[violation.guarantee].Violations, violation.text)
+		byID[violation.guarantee].Violations = append(byID[violation.guarantee].Violations, violation.text)
 	}
 	return c
 }
@@ -83,18 +83,18 @@
 	c.durations[kind] = append(c.durations[kind], duration)
 }
 
-// verdict is what the checks came to.
+// verdict summarizes the checked guarantees and the counts and durations of the run.
 func (c *checker) verdict() Verdict {
 	v := Verdict{Counts: c.counts}
 	for name, count := range c.outcomeCounts {
 		v.Counts["live: "+name] = count
 	}
-	v.Counts["batches accepted"] = c.accepted
+	v.Counts["batches accepted"] = c.acceptedBatches
 	v.Counts["requests that started on servers"] = len(c.starts)
 	v.Counts["results in the feed"] = len(c.Workload.feed)
-	v.Counts["slowest result us"] = int(c.slowestResult)
+	v.Counts["slowest result us"] = int(c.slowestReadDelay)
 	v.Counts["slowest acknowledgement us"] = int(c.slowestAcceptance)
-	v.Counts["longest time without a live answer us"] = int(c.longestGap)
+	v.Counts["longest time without a live answer us"] = int(c.longestServingGap)
 	for name, durations := range c.durations {
 		slices.Sort(durations)
 		v.Counts[name+" median us"] = int(durations[len(durations)/2])
