--- a/cmd/tuliprudderctl/configurations.go
+++ b/cmd/tuliprudderctl/configurations.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	patch, err := config.OwnPatchFormat.Parse(data)
+	patch, err := config.NativePatchFormat.Parse(data)
 	if err != nil {
 		return err
 	}
--- a/internal/config/authentication.go
+++ b/internal/config/authentication.go
@@ -50,9 +50,9 @@
 	case apiKey == "":
 		return "", errs.New(errs.Unauthorised, "send a tenant's API key with the request", "the request carries no API key")
 	}
-	known := c.TenantByKey(apiKey)
-	if known == nil {
+	found := c.TenantByKey(apiKey)
+	if found == nil {
 		return "", errs.New(errs.Unauthorised, "check the key, or have the operators add it to the configuration", "no tenant has this API key")
 	}
-	return known.Name, nil
+	return found.Name, nil
 }
--- a/internal/config/autoscale_test.go
+++ b/internal/config/autoscale_test.go
@@ -14,7 +14,7 @@
 	return []byte(`{"classes":[{"name":"c","rank":1,"allowance":1}],"pools":[{"name":"p","labels":{"u":"x"},"servers":{"s":"1"}` + fields + `}],"routes":[]}`)
 }
 
-func TestBoundsOfServersAreRead(t *testing.T) {
+func TestParseAutoscale(t *testing.T) {
 	for fields, want := range map[string]Autoscale{
 		``: {},
 		`,"autoscale":{"min":2,"max":9,"boot_us":4000000}`: {Min: 2, Max: 9, BootTime: 4 * clock.Second},
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestWhichScaledPoolsServe(t *testing.T) {
+func TestScaledPoolsOfRoutesAndServers(t *testing.T) {
 	bounds := Autoscale{Min: 1, Max: 2}
 	c := &Configuration{
 		Pools: []Pool{
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	maxKeysOfTenant = 64
-	maxKeyBytes     = 256
+	maxKeysPerTenant = 64
+	maxKeyBytes      = 256
 )
 
 // KeyDigest stands for an API key: configurations hold no key itself, so that none gets into a log,
@@ -29,7 +29,7 @@
 	if o.has("key") || !o.has("keys") {
 		out = append(out, apiKey{o.pathOf("key"), DigestKey(o.requiredText("key", maxKeyBytes))})
 	}
-	for i, value := range o.list("keys", maxKeysOfTenant) {
+	for i, value := range o.list("keys", maxKeysPerTenant) {
 		path := fmt.Sprintf("%s[%d]", o.pathOf("keys"), i)
 		out = append(out, apiKey{path, DigestKey(o.parser.text(path, value, true, maxKeyBytes))})
 	}
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -11,7 +11,7 @@
  "pools":[{"name":"p","servers":{}}],"routes":[]}`
 
 // A tenant has one key, or several; a fault of a key names the tenants and never the key.
-func TestKeysOfTenants(t *testing.T) {
+func TestParseTenantKeys(t *testing.T) {
 	for customers, fault := range map[string]string{
 		`{"name":"x","class":"a","key":"secret"}`:                                                                     "",
 		`{"name":"x","class":"a","keys":["secret","other"]}`:                                                          "",
@@ -37,7 +37,7 @@
 }
 
 // Whether a forwarded route asks for a key stands in its authentication; none is the default.
-func TestAuthenticationOfRoutes(t *testing.T) {
+func TestParseRouteAuthentication(t *testing.T) {
 	const document = `{"classes":[{"name":"a","rank":1,"allowance":1}],"pools":[{"name":"p","servers":{}}],
 	 "routes":[{"name":"r","kind":"stream","classes":{},"pools":{},"forward":{"host":"h","path_prefix":"/x/"FIELDS}}]}`
 	for fields, want := range map[string]struct {
--- a/internal/config/lookup.go
+++ b/internal/config/lookup.go
@@ -75,11 +75,11 @@
 
 // ClassOfTenant is the class of a tenant by name; nil when the configuration has none.
 func (c *Configuration) ClassOfTenant(tenant string) *PriorityClass {
-	entry := c.index.tenantsByName[tenant]
-	if entry == nil {
+	found := c.index.tenantsByName[tenant]
+	if found == nil {
 		return nil
 	}
-	return c.index.classesByName[entry.Class]
+	return c.index.classesByName[found.Class]
 }
 
 // PriorityOf is the priority of a forwarded route's requests of a tenant ("" for none): that of the
@@ -130,13 +130,13 @@
 // MaxConnections is how many connections a server with these labels accepts from all
 // daemons together: the lowest limit of its pools; 0 where none has one.
 func (c *Configuration) MaxConnections(labels Labels) int64 {
-	return c.lowestOfPools(labels, func(pool *Pool) int64 { return pool.MaxConnections })
+	return c.lowestPoolLimit(labels, func(pool *Pool) int64 { return pool.MaxConnections })
 }
 
 // MemoryTokens is how many tokens a server with these labels holds at a time: the lowest number of
 // its pools; 0 where none names one.
 func (c *Configuration) MemoryTokens(labels Labels) int64 {
-	return c.lowestOfPools(labels, func(pool *Pool) int64 { return pool.MemoryTokens })
+	return c.lowestPoolLimit(labels, func(pool *Pool) int64 { return pool.MemoryTokens })
 }
 
 // ScaledPoolOf is the name of the scaled pool that a server with these labels is in; "" where there is
@@ -182,18 +182,18 @@
 	return out
 }
 
-// lowestOfPools is the lowest positive value of the pools that a server with these labels is in; 0
+// lowestPoolLimit is the lowest positive value of the pools that a server with these labels is in; 0
 // where there is none.
-func (c *Configuration) lowestOfPools(labels Labels, value func(pool *Pool) int64) int64 {
+func (c *Configuration) lowestPoolLimit(labels Labels, value func(pool *Pool) int64) int64 {
 	lowest := int64(0)
 	for i := range c.Pools {
 		pool := &c.Pools[i]
-		one := value(pool)
-		if one <= 0 || !pool.Servers.Matches(labels) {
+		limit := value(pool)
+		if limit <= 0 || !pool.Servers.Matches(labels) {
 			continue
 		}
-		if lowest == 0 || one < lowest {
-			lowest = one
+		if lowest == 0 || limit < lowest {
+			lowest = limit
 		}
 	}
 	return lowest
--- a/internal/config/lookup_test.go
+++ b/internal/config/lookup_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestMaxConnectionsIsTheLeastOfTheServersPools(t *testing.T) {
+func TestMaxConnectionsIsLowestOfPools(t *testing.T) {
 	c := Configuration{Pools: []Pool{
 		{Name: "unlimited", Servers: Selector{"u": {"x", "y"}}},
 		{Name: "many", Servers: Selector{"u": {"x"}}, MaxConnections: 9},
@@ -15,7 +15,7 @@
 	}
 }
 
-func TestTenantsAreFoundWithTheirClass(t *testing.T) {
+func TestLookupOfTenantsAndTheirClasses(t *testing.T) {
 	c := Configuration{
 		Classes: []PriorityClass{{Name: "gold", Priority: 7}},
 		Tenants: []Tenant{{Name: "t", Keys: []KeyDigest{DigestKey("k"), DigestKey("l")}, Class: "gold"}, {Name: "u"}},
--- a/internal/config/object.go
+++ b/internal/config/object.go
@@ -197,8 +197,8 @@
 			p.addFault(path, "is empty and matches nothing", "give at least one value")
 		}
 		var out []string
-		for i, one := range values {
-			out = append(out, p.text(fmt.Sprintf("%s[%d]", path, i), one, true, maxLabelBytes))
+		for i, element := range values {
+			out = append(out, p.text(fmt.Sprintf("%s[%d]", path, i), element, true, maxLabelBytes))
 		}
 		return out
 	default:
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -9,7 +9,7 @@
 )
 
 // The deployments' own documents are read.
-func TestTheDeploymentsConfigurations(t *testing.T) {
+func TestParseDeploymentConfigurations(t *testing.T) {
 	for _, name := range []string{"ghent", "nhac-pho"} {
 		data, err := os.ReadFile("../../deploy/" + name + ".plan.json")
 		if err != nil {
@@ -30,7 +30,7 @@
 }
 
 // Every fault of a document is reported with its path, all in one error.
-func TestEveryFaultHasItsPath(t *testing.T) {
+func TestValidateReportsEveryFaultWithPath(t *testing.T) {
 	err := Validate([]byte(`{"classes":[{"name":"a","rank":0,"allowance":-3},{"name":"a","rank":1.5},{"name":"b c","rank":1,"allowance":1,"hue":2}],
 	 "customers":[{"name":"x","key":"k","class":"zz"},{"name":"y","key":"k","class":"a"}],
 	 "pools":[{"name":"p","labels":{"u":3}}],
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestWhatIsNoObjectIsReported(t *testing.T) {
+func TestValidateRejectsNonObjects(t *testing.T) {
 	for document, want := range map[string]string{
 		`{"classes":`: "$: is not JSON",
 		`[]`:          "$: must be an object",
@@ -62,7 +62,7 @@
 }
 
 // A document with very many faults is answered with a bounded list of them.
-func TestFaultsAreBounded(t *testing.T) {
+func TestNumberOfFaultsIsLimited(t *testing.T) {
 	err := Validate([]byte(`{"pools":[` + strings.Repeat(`1,`, maxFaults) + `1]}`))
 	if got := len(errs.Of(err).Faults); got != maxFaults {
 		t.Errorf("%d faults are listed, not %d", got, maxFaults)
--- a/internal/config/patch.go
+++ b/internal/config/patch.go
@@ -18,8 +18,8 @@
 	VersionField string   // of patch and document; "" where documents carry no version
 }
 
-// OwnPatchFormat is the format of patches of the product's own documents.
-var OwnPatchFormat = PatchFormat{Lists: patchableLists}
+// NativePatchFormat is the format of patches of the product's own documents.
+var NativePatchFormat = PatchFormat{Lists: patchableLists}
 
 // Patch changes entries of a document's lists by their names. The zero value changes nothing.
 type Patch struct {
--- a/internal/config/patch_test.go
+++ b/internal/config/patch_test.go
@@ -40,7 +40,7 @@
 }
 
 // Each fault of a patch is named.
-func TestInvalidPatchesAreRefused(t *testing.T) {
+func TestInvalidPatchesAreRejected(t *testing.T) {
 	for name, c := range map[string]struct{ patch, fault string }{
 		"cut short":                     {`{"ver":8,"upsert":{"rou`, "can't be read completely"},
 		"two documents":                 {`{"ver":8}{}`, "something follows"},
@@ -75,8 +75,8 @@
 }
 
 // The product's own documents carry no version.
-func TestOwnPatchesCarryNoVersion(t *testing.T) {
-	patch, err := OwnPatchFormat.Parse([]byte(`{"upsert":{"customers":[{"name":"c"}]}}`))
+func TestNativePatchesHaveNoVersion(t *testing.T) {
+	patch, err := NativePatchFormat.Parse([]byte(`{"upsert":{"customers":[{"name":"c"}]}}`))
 	if err != nil || patch.Version != 0 {
 		t.Fatalf("version %d, %v", patch.Version, err)
 	}
@@ -84,7 +84,7 @@
 	if err != nil || string(got) != `{"classes":[],"customers":[{"name":"c"}]}` {
 		t.Errorf("the patch makes %s, %v", got, err)
 	}
-	if _, err := OwnPatchFormat.Parse([]byte(`{"ver":8}`)); !errs.Is(err, errs.InvalidConfiguration) {
+	if _, err := NativePatchFormat.Parse([]byte(`{"ver":8}`)); !errs.Is(err, errs.InvalidConfiguration) {
 		t.Errorf("a version is taken: %v", err)
 	}
 }
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -9,8 +9,8 @@
 )
 
 var (
-	routeKinds      = []string{OneShot, Repeatable, Stream, Resumable, Batch}
-	authentications = []string{AuthenticationNone, AuthenticationOptional, AuthenticationRequired}
+	routeKinds          = []string{OneShot, Repeatable, Stream, Resumable, Batch}
+	authenticationModes = []string{AuthenticationNone, AuthenticationOptional, AuthenticationRequired}
 )
 
 // routeReader reads the routes of a document, which refer to its classes and pools.
@@ -136,11 +136,11 @@
 	if !f.has("authentication") {
 		return AuthenticationNone
 	}
-	kind := f.text("authentication", 32)
-	if !slices.Contains(authentications, kind) {
-		f.addFault("authentication", fmt.Sprintf("%q is unknown", kind), "give one of "+strings.Join(authentications, ", "))
+	mode := f.text("authentication", 32)
+	if !slices.Contains(authenticationModes, mode) {
+		f.addFault("authentication", fmt.Sprintf("%q is unknown", mode), "give one of "+strings.Join(authenticationModes, ", "))
 	}
-	return kind
+	return mode
 }
 
 func (r *routeReader) split(forward object) []WeightedPools {
--- a/internal/config/routes_test.go
+++ b/internal/config/routes_test.go
@@ -19,7 +19,7 @@
 }
 
 // Forwarded routes are read with all their fields, and found by host and path.
-func TestForwardedRoutesAreRead(t *testing.T) {
+func TestParseForwardedRoutes(t *testing.T) {
 	configuration, err := Parse([]byte(fmt.Sprintf(forwardedDocument, `{"header_bytes":16384,"body_bytes":1048576,"header_wait_us":5000000,"idle_wait_us":60000000}`, strings.Join([]string{
 		forwardedRoute("all", `"kind":"repeatable","pools":{"u":"1"},"forward":{"host":"a.example","path_prefix":"/"}`),
 		forwardedRoute("v1", `"kind":"bundle","forward":{"host":"a.example","path_prefix":"/v1/","tries":3,"aim_us":2000000,"gap_us":500000,"due_us":3600000000,"keep_us":7200000000,"most_tokens":1000000,
--- a/internal/controlplane/settings.go
+++ b/internal/controlplane/settings.go
@@ -59,7 +59,7 @@
 		EvictAfter:         10 * clock.Second,
 		AssumeLostAfter:    20 * clock.Second,
 		ParseConfiguration: config.Parse,
-		PatchFormat:        config.OwnPatchFormat,
+		PatchFormat:        config.NativePatchFormat,
 		Acts:               exclusive.Defaults(),
 		Usage:              usage.Defaults(),
 	}
--- a/internal/daemon/roles/caller_metrics.go
+++ b/internal/daemon/roles/caller_metrics.go
@@ -16,8 +16,8 @@
 	d.Admin.Metrics.Register(metrics.NewModule(callerMetrics, func() callerSample {
 		return callerSample{
 			closedIdle:       stats.ClosedIdle.Load(),
-			closedUnanswered: stats.ClosedHere.Load(),
-			callersLeft:      stats.CallersLeft.Load(),
+			closedUnanswered: stats.ClosedByServer.Load(),
+			callersLeft:      stats.CallersDisconnected.Load(),
 			longestWait:      stats.LongestWait.Load(),
 		}
 	}))
--- a/internal/httpserver/body_test.go
+++ b/internal/httpserver/body_test.go
@@ -9,7 +9,7 @@
 	"tuliprudder/internal/errs"
 )
 
-func TestErrorsAreWrittenTyped(t *testing.T) {
+func TestWriteErrorWritesTypedError(t *testing.T) {
 	w := httptest.NewRecorder()
 	WriteError(w, errs.NewWithRetry(errs.Busy, 1_000_001, "come back", "full"))
 	const want = `{"error":{"kind":"busy","message":"full","remedy":"come back","retry_after_us":1000001}}` + "\n"
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestABodyIsReadWithinItsBound(t *testing.T) {
+func TestReadBodyEnforcesSizeLimit(t *testing.T) {
 	for text, wantKind := range map[string]errs.Kind{"12345": "", "123456": errs.TooLarge} {
 		r := httptest.NewRequest(http.MethodPost, "/", strings.NewReader(text))
 		r.Body = http.MaxBytesReader(httptest.NewRecorder(), r.Body, 5)
--- a/internal/httpserver/caller_conn.go
+++ b/internal/httpserver/caller_conn.go
@@ -15,8 +15,8 @@
 // brings nothing. So a request that was read is always served.
 type callerConn struct {
 	net.Conn
-	server *RawServer
-	since  time.Time // when it was accepted
+	server     *RawServer
+	acceptedAt time.Time // when it was accepted
 
 	mu       sync.Mutex // guards the fields below, and the read deadline while retiring
 	exchange exchange
@@ -29,11 +29,11 @@
 
 // exchange is the present request of a connection and its response; zero between two requests.
 type exchange struct {
-	requestBytes  int64
-	responseBytes int64
-	firstByteAt   time.Time
-	isActive      bool // net/http has the request's head
-	callerLeft    bool // the connection broke before this daemon closed it
+	requestBytes       int64
+	responseBytes      int64
+	firstByteAt        time.Time
+	isActive           bool // net/http has the request's head
+	callerDisconnected bool // the connection broke before this daemon closed it
 }
 
 // isOpen tells whether a request is open: its head is read, or may still come in time.
@@ -91,7 +91,7 @@
 		c.exchange.requestBytes += int64(n)
 	}
 	if err != nil && !isTimeout(err) {
-		c.exchange.callerLeft = true
+		c.exchange.callerDisconnected = true
 	}
 	return n, err
 }
@@ -103,7 +103,7 @@
 	defer c.mu.Unlock()
 	c.exchange.responseBytes += int64(n)
 	if err != nil {
-		c.exchange.callerLeft = true
+		c.exchange.callerDisconnected = true
 	}
 	return n, err
 }
@@ -122,7 +122,7 @@
 	ended, wasRetiring := c.exchange, c.retiring
 	c.exchange, c.retiring = exchange{}, false
 	c.mu.Unlock()
-	c.server.forget(c)
+	c.server.removeConn(c)
 	if ended.isUnanswered() {
 		c.server.recordUnanswered(c, ended)
 	}
@@ -153,7 +153,7 @@
 func (c *callerConn) mayRetire(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.served || now.Sub(c.since) > newConnectionGrace
+	return c.served || now.Sub(c.acceptedAt) > newConnectionGrace
 }
 
 func isTimeout(err error) bool {
--- a/internal/httpserver/limits_test.go
+++ b/internal/httpserver/limits_test.go
@@ -11,7 +11,7 @@
 
 // A connection that has been idle for as long as the limit in force allows is used again, and one
 // that has been idle longer, with the time of a header, is closed.
-func TestConnectionsAreIdleByTheLimitInForce(t *testing.T) {
+func TestIdleTimeoutUsesLimitInForce(t *testing.T) {
 	f := newTestServer(t, Limits{HeaderBytes: 1000, HeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute}, Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 5 * time.Minute}, answerOK)
 	kept, fresh := f.dial(), f.dial()
 	if got := kept.get(0); got != 200 {
@@ -24,7 +24,7 @@
 	}
 	idleSince = f.waitForIdle(2)
 	f.closeExpiredIdle(idleSince.Add(5*time.Minute + 3*time.Second + time.Millisecond))
-	if kept, fresh := kept.waitForEnd(), fresh.waitForEnd(); kept != io.EOF || fresh != io.EOF {
+	if kept, fresh := kept.waitForClose(), fresh.waitForClose(); kept != io.EOF || fresh != io.EOF {
 		t.Errorf("connections that were idle for too long end with %v and %v", kept, fresh)
 	}
 	f.waitForIdle(0)
@@ -32,7 +32,7 @@
 
 // A shorter limit binds connections that become idle under it; a longer one binds those that are
 // idle already.
-func TestLimitsChangeWhileConnectionsAreIdle(t *testing.T) {
+func TestIdleTimeoutChangesWhileConnectionsAreIdle(t *testing.T) {
 	const second = time.Second
 	f := newTestServer(t, Limits{HeaderBytes: 1000, HeaderTimeout: second, IdleTimeout: 15 * second}, Limits{}, answerOK)
 	c := f.dial()
@@ -55,14 +55,14 @@
 	c.get(0)
 	idleSince = f.waitForIdle(1)
 	f.closeExpiredIdle(idleSince.Add(6*second + time.Millisecond))
-	if got := c.waitForEnd(); got != io.EOF {
+	if got := c.waitForClose(); got != io.EOF {
 		t.Errorf("a connection that was idle for too long ends with %v", got)
 	}
 }
 
 // A header is rejected by the limit in force, at once when that changes, and the server's own limit
 // counts where none is in force.
-func TestHeadersByTheLimitInForce(t *testing.T) {
+func TestHeaderSizeUsesLimitInForce(t *testing.T) {
 	f := newTestServer(t, Limits{HeaderBytes: 1000, HeaderTimeout: time.Second, IdleTimeout: time.Minute}, Limits{}, answerOK)
 	for _, c := range []struct{ inForce, more, want int }{
 		{0, 900, 200}, {0, 1000, 431}, {200, 100, 200}, {200, 200, 431}, {100_000, 99_000, 200}, {100_000, 100_000, 431},
@@ -84,7 +84,7 @@
 
 // A request that was read on an idle connection is answered, even if that connection is found to
 // be idle for too long before net/http reports it as active.
-func TestARequestThatWasReadIsAnsweredWhenItsConnectionExpires(t *testing.T) {
+func TestRequestReadBeforeIdleExpiryIsAnswered(t *testing.T) {
 	handled := make(chan struct{}, 1)
 	f := newTestServer(t, Limits{HeaderBytes: 1000, HeaderTimeout: time.Second, IdleTimeout: time.Minute}, Limits{}, func(w http.ResponseWriter, r *http.Request) {
 		handled <- struct{}{}
--- a/internal/httpserver/open_conns.go
+++ b/internal/httpserver/open_conns.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	out := &callerConn{Conn: conn, server: l.server, since: time.Now()}
+	out := &callerConn{Conn: conn, server: l.server, acceptedAt: time.Now()}
 	l.server.open.add(out)
 	return out, nil
 }
--- a/internal/httpserver/raw_server.go
+++ b/internal/httpserver/raw_server.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// forget forgets a connection that is closed.
-func (r *RawServer) forget(conn *callerConn) { r.open.remove(conn) }
+// removeConn forgets a connection that is closed.
+func (r *RawServer) removeConn(conn *callerConn) { r.open.remove(conn) }
 
 // Close accepts no new connections, has the idle ones closed, and waits for the open requests
 // until the timeout; then it closes their connections. Every request that is read until then is
--- a/internal/httpserver/raw_server_test.go
+++ b/internal/httpserver/raw_server_test.go
@@ -65,9 +65,9 @@
 	return response.StatusCode
 }
 
-// waitForEnd waits until the server has closed the connection, on which nothing is sent, and gives
+// waitForClose waits until the server has closed the connection, on which nothing is sent, and gives
 // how it ended.
-func (c *testClient) waitForEnd() error {
+func (c *testClient) waitForClose() error {
 	_, err := c.reader.ReadByte()
 	return err
 }
@@ -129,8 +129,8 @@
 // A connection that this daemon closes after it has read of a request and before it answered is
 // counted and told; one whose caller left first is counted apart, and one that was answered
 // not at all.
-func TestConnectionsThatEndUnansweredAreCounted(t *testing.T) {
-	told := make(chan Unanswered, 1)
+func TestUnansweredConnectionsAreCounted(t *testing.T) {
+	reported := make(chan Unanswered, 1)
 	reached := make(chan struct{})
 	release := make(chan struct{})
 	f := newTestServer(t, Limits{HeaderBytes: 1000, HeaderTimeout: time.Second, IdleTimeout: time.Minute}, Limits{}, func(w http.ResponseWriter, r *http.Request) {
@@ -145,30 +145,30 @@
 		}
 		io.WriteString(w, "ok")
 	})
-	f.OnUnanswered = func(ended Unanswered) { told <- ended }
-	answered, left, cut := f.dial(), f.dial(), f.dial()
+	f.OnUnanswered = func(ended Unanswered) { reported <- ended }
+	answered, disconnected, aborted := f.dial(), f.dial(), f.dial()
 	answered.get(0)
 	answered.conn.Close()
-	io.WriteString(left.conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
+	io.WriteString(disconnected.conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
 	<-reached
-	left.conn.Close()
+	disconnected.conn.Close()
 	const request = "PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"
-	io.WriteString(cut.conn, request)
+	io.WriteString(aborted.conn, request)
 	close(release)
-	if ended := <-told; ended.RequestBytes != int64(len(request)) || ended.Remote != cut.conn.LocalAddr().String() {
+	if ended := <-reported; ended.RequestBytes != int64(len(request)) || ended.Remote != aborted.conn.LocalAddr().String() {
 		t.Errorf("told of %+v", ended)
 	}
 	f.waitForIdle(0)
 	f.Close(20 * time.Second)
 	stats := &f.Unanswered
-	if here, left := stats.ClosedHere.Load(), stats.CallersLeft.Load(); here != 1 || left != 1 || stats.LongestWait.Load() == 0 {
-		t.Errorf("closed here: %d, callers that left: %d, after %d us", here, left, stats.LongestWait.Load())
+	if closed, callerClosed := stats.ClosedByServer.Load(), stats.CallersDisconnected.Load(); closed != 1 || callerClosed != 1 || stats.LongestWait.Load() == 0 {
+		t.Errorf("closed here: %d, callers that left: %d, after %d us", closed, callerClosed, stats.LongestWait.Load())
 	}
 }
 
 // A request that was read is answered, even if the server begins to close before its handler
 // has it.
-func TestARequestThatWasReadIsAnsweredWhenTheServerCloses(t *testing.T) {
+func TestRequestReadBeforeCloseIsAnswered(t *testing.T) {
 	f := newTestServer(t, Limits{HeaderBytes: 1000, HeaderTimeout: time.Second, IdleTimeout: time.Minute}, Limits{}, answerOK)
 	c := f.dial()
 	c.get(0)
@@ -189,7 +189,7 @@
 
 // A head that doesn't come to its end does not keep its connection, and one that does in time
 // is served.
-func TestAnIncompleteHeadDoesNotKeepItsConnection(t *testing.T) {
+func TestIncompleteHeaderDoesNotKeepConnection(t *testing.T) {
 	f := newTestServer(t, Limits{HeaderBytes: 1000, HeaderTimeout: time.Minute, IdleTimeout: time.Minute}, Limits{}, answerOK)
 	slow, late := f.dial(), f.dial()
 	const half = "GET / HTTP/1.1\r\nHost:"
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -43,11 +43,11 @@
 
 // Handle adds a route. Paths use go-zero's :name for variable parts.
 func (s *Server) Handle(method, path string, handler Handler) {
-	s.routes = append(s.routes, rest.Route{Method: method, Path: path, Handler: s.bounded(handler)})
+	s.routes = append(s.routes, rest.Route{Method: method, Path: path, Handler: s.withLimits(handler)})
 }
 
-// bounded applies the bounds on open requests and bodies.
-func (s *Server) bounded(handler Handler) http.HandlerFunc {
+// withLimits applies the bounds on open requests and bodies.
+func (s *Server) withLimits(handler Handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case s.openRequests <- struct{}{}:
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -70,7 +70,7 @@
 }
 
 // An address that is in use, or is none, is an error of the start.
-func TestAnAddressThatCannotBeListenedAt(t *testing.T) {
+func TestStartFailsOnUnusableAddress(t *testing.T) {
 	server, _ := startServer(t, func(http.ResponseWriter, *http.Request) error { return nil })
 	for _, address := range []string{server.raw.listener.Addr().String(), "nowhere"} {
 		var cleanups cleanup.Stack
--- a/internal/httpserver/unanswered.go
+++ b/internal/httpserver/unanswered.go
@@ -8,11 +8,11 @@
 // UnansweredStats count, since the start, the connections that ended after something of a
 // request was read on them and before anything of its response was written.
 type UnansweredStats struct {
-	// ClosedHere counts those that this daemon closed first. Nothing but a malformed request
+	// ClosedByServer counts those that this daemon closed first. Nothing but a malformed request
 	// and the end of the process may do that.
-	ClosedHere atomic.Int64
-	// CallersLeft counts those whose caller closed first, or was lost.
-	CallersLeft atomic.Int64
+	ClosedByServer atomic.Int64
+	// CallersDisconnected counts those whose caller closed first, or was lost.
+	CallersDisconnected atomic.Int64
 	// LongestWait is the longest time, in microseconds, that such a caller had waited.
 	LongestWait atomic.Int64
 	// ClosedIdle counts the connections that were closed because they were idle for too long,
@@ -32,22 +32,22 @@
 // daemon closed.
 func (r *RawServer) recordUnanswered(conn *callerConn, ended exchange) {
 	age := time.Since(ended.firstByteAt)
-	if ended.callerLeft {
-		r.Unanswered.CallersLeft.Add(1)
-		raise(&r.Unanswered.LongestWait, age.Microseconds())
+	if ended.callerDisconnected {
+		r.Unanswered.CallersDisconnected.Add(1)
+		storeMax(&r.Unanswered.LongestWait, age.Microseconds())
 		return
 	}
-	r.Unanswered.ClosedHere.Add(1)
+	r.Unanswered.ClosedByServer.Add(1)
 	if r.OnUnanswered != nil {
 		r.OnUnanswered(Unanswered{Remote: conn.RemoteAddr().String(), RequestBytes: ended.requestBytes, Age: age})
 	}
 }
 
-// raise sets a value to another one that is higher.
-func raise(value *atomic.Int64, to int64) {
+// storeMax sets a value to another one that is higher.
+func storeMax(value *atomic.Int64, candidate int64) {
 	for {
 		present := value.Load()
-		if to <= present || value.CompareAndSwap(present, to) {
+		if candidate <= present || value.CompareAndSwap(present, candidate) {
 			return
 		}
 	}
--- a/test/simulator/configurations.go
+++ b/test/simulator/configurations.go
@@ -89,7 +89,7 @@
 	_ = json.Unmarshal(target, &after)
 	after["pools"][0]["labels"].(map[string]any)["put"] = fmt.Sprint(number)
 	upsert, remove := map[string][]document{}, map[string][]string{}
-	for _, list := range config.OwnPatchFormat.Lists {
+	for _, list := range config.NativePatchFormat.Lists {
 		upsert[list] = after[list]
 		for _, entry := range before[list] {
 			hasName := func(other document) bool { return other["name"] == entry["name"] }
@@ -99,7 +99,7 @@
 		}
 	}
 	patch, _ = json.Marshal(document{"upsert": upsert, "remove": remove})
-	parsed, err := config.OwnPatchFormat.Parse(patch)
+	parsed, err := config.NativePatchFormat.Parse(patch)
 	if err != nil {
 		return nil, nil, false
 	}
