--- a/internal/config/authentication.go
+++ b/internal/config/authentication.go
@@ -2,26 +2,27 @@
 
 import "tuliprudder/internal/errs"
 
-// IsAuthenticated tells whether the callers of a forwarded route are known by tenants' API keys.
+// IsAuthenticated reports whether a forwarded route identifies its callers by tenants' API keys.
 func (f *Forward) IsAuthenticated() bool {
 	return f.Authentication == AuthenticationRequired || f.Authentication == AuthenticationOptional
 }
 
-// Authenticate gives the name of the tenant whose API key a request to a forwarded route carries;
-// apiKey is "" where it carries none, and the name is "" where it belongs to no tenant. The error, of kind
-// errs.Unauthorised, is that no tenant has the key, or that the route requires one.
+// Authenticate returns the name of the tenant whose API key a request to a forwarded route carries.
+// apiKey is "" if the request carries none; the name is "" if the request belongs to no tenant. It
+// returns an error of kind errs.Unauthorised if no tenant has the key, or if the key is missing and
+// the route requires one.
 func (c *Configuration) Authenticate(forward *Forward, apiKey string) (tenant string, err error) {
 	return c.authenticate(forward.Authentication, apiKey)
 }
 
-// AuthenticateBatchCall does so for calls on batches of opaque requests, which name no route, by
-// BatchAuthentication.
+// AuthenticateBatchCall is Authenticate for calls on batches of opaque requests. These name no route;
+// BatchAuthentication applies to them instead.
 func (c *Configuration) AuthenticateBatchCall(apiKey string) (tenant string, err error) {
 	return c.authenticate(c.BatchAuthentication(), apiKey)
 }
 
-// BatchAuthentication is the authentication of calls on batches of opaque requests: none where no
-// route has any; otherwise a key is required, unless a route for batches lets callers submit without one.
+// BatchAuthentication returns the authentication mode for calls on batches of opaque requests: none if
+// no route has any; otherwise a key is required, unless a batch route lets callers submit without one.
 func (c *Configuration) BatchAuthentication() string {
 	isAuthenticated, hasPublicBatches := false, false
 	for _, route := range c.Routes {
@@ -52,7 +53,7 @@
 	}
 	found := c.TenantByKey(apiKey)
 	if found == nil {
-		return "", errs.New(errs.Unauthorised, "check the key, or have the operators add it to the configuration", "no tenant has this API key")
+		return "", errs.New(errs.Unauthorised, "check the key, or ask the operators to add it to the configuration", "no tenant has this API key")
 	}
 	return found.Name, nil
 }
--- a/internal/config/authentication_test.go
+++ b/internal/config/authentication_test.go
@@ -7,8 +7,8 @@
 	"tuliprudder/internal/errs"
 )
 
-// Whether a request is let in goes by its route's authentication and its key. A key that no tenant has is
-// refused on a public route, too: it was meant to name somebody.
+// A request is authenticated by its route's mode and its key. An unknown key is rejected even on a
+// public route, because the caller meant to identify itself as a tenant.
 func TestAuthenticate(t *testing.T) {
 	c := Configuration{Tenants: []Tenant{{Name: "t", Keys: []KeyDigest{DigestKey("k"), DigestKey("l")}}, {Name: "u"}}}
 	c.Index()
@@ -26,13 +26,13 @@
 				got = unauthorised
 			}
 			if got != want || err != nil && (got != unauthorised || strings.Contains(err.Error(), "secret")) {
-				t.Errorf("authentication %q, key %q: %q, %v", authentication, key, tenant, err)
+				t.Errorf("authentication %q, key %q: got tenant %q, %v", authentication, key, tenant, err)
 			}
 		}
 	}
 }
 
-// Calls on batches name no route: all routes together say whether they need a key.
+// Calls on batches name no route, so the modes of all routes decide whether they need a key.
 func TestBatchAuthentication(t *testing.T) {
 	route := func(kind, authentication string) Route {
 		return Route{Kind: kind, Forward: &Forward{Authentication: authentication}}
@@ -51,7 +51,7 @@
 	} {
 		configuration := Configuration{Routes: c.routes}
 		if got := configuration.BatchAuthentication(); got != c.want {
-			t.Errorf("%s: %q", name, got)
+			t.Errorf("%s: got authentication %q", name, got)
 		}
 	}
 }
--- a/internal/config/autoscale_test.go
+++ b/internal/config/autoscale_test.go
@@ -9,7 +9,7 @@
 	"tuliprudder/internal/errs"
 )
 
-// withPool is a document whose one pool has these fields besides.
+// withPool returns a document with one pool that has the given additional fields.
 func withPool(fields string) []byte {
 	return []byte(`{"classes":[{"name":"c","rank":1,"allowance":1}],"pools":[{"name":"p","labels":{"u":"x"},"servers":{"s":"1"}` + fields + `}],"routes":[]}`)
 }
@@ -25,7 +25,7 @@
 			t.Fatalf("%s: %v", fields, errs.Of(err).Faults)
 		}
 		if got := configuration.Pools[0].Autoscale; got != want || got.IsEnabled() != (want.Max > 0) {
-			t.Errorf("%s: read %+v", fields, got)
+			t.Errorf("%s: parsed as %+v", fields, got)
 		}
 	}
 	for fields, fault := range map[string]string{
@@ -43,7 +43,7 @@
 		}
 	}
 	if got := (Autoscale{Min: 2, Max: 5}); got.Clamp(1) != 2 || got.Clamp(3) != 3 || got.Clamp(9) != 5 {
-		t.Error("a number is not brought into its bounds")
+		t.Error("Clamp does not return the nearest number within the bounds")
 	}
 }
 
@@ -65,15 +65,15 @@
 	for route, want := range map[string][]string{"all": {"big", "small"}, "one": {"small"}, "split": {"big"}} {
 		entry, _ := c.Route(route)
 		if got := c.ScaledPools(entry, nil); !slices.Equal(got, want) {
-			t.Errorf("%s is served by %q", route, got)
+			t.Errorf("route %s: scaled pools are %q", route, got)
 		}
 		if got := c.ScaledPools(entry, Selector{"u": {"small"}}); !slices.Equal(got, []string{"small"}) {
-			t.Errorf("%s, of which one is chosen, is served by %q", route, got)
+			t.Errorf("route %s with a selector for pool small: scaled pools are %q", route, got)
 		}
 	}
 	for label, want := range map[string]string{"big": "big", "fixed": "", "other": ""} {
 		if got := c.ScaledPoolOf(Labels{"s": label}); got != want {
-			t.Errorf("a server %s is in %q", label, got)
+			t.Errorf("server with label %s: scaled pool is %q", label, got)
 		}
 	}
 }
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -6,17 +6,17 @@
 	"tuliprudder/internal/errs"
 )
 
-// maxFaults is how many faults of one document are listed; further ones are left out.
+// maxFaults is how many faults of one document are listed; further ones are omitted.
 const maxFaults = 200
 
-// Fault is one thing that is wrong with a document.
+// Fault is one error in a document.
 type Fault struct {
 	Path    string // of the field, such as $.classes[0].rank
 	Problem string
-	Remedy  string // "" where the problem names it
+	Remedy  string // "" if the problem implies it
 }
 
-// String is the form in which operators get the fault.
+// String formats the fault as operators see it.
 func (f Fault) String() string {
 	if f.Remedy == "" {
 		return f.Path + ": " + f.Problem
@@ -33,7 +33,7 @@
 	}
 }
 
-// err is the error that lists all faults; nil where there are none.
+// err returns an error that lists all faults; nil if there are none.
 func (p *parser) err() error {
 	if len(p.faults) == 0 {
 		return nil
@@ -41,7 +41,7 @@
 	out := &errs.Error{
 		Kind:    errs.InvalidConfiguration,
 		Message: fmt.Sprintf("the configuration has %s; the one in force stays", errs.Count(len(p.faults), "fault")),
-		Remedy:  "correct each of the named fields and submit the configuration again",
+		Remedy:  "correct each listed field and submit the configuration again",
 	}
 	for _, fault := range p.faults {
 		out.Faults = append(out.Faults, fault.String())
@@ -49,21 +49,21 @@
 	return out
 }
 
-// uniqueNames finds names that one kind of thing has twice.
+// uniqueNames detects duplicate names among the entries of one kind.
 type uniqueNames struct {
-	kind string // for the fault
+	kind string // of entry, for the fault's text
 	seen map[string]bool
 }
 
 func newUniqueNames(kind string) uniqueNames { return uniqueNames{kind: kind, seen: map[string]bool{}} }
 
-// add takes the name that stands at a path. An empty name is a fault elsewhere.
+// add records the name at a path, and adds a fault if it is taken. Empty names are reported elsewhere.
 func (u uniqueNames) add(p *parser, path, name string) {
 	if name == "" {
 		return
 	}
 	if u.seen[name] {
-		p.addFault(path, fmt.Sprintf("%s %q is there twice", u.kind, name), "give each its own")
+		p.addFault(path, fmt.Sprintf("%s %q is defined twice", u.kind, name), "give each a unique name")
 	}
 	u.seen[name] = true
 }
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -10,20 +10,20 @@
 	maxKeyBytes      = 256
 )
 
-// KeyDigest stands for an API key: configurations hold no key itself, so that none gets into a log,
-// a list or a comparison.
+// KeyDigest identifies an API key. Configurations hold only digests, so that no key gets into a log,
+// a listing or a diff.
 type KeyDigest [sha256.Size]byte
 
-// DigestKey is the digest of an API key.
+// DigestKey returns the digest of an API key.
 func DigestKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// apiKey is a key where it stands in a document.
+// apiKey is a key's digest with its path in a document.
 type apiKey struct {
 	path   string
 	digest KeyDigest
 }
 
-// apiKeys reads the keys of a tenant: one in the field key, any number in keys.
+// apiKeys reads the keys of a tenant: one from the field key, any number from keys.
 func (o object) apiKeys() []apiKey {
 	var out []apiKey
 	if o.has("key") || !o.has("keys") {
@@ -36,16 +36,17 @@
 	return out
 }
 
-// keyOwners finds keys that two tenants share; it has the name of the tenant of each key.
+// keyOwners detects keys that two tenants share. It maps each key to the name of its tenant.
 type keyOwners map[KeyDigest]string
 
-// add takes a key of a tenant. The fault names the tenants, never the key.
+// add records a tenant's key, and adds a fault if another tenant has it. The fault names that
+// tenant, never the key.
 func (k keyOwners) add(p *parser, key apiKey, tenant string) {
 	if key.digest == DigestKey("") {
-		return // an empty key is a fault elsewhere
+		return // empty keys are reported elsewhere
 	}
 	if owner, taken := k[key.digest]; taken && owner != tenant {
-		p.addFault(key.path, fmt.Sprintf("is a key of customer %q, too", owner), "give each customer keys of its own")
+		p.addFault(key.path, fmt.Sprintf("is also a key of customer %q", owner), "give each customer its own keys")
 		return
 	}
 	k[key.digest] = tenant
--- a/internal/config/keys_test.go
+++ b/internal/config/keys_test.go
@@ -10,7 +10,7 @@
 const tenantsDocument = `{"classes":[{"name":"a","rank":1,"allowance":1}],"customers":[CUSTOMERS],
  "pools":[{"name":"p","servers":{}}],"routes":[]}`
 
-// A tenant has one key, or several; a fault of a key names the tenants and never the key.
+// A tenant has one or more keys. A fault in a key names the tenant that has it, never the key.
 func TestParseTenantKeys(t *testing.T) {
 	for customers, fault := range map[string]string{
 		`{"name":"x","class":"a","key":"secret"}`:                                                                     "",
@@ -20,8 +20,8 @@
 		`{"name":"x","class":"a"}`:                                                                                    "$.customers[0].key: is missing",
 		`{"name":"x","class":"a","keys":[""]}`:                                                                        "$.customers[0].keys[0]: is empty",
 		`{"name":"x","class":"a","keys":"secret"}`:                                                                    "$.customers[0].keys: must be a list",
-		`{"name":"x","class":"a","key":"secret"},{"name":"y","class":"a","key":"secret"}`:                             `$.customers[1].key: is a key of customer "x", too`,
-		`{"name":"x","class":"a","keys":["other","secret"]},{"name":"y","class":"a","keys":["more","secret","else"]}`: `$.customers[1].keys[1]: is a key of customer "x", too`,
+		`{"name":"x","class":"a","key":"secret"},{"name":"y","class":"a","key":"secret"}`:                             `$.customers[1].key: is also a key of customer "x"`,
+		`{"name":"x","class":"a","keys":["other","secret"]},{"name":"y","class":"a","keys":["more","secret","else"]}`: `$.customers[1].keys[1]: is also a key of customer "x"`,
 	} {
 		configuration, err := Parse([]byte(strings.Replace(tenantsDocument, "CUSTOMERS", customers, 1)))
 		if fault == "" {
@@ -31,12 +31,12 @@
 			continue
 		}
 		if !errs.Is(err, errs.InvalidConfiguration) || !strings.HasPrefix(errs.Of(err).Faults[0], fault) || strings.Contains(err.Error(), "secret") {
-			t.Errorf("%s: reported %v, not %s", customers, err, fault)
+			t.Errorf("%s: got error %v, want %s", customers, err, fault)
 		}
 	}
 }
 
-// Whether a forwarded route asks for a key stands in its authentication; none is the default.
+// A forwarded route's authentication field sets whether a key is required; the default is none.
 func TestParseRouteAuthentication(t *testing.T) {
 	const document = `{"classes":[{"name":"a","rank":1,"allowance":1}],"pools":[{"name":"p","servers":{}}],
 	 "routes":[{"name":"r","kind":"stream","classes":{},"pools":{},"forward":{"host":"h","path_prefix":"/x/"FIELDS}}]}`
@@ -54,7 +54,7 @@
 		configuration, err := Parse([]byte(strings.Replace(document, "FIELDS", fields, 1)))
 		if want.fault != "" {
 			if err == nil || !strings.HasPrefix(errs.Of(err).Faults[0], want.fault) {
-				t.Errorf("%s: reported %v", fields, err)
+				t.Errorf("%s: got error %v", fields, err)
 			}
 			continue
 		}
@@ -63,7 +63,7 @@
 			continue
 		}
 		if forward := configuration.Routes[0].Forward; forward.Authentication != want.authentication || forward.Priority != want.priority {
-			t.Errorf("%s: read %+v", fields, forward)
+			t.Errorf("%s: parsed as %+v", fields, forward)
 		}
 	}
 }
--- a/internal/config/labels_test.go
+++ b/internal/config/labels_test.go
@@ -8,14 +8,14 @@
 		labels   Labels
 		want     bool
 	}{
-		"no selector":                 {nil, Labels{"u": "x"}, true},
-		"one of several values":       {Selector{"u": {"w", "x"}}, Labels{"u": "x", "v": "y"}, true},
-		"another value":               {Selector{"u": {"w"}}, Labels{"u": "x"}, false},
-		"a label that is missing":     {Selector{"u": {"x"}}, nil, false},
-		"one label of two is another": {Selector{"u": {"x"}, "v": {"z"}}, Labels{"u": "x", "v": "y"}, false},
+		"no selector":              {nil, Labels{"u": "x"}, true},
+		"one of several values":    {Selector{"u": {"w", "x"}}, Labels{"u": "x", "v": "y"}, true},
+		"another value":            {Selector{"u": {"w"}}, Labels{"u": "x"}, false},
+		"a label that is missing":  {Selector{"u": {"x"}}, nil, false},
+		"one label of two differs": {Selector{"u": {"x"}, "v": {"z"}}, Labels{"u": "x", "v": "y"}, false},
 	} {
 		if got := c.selector.Matches(c.labels); got != c.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: got match %v", name, got)
 		}
 	}
 }
--- a/internal/config/lookup.go
+++ b/internal/config/lookup.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// index has the look-ups of a configuration; its pointers are into the configuration's
-// slices.
+// index holds the lookup maps of a configuration. Their pointers refer to elements of the
+// configuration's slices.
 type index struct {
 	tenantsByKey    map[KeyDigest]*Tenant
 	tenantsByName   map[string]*Tenant
@@ -16,8 +16,8 @@
 	forwardedByHost map[string][]*Route // forwarded routes, the longest path prefix first
 }
 
-// Index prepares a configuration that was put together by hand for look-ups. Its slices
-// must not be changed afterwards. Parse calls it.
+// Index builds the lookup maps of a configuration that was not made by Parse, which calls Index
+// itself. The configuration's slices must not be changed afterwards.
 func (c *Configuration) Index() {
 	c.index = index{
 		tenantsByKey:    map[KeyDigest]*Tenant{},
@@ -51,8 +51,8 @@
 	}
 }
 
-// MatchRoute finds the forwarded route of a host with the longest path prefix that begins
-// the path; nil when there is none.
+// MatchRoute returns the forwarded route of a host with the longest matching path prefix; nil if
+// there is none.
 func (c *Configuration) MatchRoute(host, path string) *Route {
 	for _, route := range c.index.forwardedByHost[host] {
 		if route.Forward.Matches(host, path) {
@@ -62,18 +62,18 @@
 	return nil
 }
 
-// Matches tells whether a request for a host and path is the route's.
+// Matches reports whether the route handles requests for a host and path.
 func (f *Forward) Matches(host, path string) bool {
 	return f.Host == host && strings.HasPrefix(path, f.PathPrefix)
 }
 
-// TenantByKey finds a tenant by an API key that a caller sends; nil where no tenant has it. How
-// long that takes tells nothing of the keys that there are: only digests are looked up.
+// TenantByKey returns the tenant that has an API key sent by a caller; nil if no tenant has it. The
+// lookup uses digests only, so its timing reveals nothing about the configured keys.
 func (c *Configuration) TenantByKey(key string) *Tenant {
 	return c.index.tenantsByKey[DigestKey(key)]
 }
 
-// ClassOfTenant is the class of a tenant by name; nil when the configuration has none.
+// ClassOfTenant returns the class of the named tenant; nil if the configuration has none.
 func (c *Configuration) ClassOfTenant(tenant string) *PriorityClass {
 	found := c.index.tenantsByName[tenant]
 	if found == nil {
@@ -82,8 +82,8 @@
 	return c.index.classesByName[found.Class]
 }
 
-// PriorityOf is the priority of a forwarded route's requests of a tenant ("" for none): that of the
-// tenant's class, or the route's own where the tenant has none.
+// PriorityOf returns the priority of a tenant's requests to a forwarded route: that of the tenant's
+// class, or the route's own if the tenant has no class. tenant is "" for requests without one.
 func (c *Configuration) PriorityOf(forward *Forward, tenant string) int64 {
 	if class := c.ClassOfTenant(tenant); class != nil {
 		return class.Priority
@@ -91,19 +91,19 @@
 	return forward.Priority
 }
 
-// Lookup finds a route and a tenant's class by their names; nil for what is not
+// Lookup returns the named route and the named tenant's class; nil for each that is not
 // configured.
 func (c *Configuration) Lookup(route, tenant string) (*Route, *PriorityClass) {
 	return c.index.routesByName[route], c.ClassOfTenant(tenant)
 }
 
-// Route finds a route by name.
+// Route returns the named route.
 func (c *Configuration) Route(name string) (*Route, bool) {
 	route := c.index.routesByName[name]
 	return route, route != nil
 }
 
-// Serves tells whether a server with these labels serves the route.
+// Serves reports whether a server with these labels serves the route.
 func (c *Configuration) Serves(route *Route, labels Labels) bool {
 	if route.Forward == nil || len(route.Forward.Split) == 0 {
 		return c.Selects(route.Pools, labels)
@@ -116,7 +116,7 @@
 	return false
 }
 
-// Selects tells whether a server with these labels is in a pool that the selector
+// Selects reports whether a server with these labels is in a pool that the selector
 // matches.
 func (c *Configuration) Selects(pools Selector, labels Labels) bool {
 	for i := range c.Pools {
@@ -127,20 +127,20 @@
 	return false
 }
 
-// MaxConnections is how many connections a server with these labels accepts from all
-// daemons together: the lowest limit of its pools; 0 where none has one.
+// MaxConnections returns how many connections a server with these labels accepts from all
+// daemons together: the lowest limit of its pools; 0 if none has a limit.
 func (c *Configuration) MaxConnections(labels Labels) int64 {
 	return c.lowestPoolLimit(labels, func(pool *Pool) int64 { return pool.MaxConnections })
 }
 
-// MemoryTokens is how many tokens a server with these labels holds at a time: the lowest number of
-// its pools; 0 where none names one.
+// MemoryTokens returns how many tokens a server with these labels holds at a time: the lowest limit
+// of its pools; 0 if none has a limit.
 func (c *Configuration) MemoryTokens(labels Labels) int64 {
 	return c.lowestPoolLimit(labels, func(pool *Pool) int64 { return pool.MemoryTokens })
 }
 
-// ScaledPoolOf is the name of the scaled pool that a server with these labels is in; "" where there is
-// none.
+// ScaledPoolOf returns the name of the first scaled pool that contains a server with these labels; ""
+// if there is none.
 func (c *Configuration) ScaledPoolOf(labels Labels) string {
 	for i := range c.Pools {
 		if pool := &c.Pools[i]; pool.Autoscale.IsEnabled() && pool.Servers.Matches(labels) {
@@ -150,8 +150,8 @@
 	return ""
 }
 
-// ScaledPools are the names of the scaled pools that serve a route: those that chosen matches, where it is
-// set, or else all of the route's.
+// ScaledPools returns the names of the scaled pools that serve a route: those that chosen matches, or
+// all of the route's if chosen is nil.
 func (c *Configuration) ScaledPools(route *Route, chosen Selector) []string {
 	selectors := []Selector{chosen}
 	if chosen == nil {
@@ -168,7 +168,7 @@
 	return out
 }
 
-// poolSelectors are the selectors of the pools that serve a route.
+// poolSelectors returns the selectors of the pools that serve a route.
 func (r *Route) poolSelectors() []Selector {
 	if r.Forward == nil || len(r.Forward.Split) == 0 {
 		return []Selector{r.Pools}
@@ -182,8 +182,8 @@
 	return out
 }
 
-// lowestPoolLimit is the lowest positive value of the pools that a server with these labels is in; 0
-// where there is none.
+// lowestPoolLimit returns the lowest positive value among the pools that contain a server with these
+// labels; 0 if there is none.
 func (c *Configuration) lowestPoolLimit(labels Labels, value func(pool *Pool) int64) int64 {
 	lowest := int64(0)
 	for i := range c.Pools {
--- a/internal/config/lookup_test.go
+++ b/internal/config/lookup_test.go
@@ -10,7 +10,7 @@
 	}}
 	for value, want := range map[string]int64{"x": 4, "y": 0, "z": 0} {
 		if got := c.MaxConnections(Labels{"u": value}); got != want {
-			t.Errorf("%s: %d connections, not %d", value, got, want)
+			t.Errorf("%s: got %d connections, want %d", value, got, want)
 		}
 	}
 }
@@ -28,11 +28,11 @@
 		}
 	}
 	if c.TenantByKey("t") != nil || c.TenantByKey("") != nil || c.ClassOfTenant("k") != nil || c.ClassOfTenant("u") != nil {
-		t.Error("a name was taken for a key, or no key for one")
+		t.Error("a tenant was found by its name as a key or by an empty key, or a class by a key or for a tenant without one")
 	}
 }
 
-// A forwarded request goes by its tenant's class, and by its route where there is none.
+// A forwarded request gets the priority of its tenant's class, or of its route if there is no class.
 func TestPriorityOfForwardedRequests(t *testing.T) {
 	c := Configuration{
 		Classes: []PriorityClass{{Name: "gold", Priority: 7}},
@@ -42,7 +42,7 @@
 	route := &Forward{Priority: 4}
 	for tenant, want := range map[string]int64{"t": 7, "u": 4, "": 4, "unknown": 4} {
 		if got := c.PriorityOf(route, tenant); got != want {
-			t.Errorf("%q: priority %d, not %d", tenant, got, want)
+			t.Errorf("%q: got priority %d, want %d", tenant, got, want)
 		}
 	}
 }
--- a/internal/config/object.go
+++ b/internal/config/object.go
@@ -7,25 +7,25 @@
 	"strings"
 )
 
-// Lengths of texts in bytes.
+// Maximum lengths of strings in bytes.
 const (
 	maxNameBytes  = 64
 	maxLabelBytes = 128
 )
 
-// namePunctuation may stand in names beside ASCII letters and digits.
+// namePunctuation is allowed in names, besides ASCII letters and digits.
 const namePunctuation = "-_."
 
-// object reads the fields of one JSON object of a document. The readers take a field's
-// name, return its value or a default, and add a fault for each thing that is wrong.
+// object reads the fields of one JSON object of a document. Its methods take a field's name,
+// return the value or a default, and add a fault for each error they find.
 type object struct {
 	parser *parser
 	path   string
 	fields map[string]any // JSON of unknown shape: each field may have any type
 }
 
-// object checks that a value is an object with known fields only; false where it is
-// no object.
+// object checks that a value is an object with known fields only. It returns false if the value
+// is not an object.
 func (p *parser) object(path string, value any, known []string) (object, bool) {
 	fields, ok := value.(map[string]any)
 	if !ok {
@@ -34,7 +34,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
 		if !slices.Contains(known, name) {
-			p.addFault(path+"."+name, "unknown field", fmt.Sprintf("leave it out (known here: %v)", known))
+			p.addFault(path+"."+name, "unknown field", fmt.Sprintf("remove it (known fields: %v)", known))
 		}
 	}
 	return object{parser: p, path: path, fields: fields}, true
@@ -48,14 +48,14 @@
 	o.parser.addFault(o.pathOf(field), problem, remedy)
 }
 
-// require adds a fault where the field is missing.
+// require adds a fault if the field is missing.
 func (o object) require(field, remedy string) {
 	if !o.has(field) {
 		o.addFault(field, "is missing", remedy)
 	}
 }
 
-// objects calls read for each object of a list of at most so many.
+// objects calls read for each object of a list of at most limit entries.
 func (o object) objects(field string, limit int, known []string, read func(element object)) {
 	for i, value := range o.list(field, limit) {
 		path := fmt.Sprintf("%s[%d]", o.pathOf(field), i)
@@ -79,7 +79,7 @@
 	return list
 }
 
-// text is an optional text; "" where it is missing.
+// text reads an optional string; "" if it is missing.
 func (o object) text(field string, maxBytes int) string {
 	if !o.has(field) {
 		return ""
@@ -87,10 +87,10 @@
 	return o.parser.text(o.pathOf(field), o.fields[field], false, maxBytes)
 }
 
-// requiredText is a text that may be neither missing nor empty.
+// requiredText reads a string that must be neither missing nor empty.
 func (o object) requiredText(field string, maxBytes int) string {
 	if !o.has(field) {
-		o.addFault(field, "is missing", "give a text")
+		o.addFault(field, "is missing", "give a string")
 		return ""
 	}
 	return o.parser.text(o.pathOf(field), o.fields[field], true, maxBytes)
@@ -100,22 +100,22 @@
 	text, ok := value.(string)
 	switch {
 	case !ok && value == nil:
-		p.addFault(path, "is missing", "give a text")
+		p.addFault(path, "is missing", "give a string")
 	case !ok:
-		p.addFault(path, "must be a text", "")
+		p.addFault(path, "must be a string", "")
 	case required && text == "":
-		p.addFault(path, "is empty", "give a text")
+		p.addFault(path, "is empty", "give a string")
 	case len(text) > maxBytes:
 		p.addFault(path, fmt.Sprintf("is longer than %d bytes", maxBytes), "shorten it")
 	}
 	return text
 }
 
-// name is a required text of characters that names may have.
+// name reads a required string that consists of characters allowed in names.
 func (o object) name(field string) string {
 	text := o.requiredText(field, maxNameBytes)
 	if strings.ContainsFunc(text, func(r rune) bool { return !isNameRune(r) }) {
-		o.addFault(field, fmt.Sprintf("%q has a character that names may not have", text), "use letters, digits, - _ .")
+		o.addFault(field, fmt.Sprintf("%q has a character that is not allowed in names", text), "use letters, digits, - _ .")
 	}
 	return text
 }
@@ -129,10 +129,10 @@
 	}
 }
 
-// integerRange is what a whole number may be.
+// integerRange is the range of an integer field, with its default.
 type integerRange struct {
 	min, max     int64
-	defaultValue int64 // where the field is missing
+	defaultValue int64 // if the field is missing or not an integer
 }
 
 func (o object) integer(field string, allowed integerRange) int64 {
@@ -157,7 +157,7 @@
 	}
 	fields, ok := o.fields[field].(map[string]any)
 	if !ok {
-		o.addFault(field, "must be an object of texts", "")
+		o.addFault(field, "must be an object of strings", "")
 		return nil
 	}
 	out := Labels{}
@@ -167,7 +167,7 @@
 	return out
 }
 
-// selector is a required selector; nil where it is missing or no object.
+// selector reads a required selector; nil if it is missing or not an object.
 func (o object) selector(field string) Selector {
 	if !o.has(field) {
 		o.addFault(field, "is missing", "give labels to match, or {} for all")
@@ -175,7 +175,7 @@
 	}
 	fields, ok := o.fields[field].(map[string]any)
 	if !ok {
-		o.addFault(field, "must be an object: label names with a text or a list of texts", "")
+		o.addFault(field, "must be an object: label names with a string or a list of strings", "")
 		return nil
 	}
 	out := Selector{}
@@ -187,7 +187,7 @@
 	return out
 }
 
-// selectorValues reads the values that one label may have: a text or a list of texts.
+// selectorValues reads the values that one label may have: a string or a list of strings.
 func (p *parser) selectorValues(path string, value any) []string {
 	switch values := value.(type) {
 	case string:
@@ -202,7 +202,7 @@
 		}
 		return out
 	default:
-		p.addFault(path, "must be a text or a list of texts", "")
+		p.addFault(path, "must be a string or a list of strings", "")
 		return nil
 	}
 }
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -5,12 +5,12 @@
 	"fmt"
 )
 
-// ParseFunc turns an operator's document into a configuration. Parse is that of the
-// product's own documents.
+// ParseFunc parses an operator's document. Parse is the ParseFunc for documents in the product's
+// native format.
 type ParseFunc func(document []byte) (*Configuration, error)
 
-// Parse reads a configuration. Its error is of kind errs.InvalidConfiguration and lists
-// every fault.
+// Parse parses and indexes a configuration. Its error is of kind errs.InvalidConfiguration and
+// lists the faults, maxFaults at most.
 func Parse(data []byte) (*Configuration, error) {
 	p := &parser{}
 	var tree any
@@ -26,7 +26,7 @@
 	return configuration, nil
 }
 
-// Validate is Parse for those who only want the faults.
+// Validate returns the error of Parse and discards the configuration.
 func Validate(data []byte) error {
 	_, err := Parse(data)
 	return err
--- a/internal/config/patch.go
+++ b/internal/config/patch.go
@@ -11,19 +11,19 @@
 	"tuliprudder/internal/errs"
 )
 
-// PatchFormat says how patches of a kind of document are written: which of its lists may be
-// patched, and which field holds the operator's own version.
+// PatchFormat describes the patches of one kind of document: which of its lists may be patched,
+// and which field holds the version that the operator assigns.
 type PatchFormat struct {
 	Lists        []string // names of the document's lists of named entries
-	VersionField string   // of patch and document; "" where documents carry no version
+	VersionField string   // of patch and document; "" if documents have no version
 }
 
-// NativePatchFormat is the format of patches of the product's own documents.
+// NativePatchFormat is the format of patches for documents in the product's native format.
 var NativePatchFormat = PatchFormat{Lists: patchableLists}
 
 // Patch changes entries of a document's lists by their names. The zero value changes nothing.
 type Patch struct {
-	// Version is the operator's own version of the patched document; 0 where the format has none.
+	// Version is the operator's version of the patched document; 0 if the format has none.
 	Version uint64
 
 	format PatchFormat
@@ -31,20 +31,20 @@
 	remove map[string][]string     // names of entries to remove, by list
 }
 
-// namedEntry is one entry of a list, as it stands in the document.
+// namedEntry is one entry of a list, in the JSON of the document.
 type namedEntry struct {
 	name string
 	raw  json.RawMessage
 }
 
-// patchDocument is a patch as operators write it, beside its version.
+// patchDocument is a patch as operators write it, without its version.
 type patchDocument struct {
 	Upsert map[string][]json.RawMessage `json:"upsert"`
 	Remove map[string][]string          `json:"remove"`
 }
 
-// Parse reads a patch. Its error is of kind errs.InvalidConfiguration and names every fault:
-// unknown fields and lists, entries without a name, and names that stand in it twice.
+// Parse parses a patch. Its error is of kind errs.InvalidConfiguration and lists the faults, maxFaults
+// at most: a bad version, unknown fields and lists, entries without a name, and duplicate names.
 func (f PatchFormat) Parse(data []byte) (*Patch, error) {
 	fields, document, err := decodePatch(data)
 	if err != nil {
@@ -59,7 +59,7 @@
 		for i, raw := range document.Upsert[list] {
 			name := entryName(raw)
 			if name == "" {
-				faults.addFault(fmt.Sprintf("$.upsert.%s[%d]", list, i), "has no name", "give each entry its name")
+				faults.addFault(fmt.Sprintf("$.upsert.%s[%d]", list, i), "has no name", "give each entry a name")
 			}
 			out.upsert[list] = append(out.upsert[list], namedEntry{name, raw})
 		}
@@ -71,14 +71,14 @@
 	return out, faults.err()
 }
 
-// decodePatch reads the one object that data consists of.
+// decodePatch decodes data, which must be exactly one JSON object.
 func decodePatch(data []byte) (fields map[string]json.RawMessage, document patchDocument, err error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	if err := decoder.Decode(&fields); err != nil {
 		return nil, document, invalidPatch(fmt.Sprintf("the patch can't be read completely: %v", err))
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return nil, document, invalidPatch("something follows the patch")
+		return nil, document, invalidPatch("unexpected data after the patch")
 	}
 	if err := json.Unmarshal(data, &document); err != nil {
 		return nil, document, invalidPatch(fmt.Sprintf("the patch can't be read: %v", err))
@@ -90,7 +90,7 @@
 	return errs.New(errs.InvalidConfiguration, "write one object with upsert (lists of entries) and remove (lists of names); the configuration in force stays", "%s", problem)
 }
 
-// version reads the operator's own version.
+// version reads the operator's version.
 func (f PatchFormat) version(fields map[string]json.RawMessage, faults *parser) uint64 {
 	if f.VersionField == "" {
 		return 0
@@ -98,13 +98,13 @@
 	var number float64
 	err := json.Unmarshal(fields[f.VersionField], &number)
 	if err != nil || number < 1 || number != float64(uint64(number)) {
-		faults.addFault("$."+f.VersionField, "must be a whole number above 0", "number the patched configuration")
+		faults.addFault("$."+f.VersionField, "must be a whole number above 0", "give the version of the patched configuration")
 		return 0
 	}
 	return uint64(number)
 }
 
-// checkFields adds a fault for each field that no patch has.
+// checkFields adds a fault for each unknown field.
 func (f PatchFormat) checkFields(fields map[string]json.RawMessage, faults *parser) {
 	known := []string{"upsert", "remove"}
 	if f.VersionField != "" {
@@ -112,25 +112,25 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
 		if !slices.Contains(known, name) {
-			faults.addFault("$."+name, "unknown field", fmt.Sprintf("leave it out (known here: %v)", known))
+			faults.addFault("$."+name, "unknown field", fmt.Sprintf("remove it (known fields: %v)", known))
 		}
 	}
 }
 
-// checkList adds a fault where a document has no such list.
+// checkList adds a fault if the list can't be patched.
 func (f PatchFormat) checkList(path, list string, faults *parser) {
 	if !slices.Contains(f.Lists, list) {
 		faults.addFault(path+"."+list, "unknown list", fmt.Sprintf("name one of %v", f.Lists))
 	}
 }
 
-// checkNames adds a fault for each name that stands in a patch twice.
+// checkNames adds a fault for each duplicate name within a list of the patch.
 func (p *Patch) checkNames(faults *parser) {
 	for _, list := range p.format.Lists {
 		seen := map[string]bool{}
 		check := func(part, name string) {
 			if name != "" && seen[name] {
-				faults.addFault(fmt.Sprintf("$.%s.%s", part, list), fmt.Sprintf("names %q, which stands in the patch already", name), "name each entry once, either to upsert or to remove")
+				faults.addFault(fmt.Sprintf("$.%s.%s", part, list), fmt.Sprintf("names %q, which is already in the patch", name), "name each entry once, either to upsert or to remove")
 			}
 			seen[name] = true
 		}
@@ -143,7 +143,7 @@
 	}
 }
 
-// entryName is the name of an entry; "" where it has none.
+// entryName returns the name of an entry; "" if it has none.
 func entryName(raw json.RawMessage) string {
 	var entry struct {
 		Name string `json:"name"`
@@ -154,15 +154,15 @@
 	return entry.Name
 }
 
-// Apply is the document that a patch makes of another one. An entry that is replaced keeps its
-// place, new ones are appended, and what the patch does not name stays as it was.
-// The error, of kind errs.InvalidConfiguration, names each entry to remove that isn't there;
-// whether the new document is valid is for its own parser to say.
+// Apply returns the document that results from applying the patch. Replaced entries keep their
+// position, new ones are appended, and whatever the patch does not name is unchanged.
+// The error, of kind errs.InvalidConfiguration, names each entry to remove that does not exist and
+// each patched list that isn't one. Apply does not validate the new document.
 func (p *Patch) Apply(document []byte) ([]byte, error) {
 	fields := map[string]json.RawMessage{}
 	if len(document) > 0 {
 		if err := json.Unmarshal(document, &fields); err != nil {
-			return nil, invalidPatch(fmt.Sprintf("the configuration in force is no object that can be patched: %v", err))
+			return nil, invalidPatch(fmt.Sprintf("the configuration in force is not a JSON object and can't be patched: %v", err))
 		}
 	}
 	faults := &parser{}
@@ -186,7 +186,7 @@
 	var entries []json.RawMessage
 	if raw, ok := fields[list]; ok {
 		if err := json.Unmarshal(raw, &entries); err != nil {
-			faults.addFault("$."+list, "is no list in the configuration in force", "put a whole configuration")
+			faults.addFault("$."+list, "is not a list in the configuration in force", "put a complete configuration instead of a patch")
 			return
 		}
 	}
@@ -202,15 +202,15 @@
 	if entries == nil {
 		entries = []json.RawMessage{}
 	}
-	fields[list], _ = json.Marshal(entries) // they were read as JSON
+	fields[list], _ = json.Marshal(entries) // can't fail: each entry is valid JSON
 }
 
-// removeEntries leaves out the entries that the patch removes.
+// removeEntries returns the entries without those that the patch removes.
 func (p *Patch) removeEntries(entries []json.RawMessage, list string, faults *parser) []json.RawMessage {
 	for _, name := range p.remove[list] {
 		kept := slices.DeleteFunc(slices.Clone(entries), func(raw json.RawMessage) bool { return entryName(raw) == name })
 		if len(kept) == len(entries) {
-			faults.addFault("$.remove."+list, fmt.Sprintf("names %q, which is not there", name), "remove entries of the configuration in force")
+			faults.addFault("$.remove."+list, fmt.Sprintf("names %q, which is not there", name), "remove only entries of the configuration in force")
 		}
 		entries = kept
 	}
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -18,7 +18,7 @@
 	*parser
 	classes []PriorityClass
 	pools   []Pool
-	// forwarded is the name of the route that has a host and path prefix.
+	// forwarded maps each host and path prefix to the name of the route that has it.
 	forwarded map[hostAndPrefix]string
 }
 
@@ -60,13 +60,13 @@
 	case !isSplit:
 		route.Pools = r.poolSelector(f)
 	case f.has("pools"):
-		f.addFault("pools", "the split says where requests go", "leave one of the two out")
+		f.addFault("pools", "the split already selects the pools", "remove one of the two")
 	}
 	r.checkClasses(f, route.Classes)
 	return route
 }
 
-// model is the route's model, which a forwarded request names itself.
+// model reads the route's model. It is optional for a forwarded route, whose requests name the model.
 func (r *routeReader) model(f object) string {
 	if f.has("forward") {
 		return f.text("model", maxLabelBytes)
@@ -76,7 +76,7 @@
 
 func (r *routeReader) checkKind(f object, kind string) {
 	if kind != "" && !slices.Contains(routeKinds, kind) {
-		f.addFault("kind", fmt.Sprintf("%q is no kind", kind), "give one of "+strings.Join(routeKinds, ", "))
+		f.addFault("kind", fmt.Sprintf("%q is not a kind of route", kind), "give one of "+strings.Join(routeKinds, ", "))
 	}
 	if kind == Repeatable && !f.has("forward") {
 		f.addFault("kind", "only a route with a forward may be repeatable", "give it a forward, or another kind")
@@ -90,7 +90,7 @@
 	}
 }
 
-// poolSelector reads the selector in the field pools, which has to match one of the
+// poolSelector reads the selector in the field pools, which must match at least one of the
 // configuration's pools.
 func (r *routeReader) poolSelector(f object) Selector {
 	selector := f.selector("pools")
@@ -120,7 +120,7 @@
 		Priority:         f.integer("rank", integerRange{min: MinPriority, max: MaxPriority, defaultValue: MinPriority}),
 	}
 	if strings.ToLower(forward.Host) != forward.Host || strings.ContainsAny(forward.Host, "/ ") {
-		f.addFault("host", fmt.Sprintf("%q is no host", forward.Host), "write it in lower case, without spaces and slashes")
+		f.addFault("host", fmt.Sprintf("%q is not a valid host", forward.Host), "write it in lower case, without spaces and slashes")
 	}
 	if prefix := forward.PathPrefix; prefix != "" && !(strings.HasPrefix(prefix, "/") && strings.HasSuffix(prefix, "/")) {
 		f.addFault("path_prefix", fmt.Sprintf("%q must begin and end with a slash", prefix), "")
@@ -131,7 +131,7 @@
 	return forward
 }
 
-// authentication reads whether a forwarded route's requests have to carry a key.
+// authentication reads whether a forwarded route's requests must carry an API key.
 func (r *routeReader) authentication(f object) string {
 	if !f.has("authentication") {
 		return AuthenticationNone
@@ -156,12 +156,12 @@
 		out = append(out, part)
 	})
 	if sum == 0 {
-		forward.addFault("split", "the shares add up to 0", "give at least one part a share, or leave the split out")
+		forward.addFault("split", "the shares add up to 0", "give at least one part a share above 0, or remove the split")
 	}
 	return out
 }
 
-// checkUniqueForward checks that no other route has this one's host and path prefix.
+// checkUniqueForward adds a fault if another route has this one's host and path prefix.
 func (r *routeReader) checkUniqueForward(f object, route Route) {
 	forward := route.Forward
 	if forward == nil || forward.Host == "" || forward.PathPrefix == "" {
@@ -169,7 +169,7 @@
 	}
 	key := hostAndPrefix{host: forward.Host, prefix: forward.PathPrefix}
 	if other, taken := r.forwarded[key]; taken {
-		f.addFault("forward", fmt.Sprintf("route %q has this host and path prefix too", other), "give each route its own")
+		f.addFault("forward", fmt.Sprintf("route %q has this host and path prefix too", other), "give each route a unique pair")
 	}
 	r.forwarded[key] = route.Name
 }
--- a/internal/config/sections.go
+++ b/internal/config/sections.go
@@ -14,7 +14,7 @@
 	year = 365 * day
 )
 
-// Most entries of a document's lists.
+// Maximum numbers of entries of a document's lists.
 const (
 	maxClasses    = 64
 	maxTenants    = 10_000
@@ -23,13 +23,13 @@
 	maxSplitParts = 64
 )
 
-// maxZoneServers is the highest bound of a pool's servers in a zone.
+// maxZoneServers is the highest value for the bounds on a pool's servers in a zone.
 const maxZoneServers = 100_000
 
 // maxScorerWeight is the highest weight of a scorer.
 const maxScorerWeight = 1000
 
-// configuration reads a document, section by section. Classes and pools come before the
+// configuration reads a document section by section. Classes and pools are read before the
 // sections that refer to them.
 func (p *parser) configuration(tree any) *Configuration {
 	out := &Configuration{ScorerWeights: DefaultScorerWeights()}
@@ -42,7 +42,7 @@
 	out.Pools = document.pools()
 	out.Routes = document.routes(out.Classes, out.Pools)
 	if len(out.Classes) == 0 {
-		document.addFault("classes", "is empty", "give at least one class")
+		document.addFault("classes", "is empty", "define at least one class")
 	}
 	document.scorerWeights(out.ScorerWeights)
 	out.Limits = document.limits()
@@ -59,8 +59,8 @@
 			Priority: f.integer("rank", integerRange{min: MinPriority, max: MaxPriority}),
 			Quota:    f.integer("allowance", integerRange{min: 1, max: 1_000_000}),
 		}
-		f.require("rank", "give a whole number from 1 to 1000, higher goes first")
-		f.require("allowance", "give how much work of one customer may be queued")
+		f.require("rank", "give a whole number from 1 to 1000; higher goes first")
+		f.require("allowance", "give how many requests and batch items of one customer may be queued")
 		names.add(o.parser, f.pathOf("name"), class.Name)
 		out = append(out, class)
 	})
@@ -85,7 +85,7 @@
 			tenant.Keys = append(tenant.Keys, key.digest)
 		}
 		if tenant.Class != "" && !classNames[tenant.Class] {
-			f.addFault("class", fmt.Sprintf("no class %q in this configuration", tenant.Class), "add it, or name one of them")
+			f.addFault("class", fmt.Sprintf("no class %q in this configuration", tenant.Class), "add it, or name an existing class")
 		}
 		out = append(out, tenant)
 	})
@@ -110,14 +110,14 @@
 	return out
 }
 
-// autoscale reads the bounds of a pool's servers.
+// autoscale reads the bounds on the number of a pool's servers.
 func (o object) autoscale() Autoscale {
 	f, ok := o.parser.object(o.pathOf("autoscale"), o.fields["autoscale"], autoscaleFields)
 	if !ok {
 		return Autoscale{}
 	}
-	f.require("min", "give the fewest servers of a zone")
-	f.require("max", "give the most servers of a zone")
+	f.require("min", "give the minimum number of servers per zone")
+	f.require("max", "give the maximum number of servers per zone")
 	servers := integerRange{min: 1, max: maxZoneServers}
 	out := Autoscale{
 		Min:      f.integer("min", servers),
@@ -125,12 +125,12 @@
 		BootTime: f.integer("boot_us", integerRange{max: hour}),
 	}
 	if out.Max < out.Min {
-		f.addFault("max", "is less than min", "give as many or more")
+		f.addFault("max", "is less than min", "give at least min")
 	}
 	return out
 }
 
-// scorerWeights puts the weights that the document names over the defaults.
+// scorerWeights overwrites the default weights with those that the document sets.
 func (o object) scorerWeights(weights map[string]float64) {
 	if !o.has("judges") {
 		return
--- a/internal/config/stored_names.go
+++ b/internal/config/stored_names.go
@@ -1,29 +1,29 @@
 package config
 
-// These names stand in the operators' documents, which are kept on disk and sent between
-// daemons. Their spelling never changes.
+// These names occur in the operators' documents, which are stored on disk and sent between
+// daemons. Their spelling must never change.
 
-// Kinds of route, by what may be done with a request that may have run.
+// Kinds of route, by how a request may be retried once it may have run.
 const (
 	OneShot    = "one-shot"   // one response; runs at most once
-	Repeatable = "repeatable" // one response; may run again elsewhere. Forwarded routes only
+	Repeatable = "repeatable" // one response; may be run again on another server. Forwarded routes only
 	Stream     = "stream"     // a stream of events; runs at most once
-	Resumable  = "resumable"  // a stream that may go on elsewhere from its text so far
-	Batch      = "bundle"     // batch items; each may run again elsewhere
+	Resumable  = "resumable"  // a stream that may be continued on another server from its text so far
+	Batch      = "bundle"     // batch items; each may be run again on another server
 )
 
 // Values of a forwarded route's authentication.
 const (
-	// AuthenticationNone: keys mean nothing; the headers that carry them are forwarded like others.
+	// AuthenticationNone: keys are ignored; the headers that carry them are forwarded like others.
 	AuthenticationNone = "none"
-	// AuthenticationOptional: the route is public. A known key names the tenant.
+	// AuthenticationOptional: the route is public. A known key identifies the tenant.
 	AuthenticationOptional = "optional"
-	// AuthenticationRequired: a request without a tenant's key is unauthorised.
+	// AuthenticationRequired: a request without a tenant's key is rejected as unauthorised.
 	AuthenticationRequired = "required"
 )
 
-// Names of the scorers that a configuration may weigh; package scoring says what each
-// one does.
+// Names of the scorers whose weights a configuration may set; package scoring documents what
+// each one does.
 const (
 	ScorerUtilization    = "fullness"
 	ScorerPrefixAffinity = "prefix"
@@ -37,7 +37,7 @@
 	ScorerQueue          = "queue"
 )
 
-// ScorerNames are the scorers that a configuration may weigh.
+// ScorerNames are the scorers whose weights a configuration may set.
 var ScorerNames = []string{
 	ScorerUtilization,
 	ScorerPrefixAffinity,
@@ -51,7 +51,7 @@
 	ScorerQueue,
 }
 
-// patchableLists are the lists of a document whose entries have names and can be patched.
+// patchableLists are the lists of a document whose entries have names and can be patched by them.
 var patchableLists = []string{"classes", "customers", "pools", "routes"}
 
 // Fields of a document's objects.
--- a/internal/httpserver/body.go
+++ b/internal/httpserver/body.go
@@ -13,8 +13,9 @@
 	"tuliprudder/internal/errs"
 )
 
-// WriteJSON writes a response with a JSON body. The error is that the body can't be encoded;
-// nothing is written then. That the caller is gone is no error: nobody is there to be told.
+// WriteJSON writes a response with a JSON body. It returns an error, and writes nothing, if the body
+// can't be encoded. A failed write is not an error: the caller has disconnected, so that no response
+// can reach it.
 func WriteJSON(w http.ResponseWriter, status int, body any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -26,13 +27,13 @@
 	return nil
 }
 
-// errorBody is the JSON of an error response; its key never changes.
+// errorBody is the JSON of an error response; its key must never change.
 type errorBody struct {
 	Error *errs.Error `json:"error"`
 }
 
-// WriteError writes the typed error (errs.Of) with the status of its kind and, where the caller
-// may try again, Retry-After in whole seconds.
+// WriteError writes the typed error (errs.Of) with the status of its kind and, if the error has a
+// time for a retry, a Retry-After header in seconds, rounded up.
 func WriteError(w http.ResponseWriter, err error) {
 	typed := errs.Of(err)
 	if typed.RetryAfterUS > 0 {
@@ -42,7 +43,7 @@
 	_ = WriteJSON(w, typed.Status(), errorBody{typed}) // an errs.Error can always be encoded
 }
 
-// ReadBody reads a complete body. The error is an errs.TooLarge or an errs.BadInput.
+// ReadBody reads the complete body. Its error is of kind errs.TooLarge or errs.BadInput.
 func ReadBody(r *http.Request) ([]byte, error) {
 	data, err := io.ReadAll(r.Body)
 	if err == nil {
@@ -50,21 +51,21 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, errs.New(errs.TooLarge, "send a smaller body, or several batches", "the body is over %d bytes", tooLarge.Limit)
+		return nil, errs.New(errs.TooLarge, "send a smaller body, or several batches", "the body exceeds %d bytes", tooLarge.Limit)
 	}
 	return nil, errs.New(errs.BadInput, "send the complete body", "the body was interrupted: %v", err)
 }
 
-// Decode decodes one JSON value strictly: an unknown field, or anything after the value, is an
-// errs.BadInput.
+// Decode decodes one JSON value strictly: an unknown field, or data after the value, is an error of
+// kind errs.BadInput.
 func Decode(data []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
-		return errs.New(errs.BadInput, "send JSON of the form on the caller page", "the body is not as expected: %v", err)
+		return errs.New(errs.BadInput, "send JSON as described on the caller page", "the body can't be decoded: %v", err)
 	}
 	if decoder.More() {
-		return errs.New(errs.BadInput, "send one JSON value", "something follows the body's JSON")
+		return errs.New(errs.BadInput, "send one JSON value", "the body has data after its JSON value")
 	}
 	return nil
 }
--- a/internal/httpserver/body_test.go
+++ b/internal/httpserver/body_test.go
@@ -27,7 +27,7 @@
 			t.Errorf("%q: read %q, %v", text, data, err)
 		}
 		if wantKind != "" && !errs.Is(err, wantKind) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got error %v", text, err)
 		}
 	}
 }
@@ -46,7 +46,7 @@
 		}
 		err := Decode([]byte(text), &into)
 		if isValid && (err != nil || into.Name != "a") || !isValid && !errs.Is(err, errs.BadInput) {
-			t.Errorf("%q: %+v, %v", text, into, err)
+			t.Errorf("%q: decoded %+v, %v", text, into, err)
 		}
 	}
 }
--- a/internal/httpserver/caller_conn.go
+++ b/internal/httpserver/caller_conn.go
@@ -6,48 +6,49 @@
 	"time"
 )
 
-// callerConn is a caller's connection. It knows how much of the present request was read and of
-// its response was written.
+// callerConn is a caller's connection. It tracks how many bytes of the current request were read
+// and of its response were written.
 //
-// Nobody but the goroutine that serves the connection closes it while a request may be on its
-// way: whoever looks at the connection from outside can't know whether a request has just been
-// read. retire asks that goroutine to end the connection instead, and it does so only if a read
-// brings nothing. So a request that was read is always served.
+// Only the goroutine that serves the connection closes it while a request may be arriving: another
+// goroutine can't know whether a request has just been read. retire asks the serving goroutine to
+// end the connection instead, which it does only if a read returns no data. So a request that was
+// read is always served.
 type callerConn struct {
 	net.Conn
 	server     *RawServer
-	acceptedAt time.Time // when it was accepted
+	acceptedAt time.Time
 
 	mu       sync.Mutex // guards the fields below, and the read deadline while retiring
 	exchange exchange
-	retiring bool // the read under way, or the next one, ends at once; what it still brings is served
-	served   bool // a request was answered
+	retiring bool // the current read, or the next one, ends at once; a request that it still returns is served
+	served   bool // at least one request was answered
 }
 
-// net/http closes the sending side first where a caller may still be sending (closeWriteAndWait).
+// net/http closes the sending side first if the caller may still be sending (closeWriteAndWait).
 var _ interface{ CloseWrite() error } = (*callerConn)(nil)
 
-// exchange is the present request of a connection and its response; zero between two requests.
+// exchange is the current request of a connection and its response; zero between two requests.
 type exchange struct {
 	requestBytes       int64
 	responseBytes      int64
 	firstByteAt        time.Time
-	isActive           bool // net/http has the request's head
+	isActive           bool // net/http has read the request's header
 	callerDisconnected bool // the connection broke before this daemon closed it
 }
 
-// isOpen tells whether a request is open: its head is read, or may still come in time.
+// isOpen reports whether a request is open: its header was read, or may still be completed before
+// the timeout.
 func (e exchange) isOpen(now time.Time, headTimeout time.Duration) bool {
 	return e.isActive || e.requestBytes > 0 && now.Sub(e.firstByteAt) <= headTimeout
 }
 
 func (e exchange) isUnanswered() bool { return e.requestBytes > 0 && e.responseBytes == 0 }
 
-// pastDeadline ends a read that waits, and has one that begins bring nothing.
+// pastDeadline ends a blocked read, and makes a new one return no data.
 var pastDeadline = time.Unix(1, 0)
 
-// retire ends the connection unless a request is open on it. One that comes at the same moment is
-// served, and the connection goes on.
+// retire ends the connection unless a request is open on it. A request that arrives at the same
+// moment is served, and the connection stays open.
 func (c *callerConn) retire(headTimeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,16 +60,16 @@
 	_ = c.Conn.SetReadDeadline(pastDeadline)
 }
 
-// stopRetiring lets a request that came in time be served; c.mu is held.
+// stopRetiring cancels retire, so that a request that arrived meanwhile is served; c.mu is held.
 func (c *callerConn) stopRetiring() {
 	if c.retiring {
 		c.retiring = false
-		_ = c.Conn.SetReadDeadline(time.Time{}) // the same
+		_ = c.Conn.SetReadDeadline(time.Time{}) // an error means that it is closed already
 	}
 }
 
-// SetReadDeadline sets the deadline of net/http's reads. While the connection is retiring the
-// one of retire stays.
+// SetReadDeadline sets the deadline of net/http's reads. While the connection is retiring, the
+// deadline set by retire stays in force.
 func (c *callerConn) SetReadDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,7 +79,7 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// Read reads, and notes what was read.
+// Read reads from the connection and records how many bytes were read.
 func (c *callerConn) Read(into []byte) (int, error) {
 	n, err := c.Conn.Read(into)
 	c.mu.Lock()
@@ -96,7 +97,7 @@
 	return n, err
 }
 
-// Write writes, and notes what was written.
+// Write writes to the connection and records how many bytes were written.
 func (c *callerConn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
 	c.mu.Lock()
@@ -108,7 +109,7 @@
 	return n, err
 }
 
-// CloseWrite closes the sending side alone: a caller that is still sending gets the response.
+// CloseWrite closes the sending side only, so that a caller that is still sending gets the response.
 func (c *callerConn) CloseWrite() error {
 	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return conn.CloseWrite()
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// Close closes the connection. One that ends without an answer is counted, once.
+// Close closes the connection. A connection that ends with an unanswered request is counted once.
 func (c *callerConn) Close() error {
 	c.mu.Lock()
 	ended, wasRetiring := c.exchange, c.retiring
@@ -132,15 +133,15 @@
 	return c.Conn.Close()
 }
 
-// requestStarted tells that net/http has the head of a request.
+// requestStarted records that net/http has read the header of a request.
 func (c *callerConn) requestStarted() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.exchange.isActive = true
-	c.stopRetiring() // the request was read together with the one before it
+	c.stopRetiring() // the request may have been read together with the previous one
 }
 
-// requestEnded tells that the response to the present request is complete.
+// requestEnded records that the response to the current request is complete.
 func (c *callerConn) requestEnded() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,8 +149,8 @@
 	c.served = true
 }
 
-// mayRetire tells whether a server that closes need not wait for a request: one was answered, or
-// none has come for some time.
+// mayRetire reports whether a closing server need not wait for a request on the connection: one
+// was answered, or none has arrived within newConnectionGrace.
 func (c *callerConn) mayRetire(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/httpserver/idle_conns.go
+++ b/internal/httpserver/idle_conns.go
@@ -12,14 +12,14 @@
 	conns map[*callerConn]idlePeriod
 }
 
-// idlePeriod is since when a connection is idle, with the limit that was in force then: a caller
-// may rely on that, even if it was lowered meanwhile.
+// idlePeriod is the time since which a connection is idle and the timeout in force at that time. The
+// caller may rely on that timeout even if it has been lowered since.
 type idlePeriod struct {
 	since   time.Time
 	timeout time.Duration
 }
 
-// stateChanged notes a connection's state, as net/http reports it. A connection is active from
+// stateChanged records a connection's state, as net/http reports it. A connection is active from
 // the end of a request's header to the end of the response.
 func (c *idleConns) stateChanged(conn *callerConn, state http.ConnState, now time.Time, timeout time.Duration) {
 	c.mu.Lock()
@@ -35,8 +35,8 @@
 	c.conns[conn] = idlePeriod{now, timeout}
 }
 
-// expired lists the connections that have been idle for too long. net/http reports a connection
-// as idle until the next request's header is complete, so the time for a header is added.
+// expired returns the connections that have exceeded their idle timeout. net/http reports a connection
+// as idle until the next request's header is complete, so the header timeout is added.
 func (c *idleConns) expired(now time.Time, limits Limits) []*callerConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/httpserver/limits.go
+++ b/internal/httpserver/limits.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	// maxHeaderBytes is what net/http reads of a header, whatever the limits in force are.
+	// maxHeaderBytes is the header size that net/http accepts, regardless of the limits in force.
 	maxHeaderBytes = 1 << 20
-	// limitsInterval is how often the limits in force are read, and idle connections that have
-	// timed out are closed.
+	// limitsInterval is how often the limits in force are read and timed-out idle connections are
+	// closed.
 	limitsInterval = time.Second
 )
 
-// enforceCurrentLimits makes the server enforce the limits in force itself: those of net/http
-// can't be changed once it serves. net/http gets no timeouts, and a header size that is always
-// enough.
+// enforceCurrentLimits makes the RawServer enforce the limits in force itself, because those of
+// net/http can't be changed while it is serving. net/http gets no timeouts, and a maximum header
+// size at least as large as any configured one.
 func (r *RawServer) enforceCurrentLimits() {
 	r.refreshLimits()
 	r.server.MaxHeaderBytes = maxHeaderBytes
 	cleanup.Every(&r.cleanups, limitsInterval, func() { r.closeExpiredIdle(time.Now()) })
 }
 
-// refreshLimits reads the limits in force.
+// refreshLimits reads the limits in force, stores them for later requests and returns them.
 func (r *RawServer) refreshLimits() Limits {
 	current := r.CurrentLimits()
 	limits := Limits{
@@ -37,19 +37,19 @@
 	return limits
 }
 
-// rejectLargeHeader rejects a request whose header exceeds the limit in force, and tells whether
-// it did. The limit is read again first: it may have been raised since the last time.
+// rejectLargeHeader rejects a request whose header exceeds the limit in force, and reports whether
+// it did. It reads the limit again before rejecting, as it may have been raised since the last read.
 func (r *RawServer) rejectLargeHeader(w http.ResponseWriter, request *http.Request) bool {
 	size := headerSize(request)
 	if size <= r.limitsInForce.Load().HeaderBytes || size <= r.refreshLimits().HeaderBytes {
 		return false
 	}
 	w.Header().Set("Connection", "close")
-	http.Error(w, "the header is larger than it may be", http.StatusRequestHeaderFieldsTooLarge)
+	http.Error(w, "the request header exceeds the size limit", http.StatusRequestHeaderFieldsTooLarge)
 	return true
 }
 
-// headerSize is the least number of bytes that a request's line and header took.
+// headerSize returns the minimum number of bytes that the request line and header took.
 func headerSize(request *http.Request) int {
 	const (
 		requestLineOverhead = len("  HTTP/1.1\r\n")
@@ -65,7 +65,7 @@
 	return size
 }
 
-// closeExpiredIdle has the connections closed that have been idle for too long.
+// closeExpiredIdle retires the connections that have exceeded their idle timeout.
 func (r *RawServer) closeExpiredIdle(now time.Time) {
 	limits := r.refreshLimits()
 	for _, conn := range r.idle.expired(now, limits) {
--- a/internal/httpserver/limits_test.go
+++ b/internal/httpserver/limits_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A connection that has been idle for as long as the limit in force allows is used again, and one
-// that has been idle longer, with the time of a header, is closed.
+// A connection that has been idle for as long as the timeout in force allows can be reused; one that
+// has been idle longer than the idle and header timeouts together is closed.
 func TestIdleTimeoutUsesLimitInForce(t *testing.T) {
 	f := newTestServer(t, Limits{HeaderBytes: 1000, HeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute}, Limits{HeaderTimeout: 3 * time.Second, IdleTimeout: 5 * time.Minute}, answerOK)
 	kept, fresh := f.dial(), f.dial()
@@ -20,18 +20,18 @@
 	idleSince := f.waitForIdle(2)
 	f.closeExpiredIdle(idleSince.Add(5 * time.Minute))
 	if kept, fresh := kept.get(0), fresh.get(0); kept != 200 || fresh != 200 {
-		t.Errorf("an idle connection answers %d, and a new one %d", kept, fresh)
+		t.Errorf("got status %d on an idle connection and %d on a new one", kept, fresh)
 	}
 	idleSince = f.waitForIdle(2)
 	f.closeExpiredIdle(idleSince.Add(5*time.Minute + 3*time.Second + time.Millisecond))
 	if kept, fresh := kept.waitForClose(), fresh.waitForClose(); kept != io.EOF || fresh != io.EOF {
-		t.Errorf("connections that were idle for too long end with %v and %v", kept, fresh)
+		t.Errorf("connections past their idle timeout ended with %v and %v", kept, fresh)
 	}
 	f.waitForIdle(0)
 }
 
-// A shorter limit binds connections that become idle under it; a longer one binds those that are
-// idle already.
+// A shorter idle timeout applies only to connections that become idle after the change; a longer one
+// also applies to those that are idle already.
 func TestIdleTimeoutChangesWhileConnectionsAreIdle(t *testing.T) {
 	const second = time.Second
 	f := newTestServer(t, Limits{HeaderBytes: 1000, HeaderTimeout: second, IdleTimeout: 15 * second}, Limits{}, answerOK)
@@ -41,13 +41,13 @@
 	f.limits.Store(&Limits{IdleTimeout: 5 * second})
 	f.closeExpiredIdle(idleSince.Add(12 * second))
 	if got := c.get(0); got != 200 {
-		t.Errorf("a connection that was idle by the limit before answers %d", got)
+		t.Errorf("got status %d on a connection within the previous idle timeout", got)
 	}
 	idleSince = f.waitForIdle(1)
 	f.limits.Store(&Limits{IdleTimeout: 60 * second})
 	f.closeExpiredIdle(idleSince.Add(48 * second))
 	if got := c.get(0); got != 200 {
-		t.Errorf("a connection that was idle by the new limit answers %d", got)
+		t.Errorf("got status %d on a connection within the raised idle timeout", got)
 	}
 	idleSince = f.waitForIdle(1)
 	f.limits.Store(&Limits{IdleTimeout: 5 * second})
@@ -56,12 +56,12 @@
 	idleSince = f.waitForIdle(1)
 	f.closeExpiredIdle(idleSince.Add(6*second + time.Millisecond))
 	if got := c.waitForClose(); got != io.EOF {
-		t.Errorf("a connection that was idle for too long ends with %v", got)
+		t.Errorf("a connection past its idle timeout ended with %v", got)
 	}
 }
 
-// A header is rejected by the limit in force, at once when that changes, and the server's own limit
-// counts where none is in force.
+// Headers are checked against the limit in force, as soon as it changes. The server's fixed limit
+// applies if none is in force.
 func TestHeaderSizeUsesLimitInForce(t *testing.T) {
 	f := newTestServer(t, Limits{HeaderBytes: 1000, HeaderTimeout: time.Second, IdleTimeout: time.Minute}, Limits{}, answerOK)
 	for _, c := range []struct{ inForce, more, want int }{
@@ -70,20 +70,20 @@
 		f.limits.Store(&Limits{HeaderBytes: c.inForce})
 		f.refreshLimits()
 		if got := f.dial().get(c.more); got != c.want {
-			t.Errorf("with %d in force, a header of some %d bytes: %d", c.inForce, c.more, got)
+			t.Errorf("limit in force %d, header of about %d bytes: got status %d", c.inForce, c.more, got)
 		}
 	}
-	// A limit that was raised since it was last read.
+	// The limit is raised after it was last read.
 	f.limits.Store(&Limits{HeaderBytes: 1000})
 	f.refreshLimits()
 	f.limits.Store(&Limits{HeaderBytes: 5000})
 	if got := f.dial().get(4000); got != 200 {
-		t.Errorf("by a limit that was just raised: %d", got)
+		t.Errorf("after the limit was raised: got status %d", got)
 	}
 }
 
-// A request that was read on an idle connection is answered, even if that connection is found to
-// be idle for too long before net/http reports it as active.
+// A request that was read on an idle connection is answered, even if the connection's idle timeout is
+// found to have expired before net/http reports the connection as active.
 func TestRequestReadBeforeIdleExpiryIsAnswered(t *testing.T) {
 	handled := make(chan struct{}, 1)
 	f := newTestServer(t, Limits{HeaderBytes: 1000, HeaderTimeout: time.Second, IdleTimeout: time.Minute}, Limits{}, func(w http.ResponseWriter, r *http.Request) {
@@ -94,7 +94,7 @@
 	c.get(0)
 	<-handled
 	idleSince := f.waitForIdle(1)
-	f.idle.mu.Lock() // the closer waits here first, then the connection with its request
+	f.idle.mu.Lock() // blocks the check for expired connections first, then the connection with its request
 	expired := make(chan struct{})
 	go func() {
 		defer close(expired)
@@ -107,11 +107,11 @@
 	f.idle.mu.Unlock()
 	<-expired
 	if got := <-status; got != http.StatusOK {
-		t.Errorf("the request that had been read is answered with %d; it reached the handler: %v", got, len(handled) == 1)
+		t.Errorf("got status %d for the request that had been read; it reached the handler: %v", got, len(handled) == 1)
 	}
 }
 
-// waitForGoroutine waits until a goroutine is in a function.
+// waitForGoroutine waits until a function is on the stack of some goroutine.
 func waitForGoroutine(t *testing.T, function string) {
 	t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
@@ -120,5 +120,5 @@
 			return
 		}
 	}
-	t.Fatalf("no goroutine came to %s", function)
+	t.Fatalf("no goroutine reached %s", function)
 }
--- a/internal/httpserver/raw_server.go
+++ b/internal/httpserver/raw_server.go
@@ -9,21 +9,21 @@
 	"tuliprudder/internal/cleanup"
 )
 
-// RawServer is an HTTP server whose handler sees every request as it was sent (docs/DESIGN.md,
-// section 12.2). It is net/http's own: go-zero's router cleans paths, traces each request, and
-// closes its listener by itself a second after the signal to end, while callers are still being
-// sent here. Start and Close are called once each, in this order.
+// RawServer is an HTTP server whose handler gets every request as it was sent (docs/DESIGN.md,
+// section 12.2). It uses net/http's server directly: go-zero's router cleans paths, traces each
+// request, and closes its listener by itself a second after the termination signal, while callers
+// are still being directed to this daemon. Start and Close are called once each, in this order.
 type RawServer struct {
 	Address string
 	Handler http.Handler
 	// Limits bound what callers may send and how long they may take.
 	Limits Limits
-	// CurrentLimits, where set, gives the limits in force, which may change at any time; a limit
+	// CurrentLimits, if set, returns the limits in force, which may change at any time; a limit
 	// that is zero there is taken from Limits. It is called from many goroutines.
 	CurrentLimits func() Limits
-	// Unanswered counts the connections that ended without an answer.
+	// Unanswered counts the connections that ended with an unanswered request.
 	Unanswered UnansweredStats
-	// OnUnanswered, where set, is told of each that this daemon closed. It is called from many
+	// OnUnanswered, if set, is called for each of these that this daemon closed first, from many
 	// goroutines.
 	OnUnanswered func(Unanswered)
 
@@ -31,7 +31,7 @@
 	listener      net.Listener
 	open          openConns
 	idle          idleConns
-	limitsInForce atomic.Pointer[Limits] // the latest CurrentLimits, completed; nil without these
+	limitsInForce atomic.Pointer[Limits] // the latest CurrentLimits, with zeros taken from Limits; nil if CurrentLimits is nil
 	isClosing     atomic.Bool
 	cleanups      cleanup.Stack
 }
@@ -44,15 +44,15 @@
 }
 
 const (
-	// newConnectionGrace is how long a server that closes waits for the first request on a
+	// newConnectionGrace is how long a closing server waits for the first request on a
 	// connection.
 	newConnectionGrace = time.Second
-	// closeInterval is how often a server that closes looks at its connections.
+	// closeInterval is how often a closing server checks its connections.
 	closeInterval = 20 * time.Millisecond
 )
 
-// Start listens, and serves in a goroutine that ends with Close. onFailure is called with the
-// error after which the server can't go on.
+// Start listens and serves in a goroutine that ends with Close. onFailure is called with the error
+// if the server stops serving before Close.
 func (r *RawServer) Start(onFailure func(error)) error {
 	listener, err := net.Listen("tcp", r.Address)
 	if err != nil {
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// serveRequest serves one request. Once the server closes, its caller is told to use another
-// connection for the next one.
+// serveRequest serves one request. Once the server is closing, the response tells the caller to use
+// another connection for the next request.
 func (r *RawServer) serveRequest(w http.ResponseWriter, request *http.Request) {
 	if r.isClosing.Load() {
 		w.Header().Set("Connection", "close")
@@ -87,7 +87,7 @@
 	r.Handler.ServeHTTP(w, request)
 }
 
-// connStateChanged notes a connection's state, as net/http reports it.
+// connStateChanged records a connection's state, as net/http reports it.
 func (r *RawServer) connStateChanged(netConn net.Conn, state http.ConnState) {
 	conn := netConn.(*callerConn)
 	switch state {
@@ -101,13 +101,12 @@
 	}
 }
 
-// removeConn forgets a connection that is closed.
+// removeConn removes a closed connection from the open ones.
 func (r *RawServer) removeConn(conn *callerConn) { r.open.remove(conn) }
 
-// Close accepts no new connections, has the idle ones closed, and waits for the open requests
-// until the timeout; then it closes their connections. Every request that is read until then is
-// served. The server's own Shutdown isn't used, as it drops a request that was read while it
-// began.
+// Close stops accepting connections, retires the idle ones, and waits for the open requests until
+// the timeout; then it closes their connections. Every request that is read until then is served.
+// net/http's Shutdown isn't used because it drops a request that is read just as it begins.
 func (r *RawServer) Close(timeout time.Duration) {
 	defer r.cleanups.Run()
 	r.isClosing.Store(true)
@@ -119,8 +118,8 @@
 	r.server.Close()
 }
 
-// retireIdle has the connections closed on which no request is open, and gives the number of
-// those that are still there.
+// retireIdle retires the connections without an open request. It returns how many connections were
+// open when it started.
 func (r *RawServer) retireIdle(now time.Time) (open int) {
 	limits := r.Limits
 	if inForce := r.limitsInForce.Load(); inForce != nil {
--- a/internal/httpserver/raw_server_test.go
+++ b/internal/httpserver/raw_server_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// testServer is a RawServer whose limits in force a test changes.
+// testServer is a RawServer whose limits in force a test can change.
 type testServer struct {
 	*RawServer
 	t      *testing.T
@@ -52,8 +52,8 @@
 	return &testClient{f, conn, bufio.NewReader(conn)}
 }
 
-// get sends a request with a header of about so many bytes more, and gives the
-// status; 0 when the connection is closed.
+// get sends a request with about extraHeaderBytes more in its header, and returns the
+// status; 0 if the connection is closed.
 func (c *testClient) get(extraHeaderBytes int) int {
 	c.server.t.Helper()
 	fmt.Fprintf(c.conn, "GET / HTTP/1.1\r\nHost: h\r\nX-Fill: %s\r\n\r\n", strings.Repeat("x", extraHeaderBytes))
@@ -65,14 +65,14 @@
 	return response.StatusCode
 }
 
-// waitForClose waits until the server has closed the connection, on which nothing is sent, and gives
-// how it ended.
+// waitForClose waits until the server has closed the connection, on which nothing is sent, and returns
+// the error of the read.
 func (c *testClient) waitForClose() error {
 	_, err := c.reader.ReadByte()
 	return err
 }
 
-// waitForIdle waits until the server takes so many connections for idle, and gives the time.
+// waitForIdle waits until the server has count idle connections, and returns the time.
 func (f *testServer) waitForIdle(count int) time.Time {
 	f.t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
@@ -84,14 +84,14 @@
 			return time.Now()
 		}
 		if time.Now().After(deadline) {
-			f.t.Fatalf("%d connections are idle, not %d", now, count)
+			f.t.Fatalf("got %d idle connections, want %d", now, count)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// A server that closes waits for the open requests, until its timeout: their responses are
-// complete. Idle connections are closed at once, and new ones are not accepted.
+// A closing server waits for the open requests until its timeout, so their responses are complete.
+// Idle connections are closed at once, and new ones are not accepted.
 func TestClosingWaitsForOpenRequests(t *testing.T) {
 	reached, release := make(chan struct{}), make(chan struct{})
 	f := newTestServer(t, Limits{HeaderBytes: 1000, HeaderTimeout: time.Second, IdleTimeout: time.Minute}, Limits{}, func(w http.ResponseWriter, r *http.Request) {
@@ -126,9 +126,9 @@
 	<-closed
 }
 
-// A connection that this daemon closes after it has read of a request and before it answered is
-// counted and told; one whose caller left first is counted apart, and one that was answered
-// not at all.
+// A connection that this daemon closes after it has read part of a request and before it has written
+// any response is counted and reported. One whose caller disconnected first is counted separately,
+// and one whose request was answered is not counted.
 func TestUnansweredConnectionsAreCounted(t *testing.T) {
 	reported := make(chan Unanswered, 1)
 	reached := make(chan struct{})
@@ -156,24 +156,24 @@
 	io.WriteString(aborted.conn, request)
 	close(release)
 	if ended := <-reported; ended.RequestBytes != int64(len(request)) || ended.Remote != aborted.conn.LocalAddr().String() {
-		t.Errorf("told of %+v", ended)
+		t.Errorf("reported %+v", ended)
 	}
 	f.waitForIdle(0)
 	f.Close(20 * time.Second)
 	stats := &f.Unanswered
 	if closed, callerClosed := stats.ClosedByServer.Load(), stats.CallersDisconnected.Load(); closed != 1 || callerClosed != 1 || stats.LongestWait.Load() == 0 {
-		t.Errorf("closed here: %d, callers that left: %d, after %d us", closed, callerClosed, stats.LongestWait.Load())
+		t.Errorf("closed by the server: %d, callers disconnected: %d, after %d us", closed, callerClosed, stats.LongestWait.Load())
 	}
 }
 
-// A request that was read is answered, even if the server begins to close before its handler
-// has it.
+// A request that was read is answered, even if the server begins to close before the handler gets
+// the request.
 func TestRequestReadBeforeCloseIsAnswered(t *testing.T) {
 	f := newTestServer(t, Limits{HeaderBytes: 1000, HeaderTimeout: time.Second, IdleTimeout: time.Minute}, Limits{}, answerOK)
 	c := f.dial()
 	c.get(0)
 	f.waitForIdle(1)
-	f.idle.mu.Lock() // holds the connection up between its request and the handler
+	f.idle.mu.Lock() // blocks the connection between reading its request and calling the handler
 	status := make(chan int, 1)
 	go func() { status <- c.get(0) }()
 	waitForGoroutine(t, "(*idleConns).stateChanged")
@@ -182,13 +182,13 @@
 	waitUntilRefused(t, f.listener.Addr())
 	f.idle.mu.Unlock()
 	if got := <-status; got != http.StatusOK {
-		t.Errorf("the request that had been read is answered with %d", got)
+		t.Errorf("got status %d for the request that had been read", got)
 	}
 	<-closed
 }
 
-// A head that doesn't come to its end does not keep its connection, and one that does in time
-// is served.
+// A connection whose request header is not completed in time is closed; one whose header is completed
+// in time is served.
 func TestIncompleteHeaderDoesNotKeepConnection(t *testing.T) {
 	f := newTestServer(t, Limits{HeaderBytes: 1000, HeaderTimeout: time.Minute, IdleTimeout: time.Minute}, Limits{}, answerOK)
 	slow, late := f.dial(), f.dial()
@@ -200,16 +200,16 @@
 	f.closeExpiredIdle(idleSince.Add(time.Hour))
 	io.WriteString(late.conn, " h\r\n\r\n")
 	if response, err := http.ReadResponse(late.reader, nil); err != nil || response.StatusCode != http.StatusOK {
-		t.Errorf("a head that came in time is answered with %+v, %v", response, err)
+		t.Errorf("header completed in time: got response %+v, %v", response, err)
 	}
 	f.limits.Store(&Limits{HeaderTimeout: time.Nanosecond})
 	f.closeExpiredIdle(idleSince.Add(time.Hour))
 	if _, err := slow.reader.ReadByte(); err != io.EOF {
-		t.Errorf("a connection with half a head ended with %v", err)
+		t.Errorf("connection with an incomplete header ended with %v", err)
 	}
 }
 
-// waitForRequestBytes waits until the server has read so many bytes of unfinished requests.
+// waitForRequestBytes waits until the server has read want bytes of unfinished requests.
 func (f *testServer) waitForRequestBytes(want int) {
 	f.t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -223,5 +223,5 @@
 			return
 		}
 	}
-	f.t.Fatalf("the server has not read %d bytes", want)
+	f.t.Fatalf("the server did not read %d bytes", want)
 }
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,9 +1,9 @@
-// Package httpserver has the HTTP servers of every daemon (docs/DESIGN.md, sections 2 and 10).
-// RawServer is net/http's own, for requests that are forwarded unchanged. Server has the routes of
-// operators and callers of batches, by go-zero's rest, and serves them by a RawServer: so there is one
-// way in which connections are drained. Of go-zero's own chain only the recovery is on: its load
-// shedding, breaker, timeout and size limits reject or cut requests on their own, and a request's
-// outcome must not be hidden by the server in front of it.
+// Package httpserver implements the HTTP servers of every daemon (docs/DESIGN.md, sections 2 and 10).
+// RawServer uses net/http's server directly, for requests that are forwarded unchanged. Server has the
+// routes for operators and callers of batches, uses go-zero's rest router, and serves through a
+// RawServer, so that connections are drained in one way only. Of go-zero's middlewares only the panic
+// recovery is enabled: its load shedding, breaker, timeout and size limits reject or abort requests on
+// their own, and the server must not hide a request's outcome.
 package httpserver
 
 import (
@@ -26,13 +26,13 @@
 type Server struct {
 	address string
 	routes  []rest.Route
-	// openRequests has a token for each open request; its capacity is the bound.
+	// openRequests holds a token for each open request; its capacity is the limit.
 	openRequests chan struct{}
 	maxBodyBytes int64
 	raw          *RawServer // nil before Start
 }
 
-// New makes a server with bounds on the number of open requests and on the bytes of a body.
+// New returns a server with limits on the number of open requests and on the size of a body.
 func New(address string, maxOpenRequests int, maxBodyBytes int64) *Server {
 	return &Server{
 		address:      address,
@@ -46,14 +46,14 @@
 	s.routes = append(s.routes, rest.Route{Method: method, Path: path, Handler: s.withLimits(handler)})
 }
 
-// withLimits applies the bounds on open requests and bodies.
+// withLimits wraps a handler with the limits on open requests and on the size of a body.
 func (s *Server) withLimits(handler Handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case s.openRequests <- struct{}{}:
 			defer func() { <-s.openRequests }()
 		default:
-			WriteError(w, errs.NewWithRetry(errs.Busy, clock.Second, "come back after the time given", "this daemon has as many open requests as it may"))
+			WriteError(w, errs.NewWithRetry(errs.Busy, clock.Second, "retry after the time given", "this daemon has reached its limit of open requests"))
 			return
 		}
 		r.Body = http.MaxBytesReader(w, r.Body, s.maxBodyBytes)
@@ -63,21 +63,21 @@
 	}
 }
 
-// OpenRequests is the number of open requests.
+// OpenRequests returns the number of open requests.
 func (s *Server) OpenRequests() int { return len(s.openRequests) }
 
 const (
-	// closeTimeout is how long a server that stops waits for its open requests: callers of an edge have
-	// been waited for before (host.Daemon.OnDrain).
+	// closeTimeout is how long a stopping server waits for its open requests; callers of an edge have
+	// already been waited for by then (host.Daemon.OnDrain).
 	closeTimeout = 3 * time.Second
-	// headerTimeout is how long the header of a request may take.
+	// headerTimeout is how long reading the header of a request may take.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is for how long a connection may be idle.
+	// idleTimeout is how long a connection may be idle.
 	idleTimeout = 2 * time.Minute
 )
 
-// Start serves in a goroutine that ends when the clean-ups run; these wait for the open requests, for
-// closeTimeout at most.
+// Start serves in a goroutine that ends when the cleanups run. They wait for the open requests for at
+// most closeTimeout.
 func (s *Server) Start(cleanups *cleanup.Stack) error {
 	router, err := s.newRouter()
 	if err != nil {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// newRouter is go-zero's router with the routes; it listens at no address of its own.
+// newRouter returns go-zero's router with the routes. It does not listen itself.
 func (s *Server) newRouter() (*rest.Serverless, error) {
 	var conf rest.RestConf
 	conf.Log.Mode = "console"
@@ -104,18 +104,18 @@
 	conf.Middlewares.Recover = true
 	server, err := rest.NewServer(conf, rest.WithNotFoundHandler(http.HandlerFunc(handleUnknownPath)))
 	if err != nil {
-		return nil, errors.Wrap(err, "making the HTTP server")
+		return nil, errors.Wrap(err, "creating the HTTP server")
 	}
 	server.AddRoutes(s.routes)
 	router, err := rest.NewServerless(server)
-	return router, errors.Wrap(err, "making the HTTP router")
+	return router, errors.Wrap(err, "creating the HTTP router")
 }
 
-// exitOnFailure ends a daemon whose listener has failed: nobody could reach it any more.
+// exitOnFailure terminates a daemon that has stopped serving HTTP, because no caller can reach it.
 func exitOnFailure(err error) {
 	logx.Must(errors.Wrap(err, "the HTTP server has failed"))
 }
 
 func handleUnknownPath(w http.ResponseWriter, r *http.Request) {
-	WriteError(w, errs.New(errs.NotFound, "see the caller and operator pages for the paths there are", "no such path: %s %s", r.Method, r.URL.Path))
+	WriteError(w, errs.New(errs.NotFound, "see the caller and operator pages for the available paths", "no such path: %s %s", r.Method, r.URL.Path))
 }
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -10,7 +10,7 @@
 	"tuliprudder/internal/cleanup"
 )
 
-// startServer starts a Server with one route, whose clean-ups stop it.
+// startServer starts a Server with one route, and returns it with a function that stops it.
 func startServer(t *testing.T, handler Handler) (server *Server, stop func()) {
 	t.Helper()
 	server = New("127.0.0.1:0", 10, 1000)
@@ -25,7 +25,7 @@
 
 func (s *Server) url(path string) string { return "http://" + s.raw.listener.Addr().String() + path }
 
-// A daemon that stops answers the requests that it has read, and accepts no new connections.
+// A stopping server answers the requests that it has read, and accepts no new connections.
 func TestStoppingWaitsForOpenRequests(t *testing.T) {
 	reached, release := make(chan struct{}), make(chan struct{})
 	server, stop := startServer(t, func(w http.ResponseWriter, _ *http.Request) error {
@@ -51,12 +51,12 @@
 	waitUntilRefused(t, server.raw.listener.Addr())
 	close(release)
 	if got := <-body; got != "complete" {
-		t.Errorf("the open request got %q", got)
+		t.Errorf("the open request got body %q", got)
 	}
 	<-stopped
 }
 
-// waitUntilRefused waits until an address accepts no new connections.
+// waitUntilRefused waits until an address refuses new connections.
 func waitUntilRefused(t *testing.T, address net.Addr) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -69,19 +69,19 @@
 	t.Fatal("new connections are still accepted")
 }
 
-// An address that is in use, or is none, is an error of the start.
+// Start returns an error if the address is in use or invalid.
 func TestStartFailsOnUnusableAddress(t *testing.T) {
 	server, _ := startServer(t, func(http.ResponseWriter, *http.Request) error { return nil })
 	for _, address := range []string{server.raw.listener.Addr().String(), "nowhere"} {
 		var cleanups cleanup.Stack
 		if err := New(address, 1, 1).Start(&cleanups); err == nil {
-			t.Errorf("%s: started", address)
+			t.Errorf("%s: Start returned no error", address)
 			cleanups.Run()
 		}
 	}
 }
 
-// Paths without a route get a typed error, and a handler that panics takes nothing down with it.
+// Unknown paths get a 404, and a panic in a handler gets a 500 without ending the server.
 func TestUnknownPathsAndPanics(t *testing.T) {
 	server, _ := startServer(t, func(http.ResponseWriter, *http.Request) error { panic("a fault of the handler") })
 	for path, want := range map[string]int{"/other": http.StatusNotFound, "/at/x": http.StatusInternalServerError} {
@@ -91,7 +91,7 @@
 		}
 		response.Body.Close()
 		if response.StatusCode != want {
-			t.Errorf("%s: %d, not %d", path, response.StatusCode, want)
+			t.Errorf("%s: got status %d, want %d", path, response.StatusCode, want)
 		}
 	}
 }
--- a/internal/httpserver/unanswered.go
+++ b/internal/httpserver/unanswered.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// UnansweredStats count, since the start, the connections that ended after something of a
-// request was read on them and before anything of its response was written.
+// UnansweredStats count, since the start, the connections that ended after part of a request was
+// read and before any of its response was written.
 type UnansweredStats struct {
-	// ClosedByServer counts those that this daemon closed first. Nothing but a malformed request
-	// and the end of the process may do that.
+	// ClosedByServer counts those that this daemon closed first. Only a malformed request or the
+	// end of the process may cause this.
 	ClosedByServer atomic.Int64
-	// CallersDisconnected counts those whose caller closed first, or was lost.
+	// CallersDisconnected counts those whose caller closed first, or whose connection broke.
 	CallersDisconnected atomic.Int64
-	// LongestWait is the longest time, in microseconds, that such a caller had waited.
+	// LongestWait is the longest time, in microseconds, that a caller waited before it disconnected.
 	LongestWait atomic.Int64
-	// ClosedIdle counts the connections that were closed because they were idle for too long,
-	// or because the server closed.
+	// ClosedIdle counts the connections without an open request that were closed because their idle
+	// timeout expired or because the server was closing.
 	ClosedIdle atomic.Int64
 }
 
-// Unanswered is a connection that this daemon closed after it had read something of a request
-// and before it wrote anything of the response.
+// Unanswered is a connection that this daemon closed after it had read part of a request and before
+// it wrote any of the response.
 type Unanswered struct {
 	Remote       string
 	RequestBytes int64         // read of the request
 	Age          time.Duration // since its first byte was read
 }
 
-// recordUnanswered counts a connection that ended without an answer, and tells of one that this
-// daemon closed.
+// recordUnanswered counts a connection that ended with an unanswered request, and calls OnUnanswered
+// if this daemon closed it.
 func (r *RawServer) recordUnanswered(conn *callerConn, ended exchange) {
 	age := time.Since(ended.firstByteAt)
 	if ended.callerDisconnected {
@@ -43,7 +43,7 @@
 	}
 }
 
-// storeMax sets a value to another one that is higher.
+// storeMax sets value to candidate if that is higher.
 func storeMax(value *atomic.Int64, candidate int64) {
 	for {
 		present := value.Load()
