--- a/internal/config/authentication.go
+++ b/internal/config/authentication.go
@@ -51,9 +51,9 @@
 	case apiKey == "":
 		return "", errs.New(errs.Unauthorised, "send a tenant's API key with the request", "the request carries no API key")
 	}
-	found := c.TenantByKey(apiKey)
-	if found == nil {
+	owner := c.TenantByKey(apiKey)
+	if owner == nil {
 		return "", errs.New(errs.Unauthorised, "check the key, or ask the operators to add it to the configuration", "no tenant has this API key")
 	}
-	return found.Name, nil
+	return owner.Name, nil
 }
--- a/internal/config/lookup.go
+++ b/internal/config/lookup.go
@@ -75,11 +75,11 @@
 
 // ClassOfTenant returns the class of the named tenant; nil if the configuration has none.
 func (c *Configuration) ClassOfTenant(tenant string) *PriorityClass {
-	found := c.index.tenantsByName[tenant]
-	if found == nil {
+	match := c.index.tenantsByName[tenant]
+	if match == nil {
 		return nil
 	}
-	return c.index.classesByName[found.Class]
+	return c.index.classesByName[match.Class]
 }
 
 // PriorityOf returns the priority of a tenant's requests to a forwarded route: that of the tenant's
