--- a/internal/daemon/machines/core_performer_test.go
+++ b/internal/daemon/machines/core_performer_test.go
@@ -12,15 +12,15 @@
 	"tuliprudder/internal/machine"
 )
 
-const actingPrimary = "10.0.0.2:1"
+const testPrimaryAddress = "10.0.0.2:1"
 
-// actingCore is a core that knows the primary from gossip alone.
-func actingCore(t *testing.T) *Core {
+// newPerformingCore makes a core with a performer, which knows the primary from gossip alone.
+func newPerformingCore(t *testing.T) *Core {
 	t.Helper()
 	ref := election.CoreRef{ID: "core-1", Peer: "10.0.0.1:1", Zone: "zone-a"}
-	core := NewCore(controlplane.New(ref, 1, []string{actingPrimary}, controlplane.Defaults(), nil))
+	core := NewCore(controlplane.New(ref, 1, []string{testPrimaryAddress}, controlplane.Defaults(), nil))
 	core.EnablePerformer(exclusive.Holder{Name: "machine-1", Instance: "core-1/1"}, exclusive.PerformerDefaults())
-	value, err := json.Marshal(state.CoreUpdate{Epoch: 3, Primary: "core-2", Peer: actingPrimary})
+	value, err := json.Marshal(state.CoreUpdate{Epoch: 3, Primary: "core-2", Peer: testPrimaryAddress})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 	return core
 }
 
-// permitRequest is the request for permits among effects.
+// permitRequest returns the request for permits among effects.
 func permitRequest(effects []machine.Effect) (request machine.Request, isSent bool) {
 	for _, effect := range effects {
 		if sent, ok := effect.(machine.Request); ok {
@@ -39,10 +39,10 @@
 }
 
 func TestACorePerformsWhatThePrimaryPermits(t *testing.T) {
-	core := actingCore(t)
+	core := newPerformingCore(t)
 	now := 100 * clock.Second
 	request, isSent := permitRequest(core.Tick(now))
-	if !isSent || request.To != actingPrimary {
+	if !isSent || request.To != testPrimaryAddress {
 		t.Fatalf("the request is %+v", request)
 	}
 	id := exclusive.PermitID{Epoch: 3, Serial: 1}
@@ -50,17 +50,17 @@
 	response := exclusive.Response{Permits: []exclusive.Permit{permit}, Validity: 2 * clock.Second}
 	effects := core.ReplyReceived(request.Token, response, nil, now)
 	if len(effects) != 1 || effects[0].(machine.Execute).Task.(exclusive.Task).Deadline != now+response.Validity {
-		t.Fatalf("executed is %+v", effects)
+		t.Fatalf("the effects are %+v", effects)
 	}
 	core.Call(7, exclusive.Performed{ID: id, Result: exclusive.Done}, now)
 	request, isSent = permitRequest(core.Tick(now))
 	if outcomes := request.Body.(exclusive.Request).Outcomes; !isSent || len(outcomes) != 1 || outcomes[0].Result != exclusive.Done {
-		t.Fatalf("reported is %+v", request)
+		t.Fatalf("the report is %+v", request)
 	}
 }
 
-func TestACoreThatDrainsLeavesItsActs(t *testing.T) {
-	core := actingCore(t)
+func TestADrainingCoreRequestsNoPermits(t *testing.T) {
+	core := newPerformingCore(t)
 	core.Call(7, controlplane.Drain{}, clock.Second)
 	if request, isSent := permitRequest(core.Tick(clock.Second)); !isSent || !request.Body.(exclusive.Request).ReportOnly {
 		t.Fatalf("the request is %+v", request)
@@ -68,7 +68,7 @@
 }
 
 func TestACoreWithoutActsRequestsNothing(t *testing.T) {
-	core := actingCore(t)
+	core := newPerformingCore(t)
 	core.acts = newCorePerformer()
 	if request, isSent := permitRequest(core.Tick(clock.Second)); isSent {
 		t.Fatalf("the request is %+v", request)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -18,8 +18,8 @@
 	return r, &c, &number
 }
 
-// Every fault is named at once, each with its remedy.
-func TestEveryFaultIsNamed(t *testing.T) {
+// All faults are reported together, each with its remedy.
+func TestAllFaultsAreReported(t *testing.T) {
 	r, _, _ := reader()
 	err := r.Parse([]string{"-peer", "localhost:1", "-seeds", "127.0.0.1:1,nonsense", "-number", "11", "stray"})
 	if !errs.Is(err, errs.BadSettings) {
@@ -28,12 +28,12 @@
 	all := strings.Join(errs.Of(err).Faults, "\n")
 	for _, word := range []string{"-zone is missing", "-peer \"localhost:1\"", "-http", "-seeds \"nonsense\"", "names 2 addresses", "-data is missing", "-number 11", "stray"} {
 		if !strings.Contains(all, word) {
-			t.Errorf("no fault says %q in:\n%s", word, all)
+			t.Errorf("no fault contains %q in:\n%s", word, all)
 		}
 	}
 }
 
-func TestFlagsGoBeforeTheFile(t *testing.T) {
+func TestFlagsOverrideTheSettingsFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings")
 	text := "# a comment\nzone north\npeer 127.0.0.1:1\nhttp 127.0.0.1:2\nseeds 127.0.0.1:3,127.0.0.1:4,127.0.0.1:5\ndata /tmp/x\nnumber 3\n"
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
