--- a/internal/httpserver/body_test.go
+++ b/internal/httpserver/body_test.go
@@ -9,7 +9,7 @@
 	"tuliprudder/internal/errs"
 )
 
-func TestErrorsAreWrittenTyped(t *testing.T) {
+func TestWriteErrorWritesTypedError(t *testing.T) {
 	w := httptest.NewRecorder()
 	WriteError(w, errs.NewWithRetry(errs.Busy, 1_000_001, "come back", "full"))
 	const want = `{"error":{"kind":"busy","message":"full","remedy":"come back","retry_after_us":1000001}}` + "\n"
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestABodyIsReadWithinItsBound(t *testing.T) {
+func TestReadBodyEnforcesSizeLimit(t *testing.T) {
 	for text, wantKind := range map[string]errs.Kind{"12345": "", "123456": errs.TooLarge} {
 		r := httptest.NewRequest(http.MethodPost, "/", strings.NewReader(text))
 		r.Body = http.MaxBytesReader(httptest.NewRecorder(), r.Body, 5)
@@ -27,7 +27,7 @@
 			t.Errorf("%q: read %q, %v", text, data, err)
 		}
 		if wantKind != "" && !errs.Is(err, wantKind) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got error %v", text, err)
 		}
 	}
 }
@@ -46,7 +46,7 @@
 		}
 		err := Decode([]byte(text), &into)
 		if isValid && (err != nil || into.Name != "a") || !isValid && !errs.Is(err, errs.BadInput) {
-			t.Errorf("%q: %+v, %v", text, into, err)
+			t.Errorf("%q: decoded %+v, %v", text, into, err)
 		}
 	}
 }
