--- a/test/decisiondigest/digest.go
+++ b/test/decisiondigest/digest.go
@@ -50,7 +50,7 @@
 }
 
 // New makes the digest of a run that has had no effect yet.
-func New() *Digest { return &Digest{hash: sha256.New(), encoder: newEncoder(restatedTexts())} }
+func New() *Digest { return &Digest{hash: sha256.New(), encoder: newEncoder(explanatoryFields())} }
 
 // Add adds one effect to the digest: when it was decided, by which node, and its values.
 // Events for the log are skipped.
--- a/test/decisiondigest/digest_test.go
+++ b/test/decisiondigest/digest_test.go
@@ -12,14 +12,14 @@
 	"tuliprudder/internal/machine"
 )
 
-// taken is one effect with when and by which node.
-type taken struct {
+// timedEffect is one effect with when and by which node.
+type timedEffect struct {
 	at     clock.Micros
 	node   int
 	effect machine.Effect
 }
 
-func digestOf(effects ...taken) string {
+func digestOf(effects ...timedEffect) string {
 	d := New()
 	for _, e := range effects {
 		d.Add(e.at, e.node, e.effect)
@@ -27,7 +27,9 @@
 	return d.Sum()
 }
 
-func sent(body any) taken { return taken{at: 5, node: 1, effect: machine.Send{To: "a", Body: body}} }
+func sent(body any) timedEffect {
+	return timedEffect{at: 5, node: 1, effect: machine.Send{To: "a", Body: body}}
+}
 
 // These types say the same under other names.
 type (
@@ -60,19 +62,19 @@
 	}
 )
 
-func aRequest() request {
+func sampleRequest() request {
 	return request{Term: 4, From: member{"a", "z"}, Voters: []string{"a", "b"}, Weights: map[string]int64{"a": 1, "b": 2, "c": 3}, Next: &member{"b", "y"}, Yes: true, state: 2}
 }
 
-func TestNamesDoNotCount(t *testing.T) {
+func TestDigestIgnoresNames(t *testing.T) {
 	renamed := voteRequest{Round: 4, Name: "a", Rack: "z", Candidates: []word{"a", "b"}, Shares: map[word]ballot{"c": 3, "b": 2, "a": 1}, Following: &peer{"b", "y"}, details: details{true, 2}}
-	if digestOf(sent(aRequest())) != digestOf(sent(renamed)) {
+	if digestOf(sent(sampleRequest())) != digestOf(sent(renamed)) {
 		t.Error("the same values under other names have another digest")
 	}
 }
 
-func TestValuesCount(t *testing.T) {
-	want := digestOf(sent(aRequest()))
+func TestDigestDependsOnValues(t *testing.T) {
+	want := digestOf(sent(sampleRequest()))
 	for name, change := range map[string]func(r *request){
 		"a number":                 func(r *request) { r.Term++ },
 		"a text":                   func(r *request) { r.From.Zone = "y" },
@@ -86,26 +88,26 @@
 		"what a pointer points at": func(r *request) { r.Next.ID = "c" },
 		"a pointer to nothing":     func(r *request) { r.Next = nil },
 	} {
-		changed := aRequest()
+		changed := sampleRequest()
 		if change(&changed); digestOf(sent(changed)) == want {
 			t.Errorf("%s was changed and the digest is the same", name)
 		}
 	}
 }
 
-func TestEffectsCount(t *testing.T) {
+func TestDigestDependsOnEffects(t *testing.T) {
 	record := machine.Record{Unit: "core", Kind: "entry", Epoch: 1, Seq: 2, Body: []byte("body")}
-	first, second := sent(aRequest()), taken{6, 2, machine.Persist{Token: 1, Records: []machine.Record{record}}}
+	first, second := sent(sampleRequest()), timedEffect{6, 2, machine.Persist{Token: 1, Records: []machine.Record{record}}}
 	want := digestOf(first, second)
 	other := record
 	other.Body = []byte("Body")
-	for name, effects := range map[string][]taken{
+	for name, effects := range map[string][]timedEffect{
 		"another order":      {second, first},
 		"one missing":        {first},
 		"one more":           {first, second, second},
 		"another time":       {first, {7, 2, second.effect}},
 		"another node":       {first, {6, 1, second.effect}},
-		"another receiver":   {{5, 1, machine.Send{To: "b", Body: aRequest()}}, second},
+		"another receiver":   {{5, 1, machine.Send{To: "b", Body: sampleRequest()}}, second},
 		"another record":     {first, {6, 2, machine.Persist{Token: 1, Records: []machine.Record{other}}}},
 		"a record less":      {first, {6, 2, machine.Persist{Token: 1}}},
 		"another kind of it": {first, {6, 2, machine.Archive{Token: 1, Records: []machine.Record{record}}}},
@@ -114,7 +116,7 @@
 			t.Errorf("%s: the digest is the same", name)
 		}
 	}
-	logged := taken{6, 1, machine.LogEvent{Event: voteLogged{Term: 4}}}
+	logged := timedEffect{6, 1, machine.LogEvent{Event: voteLogged{Term: 4}}}
 	if digestOf(first, logged, second) != want {
 		t.Error("an event for the log changes the digest")
 	}
@@ -129,7 +131,7 @@
 func (voteLogged) EventName() string { return "vote" }
 
 // Each kind of effect counts as another one where the values are the same.
-func TestKindsOfEffectDiffer(t *testing.T) {
+func TestEffectKindsAreDistinct(t *testing.T) {
 	seen := map[effectKind]string{}
 	for _, effect := range []machine.Effect{machine.LogEvent{}, machine.Send{}, machine.Persist{}, machine.Compact{}, machine.Archive{}, machine.DeleteArchive{}, machine.Reply{},
 		machine.Publish{}, machine.UpdateReceived{}, machine.Execute{}, machine.Request{}, machine.Broadcast{}, machine.Freshness{}, machine.Halt{}} {
@@ -139,14 +141,14 @@
 		}
 		seen[kindOf(effect)] = name
 	}
-	if digestOf(taken{effect: machine.Publish{}}) == digestOf(taken{effect: machine.UpdateReceived{}}) {
+	if digestOf(timedEffect{effect: machine.Publish{}}) == digestOf(timedEffect{effect: machine.UpdateReceived{}}) {
 		t.Error("an update that is published has the digest of one that is received")
 	}
 }
 
 // Two messages that hold the same values are told apart by their types, but not by the
 // types' names.
-func TestTypesOfMessagesDiffer(t *testing.T) {
+func TestDigestDistinguishesMessageTypes(t *testing.T) {
 	type (
 		yield  struct{ Epoch uint64 }
 		fenced struct{ Epoch uint64 }
@@ -159,8 +161,8 @@
 	}
 }
 
-func TestWordsThatRestateDoNotCount(t *testing.T) {
-	refused := func(reason string) taken { return sent(election.VoteResponse{Epoch: 3, Reason: reason}) }
+func TestDigestIgnoresExplanatoryText(t *testing.T) {
+	refused := func(reason string) timedEffect { return sent(election.VoteResponse{Epoch: 3, Reason: reason}) }
 	if digestOf(refused("a higher term"), refused("another fleet")) != digestOf(refused("stale term"), refused("wrong cluster")) {
 		t.Error("other words change the digest")
 	}
@@ -178,8 +180,8 @@
 	}
 }
 
-func TestErrorsCountByTheirKind(t *testing.T) {
-	answered := func(err error) string { return digestOf(taken{effect: machine.Reply{Call: 1, Err: err}}) }
+func TestDigestIgnoresErrorMessages(t *testing.T) {
+	answered := func(err error) string { return digestOf(timedEffect{effect: machine.Reply{Call: 1, Err: err}}) }
 	want := answered(errs.NewWithRetry(errs.Busy, 7, "come back", "too many"))
 	if answered(errs.NewWithRetry(errs.Busy, 7, "wait", "full")) != want {
 		t.Error("other words change the digest")
@@ -202,7 +204,7 @@
 }
 
 // Nothing hangs on the order in which Go walks a map, the numbers of types included.
-func TestMapsAreSorted(t *testing.T) {
+func TestMapEncodingIsDeterministic(t *testing.T) {
 	type (
 		first  struct{ N int }
 		second struct{ N int }
@@ -218,7 +220,7 @@
 	}
 }
 
-func TestWhatCannotBeHashedPanics(t *testing.T) {
+func TestUnsupportedValuesPanic(t *testing.T) {
 	type ring struct{ Next *ring }
 	loop := &ring{}
 	loop.Next = loop
--- a/test/decisiondigest/effects.go
+++ b/test/decisiondigest/effects.go
@@ -56,22 +56,22 @@
 	return kind
 }
 
-// restatedTexts are the texts in messages that only restate a decision for a person: they may
+// explanatoryFields are the texts in messages that only restate a decision for a person: they may
 // be worded otherwise.
-func restatedTexts() textFields {
+func explanatoryFields() textFields {
 	out := textFields{}
-	restated(out, func(reply *election.VoteResponse) *string { return &reply.Reason })
-	restated(out, func(heartbeat *election.Heartbeat) *string { return &heartbeat.Role })
-	restated(out, func(rejection *registration.Rejected) *string { return &rejection.Reason })
+	addExplanatoryField(out, func(reply *election.VoteResponse) *string { return &reply.Reason })
+	addExplanatoryField(out, func(heartbeat *election.Heartbeat) *string { return &heartbeat.Role })
+	addExplanatoryField(out, func(rejection *registration.Rejected) *string { return &rejection.Reason })
 	return out
 }
 
 // textFields are the indices of some fields of type string, by the type of the struct.
 type textFields map[reflect.Type][]int
 
-// restated adds the field that `field` points at. A function names it, so that the
+// addExplanatoryField adds the field that `field` points at. A function names it, so that the
 // compiler checks it and a renaming takes it along.
-func restated[T any](out textFields, field func(*T) *string) {
+func addExplanatoryField[T any](out textFields, field func(*T) *string) {
 	var message T
 	structure := reflect.ValueOf(&message).Elem()
 	address := reflect.ValueOf(field(&message)).Pointer()
--- a/test/decisiondigest/encoder.go
+++ b/test/decisiondigest/encoder.go
@@ -11,8 +11,8 @@
 	"tuliprudder/internal/errs"
 )
 
-// nilNumber stands for a nil pointer or interface.
-const nilNumber uint64 = 0x6e6f7468696e6721
+// nilMarker stands for a nil pointer or interface.
+const nilMarker uint64 = 0x6e6f7468696e6721
 
 // maxDepth is how far values may be nested; a value that points back at itself is deeper.
 const maxDepth = 64
@@ -34,14 +34,14 @@
 //   - errors by their kind, by when to retry and by how many faults they list: their
 //     texts may change
 type encoder struct {
-	out      []byte
-	restated textFields
-	types    map[reflect.Type]uint64
-	texts    map[string]uint64
+	out         []byte
+	explanatory textFields
+	types       map[reflect.Type]uint64
+	texts       map[string]uint64
 }
 
-func newEncoder(restated textFields) encoder {
-	return encoder{restated: restated, types: map[reflect.Type]uint64{}, texts: map[string]uint64{}}
+func newEncoder(explanatory textFields) encoder {
+	return encoder{explanatory: explanatory, types: map[reflect.Type]uint64{}, texts: map[string]uint64{}}
 }
 
 func (e *encoder) number(n uint64) { e.out = binary.LittleEndian.AppendUint64(e.out, n) }
@@ -68,7 +68,7 @@
 		panic(fmt.Sprintf("a %s points back at itself", v.Type()))
 	}
 	if isError(v) {
-		e.failure(v)
+		e.errorValue(v)
 		return
 	}
 	switch v.Kind() {
@@ -80,13 +80,13 @@
 		e.fields(v, depth)
 	case reflect.Pointer:
 		if v.IsNil() {
-			e.number(nilNumber)
+			e.number(nilMarker)
 			return
 		}
 		e.value(v.Elem(), depth+1)
 	case reflect.Interface:
 		if v.IsNil() {
-			e.number(nilNumber)
+			e.number(nilMarker)
 			return
 		}
 		e.number(ordinal(e.types, v.Elem().Type()))
@@ -138,9 +138,9 @@
 }
 
 func (e *encoder) fields(v reflect.Value, depth int) {
-	restated := e.restated[v.Type()]
+	explanatory := e.explanatory[v.Type()]
 	for i := range v.NumField() {
-		if slices.Contains(restated, i) {
+		if slices.Contains(explanatory, i) {
 			e.number(ordinal(e.texts, v.Field(i).String()))
 			continue
 		}
@@ -176,10 +176,10 @@
 	return (v.Kind() == reflect.Interface || v.Kind() == reflect.Pointer) && v.Type().Implements(errorType)
 }
 
-// failure appends an error without its text.
-func (e *encoder) failure(v reflect.Value) {
+// errorValue appends an error without its text.
+func (e *encoder) errorValue(v reflect.Value) {
 	if v.IsNil() {
-		e.number(nilNumber)
+		e.number(nilMarker)
 		return
 	}
 	typed := errs.Of(v.Interface().(error))
--- a/test/decisiondigest/flags.go
+++ b/test/decisiondigest/flags.go
@@ -16,7 +16,7 @@
 // Flags are the values of the flags.
 type Flags struct {
 	Write bool // write the records anew
-	print Span
+	print EffectRange
 }
 
 // AddFlags defines the flags.
@@ -39,17 +39,17 @@
 	}
 }
 
-// Span is some effects of one run, by their numbers; it is read from a flag.
-type Span struct {
+// EffectRange is some effects of one run, by their numbers; it is read from a flag.
+type EffectRange struct {
 	name     string
 	from, to int
 }
 
 // String writes the span as a flag has it.
-func (s *Span) String() string { return fmt.Sprintf("%s:%d:%d", s.name, s.from, s.to) }
+func (s *EffectRange) String() string { return fmt.Sprintf("%s:%d:%d", s.name, s.from, s.to) }
 
 // Set reads the span from a flag.
-func (s *Span) Set(text string) error {
+func (s *EffectRange) Set(text string) error {
 	fields := strings.Split(text, ":")
 	if len(fields) != 3 {
 		return fmt.Errorf("%q is no span of effects; give NAME:FROM:TO", text)
@@ -59,6 +59,6 @@
 	if errFrom != nil || errTo != nil {
 		return fmt.Errorf("%q is no span of effects; FROM and TO are whole numbers", text)
 	}
-	*s = Span{fields[0], from, to}
+	*s = EffectRange{fields[0], from, to}
 	return nil
 }
--- a/test/decisiondigest/record_test.go
+++ b/test/decisiondigest/record_test.go
@@ -12,8 +12,8 @@
 	"tuliprudder/internal/clock"
 )
 
-// runOf is the record of a run of many effects, of which one may be another.
-func runOf(effects, other int) Record {
+// recordOf is the record of a run of many effects, of which one may be another.
+func recordOf(effects, other int) Record {
 	d := New()
 	for i := 1; i <= effects; i++ {
 		value := 0
@@ -25,30 +25,30 @@
 	return NewRecord("run", d, Count{"steps", 12})
 }
 
-func TestRecordsReadBack(t *testing.T) {
+func TestRecordsRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "records.txt")
-	short := runOf(3, 0)
+	short := recordOf(3, 0)
 	short.Name = "short"
-	if err := WriteRecords(path, []Record{runOf(2500, 0), short}); err != nil {
+	if err := WriteRecords(path, []Record{recordOf(2500, 0), short}); err != nil {
 		t.Fatal(err)
 	}
 	records, err := ReadRecords(path)
 	if err != nil || len(records) != 2 {
 		t.Fatalf("%d records, %v", len(records), err)
 	}
-	for _, want := range []Record{runOf(2500, 0), short} {
+	for _, want := range []Record{recordOf(2500, 0), short} {
 		if differences := records[want.Name].Differences(want); len(differences) > 0 || !slices.Equal(records[want.Name].Checkpoints, want.Checkpoints) {
 			t.Errorf("%s is read back as another one: %v", want.Name, differences)
 		}
 	}
 }
 
-func TestBrokenRecordsAreRefused(t *testing.T) {
+func TestInvalidRecordsAreRejected(t *testing.T) {
 	if _, err := parseRecord("run steps=many digest=1"); err == nil {
 		t.Error("a count that is no number is taken")
 	}
 	path := filepath.Join(t.TempDir(), "records.txt")
-	if err := WriteRecords(path, []Record{runOf(1, 0), runOf(1, 0)}); err != nil {
+	if err := WriteRecords(path, []Record{recordOf(1, 0), recordOf(1, 0)}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ReadRecords(path); err == nil {
@@ -58,10 +58,10 @@
 
 // A difference names the thousand effects in which the first one lies that is not as
 // recorded.
-func TestDifferencesNameWhereRunsPart(t *testing.T) {
-	want := runOf(3500, 0)
+func TestDifferencesNameFirstDifferingRange(t *testing.T) {
+	want := recordOf(3500, 0)
 	for other, span := range map[int]string{1: "run:1:1000", 1000: "run:1:1000", 1001: "run:1001:2000", 3400: "run:3001:4000"} {
-		got := want.Differences(runOf(3500, other))
+		got := want.Differences(recordOf(3500, other))
 		if len(got) != 1 || !strings.Contains(got[0], span+" ") {
 			t.Errorf("effect %d is another one: %q, without %s", other, got, span)
 		}
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestEffectsArePrinted(t *testing.T) {
+func TestPrintEffectsFlag(t *testing.T) {
 	flags := flag.NewFlagSet("test", flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
 	set := AddFlags(flags)
--- a/test/goldenjson/goldenjson_test.go
+++ b/test/goldenjson/goldenjson_test.go
@@ -25,7 +25,7 @@
 	`{"plain":"","text":"","count":null,"nested":null}` + "\n"
 
 // A golden file that differs in one byte is told apart.
-func TestCheckTellsAKeyApart(t *testing.T) {
+func TestCheckDetectsDifferences(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "sample.json")
 	for text, good := range map[string]bool{sampleGolden: true, strings.Replace(sampleGolden, "count", "total", 1): false, strings.Replace(sampleGolden, `"text":"",`, "", 1): false, sampleGolden + "\n": false} {
 		if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
@@ -49,7 +49,7 @@
 func (*oneWay) UnmarshalJSON([]byte) error { return nil }
 
 // A value that is not read back as it was written is told.
-func TestCheckReadsBack(t *testing.T) {
+func TestCheckDetectsFailedRoundTrip(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "one-way.json")
 	if err := os.WriteFile(file, []byte(`{"text":"text"}`+"\n"+`{"text":""}`+"\n"), 0o644); err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 }
 
 // A field whose key would follow its Go name is told, also where it lies deeper.
-func TestFillTellsAFieldWithoutAKey(t *testing.T) {
+func TestFillRejectsFieldWithoutKey(t *testing.T) {
 	type untagged struct {
 		Text string `json:",omitempty"`
 	}
--- a/test/modelcheck/check.go
+++ b/test/modelcheck/check.go
@@ -26,7 +26,7 @@
 	w.history.bootstrapped = w.history.bootstrapped || len(leaseHolders) > 0
 	if len(leaseHolders) == 1 {
 		w.recordVoters(leaseHolders[0])
-		w.forgetReplacedLosses(leaseHolders[0])
+		w.clearReplacedLosses(leaseHolders[0])
 	}
 }
 
--- a/test/modelcheck/check_elections.go
+++ b/test/modelcheck/check_elections.go
@@ -76,16 +76,16 @@
 	}
 	w.history.fleet = vote.Fleet
 	for _, voter := range vote.Voters {
-		first := slices.ContainsFunc(w.processes[:w.config.Voters], func(p *process) bool { return firstID(p.name) == voter.ID })
+		first := slices.ContainsFunc(w.processes[:w.config.Voters], func(p *process) bool { return initialID(p.name) == voter.ID })
 		if !first && !slices.Contains(w.history.newVoters, voter.ID) {
 			w.history.newVoters = append(w.history.newVoters, voter.ID)
 		}
 	}
 }
 
-// forgetReplacedLosses clears the losses once the fleet no longer counts on any of them:
+// clearReplacedLosses clears the losses once the fleet no longer counts on any of them:
 // neither the leader's last committed group nor its voters name one.
-func (w *World) forgetReplacedLosses(leader *process) {
+func (w *World) clearReplacedLosses(leader *process) {
 	if len(w.history.lost) == 0 {
 		return
 	}
--- a/test/modelcheck/check_test.go
+++ b/test/modelcheck/check_test.go
@@ -5,7 +5,7 @@
 )
 
 // Neither the checks nor CheckRecovery change the state.
-func TestCheckingChangesNothing(t *testing.T) {
+func TestChecksDoNotModifyState(t *testing.T) {
 	c := &Config{Voters: 3, MaxLosses: -1, Limits: DefaultLimits(), FineGrained: true}
 	randomRun(c, 3, 30, func(at *node) {
 		before := at.world.Fingerprint()
--- a/test/modelcheck/digest_test.go
+++ b/test/modelcheck/digest_test.go
@@ -59,7 +59,7 @@
 
 // The decisions of fixed runs are those that were recorded (test/decisiondigest): names,
 // places of code and words of the log change none of them.
-func TestDecisionsAreAsRecorded(t *testing.T) {
+func TestDecisionsMatchRecordedDigests(t *testing.T) {
 	recorded, err := decisiondigest.ReadRecords(digestFile)
 	if err != nil && !digestFlags.Write {
 		t.Fatal(err)
--- a/test/modelcheck/event_test.go
+++ b/test/modelcheck/event_test.go
@@ -5,7 +5,7 @@
 )
 
 // Every event that may come is read back from its line.
-func TestEventsReadBack(t *testing.T) {
+func TestEventsRoundTrip(t *testing.T) {
 	kinds := map[EventKind]bool{}
 	for seed := int64(1); seed <= 4; seed++ {
 		c := &Config{Voters: 3, MaxLosses: -1, Limits: DefaultLimits(), FineGrained: true}
--- a/test/modelcheck/process.go
+++ b/test/modelcheck/process.go
@@ -157,14 +157,14 @@
 
 func processName(i int) string { return fmt.Sprint("c", i+1) }
 
-// firstID is the identity of a process before its disk was ever wiped.
-func firstID(processName string) string { return "core-" + processName }
+// initialID is the identity of a process before its disk was ever wiped.
+func initialID(processName string) string { return "core-" + processName }
 
 // newProcess is a process with an empty disk, not started yet. The generation counts the
 // disks that were wiped before it.
 func (c *Config) newProcess(i, generation int, address string) *process {
 	name := processName(i)
-	id := firstID(name)
+	id := initialID(name)
 	if generation > 0 {
 		id = fmt.Sprintf("%s-%d", id, generation)
 	}
--- a/test/modelcheck/replay.go
+++ b/test/modelcheck/replay.go
@@ -21,13 +21,13 @@
 // Shrink takes events out of a run for as long as the same property stays broken; with
 // checkRecovery, also where it breaks only after all faults ended.
 func Shrink(c *Config, trace Trace, violation *Violation, checkRecovery bool) (Trace, *Violation) {
-	for again := true; again; {
-		again = false
+	for shortened := true; shortened; {
+		shortened = false
 		for i := len(trace) - 1; i >= 0; i-- {
 			shorter := slices.Delete(slices.Clone(trace), i, i+1)
 			w := Replay(c, shorter, checkRecovery)
 			if w.violation != nil && w.violation.Property == violation.Property {
-				trace, violation, again = shorter, w.violation, true
+				trace, violation, shortened = shorter, w.violation, true
 			}
 		}
 	}
--- a/test/modelcheck/replay_test.go
+++ b/test/modelcheck/replay_test.go
@@ -9,7 +9,7 @@
 
 // A run that is replayed from the start comes to the same state, for any run: without
 // that no trace could be trusted.
-func TestReplayComesToTheSameState(t *testing.T) {
+func TestReplayReachesSameState(t *testing.T) {
 	for seed := int64(1); seed <= 12; seed++ {
 		c := &Config{Voters: 3, MaxLosses: -1, Spares: 1, Limits: DefaultLimits(), FineGrained: seed%2 == 0}
 		randomRun(c, seed, 25, func(at *node) {
@@ -21,7 +21,7 @@
 }
 
 // Runs that once broke a property break none any more.
-func TestFormerFailures(t *testing.T) {
+func TestRecordedTracesFindNoViolation(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.trace")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no runs are found: %v", err)
--- a/test/modelcheck/search_test.go
+++ b/test/modelcheck/search_test.go
@@ -6,7 +6,7 @@
 )
 
 // randomRun makes a random run and shows each of its states.
-func randomRun(c *Config, seed int64, depth int, show func(at *node)) {
+func randomRun(c *Config, seed int64, depth int, visit func(at *node)) {
 	s, rng := newSearch(c, Bounds{}), rand.New(rand.NewSource(seed))
 	at := &node{world: c.InitialWorld()}
 	for at.depth < depth && at.world.violation == nil {
@@ -15,12 +15,12 @@
 			return
 		}
 		at = next
-		show(at)
+		visit(at)
 	}
 }
 
 // Nothing is broken in a bounded, seeded part of what cmd/controlcheck explores.
-func TestNothingIsBroken(t *testing.T) {
+func TestBoundedSearchesFindNoViolation(t *testing.T) {
 	searches := []struct {
 		name   string
 		search func(*Config, Bounds) Result
