--- a/test/goldenjson/goldenjson.go
+++ b/test/goldenjson/goldenjson.go
@@ -37,10 +37,10 @@
 	if err := CheckBytes(file, bytes.Join([][]byte{filled, zero}, []byte("\n"))); err != nil {
 		return err
 	}
-	return checkRoundTrip(filled, pointer)
+	return checkDecoding(filled, pointer)
 }
 
-func checkRoundTrip(data []byte, pointer any) error {
+func checkDecoding(data []byte, pointer any) error {
 	again := reflect.New(reflect.TypeOf(pointer).Elem())
 	if err := json.Unmarshal(data, again.Interface()); err != nil {
 		return errors.Wrap(err, "reading the golden file")
