--- a/test/decisiondigest/digest.go
+++ b/test/decisiondigest/digest.go
@@ -1,13 +1,14 @@
-// Package decisiondigest condenses what state machines decided into one number. The simulator
-// (test/simulator) and the model checker (test/modelcheck) keep the digests of fixed seeds in
-// their testdata. Other names, other packages of types and other texts in the log leave a
-// digest as it is; another decision, message, durable write or order of effects changes it.
+// Package decisiondigest hashes the decisions of state machines into one digest. The simulator
+// (test/simulator) and the model checker (test/modelcheck) store the digests of runs with fixed
+// seeds in their testdata. Renaming identifiers, moving types to other packages and rewording log
+// messages do not change a digest; a different decision, message, durable write or order of effects
+// does.
 //
-// What counts of an effect is its kind (effects.go) and its values (encoder.go). Three changes
-// are detected although they may decide nothing: another order of a message's fields, a field
-// more or less, and another spelling inside a stored or sent document. The last has to be
-// detected, as neighbouring releases read these documents. What is not detected is the name of
-// a message's type or field, which daemons use on the wire as well.
+// The digest covers the kind of an effect (effects.go) and its values (encoder.go). Three changes are
+// detected although they may not affect decisions: reordering a message's fields, adding or removing
+// a field, and a different spelling inside a stored or sent document. The last must be detected,
+// because neighbouring releases read these documents. A renamed message type or field is not
+// detected, although daemons use these names on the wire.
 package decisiondigest
 
 import (
@@ -20,10 +21,10 @@
 	"tuliprudder/internal/machine"
 )
 
-// CheckpointEvery is how many effects there are from one checkpoint to the next.
+// CheckpointEvery is the number of effects between checkpoints.
 const CheckpointEvery = 1000
 
-// Sizes in bytes. Checkpoints only narrow down where two runs begin to differ.
+// Sizes in bytes. Checkpoints are short, as they only narrow down where two runs start to differ.
 const (
 	digestSize     = 16
 	checkpointSize = 3
@@ -36,11 +37,11 @@
 	encoder     encoder
 	effects     int
 	checkpoints []string
-	// Trace receives each effect, if it is set.
+	// Trace, if not nil, receives each effect.
 	Trace func(Step)
 }
 
-// Step is one effect as a digest counted it.
+// Step is one effect that was added to a digest.
 type Step struct {
 	Number int // from 1
 	At     clock.Micros
@@ -49,11 +50,11 @@
 	Effect machine.Effect
 }
 
-// New makes the digest of a run that has had no effect yet.
+// New returns the digest of a run without effects.
 func New() *Digest { return &Digest{hash: sha256.New(), encoder: newEncoder(explanatoryFields())} }
 
-// Add adds one effect to the digest: when it was decided, by which node, and its values.
-// Events for the log are skipped.
+// Add adds one effect to the digest: when it was decided, by which node, and its values. Log events
+// are skipped.
 func (d *Digest) Add(at clock.Micros, node int, effect machine.Effect) {
 	kind := kindOf(effect)
 	if kind == logEvent {
@@ -75,13 +76,13 @@
 	}
 }
 
-// Effects is how many effects were added.
+// Effects returns the number of effects added so far.
 func (d *Digest) Effects() int { return d.effects }
 
-// Sum is the digest of all effects so far, in hexadecimal.
+// Sum returns the digest of all effects so far, in hexadecimal.
 func (d *Digest) Sum() string { return d.sum(digestSize) }
 
-// Checkpoints are the first digits of what Sum was after each CheckpointEvery effects.
+// Checkpoints returns the first digits of Sum after every CheckpointEvery effects.
 func (d *Digest) Checkpoints() []string { return d.checkpoints }
 
 func (d *Digest) sum(size int) string { return hex.EncodeToString(d.hash.Sum(nil)[:size]) }
--- a/test/decisiondigest/digest_test.go
+++ b/test/decisiondigest/digest_test.go
@@ -12,7 +12,7 @@
 	"tuliprudder/internal/machine"
 )
 
-// timedEffect is one effect with when and by which node.
+// timedEffect is one effect with its time and node.
 type timedEffect struct {
 	at     clock.Micros
 	node   int
@@ -31,7 +31,7 @@
 	return timedEffect{at: 5, node: 1, effect: machine.Send{To: "a", Body: body}}
 }
 
-// These types say the same under other names.
+// Two sets of types with the same structure and different names.
 type (
 	member  struct{ ID, Zone string }
 	request struct {
@@ -69,7 +69,7 @@
 func TestDigestIgnoresNames(t *testing.T) {
 	renamed := voteRequest{Round: 4, Name: "a", Rack: "z", Candidates: []word{"a", "b"}, Shares: map[word]ballot{"c": 3, "b": 2, "a": 1}, Following: &peer{"b", "y"}, details: details{true, 2}}
 	if digestOf(sent(sampleRequest())) != digestOf(sent(renamed)) {
-		t.Error("the same values under other names have another digest")
+		t.Error("the same values under other names have a different digest")
 	}
 }
 
@@ -90,7 +90,7 @@
 	} {
 		changed := sampleRequest()
 		if change(&changed); digestOf(sent(changed)) == want {
-			t.Errorf("%s was changed and the digest is the same", name)
+			t.Errorf("changing %s does not change the digest", name)
 		}
 	}
 }
@@ -118,11 +118,11 @@
 	}
 	logged := timedEffect{6, 1, machine.LogEvent{Event: voteLogged{Term: 4}}}
 	if digestOf(first, logged, second) != want {
-		t.Error("an event for the log changes the digest")
+		t.Error("a log event changes the digest")
 	}
 }
 
-// voteLogged is an event for the log.
+// voteLogged is a log event.
 type voteLogged struct {
 	machine.Info
 	Term uint64 `json:"term"`
@@ -130,31 +130,30 @@
 
 func (voteLogged) EventName() string { return "vote" }
 
-// Each kind of effect counts as another one where the values are the same.
+// Effects of different kinds have different digests even if their values are equal.
 func TestEffectKindsAreDistinct(t *testing.T) {
 	seen := map[effectKind]string{}
 	for _, effect := range []machine.Effect{machine.LogEvent{}, machine.Send{}, machine.Persist{}, machine.Compact{}, machine.Archive{}, machine.DeleteArchive{}, machine.Reply{},
 		machine.Publish{}, machine.UpdateReceived{}, machine.Execute{}, machine.Request{}, machine.Broadcast{}, machine.Freshness{}, machine.Halt{}} {
 		name := fmt.Sprintf("%T", effect)
 		if known := seen[kindOf(effect)]; known != "" {
-			t.Errorf("%s and %s are of one kind", known, name)
+			t.Errorf("%s and %s have the same kind", known, name)
 		}
 		seen[kindOf(effect)] = name
 	}
 	if digestOf(timedEffect{effect: machine.Publish{}}) == digestOf(timedEffect{effect: machine.UpdateReceived{}}) {
-		t.Error("an update that is published has the digest of one that is received")
+		t.Error("a published update has the same digest as a received one")
 	}
 }
 
-// Two messages that hold the same values are told apart by their types, but not by the
-// types' names.
+// Messages with equal values are distinguished by their types, but not by the types' names.
 func TestDigestDistinguishesMessageTypes(t *testing.T) {
 	type (
 		yield  struct{ Epoch uint64 }
 		fenced struct{ Epoch uint64 }
 	)
 	if digestOf(sent(yield{1}), sent(fenced{1})) == digestOf(sent(yield{1}), sent(yield{1})) {
-		t.Error("messages of two types have the digest of messages of one")
+		t.Error("messages of two types have the same digest as messages of one type")
 	}
 	if digestOf(sent(yield{1}), sent(fenced{1})) != digestOf(sent(fenced{1}), sent(yield{1})) {
 		t.Error("the types' names change the digest")
@@ -164,19 +163,19 @@
 func TestDigestIgnoresExplanatoryText(t *testing.T) {
 	refused := func(reason string) timedEffect { return sent(election.VoteResponse{Epoch: 3, Reason: reason}) }
 	if digestOf(refused("a higher term"), refused("another fleet")) != digestOf(refused("stale term"), refused("wrong cluster")) {
-		t.Error("other words change the digest")
+		t.Error("rewording a reason changes the digest")
 	}
 	if digestOf(refused("a higher term"), refused("another fleet")) == digestOf(refused("a higher term"), refused("a higher term")) {
-		t.Error("another reason has the same digest")
+		t.Error("two different reasons have the same digest as two equal ones")
 	}
 	if digestOf(sent(election.Heartbeat{Role: "backing"})) != digestOf(sent(election.Heartbeat{Role: "replica"})) {
-		t.Error("another word for a role changes the digest")
+		t.Error("rewording a role changes the digest")
 	}
 	if digestOf(sent(registration.Rejected{Reason: "a copy"})) != digestOf(sent(registration.Rejected{Reason: "a clone"})) {
-		t.Error("other words for a refusal change the digest")
+		t.Error("rewording the reason of a rejection changes the digest")
 	}
 	if digestOf(sent(election.VoteResponse{From: "a"})) == digestOf(sent(election.VoteResponse{From: "b"})) {
-		t.Error("another text of the message is left out")
+		t.Error("a field that is not explanatory does not change the digest")
 	}
 }
 
@@ -184,7 +183,7 @@
 	answered := func(err error) string { return digestOf(timedEffect{effect: machine.Reply{Call: 1, Err: err}}) }
 	want := answered(errs.NewWithRetry(errs.Busy, 7, "come back", "too many"))
 	if answered(errs.NewWithRetry(errs.Busy, 7, "wait", "full")) != want {
-		t.Error("other words change the digest")
+		t.Error("rewording an error changes the digest")
 	}
 	for name, err := range map[string]error{
 		"another kind":   errs.NewWithRetry(errs.NotReady, 7, "come back", "too many"),
@@ -199,11 +198,11 @@
 	}
 	inside := func(err *errs.Error) string { return digestOf(sent(struct{ Err *errs.Error }{err})) }
 	if inside(&errs.Error{Kind: errs.Busy, Message: "full"}) != inside(&errs.Error{Kind: errs.Busy, Message: "too many"}) || inside(nil) == inside(&errs.Error{Kind: errs.Busy}) {
-		t.Error("an error inside a message does not count by its kind")
+		t.Error("an error inside a message is not compared by its kind")
 	}
 }
 
-// Nothing hangs on the order in which Go walks a map, the numbers of types included.
+// The encoding, including the ordinals of types, does not depend on the iteration order of maps.
 func TestMapEncodingIsDeterministic(t *testing.T) {
 	type (
 		first  struct{ N int }
@@ -214,7 +213,7 @@
 		body := map[string]any{"a": first{1}, "b": second{1}, "c": first{2}, "d": second{2}, "e": 5}
 		got := digestOf(sent(body), sent(second{3}))
 		if want != "" && got != want {
-			t.Fatal("the same map has two digests")
+			t.Fatal("the same map has different digests")
 		}
 		want = got
 	}
@@ -228,7 +227,7 @@
 		func() {
 			defer func() {
 				if recover() == nil {
-					t.Errorf("%s is taken", name)
+					t.Errorf("%s is accepted, want a panic", name)
 				}
 			}()
 			digestOf(sent(body))
--- a/test/decisiondigest/effects.go
+++ b/test/decisiondigest/effects.go
@@ -9,12 +9,12 @@
 	"tuliprudder/internal/machine"
 )
 
-// effectKind is the kind of an effect as a digest knows it, whatever its Go name is.
+// effectKind identifies a kind of effect in a digest, independently of its Go name.
 type effectKind uint64
 
-// The numbers are part of every recorded digest: a new kind gets a new number.
+// The numbers are part of every recorded digest and must not change; a new kind gets a new number.
 const (
-	logEvent        effectKind = 0 // decides nothing, and its text may change
+	logEvent        effectKind = 0 // not a decision; its text may change
 	sendMessage     effectKind = 1
 	writeRecords    effectKind = 2
 	compactRecords  effectKind = 3
@@ -30,7 +30,7 @@
 	haltDaemon      effectKind = 13
 )
 
-// effectKinds are the kinds by the Go type of the effect.
+// effectKinds maps the Go type of an effect to its kind.
 var effectKinds = map[reflect.Type]effectKind{
 	reflect.TypeFor[machine.LogEvent]():       logEvent,
 	reflect.TypeFor[machine.Send]():           sendMessage,
@@ -51,13 +51,13 @@
 func kindOf(effect machine.Effect) effectKind {
 	kind, known := effectKinds[reflect.TypeOf(effect)]
 	if !known {
-		panic(fmt.Sprintf("no kind is known of the effect %T: give it a number of its own here", effect))
+		panic(fmt.Sprintf("effect type %T has no kind: add one with a new number to effectKinds", effect))
 	}
 	return kind
 }
 
-// explanatoryFields are the texts in messages that only restate a decision for a person: they may
-// be worded otherwise.
+// explanatoryFields returns the text fields of messages that only explain a decision to people and
+// may be reworded.
 func explanatoryFields() textFields {
 	out := textFields{}
 	addExplanatoryField(out, func(reply *election.VoteResponse) *string { return &reply.Reason })
@@ -66,11 +66,11 @@
 	return out
 }
 
-// textFields are the indices of some fields of type string, by the type of the struct.
+// textFields maps a struct type to the indices of some of its string fields.
 type textFields map[reflect.Type][]int
 
-// addExplanatoryField adds the field that `field` points at. A function names it, so that the
-// compiler checks it and a renaming takes it along.
+// addExplanatoryField adds the struct field whose address the function returns. The field is given
+// by a function so that the compiler checks it and rename tools follow it.
 func addExplanatoryField[T any](out textFields, field func(*T) *string) {
 	var message T
 	structure := reflect.ValueOf(&message).Elem()
@@ -81,5 +81,5 @@
 			return
 		}
 	}
-	panic(fmt.Sprintf("the function points at no string field of a %T itself", message))
+	panic(fmt.Sprintf("the function does not return the address of a direct string field of %T", message))
 }
--- a/test/decisiondigest/encoder.go
+++ b/test/decisiondigest/encoder.go
@@ -11,28 +11,28 @@
 	"tuliprudder/internal/errs"
 )
 
-// nilMarker stands for a nil pointer or interface.
+// nilMarker is the encoding of a nil pointer, interface or error.
 const nilMarker uint64 = 0x6e6f7468696e6721
 
-// maxDepth is how far values may be nested; a value that points back at itself is deeper.
+// maxDepth limits the nesting of values, so that cyclic values are detected.
 const maxDepth = 64
 
 var errorType = reflect.TypeFor[error]()
 
-// encoder writes values out one after the other, without the names of types and fields:
+// encoder appends the encodings of values to out, without the names of types and fields:
 //
-//   - numbers and booleans as 8 bytes, whatever their size or type is
-//   - texts and bytes with their length before them
-//   - slices and arrays with their length before them; a nil slice is an empty one, as it
-//     is on the wire
-//   - maps likewise, sorted by their encoded keys
-//   - structs as their fields in order with nothing around them: to embed fields, or to
-//     put them into a struct of their own, changes nothing
-//   - pointers as what they point to, or as nilNumber
-//   - values in an interface with a number for their type before them (ordinal)
-//   - texts that only restate a decision as a number for each different text (ordinal)
-//   - errors by their kind, by when to retry and by how many faults they list: their
-//     texts may change
+//   - numbers and booleans as 8 bytes, whatever their size or type
+//   - strings and bytes, preceded by their length
+//   - slices and arrays, preceded by their length; a nil slice is encoded as an empty one, as
+//     it is on the wire
+//   - maps likewise, sorted by encoded key
+//   - structs as their fields in order without delimiters, so that embedding fields or moving
+//     them into a nested struct does not change the encoding
+//   - pointers as the value they point to, or as nilMarker
+//   - values in an interface, preceded by a number for their type (ordinal)
+//   - texts that only explain a decision (explanatoryFields) as a number for each distinct
+//     text (ordinal)
+//   - errors as their kind, retry delay and number of faults, because their texts may change
 type encoder struct {
 	out         []byte
 	explanatory textFields
@@ -51,8 +51,8 @@
 	e.out = append(e.out, text...)
 }
 
-// ordinal distinguishes keys without their names: they are numbered in the order in which they
-// first come up in a run.
+// ordinal returns a number that identifies a key independently of its name: keys are numbered in the
+// order of their first occurrence in a run.
 func ordinal[K comparable](known map[K]uint64, key K) uint64 {
 	number, seen := known[key]
 	if !seen {
@@ -62,10 +62,10 @@
 	return number
 }
 
-// value appends a value with all that it holds.
+// value appends a value and everything it contains.
 func (e *encoder) value(v reflect.Value, depth int) {
 	if depth > maxDepth {
-		panic(fmt.Sprintf("a %s points back at itself", v.Type()))
+		panic(fmt.Sprintf("%s value is cyclic or nested too deeply", v.Type()))
 	}
 	if isError(v) {
 		e.errorValue(v)
@@ -96,7 +96,7 @@
 	}
 }
 
-// scalar appends a value that holds no other.
+// scalar appends a value that contains no others.
 func (e *encoder) scalar(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
@@ -110,7 +110,7 @@
 	case reflect.String:
 		e.text(v.String())
 	default:
-		panic(fmt.Sprintf("a %s can't be part of a digest", v.Type()))
+		panic(fmt.Sprintf("%s value cannot be part of a digest", v.Type()))
 	}
 }
 
@@ -148,14 +148,14 @@
 	}
 }
 
-// mapEntry is an entry of a map with its key encoded.
+// mapEntry is a map entry with its encoded key.
 type mapEntry struct {
 	key   []byte
 	value reflect.Value
 }
 
-// entries sorts by the keys before it encodes any value: the ordinals given on the way must not
-// depend on the order in which Go iterates over a map.
+// entries sorts a map by its keys before it encodes any value, because the ordinals assigned to
+// values must not depend on the iteration order of the map.
 func (e *encoder) entries(v reflect.Value, depth int) {
 	entries := make([]mapEntry, 0, v.Len())
 	for each := v.MapRange(); each.Next(); {
@@ -171,12 +171,13 @@
 	}
 }
 
-// isError says whether a value is an error, or an interface that holds one.
+// isError reports whether the static type of a value is an interface or pointer that implements
+// error.
 func isError(v reflect.Value) bool {
 	return (v.Kind() == reflect.Interface || v.Kind() == reflect.Pointer) && v.Type().Implements(errorType)
 }
 
-// errorValue appends an error without its text.
+// errorValue appends an error without its message.
 func (e *encoder) errorValue(v reflect.Value) {
 	if v.IsNil() {
 		e.number(nilMarker)
--- a/test/decisiondigest/flags.go
+++ b/test/decisiondigest/flags.go
@@ -7,27 +7,27 @@
 	"strings"
 )
 
-// The flags of the tests that compare digests.
+// Names of the flags of tests that compare digests.
 const (
 	WriteFlag = "write-digests"
 	PrintFlag = "print-effects"
 )
 
-// Flags are the values of the flags.
+// Flags holds the values of the flags.
 type Flags struct {
-	Write bool // write the records anew
+	Write bool // rewrite the records
 	print EffectRange
 }
 
-// AddFlags defines the flags.
+// AddFlags defines the flags on a flag set.
 func AddFlags(flags *flag.FlagSet) *Flags {
 	set := &Flags{}
-	flags.BoolVar(&set.Write, WriteFlag, false, "write the recorded digests anew: only in a commit of its own that changes behaviour on purpose and says how; never for a renaming or a restructuring")
-	flags.Var(&set.print, PrintFlag, "print some effects of one run, as in `NAME:FROM:TO`; TO is the last of them")
+	flags.BoolVar(&set.Write, WriteFlag, false, "rewrite the recorded digests: only in a commit of its own that changes behaviour on purpose and says how; never for a rename or refactoring")
+	flags.Var(&set.print, PrintFlag, "print a range of effects of one run, as `NAME:FROM:TO`, with TO included")
 	return set
 }
 
-// Trace has a digest log the effects of the -print-effects flag, if they are of this run.
+// Trace makes a digest log the effects selected by -print-effects, if the flag names this run.
 func (f *Flags) Trace(name string, d *Digest, logf func(format string, args ...any)) {
 	if f.print.name != name {
 		return
@@ -39,25 +39,25 @@
 	}
 }
 
-// EffectRange is some effects of one run, by their numbers; it is read from a flag.
+// EffectRange is a range of effects of one run, by number. It implements flag.Value.
 type EffectRange struct {
 	name     string
 	from, to int
 }
 
-// String writes the span as a flag has it.
+// String returns the range in the syntax of the flag.
 func (s *EffectRange) String() string { return fmt.Sprintf("%s:%d:%d", s.name, s.from, s.to) }
 
-// Set reads the span from a flag.
+// Set parses the value of the flag.
 func (s *EffectRange) Set(text string) error {
 	fields := strings.Split(text, ":")
 	if len(fields) != 3 {
-		return fmt.Errorf("%q is no span of effects; give NAME:FROM:TO", text)
+		return fmt.Errorf("%q is not a range of effects; use NAME:FROM:TO", text)
 	}
 	from, errFrom := strconv.Atoi(fields[1])
 	to, errTo := strconv.Atoi(fields[2])
 	if errFrom != nil || errTo != nil {
-		return fmt.Errorf("%q is no span of effects; FROM and TO are whole numbers", text)
+		return fmt.Errorf("%q is not a range of effects; FROM and TO must be integers", text)
 	}
 	*s = EffectRange{fields[0], from, to}
 	return nil
--- a/test/decisiondigest/record.go
+++ b/test/decisiondigest/record.go
@@ -14,27 +14,27 @@
 	Value uint64
 }
 
-// Record is the figures and the digest of one run: one line of a testdata file.
+// Record holds the figures and the digest of one run. It is one line of a testdata file.
 type Record struct {
-	Name        string // of the run, without spaces
+	Name        string // name of the run, without spaces
 	Counts      []Count
 	Digest      string
 	Checkpoints []string
 }
 
-// NewRecord is the record of a run that has ended.
+// NewRecord returns the record of a finished run.
 func NewRecord(name string, d *Digest, counts ...Count) Record {
 	counts = append(counts, Count{"effects", uint64(d.Effects())})
 	return Record{Name: name, Counts: counts, Digest: d.Sum(), Checkpoints: d.Checkpoints()}
 }
 
-// The names of the fields of a line that are no counts.
+// Names of the fields of a line that are not counts.
 const (
 	digestField      = "digest"
 	checkpointsField = "checkpoints"
 )
 
-// String is the record's line.
+// String returns the record as one line.
 func (r Record) String() string {
 	fields := []string{r.Name}
 	for _, count := range r.Counts {
@@ -59,7 +59,7 @@
 		default:
 			number, err := strconv.ParseUint(value, 10, 64)
 			if err != nil {
-				return Record{}, fmt.Errorf("reading %q of record %s: %w", field, record.Name, err)
+				return Record{}, fmt.Errorf("parsing %q of record %s: %w", field, record.Name, err)
 			}
 			record.Counts = append(record.Counts, Count{name, number})
 		}
@@ -67,12 +67,12 @@
 	return record, nil
 }
 
-// Differences describes where a run differs from its record: one text for the counts, and one
-// for the first effects that differ. It is empty where nothing does.
+// Differences describes how a run differs from its record: one text for the counts, and one that
+// narrows down the first different effect. It is empty if they are equal.
 func (r Record) Differences(got Record) []string {
 	var out []string
 	if !slices.Equal(r.Counts, got.Counts) {
-		out = append(out, fmt.Sprintf("recorded are the counts %v; they are %v", r.Counts, got.Counts))
+		out = append(out, fmt.Sprintf("counts differ: recorded %v, got %v", r.Counts, got.Counts))
 	}
 	if r.Digest == got.Digest {
 		return out
@@ -82,19 +82,19 @@
 		equal++
 	}
 	from, to := equal*CheckpointEvery+1, (equal+1)*CheckpointEvery
-	return append(out, fmt.Sprintf("recorded is the digest %s; it is %s. The first effect that is not as recorded is one of number %d to %d: "+
+	return append(out, fmt.Sprintf("digest differs: recorded %s, got %s. The first different effect has a number from %d to %d: "+
 		"run this test with -%s=%s:%d:%d here and on the last commit that passes, and compare the hashes",
 		r.Digest, got.Digest, from, to, PrintFlag, got.Name, from, to))
 }
 
-// fileHead is the comment at the beginning of a file of records.
+// fileHead is the comment at the start of a file of records.
 const fileHead = `# What the decisions of fixed runs came to (test/decisiondigest), one run a line. Machine-written:
 # a commit that changes behaviour on purpose, and does nothing else, writes the file anew with
 # -write-digests and says in its message which decision changed. No renaming, move, split or merge of
 # code may do that: there a difference is a fault.
 `
 
-// ReadRecords reads a file of records.
+// ReadRecords reads a file of records and returns them by name.
 func ReadRecords(path string) (map[string]Record, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -110,14 +110,14 @@
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 		if _, twice := records[record.Name]; twice {
-			return nil, fmt.Errorf("%s has two records of %s", path, record.Name)
+			return nil, fmt.Errorf("%s: duplicate record of %s", path, record.Name)
 		}
 		records[record.Name] = record
 	}
 	return records, nil
 }
 
-// WriteRecords writes a file of records anew.
+// WriteRecords replaces a file of records.
 func WriteRecords(path string, records []Record) error {
 	var text strings.Builder
 	text.WriteString(fileHead)
--- a/test/goldenjson/goldenjson.go
+++ b/test/goldenjson/goldenjson.go
@@ -1,6 +1,6 @@
-// Package goldenjson compares the JSON of structs that are stored, gossiped or served over
-// HTTP with files that an earlier build wrote. It serves tests: a key that changes with the
-// name of a Go field is found before it reaches a disk or another process.
+// Package goldenjson compares the JSON of structs that are stored, gossiped or served over HTTP with
+// golden files written by an earlier build. Tests use it to detect a JSON key that changes with the
+// name of a Go field before it reaches a disk or another process.
 package goldenjson
 
 import (
@@ -15,24 +15,24 @@
 	"github.com/pkg/errors"
 )
 
-// writeVariable is the environment variable with which Check writes files that don't exist; one
-// that does is never written anew.
+// writeVariable is the environment variable that makes Check write golden files that do not exist.
+// Existing files are never overwritten.
 const writeVariable = "WRITE_GOLDEN"
 
-// Check fills the value that a pointer points to (Fill) and compares its JSON, and in a
-// second line that of the type's zero value, with a golden file, byte by byte. The first
-// line read back has to give the same value.
+// Check fills the value that a pointer points to (Fill) and compares its JSON, followed by the JSON
+// of the type's zero value on a second line, with a golden file byte by byte. The JSON of the filled
+// value must also decode to the same value.
 func Check(file string, pointer any) error {
 	if err := Fill(pointer); err != nil {
 		return err
 	}
 	filled, err := json.Marshal(pointer)
 	if err != nil {
-		return errors.Wrap(err, "writing the filled value")
+		return errors.Wrap(err, "encoding the filled value")
 	}
 	zero, err := json.Marshal(reflect.New(reflect.TypeOf(pointer).Elem()).Interface())
 	if err != nil {
-		return errors.Wrap(err, "writing the zero value")
+		return errors.Wrap(err, "encoding the zero value")
 	}
 	if err := CheckBytes(file, bytes.Join([][]byte{filled, zero}, []byte("\n"))); err != nil {
 		return err
@@ -43,49 +43,49 @@
 func checkDecoding(data []byte, pointer any) error {
 	again := reflect.New(reflect.TypeOf(pointer).Elem())
 	if err := json.Unmarshal(data, again.Interface()); err != nil {
-		return errors.Wrap(err, "reading the golden file")
+		return errors.Wrap(err, "decoding the golden file")
 	}
 	if !reflect.DeepEqual(again.Interface(), pointer) {
-		return errors.Errorf("the golden file reads back as %+v, not %+v", again.Elem(), reflect.ValueOf(pointer).Elem())
+		return errors.Errorf("the golden file decodes to %+v, want %+v", again.Elem(), reflect.ValueOf(pointer).Elem())
 	}
 	return nil
 }
 
-// CheckBytes compares bytes with a golden file; the file ends with a line break besides.
+// CheckBytes compares data, followed by a newline, with a golden file.
 func CheckBytes(file string, data []byte) error {
 	want, err := os.ReadFile(file)
 	if os.IsNotExist(err) && os.Getenv(writeVariable) != "" {
 		return writeMissing(file, data)
 	}
 	if err != nil {
-		return errors.Wrapf(err, "no golden file; what this build writes is %s", data)
+		return errors.Wrapf(err, "cannot read the golden file; this build encodes %s", data)
 	}
 	if !bytes.Equal(append(bytes.Clone(data), '\n'), want) {
-		return errors.Errorf("%s: written is\n%s\nexpected is\n%s", filepath.Base(file), data, want)
+		return errors.Errorf("%s: got\n%s\nwant\n%s", filepath.Base(file), data, want)
 	}
 	return nil
 }
 
 func writeMissing(file string, data []byte) error {
 	if err := os.MkdirAll(filepath.Dir(file), 0o755); err != nil {
-		return errors.Wrap(err, "making the folder of golden files")
+		return errors.Wrap(err, "creating the directory of golden files")
 	}
 	return errors.Wrap(os.WriteFile(file, append(bytes.Clone(data), '\n'), 0o644), "writing a golden file")
 }
 
-// Fill sets every exported field below a pointer to a value that is not zero: strings to the
-// field's JSON key, numbers to rising ones. Fields that are not encoded ("-") stay as they are.
-// A field without a key in its tag is an error: its key would change with its Go name.
+// Fill sets every exported field reachable from a pointer to a non-zero value: strings to the
+// field's JSON key, numbers to increasing ones. Fields that are not encoded ("-") are left unchanged.
+// A field without a key in its tag is an error, because its key would change with its Go name.
 func Fill(pointer any) error {
 	value := reflect.ValueOf(pointer)
 	if value.Kind() != reflect.Pointer || value.IsNil() {
-		return errors.Errorf("%T is no pointer to a value", pointer)
+		return errors.Errorf("%T is nil or not a pointer", pointer)
 	}
 	f := filler{}
 	return f.fill(value.Elem(), "value")
 }
 
-// filler counts the numbers that it has used.
+// filler fills values; last is the number that it used last.
 type filler struct{ last int64 }
 
 func (f *filler) next() int64 {
@@ -95,7 +95,7 @@
 
 var rawMessage = reflect.TypeFor[json.RawMessage]()
 
-// fill sets a value and all that it holds. The key is that of the field that it belongs to.
+// fill sets a value and everything it contains. The key is the JSON key of the enclosing field.
 func (f *filler) fill(value reflect.Value, key string) error {
 	if value.Type() == rawMessage {
 		value.SetBytes(fmt.Appendf(nil, `{%q:%d}`, key, f.next()))
@@ -115,7 +115,7 @@
 	return f.fillScalar(value, key)
 }
 
-// fillScalar sets a value that holds no other.
+// fillScalar sets a value that contains no others.
 func (f *filler) fillScalar(value reflect.Value, key string) error {
 	switch value.Kind() {
 	case reflect.String:
@@ -131,7 +131,7 @@
 	case reflect.Interface:
 		value.Set(reflect.ValueOf(key))
 	default:
-		return errors.Errorf("a field of kind %s can't be filled; add it here", value.Kind())
+		return errors.Errorf("cannot fill a field of kind %s; add it to fillScalar", value.Kind())
 	}
 	return nil
 }
--- a/test/modelcheck/apply.go
+++ b/test/modelcheck/apply.go
@@ -6,7 +6,7 @@
 	"tuliprudder/internal/controlplane"
 )
 
-// Apply is the state after an event; false where the event can't happen.
+// Apply returns the state after an event, or w and false if the event is not possible in w.
 func (w *World) Apply(e Event) (*World, bool) {
 	next := w.clone()
 	if !next.apply(e) {
@@ -91,7 +91,7 @@
 	return len(w.blockedLinks) > before
 }
 
-// blocks says whether an event blocks the link from a sender to a receiver.
+// blocks reports whether an event blocks the link from a sender to a receiver.
 func (e Event) blocks(sender, receiver string) bool {
 	fromSet, toSet := slices.Contains(e.Processes, sender), slices.Contains(e.Processes, receiver)
 	switch e.Kind {
@@ -105,7 +105,7 @@
 	return false
 }
 
-// applyToProcess applies an event to one process; false where it can't happen.
+// applyToProcess applies an event to one process; it returns false if the event is not possible.
 func (w *World) applyToProcess(e Event, processIndex int) bool {
 	p := w.processes[processIndex]
 	switch e.Kind {
@@ -122,7 +122,7 @@
 	return p.up && w.applyToRunning(e, processIndex)
 }
 
-// applyToRunning applies an event that only a process that is up can have.
+// applyToRunning applies an event that requires the process to be up.
 func (w *World) applyToRunning(e Event, processIndex int) bool {
 	p := w.processes[processIndex]
 	switch e.Kind {
@@ -148,8 +148,8 @@
 	return true
 }
 
-// setPaused stops a process without ending it, or lets it go on; false where it did so
-// already.
+// setPaused suspends a process without terminating it, or resumes it; it returns false if the
+// process is in that state already.
 func (w *World) setPaused(processIndex int, paused bool) bool {
 	before := w.processes[processIndex].paused
 	next := *w.processes[processIndex]
@@ -172,8 +172,8 @@
 	w.processes[processIndex] = &next
 }
 
-// wipe ends a process for good and starts an empty one in its stead, at the same address or
-// at a new one.
+// wipe terminates a process permanently and starts one with an empty disk in its place, at the
+// same address or at a new one.
 func (w *World) wipe(processIndex int, atNewAddress bool) {
 	w.faultsUsed.wipes++
 	p := w.processes[processIndex]
@@ -190,7 +190,7 @@
 	w.processes[processIndex] = next.restarted(w.config)
 }
 
-// newAddress is an address that no process has.
+// newAddress returns an address that no process uses.
 func (w *World) newAddress(processName string) string {
 	address := processName + "-moved"
 	for w.indexByAddress(address) >= 0 {
--- a/test/modelcheck/check.go
+++ b/test/modelcheck/check.go
@@ -8,10 +8,10 @@
 	"tuliprudder/internal/machine"
 )
 
-// readCall is the number of the checks' own reads, above those of all operators' calls.
+// readCall is the call number of the checks' own reads; operators' calls have lower numbers.
 const readCall = 1 << 40
 
-// checkProperties looks at the state for broken properties.
+// checkProperties checks the state for violated properties.
 func (w *World) checkProperties() {
 	if w.violation != nil {
 		return
@@ -30,7 +30,7 @@
 	}
 }
 
-// checkReads reads the latest configuration from every process that would serve it; it
+// checkReads reads the latest configuration from every process that would serve it, and
 // returns these processes.
 func (w *World) checkReads() []*process {
 	var leaseHolders []*process
@@ -51,8 +51,8 @@
 	return leaseHolders
 }
 
-// readLatest requests the latest configuration of a process: its number, and whether the
-// process holds the lease that it answers under. The request changes nothing.
+// readLatest reads the latest configuration from a process. It returns the configuration's number
+// and whether the process holds the lease required to answer. The read does not modify the state.
 func (w *World) readLatest(p *process) (latest uint64, leased bool) {
 	if !p.up || p.paused || !p.isServing || p.endsProbation(w.now) {
 		return 0, false
@@ -71,7 +71,7 @@
 	return 0, false
 }
 
-// leaseHolders are the processes that would serve a read now.
+// leaseHolders returns the processes that would serve a read now.
 func (w *World) leaseHolders() []*process {
 	var leaseHolders []*process
 	for _, p := range w.processes {
@@ -82,8 +82,8 @@
 	return leaseHolders
 }
 
-// checkLeader checks that a leader has all that was confirmed before its epoch, and one
-// with the lease, all that was ever confirmed.
+// checkLeader checks that a leader has every document confirmed before its epoch, and that a
+// leader with the lease has every document ever confirmed.
 func (w *World) checkLeader(p *process, leased bool) {
 	for _, c := range w.history.confirmed {
 		mayLack := c.epoch >= p.epoch && !leased
--- a/test/modelcheck/check_elections.go
+++ b/test/modelcheck/check_elections.go
@@ -8,10 +8,10 @@
 	"tuliprudder/internal/machine"
 )
 
-// voteUnit is the unit of a core's vote on its disk (a stored spelling).
+// voteUnit is the unit of a core's vote record on its disk (part of the stored format).
 const voteUnit = "oath"
 
-// recordVotes records the durable votes among some records.
+// recordVotes adds the votes among the records of a synced write to the history.
 func (w *World) recordVotes(p *process, records []machine.Record) {
 	for _, record := range records {
 		var vote election.Vote
@@ -19,7 +19,7 @@
 			continue
 		}
 		if vote.Committed.Epoch >= vote.Term {
-			continue // the record of a commit that others made: no vote
+			continue // records a commit made by others, not a vote
 		}
 		recorded := grant{vote.Term, p.id(), vote.Pending.Primary.ID}
 		for _, other := range w.history.grants {
@@ -34,12 +34,12 @@
 	}
 }
 
-// checkElection checks that majorities of the voters before and under a leader's term
-// granted it.
+// checkElection checks that a leader's term was granted by majorities of both the previous voters
+// and the voters that the term introduces.
 func (w *World) checkElection(p *process) {
 	vote := p.machine(w.config).Vote()
 	if vote.Term != p.epoch || vote.Committed.Epoch >= p.epoch {
-		return // it leads no more, or its term is committed
+		return // no longer the leader, or its term is committed
 	}
 	for _, voters := range [][]election.CoreRef{vote.Voters, vote.PendingVoters} {
 		granted := 0
@@ -49,12 +49,12 @@
 			}
 		}
 		if 2*granted <= len(voters) && len(voters) > 0 {
-			w.addViolation(Majority, "%s leads in epoch %d by %d of %d votes", p.name, p.epoch, granted, len(voters))
+			w.addViolation(Majority, "%s leads in epoch %d with %d of %d votes", p.name, p.epoch, granted, len(voters))
 		}
 	}
 }
 
-// checkSender checks that no message speaks for an identity whose disk was wiped.
+// checkSender checks that no message is sent under an identity whose disk was wiped.
 func (w *World) checkSender(m message) {
 	from := ""
 	switch body := m.body.(type) {
@@ -68,7 +68,7 @@
 	}
 }
 
-// recordVoters records the fleet, and the voters that it did not begin with.
+// recordVoters records the fleet's ID and the voters added after the bootstrap.
 func (w *World) recordVoters(leader *process) {
 	vote := leader.machine(w.config).Vote()
 	if w.history.fleet != "" && vote.Fleet != w.history.fleet {
@@ -83,8 +83,8 @@
 	}
 }
 
-// clearReplacedLosses clears the losses once the fleet no longer counts on any of them:
-// neither the leader's last committed group nor its voters name one.
+// clearReplacedLosses clears the list of lost identities once the fleet depends on none of them:
+// neither the leader's last committed group nor its voters include one.
 func (w *World) clearReplacedLosses(leader *process) {
 	if len(w.history.lost) == 0 {
 		return
@@ -97,8 +97,8 @@
 	w.history.lost = nil
 }
 
-// countedIdentities are the identities that a leader's last committed group and its voters
-// name.
+// countedIdentities returns the identities in a leader's last committed group and among its
+// voters.
 func (w *World) countedIdentities(leader *process) []string {
 	vote := leader.machine(w.config).Vote()
 	ids := vote.Committed.IDs()
--- a/test/modelcheck/check_replies.go
+++ b/test/modelcheck/check_replies.go
@@ -13,7 +13,7 @@
 // checkReply checks the reply to an operator's call.
 func (w *World) checkReply(processIndex int, call uint64, body any, err error) {
 	if call == 0 || call > uint64(len(w.history.calledRequests)) {
-		return // not an operator's: a read of the checks
+		return // a read by the checks, not an operator's call
 	}
 	index := w.history.calledRequests[call-1]
 	request := operatorRequests[index]
@@ -24,13 +24,13 @@
 		return
 	}
 	if response, ok := body.(controlplane.PutConfigurationResponse); ok && response.Version != request.Number {
-		w.addViolation(OneDocumentPerNumber, "request %s of number %d was confirmed as %d", request.Name, request.Number, response.Version)
+		w.addViolation(OneDocumentPerNumber, "request %s with number %d was confirmed as %d", request.Name, request.Number, response.Version)
 	}
 	w.recordConfirmed(processIndex, request.Number, request.Body)
 }
 
-// isRejection says whether an error means that a request was not and won't be taken, so
-// that sending it again is of no use.
+// isRejection reports whether an error means that a request was not applied and never will be, so
+// that retrying it is useless.
 func isRejection(err error) bool {
 	for _, unclear := range []errs.Kind{errs.OutcomeUnknown, errs.NotReady, errs.Busy, errs.DeadlineExceeded} {
 		if errs.Is(err, unclear) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// recordConfirmed records that a document is in force, and compares it with all that were
+// recordConfirmed records that a document is in force and checks it against all documents
 // confirmed before.
 func (w *World) recordConfirmed(processIndex int, number uint64, body string) {
 	recorded := confirmation{
@@ -65,10 +65,10 @@
 		case other.number == number && other.body == body:
 			return
 		case other.number == number:
-			w.addViolation(OneDocumentPerNumber, "number %d has %s and %s", number, other.body, body)
+			w.addViolation(OneDocumentPerNumber, "number %d was confirmed with %s and with %s", number, other.body, body)
 		case recorded.conflictsOnBase(other):
 			one, two := operatorRequests[other.request], operatorRequests[recorded.request]
-			w.addViolation(OneSuccessorPerBase, "requests %s and %s build on %d", one.Name, two.Name, two.Base)
+			w.addViolation(OneSuccessorPerBase, "requests %s and %s were both confirmed on base %d", one.Name, two.Name, two.Base)
 		}
 	}
 	w.history.confirmed = append(w.history.confirmed, recorded)
--- a/test/modelcheck/check_test.go
+++ b/test/modelcheck/check_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Neither the checks nor CheckRecovery change the state.
+// Neither checkProperties nor CheckRecovery modifies the state.
 func TestChecksDoNotModifyState(t *testing.T) {
 	c := &Config{Voters: 3, MaxLosses: -1, Limits: DefaultLimits(), FineGrained: true}
 	randomRun(c, 3, 30, func(at *node) {
--- a/test/modelcheck/choices.go
+++ b/test/modelcheck/choices.go
@@ -8,14 +8,14 @@
 	"tuliprudder/internal/replication"
 )
 
-// Spans of the events that let time go by: a tick, past a lease, past the
+// Durations of the events that let time pass: one tick, longer than a lease, longer than the
 // time after which an unreachable core is replaced, and a long partition.
 var (
 	passSpans    = []clock.Micros{tickInterval, 1500 * clock.Millisecond, 6 * clock.Second, 20 * clock.Second}
 	advanceSpans = []clock.Micros{tickInterval, replication.LeaseWait + tickInterval}
 )
 
-// EnabledEvents are the events that may come next.
+// EnabledEvents returns the events that may happen next.
 func (w *World) EnabledEvents() []Event {
 	c := eventCollector{w: w}
 	c.addTime()
@@ -29,7 +29,7 @@
 	return slices.DeleteFunc(c.events, func(e Event) bool { return !w.config.includes(e) })
 }
 
-// includes says whether an event is among those to be explored.
+// includes reports whether an event is among those to be explored.
 func (c *Config) includes(e Event) bool {
 	spelling := e.String() + " "
 	return slices.ContainsFunc(c.OnlyEvents, func(fields string) bool { return strings.HasPrefix(spelling, fields+" ") })
@@ -61,8 +61,8 @@
 	}
 }
 
-// messageClass is what tells messages in flight apart in a trace, besides their index
-// among those of one class.
+// messageClass identifies a message in flight in a trace, together with its index among the
+// messages of the same class.
 type messageClass struct {
 	from, to int
 	kind     string
@@ -91,7 +91,7 @@
 	}
 }
 
-// messageEvents are the kinds of event that a message may have next.
+// messageEvents returns the kinds of event that may happen next to a message.
 func (c *eventCollector) messageEvents(m message) []EventKind {
 	switch {
 	case c.w.faultsUsed.messageFaults >= c.w.config.Limits.MessageFaults:
@@ -119,7 +119,7 @@
 	c.addCrashOfAll()
 }
 
-// addWipes has the disk of a process lost, where the voters tolerate one more loss.
+// addWipes adds the loss of a process's disk, if the voters tolerate one more loss.
 func (c *eventCollector) addWipes(p *process) {
 	w := c.w
 	tolerated := len(w.history.lost) < w.config.Tolerance() && w.history.bootstrapped
@@ -134,7 +134,7 @@
 	return c.w.faultsUsed.crashes < c.w.config.Limits.Crashes
 }
 
-// addCrashes has a process end with each prefix of its unsynced writes on the disk.
+// addCrashes adds a crash of a process for each prefix of its unsynced writes that may be on disk.
 func (c *eventCollector) addCrashes(p *process) {
 	if !c.mayCrash() {
 		return
@@ -144,7 +144,8 @@
 	}
 }
 
-// addCrashOfAll has all processes end, each with up to so many unsynced writes on its disk.
+// addCrashOfAll adds crashes of all processes, one for each maximum number of unsynced writes that
+// a process keeps on its disk.
 func (c *eventCollector) addCrashOfAll() {
 	if !c.mayCrash() {
 		return
@@ -183,8 +184,8 @@
 	}
 }
 
-// addLinks adds partitions: any set of fewer than half of the processes from the others,
-// or one process in one direction.
+// addLinks adds partitions: one process, or two among more than three, separated from the others,
+// or one process blocked in one direction.
 func (c *eventCollector) addLinks() {
 	w := c.w
 	if len(w.blockedLinks) > 0 {
@@ -214,7 +215,7 @@
 	kindSnapshotChunk, kindAppend, kindAppendAck, kindLeaseRequest, kindLeaseGrant,
 }
 
-// addMessageTypeBlocks has one kind of message lost on one link.
+// addMessageTypeBlocks adds the loss of one kind of message on one link.
 func (c *eventCollector) addMessageTypeBlocks() {
 	for _, from := range c.w.processes {
 		for _, to := range c.w.processes {
--- a/test/modelcheck/digest_test.go
+++ b/test/modelcheck/digest_test.go
@@ -12,7 +12,7 @@
 
 var digestFlags = decisiondigest.AddFlags(flag.CommandLine)
 
-// digestFile has the records of the searches below.
+// digestFile holds the records of digestSearches.
 const digestFile = "testdata/decisions.txt"
 
 // digestSearch is a search whose runs' decisions are recorded.
@@ -36,8 +36,8 @@
 	{"5-voters/zones-walk", RandomWalk, Config{Voters: 5, Zones: 3}, Bounds{Depth: 30, States: 300, Seed: 2}},
 }
 
-// run searches and tells what it came to: the effects of all runs one after the other,
-// and how many states they differ in.
+// run makes the search and returns its record: the digest of the effects of all runs in sequence,
+// and the figures of the search.
 func (s digestSearch) run(t *testing.T) decisiondigest.Record {
 	digest := decisiondigest.New()
 	digestFlags.Trace(s.name, digest, t.Logf)
@@ -57,8 +57,8 @@
 		count("wiped", result.Coverage.Wiped), count("voters", result.Coverage.Voters))
 }
 
-// The decisions of fixed runs are those that were recorded (test/decisiondigest): names,
-// places of code and words of the log change none of them.
+// The decisions of fixed runs match the recorded ones (test/decisiondigest). Renaming or moving
+// code and rewording log messages must not change them.
 func TestDecisionsMatchRecordedDigests(t *testing.T) {
 	recorded, err := decisiondigest.ReadRecords(digestFile)
 	if err != nil && !digestFlags.Write {
@@ -81,12 +81,12 @@
 	})
 	if !digestFlags.Write {
 		if len(recorded) != len(digestSearches) {
-			t.Errorf("%d searches are recorded, and %d are made", len(recorded), len(digestSearches))
+			t.Errorf("%d searches are recorded, want %d", len(recorded), len(digestSearches))
 		}
 		return
 	}
 	if t.Failed() || slices.ContainsFunc(searched, func(r decisiondigest.Record) bool { return r.Digest == "" }) {
-		t.Fatal("not all searches were made: nothing is written")
+		t.Fatal("a search failed or was not run: no records written")
 	}
 	if err := decisiondigest.WriteRecords(digestFile, searched); err != nil {
 		t.Fatal(err)
--- a/test/modelcheck/disk.go
+++ b/test/modelcheck/disk.go
@@ -7,14 +7,14 @@
 	"tuliprudder/internal/machine"
 )
 
-// diskWrite is one write to the disk that isn't synced yet.
+// diskWrite is one write to the disk that is not synced yet.
 type diskWrite struct {
 	records      []machine.Record
 	token        uint64
 	isCompaction bool // replaces all records before it
 }
 
-// withWrite is a disk with one more write.
+// withWrite returns the records of a disk after one more write.
 func withWrite(disk []machine.Record, w diskWrite) []machine.Record {
 	if w.isCompaction {
 		return w.records
@@ -32,8 +32,8 @@
 	}
 }
 
-// syncOldestWrite makes the oldest write of a process durable and notifies the machine;
-// false where there is none or the disk takes no writes.
+// syncOldestWrite makes the oldest unsynced write of a process durable and notifies the machine.
+// It returns false if there is none or the disk accepts no writes.
 func (w *World) syncOldestWrite(processIndex int) bool {
 	p := w.processes[processIndex]
 	if len(p.unsynced) == 0 || p.diskBlocked {
@@ -52,8 +52,8 @@
 	return true
 }
 
-// setDiskBlocked has the disk of a process take no writes, or take them again; false where
-// it did so already.
+// setDiskBlocked makes the disk of a process reject writes, or accept them again; it returns false
+// if the disk is in that state already.
 func (w *World) setDiskBlocked(processIndex int, blocked bool) bool {
 	before := w.processes[processIndex].diskBlocked
 	next := *w.processes[processIndex]
--- a/test/modelcheck/event.go
+++ b/test/modelcheck/event.go
@@ -10,35 +10,35 @@
 	"tuliprudder/internal/clock"
 )
 
-// EventKind is what an event does, as traces spell it. Traces are kept in testdata and in
-// incident notes, so these spellings never change.
+// EventKind is what an event does, as spelled in traces. Traces are stored in testdata and in
+// incident notes, so these spellings must not change.
 type EventKind string
 
 // The kinds of event.
 const (
-	PassTime         EventKind = "pass"     // time goes by fairly: ticks, deliveries and syncs
-	DeliverAll       EventKind = "settle"   // all messages and syncs are carried out; no time passes
+	PassTime         EventKind = "pass"     // time passes for all: ticks, deliveries and syncs
+	DeliverAll       EventKind = "settle"   // all messages are delivered and all writes synced; no time passes
 	AdvanceClocks    EventKind = "advance"  // the clocks move; no process acts
 	Tick             EventKind = "tick"     // one process has its tick
 	Deliver          EventKind = "deliver"  // one message arrives
 	Drop             EventKind = "drop"     // one message is lost
 	Repeat           EventKind = "repeat"   // one message arrives and stays in flight
-	Delay            EventKind = "hold"     // one message stays in flight until it is delivered by name
+	Delay            EventKind = "hold"     // one message stays in flight until an event names it
 	Sync             EventKind = "sync"     // the oldest write of a process is synced
-	Crash            EventKind = "crash"    // a process ends; KeepWrites of its unsynced writes are on disk
-	CrashAll         EventKind = "blackout" // all processes end; each keeps up to KeepWrites unsynced writes
-	Start            EventKind = "start"    // a process that ended starts from its disk
-	Wipe             EventKind = "wipe"     // a process ends, its disk is emptied, it starts as a new identity
-	Replace          EventKind = "replace"  // the same, at a new address
-	Partition        EventKind = "cut"      // a set of processes and the others can't reach each other
-	BlockOutgoing    EventKind = "mute"     // nothing that a process sends arrives
-	BlockIncoming    EventKind = "deafen"   // nothing arrives at a process
-	BlockMessageType EventKind = "starve"   // messages of one kind don't arrive over one link
+	Crash            EventKind = "crash"    // a process crashes; KeepWrites of its unsynced writes are on disk
+	CrashAll         EventKind = "blackout" // all processes crash; each keeps up to KeepWrites unsynced writes
+	Start            EventKind = "start"    // a process that is down starts from its disk
+	Wipe             EventKind = "wipe"     // a process stops, its disk is emptied, it starts with a new identity
+	Replace          EventKind = "replace"  // like Wipe, but at a new address
+	Partition        EventKind = "cut"      // a set of processes is separated from the others
+	BlockOutgoing    EventKind = "mute"     // all messages from a process are lost
+	BlockIncoming    EventKind = "deafen"   // all messages to a process are lost
+	BlockMessageType EventKind = "starve"   // messages of one kind are lost on one link
 	Heal             EventKind = "heal"     // all links work
-	Pause            EventKind = "freeze"   // a process stands still; what is sent to it waits
-	Resume           EventKind = "thaw"     // it goes on
-	BlockDisk        EventKind = "clog"     // the disk of a process takes no writes
-	UnblockDisk      EventKind = "unclog"   // it takes them again
+	Pause            EventKind = "freeze"   // a process is suspended; messages to it stay in flight
+	Resume           EventKind = "thaw"     // a paused process continues
+	BlockDisk        EventKind = "clog"     // the disk of a process accepts no writes
+	UnblockDisk      EventKind = "unclog"   // the disk accepts writes again
 	PutConfiguration EventKind = "put"      // an operator sends a request to a process
 	Drain            EventKind = "leave"    // a process is notified that it is about to be removed
 )
@@ -46,15 +46,15 @@
 // Event is one step of a run. Fields that its kind doesn't use are zero.
 type Event struct {
 	Kind       EventKind
-	Processes  []string     // names of the processes it is about; of a message: sender, receiver
+	Processes  []string     // names of the processes concerned; for a message: sender, receiver
 	Message    string       // kind of a message
-	Index      int          // of a message among those of one sender, receiver and kind
+	Index      int          // of a message among those with the same sender, receiver and kind
 	KeepWrites int          // unsynced writes that a crash leaves on the disk
-	Duration   clock.Micros // of time that goes by
+	Duration   clock.Micros // of the time that passes
 	Request    string       // name of an operator's request
 }
 
-// operand is what follows the names of processes on the line of an event.
+// operand describes the fields that follow the names of processes on the line of an event.
 type operand struct {
 	fieldCount int
 	format     func(e Event) []string
@@ -96,10 +96,10 @@
 		}}
 )
 
-// anyProcesses stands for one process or more.
+// anyProcesses stands for one or more processes.
 const anyProcesses = -1
 
-// eventForm is how an event of a kind is written.
+// eventForm is the syntax of one kind of event.
 type eventForm struct {
 	processes int
 	operand   *operand // nil: none
@@ -133,7 +133,7 @@
 	Drain:            {1, nil},
 }
 
-// String writes an event as one line of a trace.
+// String returns the event as one line of a trace.
 func (e Event) String() string {
 	fields := append([]string{string(e.Kind)}, e.Processes...)
 	if operand := eventForms[e.Kind].operand; operand != nil {
@@ -142,21 +142,21 @@
 	return strings.Join(fields, " ")
 }
 
-// ParseEvent reads one line of a trace.
+// ParseEvent parses one line of a trace.
 func ParseEvent(line string) (Event, error) {
 	fields := strings.Fields(line)
 	if len(fields) == 0 {
-		return Event{}, errors.New("an empty line is no event")
+		return Event{}, errors.New("empty line instead of an event")
 	}
 	e := Event{Kind: EventKind(fields[0])}
 	form, known := eventForms[e.Kind]
 	if !known || !form.parse(&e, fields[1:]) {
-		return Event{}, fmt.Errorf("not an event of a trace: %q", line)
+		return Event{}, fmt.Errorf("invalid trace event %q", line)
 	}
 	return e, nil
 }
 
-// parse reads the fields after an event's kind; false where they don't fit it.
+// parse parses the fields after an event's kind; it returns false if they do not match the syntax.
 func (f eventForm) parse(e *Event, fields []string) bool {
 	processCount := len(fields)
 	if f.operand != nil {
@@ -170,10 +170,10 @@
 	return f.operand == nil || f.operand.parse(e, fields[processCount:]) == nil
 }
 
-// Trace is a run, one event a line.
+// Trace is the sequence of events of a run.
 type Trace []Event
 
-// String writes the run.
+// String returns the trace with one event per line.
 func (t Trace) String() string {
 	var out strings.Builder
 	for _, e := range t {
@@ -183,7 +183,7 @@
 	return out.String()
 }
 
-// ParseTrace reads a run; blank lines and those that begin with # are skipped.
+// ParseTrace parses a trace; blank lines and those that begin with # are skipped.
 func ParseTrace(text string) (Trace, error) {
 	var trace Trace
 	for line := range strings.Lines(text) {
--- a/test/modelcheck/event_test.go
+++ b/test/modelcheck/event_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// Every event that may come is read back from its line.
+// Every enabled event is parsed back from its line.
 func TestEventsRoundTrip(t *testing.T) {
 	kinds := map[EventKind]bool{}
 	for seed := int64(1); seed <= 4; seed++ {
@@ -14,17 +14,17 @@
 				kinds[event.Kind] = true
 				read, err := ParseEvent(event.String())
 				if err != nil || read.String() != event.String() {
-					t.Fatalf("%q is read back as %q, %v", event, read, err)
+					t.Fatalf("%q is parsed as %q, error %v", event, read, err)
 				}
 			}
 		})
 	}
 	if len(kinds) < 18 {
-		t.Errorf("only %d kinds of event came up: %v", len(kinds), kinds)
+		t.Errorf("only %d kinds of event occurred, want at least 18: %v", len(kinds), kinds)
 	}
 	for _, invalid := range []string{"", "explode c1", "pass", "pass fast", "crash c1", "crash c1 some", "put c1", "deliver c1 c2 Ack", "settle now", "tick", "starve c1 c2"} {
 		if _, err := ParseEvent(invalid); err == nil {
-			t.Errorf("%q is taken for an event", invalid)
+			t.Errorf("%q is parsed as an event, want an error", invalid)
 		}
 	}
 }
--- a/test/modelcheck/faults.go
+++ b/test/modelcheck/faults.go
@@ -9,11 +9,11 @@
 	"tuliprudder/internal/controlplane/election"
 )
 
-// plantedFault is a bug planted to show that the checks catch it.
+// plantedFault is a deliberate bug that the checks must detect.
 type plantedFault struct {
-	// KeepIdentity: a wiped process comes back under its old identity.
+	// KeepIdentity makes a wiped process start again under its old identity.
 	KeepIdentity bool
-	// EarlySync: a disk says that a write is synced before it is.
+	// EarlySync makes a disk report a write as synced before it is.
 	EarlySync bool
 	// PlantInCore plants a bug in the machine.
 	PlantInCore func(core *controlplane.Core)
@@ -25,7 +25,8 @@
 	}
 }
 
-// inject plants faults of a core, injectElection those of its election.
+// inject returns a function that injects faults into a core; injectElection injects them into
+// its election.
 func inject(faults controlplane.InjectedFaults) func(core *controlplane.Core) {
 	return func(core *controlplane.Core) { core.InjectFaults(faults) }
 }
@@ -34,7 +35,7 @@
 	return inject(controlplane.InjectedFaults{Election: faults})
 }
 
-// plantedFaults are the planted faults by name.
+// plantedFaults maps names to planted faults.
 var plantedFaults = map[string]plantedFault{
 	"wiped-identity-votes": {KeepIdentity: true},
 	"one-copy-confirms":    {PlantInCore: func(core *controlplane.Core) { core.Groups().InjectedFaults.SkipReplicas = true }},
@@ -49,13 +50,14 @@
 
 func (c *Config) fault() plantedFault { return plantedFaults[c.Fault] }
 
-// FaultNames are the names of the planted faults.
+// FaultNames returns the names of the planted faults.
 func FaultNames() []string { return slices.Sorted(maps.Keys(plantedFaults)) }
 
-// CheckFaultName tells whether there is a planted fault of that name; "" is none.
+// CheckFaultName returns an error if there is no planted fault with that name; "", for no fault, is
+// valid.
 func CheckFaultName(name string) error {
 	if _, known := plantedFaults[name]; !known && name != "" {
-		return fmt.Errorf("no fault %q: give one of %v", name, FaultNames())
+		return fmt.Errorf("unknown fault %q; valid names are %v", name, FaultNames())
 	}
 	return nil
 }
--- a/test/modelcheck/faults_test.go
+++ b/test/modelcheck/faults_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// plantedRun is a fault, the runs to look for it in, and what it may break.
+// plantedRun is a fault, the runs to search for it, and the properties that it may violate.
 type plantedRun struct {
 	fault  string
 	config Config
@@ -14,8 +14,8 @@
 	breaks []Property
 }
 
-// voterPartitionedBeforeCommit has a voter partitioned, another core started that gets its
-// vote, and a member that receives no message about that.
+// voterPartitionedBeforeCommit partitions a voter, starts another core that takes over its vote, and
+// blocks all messages about this change to one member.
 var voterPartitionedBeforeCommit = Trace{
 	{Kind: Partition, Processes: []string{"c3"}},
 	{Kind: Start, Processes: []string{"c4"}},
@@ -51,9 +51,8 @@
 	}
 }
 
-// A check that can't fail proves nothing: each planted fault is caught by a shortest
-// run, which shows it again when it is read back and replayed, and shows nothing
-// without the fault.
+// Guards against checks that cannot fail: each planted fault must be detected by a shortest run,
+// which shows the same violation when parsed and replayed, and none without the fault.
 func TestPlantedFaultsAreCaught(t *testing.T) {
 	caught := map[string]bool{}
 	for _, p := range plantedRuns() {
@@ -64,29 +63,29 @@
 		}
 		result := BreadthFirst(&c, Bounds{Depth: p.depth, States: 30_000})
 		if result.Violation == nil {
-			t.Errorf("%s, %d voters: not caught in %d states to depth %d", p.fault, c.Voters, result.States, result.Depth)
+			t.Errorf("%s, %d voters: not detected in %d states to depth %d", p.fault, c.Voters, result.States, result.Depth)
 			continue
 		}
 		t.Logf("%s, %d voters: %d states, a run of %d events: %v", p.fault, c.Voters, result.States, len(c.InitialTrace)+len(result.Trace), result.Violation)
 		if !slices.Contains(p.breaks, result.Violation.Property) {
-			t.Errorf("%s breaks another property: %v", p.fault, result.Violation)
+			t.Errorf("%s violates an unexpected property: %v", p.fault, result.Violation)
 		}
 		again, err := ParseTrace(result.Trace.String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		if w := Replay(&c, again, false); w.Violation() == nil || *w.Violation() != *result.Violation {
-			t.Errorf("%s: its run shows %v when replayed", p.fault, w.Violation())
+			t.Errorf("%s: replaying its run gives violation %v, want the original one", p.fault, w.Violation())
 		}
 		c.Fault = ""
 		if w := Replay(&c, again, true); w.Violation() != nil {
-			t.Errorf("%s: its run breaks the machine without the fault: %v\n%s", p.fault, w.Violation(), again)
+			t.Errorf("%s: its run shows a violation without the fault: %v\n%s", p.fault, w.Violation(), again)
 		}
 		caught[p.fault] = true
 	}
 	for _, name := range FaultNames() {
 		if !caught[name] {
-			t.Errorf("no run catches %s", name)
+			t.Errorf("no run detects %s", name)
 		}
 	}
 }
--- a/test/modelcheck/fingerprint.go
+++ b/test/modelcheck/fingerprint.go
@@ -9,17 +9,18 @@
 	"tuliprudder/internal/clock"
 )
 
-// maxTimeDifference is the span beyond which two points in time count as the same.
+// maxTimeDifference is the maximum distance from now that is hashed: all timestamps further away
+// hash alike.
 const maxTimeDifference = 60 * clock.Second
 
-// virtualEpoch is above every number that is no point in time: identities, epochs
-// and counters stay below it, the virtual clock starts above it.
+// virtualEpoch is where the virtual clock starts. Numbers that are not timestamps (identities,
+// epochs and counters) stay far below it.
 const virtualEpoch = 1000 * clock.Second
 
 var hashSeed = maphash.MakeSeed()
 
-// ignoredFields are fields that no decision depends on: counters for the operators, and
-// numbers that only identify requests. A test checks that the fields exist.
+// ignoredFields are fields that no decision depends on: counters for operators, and numbers that
+// only identify requests. A test checks that the fields exist.
 var ignoredFields = map[string]bool{
 	"CampaignsStarted":       true,
 	"TermsWon":               true,
@@ -28,12 +29,12 @@
 	"lastToken":              true,
 }
 
-// hasher hashes values canonically: points in time count from now, maps in order
-// of their keys' hashes, pointers as what they point to.
+// hasher hashes values canonically: timestamps relative to now, maps in the order of their entries'
+// hashes, pointers as the values they point to.
 type hasher struct {
 	hash maphash.Hash
 	now  clock.Micros
-	seen map[uintptr]bool // pointers on the way down to the present value
+	seen map[uintptr]bool // pointers on the path to the current value
 }
 
 func newHasher(now clock.Micros) *hasher {
@@ -48,7 +49,7 @@
 	h.hash.Write(buffer[:])
 }
 
-// timestamp hashes a number that may be a point in time.
+// timestamp hashes a number that may be a timestamp.
 func (h *hasher) timestamp(n int64) {
 	if n >= virtualEpoch/2 {
 		n = 1<<40 + max(-maxTimeDifference, min(maxTimeDifference, n-h.now))
@@ -56,14 +57,14 @@
 	h.number(uint64(n))
 }
 
-// Digits of the decimal numbers in encoded documents: from how many on a number is a point
-// in time, and how many fit an int64.
+// Digits of the decimal numbers in encoded documents: how many make a number a timestamp, and
+// how many always fit an int64.
 const (
 	minTimestampDigits = 9
 	maxDigits          = 18
 )
 
-// bytes hashes an encoded document; a long run of digits is a point in time.
+// bytes hashes an encoded document; a long sequence of digits counts as a timestamp.
 func (h *hasher) bytes(data []byte) {
 	h.number(uint64(len(data)))
 	for start := 0; start < len(data); {
@@ -78,7 +79,7 @@
 	}
 }
 
-// leadingNumber reads the digits from start on: their value and where they end.
+// leadingNumber parses the digits from start on and returns their value and where they end.
 func leadingNumber(data []byte, start int) (value int64, end int) {
 	end = start
 	for end < len(data) && end-start < maxDigits && data[end] >= '0' && data[end] <= '9' {
@@ -88,7 +89,7 @@
 	return value, end
 }
 
-// add hashes a value with all that it holds.
+// add hashes a value and everything it contains.
 func (h *hasher) add(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Slice:
@@ -117,7 +118,7 @@
 	}
 }
 
-// scalar hashes a value that holds no other. Of a function only its presence counts.
+// scalar hashes a value that contains no others. Of a function, only its kind is hashed.
 func (h *hasher) scalar(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
@@ -155,7 +156,8 @@
 	}
 }
 
-// pointer follows a pointer once on each way down.
+// pointer hashes the value that a pointer points to. It does not follow a pointer that is on the
+// path to itself, so that cycles end.
 func (h *hasher) pointer(v reflect.Value) {
 	if v.IsNil() || h.seen[v.Pointer()] {
 		h.hash.WriteByte(0)
@@ -183,8 +185,8 @@
 	}
 }
 
-// fingerprint hashes all that a process will decide from: its machine, its disk and
-// the unsynced writes. It is never 0, which stands for none in the cache.
+// fingerprint hashes everything that a process's decisions depend on: its machine, its disk and the
+// unsynced writes. It is never 0, which marks an empty cache.
 func (p *process) fingerprint(c *Config, now clock.Micros) uint64 {
 	if p.cachedFingerprint != 0 && p.fingerprintedAt == now {
 		return p.cachedFingerprint
@@ -206,8 +208,8 @@
 	return p.cachedFingerprint
 }
 
-// Fingerprint hashes the complete state of a run. Two runs with one fingerprint go on
-// alike.
+// Fingerprint hashes the complete state of a run. Runs with the same fingerprint have the same
+// possible continuations.
 func (w *World) Fingerprint() uint64 {
 	h := newHasher(w.now)
 	for _, p := range w.processes {
--- a/test/modelcheck/fingerprint_test.go
+++ b/test/modelcheck/fingerprint_test.go
@@ -9,9 +9,9 @@
 	"tuliprudder/internal/replication"
 )
 
-// A field that was renamed would count as state again, and the search would take equal
-// states for different ones. A name that two types have would leave a field out that
-// decisions depend on.
+// If an ignored field were renamed, it would be hashed again and the search would treat equal states
+// as different. If two types had a field of that name, one that decisions depend on could be
+// ignored.
 func TestIgnoredFieldsExist(t *testing.T) {
 	owners := map[string][]string{}
 	for _, owner := range []reflect.Type{reflect.TypeFor[controlplane.Core](), reflect.TypeFor[replication.Groups]()} {
@@ -19,13 +19,13 @@
 	}
 	for name := range ignoredFields {
 		if len(owners[name]) != 1 {
-			t.Errorf("the types %v have a field %s, not one of them: follow its new name, or give the others another one", owners[name], name)
+			t.Errorf("the types %v have a field %s, want exactly one type: update ignoredFields if the field was renamed, or rename the field in the other types", owners[name], name)
 		}
 	}
 }
 
-// collectFields adds, by name, the fields of a struct type and of all that its values are
-// made of or point to.
+// collectFields adds to owners, by name, the fields of a type and of all types that its values
+// contain or point to.
 func collectFields(of reflect.Type, seen map[reflect.Type]bool, owners map[string][]string) {
 	if seen[of] {
 		return
--- a/test/modelcheck/history.go
+++ b/test/modelcheck/history.go
@@ -6,15 +6,15 @@
 	"tuliprudder/internal/controlplane"
 )
 
-// confirmation is a document that an operator or the daemons were notified of as being in force.
+// confirmation is a document that an operator or the daemons were told is in force.
 type confirmation struct {
 	number  uint64
 	body    string
-	request int    // index in operatorRequests; -1 for none of them
+	request int    // index in operatorRequests, or -1
 	epoch   uint64 // in which it was confirmed
 }
 
-// conflictsOnBase says whether two requests that name the same base were both confirmed.
+// conflictsOnBase reports whether two confirmed requests name the same base.
 func (c confirmation) conflictsOnBase(other confirmation) bool {
 	if c.request < 0 || other.request < 0 {
 		return false
@@ -23,7 +23,8 @@
 	return one.HasBase && two.HasBase && one.Base == two.Base
 }
 
-// isIn says whether a core's state has the document; an old body may have been compacted.
+// isIn reports whether a core's state has the document; the body of an old version may have been
+// removed by compaction.
 func (c confirmation) isIn(core *controlplane.Core) bool {
 	version, ok := core.State().Version(c.number)
 	return ok && (len(version.Body) == 0 || string(version.Body) == c.body)
@@ -35,17 +36,17 @@
 	voter, candidate string
 }
 
-// history is what was confirmed and granted so far, and which identities were lost. It is
-// part of the state: the properties compare the present with it.
+// history is what was confirmed and granted so far, and which identities were lost. It is part of
+// the state, because the properties compare the current state with it.
 type history struct {
 	confirmed      []confirmation
-	calledRequests []int    // index of the request of each call, by the call's number less one
-	lost           []string // wiped identities that the fleet may still count on
+	calledRequests []int    // request index of each call, by call number minus one
+	lost           []string // wiped identities that the fleet may still depend on
 	wiped          []string // all wiped identities
 	grants         []grant
 	newVoters      []string // identities that got a vote after the bootstrap
-	fleet          string   // of the first that led
-	bootstrapped   bool     // some process held the lease
+	fleet          string   // ID of the fleet, as the latest lease holder has it
+	bootstrapped   bool     // some process has held the lease
 }
 
 func (h history) clone() history {
--- a/test/modelcheck/message_kinds.go
+++ b/test/modelcheck/message_kinds.go
@@ -8,8 +8,8 @@
 	"tuliprudder/internal/replication"
 )
 
-// The kinds of message between cores as traces spell them. Traces are kept in
-// testdata and in incident notes, so these spellings never change.
+// The kinds of message between cores, as spelled in traces. Traces are stored in testdata and in
+// incident notes, so these spellings must not change.
 const (
 	kindHeartbeat        = "Heartbeat"
 	kindVoteRequest      = "VoteRequest"
@@ -26,7 +26,7 @@
 	kindLeaseRelease     = "Yield"
 )
 
-// messageKinds are the spellings by the Go type of the message's body.
+// messageKinds maps the Go type of a message's body to its spelling.
 var messageKinds = map[reflect.Type]string{
 	reflect.TypeFor[election.Heartbeat]():           kindHeartbeat,
 	reflect.TypeFor[election.VoteRequest]():         kindVoteRequest,
@@ -43,8 +43,8 @@
 	reflect.TypeFor[replication.LeaseRelease]():     kindLeaseRelease,
 }
 
-// kind is the message's kind as traces spell it. A type without a spelling of its own
-// ends the search: its traces could not be read back.
+// kind returns the message's kind as spelled in traces. It panics for a type without a spelling,
+// because traces with it could not be parsed.
 func (m message) kind() string {
 	kind, known := messageKinds[reflect.TypeOf(m.body)]
 	if !known {
--- a/test/modelcheck/network.go
+++ b/test/modelcheck/network.go
@@ -8,15 +8,15 @@
 	"tuliprudder/internal/replication"
 )
 
-// message is one that is in flight.
+// message is a message in flight.
 type message struct {
 	from, to string // addresses
 	body     any
-	delayed  bool // stays in flight while time goes by
+	delayed  bool // stays in flight until an event names it
 }
 
-// isRoutine says whether a message only renews what is in force: it is sent again and
-// again, and the coarse runs let it travel while time goes by.
+// isRoutine reports whether a message only renews existing state. Such messages are sent
+// periodically, and runs that are not fine-grained do not make each delivery an event of its own.
 func (m message) isRoutine() bool {
 	switch m.body.(type) {
 	case election.Heartbeat, replication.LeaseRequest, replication.LeaseGrant:
@@ -25,14 +25,14 @@
 	return false
 }
 
-// maxInFlight bounds the messages in flight; the oldest routine ones are lost first.
+// maxInFlight bounds the messages in flight; above it, the oldest routine message is dropped.
 const maxInFlight = 120
 
-// maxDeliveryRounds bounds the exchanges that one moment may take.
+// maxDeliveryRounds bounds the rounds of deliveries at one point in time.
 const maxDeliveryRounds = 40
 
-// link is one direction between two processes, by their indexes, for one kind of
-// message, or for all of them where it names none.
+// link is one direction between two processes, given by their indexes, for one kind of message, or
+// for all kinds if messageType is empty.
 type link struct {
 	from, to    int
 	messageType string
@@ -48,7 +48,7 @@
 	w.inFlight = slices.Delete(w.inFlight, oldest, oldest+1)
 }
 
-// deliver has the receiver take a message; false where it can't arrive now.
+// deliver passes a message to its receiver; it returns false if the message cannot arrive now.
 func (w *World) deliver(m message) bool {
 	from, to := w.indexByAddress(m.from), w.indexByAddress(m.to)
 	if to < 0 || !w.processes[to].up || w.processes[to].paused || w.isBlocked(from, to, m.kind()) {
@@ -58,20 +58,20 @@
 	return true
 }
 
-// isBlocked says whether a link loses all messages, or those of a kind.
+// isBlocked reports whether a link loses all messages or those of the given kind.
 func (w *World) isBlocked(from, to int, kind string) bool {
 	return w.blockedLinks[link{from, to, ""}] || w.blockedLinks[link{from, to, kind}]
 }
 
-// staysInFlight says whether a message stays in flight while others travel.
+// staysInFlight reports whether a message stays in flight when all others are delivered.
 func (w *World) staysInFlight(m message) bool {
 	to := w.indexByAddress(m.to)
 	receiverPaused := to >= 0 && w.processes[to].up && w.processes[to].paused
 	return m.delayed || receiverPaused
 }
 
-// deliverAll delivers all messages that aren't delayed, and syncs all writes, until nothing
-// moves any more.
+// deliverAll delivers all messages that are not delayed and syncs all writes, until none are left
+// or after maxDeliveryRounds.
 func (w *World) deliverAll() {
 	for range maxDeliveryRounds {
 		synced := w.syncAll()
@@ -82,7 +82,8 @@
 	}
 }
 
-// syncAll syncs the writes of all processes that run; false where there were none.
+// syncAll syncs the writes of all processes that are not paused; it returns false if there were
+// none.
 func (w *World) syncAll() bool {
 	synced := false
 	for processIndex, p := range w.processes {
@@ -93,8 +94,8 @@
 	return synced
 }
 
-// deliverInFlight delivers the messages in flight, not those sent meanwhile; false where none
-// travelled.
+// deliverInFlight delivers the messages in flight, but not those sent meanwhile; it returns false if
+// all stay in flight.
 func (w *World) deliverInFlight() bool {
 	sent := w.inFlight
 	w.inFlight = nil
@@ -110,8 +111,8 @@
 	return delivered
 }
 
-// findMessage is the index of the message in flight that an event names by its link, kind
-// and index among those; -1 where there is none.
+// findMessage returns the index of the message in flight that an event names by its link, kind and
+// index among those, or -1.
 func (w *World) findMessage(e Event) int {
 	from, to := w.indexByName(e.Processes[0]), w.indexByName(e.Processes[1])
 	if from < 0 || to < 0 {
--- a/test/modelcheck/process.go
+++ b/test/modelcheck/process.go
@@ -13,42 +13,42 @@
 // coreUnit is the replication group of the control state.
 const coreUnit = "core"
 
-// input is one command that a process took, with those before it. A process is a
-// function of its boot state and its inputs: replaying them restores it.
+// input is one command that a process executed, linked to those before it. A process is a function
+// of its boot state and its inputs: replaying them restores it.
 type input struct {
 	previous *input
 	command  controlplane.Command
 	now      clock.Micros
 }
 
-// bootState is what a process started from.
+// bootState is the state a process started from.
 type bootState struct {
 	self        election.CoreRef
 	incarnation uint64
-	bootstrap   bool // the disk is the one that the fleet began with
+	bootstrap   bool // the disk has not been wiped since the fleet started
 	records     []machine.Record
 }
 
-// sharedMachine holds the machine of processes that took the same inputs. It moves to the
-// first one that takes another input, and core is nil from then on.
+// sharedMachine holds the machine shared by processes with the same inputs. The first one that
+// executes another command takes the machine over, and core is nil from then on.
 type sharedMachine struct{ core *controlplane.Core }
 
-// process is one core daemon at one point of a run. It is immutable: each step makes
-// another one. Only the machine itself moves from one to the next.
+// process is one core daemon at one point of a run. It is immutable: each step creates a new one.
+// Only the machine is passed on from one to the next.
 type process struct {
 	name            string
-	generation      int // counts the disks it had
+	generation      int // how many of its disks were wiped
 	boot            bootState
 	inputs          *input
 	up, paused      bool
-	draining        bool         // it was notified that it is about to be removed
-	diskBlocked     bool         // its disk takes no writes
-	diskUnblockedAt clock.Micros // when its disk took them again; 0: it always did
-	tickedAt        clock.Micros // its latest tick
+	draining        bool         // notified that it is about to be removed
+	diskBlocked     bool         // its disk accepts no writes
+	diskUnblockedAt clock.Micros // when its disk last changed between blocked and unblocked; 0: never
+	tickedAt        clock.Micros // time of its latest tick
 	disk            []machine.Record
 	unsynced        []diskWrite
 
-	// What the choices and checks read often, taken from the machine by updateSummary.
+	// Values that choices and checks read often, copied from the machine by updateSummary.
 	shared    *sharedMachine
 	isServing bool
 	isPrimary bool
@@ -61,16 +61,16 @@
 func (p *process) id() string      { return p.boot.self.ID }
 func (p *process) address() string { return p.boot.self.Peer }
 
-// startMachine makes the machine from the boot records.
+// startMachine creates a machine from the boot records.
 func (c *Config) startMachine(b bootState) *controlplane.Core {
 	core := controlplane.New(b.self, b.incarnation, c.seeds(), c.controlSettings(b), b.records)
 	c.fault().plant(core)
-	core.Groups().Group(coreUnit) // looking it up makes it
+	core.Groups().Group(coreUnit) // the look-up creates the group
 	return core
 }
 
-// machine is the process's machine, replayed from its inputs where it moved to another
-// process. Callers may read it and must not change it.
+// machine returns the process's machine, restored by replaying its inputs if another process has
+// taken it over. Callers must not modify it.
 func (p *process) machine(c *Config) *controlplane.Core {
 	if p.shared.core != nil {
 		return p.shared.core
@@ -86,7 +86,7 @@
 	return p.shared.core
 }
 
-// execute applies a command: the process after it, and its effects. The error says that
+// execute applies a command and returns the process after it and its effects. The error is set if
 // the machine panicked.
 func (p *process) execute(c *Config, command controlplane.Command, now clock.Micros) (after *process, effects []machine.Effect, failed error) {
 	core := p.machine(c)
@@ -108,18 +108,17 @@
 	return &next, effects, nil
 }
 
-// diskProbation is how long a disk takes writes again until its process, at the next
-// command, resumes its roles.
+// diskProbation is how long a disk must accept writes again until its process resumes its roles, at
+// the next command.
 const diskProbation = clock.Second
 
-// endsProbation says whether the next command, even a read, makes the process resume its
-// roles.
+// endsProbation reports whether the next command, even a read, makes the process resume its roles.
 func (p *process) endsProbation(now clock.Micros) bool {
 	proven := p.diskUnblockedAt + diskProbation
 	return p.diskUnblockedAt > 0 && now >= proven && p.tickedAt < proven
 }
 
-// updateSummary copies what the choices and checks read often out of the machine.
+// updateSummary copies the values that choices and checks read often from the machine.
 func (p *process) updateSummary() {
 	group := p.shared.core.Groups().Group(coreUnit)
 	p.isServing = p.shared.core.IsServing()
@@ -127,7 +126,7 @@
 	p.epoch = group.Epoch
 }
 
-// restarted is the process after a start from its disk, in its next incarnation.
+// restarted returns the process after a start from its disk, in its next incarnation.
 func (p *process) restarted(c *Config) *process {
 	next := &process{name: p.name, generation: p.generation, boot: p.boot, up: true, disk: p.disk}
 	next.boot.incarnation++
@@ -137,8 +136,8 @@
 	return next
 }
 
-// stopped is the process after its end; the first unsynced writes, up to keep, reached its
-// disk.
+// stopped returns the process after a stop; up to keep of its unsynced writes, the oldest first, are
+// on its disk.
 func (p *process) stopped(keep int) *process {
 	next := *p
 	next.up, next.paused = false, false
@@ -157,11 +156,11 @@
 
 func processName(i int) string { return fmt.Sprint("c", i+1) }
 
-// initialID is the identity of a process before its disk was ever wiped.
+// initialID returns the identity of a process whose disk was never wiped.
 func initialID(processName string) string { return "core-" + processName }
 
-// newProcess is a process with an empty disk, not started yet. The generation counts the
-// disks that were wiped before it.
+// newProcess returns a process with an empty disk that is not started yet. The generation counts
+// the disks that were wiped before it.
 func (c *Config) newProcess(i, generation int, address string) *process {
 	name := processName(i)
 	id := initialID(name)
--- a/test/modelcheck/property.go
+++ b/test/modelcheck/property.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Property is a safety or liveness property of the control plane that every state of a
-// run has to keep. Its text is what a violation prints.
+// Property is a safety or liveness property of the control plane that must hold in every state of a
+// run. Its text is printed with a violation.
 type Property string
 
 // The properties; docs/notes/models.md lists them with the reasons.
@@ -23,16 +23,16 @@
 	Progress                Property = "after healing a majority confirms again"
 )
 
-// Violation is a property that a state breaks.
+// Violation is a property that does not hold in a state.
 type Violation struct {
 	Property Property
 	Detail   string // which process, term, number
 }
 
-// Error says which property is broken and how.
+// Error returns the violated property and how it is violated.
 func (v *Violation) Error() string { return fmt.Sprintf("%s: %s", v.Property, v.Detail) }
 
-// addViolation keeps the first violation of a run; later ones are mostly its consequences.
+// addViolation records the first violation of a run; later ones are mostly its consequences.
 func (w *World) addViolation(property Property, format string, args ...any) {
 	if w.violation == nil {
 		w.violation = &Violation{property, fmt.Sprintf(format, args...)}
--- a/test/modelcheck/recovery.go
+++ b/test/modelcheck/recovery.go
@@ -3,17 +3,17 @@
 import "tuliprudder/internal/clock"
 
 const (
-	// recoveryTimeout is how long a healed fleet may take until it confirms again.
+	// recoveryTimeout is how long a healed fleet may take to get a stable lease holder.
 	recoveryTimeout = 60 * clock.Second
 	// confirmTimeout is how long a stable leader may take to confirm a request.
 	confirmTimeout = 2 * clock.Second
-	// stableRounds is for how many seconds in a row one process has to hold the lease.
+	// stableRounds is for how many consecutive seconds there must be exactly one lease holder.
 	stableRounds = 4
 )
 
-// CheckRecovery heals all links, starts what is down, lets delayed messages travel, and
-// lets time go by fairly: then a majority has to confirm a request. The state itself stays
-// as it is. It returns the violation, or nil.
+// CheckRecovery heals all links, starts processes that are down, releases delayed messages, and lets
+// time pass: then a majority must confirm a request. It works on a copy and does not modify w. It
+// returns the violation, or nil.
 func (w *World) CheckRecovery() *Violation {
 	next := w.clone()
 	next.endFaults()
@@ -24,12 +24,12 @@
 	}
 	leaseHolders := next.leaseHolders()
 	if len(leaseHolders) != 1 {
-		return &Violation{Progress, "nobody holds the lease a minute after all faults ended"}
+		return &Violation{Progress, "no process holds the lease a minute after all faults ended"}
 	}
 	return next.checkConfirms(leaseHolders[0])
 }
 
-// endFaults ends each fault that is in force.
+// endFaults ends each active fault.
 func (w *World) endFaults() {
 	clear(w.blockedLinks)
 	for processIndex, p := range w.processes {
@@ -52,7 +52,8 @@
 	}
 }
 
-// awaitStableLeader lets time go by until one process has held the lease for stableRounds.
+// awaitStableLeader lets time pass until there has been exactly one lease holder for stableRounds
+// seconds, at most for recoveryTimeout.
 func (w *World) awaitStableLeader() {
 	rounds := 0
 	for end := w.now + recoveryTimeout; w.now < end && w.violation == nil && rounds < stableRounds; {
@@ -64,7 +65,8 @@
 	}
 }
 
-// checkConfirms puts a request that can't be rejected and waits for its acknowledgement.
+// checkConfirms submits a request that cannot be rejected and checks that it is confirmed within
+// confirmTimeout.
 func (w *World) checkConfirms(leader *process) *Violation {
 	confirmedBefore := len(w.history.confirmed)
 	w.submit(w.indexByName(leader.name), requestIndex(finalRequest))
@@ -73,7 +75,7 @@
 		return w.violation
 	}
 	if len(w.history.confirmed) == confirmedBefore {
-		return &Violation{Progress, "a request is not confirmed within two seconds after all faults ended"}
+		return &Violation{Progress, "the stable leader did not confirm a request within two seconds after all faults ended"}
 	}
 	return nil
 }
--- a/test/modelcheck/replay.go
+++ b/test/modelcheck/replay.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Replay applies a run from the start; events that can't happen are passed over. It
-// ends at the first violation; with checkRecovery it then checks the recovery.
+// Replay applies a trace from the initial state; events that are not possible are skipped. It stops
+// at the first violation; if there is none and checkRecovery is set, it checks the recovery too.
 func Replay(c *Config, trace Trace, checkRecovery bool) *World {
 	w := c.InitialWorld()
 	for _, event := range trace {
@@ -18,8 +18,8 @@
 	return w
 }
 
-// Shrink takes events out of a run for as long as the same property stays broken; with
-// checkRecovery, also where it breaks only after all faults ended.
+// Shrink removes events from a trace as long as it still violates the same property. With
+// checkRecovery, the violation may also be found by CheckRecovery at the end of the trace.
 func Shrink(c *Config, trace Trace, violation *Violation, checkRecovery bool) (Trace, *Violation) {
 	for shortened := true; shortened; {
 		shortened = false
--- a/test/modelcheck/requests.go
+++ b/test/modelcheck/requests.go
@@ -7,19 +7,18 @@
 	"tuliprudder/internal/controlplane"
 )
 
-// Request is one change of the configuration that an operator sends: the same each time
-// it is sent again.
+// Request is a configuration change sent by an operator. Its content is the same each time it is
+// sent again.
 type Request struct {
-	Name    string // as traces spell it
+	Name    string // as spelled in traces
 	Number  uint64
 	Base    uint64
 	HasBase bool
 	Body    string
 }
 
-// operatorRequests are the requests of the runs: two documents under one number, another
-// number on the same base, one that builds on the first, and one that builds on the
-// second number.
+// operatorRequests are the requests of the runs: two documents with the same number, another number
+// on the same base, one based on the first number, and one based on the second number.
 var operatorRequests = []Request{
 	{Name: "A", Number: 1, Base: 0, HasBase: true, Body: `{"doc":"A"}`},
 	{Name: "B", Number: 1, Base: 0, HasBase: true, Body: `{"doc":"B"}`},
@@ -29,19 +28,19 @@
 	{Name: finalRequest, Number: 1000, Body: `{"doc":"final"}`},
 }
 
-// finalRequest is put once all faults have ended; it gives no base, so that it can't be
+// finalRequest is submitted once all faults have ended; it has no base, so that it cannot be
 // rejected.
 const finalRequest = "final"
 
 // requestTimeout is how long an operator's request waits for its reply.
 const requestTimeout = 3 * clock.Second
 
-// requestIndex is the index of a request in operatorRequests; -1 where there is none.
+// requestIndex returns the index of a request in operatorRequests, or -1.
 func requestIndex(name string) int {
 	return slices.IndexFunc(operatorRequests, func(r Request) bool { return r.Name == name })
 }
 
-// putConfiguration sends an operator's request to a process; false where it can't be sent.
+// putConfiguration sends an operator's request to a process; it returns false if it cannot be sent.
 func (w *World) putConfiguration(processIndex int, name string) bool {
 	index := requestIndex(name)
 	if index < 0 || w.processes[processIndex].paused {
@@ -52,7 +51,7 @@
 	return true
 }
 
-// submit has a process take an operator's request, by its index.
+// submit passes an operator's request, given by its index, to a process.
 func (w *World) submit(processIndex, request int) {
 	call := w.history.recordCall(request)
 	r := operatorRequests[request]
--- a/test/modelcheck/search.go
+++ b/test/modelcheck/search.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// Bounds end a search. A bound of 0 doesn't end it.
+// Bounds limit a search. A bound of 0 means no limit, except for Depth.
 type Bounds struct {
-	Depth  int   // events of one run after the start; here 0 means none
-	States int   // different states visited
+	Depth  int   // events of one run after the initial state; 0 means no events
+	States int   // distinct states visited
 	Seed   int64 // of depth-first and random runs
-	// ProgressEvery is how many events come between two states whose recovery is checked;
-	// 0: none. Random runs are checked for it at their end.
+	// ProgressEvery is how many events there are between two checks of the recovery; 0 means
+	// that it is not checked. Random runs check the recovery at their end instead.
 	ProgressEvery int
-	// Stop ends the search early; may be nil.
+	// Stop, if not nil, ends the search when it returns true.
 	Stop func() bool
 }
 
@@ -21,16 +21,16 @@
 	return b.States > 0 && states >= b.States || b.Stop != nil && b.Stop()
 }
 
-// Coverage is the maximum of each figure over the states of a search: a search that reaches
-// little shows little.
+// Coverage is the maximum of each figure over the states of a search. Low figures mean that the
+// search exercised little.
 type Coverage struct {
-	Confirmed int    // documents
-	Term      uint64 // in which somebody led
-	Wiped     int    // identities
-	Voters    int    // changes of the set of voters, at least
+	Confirmed int    // confirmed documents
+	Term      uint64 // highest term with a leader
+	Wiped     int    // wiped identities
+	Voters    int    // voters added after the bootstrap
 }
 
-// include takes a state into account.
+// include updates the maxima with a state.
 func (r *Coverage) include(w *World) {
 	r.Confirmed = max(r.Confirmed, len(w.history.confirmed))
 	r.Wiped = max(r.Wiped, len(w.history.wiped))
@@ -42,18 +42,18 @@
 	}
 }
 
-// Result is what a search found.
+// Result is the outcome of a search.
 type Result struct {
-	States    int  // different states visited
+	States    int  // distinct states visited
 	Events    int  // events applied
 	Depth     int  // of the deepest state
-	Complete  bool // all states within the bounds were visited
+	Complete  bool // all states within the depth were visited
 	Coverage  Coverage
-	Violation *Violation // nil: none
-	Trace     Trace      // the run that shows it
+	Violation *Violation // nil if none was found
+	Trace     Trace      // leads to the violation
 }
 
-// node is a state of a search and how it was reached.
+// node is a state of a search and the path to it.
 type node struct {
 	world  *World
 	parent *node
@@ -70,11 +70,11 @@
 	return trace
 }
 
-// search is what the kinds of search share.
+// search is the state that all kinds of search have in common.
 type search struct {
 	config  *Config
 	bounds  Bounds
-	visited map[uint64]int // minimum depth that a state was reached at, by fingerprint
+	visited map[uint64]int // minimum depth of each state, by fingerprint
 	result  Result
 }
 
@@ -82,7 +82,8 @@
 	return &search{config: c, bounds: b, visited: map[uint64]int{}}
 }
 
-// visit records a state; false where it was visited before at no greater depth.
+// visit records a state; it returns false if the state was visited before at the same or a lower
+// depth.
 func (s *search) visit(at *node) bool {
 	fingerprint := at.world.Fingerprint()
 	depth, known := s.visited[fingerprint]
@@ -96,7 +97,7 @@
 	return true
 }
 
-// child is the state after an event; nil where the event can't happen.
+// child returns the state after an event, or nil if the event is not possible.
 func (s *search) child(at *node, event Event) *node {
 	world, ok := at.world.Apply(event)
 	if !ok {
@@ -106,7 +107,7 @@
 	return &node{world: world, parent: at, event: event, depth: at.depth + 1}
 }
 
-// recordViolation keeps the first violation; true where there is one.
+// recordViolation records the violation of a state, if any, and reports whether there is one.
 func (s *search) recordViolation(at *node) bool {
 	violation := at.world.violation
 	if violation == nil && s.bounds.ProgressEvery > 0 && s.result.Events%s.bounds.ProgressEvery == 0 {
@@ -119,8 +120,8 @@
 	return true
 }
 
-// BreadthFirst visits all states by their distance from the start: the first
-// violation found has a shortest run.
+// BreadthFirst visits states in the order of their distance from the initial state, so that the
+// first violation found has a shortest trace.
 func BreadthFirst(c *Config, b Bounds) Result {
 	s := newSearch(c, b)
 	queue := []*node{{world: c.InitialWorld()}}
@@ -156,8 +157,8 @@
 	return s.result
 }
 
-// DepthFirst follows each run to its end before it turns back, in an order given by
-// the seed.
+// DepthFirst follows each run to its end before it backtracks; the seed determines the order of
+// events.
 func DepthFirst(c *Config, b Bounds) Result {
 	s := newSearch(c, b)
 	rng := rand.New(rand.NewSource(b.Seed))
@@ -165,7 +166,7 @@
 	return s.result
 }
 
-// follow visits a state and, depth first, all that follow it; false ends the search.
+// follow visits a state and, depth first, all states after it; it returns false to end the search.
 func (s *search) follow(at *node, rng *rand.Rand) bool {
 	if s.recordViolation(at) {
 		return false
@@ -187,12 +188,12 @@
 	return true
 }
 
-// maxRandomAttempts is how many random events may turn out impossible in a row until a
-// random run ends.
+// maxRandomAttempts is how many consecutive random events may be impossible before a random run
+// ends.
 const maxRandomAttempts = 20
 
-// RandomWalk makes run after run of random events, each kind as likely as another,
-// and checks the recovery at the end of each. A violation's run is made shorter.
+// RandomWalk makes runs of random events, each kind of event with the same probability, and checks
+// the recovery at the end of each run. The trace of a violation is shrunk.
 func RandomWalk(c *Config, b Bounds) Result {
 	s := newSearch(c, b)
 	s.bounds.ProgressEvery = 0
@@ -220,7 +221,8 @@
 	return s.result
 }
 
-// randomChild is a state after one random event; nil when none can come.
+// randomChild returns the state after one random event, or nil if none was possible in
+// maxRandomAttempts.
 func (s *search) randomChild(at *node, rng *rand.Rand) *node {
 	byKind := map[EventKind][]Event{}
 	var kinds []EventKind
--- a/test/modelcheck/search_test.go
+++ b/test/modelcheck/search_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// randomRun makes a random run and shows each of its states.
+// randomRun makes a random run and calls visit for each state after the initial one.
 func randomRun(c *Config, seed int64, depth int, visit func(at *node)) {
 	s, rng := newSearch(c, Bounds{}), rand.New(rand.NewSource(seed))
 	at := &node{world: c.InitialWorld()}
@@ -19,7 +19,7 @@
 	}
 }
 
-// Nothing is broken in a bounded, seeded part of what cmd/controlcheck explores.
+// Bounded, seeded searches, a part of what cmd/controlcheck explores, find no violation.
 func TestBoundedSearchesFindNoViolation(t *testing.T) {
 	searches := []struct {
 		name   string
@@ -46,9 +46,9 @@
 			c := s.config
 			c.MaxLosses, c.Limits = -1, DefaultLimits()
 			result := s.search(&c, s.bounds)
-			t.Logf("%d states, %d events, depth %d, reached %+v", result.States, result.Events, result.Depth, result.Coverage)
+			t.Logf("%d states, %d events, depth %d, coverage %+v", result.States, result.Events, result.Depth, result.Coverage)
 			if result.Violation != nil {
-				t.Errorf("%v\n# a run of %d events that shows it\n%s", result.Violation, len(result.Trace), result.Trace)
+				t.Errorf("%v\n# trace of %d events that leads to the violation\n%s", result.Violation, len(result.Trace), result.Trace)
 			}
 		})
 	}
--- a/test/modelcheck/trace_config.go
+++ b/test/modelcheck/trace_config.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// configPrefix begins the line of a trace's file with the configuration it runs on.
+// configPrefix starts the line of a trace file that holds the trace's configuration.
 const configPrefix = "# config:"
 
-// ParseConfig reads the configuration that a trace runs on from the line of its file that begins with
-// "# config:", in the spellings of cmd/controlcheck's flags.
+// ParseConfig parses the configuration of a trace from the line of its file that begins with
+// "# config:", in the syntax of cmd/controlcheck's flags.
 func ParseConfig(text string) (*Config, error) {
 	c := &Config{Voters: 3, MaxLosses: -1, Limits: DefaultLimits()}
 	for line := range strings.Lines(text) {
@@ -29,7 +29,7 @@
 		flags.BoolVar(&c.FineGrained, "fine", c.FineGrained, "")
 		flags.StringVar(&c.Fault, "fault", c.Fault, "")
 		if err := flags.Parse(strings.Fields(fields)); err != nil {
-			return nil, fmt.Errorf("reading %q: %w", line, err)
+			return nil, fmt.Errorf("parsing trace configuration %q: %w", line, err)
 		}
 	}
 	return c, nil
--- a/test/modelcheck/world.go
+++ b/test/modelcheck/world.go
@@ -9,16 +9,16 @@
 	"tuliprudder/internal/machine"
 )
 
-// tickInterval is how often ticks come while time goes by fairly.
+// tickInterval is the interval between ticks while passTime runs.
 const tickInterval = 250 * clock.Millisecond
 
-// faultCounts counts the faults and requests that came so far, for Limits.
+// faultCounts counts the faults and requests of a run so far, for comparison with Limits.
 type faultCounts struct {
 	crashes, wipes, partitions, pauses, messageFaults, puts, timePasses, drains int
 }
 
-// World is all processes, the messages between them and the history of confirmations, at
-// one point of a run.
+// World is the state of a run at one point: all processes, the messages between them and the history
+// of confirmations.
 type World struct {
 	config       *Config
 	now          clock.Micros
@@ -30,7 +30,7 @@
 	violation    *Violation
 }
 
-// NewWorld is an empty fleet whose processes have all been started.
+// NewWorld returns a fleet with empty disks whose voters are started and whose spares are down.
 func NewWorld(c *Config) *World {
 	w := &World{config: c, now: virtualEpoch, blockedLinks: map[link]bool{}}
 	for i := range c.Voters {
@@ -44,10 +44,10 @@
 	return w
 }
 
-// maxElectionTicks bounds the ticks until a fleet that starts has elected a leader.
+// maxElectionTicks bounds the ticks that a starting fleet gets to elect a leader.
 const maxElectionTicks = 40
 
-// InitialWorld is the point from which runs are explored.
+// InitialWorld returns the state from which runs are explored.
 func (c *Config) InitialWorld() *World {
 	w := NewWorld(c)
 	if !c.StartEmpty {
@@ -62,7 +62,7 @@
 	return w
 }
 
-// clone is the same state, to be changed on its own. Processes are immutable and shared.
+// clone returns a copy that can be modified independently. Processes are immutable and shared.
 func (w *World) clone() *World {
 	next := *w
 	next.processes = slices.Clone(w.processes)
@@ -75,7 +75,7 @@
 	return &next
 }
 
-// Violation is the first property that was found broken, or nil.
+// Violation returns the first violation found, or nil.
 func (w *World) Violation() *Violation { return w.violation }
 
 func (w *World) indexByName(name string) int {
@@ -86,12 +86,12 @@
 	return slices.IndexFunc(w.processes, func(p *process) bool { return p.address() == address })
 }
 
-// passTime lets time go by fairly: each process has its ticks, messages arrive
-// and writes are synced.
+// passTime lets time pass for all processes: each gets its ticks, messages are delivered and writes
+// are synced.
 func (w *World) passTime(span clock.Micros) {
 	for end := w.now + span; w.now < end && w.violation == nil; {
 		w.now += min(tickInterval, end-w.now)
-		w.checkProperties() // before any process learns that time went by
+		w.checkProperties() // before any process learns that time has passed
 		for processIndex, p := range w.processes {
 			if !p.paused {
 				w.execute(processIndex, controlplane.Tick{})
@@ -102,7 +102,7 @@
 	}
 }
 
-// execute has a process take a command and carries out its effects.
+// execute runs a command on a process and applies the effects.
 func (w *World) execute(processIndex int, command controlplane.Command) {
 	p := w.processes[processIndex]
 	if !p.up {
@@ -141,7 +141,7 @@
 	}
 }
 
-// StatusLines describes each process in one line.
+// StatusLines returns a one-line description of each process.
 func (w *World) StatusLines() []string {
 	var lines []string
 	for _, p := range w.processes {
