--- a/cmd/store/no_planted_fault.go
+++ b/cmd/store/no_planted_fault.go
@@ -7,5 +7,5 @@
 	"tuliprudder/internal/storage"
 )
 
-// plant does nothing in the daemons that serve.
-func plant(*batchstore.Store, *storage.Folder, string) {}
+// injectFault does nothing in production builds.
+func injectFault(*batchstore.Store, *storage.Folder, string) {}
--- a/internal/daemon/admin/endpoints_test.go
+++ b/internal/daemon/admin/endpoints_test.go
@@ -8,17 +8,17 @@
 	"tuliprudder/internal/errs"
 )
 
-// The response to a new endpoint list needs contact with other daemons; its form is checked
-// by itself.
-func TestResponseToANewEndpointList(t *testing.T) {
+// Checks only the JSON form of the response: putting an endpoint list would need contact with
+// other daemons.
+func TestPutEndpointsResponseJSON(t *testing.T) {
 	data, err := json.Marshal(putEndpointsResponse{Servers: 2})
 	if err != nil || string(data) != `{"servers":2}` {
 		t.Errorf("%s %v", data, err)
 	}
 }
 
-// Without contact with a majority of the voters a daemon changes no endpoints.
-func TestEndpointsAreNotChangedWithoutContact(t *testing.T) {
+// A daemon without contact with a majority of the voters rejects changes of the endpoint list.
+func TestEndpointChangeWithoutQuorumContactIsRejected(t *testing.T) {
 	primary := newFakePrimary()
 	a := newAdmin(t, primary, nil)
 	server := endpoints.Server{Name: "server-1", Address: "127.0.0.1:9", Slots: 2}
--- a/internal/dataplane/gateway/test_cluster_test.go
+++ b/internal/dataplane/gateway/test_cluster_test.go
@@ -35,23 +35,25 @@
 var headerNames = upstream.HeaderNames{RequestID: "X-Request-Id", Instance: "X-Instance", NotRun: "X-Unrun", LastEventID: "Last-Event-ID", Deadline: "X-Time-Left-Ms", WantedWeights: "X-Wanted-Weights", WeightVersion: "X-Weights",
 	Authorization: "Authorization", Tenant: "X-Tenant"}
 
-// testCluster is an edge that forwards requests to stand-in servers.
+// testCluster is an edge that forwards requests to test servers.
 type testCluster struct {
 	t         *testing.T
 	loop      *stubLoop
 	front     *httptest.Server
 	forwarder *Forwarder
-	// callersLeft has a token for each caller that the edge has seen leave before its answer.
-	callersLeft chan struct{}
+	// callerDisconnects receives a value for each caller that the edge has detected to disconnect before
+	// its response.
+	callerDisconnects chan struct{}
 }
 
-// newClusterWithServers is an edge with these servers; their names are s0, s1, ...
+// newClusterWithServers returns an edge with forwardConfiguration and one server for each handler, named
+// s0, s1, ...
 func newClusterWithServers(t *testing.T, handlers ...http.HandlerFunc) *testCluster {
 	t.Helper()
 	return newConfiguredCluster(t, forwardConfiguration, handlers...)
 }
 
-// newConfiguredCluster is the same with a configuration.
+// newConfiguredCluster is newClusterWithServers with another configuration.
 func newConfiguredCluster(t *testing.T, configurationText string, handlers ...http.HandlerFunc) *testCluster {
 	t.Helper()
 	c := newTestCluster(t, configurationText, upstream.New(headerNames, upstream.Settings{}))
@@ -63,14 +65,14 @@
 	return c
 }
 
-// newTestCluster is an edge with a configuration and a client, and without servers.
+// newTestCluster returns an edge with a configuration and a client, without servers.
 func newTestCluster(t *testing.T, configurationText string, client *upstream.Client) *testCluster {
 	t.Helper()
 	settings := machines.EdgeDefaults()
 	settings.Scheduler.MaxStaleness = scheduler.UnlimitedStaleness
 	settings.PollInterval = 0
 	s := newStubLoop(t, settings, configurationText, nil)
-	c := &testCluster{t: t, loop: s, callersLeft: make(chan struct{}, 16)}
+	c := &testCluster{t: t, loop: s, callerDisconnects: make(chan struct{}, 16)}
 	c.forwarder = &Forwarder{
 		CallMachine: s.callMachine,
 		Notify:      s.notify,
@@ -87,17 +89,17 @@
 		if err != nil {
 			t.Error(err)
 		}
-		wait, _ := strconv.ParseInt(r.Header.Get(headerNames.Deadline), 10, 64)
+		timeoutMS, _ := strconv.ParseInt(r.Header.Get(headerNames.Deadline), 10, 64)
 		stop := context.AfterFunc(r.Context(), func() {
 			select {
-			case c.callersLeft <- struct{}{}:
+			case c.callerDisconnects <- struct{}{}:
 			default:
 			}
 		})
 		defer stop()
-		wanted, _ := strconv.ParseInt(r.Header.Get(headerNames.WantedWeights), 10, 64)
+		wantedWeights, _ := strconv.ParseInt(r.Header.Get(headerNames.WantedWeights), 10, 64)
 		key := strings.TrimPrefix(r.Header.Get(headerNames.Authorization), "Token ")
-		c.forwarder.Forward(w, r, proxy.Request{Host: r.Host, Path: r.URL.EscapedPath(), APIKey: key, CallerTimeout: wait * clock.Millisecond, WantedWeights: wanted}, body)
+		c.forwarder.Forward(w, r, proxy.Request{Host: r.Host, Path: r.URL.EscapedPath(), APIKey: key, CallerTimeout: timeoutMS * clock.Millisecond, WantedWeights: wantedWeights}, body)
 	}))
 	t.Cleanup(c.front.Close)
 	return c
@@ -110,8 +112,8 @@
 	})
 }
 
-// limitSlots has each server run so many requests at a time.
-func (c *testCluster) limitSlots(slots int) {
+// setSlots sets how many requests each server may run at a time.
+func (c *testCluster) setSlots(slots int) {
 	c.loop.apply(func(_ clock.Micros) []machine.Effect {
 		for _, server := range c.loop.edge.Scheduler.Servers() {
 			server.Slots = slots
@@ -121,14 +123,15 @@
 	})
 }
 
-// queueLength is how many requests wait for a server.
+// queueLength returns the number of requests that wait for a server.
 func (c *testCluster) queueLength() int {
 	c.loop.mu.Lock()
 	defer c.loop.mu.Unlock()
 	return c.loop.edge.Scheduler.QueueLength()
 }
 
-// clearRejections makes the scheduler forget the servers' recent rejections.
+// clearRejections makes the scheduler forget the servers' recent rejections, by changing each server's
+// address and restoring it.
 func (c *testCluster) clearRejections() {
 	for _, server := range c.loop.edge.Scheduler.Servers() {
 		address := server.Address
@@ -153,10 +156,10 @@
 }
 
 // waitFor polls until a condition holds.
-func waitFor(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
-	for !holds() {
+	for !condition() {
 		if time.Now().After(deadline) {
 			t.Fatal("timed out waiting for ", what)
 		}
@@ -178,7 +181,8 @@
 	return request
 }
 
-// callerResponse is a response as its caller got it; err is what ended its body.
+// callerResponse is a response as the caller received it. err is the error of the request or of reading
+// the body.
 type callerResponse struct {
 	status int
 	header http.Header
@@ -197,7 +201,7 @@
 	return callerResponse{response.StatusCode, response.Header, string(data), err}
 }
 
-// doRaw sends bytes and returns all that comes until the connection ends.
+// doRaw sends text on a new connection and returns everything received until the connection is closed.
 func (c *testCluster) doRaw(text string) string {
 	c.t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(c.front.URL, "http://"))
@@ -214,7 +218,8 @@
 	return string(data)
 }
 
-// setResponseHead begins a stand-in's response.
+// setResponseHead sets the headers of a test server's response. The X-Stamp header identifies the server
+// that responded; the edge's own responses lack it.
 func setResponseHead(w http.ResponseWriter, r *http.Request, stamp, kind string) {
 	w.Header().Set(headerNames.RequestID, r.Header.Get(headerNames.RequestID))
 	w.Header().Set("X-Stamp", stamp)
@@ -238,5 +243,5 @@
 	return out
 }
 
-// abortConnection aborts a stand-in's response and its connection.
+// abortConnection aborts a test server's response and closes its connection.
 func abortConnection() { panic(http.ErrAbortHandler) }
