--- a/internal/batchstore/pending_weights_test.go
+++ b/internal/batchstore/pending_weights_test.go
@@ -96,8 +96,10 @@
 
 // A shard's pending weight is reported only by the store that serves the shard: not by its replica, not by
 // a restarted store, whatever it has read from disk, and not by a store that has lost the shard. Guards
-// against issue 29 (Ghent's scale-1, seed 117614157011): two stores counted the same items as a
-// precaution, and the weight counted twice used up the quota.
+// against issue 29 (Ghent's scale-1, seed 117614157011): after a restart or while a shard moved, two
+// stores counted the same items as a precaution, and the owner of the quota account granted leases for
+// both counts. Once one of the counts fell, its store admitted as much new work from its lease, above
+// the quota.
 func TestPendingWeightIsReportedOnlyByTheServingStore(t *testing.T) {
 	c := newCluster(t)
 	c.mustCall(forwardedBatch("one", 3))
--- a/internal/controlplane/state/entries.go
+++ b/internal/controlplane/state/entries.go
@@ -8,6 +8,7 @@
 
 // Entry is one replicated command that changes the state.
 type Entry interface {
+	// Apply changes s. It must be deterministic, because every replica applies the same entries.
 	Apply(s *State)
 	kind() string
 }
--- a/internal/daemon/admin/admin.go
+++ b/internal/daemon/admin/admin.go
@@ -34,6 +34,7 @@
 // Router is what the API registers its routes at. Paths name their parameters as go-zero does
 // (:name).
 type Router interface {
+	// Handle registers the handler of one HTTP method at one path.
 	Handle(method, path string, handle httpserver.Handler)
 }
 
--- a/internal/daemon/metrics/registry.go
+++ b/internal/daemon/metrics/registry.go
@@ -11,6 +11,7 @@
 // Source is a set of metrics that can be registered; Module implements it.
 type Source interface {
 	prometheus.Collector
+	// Counters returns the current values by JSON key, without those that are absent.
 	Counters() map[string]int64
 }
 
--- a/internal/machine/machine.go
+++ b/internal/machine/machine.go
@@ -14,6 +14,7 @@
 
 // Command is one input of a machine of type M.
 type Command[M any] interface {
+	// Apply performs the command as one step of the machine at the time now.
 	Apply(machine M, now clock.Micros)
 }
 
--- a/internal/services/services.go
+++ b/internal/services/services.go
@@ -15,6 +15,8 @@
 // Service is a part of a daemon. Start must not block; the clean-up functions that it pushes stop
 // what it started. They also run if Start returns an error.
 type Service interface {
+	// Start runs after the Start of all services that were registered earlier. If it returns an
+	// error, the registry stops these too.
 	Start(registry *Registry, cleanups *cleanup.Stack) error
 }
 
--- a/internal/storage/filesystem.go
+++ b/internal/storage/filesystem.go
@@ -14,11 +14,13 @@
 	MakeFolder(name string) error
 	// List returns the names in a folder.
 	List(folder string) ([]string, error)
+	// Read returns the whole contents of a file.
 	Read(name string) ([]byte, error)
 	// Create creates a file, or truncates an existing one.
 	Create(name string) (File, error)
 	// Rename renames a file atomically, and replaces a file that has the new name.
 	Rename(from, to string) error
+	// Remove removes a file. A power loss can bring it back until SyncFolder has returned.
 	Remove(name string) error
 	// SyncFolder makes all earlier creations, renames and removals of names in a folder durable.
 	SyncFolder(name string) error
@@ -29,6 +31,7 @@
 	io.Writer
 	// Sync makes the contents durable.
 	Sync() error
+	// Close closes the file. It does not make the contents durable; Sync does.
 	Close() error
 }
 
