--- a/test/simulator/digest_test.go
+++ b/test/simulator/digest_test.go
@@ -127,7 +127,7 @@
 
 // The decisions of fixed runs are those that were recorded (test/decisiondigest): names,
 // packages and texts of the log change none of them.
-func TestDecisionsAreAsRecorded(t *testing.T) {
+func TestDecisionsMatchRecordedDigests(t *testing.T) {
 	recorded, err := decisiondigest.ReadRecords(digestFile)
 	if err != nil && !digestFlags.Write {
 		t.Fatal(err)
