--- a/cmd/simsweep/main_test.go
+++ b/cmd/simsweep/main_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestSizes(t *testing.T) {
+func TestFleetShape(t *testing.T) {
 	numbers := options{zones: 3, cores: 3, stores: 4, edges: 2, shards: 8, tolerance: 1, coreZones: "2,1", storeZones: "2, 1, 1"}
 	size, err := numbers.fleetShape()
 	if err != nil || !slices.Equal(size.CoreZones, []int{2, 1}) || !slices.Equal(size.StoreZones, []int{2, 1, 1}) {
--- a/test/servingsim/autoscale_test.go
+++ b/test/servingsim/autoscale_test.go
@@ -12,13 +12,13 @@
 	scaledRunLength = 34 * clock.Second
 	scaledZones     = 3
 	scaledServers   = 8 // of a zone
-	// serverPrice is what a server costs in a second, in the unit of the requests' values.
-	serverPrice = 2.2
+	// serverCostPerSecond is what a server costs in a second, in the unit of the requests' values.
+	serverCostPerSecond = 2.2
 )
 
-// scaled is a deployment whose servers come and go; at scale 1 their slots are taken to about two thirds.
-func scaled(scale float64) Deployment {
-	d := Bazaar(scaledZones, 6, 2, scaledServers, 1)
+// autoscaleBase is a deployment whose servers come and go; at scale 1 their slots are taken to about two thirds.
+func autoscaleBase(scale float64) Deployment {
+	d := MemoryBound(scaledZones, 6, 2, scaledServers, 1)
 	d.Engine = Engine{
 		Slots: 8, QueueLimit: 24, MemoryTokens: 327_000, StepTime: 1530, PrefillRate: 0.13,
 		ChunkTokens: 4096, FirstDelay: 16 * clock.Millisecond, EventTokens: 24,
@@ -28,11 +28,11 @@
 		{Name: "reply", PerSecond: 3.3 * scaledServers * scale, PromptTokens: 1460, OutputTokens: 172, Target: 250 * clock.Millisecond, Timeout: 4 * clock.Second, MaxAttempts: 2, Resumable: true, Retries: 1},
 	}
 	d.Batch = BatchClass{
-		HeapEvery: clock.Second, HeapBatches: int(math.Round(2.4 * scaledServers * scaledZones * scale / 30)), Items: 30,
+		BurstInterval: clock.Second, BatchesPerBurst: int(math.Round(2.4 * scaledServers * scaledZones * scale / 30)), Items: 30,
 		PromptTokens: 768, OutputTokens: 672, Due: 8 * clock.Second, CompletionWindow: 8 * clock.Second,
 	}
 	d.ScorerWeights = map[string]float64{"fullness": 4, "turn": 1.5, "reading": 6, "silence": 20, "queue": 2, "zone": 2, "reliability": 20}
-	d.TellsLoad = false
+	d.ReportsLoad = false
 	return d
 }
 
@@ -49,29 +49,29 @@
 	for name, value := range values {
 		class := r.Classes[name]
 		sum += value * (float64(class.InTime) + float64(class.Late)/2)
-		all += value * float64(class.Owed)
+		all += value * float64(class.Total)
 	}
-	return (sum - serverPrice*float64(r.ServerTime)/float64(clock.Second)) / all
+	return (sum - serverCostPerSecond*float64(r.ServerTime)/float64(clock.Second)) / all
 }
 
-// wave is a load that swings by a third within 11 s.
-func wave(elapsed clock.Micros) float64 {
+// sinusoidalLoad is a load that swings by a third within 11 s.
+func sinusoidalLoad(elapsed clock.Micros) float64 {
 	return 1 + 0.35*math.Sin(2*math.Pi*float64(elapsed)/float64(11*clock.Second))
 }
 
-// burst is a wave with so many times the load from 15 s on, for a while.
-func burst(factor float64, length clock.Micros) func(clock.Micros) float64 {
+// loadWithBurst is a wave with so many times the load from 15 s on, for a while.
+func loadWithBurst(factor float64, length clock.Micros) func(clock.Micros) float64 {
 	return func(elapsed clock.Micros) float64 {
 		if elapsed >= 15*clock.Second && elapsed < 15*clock.Second+length {
-			return factor * wave(elapsed)
+			return factor * sinusoidalLoad(elapsed)
 		}
-		return wave(elapsed)
+		return sinusoidalLoad(elapsed)
 	}
 }
 
-// crashed is a deployment with a usual load, a sixth of whose servers are down for a while.
-func crashed() Deployment {
-	d := scaled(0.9)
+// partlyFailing is a deployment with a usual load, a sixth of whose servers are down for a while.
+func partlyFailing() Deployment {
+	d := autoscaleBase(0.9)
 	d.Crash = Crash{After: 12 * clock.Second, For: 4500 * clock.Millisecond, Share: 0.17}
 	return d
 }
@@ -80,19 +80,19 @@
 type scalingCase struct {
 	deployment Deployment
 	load       func(elapsed clock.Micros) float64
-	atLeast    float64 // change of the profit, on average over the seeds
+	minGain    float64 // change of the profit, on average over the seeds
 	maxRaises  int     // of a zone, in a run
 }
 
 // What scaling is worth by the kind of day; the figures are about half of what was measured, or twice a loss.
-func TestScalingIsWorthSomething(t *testing.T) {
+func TestAutoscalingProfitGain(t *testing.T) {
 	for name, c := range map[string]scalingCase{
-		"a quiet day":              {scaled(0.6), wave, 0.002, 0},
-		"a usual day":              {scaled(0.9), wave, -0.005, 0},
-		"a burst of 3 s":           {scaled(0.9), burst(1.7, 3*clock.Second), -0.015, 1},
-		"an overload all day":      {scaled(1.6), wave, 0.08, 3},
-		"a sixth of them is down":  {crashed(), wave, -0.013, 1},
-		"an overload in the midst": {scaled(1.1), burst(2, 30*clock.Second), 0.045, 3},
+		"a quiet day":              {autoscaleBase(0.6), sinusoidalLoad, 0.002, 0},
+		"a usual day":              {autoscaleBase(0.9), sinusoidalLoad, -0.005, 0},
+		"a burst of 3 s":           {autoscaleBase(0.9), loadWithBurst(1.7, 3*clock.Second), -0.015, 1},
+		"an overload all day":      {autoscaleBase(1.6), sinusoidalLoad, 0.08, 3},
+		"a sixth of them is down":  {partlyFailing(), sinusoidalLoad, -0.013, 1},
+		"an overload in the midst": {autoscaleBase(1.1), loadWithBurst(2, 30*clock.Second), 0.045, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -108,19 +108,19 @@
 		fixed := New(c.deployment, seed).Run(scaledRunLength)
 		scaled := New(withAutoscale(c.deployment), seed).Run(scaledRunLength)
 		gain += (profit(scaled) - profit(fixed)) / runs
-		raises, reversals := turns(scaled.Changes)
+		raises, reversals := countRaisesAndReversals(scaled.Changes)
 		t.Logf("seed %d: %.3f with, %.3f without; %d raises, %d reversals", seed, profit(scaled), profit(fixed), raises, reversals)
 		if raises > c.maxRaises || reversals > 1 {
 			t.Errorf("seed %d: changes %+v", seed, scaled.Changes)
 		}
 	}
-	if gain < c.atLeast {
-		t.Errorf("a gain of %.4f, not %.4f", gain, c.atLeast)
+	if gain < c.minGain {
+		t.Errorf("a gain of %.4f, not %.4f", gain, c.minGain)
 	}
 }
 
-// turns counts how often the first zone was raised, and how often it went the other way than before.
-func turns(changes []TargetChange) (raises, reversals int) {
+// countRaisesAndReversals counts how often the first zone was raised, and how often it went the other way than before.
+func countRaisesAndReversals(changes []TargetChange) (raises, reversals int) {
 	wasRaised, isFirst := false, true
 	for _, change := range changes {
 		if change.Zone != zoneName(0) {
--- a/test/servingsim/deployment.go
+++ b/test/servingsim/deployment.go
@@ -32,8 +32,8 @@
 
 // BatchClass is the batches: heaps of them come at a time.
 type BatchClass struct {
-	HeapEvery        clock.Micros
-	HeapBatches      int // in each heap, over all zones
+	BurstInterval    clock.Micros
+	BatchesPerBurst  int // in each heap, over all zones
 	Items            int // of a batch
 	PromptTokens     float64
 	OutputTokens     float64
@@ -65,18 +65,18 @@
 	LoadFactor func(elapsed clock.Micros) float64
 	// Crash is when some servers are down, and which part of them.
 	Crash Crash
-	// TellsLoad has the servers tell their load with each answer.
-	TellsLoad bool
+	// ReportsLoad has the servers tell their load with each answer.
+	ReportsLoad bool
 	// Adjust changes the settings of all schedulers, for an ablation.
 	Adjust func(settings *scheduler.Settings)
 	// ScorerWeights are those of the configuration.
 	ScorerWeights map[string]float64
 }
 
-// Bazaar is a deployment of many edges and stores before servers with little memory, with heaps of
+// MemoryBound is a deployment of many edges and stores before servers with little memory, with heaps of
 // batches beside the live requests. Its load at scale 1 takes about three quarters of the servers'
 // memory over the time.
-func Bazaar(zones, edges, stores, servers int, scale float64) Deployment {
+func MemoryBound(zones, edges, stores, servers int, scale float64) Deployment {
 	return Deployment{
 		Zones: zones, EdgesPerZone: edges, StoresPerZone: stores, ServersPerZone: servers,
 		Engine: Engine{
@@ -89,10 +89,10 @@
 			{Name: "reply", PerSecond: 2.1 * float64(servers) * scale, PromptTokens: 1460, OutputTokens: 173, Target: 600 * clock.Millisecond, Timeout: 6 * clock.Second, MaxAttempts: 1, Retries: 1},
 		},
 		Batch: BatchClass{
-			HeapEvery: 10 * clock.Second, HeapBatches: int(math.Round(float64(zones*servers) * scale / 4)), Items: 60,
+			BurstInterval: 10 * clock.Second, BatchesPerBurst: int(math.Round(float64(zones*servers) * scale / 4)), Items: 60,
 			PromptTokens: 2370, OutputTokens: 672, Due: 16 * clock.Second, CompletionWindow: 16 * clock.Second,
 		},
-		TellsLoad:     true,
+		ReportsLoad:   true,
 		ScorerWeights: map[string]float64{"fullness": 4, "turn": 1.5, "reading": 6, "silence": 20, "queue": 2, "zone": 2, "reliability": 20},
 	}
 }
@@ -100,13 +100,13 @@
 // ConnectionBound is a deployment whose servers have many slots and take few connections, with batches
 // that come to few stores at a time.
 func ConnectionBound(zones, edges, stores, servers int) Deployment {
-	d := Bazaar(zones, edges, stores, servers, 1)
+	d := MemoryBound(zones, edges, stores, servers, 1)
 	d.Engine = Engine{
 		Slots: 16, QueueLimit: 48, MemoryTokens: 305_000, StepTime: 1800, PrefillRate: 0.1,
 		ChunkTokens: 4096, FirstDelay: 15 * clock.Millisecond, EventTokens: 19,
 	}
 	d.Batch = BatchClass{
-		HeapEvery: 5 * clock.Second, HeapBatches: zones, Items: 26 * servers,
+		BurstInterval: 5 * clock.Second, BatchesPerBurst: zones, Items: 26 * servers,
 		PromptTokens: 768, OutputTokens: 665, Due: 8 * clock.Second, CompletionWindow: 8 * clock.Second,
 	}
 	d.MaxConnections = int64(zones * (edges + 3*stores))
--- a/test/servingsim/edge.go
+++ b/test/servingsim/edge.go
@@ -74,13 +74,13 @@
 		ID: id, Host: r.class.Name, Path: "/", ReceivedAt: e.world.now, CallerTimeout: r.deadline - e.world.now,
 		PromptTokens: int64(r.promptTokens), MaxOutputTokens: int64(r.outputTokens),
 	}
-	e.call(request, func(body any, err error) { e.decided(r, retries, id, body, err) })
+	e.call(request, func(body any, err error) { e.handleDecision(r, retries, id, body, err) })
 }
 
-// decided does what the machine decided about a request.
-func (e *edge) decided(r *liveRequest, retries int, id string, body any, err error) {
+// handleDecision does what the machine handleDecision about a request.
+func (e *edge) handleDecision(r *liveRequest, retries int, id string, body any, err error) {
 	if err != nil {
-		r.refused(retries, errs.Of(err).RetryAfterUS)
+		r.retryOrFail(retries, errs.Of(err).RetryAfterUS)
 		return
 	}
 	attempt, ok := body.(proxy.Attempt)
@@ -94,34 +94,34 @@
 	j := &job{id: id, promptTokens: r.promptTokens, outputTokens: r.outputTokens, deadline: attempt.Deadline}
 	j.onStart = func(load serverLoad) {
 		w.after(delay, func() {
-			r.event(w.now)
-			e.call(proxy.AttemptStarted{RequestID: id, Load: w.reported(load)}, nil)
+			r.recordEvent(w.now)
+			e.call(proxy.AttemptStarted{RequestID: id, Load: w.loadReport(load)}, nil)
 		})
 	}
-	j.onEvent = func() { w.after(delay, func() { r.event(w.now) }) }
+	j.onEvent = func() { w.after(delay, func() { r.recordEvent(w.now) }) }
 	j.onEnd = func(outcome jobOutcome, load serverLoad) {
 		w.after(delay, func() {
-			result := proxy.AttemptResult{RequestID: id, Outcome: outcomes[outcome], Load: w.reported(load), LongestEventGap: r.longestGap}
+			result := proxy.AttemptResult{RequestID: id, Outcome: outcomes[outcome], Load: w.loadReport(load), LongestEventGap: r.longestGap}
 			if outcome == jobDone {
 				result.Load = nil
 			}
 			if outcome == jobDone {
 				r.complete(w.now)
 			}
-			e.call(result, func(body any, err error) { e.decided(r, retries, id, body, err) })
+			e.call(result, func(body any, err error) { e.handleDecision(r, retries, id, body, err) })
 		})
 	}
 	w.after(delay, func() { target.submit(j) })
-	w.after(attempt.Deadline-w.now, func() { e.giveUp(r, target, id) })
+	w.after(attempt.Deadline-w.now, func() { e.expireAttempt(r, target, id) })
 }
 
-// giveUp ends an attempt whose deadline has passed.
-func (e *edge) giveUp(r *liveRequest, target *server, id string) {
+// expireAttempt ends an attempt whose deadline has passed.
+func (e *edge) expireAttempt(r *liveRequest, target *server, id string) {
 	if r.isOver {
 		return
 	}
 	target.cancel(id)
-	r.failed()
+	r.fail()
 	e.call(proxy.AttemptResult{RequestID: id, Outcome: proxy.Interrupted, ContextDone: true}, func(any, error) {})
 }
 
--- a/test/servingsim/engine.go
+++ b/test/servingsim/engine.go
@@ -62,9 +62,9 @@
 	draining  bool
 	endedAt   clock.Micros // 0: it runs
 
-	waiting []*job
-	running []*job // in the order in which they were taken up
-	stepped bool   // a step is scheduled
+	waiting       []*job
+	running       []*job // in the order in which they were taken up
+	stepScheduled bool   // a step is scheduled
 
 	// Counters.
 	preempted int // requests that lost their memory
@@ -107,8 +107,8 @@
 }
 
 func (s *server) schedule() {
-	if !s.stepped && len(s.waiting)+len(s.running) > 0 {
-		s.stepped = true
+	if !s.stepScheduled && len(s.waiting)+len(s.running) > 0 {
+		s.stepScheduled = true
 		s.step()
 	}
 }
@@ -158,7 +158,7 @@
 func (s *server) step() {
 	s.admit()
 	if len(s.running) == 0 {
-		s.stepped = false
+		s.stepScheduled = false
 		return
 	}
 	budget := s.engine.ChunkTokens
--- a/test/servingsim/policies_test.go
+++ b/test/servingsim/policies_test.go
@@ -22,17 +22,17 @@
 	sum, whole := 0.0, 0.0
 	for name, weight := range weights {
 		class := r.Classes[name]
-		sum += weight * (class.InTimeShare() + float64(class.Late)/float64(max(1, class.Owed))/2)
+		sum += weight * (class.InTimeShare() + float64(class.Late)/float64(max(1, class.Total))/2)
 		whole += weight
 	}
 	return sum / whole
 }
 
-// notFailed is the share of live requests that did not fail.
-func notFailed(r Result) float64 {
+// nonFailedShare is the share of live requests that did not fail.
+func nonFailedShare(r Result) float64 {
 	owed, failed := 0, 0
 	for _, class := range []string{"check", "reply"} {
-		owed += r.Classes[class].Owed
+		owed += r.Classes[class].Total
 		failed += r.Classes[class].Failed
 	}
 	return 1 - float64(failed)/float64(max(1, owed))
@@ -41,8 +41,8 @@
 // savedBytes are the bytes that did not go between zones, in MB below zero.
 func savedBytes(r Result) float64 { return -float64(r.CrossZoneBytes) / 1e6 }
 
-// play runs a deployment without a mechanism, once for each seed; "" is none.
-func play(t *testing.T, deployment Deployment, without mechanism.Name) []Result {
+// runWithout runs a deployment without a mechanism, once for each seed; "" is none.
+func runWithout(t *testing.T, deployment Deployment, without mechanism.Name) []Result {
 	t.Helper()
 	disabled, err := mechanism.Parse(string(without))
 	if err != nil {
@@ -66,20 +66,20 @@
 
 // overloaded has a tenth more to run than its servers' memory holds, and servers that fail for a while.
 func overloaded() Deployment {
-	d := Bazaar(3, 14, 3, 16, 1.1)
+	d := MemoryBound(3, 14, 3, 16, 1.1)
 	d.FailingServers = 6
 	return d
 }
 
 // loaded has what its servers can just run.
-func loaded() Deployment { return Bazaar(3, 14, 3, 16, 0.8) }
+func loaded() Deployment { return MemoryBound(3, 14, 3, 16, 0.8) }
 
-// heaped has far more batch items than can be ready in time.
-func heaped() Deployment { return Bazaar(3, 14, 3, 16, 1.6) }
+// batchOverloaded has far more batch items than can be ready in time.
+func batchOverloaded() Deployment { return MemoryBound(3, 14, 3, 16, 1.6) }
 
 // halfLoaded has room, and servers that fail for a while.
 func halfLoaded() Deployment {
-	d := Bazaar(3, 14, 3, 16, 0.5)
+	d := MemoryBound(3, 14, 3, 16, 0.5)
 	d.FailingServers = 6
 	return d
 }
@@ -88,12 +88,12 @@
 type mechanismCase struct {
 	mechanism mechanism.Name
 	of        measure
-	atLeast   float64
+	minDrop   float64
 }
 
 // Each of these mechanisms is worth something to a deployment of many edges and stores before servers
 // with little memory. The figures are about half of what was measured (docs/measures/erdene-bazaar.md).
-func TestMechanismsAreWorthSomething(t *testing.T) {
+func TestDisablingMechanismLowersMeasure(t *testing.T) {
 	for name, c := range map[string]struct {
 		deployment Deployment
 		cases      []mechanismCase
@@ -105,11 +105,11 @@
 			{mechanism.Scorer("queue"), utility, 0.005},
 			{mechanism.Scorer("reading"), utility, 0.01},
 		}},
-		"heaped":          {heaped(), []mechanismCase{{mechanism.OverdueLast, utility, 0.01}}},
+		"heaped":          {batchOverloaded(), []mechanismCase{{mechanism.OverdueLast, utility, 0.01}}},
 		"loaded":          {loaded(), []mechanismCase{{mechanism.Scorer("zone"), savedBytes, 0.8}}},
 		"few connections": {ConnectionBound(3, 14, 3, 16), []mechanismCase{{mechanism.BatchConnections, utility, 0.028}}},
 		"half loaded": {halfLoaded(), []mechanismCase{
-			{mechanism.Scorer("reliability"), notFailed, 0.002},
+			{mechanism.Scorer("reliability"), nonFailedShare, 0.002},
 			{mechanism.ServerBackoff, utility, 0.03},
 		}},
 	} {
@@ -121,21 +121,21 @@
 }
 
 func testMechanisms(t *testing.T, deployment Deployment, cases []mechanismCase) {
-	all := play(t, deployment, "")
+	all := runWithout(t, deployment, "")
 	for _, c := range cases {
 		t.Run(string(c.mechanism), func(t *testing.T) {
 			t.Parallel()
-			with, without := mean(c.of, all), mean(c.of, play(t, deployment, c.mechanism))
+			with, without := mean(c.of, all), mean(c.of, runWithout(t, deployment, c.mechanism))
 			t.Logf("with %.3f, without %.3f", with, without)
-			if with-without < c.atLeast {
-				t.Errorf("with %.3f, without %.3f: less than %.3f", with, without, c.atLeast)
+			if with-without < c.minDrop {
+				t.Errorf("with %.3f, without %.3f: less than %.3f", with, without, c.minDrop)
 			}
 		})
 	}
 }
 
 // The same seed gives the same result.
-func TestRunsRepeat(t *testing.T) {
+func TestSameSeedGivesSameResult(t *testing.T) {
 	first, second := New(halfLoaded(), 7).Run(5*clock.Second), New(halfLoaded(), 7).Run(5*clock.Second)
 	if first.String() != second.String() {
 		t.Errorf("%s\nand %s", first, second)
--- a/test/servingsim/result.go
+++ b/test/servingsim/result.go
@@ -21,10 +21,10 @@
 }
 
 // ClassResult counts what became of the requests, or items, of a class.
-type ClassResult struct{ Owed, InTime, Late, Failed int }
+type ClassResult struct{ Total, InTime, Late, Failed int }
 
 // InTimeShare is which part of what was owed came in time.
-func (c ClassResult) InTimeShare() float64 { return float64(c.InTime) / float64(max(1, c.Owed)) }
+func (c ClassResult) InTimeShare() float64 { return float64(c.InTime) / float64(max(1, c.Total)) }
 
 func (w *World) classResult(name string) *ClassResult {
 	if w.Result.Classes[name] == nil {
@@ -114,7 +114,7 @@
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
 		c := r.Classes[name]
-		out = append(out, fmt.Sprintf("%s %.3f in time, %.3f late, %.3f failed of %d", name, c.InTimeShare(), float64(c.Late)/float64(max(1, c.Owed)), float64(c.Failed)/float64(max(1, c.Owed)), c.Owed))
+		out = append(out, fmt.Sprintf("%s %.3f in time, %.3f late, %.3f failed of %d", name, c.InTimeShare(), float64(c.Late)/float64(max(1, c.Total)), float64(c.Failed)/float64(max(1, c.Total)), c.Total))
 	}
 	return strings.Join(out, "; ") + fmt.Sprintf("; %d preempted, imbalance %.2f, %.1f MB between zones, %d messages", r.Preempted, r.ServerImbalance, float64(r.CrossZoneBytes)/1e6, r.Messages)
 }
--- a/test/servingsim/scaler.go
+++ b/test/servingsim/scaler.go
@@ -38,7 +38,7 @@
 
 func newScaler(w *World) *scaler {
 	s := &scaler{world: w, desired: map[string]int64{}}
-	s.planner = autoscale.New(s.logged)
+	s.planner = autoscale.New(s.recordTargetChange)
 	configuration, _ := w.configuration(nil)
 	s.planner.SetConfiguration(configuration)
 	s.planner.Start(w.now)
@@ -47,17 +47,17 @@
 		s.setEndpoint(w.servers[name].entry())
 	}
 	for _, e := range w.edges {
-		s.report(e.id, e.zone, e.machine.Scheduler)
+		s.startReporting(e.id, e.zone, e.machine.Scheduler)
 	}
 	for _, one := range w.stores {
-		s.report(one.id, one.zone, one.scheduler)
+		s.startReporting(one.id, one.zone, one.scheduler)
 	}
 	s.tick()
 	return s
 }
 
-// logged records the planner's changes.
-func (s *scaler) logged(effect machine.Effect) {
+// recordTargetChange records the planner's changes.
+func (s *scaler) recordTargetChange(effect machine.Effect) {
 	if event, ok := effect.(machine.LogEvent); ok {
 		if change, ok := event.Event.(autoscale.TargetChanged); ok {
 			s.world.Result.Changes = append(s.world.Result.Changes, TargetChange{After: s.world.now - s.world.startedAt, Zone: change.Zone, From: change.From, To: change.To})
@@ -76,8 +76,8 @@
 	})
 }
 
-// report has a daemon report its load, every second from some moment on.
-func (s *scaler) report(id, zone string, from *scheduler.Scheduler) {
+// startReporting has a daemon startReporting its load, every second from some moment on.
+func (s *scaler) startReporting(id, zone string, from *scheduler.Scheduler) {
 	w := s.world
 	var send func()
 	send = func() {
--- a/test/servingsim/store.go
+++ b/test/servingsim/store.go
@@ -49,7 +49,7 @@
 	s.scheduler.SetZone(zone)
 	s.exchange = observations.New(id, s.scheduler)
 	mayRun := func(int, string, int, clock.Micros) bool { return true }
-	s.runner = execution.New(execution.Defaults(), s.calls, s.scheduler, mayRun, s.reported)
+	s.runner = execution.New(execution.Defaults(), s.calls, s.scheduler, mayRun, s.recordReport)
 	w.after(clock.Micros(w.random.Int63n(int64(tickInterval))), s.tick)
 	return s
 }
@@ -160,7 +160,7 @@
 	j := &job{id: attempt.ForwardedItem.ItemID, promptTokens: item.promptTokens, outputTokens: item.outputTokens}
 	j.onStart = func(load serverLoad) {
 		w.after(delay, func() {
-			s.runner.HandleAttemptStarted(execution.AttemptStarted{AttemptID: attempt.ID, Load: w.reported(load)}, w.now)
+			s.runner.HandleAttemptStarted(execution.AttemptStarted{AttemptID: attempt.ID, Load: w.loadReport(load)}, w.now)
 			s.finishStep()
 		})
 	}
@@ -181,8 +181,8 @@
 	w.after(delay, func() { target.submit(j) })
 }
 
-// reported takes an item's result; failed attempts need no record here.
-func (s *store) reported(report batchstore.Command, now clock.Micros) {
+// recordReport takes an item's result; failed attempts need no record here.
+func (s *store) recordReport(report batchstore.Command, now clock.Micros) {
 	if result, ok := report.(batchstore.ItemFinished); ok {
 		s.world.itemFinished(result.Batch, result.Item, result.Status == shard.StatusOK, now)
 	}
--- a/test/servingsim/traffic.go
+++ b/test/servingsim/traffic.go
@@ -31,14 +31,14 @@
 func (w *World) start(end clock.Micros) {
 	for zone := range w.Deployment.Zones {
 		for _, class := range w.Deployment.Live {
-			w.nextLive(class, zone, end)
+			w.scheduleLiveRequest(class, zone, end)
 		}
 	}
-	w.nextHeap(end)
+	w.scheduleFirstBurst(end)
 }
 
-// nextLive lets the next request of a class come from a zone.
-func (w *World) nextLive(class LiveClass, zone int, end clock.Micros) {
+// scheduleLiveRequest lets the next request of a class come from a zone.
+func (w *World) scheduleLiveRequest(class LiveClass, zone int, end clock.Micros) {
 	w.after(w.exponential(1/(class.PerSecond*w.loadFactor())), func() {
 		if w.now >= end {
 			return
@@ -49,9 +49,9 @@
 			promptTokens: w.spread(class.PromptTokens, 0.8, 3), outputTokens: w.spread(class.OutputTokens, 0.8, 3),
 			receivedAt: w.now, deadline: w.now + class.Timeout,
 		}
-		w.classResult(class.Name).Owed++
-		w.someEdge(zone).serve(r, 0)
-		w.nextLive(class, zone, end)
+		w.classResult(class.Name).Total++
+		w.randomEdge(zone).serve(r, 0)
+		w.scheduleLiveRequest(class, zone, end)
 	})
 }
 
@@ -63,15 +63,15 @@
 	return w.Deployment.LoadFactor(w.now - w.startedAt)
 }
 
-// someEdge is an edge of a zone; callers are spread unevenly.
-func (w *World) someEdge(zone int) *edge {
+// randomEdge is an edge of a zone; callers are spread unevenly.
+func (w *World) randomEdge(zone int) *edge {
 	n := w.Deployment.EdgesPerZone
 	at := min(w.random.Intn(n), w.random.Intn(n+n/2))
 	return w.edges[zone*n+at]
 }
 
-// event is one event of the answer.
-func (r *liveRequest) event(now clock.Micros) {
+// recordEvent is one recordEvent of the answer.
+func (r *liveRequest) recordEvent(now clock.Micros) {
 	if r.firstEvent == 0 {
 		r.firstEvent = now
 	} else {
@@ -93,17 +93,17 @@
 	}
 }
 
-// refused ends one sending of a request; the caller comes again while it may.
-func (r *liveRequest) refused(retries int, retryAfter clock.Micros) {
+// retryOrFail ends one sending of a request; the caller comes again while it may.
+func (r *liveRequest) retryOrFail(retries int, retryAfter clock.Micros) {
 	w := r.world
 	if r.isOver || retries >= r.class.Retries || w.now+retryAfter >= r.deadline {
-		r.failed()
+		r.fail()
 		return
 	}
-	w.after(max(retryAfter, 20*clock.Millisecond), func() { w.someEdge(r.zone).serve(r, retries+1) })
+	w.after(max(retryAfter, 20*clock.Millisecond), func() { w.randomEdge(r.zone).serve(r, retries+1) })
 }
 
-func (r *liveRequest) failed() {
+func (r *liveRequest) fail() {
 	if !r.isOver {
 		r.isOver = true
 		r.world.classResult(r.class.Name).Failed++
@@ -119,23 +119,23 @@
 
 type batchItem struct{ promptTokens, outputTokens int }
 
-// nextHeap lets the next heap of batches come, within a second.
-func (w *World) nextHeap(end clock.Micros) {
+// scheduleFirstBurst lets the next heap of batches come, within a second.
+func (w *World) scheduleFirstBurst(end clock.Micros) {
 	class := w.Deployment.Batch
-	if class.HeapEvery == 0 {
+	if class.BurstInterval == 0 {
 		return
 	}
-	w.after(class.HeapEvery/5, func() { w.heapOfBatches(end) })
+	w.after(class.BurstInterval/5, func() { w.submitBurst(end) })
 }
 
-func (w *World) heapOfBatches(end clock.Micros) {
+func (w *World) submitBurst(end clock.Micros) {
 	if w.now >= end {
 		return
 	}
-	for range w.Deployment.Batch.HeapBatches {
+	for range w.Deployment.Batch.BatchesPerBurst {
 		w.after(clock.Micros(w.random.Int63n(int64(clock.Second))), w.submitBatch)
 	}
-	w.after(w.Deployment.Batch.HeapEvery, func() { w.heapOfBatches(end) })
+	w.after(w.Deployment.Batch.BurstInterval, func() { w.submitBurst(end) })
 }
 
 func (w *World) submitBatch() {
@@ -146,7 +146,7 @@
 		b.items = append(b.items, batchItem{w.spread(class.PromptTokens, 0.4, 2), w.spread(class.OutputTokens, 0.5, 2)})
 	}
 	w.open = append(w.open, b)
-	w.classResult(batchRoute).Owed += len(b.items)
+	w.classResult(batchRoute).Total += len(b.items)
 	w.stores[w.random.Intn(len(w.stores))].submit(b)
 }
 
--- a/test/servingsim/world.go
+++ b/test/servingsim/world.go
@@ -123,9 +123,9 @@
 
 func zoneName(i int) string { return fmt.Sprintf("zone-%d", i) }
 
-// reported is a server's load as its answer tells it; nil where servers tell none.
-func (w *World) reported(load serverLoad) *endpoints.ReportedLoad {
-	if !w.Deployment.TellsLoad {
+// loadReport is a server's load as its answer tells it; nil where servers tell none.
+func (w *World) loadReport(load serverLoad) *endpoints.ReportedLoad {
+	if !w.Deployment.ReportsLoad {
 		return nil
 	}
 	return &endpoints.ReportedLoad{Running: load.running, Waiting: load.waiting, Slots: w.Deployment.Engine.Slots}
