--- a/cmd/controlcheck/main.go
+++ b/cmd/controlcheck/main.go
@@ -1,8 +1,8 @@
 // Program controlcheck is the model checker of the control plane: it runs the state
 // machine of the cores through all orders of a bounded set of events and checks the
-// properties of the control plane after each (test/modelcheck). It prints the states
-// visited and the depth reached, and ends with 1 on a violation, after printing the run
-// that shows it, one event a line, for -replay.
+// properties of the control plane after each event (test/modelcheck). It prints the number
+// of states visited and the depth reached. On a violation it prints the run that leads to it,
+// one event per line, as input for -replay, and exits with status 1.
 //
 //	controlcheck -mode bfs -depth 6
 //	controlcheck -mode walk -depth 400 -seconds 600 -seed 7
@@ -19,7 +19,7 @@
 	"tuliprudder/test/modelcheck"
 )
 
-// options are the program's settings.
+// options holds the command-line settings.
 type options struct {
 	voters, zones, spares, losses       int64
 	depth, states, seed, progressEvery  int64
@@ -28,10 +28,10 @@
 	startEmpty, fineGrained             bool
 }
 
-// search is one way through the states.
+// search explores the reachable states in some order.
 type search func(*modelcheck.Config, modelcheck.Bounds) modelcheck.Result
 
-// searches are the searches by -mode.
+// searches maps the values of -mode to the searches.
 var searches = map[string]search{
 	"bfs":  modelcheck.BreadthFirst,
 	"dfs":  modelcheck.DepthFirst,
@@ -109,11 +109,11 @@
 	return opts.search()
 }
 
-// search visits states and prints how many; a violation is the error.
+// search explores states and prints statistics; it returns a violation as an error.
 func (opts options) search() error {
 	run, known := searches[opts.mode]
 	if !known {
-		return fmt.Errorf("no mode %q: give -mode bfs, dfs or walk", opts.mode)
+		return fmt.Errorf("unknown mode %q: give -mode bfs, dfs or walk", opts.mode)
 	}
 	startedAt := time.Now()
 	result := run(opts.config(), opts.bounds())
@@ -127,7 +127,7 @@
 	return fmt.Errorf("broken: %w\n# a run of %d events that shows it\n%s", result.Violation, len(result.Trace), result.Trace)
 }
 
-// replay runs the events of a file and prints what each did.
+// replay runs the events of a file and prints the resulting status; it returns a violation as an error.
 func (opts options) replay() error {
 	text, err := os.ReadFile(opts.replayPath)
 	if err != nil {
--- a/cmd/simsweep/main.go
+++ b/cmd/simsweep/main.go
@@ -1,6 +1,6 @@
 // Program simsweep runs the simulator with many seeds (DESIGN §11, test/simulator). A run
-// that violates a guarantee is reduced to the faults that it needs, and its trace is
-// printed. It ends with 1 when a run violated one, and with 2 on bad settings.
+// that violates a guarantee is reduced to the faults needed to reproduce the violation, and
+// its trace is printed. The exit status is 1 if a run violated a guarantee, 2 on bad settings.
 //
 //	simsweep -seeds 1000 -shape five
 //	simsweep -first 4711 -seeds 1 -only cut-off
@@ -17,11 +17,11 @@
 	"tuliprudder/test/simulator"
 )
 
-// options are the program's settings.
+// options holds the command-line settings.
 type options struct {
 	firstSeed, seedCount, faults, jobs, traceLines int64
 	zones, cores, stores, edges, shards, tolerance int64
-	coreZones, storeZones                          string // counts by comma
+	coreZones, storeZones                          string // comma-separated counts
 	shape, only                                    string
 	plain, noMeasure                               bool
 }
@@ -70,12 +70,12 @@
 	return opts
 }
 
-// fleetShape is the shape of the simulated clusters.
+// fleetShape returns the shape of the simulated clusters.
 func (opts options) fleetShape() (simulator.Shape, error) {
 	if opts.shape != "" {
 		shape, known := simulator.Shapes[opts.shape]
 		if !known {
-			return shape, fmt.Errorf("no shape is named %q; give one, three, five, seven or uneven", opts.shape)
+			return shape, fmt.Errorf("unknown shape %q; give one, three, five, seven or uneven", opts.shape)
 		}
 		return shape, shape.Validate()
 	}
@@ -97,7 +97,7 @@
 	return shape, shape.Validate()
 }
 
-// parseCounts reads numbers by comma; an empty text is none.
+// parseCounts parses comma-separated counts; an empty text gives none.
 func parseCounts(text string) ([]int, error) {
 	if text == "" {
 		return nil, nil
@@ -106,14 +106,14 @@
 	for _, field := range strings.Split(text, ",") {
 		count, err := strconv.Atoi(strings.TrimSpace(field))
 		if err != nil || count < 0 {
-			return nil, fmt.Errorf("%q is no count; give whole numbers with commas between them", field)
+			return nil, fmt.Errorf("%q is not a count; give non-negative whole numbers separated by commas", field)
 		}
 		out = append(out, count)
 	}
 	return out, nil
 }
 
-// simulatedRun is the run of one seed.
+// simulatedRun returns the simulator run for one seed.
 func (opts options) simulatedRun(seed int64, shape simulator.Shape) simulator.Run {
 	return simulator.Run{
 		Seed:            seed,
--- a/cmd/simsweep/sweep.go
+++ b/cmd/simsweep/sweep.go
@@ -12,7 +12,7 @@
 	"tuliprudder/test/simulator"
 )
 
-// sweep makes the runs, prints their sums, and returns how many violated a guarantee.
+// sweep executes the runs, prints their totals, and returns how many violated a guarantee.
 func sweep(opts options, shape simulator.Shape) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -35,8 +35,8 @@
 	return sums.violated
 }
 
-// distributeSeeds gives the seeds to the workers until ctx ends: the runs made until then
-// are summed up.
+// distributeSeeds hands the seeds to the workers until ctx is done. The totals then cover the
+// runs started before.
 func (opts options) distributeSeeds(ctx context.Context, seeds chan<- int64) {
 	for seed := opts.firstSeed; seed < opts.firstSeed+opts.seedCount; seed++ {
 		select {
@@ -48,7 +48,7 @@
 	}
 }
 
-// runSeed makes one run; one that violates a guarantee is reduced, and printed.
+// runSeed executes one run. A run that violates a guarantee is reduced and its trace printed.
 func (opts options) runSeed(seed int64, shape simulator.Shape, sums *totals) {
 	run := opts.simulatedRun(seed, shape)
 	world := run.Execute()
@@ -63,7 +63,7 @@
 	fmt.Printf("seed %d violates a guarantee; it still does without the faults %v\n%s\n", seed, run.SkipFaults, world.Report(int(opts.traceLines)))
 }
 
-// shrink leaves out faults one by one for as long as the run still violates a guarantee.
+// shrink tries to leave out each fault in turn, and keeps it out if the run still violates a guarantee.
 func shrink(run simulator.Run, world *simulator.World) (simulator.Run, *simulator.World) {
 	for fault := range run.Faults {
 		smaller := run
--- a/cmd/simsweep/totals.go
+++ b/cmd/simsweep/totals.go
@@ -9,7 +9,7 @@
 	"tuliprudder/test/simulator"
 )
 
-// totals are the sums over the runs of a sweep.
+// totals accumulates the figures of the runs of a sweep.
 type totals struct {
 	mu                                    sync.Mutex // guards all below
 	runs, violated, faults                int
@@ -17,14 +17,14 @@
 	configurationsPut, configurationsRead int
 	claims                                int
 	forwarded                             int
-	undecided                             int // histories of configurations that were not decided in time
+	undecided                             int // configuration histories that the checker did not decide in time
 
-	// Durations of recoveries, one a run that measured it.
+	// Recovery durations, one for each run that measured it.
 	failoverAfterKill, failoverAfterPartition []clock.Micros
 	coreRepair, storeRepair                   []clock.Micros
 }
 
-// add adds one run.
+// add adds the figures of one run.
 func (t *totals) add(w *simulator.World) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -52,7 +52,7 @@
 	return append(list, duration)
 }
 
-// print prints the sums of a sweep that began with a seed.
+// print prints the totals of a sweep that began at firstSeed.
 func (t *totals) print(firstSeed int64) {
 	fmt.Printf("%d runs from seed %d: %d violated a guarantee; %d faults injected, %d batches submitted, %d results read, %d configurations put, %d read back, %d claims, %d requests forwarded\n",
 		t.runs, firstSeed, t.violated, t.faults, t.batches, t.results, t.configurationsPut, t.configurationsRead, t.claims, t.forwarded)
@@ -65,7 +65,7 @@
 	fmt.Printf("from the start of an empty store until every group is complete: %s\n", describeDurations(t.storeRepair))
 }
 
-// describeDurations gives the median, the 95th percentile and the maximum of a list.
+// describeDurations formats the median, the 95th percentile and the maximum of a list.
 func describeDurations(list []clock.Micros) string {
 	if len(list) == 0 {
 		return "not measured"
--- a/test/servingsim/autoscale_test.go
+++ b/test/servingsim/autoscale_test.go
@@ -11,12 +11,13 @@
 const (
 	scaledRunLength = 34 * clock.Second
 	scaledZones     = 3
-	scaledServers   = 8 // of a zone
-	// serverCostPerSecond is what a server costs in a second, in the unit of the requests' values.
+	scaledServers   = 8 // per zone
+	// serverCostPerSecond is the cost of one server for one second, in the unit of the requests' values.
 	serverCostPerSecond = 2.2
 )
 
-// autoscaleBase is a deployment whose servers come and go; at scale 1 their slots are taken to about two thirds.
+// autoscaleBase returns the deployment that the autoscaling tests start from, still without
+// autoscaling; at scale 1 about two thirds of its slots are in use.
 func autoscaleBase(scale float64) Deployment {
 	d := MemoryBound(scaledZones, 6, 2, scaledServers, 1)
 	d.Engine = Engine{
@@ -36,13 +37,14 @@
 	return d
 }
 
-// withAutoscale is a deployment whose servers are scaled.
+// withAutoscale enables autoscaling for a deployment.
 func withAutoscale(d Deployment) Deployment {
 	d.Autoscale = config.Autoscale{Min: scaledServers * 7 / 8, Max: 2 * scaledServers, BootTime: 4 * clock.Second}
 	return d
 }
 
-// profit is the value of what was served less the price of the servers, over the value of all.
+// profit returns the value of the completed requests (late ones count half) less the cost of the
+// servers, as a fraction of the value of all requests.
 func profit(r Result) float64 {
 	values := map[string]float64{"check": 2, "reply": 3, batchRoute: 7.2}
 	sum, all := 0.0, 0.0
@@ -54,12 +56,12 @@
 	return (sum - serverCostPerSecond*float64(r.ServerTime)/float64(clock.Second)) / all
 }
 
-// sinusoidalLoad is a load that swings by a third within 11 s.
+// sinusoidalLoad returns a load factor that varies by about a third either way, with a period of 11 s.
 func sinusoidalLoad(elapsed clock.Micros) float64 {
 	return 1 + 0.35*math.Sin(2*math.Pi*float64(elapsed)/float64(11*clock.Second))
 }
 
-// loadWithBurst is a wave with so many times the load from 15 s on, for a while.
+// loadWithBurst returns a sinusoidal load that is multiplied by factor for length, from 15 s on.
 func loadWithBurst(factor float64, length clock.Micros) func(clock.Micros) float64 {
 	return func(elapsed clock.Micros) float64 {
 		if elapsed >= 15*clock.Second && elapsed < 15*clock.Second+length {
@@ -69,30 +71,31 @@
 	}
 }
 
-// partlyFailing is a deployment with a usual load, a sixth of whose servers are down for a while.
+// partlyFailing returns a deployment at normal load in which about a sixth of the servers fail for 4.5 s.
 func partlyFailing() Deployment {
 	d := autoscaleBase(0.9)
 	d.Crash = Crash{After: 12 * clock.Second, For: 4500 * clock.Millisecond, Share: 0.17}
 	return d
 }
 
-// scalingCase is a deployment, and what scaling its servers has to be worth.
+// scalingCase is a deployment and the effect that autoscaling must have on it.
 type scalingCase struct {
 	deployment Deployment
 	load       func(elapsed clock.Micros) float64
-	minGain    float64 // change of the profit, on average over the seeds
-	maxRaises  int     // of a zone, in a run
+	minGain    float64 // least change of the profit, averaged over the seeds; negative: a loss is allowed
+	maxRaises  int     // most scale-ups of the first zone in a run
 }
 
-// What scaling is worth by the kind of day; the figures are about half of what was measured, or twice a loss.
+// Compares the profit with and without autoscaling under several load patterns. The bounds are about
+// half of the measured gain, or twice the measured loss.
 func TestAutoscalingProfitGain(t *testing.T) {
 	for name, c := range map[string]scalingCase{
-		"a quiet day":              {autoscaleBase(0.6), sinusoidalLoad, 0.002, 0},
-		"a usual day":              {autoscaleBase(0.9), sinusoidalLoad, -0.005, 0},
-		"a burst of 3 s":           {autoscaleBase(0.9), loadWithBurst(1.7, 3*clock.Second), -0.015, 1},
-		"an overload all day":      {autoscaleBase(1.6), sinusoidalLoad, 0.08, 3},
-		"a sixth of them is down":  {partlyFailing(), sinusoidalLoad, -0.013, 1},
-		"an overload in the midst": {autoscaleBase(1.1), loadWithBurst(2, 30*clock.Second), 0.045, 3},
+		"low load":                    {autoscaleBase(0.6), sinusoidalLoad, 0.002, 0},
+		"normal load":                 {autoscaleBase(0.9), sinusoidalLoad, -0.005, 0},
+		"burst of 3 s":                {autoscaleBase(0.9), loadWithBurst(1.7, 3*clock.Second), -0.015, 1},
+		"constant overload":           {autoscaleBase(1.6), sinusoidalLoad, 0.08, 3},
+		"a sixth of the servers down": {partlyFailing(), sinusoidalLoad, -0.013, 1},
+		"overload from 15 s on":       {autoscaleBase(1.1), loadWithBurst(2, 30*clock.Second), 0.045, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -109,17 +112,18 @@
 		scaled := New(withAutoscale(c.deployment), seed).Run(scaledRunLength)
 		gain += (profit(scaled) - profit(fixed)) / runs
 		raises, reversals := countRaisesAndReversals(scaled.Changes)
-		t.Logf("seed %d: %.3f with, %.3f without; %d raises, %d reversals", seed, profit(scaled), profit(fixed), raises, reversals)
+		t.Logf("seed %d: profit %.3f with autoscaling, %.3f without; %d raises, %d reversals", seed, profit(scaled), profit(fixed), raises, reversals)
 		if raises > c.maxRaises || reversals > 1 {
-			t.Errorf("seed %d: changes %+v", seed, scaled.Changes)
+			t.Errorf("seed %d: too many raises or reversals: target changes %+v", seed, scaled.Changes)
 		}
 	}
 	if gain < c.minGain {
-		t.Errorf("a gain of %.4f, not %.4f", gain, c.minGain)
+		t.Errorf("mean profit gain of autoscaling is %.4f, want at least %.4f", gain, c.minGain)
 	}
 }
 
-// countRaisesAndReversals counts how often the first zone was raised, and how often it went the other way than before.
+// countRaisesAndReversals counts the scale-ups of the first zone, and the changes whose direction is
+// opposite to that of the change before.
 func countRaisesAndReversals(changes []TargetChange) (raises, reversals int) {
 	wasRaised, isFirst := false, true
 	for _, change := range changes {
--- a/test/servingsim/deployment.go
+++ b/test/servingsim/deployment.go
@@ -17,65 +17,65 @@
 	"tuliprudder/internal/membership"
 )
 
-// LiveClass is a kind of live request.
+// LiveClass is a class of live requests with common sizes, rate and deadlines.
 type LiveClass struct {
 	Name         string
-	PerSecond    float64 // in each zone
+	PerSecond    float64 // arrival rate in each zone
 	PromptTokens float64 // mean
 	OutputTokens float64 // mean
 	Target       clock.Micros
 	Timeout      clock.Micros
 	MaxAttempts  int64
 	Resumable    bool
-	Retries      int // of the caller
+	Retries      int // by the caller, after a refusal
 }
 
-// BatchClass is the batches: heaps of them come at a time.
+// BatchClass describes the batches, which arrive in bursts.
 type BatchClass struct {
 	BurstInterval    clock.Micros
-	BatchesPerBurst  int // in each heap, over all zones
-	Items            int // of a batch
+	BatchesPerBurst  int // over all zones
+	Items            int // mean per batch
 	PromptTokens     float64
 	OutputTokens     float64
 	Due              clock.Micros
-	CompletionWindow clock.Micros // of the route, as the configuration says; 0: none
+	CompletionWindow clock.Micros // of the route in the configuration; 0: none
 }
 
-// Crash has a part of the servers fail all requests for a while.
+// Crash makes a share of the servers fail all requests for a while.
 type Crash struct {
 	After, For clock.Micros // from the start of the traffic
 	Share      float64
 }
 
-// Deployment is what a run simulates.
+// Deployment describes the simulated system, its traffic and its faults.
 type Deployment struct {
 	Zones, EdgesPerZone, StoresPerZone, ServersPerZone int
 	Engine                                             Engine
 	InZone, BetweenZones                               clock.Micros // one way
 	Live                                               []LiveClass
 	Batch                                              BatchClass
-	// FailingServers is how many servers fail each request from a third of the run to two thirds.
+	// FailingServers is the number of servers that fail every request in the middle third of the run.
 	FailingServers int
-	// MaxConnections is how many connections a server takes; stores keep to their shares of them. 0: any.
+	// MaxConnections limits the connections of a server, which the stores share; 0: unlimited.
 	MaxConnections int64
-	// Autoscale bounds the servers of each zone, which come and go as the planner has it; the zero value:
-	// they stay as they are.
+	// Autoscale bounds the number of servers per zone, which the planner then changes; the zero value
+	// keeps the number fixed.
 	Autoscale config.Autoscale
-	// LoadFactor is what the live traffic is multiplied by so long after its start; nil: 1.
+	// LoadFactor returns the factor of the live traffic at a time since its start; nil: 1.
 	LoadFactor func(elapsed clock.Micros) float64
-	// Crash is when some servers are down, and which part of them.
+	// Crash says when servers fail, and which share of them.
 	Crash Crash
-	// ReportsLoad has the servers tell their load with each answer.
+	// ReportsLoad makes the servers report their load with each answer.
 	ReportsLoad bool
-	// Adjust changes the settings of all schedulers, for an ablation.
+	// Adjust changes the settings of all schedulers, for example to disable a mechanism.
 	Adjust func(settings *scheduler.Settings)
-	// ScorerWeights are those of the configuration.
+	// ScorerWeights are the scorer weights of the configuration.
 	ScorerWeights map[string]float64
 }
 
-// MemoryBound is a deployment of many edges and stores before servers with little memory, with heaps of
-// batches beside the live requests. Its load at scale 1 takes about three quarters of the servers'
-// memory over the time.
+// MemoryBound returns a deployment of many edges and stores in front of servers with little memory, with
+// bursts of batches besides the live requests. At scale 1 its load takes about three quarters of the
+// servers' memory on average.
 func MemoryBound(zones, edges, stores, servers int, scale float64) Deployment {
 	return Deployment{
 		Zones: zones, EdgesPerZone: edges, StoresPerZone: stores, ServersPerZone: servers,
@@ -97,8 +97,8 @@
 	}
 }
 
-// ConnectionBound is a deployment whose servers have many slots and take few connections, with batches
-// that come to few stores at a time.
+// ConnectionBound returns a deployment whose servers have many slots but accept few connections, and
+// whose batches arrive at few stores at a time.
 func ConnectionBound(zones, edges, stores, servers int) Deployment {
 	d := MemoryBound(zones, edges, stores, servers, 1)
 	d.Engine = Engine{
@@ -113,7 +113,7 @@
 	return d
 }
 
-// New makes a run of a deployment.
+// New prepares a run of a deployment; Run starts it.
 func New(deployment Deployment, seed int64) *World {
 	w := &World{
 		Deployment: deployment,
@@ -157,7 +157,7 @@
 	}
 }
 
-// adjust are the settings of a daemon's scheduler.
+// adjust sets the scheduler settings that all daemons use here.
 func (w *World) adjust(settings *scheduler.Settings) {
 	settings.MaxStaleness = scheduler.UnlimitedStaleness
 	settings.MinUtilizationLimit = 0.8
@@ -166,7 +166,7 @@
 	}
 }
 
-// updates are those that tell the daemons of each other, the configuration and the servers.
+// updates returns the state updates that announce the daemons, the configuration and the servers.
 func (w *World) updates() []machine.Update {
 	var out []machine.Update
 	for _, e := range w.edges {
@@ -183,7 +183,7 @@
 	return out
 }
 
-// entry is the server's entry on the list.
+// entry returns the server's entry in the list of servers.
 func (s *server) entry() endpoints.Server {
 	return endpoints.Server{
 		Name: s.name, Address: s.address, Slots: s.engine.Slots, Labels: map[string]string{"zone": s.zone},
@@ -207,7 +207,7 @@
 	}
 }
 
-// configuration is the one in force.
+// configuration returns the configuration of the deployment.
 func (w *World) configuration([]byte) (*config.Configuration, error) {
 	c := &config.Configuration{
 		ScorerWeights: w.Deployment.ScorerWeights,
@@ -228,10 +228,10 @@
 	return c, nil
 }
 
-// batchRoute is the name of the batches' route.
+// batchRoute is the name of the batch route, and of its class in the results.
 const batchRoute = "batches"
 
-// Priorities of the live routes and of the batches'.
+// Priorities of the live routes and of the batch route.
 const (
 	livePriority  = 1000
 	batchPriority = 998
--- a/test/servingsim/edge.go
+++ b/test/servingsim/edge.go
@@ -13,15 +13,15 @@
 // tickInterval is the time between two ticks of a daemon's machine.
 const tickInterval = 20 * clock.Millisecond
 
-// edge is an edge daemon's machine, with what its gateway does.
+// edge is an edge daemon's state machine together with a simulated gateway.
 type edge struct {
 	world   *World
-	id      string // its address, too
+	id      string // also its address
 	zone    string
 	machine *machines.Edge
 
 	lastCall uint64
-	calls    map[uint64]func(body any, err error) // by the call's number
+	calls    map[uint64]func(body any, err error) // reply callbacks by call number
 }
 
 func newEdge(w *World, id, zone string) *edge {
@@ -44,7 +44,7 @@
 	e.execute(e.machine.Message(from, body, e.world.now))
 }
 
-// execute carries the effects of a step out.
+// execute performs the effects of a state machine step.
 func (e *edge) execute(effects []machine.Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -60,14 +60,14 @@
 	}
 }
 
-// call sends the machine a message; the callback gets its reply.
+// call passes a message to the state machine; the callback receives the reply.
 func (e *edge) call(body any, callback func(body any, err error)) {
 	e.lastCall++
 	e.calls[e.lastCall] = callback
 	e.execute(e.machine.Call(e.lastCall, body, e.world.now))
 }
 
-// serve carries a live request that its caller has sent again so many times to its end.
+// serve handles a live request that its caller has already retried so many times.
 func (e *edge) serve(r *liveRequest, retries int) {
 	id := fmt.Sprintf("%s/%d", r.id, retries)
 	request := proxy.Request{
@@ -77,7 +77,7 @@
 	e.call(request, func(body any, err error) { e.handleDecision(r, retries, id, body, err) })
 }
 
-// handleDecision does what the machine handleDecision about a request.
+// handleDecision starts the attempt that the state machine chose, or handles the refusal.
 func (e *edge) handleDecision(r *liveRequest, retries int, id string, body any, err error) {
 	if err != nil {
 		r.retryOrFail(retries, errs.Of(err).RetryAfterUS)
@@ -85,7 +85,7 @@
 	}
 	attempt, ok := body.(proxy.Attempt)
 	if !ok {
-		return // it is done
+		return // no further attempt: the request is finished
 	}
 	w := e.world
 	target := w.servers[attempt.Server]
@@ -125,5 +125,5 @@
 	e.call(proxy.AttemptResult{RequestID: id, Outcome: proxy.Interrupted, ContextDone: true}, func(any, error) {})
 }
 
-// outcomes are the outcomes of attempts as the gateway reports them.
+// outcomes maps job outcomes to the attempt outcomes that the gateway reports.
 var outcomes = map[jobOutcome]proxy.Outcome{jobDone: proxy.Complete, jobRejected: proxy.NotRun, jobFailed: proxy.Failed}
--- a/test/servingsim/engine.go
+++ b/test/servingsim/engine.go
@@ -6,16 +6,16 @@
 	"tuliprudder/internal/clock"
 )
 
-// Engine is what a model server can do.
+// Engine describes the capacity and speed of a model server.
 type Engine struct {
-	Slots        int          // requests that it runs at a time
-	QueueLimit   int          // requests that wait
-	MemoryTokens int          // of prompts and outputs of all requests that run
-	StepTime     clock.Micros // of one token of every request that runs
-	PrefillRate  float64      // prompt tokens a microsecond
-	ChunkTokens  int          // prompt tokens that are prefilled in one step, at most
-	FirstDelay   clock.Micros // from the first token to the head of the answer
-	EventTokens  int          // in one event
+	Slots        int          // requests that run concurrently
+	QueueLimit   int          // longest queue of waiting requests
+	MemoryTokens int          // for the prompts and outputs of all running requests
+	StepTime     clock.Micros // time of a step that decodes one token of every running request
+	PrefillRate  float64      // prompt tokens per microsecond
+	ChunkTokens  int          // most prompt tokens prefilled in one step
+	FirstDelay   clock.Micros // from a token or the end of the output to its delivery
+	EventTokens  int          // tokens per event
 }
 
 // job is one request on a server.
@@ -26,8 +26,8 @@
 	deadline     clock.Micros // 0: none
 
 	prefillLeft int
-	produced    int // tokens since it was taken up
-	total       int // tokens in all
+	produced    int // tokens since it was last admitted
+	total       int // tokens produced in all, also before preemptions
 	started     bool
 	onStart     func(load serverLoad)
 	onEvent     func() // each event after the first
@@ -36,7 +36,7 @@
 
 func (j *job) memory() int { return j.promptTokens - j.prefillLeft + j.produced }
 
-// serverLoad is what a server tells with its answers.
+// serverLoad is the load that a server reports with its answers.
 type serverLoad struct{ running, waiting int }
 
 // jobOutcome is how a request ended on a server.
@@ -48,30 +48,30 @@
 	jobFailed
 )
 
-// server is a model server that prefills prompts in chunks between the decoding steps of all
-// requests that run, and whose memory is counted in tokens.
+// server is a model server that prefills prompts in chunks between the decoding steps of all running
+// requests, and whose memory is counted in tokens.
 type server struct {
 	world   *World
 	name    string
 	address string
 	zone    string
 	engine  Engine
-	failing bool // it fails each request at once
+	failing bool // fails each request at once
 
 	startedAt clock.Micros
 	draining  bool
-	endedAt   clock.Micros // 0: it runs
+	endedAt   clock.Micros // 0: still running
 
 	waiting       []*job
-	running       []*job // in the order in which they were taken up
+	running       []*job // in the order of admission
 	stepScheduled bool   // a step is scheduled
 
 	// Counters.
-	preempted int // requests that lost their memory
+	preempted int // requests evicted from memory
 	busyFor   clock.Micros
 }
 
-// load counts a request as running from its first token on.
+// load counts a request as running from its first token on; during prefill it counts as waiting.
 func (s *server) load() serverLoad {
 	load := serverLoad{waiting: len(s.waiting)}
 	for _, j := range s.running {
@@ -84,7 +84,8 @@
 	return load
 }
 
-// submit takes a request, or rejects it when the queue is full.
+// submit queues a request. It rejects it if the queue is full or the request exceeds the memory, and
+// fails it if the server is failing or has ended.
 func (s *server) submit(j *job) {
 	switch {
 	case s.failing, s.endedAt > 0:
@@ -99,7 +100,7 @@
 	s.schedule()
 }
 
-// cancel drops a request.
+// cancel removes a request from the queue or from the running ones, without a result.
 func (s *server) cancel(id string) {
 	isIt := func(j *job) bool { return j.id == id }
 	s.waiting = slices.DeleteFunc(s.waiting, isIt)
@@ -121,7 +122,8 @@
 	return used
 }
 
-// admit takes up what waits, in its order, while there are slots and memory.
+// admit starts waiting requests in order while there are free slots and memory. Those past their
+// deadline are rejected.
 func (s *server) admit() {
 	used := s.memoryUsed()
 	for len(s.waiting) > 0 && len(s.running) < s.engine.Slots {
@@ -140,7 +142,8 @@
 	}
 }
 
-// evict puts the newest requests back while the memory is exceeded; they are prefilled anew.
+// evict preempts the newest requests while the memory is exceeded. They go back to the front of the
+// queue and are prefilled again, with the tokens produced so far.
 func (s *server) evict() {
 	for s.memoryUsed() > s.engine.MemoryTokens && len(s.running) > 1 {
 		last := s.running[len(s.running)-1]
@@ -154,7 +157,7 @@
 	}
 }
 
-// step runs one step of the engine, and schedules the next one.
+// step runs one step of the engine and schedules its end.
 func (s *server) step() {
 	s.admit()
 	if len(s.running) == 0 {
@@ -177,7 +180,8 @@
 	s.world.after(duration, func() { s.finishStep(prefilled) })
 }
 
-// finishStep hands out the tokens of a step.
+// finishStep adds the tokens that a step decoded, evicts requests if memory is exceeded, and starts the
+// next step.
 func (s *server) finishStep(prefilled map[*job]bool) {
 	for _, j := range slices.Clone(s.running) {
 		if j.prefillLeft > 0 || prefilled[j] && j.produced > 0 {
@@ -191,7 +195,7 @@
 	s.step()
 }
 
-// produce reports the events that a new token completes.
+// produce reports the events that a new token completes, and the end of the request.
 func (s *server) produce(j *job) {
 	if !j.started {
 		j.started = true
--- a/test/servingsim/policies_test.go
+++ b/test/servingsim/policies_test.go
@@ -10,13 +10,14 @@
 
 const (
 	runLength = 20 * clock.Second
-	runs      = 2 // with seeds from 1 on
+	runs      = 2 // seeds 1 to runs
 )
 
-// measure is a figure of a result; less of it is worse.
+// measure extracts a figure from a result; higher is better.
 type measure func(Result) float64
 
-// utility weighs what came in time, and half of what came late, by class.
+// utility returns the weighted mean over the classes of the share completed in time plus half of the
+// share completed late.
 func utility(r Result) float64 {
 	weights := map[string]float64{"check": 17, "reply": 4, batchRoute: 9}
 	sum, whole := 0.0, 0.0
@@ -28,7 +29,7 @@
 	return sum / whole
 }
 
-// nonFailedShare is the share of live requests that did not fail.
+// nonFailedShare returns the share of live requests that did not fail.
 func nonFailedShare(r Result) float64 {
 	owed, failed := 0, 0
 	for _, class := range []string{"check", "reply"} {
@@ -38,10 +39,10 @@
 	return 1 - float64(failed)/float64(max(1, owed))
 }
 
-// savedBytes are the bytes that did not go between zones, in MB below zero.
+// savedBytes returns the negated traffic between zones in MB, so that higher is better.
 func savedBytes(r Result) float64 { return -float64(r.CrossZoneBytes) / 1e6 }
 
-// runWithout runs a deployment without a mechanism, once for each seed; "" is none.
+// runWithout runs a deployment once per seed with one mechanism disabled; "" disables none.
 func runWithout(t *testing.T, deployment Deployment, without mechanism.Name) []Result {
 	t.Helper()
 	disabled, err := mechanism.Parse(string(without))
@@ -64,35 +65,38 @@
 	return sum / float64(len(results))
 }
 
-// overloaded has a tenth more to run than its servers' memory holds, and servers that fail for a while.
+// overloaded returns a deployment whose load exceeds its servers' memory by a tenth, with servers that
+// fail in the middle third of the run.
 func overloaded() Deployment {
 	d := MemoryBound(3, 14, 3, 16, 1.1)
 	d.FailingServers = 6
 	return d
 }
 
-// loaded has what its servers can just run.
+// loaded returns a deployment whose load its servers can just handle.
 func loaded() Deployment { return MemoryBound(3, 14, 3, 16, 0.8) }
 
-// batchOverloaded has far more batch items than can be ready in time.
+// batchOverloaded returns a deployment with far more batch items than can complete in time.
 func batchOverloaded() Deployment { return MemoryBound(3, 14, 3, 16, 1.6) }
 
-// halfLoaded has room, and servers that fail for a while.
+// halfLoaded returns a deployment with spare capacity, and servers that fail in the middle third of the
+// run.
 func halfLoaded() Deployment {
 	d := MemoryBound(3, 14, 3, 16, 0.5)
 	d.FailingServers = 6
 	return d
 }
 
-// mechanismCase is a mechanism without which a measure of a deployment falls by atLeast or more.
+// mechanismCase is a mechanism whose absence lowers a measure of a deployment by at least minDrop.
 type mechanismCase struct {
 	mechanism mechanism.Name
 	of        measure
 	minDrop   float64
 }
 
-// Each of these mechanisms is worth something to a deployment of many edges and stores before servers
-// with little memory. The figures are about half of what was measured (docs/measures/erdene-bazaar.md).
+// Checks that disabling any of these mechanisms lowers its measure in a deployment of many edges and
+// stores in front of servers with little memory. The bounds are about half of the measured differences
+// (docs/measures/erdene-bazaar.md).
 func TestDisablingMechanismLowersMeasure(t *testing.T) {
 	for name, c := range map[string]struct {
 		deployment Deployment
@@ -126,18 +130,17 @@
 		t.Run(string(c.mechanism), func(t *testing.T) {
 			t.Parallel()
 			with, without := mean(c.of, all), mean(c.of, runWithout(t, deployment, c.mechanism))
-			t.Logf("with %.3f, without %.3f", with, without)
+			t.Logf("mean measure %.3f with the mechanism, %.3f without", with, without)
 			if with-without < c.minDrop {
-				t.Errorf("with %.3f, without %.3f: less than %.3f", with, without, c.minDrop)
+				t.Errorf("mean measure %.3f with the mechanism, %.3f without: want a drop of at least %.3f", with, without, c.minDrop)
 			}
 		})
 	}
 }
 
-// The same seed gives the same result.
 func TestSameSeedGivesSameResult(t *testing.T) {
 	first, second := New(halfLoaded(), 7).Run(5*clock.Second), New(halfLoaded(), 7).Run(5*clock.Second)
 	if first.String() != second.String() {
-		t.Errorf("%s\nand %s", first, second)
+		t.Errorf("two runs with the same seed differ:\n%s\nand %s", first, second)
 	}
 }
--- a/test/servingsim/result.go
+++ b/test/servingsim/result.go
@@ -9,21 +9,21 @@
 	"tuliprudder/internal/clock"
 )
 
-// Result is what came of a run.
+// Result holds the figures of a run.
 type Result struct {
-	Classes         map[string]*ClassResult // by the name of the live class, or of the batches' route
-	CrossZoneBytes  int                     // between daemons and servers of other zones
+	Classes         map[string]*ClassResult // by name of the live class or of the batch route
+	CrossZoneBytes  int                     // between daemons and servers in other zones
 	Messages        int                     // between daemons
 	Preempted       int                     // requests that a server preempted because its memory was full
 	ServerImbalance float64                 // busy time of the busiest server over the mean
-	ServerTime      clock.Micros            // of all servers, over the run
-	Changes         []TargetChange          // of the numbers of servers, in their order
+	ServerTime      clock.Micros            // sum of all servers' running times
+	Changes         []TargetChange          // of the target numbers of servers, in order
 }
 
-// ClassResult counts what became of the requests, or items, of a class.
+// ClassResult counts the requests, or batch items, of a class by result.
 type ClassResult struct{ Total, InTime, Late, Failed int }
 
-// InTimeShare is which part of what was owed came in time.
+// InTimeShare returns the share completed in time.
 func (c ClassResult) InTimeShare() float64 { return float64(c.InTime) / float64(max(1, c.Total)) }
 
 func (w *World) classResult(name string) *ClassResult {
@@ -33,7 +33,7 @@
 	return w.Result.Classes[name]
 }
 
-// bytesPerToken is a request's or an answer's size for each token, its framing included.
+// bytesPerToken is the size of a request or an answer per token, framing included.
 const bytesPerToken = 2
 
 func bytesOf(tokens ...int) int {
@@ -50,7 +50,8 @@
 	}
 }
 
-// Run lets traffic come for a while, and then waits until it is over.
+// Run generates traffic for the given length, then runs on for the batches' due time so that work in
+// progress can finish.
 func (w *World) Run(length clock.Micros) Result {
 	w.startedAt = w.now
 	end := w.now + length
@@ -74,7 +75,7 @@
 	return w.Result
 }
 
-// runningTime is how long a server ran until the end of the traffic.
+// runningTime returns how long a server ran, up to the end of the traffic.
 func (s *server) runningTime(end clock.Micros) clock.Micros {
 	if s.endedAt > 0 {
 		end = min(end, s.endedAt)
@@ -82,7 +83,7 @@
 	return max(0, end-s.startedAt)
 }
 
-// scheduleCrash has the servers of Deployment.Crash fail for a while.
+// scheduleCrash schedules the failure of the servers of Deployment.Crash, and their recovery.
 func (w *World) scheduleCrash() {
 	crash := w.Deployment.Crash
 	if crash.For == 0 {
@@ -100,7 +101,7 @@
 	w.after(crash.After+crash.For, func() { set(false) })
 }
 
-// setFailing has the first servers of each zone in turn fail, or not any more.
+// setFailing makes the first FailingServers servers, taken from each zone in turn, fail or recover.
 func (w *World) setFailing(failing bool) {
 	names := slices.Sorted(maps.Keys(w.servers))
 	slices.SortStableFunc(names, func(a, b string) int { return strings.Compare(a[len(a)-2:], b[len(b)-2:]) })
@@ -109,7 +110,7 @@
 	}
 }
 
-// String is the result in a line.
+// String returns the result in one line.
 func (r Result) String() string {
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
--- a/test/servingsim/scaler.go
+++ b/test/servingsim/scaler.go
@@ -13,26 +13,26 @@
 	"tuliprudder/internal/machine"
 )
 
-// TargetChange is a number of servers that the planner wanted for a zone.
+// TargetChange is a change of a zone's target number of servers by the planner.
 type TargetChange struct {
-	After    clock.Micros // the start of the traffic
+	After    clock.Micros // since the start of the traffic
 	Zone     string
 	From, To int64
 }
 
 const (
-	reportInterval = clock.Second             // between two reports of a daemon's load
-	callTime       = 150 * clock.Millisecond  // from an act's proposal until the platform has it
-	listDelay      = 1800 * clock.Millisecond // until a server's state is known to all daemons
-	drainTime      = 4 * clock.Second         // of a server that leaves
+	reportInterval = clock.Second             // between a daemon's load reports
+	callTime       = 150 * clock.Millisecond  // from the proposal of an act until the platform has received it
+	listDelay      = 1800 * clock.Millisecond // until all daemons know a server's new state
+	drainTime      = 4 * clock.Second         // from when the daemons know that a server drains until it ends
 )
 
-// scaler is the planner of the servers' numbers, and the platform that starts and ends them.
+// scaler combines the autoscaling planner with a simulated platform that starts and ends servers.
 type scaler struct {
 	world   *World
 	planner *autoscale.Planner
 	table   exclusive.Table
-	desired map[string]int64 // by zone, as the platform has it
+	desired map[string]int64 // target number by zone, as known to the platform
 	added   int
 }
 
@@ -56,7 +56,7 @@
 	return s
 }
 
-// recordTargetChange records the planner's changes.
+// recordTargetChange adds the planner's target changes to the result.
 func (s *scaler) recordTargetChange(effect machine.Effect) {
 	if event, ok := effect.(machine.LogEvent); ok {
 		if change, ok := event.Event.(autoscale.TargetChanged); ok {
@@ -65,7 +65,7 @@
 	}
 }
 
-// setEndpoint tells the planner a server's entry on the list.
+// setEndpoint passes a server's list entry to the planner.
 func (s *scaler) setEndpoint(entry endpoints.Server) {
 	if entry.Removed {
 		s.planner.RemoveServer(entry.Name)
@@ -76,7 +76,7 @@
 	})
 }
 
-// startReporting has a daemon startReporting its load, every second from some moment on.
+// startReporting makes a daemon report its load every reportInterval, from a random offset on.
 func (s *scaler) startReporting(id, zone string, from *scheduler.Scheduler) {
 	w := s.world
 	var send func()
@@ -93,7 +93,7 @@
 	w.after(clock.Micros(w.random.Int63n(int64(reportInterval))), send)
 }
 
-// tick has the planner look at the load, and carries its acts out.
+// tick lets the planner evaluate the load, and proposes the acts that are due.
 func (s *scaler) tick() {
 	s.planner.Advance(&s.table, s.world.now)
 	for _, act := range s.planner.Due(&s.table) {
@@ -103,7 +103,7 @@
 	s.world.after(100*clock.Millisecond, s.tick)
 }
 
-// perform is the platform's part of an act.
+// perform is the platform's side of an act: it starts or drains servers until the target is met.
 func (s *scaler) perform(act exclusive.Act) {
 	s.table.Apply(exclusive.Update{Settlements: []exclusive.Settlement{{Subject: act.Subject, Numbers: []uint64{act.Number}}}})
 	target, err := autoscale.DecodeTarget(act.Content)
@@ -120,7 +120,7 @@
 	}
 }
 
-// boot starts a server. It is paid for from now on, and serves later.
+// boot starts a server. Its cost counts at once; it serves requests only after the boot time.
 func (s *scaler) boot(zone string) {
 	w := s.world
 	s.added++
@@ -129,7 +129,7 @@
 	w.after(w.Deployment.Autoscale.BootTime+listDelay, func() { s.publish(added) })
 }
 
-// drain has the newest server of a zone leave.
+// drain starts draining the newest server of a zone, which ends later.
 func (s *scaler) drain(zone string) {
 	w := s.world
 	var newest *server
@@ -147,7 +147,7 @@
 	})
 }
 
-// publish tells all daemons a server's state.
+// publish announces a server's state to the planner and all daemons.
 func (s *scaler) publish(one *server) {
 	entry := one.entry()
 	s.setEndpoint(entry)
--- a/test/servingsim/store.go
+++ b/test/servingsim/store.go
@@ -21,10 +21,11 @@
 	"tuliprudder/internal/membership"
 )
 
-// store is what runs a store daemon's items: its batches are in memory, and durable at once.
+// store is the part of a store daemon that runs batch items. Its batches are kept in memory and count as
+// durable at once.
 type store struct {
 	world     *World
-	id        string // its address, too
+	id        string // also its address
 	zone      string
 	calls     *machine.Calls
 	scheduler *scheduler.Scheduler
@@ -36,7 +37,7 @@
 	open      map[*server]int // connections in use
 }
 
-// shareInterval is the time between two comparisons of the stores' demands.
+// shareInterval is the time between two exchanges of demand among the stores.
 const shareInterval = 100 * clock.Millisecond
 
 func newStore(w *World, id, zone string) *store {
@@ -114,7 +115,7 @@
 	}
 }
 
-// connectionShares are the daemons that share the servers' connections.
+// connectionShares counts, by kind, the daemons that share the servers' connections.
 func (s *store) connectionShares() (shares connections.DaemonCounts) {
 	for _, member := range s.members {
 		shares.Add(member.Kind)
@@ -122,7 +123,7 @@
 	return shares
 }
 
-// maxConnections is how many connections to a server this store may have.
+// maxConnections returns the most connections that this store may have to one server.
 func (s *store) maxConnections() int {
 	deployment := s.world.Deployment
 	if deployment.MaxConnections == 0 {
@@ -131,7 +132,7 @@
 	return s.connectionShares().LimitFor(membership.Store, deployment.MaxConnections, deployment.Engine.Slots)
 }
 
-// submit takes a batch.
+// submit adds the items of a batch to the runner.
 func (s *store) submit(b *batch) {
 	for i, item := range b.items {
 		s.runner.Submit(batchstore.RunItem{
@@ -181,7 +182,7 @@
 	w.after(delay, func() { target.submit(j) })
 }
 
-// recordReport takes an item's result; failed attempts need no record here.
+// recordReport records an item's final result. Reports of failed attempts are ignored.
 func (s *store) recordReport(report batchstore.Command, now clock.Micros) {
 	if result, ok := report.(batchstore.ItemFinished); ok {
 		s.world.itemFinished(result.Batch, result.Item, result.Status == shard.StatusOK, now)
--- a/test/servingsim/traffic.go
+++ b/test/servingsim/traffic.go
@@ -8,7 +8,7 @@
 	"tuliprudder/internal/clock"
 )
 
-// liveRequest is a caller's request, over all its tries.
+// liveRequest is a caller's request, across all its retries.
 type liveRequest struct {
 	world        *World
 	class        LiveClass
@@ -24,10 +24,10 @@
 	isOver       bool
 }
 
-// maxGap is the longest pause between two events of an answer that is in time.
+// maxGap is the longest pause between two events with which an answer still counts as in time.
 const maxGap = 200 * clock.Millisecond
 
-// start lets the traffic begin.
+// start schedules the first requests and batches.
 func (w *World) start(end clock.Micros) {
 	for zone := range w.Deployment.Zones {
 		for _, class := range w.Deployment.Live {
@@ -37,7 +37,7 @@
 	w.scheduleFirstBurst(end)
 }
 
-// scheduleLiveRequest lets the next request of a class come from a zone.
+// scheduleLiveRequest schedules the next request of a class in a zone, after a random time.
 func (w *World) scheduleLiveRequest(class LiveClass, zone int, end clock.Micros) {
 	w.after(w.exponential(1/(class.PerSecond*w.loadFactor())), func() {
 		if w.now >= end {
@@ -55,7 +55,7 @@
 	})
 }
 
-// loadFactor is what the live traffic is multiplied by now.
+// loadFactor returns the current factor of the live traffic.
 func (w *World) loadFactor() float64 {
 	if w.Deployment.LoadFactor == nil {
 		return 1
@@ -63,14 +63,14 @@
 	return w.Deployment.LoadFactor(w.now - w.startedAt)
 }
 
-// randomEdge is an edge of a zone; callers are spread unevenly.
+// randomEdge picks an edge of a zone, with a bias to the first ones: callers are spread unevenly.
 func (w *World) randomEdge(zone int) *edge {
 	n := w.Deployment.EdgesPerZone
 	at := min(w.random.Intn(n), w.random.Intn(n+n/2))
 	return w.edges[zone*n+at]
 }
 
-// recordEvent is one recordEvent of the answer.
+// recordEvent records the arrival of an event of the answer.
 func (r *liveRequest) recordEvent(now clock.Micros) {
 	if r.firstEvent == 0 {
 		r.firstEvent = now
@@ -93,7 +93,7 @@
 	}
 }
 
-// retryOrFail ends one sending of a request; the caller comes again while it may.
+// retryOrFail handles a refusal: the caller retries while it has retries and time left.
 func (r *liveRequest) retryOrFail(retries int, retryAfter clock.Micros) {
 	w := r.world
 	if r.isOver || retries >= r.class.Retries || w.now+retryAfter >= r.deadline {
@@ -119,7 +119,7 @@
 
 type batchItem struct{ promptTokens, outputTokens int }
 
-// scheduleFirstBurst lets the next heap of batches come, within a second.
+// scheduleFirstBurst schedules the first burst of batches.
 func (w *World) scheduleFirstBurst(end clock.Micros) {
 	class := w.Deployment.Batch
 	if class.BurstInterval == 0 {
@@ -128,6 +128,7 @@
 	w.after(class.BurstInterval/5, func() { w.submitBurst(end) })
 }
 
+// submitBurst submits a burst of batches at random times within a second, and schedules the next one.
 func (w *World) submitBurst(end clock.Micros) {
 	if w.now >= end {
 		return
@@ -150,7 +151,7 @@
 	w.stores[w.random.Intn(len(w.stores))].submit(b)
 }
 
-// item finds an item of a batch by its ID.
+// item returns an item of a batch by its ID.
 func (w *World) item(batchID, itemID string) batchItem {
 	index, _ := strconv.Atoi(itemID[strings.LastIndex(itemID, "-")+1:])
 	return w.batchByID(batchID).items[index]
--- a/test/servingsim/world.go
+++ b/test/servingsim/world.go
@@ -1,8 +1,9 @@
-// Package servingsim simulates how a fleet decides under load: edges that carry live requests and
-// stores that run batch items, before model servers whose memory is counted in tokens. The decisions
-// are those of the daemons' own machines (package proxy through machines.Edge, package execution,
-// package batchshare); the control plane, disks and faults of daemons are left out (test/simulator
-// has them). Time is virtual and everything is drawn from one seed, so a run repeats.
+// Package servingsim simulates the scheduling decisions of a fleet under load: edges that serve live
+// requests and stores that run batch items, in front of model servers whose memory is counted in tokens.
+// The decisions are made by the daemons' own code (package proxy through machines.Edge, package
+// execution, package batchshare). The control plane, disks and daemon faults are not simulated;
+// test/simulator covers them. Time is virtual and all randomness comes from one seed, so runs are
+// reproducible.
 package servingsim
 
 import (
@@ -14,7 +15,7 @@
 	"tuliprudder/internal/dataplane/endpoints"
 )
 
-// World is a run: its time, its events and all that takes part.
+// World is the state of a simulation run: its clock, pending events, servers and daemons.
 type World struct {
 	Deployment Deployment
 	Result     Result
@@ -30,19 +31,19 @@
 	stores   []*store
 	requests int // live requests so far
 	batches  int
-	open     []*batch // all batches, in their order
+	open     []*batch // all batches in order of submission, finished ones included
 
 	startedAt clock.Micros // of the traffic
-	scaler    *scaler      // nil: the servers stay as they are
+	scaler    *scaler      // nil: no autoscaling
 }
 
 // daemon receives other daemons' messages.
 type daemon interface{ receive(from string, body any) }
 
-// event is something that happens at a time.
+// event is a function to run at a given time.
 type event struct {
 	at  clock.Micros
-	seq uint64 // of two at one time the earlier one goes first
+	seq uint64 // order of events with the same time
 	run func()
 }
 
@@ -66,13 +67,13 @@
 	return last
 }
 
-// after runs something a while from now.
+// after schedules a function after a delay; a negative delay counts as 0.
 func (w *World) after(delay clock.Micros, run func()) {
 	w.lastSeq++
 	heap.Push(&w.events, event{at: w.now + max(0, delay), seq: w.lastSeq, run: run})
 }
 
-// runUntil lets time go by.
+// runUntil runs all events up to a time.
 func (w *World) runUntil(end clock.Micros) {
 	for len(w.events) > 0 && w.events[0].at <= end {
 		next := heap.Pop(&w.events).(event)
@@ -82,18 +83,18 @@
 	w.now = end
 }
 
-// exponential draws a time with this mean.
+// exponential draws an exponentially distributed time; mean is in seconds.
 func (w *World) exponential(mean float64) clock.Micros {
 	return clock.Micros(w.random.ExpFloat64() * mean * float64(clock.Second))
 }
 
-// spread draws a number with this mean, at most maxFactor times the mean.
+// spread draws a shifted exponential value, limited to between mean/4 and maxFactor times the mean.
 func (w *World) spread(mean, spread, maxFactor float64) int {
 	value := mean * (1 + spread*(w.random.ExpFloat64()-1))
 	return int(min(max(value, mean/4), maxFactor*mean))
 }
 
-// oneWay is the time of a message between two zones.
+// oneWay returns the one-way delay of a message between two zones.
 func (w *World) oneWay(from, to string) clock.Micros {
 	if from == to {
 		return w.Deployment.InZone
@@ -101,7 +102,7 @@
 	return w.Deployment.BetweenZones
 }
 
-// send carries a message to the daemon at an address.
+// send delivers a message to the daemon at an address, if there is one, after the network delay.
 func (w *World) send(from, fromZone, to string, body any) {
 	target := w.daemons[to]
 	if target == nil {
@@ -123,7 +124,7 @@
 
 func zoneName(i int) string { return fmt.Sprintf("zone-%d", i) }
 
-// loadReport is a server's load as its answer tells it; nil where servers tell none.
+// loadReport returns a server's load as reported with its answer; nil if servers report none.
 func (w *World) loadReport(load serverLoad) *endpoints.ReportedLoad {
 	if !w.Deployment.ReportsLoad {
 		return nil
