--- a/internal/daemon/roles/caller_metrics.go
+++ b/internal/daemon/roles/caller_metrics.go
@@ -17,8 +17,8 @@
 	d.Admin.Metrics.Register(metrics.NewModule(callerMetrics, func() callerSample {
 		return callerSample{
 			closedIdle:          stats.ClosedIdle.Load(),
-			closedUnanswered:    stats.ClosedHere.Load(),
-			callersDisconnected: stats.CallersLeft.Load(),
+			closedUnanswered:    stats.ClosedByServer.Load(),
+			callersDisconnected: stats.CallersDisconnected.Load(),
 			longestWait:         stats.LongestWait.Load(),
 		}
 	}))
--- a/test/localfleet/daemon_test.go
+++ b/test/localfleet/daemon_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestADaemonsAddressesDiffer(t *testing.T) {
+func TestFreeAddressSkipsTakenAddresses(t *testing.T) {
 	const draws = 2000
 	var taken []string
 	for range draws {
@@ -14,7 +14,7 @@
 			t.Fatal(err)
 		}
 		if slices.Contains(taken, address) {
-			t.Fatalf("%s is given twice", address)
+			t.Fatalf("freeAddress returned %s twice", address)
 		}
 		taken = append(taken, address)
 	}
