--- a/internal/exclusive/messages.go
+++ b/internal/exclusive/messages.go
@@ -20,7 +20,7 @@
 	Refused
 )
 
-// resultNames are the resultNames' names for operators.
+// resultNames are the names of the results as shown to operators.
 var resultNames = map[Result]string{NoAnswer: "no_answer", Done: "done", RetryLater: "retry_later", Refused: "refused"}
 
 // String returns the result's name as shown to operators.
